--- a/src/core/care.c
+++ b/src/core/care.c
@@ -9,6 +9,8 @@
 /* How long a machine that failed a job is kept from it, and from everybody until another job tells which of
    the two is at fault. */
 static const double BAD_S = 60, SUSPECT_S = 20;
+/* A replica that has run for so long shows that its job is sound. */
+static const double PROVEN_S = 20;
 enum { ERRORS_TO_QUARANTINE = 2, RUN_FAILURES = 3, DEAF_FEW = 2, SILENT_FEW = 3 };
 
 /* Proof by time: a worker ends its tasks when lease_s has passed since it sent the last report that was
@@ -193,10 +195,26 @@
     g_hash_table_add(run->bad_machines, m);
 }
 
+/* Whether a replica of the service has served for a while: the job is sound, and what fails is the machines.
+ */
+static bool is_proven(const struct ow_lead *lead, const struct ow_run *run)
+{
+    for (guint i = 0; ow_run_is_service(run) && i < run->attempts->len; i++) {
+        const struct ow_attempt *at = g_ptr_array_index(run->attempts, i);
+        if (at->running_at > 0 && lead->node->now - at->running_at > PROVEN_S)
+            return true;
+    }
+    return false;
+}
+
 void ow_care_error(struct ow_lead *lead, struct ow_machine *m, struct ow_run *run)
 {
     double now = lead->node->now;
     ow_care_avoid(lead, m, run);
+    /* A service that otherwise serves has no result that would forgive its failures: without this they would
+       add up as long as it lives, and its replicas wait ever longer. */
+    if (is_proven(lead, run))
+        run->failures = 0;
     run->failures = MIN(run->failures + 1, 1000);
     guint bad = g_hash_table_size(run->bad_machines);
     if (bad >= RUN_FAILURES) {
--- a/src/core/lead_state.h
+++ b/src/core/lead_state.h
@@ -82,6 +82,8 @@
     bool aged;                /* it is old, begun or not; of the pass at hand */
     bool starves;             /* it has waited too long for anything to start; of the pass at hand */
     double ready_at;          /* not to be started before */
+    double missing_since;     /* a task of it waits since then; 0: none does */
+    double part_at;           /* replicas.c: when its replicas are next looked at */
     unsigned failures;        /* in a row, on several machines */
     double bad_until;         /* bad_machines count no longer */
     GHashTable *bad_machines; /* machines where a task of it failed -> nothing */
--- a/src/core/placement.c
+++ b/src/core/placement.c
@@ -196,7 +196,9 @@
 {
     struct ow_chunk *chunk = ow_run_chunk(run, task);
     chunk->last_attempt = MAX(chunk->last_attempt, number);
-    ow_attempt_new(lead, run, task, number, m, m->session)->shielded = run->starves || run->aged;
+    /* A replica has no end: what is not stopped for others must get through some day. */
+    ow_attempt_new(lead, run, task, number, m, m->session)->shielded =
+        (run->starves || run->aged) && !ow_run_is_service(run);
     ow_book_image_use(lead, m, run->job->spec, false);
     ow_recorder_chunk(lead, run, task, true);
     g_debug("task %s/%u attempt %" G_GUINT64_FORMAT " placed on %s", run->job->id, task, number, m->name);
--- a/src/core/replicas.c
+++ b/src/core/replicas.c
@@ -8,33 +8,67 @@
 static const double MACHINE_S = 60, ZONE_S = 4;
 /* Replicas of one service that are moved at a time. */
 enum { MOVES_MOST = 1 };
+/* How long a move takes: a stop, its report, a launch. So long before its machine goes a replica is stopped
+   at the latest. */
+static const double MOVE_S = 2, LAST_MOVE_S = 4;
+/* A service without a loss for so long is moved for the sake of losses to come, and looked at so often. */
+static const double CALM_S = 60, PART_S = 5;
 
+/* How many replicas of a service stand where: counted once, for a service may have thousands. */
 struct neighbours {
-    uint32_t on_machine, in_zone;
+    GHashTable *on_machine; /* machine -> count */
+    GHashTable *in_zone;    /* zone index -> count */
 };
 
-static struct neighbours neighbours_at(const struct ow_run *run, const struct ow_machine *m)
+static guint count_at(GHashTable *counts, const void *key)
 {
-    struct neighbours n = {0};
-    for (guint i = 0; i < run->attempts->len; i++) {
-        const struct ow_attempt *at = g_ptr_array_index(run->attempts, i);
-        n.on_machine += at->machine == m ? 1 : 0;
-        n.in_zone += at->machine->zone == m->zone ? 1 : 0;
-    }
+    return GPOINTER_TO_UINT(g_hash_table_lookup(counts, key));
+}
+
+static void add_neighbour(struct neighbours *n, struct ow_machine *m)
+{
+    gpointer zone = GINT_TO_POINTER(m->zone);
+    g_hash_table_insert(n->on_machine, m, GUINT_TO_POINTER(count_at(n->on_machine, m) + 1));
+    g_hash_table_insert(n->in_zone, zone, GUINT_TO_POINTER(count_at(n->in_zone, zone) + 1));
+}
+
+static struct neighbours neighbours_of(const struct ow_run *run)
+{
+    struct neighbours n = {g_hash_table_new(NULL, NULL), g_hash_table_new(NULL, NULL)};
+    for (guint i = 0; i < run->attempts->len; i++)
+        add_neighbour(&n, ((const struct ow_attempt *)g_ptr_array_index(run->attempts, i))->machine);
     return n;
 }
 
-static struct ow_room *best_room(const struct ow_run *run, GArray *rooms, int only)
+static void neighbours_clear(struct neighbours *n)
+{
+    g_hash_table_destroy(n->on_machine);
+    g_hash_table_destroy(n->in_zone);
+}
+
+/* What the job's own rules admit in each zone, by zone index. */
+static GArray *zones_admit(const struct ow_lead *lead, const struct ow_run *run)
+{
+    GArray *admitted = g_array_new(FALSE, FALSE, sizeof(uint32_t));
+    for (int zone = 0; zone < ow_names_count(lead->node->names.zones); zone++) {
+        uint32_t count = ow_place_zone_admits(run, zone);
+        g_array_append_val(admitted, count);
+    }
+    return admitted;
+}
+
+static struct ow_room *best_room(const struct neighbours *n, GArray *rooms, const GArray *admitted, int only)
 {
     struct ow_room *best = NULL;
     double least = INFINITY;
     for (guint i = 0; i < rooms->len; i++) {
         struct ow_room *room = &g_array_index(rooms, struct ow_room, i);
-        if (room->slots == 0 || (only != OW_NO_NAME && room->machine->zone != only) ||
-            ow_place_zone_admits(run, room->machine->zone) == 0)
+        int zone = room->machine->zone;
+        if (room->slots == 0 || (only != OW_NO_NAME && zone != only) ||
+            g_array_index(admitted, uint32_t, zone) == 0)
             continue;
-        struct neighbours n = neighbours_at(run, room->machine);
-        double cost = room->cost + MACHINE_S * n.on_machine + ZONE_S * n.in_zone;
+        double cost = room->cost + MACHINE_S * count_at(n->on_machine, room->machine) +
+                      ZONE_S * count_at(n->in_zone, GINT_TO_POINTER(zone));
         if (cost < least) {
             least = cost;
             best = room;
@@ -43,6 +77,13 @@
     return best;
 }
 
+static void place_replica(struct ow_lead *lead, struct ow_run *run, uint64_t number, struct ow_machine *m)
+{
+    uint32_t task = ow_place_next_pending(run);
+    g_info("service %s: replica %u placed on %s", run->job->id, task, m->name);
+    ow_place_task(lead, run, task, number, m);
+}
+
 void ow_replicas_place(struct ow_lead *lead, struct ow_run *run)
 {
     uint32_t wanted = ow_team_admits(lead, run->job->spec, ow_run_pending(run));
@@ -51,63 +92,189 @@
     GArray *rooms = ow_place_rooms(lead, run);
     int only = run->job->spec->submission->one_zone ? ow_place_best_zone(run, rooms) : OW_NO_NAME;
     uint64_t number = ow_run_next_attempt(run);
+    struct neighbours neighbours = neighbours_of(run);
     for (; wanted > 0; wanted--) {
-        struct ow_room *room = best_room(run, rooms, only);
+        GArray *admitted = zones_admit(lead, run);
+        struct ow_room *room = best_room(&neighbours, rooms, admitted, only);
+        g_array_free(admitted, TRUE);
         if (room == NULL)
             break;
         room->slots--;
-        g_info("service %s: replica %u placed on %s", run->job->id, ow_place_next_pending(run),
-               room->machine->name);
-        ow_place_task(lead, run, ow_place_next_pending(run), number, room->machine);
+        add_neighbour(&neighbours, room->machine);
+        place_replica(lead, run, number, room->machine);
     }
+    neighbours_clear(&neighbours);
     g_array_free(rooms, TRUE);
 }
 
 /* ---- moves ---- */
 
+static bool is_serving(const struct ow_attempt *at)
+{
+    return at->state == OW_AT_SEEN && at->phase == OW_RUNNING && !at->stop;
+}
+
 static uint32_t not_serving(const struct ow_run *run)
 {
     uint32_t serving = 0;
-    for (guint i = 0; i < run->attempts->len; i++) {
-        const struct ow_attempt *at = g_ptr_array_index(run->attempts, i);
-        serving += at->state == OW_AT_SEEN && at->phase == OW_RUNNING && !at->stop ? 1 : 0;
-    }
+    for (guint i = 0; i < run->attempts->len; i++)
+        serving += is_serving(g_ptr_array_index(run->attempts, i)) ? 1 : 0;
     return run->count - serving;
 }
 
-/* Whether a replica could start elsewhere at once: its image is there. */
-static bool has_place(struct ow_lead *lead, const struct ow_run *run)
+static bool stands_on(const struct ow_run *run, const struct ow_machine *m)
 {
-    bool found = false;
-    for (guint i = 0; i < lead->machines->len && !found; i++) {
-        const struct ow_machine *m = g_ptr_array_index(lead->machines, i);
+    for (guint i = 0; i < m->attempts->len; i++)
+        if (((const struct ow_attempt *)g_ptr_array_index(m->attempts, i))->job == run->job)
+            return true;
+    return false;
+}
+
+/* A machine where a replica could start at once, away from the others of its service and, if so wanted, from
+   a zone; NULL: none has room and its image. */
+static struct ow_machine *find_place(struct ow_lead *lead, const struct ow_run *run, int not_in_zone)
+{
+    for (guint i = 0; i < lead->machines->len; i++) {
+        struct ow_machine *m = g_ptr_array_index(lead->machines, i);
         const struct ow_image_copy *copy = ow_book_image(m, run->job->spec->image);
-        found = copy != NULL && copy->present && ow_place_may(lead, run, m) &&
-                ow_place_slots(lead, run->job->spec, m) > 0 && neighbours_at(run, m).on_machine == 0;
+        if (copy != NULL && copy->present && m->zone != not_in_zone && ow_place_may(lead, run, m) &&
+            ow_place_slots(lead, run->job->spec, m) > 0 && !stands_on(run, m))
+            return m;
     }
-    return found;
+    return NULL;
+}
+
+/* The room is kept for the rest of the tick: one place is not to be counted on by two replicas. */
+static void move_to(struct ow_lead *lead, struct ow_attempt *at, struct ow_machine *place, const char *why)
+{
+    ow_amounts_add(&place->held, &at->job->spec->submission->need, 1);
+    ow_attempt_stop(lead, at, 0, why);
 }
 
-static void move_off(struct ow_lead *lead, struct ow_machine *m)
+static bool is_movable(const struct ow_attempt *at)
 {
+    return ow_run_is_service(at->job->run) && !at->stop && !ow_job_over(at->job);
+}
+
+/* The service's replicas on machines that are about to go. */
+static uint32_t leaving(const struct ow_run *run)
+{
+    uint32_t count = 0;
+    for (guint i = 0; i < run->attempts->len; i++) {
+        const struct ow_attempt *at = g_ptr_array_index(run->attempts, i);
+        count += at->machine->lost_at > 0 && !at->stop ? 1 : 0;
+    }
+    return count;
+}
+
+/* Whether the service can do without one more replica for a moment: one at a time is missed, unless the
+   machines that are about to go leave no time for that. */
+static bool may_miss_one_more(const struct ow_run *run, double left_s)
+{
+    return not_serving(run) < MOVES_MOST || leaving(run) * MOVE_S > left_s - LAST_MOVE_S;
+}
+
+/* With its image elsewhere a replica is moved as soon as its service can do without it. Where no machine with
+   the image has room, it serves as long as it may: then it is stopped all the same, for it starts elsewhere
+   only once it is proven gone, and that takes far longer when its machine has been taken. */
+static void move_off_leaving(struct ow_lead *lead, struct ow_machine *m)
+{
+    double left = m->lost_at - lead->node->now;
     for (guint i = m->attempts->len; i > 0; i--) {
         if (i > m->attempts->len)
             continue;
         struct ow_attempt *at = g_ptr_array_index(m->attempts, i - 1);
-        struct ow_run *run = at->job->run;
-        if (!ow_run_is_service(run) || at->stop || ow_job_over(at->job))
+        if (!is_movable(at))
             continue;
-        /* Room is made sure of first, and few are missed at a time. */
-        if (not_serving(run) < MOVES_MOST && has_place(lead, run))
-            ow_attempt_stop(lead, at, 0, "its machine is about to go; it moves");
+        struct ow_machine *place = find_place(lead, at->job->run, OW_NO_NAME);
+        if (place != NULL && may_miss_one_more(at->job->run, left))
+            move_to(lead, at, place, "its machine is about to go; it moves");
+        else if (left < LAST_MOVE_S)
+            ow_attempt_stop(lead, at, 0, "its machine is about to go, and no other one has its image");
     }
 }
 
+static bool has_only_replicas(const struct ow_machine *m)
+{
+    for (guint i = 0; i < m->attempts->len; i++)
+        if (!ow_run_is_service(((const struct ow_attempt *)g_ptr_array_index(m->attempts, i))->job->run))
+            return false;
+    return true;
+}
+
+/* A machine that fails tasks is returned once it is empty, which replicas that happen to run on it would put
+   off for ever. They serve, so they move only where they are hardly missed. */
+static void move_off_faulty(struct ow_lead *lead, struct ow_machine *m)
+{
+    if (!has_only_replicas(m) || !ow_book_heard_lately(lead, m))
+        return;
+    for (guint i = m->attempts->len; i > 0; i--) {
+        if (i > m->attempts->len)
+            continue;
+        struct ow_attempt *at = g_ptr_array_index(m->attempts, i - 1);
+        struct ow_machine *place = is_movable(at) && not_serving(at->job->run) < MOVES_MOST
+                                       ? find_place(lead, at->job->run, OW_NO_NAME)
+                                       : NULL;
+        if (place != NULL)
+            move_to(lead, at, place, "its machine is faulty; it moves");
+    }
+}
+
+/* A replica whose loss would come together with another one's: on one machine with it, or in the only zone
+   that the service has left; that zone is told, too. NULL: there is none. */
+static struct ow_attempt *crowded(const struct ow_run *run, int *not_in_zone)
+{
+    const struct ow_spec *spec = run->job->spec;
+    struct neighbours n = neighbours_of(run);
+    struct ow_attempt *found = NULL;
+    *not_in_zone = OW_NO_NAME;
+    for (guint i = 0; i < run->attempts->len && found == NULL; i++) {
+        struct ow_attempt *at = g_ptr_array_index(run->attempts, i);
+        found = count_at(n.on_machine, at->machine) > 1 ? at : NULL;
+    }
+    bool one_zone = run->attempts->len > 1 && g_hash_table_size(n.in_zone) == 1;
+    if (found == NULL && one_zone && !spec->submission->one_zone && spec->zone == OW_NO_NAME) {
+        found = g_ptr_array_index(run->attempts, 0);
+        *not_in_zone = found->machine->zone;
+    }
+    neighbours_clear(&n);
+    return found;
+}
+
+static bool has_been_calm(const struct ow_lead *lead, const struct ow_run *run)
+{
+    for (guint i = 0; i < run->attempts->len; i++) {
+        const struct ow_attempt *at = g_ptr_array_index(run->attempts, i);
+        if (lead->node->now - at->placed_at < CALM_S)
+            return false;
+    }
+    return lead->node->now - lead->ready_at >= CALM_S && not_serving(run) == 0;
+}
+
+/* Where room was short its replicas may have come together: one at a time they part again. */
+static void part(struct ow_lead *lead, struct ow_run *run)
+{
+    int not_in_zone;
+    if (!ow_run_is_service(run) || ow_job_over(run->job) || lead->node->now < run->part_at)
+        return;
+    run->part_at = lead->node->now + PART_S;
+    if (!has_been_calm(lead, run))
+        return;
+    struct ow_attempt *at = crowded(run, &not_in_zone);
+    struct ow_machine *place = at != NULL ? find_place(lead, run, not_in_zone) : NULL;
+    if (place != NULL)
+        move_to(lead, at, place, "it stands together with others of its service; it moves");
+}
+
 void ow_replicas_care(struct ow_lead *lead)
 {
     for (guint i = 0; i < lead->machines->len; i++) {
         struct ow_machine *m = g_ptr_array_index(lead->machines, i);
         if (m->lost_at > 0)
-            move_off(lead, m);
+            move_off_leaving(lead, m);
+        else if (lead->node->now < m->quarantine_until)
+            move_off_faulty(lead, m);
     }
+    for (guint i = 0; i < lead->runs->len; i++)
+        part(lead, g_ptr_array_index(lead->runs, i));
 }
--- a/src/core/schedule.c
+++ b/src/core/schedule.c
@@ -173,9 +173,17 @@
 
 static void judge_age(const struct ow_lead *lead, struct ow_run *run)
 {
-    double age = lead->node->now - run->came_at;
+    bool service = ow_run_is_service(run);
+    double age = lead->node->now - (service ? run->missing_since : run->came_at);
     double most = run->job->spec->submission->gang ? PROMOTION_GANG_S : PROMOTION_S;
     double patience = CLAMP(BEGIN_S - fetch_s(lead, run->job->spec), PROMOTION_LEAST_S, most);
+    /* A service is never through: its age would put it before everybody for ever. What counts is how long a
+       replica has been missed. */
+    if (service) {
+        run->starves = age > patience;
+        run->aged = false;
+        return;
+    }
     run->starves = run->attempts->len == 0 && run->done == 0 && age > patience;
     run->aged = age > AGED_S;
 }
@@ -209,7 +217,13 @@
     fleet_size(lead, &cpus, &gpus);
     for (guint i = 0; i < lead->runs->len; i++) {
         struct ow_run *run = g_ptr_array_index(lead->runs, i);
-        if (ow_run_pending(run) == 0 || run->ready_at > lead->node->now)
+        if (ow_run_pending(run) == 0) {
+            run->missing_since = 0;
+            continue;
+        }
+        if (run->missing_since == 0)
+            run->missing_since = lead->node->now;
+        if (run->ready_at > lead->node->now)
             continue;
         judge_age(lead, run);
         struct entry e = {run, rank_in_line(run), !guaranteed(lead, run), missed_aims(lead, run),
@@ -237,29 +251,60 @@
     return runs;
 }
 
-/* Room on machines where lower work is stopped for an array that fits nowhere else. It is booked for the
-   rest of the pass; in the next ones the array's rank keeps it. */
+/* The zone where stopping lower work makes most room for an array that must stay together. */
+static int best_zone_with_stops(struct ow_lead *lead, const struct ow_run *run, const GPtrArray *machines)
+{
+    const struct ow_spec *spec = run->job->spec;
+    GArray *rooms = g_array_new(FALSE, FALSE, sizeof(struct ow_room));
+    for (guint i = 0; i < machines->len; i++) {
+        struct ow_machine *m = g_ptr_array_index(machines, i);
+        if (!ow_place_may(lead, run, m))
+            continue;
+        struct ow_room room = {.machine = m, .slots = ow_preempt_slots(lead, spec, m)};
+        g_array_append_val(rooms, room);
+    }
+    int zone = ow_place_best_zone(run, rooms);
+    g_array_free(rooms, TRUE);
+    return zone;
+}
+
+/* What the zone still admits of the job, the places that were made there in this pass among them. */
+static uint32_t zone_still_admits(const struct ow_run *run, const GArray *made, int zone)
+{
+    uint32_t admitted = ow_place_zone_admits(run, zone);
+    for (guint i = 0; i < made->len && admitted > 0; i++)
+        admitted -= g_array_index(made, int, i) == zone ? 1 : 0;
+    return admitted;
+}
+
+/* Room on machines where lower work is stopped for an array or a service that fits nowhere else. It is booked
+   for the rest of the pass; in the next ones the job's rank keeps it. */
 static void array_makes_room(struct ow_lead *lead, struct ow_run *run)
 {
     const struct ow_spec *spec = run->job->spec;
     uint32_t wanted = ow_team_admits(lead, spec, ow_run_pending(run));
     bool service = ow_run_is_service(run);
-    if ((spec->submission->rank == OW_RANK_LOW && !ow_run_claims(lead, run)) || spec->submission->one_zone ||
-        (spec->submission->spread && !service))
+    if ((spec->submission->rank == OW_RANK_LOW && !ow_run_claims(lead, run)) ||
+        (!service && (spec->submission->one_zone || spec->submission->spread)))
         return;
     const GPtrArray *machines = ow_shortlist_with_stops(lead, spec->class_index);
+    int only = spec->submission->one_zone ? best_zone_with_stops(lead, run, machines) : OW_NO_NAME;
+    GArray *made = g_array_new(FALSE, FALSE, sizeof(int)); /* zones of the places made */
     for (guint i = 0; i < machines->len && wanted > 0; i++) {
         struct ow_machine *m = g_ptr_array_index(machines, i);
-        if (!ow_place_may(lead, run, m))
+        if (!ow_place_may(lead, run, m) || (only != OW_NO_NAME && m->zone != only))
             continue;
         /* Replicas stand apart: a machine of its own for each, if need be. */
-        uint32_t slots = MIN(service ? MIN(ow_place_zone_admits(run, m->zone), 1) : wanted,
+        uint32_t slots = MIN(service ? MIN(zone_still_admits(run, made, m->zone), 1) : wanted,
                              ow_preempt_slots(lead, spec, m));
         if (slots == 0 || !ow_preempt_make_room(lead, run, m, slots))
             continue;
         ow_amounts_add(&m->held, &spec->submission->need, slots);
+        if (service)
+            g_array_append_val(made, m->zone);
         wanted -= slots;
     }
+    g_array_free(made, TRUE);
 }
 
 GPtrArray *ow_schedule_line(struct ow_lead *lead)
@@ -331,4 +376,10 @@
         ow_reason_waits(lead, run);
     }
     g_ptr_array_free(runs, TRUE);
+    /* Those that are paused have no place in the line, but their teams ask why they wait. */
+    for (guint i = 0; i < lead->runs->len; i++) {
+        struct ow_run *run = g_ptr_array_index(lead->runs, i);
+        if (run->ready_at > lead->node->now)
+            ow_reason_waits(lead, run);
+    }
 }
--- a/src/wire/user_json.c
+++ b/src/wire/user_json.c
@@ -151,6 +151,14 @@
     return NULL;
 }
 
+/* A service has no run time to estimate; whatever ends has one. */
+static const char *estimate_fault(const struct ow_submission *s)
+{
+    if (s->kind == OW_KIND_SERVICE)
+        return s->estimate_s == 0 ? NULL : W_ESTIMATE ": must be 0 for a service";
+    return s->estimate_s > 0 ? NULL : W_ESTIMATE ": must be above 0";
+}
+
 struct ow_submission *wire_submission_parse(const char *text, size_t size, char *id, const char **fault)
 {
     json_t *object = wj_object(text, size);
@@ -165,10 +173,10 @@
     struct ow_submission *s = wire_submission_from(object, fault);
     json_decref(object);
     /* Asked at the door alone: what is stored was accepted, and stays readable. */
-    if (s != NULL && s->estimate_s <= 0 && s->kind != OW_KIND_SERVICE) {
-        *fault = W_ESTIMATE ": must be above 0";
+    if (s != NULL)
+        *fault = estimate_fault(s);
+    if (s != NULL && *fault != NULL)
         g_clear_pointer(&s, ow_submission_free);
-    }
     return s;
 }
 
--- a/tests/test_services.c
+++ b/tests/test_services.c
@@ -183,6 +183,263 @@
     world_finish(w);
 }
 
+static unsigned replicas_on_spot(struct world *w, const char *job)
+{
+    unsigned count = 0;
+    for (guint i = 0; i < w->machines->len; i++) {
+        const struct world_machine *m = g_ptr_array_index(w->machines, i);
+        count += m->spot && !m->gone ? replicas_on(m, job) : 0;
+    }
+    return count;
+}
+
+/* Every spot machine says each second how long it has left, and goes. */
+static void take_spot_machines(struct world *w, int notice_s)
+{
+    for (int left = notice_s; left > 0; left--) {
+        for (guint i = 0; i < w->machines->len; i++) {
+            struct world_machine *m = g_ptr_array_index(w->machines, i);
+            if (!m->spot)
+                continue;
+            m->notice_s = left;
+            m->report_at = w->now;
+        }
+        world_run(w, 1);
+    }
+}
+
+/* The service's replicas stand on spot machines, one on each. */
+static struct world *with_replicas_on_spot_machines(uint32_t replicas)
+{
+    struct world *w = start_world(0);
+    struct ow_submission *service = world_service("run-1", replicas, 1);
+    w->capacity = 0;
+    service->spot = true;
+    for (uint32_t i = 0; i < replicas; i++) {
+        char name[32];
+        g_snprintf(name, sizeof name, "s-%u", i);
+        world_add_machine(w, name, "big", "east", true);
+    }
+    world_run(w, 4);
+    world_submit(w, 0, service);
+    world_run(w, 6);
+    assert_int_equal(replicas_on_spot(w, "run-1"), replicas);
+    return w;
+}
+
+/* No other machine has the image. The replica is stopped before its machine goes all the same: proof that it
+ * is gone would come long after. */
+static void test_a_replica_moves_to_a_machine_without_its_image(void **state)
+{
+    (void)state;
+    struct world *w = with_replicas_on_spot_machines(1);
+    struct world_machine *old = world_machine(w, "s-0");
+    world_add_machine(w, "m-0", "big", "east", false);
+    world_run(w, 4);
+    take_spot_machines(w, 7);
+    assert_int_equal(replicas_on(old, "run-1"), 0);
+    assert_int_equal(replicas_on(world_machine(w, "m-0"), "run-1"), 1);
+    world_finish(w);
+}
+
+/* All machines of a service go at once, and soon: there is no time to move one replica after the other. */
+static void test_all_replicas_move_before_a_spot_wave(void **state)
+{
+    (void)state;
+    struct world *w = with_replicas_on_spot_machines(6);
+    struct ow_submission *other = world_job("run-2", 96, 1);
+    other->spot = false;
+    world_add_machines(w, 6);
+    w->run_s = 2;
+    world_submit(w, 0, other);
+    assert_true(world_until(w, 30, world_all_done, "run-2"));
+    w->run_s = 200;
+    take_spot_machines(w, 8);
+    assert_int_equal(replicas_on_spot(w, "run-1"), 0);
+    world_run(w, 2);
+    assert_int_equal(world_running(w, "run-1"), 6);
+    world_finish(w);
+}
+
+/* A job that may only run in the west, of a class of its own. */
+static struct ow_submission *western_job(const char *id)
+{
+    struct ow_submission *s = world_job(id, 1, 1);
+    g_free(s->class_name);
+    s->class_name = g_strdup(id);
+    s->zone = g_strdup("west");
+    return s;
+}
+
+/* A replica that happens to run on a machine which fails what starts there would keep it rented for ever. */
+static void test_a_replica_moves_off_a_faulty_machine(void **state)
+{
+    (void)state;
+    struct world *w = start_world(3);
+    struct world_machine *faulty = world_add_machine(w, "w-0", "big", "west", false);
+    w->capacity = 0;
+    w->run_s = 200;
+    world_run(w, 4);
+    world_submit(w, 0, world_service("run-1", 3, 1));
+    world_run(w, 6);
+    assert_int_equal(replicas_on(faulty, "run-1"), 1);
+    /* The machine without a replica has the image and stays. */
+    struct ow_submission *other = world_job("run-9", 3, 15);
+    other->zone = g_strdup("east");
+    world_submit(w, 0, other);
+    world_run(w, 6);
+    faulty->sick = true;
+    world_submit(w, 0, western_job("run-2"));
+    world_run(w, 26);
+    world_submit(w, 0, western_job("run-3"));
+    assert_true(world_until(w, 40, world_is_gone, faulty));
+    assert_true(world_until(w, 4, three_run, "run-1"));
+    world_finish(w);
+}
+
+/* Room was short, and two replicas share a machine. Once there is another one they part. */
+static void test_replicas_part_when_there_is_room_again(void **state)
+{
+    (void)state;
+    struct world *w = start_world(1);
+    w->capacity = 0;
+    w->run_s = 200;
+    world_submit(w, 0, world_service("run-1", 2, 1));
+    world_run(w, 6);
+    assert_int_equal(replicas_on(world_machine(w, "m-0"), "run-1"), 2);
+    world_add_machine(w, "n-0", "big", "west", false);
+    world_submit(w, 0, world_job("run-2", 20, 1));
+    world_run(w, 90);
+    assert_int_equal(replicas_on(world_machine(w, "m-0"), "run-1"), 1);
+    assert_int_equal(replicas_on(world_machine(w, "n-0"), "run-1"), 1);
+    world_finish(w);
+}
+
+/* A service is never through: that must not count as having waited too long. */
+static void test_an_old_service_gives_way_to_more_urgent_work(void **state)
+{
+    (void)state;
+    struct world *w = start_world(1);
+    w->capacity = 0;
+    struct ow_submission *low = world_service("run-1", 1, 16);
+    low->rank = OW_RANK_LOW;
+    world_submit(w, 0, low);
+    world_run(w, 230);
+    struct world_machine *m = world_machine(w, "m-0");
+    m->sick = true;
+    g_array_index(m->tasks, struct world_task, 0).phase_at = w->now;
+    world_run(w, 2);
+    m->sick = false;
+    assert_true(world_until(w, 90, world_some_running, "run-1"));
+    world_submit(w, 0, world_service("run-2", 1, 16));
+    assert_true(world_until(w, 10, world_some_running, "run-2"));
+    world_finish(w);
+}
+
+/* Lower work makes room for replicas that must stay in one zone, too, and all of it there. */
+static void test_room_is_made_in_one_zone(void **state)
+{
+    (void)state;
+    struct world *w = start_world(2);
+    w->capacity = 0;
+    w->run_s = 200;
+    world_add_machine(w, "w-0", "big", "west", false);
+    struct ow_submission *low = world_job("run-9", 48, 1);
+    low->rank = OW_RANK_LOW;
+    world_submit(w, 0, low);
+    world_run(w, 8);
+    struct ow_submission *service = world_service("run-1", 2, 16);
+    service->one_zone = true;
+    world_submit(w, 0, service);
+    world_run(w, 6);
+    assert_int_equal(world_running(w, "run-1"), 2);
+    assert_int_equal(replicas_on(world_machine(w, "w-0"), "run-9"), 16);
+    world_finish(w);
+}
+
+/* Where only half of the replicas may stand in a zone, no more than that is stopped for them there. */
+static void test_no_more_room_is_made_than_a_zone_admits(void **state)
+{
+    (void)state;
+    struct world *w = start_world(4);
+    w->capacity = 0;
+    w->run_s = 200;
+    for (int i = 0; i < 4; i++) {
+        char name[32];
+        g_snprintf(name, sizeof name, "w-%d", i);
+        world_add_machine(w, name, "big", "west", false);
+    }
+    struct ow_submission *low = world_job("run-9", 128, 1);
+    low->rank = OW_RANK_LOW;
+    world_submit(w, 0, low);
+    world_run(w, 8);
+    struct ow_submission *service = world_service("run-1", 4, 16);
+    service->spread = true;
+    world_submit(w, 0, service);
+    world_run(w, 8);
+    assert_int_equal(world_running(w, "run-1"), 4);
+    unsigned starts = 0;
+    for (guint i = 0; i < w->machines->len; i++)
+        starts += ((struct world_machine *)g_ptr_array_index(w->machines, i))->starts;
+    assert_int_equal(starts, 128 + 4);
+    world_finish(w);
+}
+
+/* Whatever is on the machine is through with its time at hand. */
+static void end_tasks(struct world *w, struct world_machine *m)
+{
+    for (guint i = 0; i < m->tasks->len; i++)
+        g_array_index(m->tasks, struct world_task, i).phase_at = w->now;
+}
+
+/* Most machines fail whatever starts, for a while. A replica that serves all along shows that the service is
+ * sound: the failures of the others don't add up to ever longer pauses. */
+static void test_failures_of_a_sound_service_do_not_add_up(void **state)
+{
+    (void)state;
+    enum { REPLICAS = 5 };
+    struct world *w = start_world(REPLICAS);
+    w->capacity = 0;
+    world_submit(w, 0, world_service("run-1", REPLICAS, 16));
+    world_run(w, 30);
+    assert_int_equal(world_running(w, "run-1"), REPLICAS);
+    for (int i = 0; i < 180; i++) {
+        for (guint k = 1; k < REPLICAS; k++) {
+            struct world_machine *m = g_ptr_array_index(w->machines, k);
+            m->sick = true;
+            end_tasks(w, m);
+        }
+        world_run(w, 0.5);
+    }
+    for (guint k = 1; k < REPLICAS; k++)
+        ((struct world_machine *)g_ptr_array_index(w->machines, k))->sick = false;
+    world_run(w, 25);
+    /* One machine may still be kept from the service: the last that failed it, for a minute. */
+    assert_in_range(world_running(w, "run-1"), REPLICAS - 1, REPLICAS);
+    world_finish(w);
+}
+
+/* A job with a mistake fails wherever it goes; while it is paused its team is told so. */
+static void test_a_paused_service_says_why(void **state)
+{
+    (void)state;
+    struct world *w = start_world(4);
+    w->capacity = 0;
+    for (guint i = 0; i < 4; i++)
+        ((struct world_machine *)g_ptr_array_index(w->machines, i))->sick = true;
+    world_submit(w, 0, world_service("run-1", 2, 1));
+    bool said = false;
+    for (int i = 0; i < 60 && !said; i++) {
+        uint64_t request = world_poll(w, world_leader(w), "run-1");
+        world_run(w, 1);
+        const struct world_answer *answer = world_answer(w, request);
+        said = answer != NULL && answer->reason != NULL && strstr(answer->reason, "paused") != NULL;
+    }
+    assert_true(said);
+    assert_int_not_equal(world_stance(w, "run-1"), OW_DONE);
+    world_finish(w);
+}
+
 int main(void)
 {
     const struct CMUnitTest tests[] = {
@@ -194,6 +451,15 @@
         cmocka_unit_test(test_a_service_does_not_wait_behind_lower_work),
         cmocka_unit_test(test_spread_and_limits),
         cmocka_unit_test(test_services_across_leaders),
+        cmocka_unit_test(test_a_replica_moves_to_a_machine_without_its_image),
+        cmocka_unit_test(test_all_replicas_move_before_a_spot_wave),
+        cmocka_unit_test(test_a_replica_moves_off_a_faulty_machine),
+        cmocka_unit_test(test_replicas_part_when_there_is_room_again),
+        cmocka_unit_test(test_an_old_service_gives_way_to_more_urgent_work),
+        cmocka_unit_test(test_room_is_made_in_one_zone),
+        cmocka_unit_test(test_no_more_room_is_made_than_a_zone_admits),
+        cmocka_unit_test(test_failures_of_a_sound_service_do_not_add_up),
+        cmocka_unit_test(test_a_paused_service_says_why),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/test_wire.c
+++ b/tests/test_wire.c
@@ -72,6 +72,7 @@
     {"\"preen_s\":4.0,", ""},
     {"\"flight_s\":240.0", "\"flight_s\":0"},
     {"\"flight_s\":240.0,", ""},
+    {"\"ensemble\"", "\"standing\""}, /* a service has no run time */
     {"\"molt_s\":30.0,", ""},
     {"\"image_gb\":6.2,", ""},
     {"\"plumage\":\"img-07\",", ""},
