--- a/src/core/door.c
+++ b/src/core/door.c
@@ -173,9 +173,30 @@
     return NULL;
 }
 
+/* What can't run now, or can't be read, may have been accepted by another node before: such a repeat is no
+   422 or 400. */
+static void refuse_if_new(struct ow_node *node, void *data, bool ok)
+{
+    const struct visit *v = data;
+    if (ok && ow_jobs_find(node->jobs, v->id) == NULL)
+        ow_node_refuse(node, v->request, v->never_status, v->never, 0);
+    else
+        answer_fresh(node, data, ok);
+}
+
+static void refuse_unless_known(struct ow_node *node, uint64_t request, const char *id, int status,
+                                const char *why)
+{
+    struct visit *v = visit_new(request, id);
+    v->never = why;
+    v->never_status = status;
+    ow_replica_refresh(node->replica, refuse_if_new, v);
+}
+
 struct submit_call {
     struct ow_submission *submission;
     uint64_t request;
+    size_t record_bytes;
 };
 
 static void submit_call_free(void *data)
@@ -195,6 +216,16 @@
     ow_node_nudge(node, revision);
 }
 
+static const char TOO_LARGE[] = "its description is too large to be recorded";
+
+/* A value that is refused on its own is refused for ever: its user is told so instead of being asked to come
+   again, unless an earlier try was carried out after all. */
+static void refuse_too_large(struct ow_node *node, const struct submit_call *call)
+{
+    ow_limits_refused(&node->limits, 1, call->record_bytes);
+    refuse_unless_known(node, call->request, call->submission->id, 422, TOO_LARGE);
+}
+
 static void on_submit_reply(void *owner, void *data, const struct ow_command *answer)
 {
     struct ow_node *node = owner;
@@ -203,30 +234,12 @@
         accept_job(node, call->request, answer->store.revision, g_steal_pointer(&call->submission));
     else if (answer->store.status == 409) /* another node was first */
         ow_replica_refresh(node->replica, answer_fresh, visit_new(call->request, call->submission->id));
+    else if (answer->store.status == 400)
+        refuse_too_large(node, call);
     else
         refuse_busy(node, call->request, "the state service does not answer");
 }
 
-/* What can't run now, or can't be read, may have been accepted by another node before: such a repeat is no
-   422 or 400. */
-static void refuse_if_new(struct ow_node *node, void *data, bool ok)
-{
-    const struct visit *v = data;
-    if (ok && ow_jobs_find(node->jobs, v->id) == NULL)
-        ow_node_refuse(node, v->request, v->never_status, v->never, 0);
-    else
-        answer_fresh(node, data, ok);
-}
-
-static void refuse_unless_known(struct ow_node *node, uint64_t request, const char *id, int status,
-                                const char *why)
-{
-    struct visit *v = visit_new(request, id);
-    v->never = why;
-    v->never_status = status;
-    ow_replica_refresh(node->replica, refuse_if_new, v);
-}
-
 void ow_door_malformed(struct ow_node *node, uint64_t request, const char *id, const char *fault)
 {
     if (ow_jobs_find(node->jobs, id) != NULL)
@@ -239,10 +252,10 @@
 static char *record_that_fits(struct ow_node *node, uint64_t request, const struct ow_job_record *record)
 {
     char *text = wire_job_record(record);
-    if (strlen(text) <= node->limits.value_bytes)
+    if (strlen(text) < node->limits.refused_bytes)
         return text;
     g_free(text);
-    ow_node_refuse(node, request, 422, "its description is too large to be recorded", 0);
+    ow_node_refuse(node, request, 422, TOO_LARGE, 0);
     return NULL;
 }
 
@@ -262,6 +275,7 @@
     g_free(key);
     call->submission = s;
     call->request = request;
+    call->record_bytes = ow_store_largest_value(txn);
     ow_node_store(node, txn, on_submit_reply, node, call, submit_call_free);
 }
 
@@ -298,6 +312,7 @@
 struct withdraw_call {
     struct visit visit;
     uint64_t coordinator; /* as the record names it */
+    size_t record_bytes;
 };
 
 static bool failed_on(const struct ow_store_reply *reply, const char *key)
@@ -321,6 +336,10 @@
     } else if (answer->store.status == 409) {
         /* It was over before: the fresh record says how. */
         ow_replica_refresh(node->replica, withdraw_fresh, visit_new(v->request, v->id));
+    } else if (answer->store.status == 400) {
+        /* Limits fell since the job was accepted: the next try leaves out what is not needed. */
+        ow_limits_refused(&node->limits, 1, call->record_bytes);
+        refuse_busy(node, v->request, "the state service takes no record of this size");
     } else {
         refuse_busy(node, v->request, "the state service does not answer");
     }
@@ -344,7 +363,7 @@
                                    .coordinator = coordinator,
                                    .submission = job->spec->submission};
     char *text = wire_job_record(&record);
-    if (strlen(text) > node->limits.value_bytes) {
+    if (strlen(text) >= node->limits.refused_bytes) {
         /* Accepted when values were larger. Nothing of it will start, so its types don't matter any more. */
         struct ow_submission short_form = *record.submission;
         short_form.types = NULL;
@@ -362,6 +381,7 @@
     ow_store_expect(txn, key, job->version);
     ow_store_write(txn, key, text, 0);
     g_free(key);
+    call->record_bytes = ow_store_largest_value(txn);
     ow_node_store(node, txn, on_withdrawn, node, call, g_free);
 }
 
--- a/src/core/limits.c
+++ b/src/core/limits.c
@@ -9,18 +9,23 @@
     struct ow_limits limits = {
         .value_bytes = (size_t)(MIN(s->value_kb, s->next_value_kb) * 1024),
         .value_bytes_now = (size_t)(s->value_kb * 1024),
+        .refused_bytes = (size_t)(MIN(s->value_kb, s->next_value_kb) * 1024) + 1,
         .txn_ops = MIN(s->txn_ops, s->next_txn_ops),
         .write_rps = MIN(s->state_write_rps, s->next_write_rps),
     };
     return limits;
 }
 
-bool ow_limits_halve(struct ow_limits *limits)
+bool ow_limits_refused(struct ow_limits *limits, unsigned changes, size_t largest)
 {
-    if (limits->txn_ops <= 1 && limits->value_bytes <= LEAST_BYTES)
+    if (changes > 1) {
+        limits->txn_ops = MAX(MIN(limits->txn_ops, changes) / 2, 1);
+        return true;
+    }
+    limits->refused_bytes = MIN(limits->refused_bytes, largest);
+    if (limits->value_bytes <= LEAST_BYTES)
         return false;
-    limits->txn_ops = MAX(limits->txn_ops / 2, 1);
-    limits->value_bytes = MAX(limits->value_bytes / 2, LEAST_BYTES);
+    limits->value_bytes = MAX(MIN(limits->value_bytes, largest) / 2, LEAST_BYTES);
     limits->value_bytes_now = limits->value_bytes;
     return true;
 }
--- a/src/core/limits.h
+++ b/src/core/limits.h
@@ -11,14 +11,17 @@
 struct ow_limits {
     size_t value_bytes;
     size_t value_bytes_now; /* what is still allowed today, where a value can't be made smaller yet */
+    size_t refused_bytes; /* the smallest value known to be refused: what can't be divided may come so near */
     unsigned txn_ops;
     double write_rps;
 };
 
 struct ow_limits ow_limits_of(const struct ow_settings *settings);
-/* A write was refused as too large, whatever the settings say: the next ones are half as large. False when
-   there is nothing left to halve. */
-bool ow_limits_halve(struct ow_limits *limits);
+/* A transaction of so many changes was refused as too large, whatever the settings say; `largest` is the size
+   of its largest value. While it had several changes, that may have been their number alone: the next ones
+   have half as many. A single one shows that its value was too large, and the next are half its size. False
+   when there is nothing left to make smaller. */
+bool ow_limits_refused(struct ow_limits *limits, unsigned changes, size_t largest);
 /* So many tasks fit a progress record of their own even if each of them is on another machine. */
 unsigned ow_limits_tasks(const struct ow_limits *limits);
 
--- a/src/core/recorder.c
+++ b/src/core/recorder.c
@@ -32,6 +32,8 @@
     unsigned checking; /* reads of versions under way; nothing is written meanwhile */
     double act_at;
     struct ow_bucket changes;
+    unsigned sent_changes; /* of the transaction under way */
+    size_t sent_largest;   /* its largest value */
 };
 
 struct ow_recorder *ow_recorder_new(struct ow_lead *lead)
@@ -397,9 +399,10 @@
     /* Too large: the limits have changed otherwise than the settings say. The same again would fail for ever.
      */
     if (reply->status == 400) {
-        bool smaller = ow_limits_halve(&lead->node->limits);
-        g_warning("the state service refuses a write as malformed or too large; %s",
-                  smaller ? "the next ones are half as large" : "it can't be made smaller");
+        bool smaller = ow_limits_refused(&lead->node->limits, r->sent_changes, r->sent_largest);
+        g_warning("the state service refuses a write of %u changes, the largest of %zu bytes; %s",
+                  r->sent_changes, r->sent_largest,
+                  smaller ? "the next ones are smaller" : "it can't be made smaller");
         r->act_at = lead->node->now + (smaller ? RETRY_S : REFUSED_S);
     }
     for (char **key = reply->status == 409 ? reply->failed : NULL; key != NULL && *key != NULL; key++)
@@ -434,6 +437,8 @@
         return;
     }
     ow_bucket_spend(&r->changes, txn->changes->len, now);
+    r->sent_changes = txn->changes->len;
+    r->sent_largest = ow_store_largest_value(txn);
     r->busy = true;
     ow_node_store(lead->node, txn, on_txn, lead, NULL, NULL);
 }
--- a/src/core/store.c
+++ b/src/core/store.c
@@ -1,5 +1,7 @@
 #include "core/store.h"
 
+#include <string.h>
+
 static void condition_clear(void *item)
 {
     g_free(((struct ow_condition *)item)->key);
@@ -51,6 +53,16 @@
     g_array_append_val(request->changes, change);
 }
 
+size_t ow_store_largest_value(const struct ow_store_request *request)
+{
+    size_t largest = 0;
+    for (guint i = 0; i < request->changes->len; i++) {
+        const char *value = g_array_index(request->changes, struct ow_change, i).value;
+        largest = value != NULL ? MAX(largest, strlen(value)) : largest;
+    }
+    return largest;
+}
+
 void ow_store_reply_clear(struct ow_store_reply *reply)
 {
     if (reply->items != NULL)
--- a/src/core/store.h
+++ b/src/core/store.h
@@ -44,6 +44,8 @@
 void ow_store_expect(struct ow_store_request *request, const char *key, uint64_t version);
 /* Takes over `value`, which is NULL for a deletion. */
 void ow_store_write(struct ow_store_request *request, const char *key, char *value, uint64_t lease);
+/* Bytes of the largest value that the transaction writes. */
+size_t ow_store_largest_value(const struct ow_store_request *request);
 
 struct ow_store_item {
     char *key;
--- a/tests/test_upgrade.c
+++ b/tests/test_upgrade.c
@@ -402,6 +402,50 @@
     world_free(w);
 }
 
+/* Transactions of many changes are refused for their number; what a single value may hold has not fallen so
+ * far, and a job's own record still fits. */
+static void test_fewer_changes_do_not_make_values_smaller(void **state)
+{
+    (void)state;
+    struct world *w = world_new();
+    for (int i = 0; i < WORLD_NODES; i++) {
+        w->settings[i].txn_ops = 64;
+        world_start_node(w, i);
+    }
+    world_add_machines(w, 6);
+    world_run(w, 8);
+    w->capacity = 4;
+    w->txn_ops = 1;
+    w->value_kb = 1;
+    for (int i = 0; i < 40; i++) {
+        char id[OW_ID_MAX + 1];
+        g_snprintf(id, sizeof id, "run-%d", 100 + i);
+        world_submit(w, world_leader(w), world_job(id, 1, 0.4));
+    }
+    world_run(w, 30);
+    assert_true(w->too_large > 0);
+    uint64_t asked = world_submit(w, world_leader(w), world_job("run-1", 2, 0.4));
+    world_run(w, 2);
+    assert_int_equal(world_status(w, asked), 201);
+    assert_true(world_until(w, 30, world_all_done, "run-1"));
+    assert_string_equal(w->broken->str, "");
+    world_free(w);
+}
+
+/* The limit has fallen below a job's own record, without a word: its user hears at once that it can't be
+ * taken.
+ */
+static void test_a_submission_that_is_refused_for_its_size(void **state)
+{
+    (void)state;
+    struct world *w = world_with_machines(1);
+    w->value_kb = 0.1;
+    uint64_t asked = world_submit(w, 0, world_job("run-1", 1, 1));
+    world_run(w, 2);
+    assert_int_equal(world_status(w, asked), 422);
+    world_free(w);
+}
+
 static void test_a_submission_that_fits_no_value(void **state)
 {
     (void)state;
@@ -432,6 +476,8 @@
         cmocka_unit_test(test_cancellations_across_versions),
         cmocka_unit_test(test_limits_that_fall_unannounced),
         cmocka_unit_test(test_a_submission_that_fits_no_value),
+        cmocka_unit_test(test_fewer_changes_do_not_make_values_smaller),
+        cmocka_unit_test(test_a_submission_that_is_refused_for_its_size),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
