--- a/src/config/cmdline.c
+++ b/src/config/cmdline.c
@@ -8,7 +8,7 @@
                               "or talks to one:\n"
                               "  ospreywell submit FILE   hands in a job (JSON; - for standard input)\n"
                               "  ospreywell show ID       tells a job's state, and why it waits\n"
-                              "  ospreywell cancel ID     withdraws a job\n"
+                              "  ospreywell cancel ID     cancels a job\n"
                               "  ospreywell teams         tells what each team runs and waits for";
 
 int ow_cmdline_parse(int argc, char **argv, struct ow_cmdline *out)
--- a/src/config/settings_file.c
+++ b/src/config/settings_file.c
@@ -206,7 +206,7 @@
     }
     struct reader r = {doc, NULL};
     struct ow_settings *s = g_new0(struct ow_settings, 1);
-    s->node = text(&r, "host_name");
+    s->controller_name = text(&r, "host_name");
     s->zone = text(&r, "area");
     s->front = endpoint(&r, "front");
     s->peer_listen = endpoint(&r, "peer_listen");
@@ -230,7 +230,7 @@
 {
     if (s == NULL)
         return;
-    g_free(s->node);
+    g_free(s->controller_name);
     g_free(s->zone);
     g_free(s->front);
     g_free(s->peer_listen);
--- a/src/config/toml_doc.h
+++ b/src/config/toml_doc.h
@@ -1,4 +1,4 @@
-/* Reading a TOML file; the only door to the C++ library behind it. */
+/* Reading a TOML file; the only wrapper of the C++ library behind it. */
 #ifndef OW_CONFIG_TOML_DOC_H
 #define OW_CONFIG_TOML_DOC_H
 
--- /dev/null
+++ b/src/core/cancellation_ack.c
@@ -0,0 +1,181 @@
+#include "core/cancellation_ack.h"
+
+#include "core/user_api.h"
+#include "core/leader.h"
+#include "core/controller.h"
+
+/* How long a user waits for the leader's acknowledgement before being asked to come back, and how often it is
+ * sent.
+ */
+static const double PATIENCE_S = 0.6, RESEND_S = 0.3, RESEND_MOST_S = 2;
+/* What another controller announced is sent again if it still matters. */
+static const double FORGET_S = 6;
+enum { RETRY_S = 1 };
+
+struct waiting_request {
+    uint64_t request;
+    int status; /* of a good answer */
+    double until;
+};
+
+struct entry {
+    char id[OW_ID_MAX + 1];
+    double since, send_at, pause_s;
+    double dropped_at;        /* 0: kept until a leader has it */
+    GArray *waiting_requests; /* struct waiting_request */
+};
+
+struct ow_cancellation_ack {
+    struct ow_controller *controller;
+    GHashTable *entries; /* id -> struct entry */
+};
+
+static void entry_free(void *item)
+{
+    struct entry *e = item;
+    g_array_free(e->waiting_requests, TRUE);
+    g_free(e);
+}
+
+struct ow_cancellation_ack *ow_cancellation_ack_new(struct ow_controller *controller)
+{
+    struct ow_cancellation_ack *c = g_new0(struct ow_cancellation_ack, 1);
+    c->controller = controller;
+    c->entries = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, entry_free);
+    return c;
+}
+
+void ow_cancellation_ack_free(struct ow_cancellation_ack *c)
+{
+    g_hash_table_destroy(c->entries);
+    g_free(c);
+}
+
+static struct entry *entry_get(struct ow_cancellation_ack *c, const char *id)
+{
+    struct entry *e = g_hash_table_lookup(c->entries, id);
+    if (e != NULL)
+        return e;
+    e = g_new0(struct entry, 1);
+    g_strlcpy(e->id, id, sizeof e->id);
+    e->since = c->controller->now;
+    e->dropped_at = c->controller->now + FORGET_S;
+    e->pause_s = RESEND_S;
+    e->waiting_requests = g_array_new(FALSE, FALSE, sizeof(struct waiting_request));
+    g_hash_table_insert(c->entries, e->id, e);
+    /* The stops go out before anything else does. */
+    if (c->controller->leader != NULL)
+        ow_leader_cancel(c->controller->leader, ow_jobs_find(c->controller->jobs, id));
+    return e;
+}
+
+void ow_cancellation_ack_wait(struct ow_cancellation_ack *c, uint64_t request, int status,
+                              const struct ow_job *job)
+{
+    struct entry *e = entry_get(c, job->id);
+    struct waiting_request v = {request, status, c->controller->now + PATIENCE_S};
+    e->dropped_at = 0;
+    g_array_append_val(e->waiting_requests, v);
+}
+
+static void send_to_peers(struct ow_controller *controller, enum ow_peer_kind kind, const struct ow_job *job,
+                          uint64_t token)
+{
+    struct ow_peer_message *message = ow_peer_message_new(kind);
+    g_strlcpy(message->job, job->id, sizeof message->job);
+    message->revision = job->version;
+    message->number = token;
+    ow_controller_send_to_peers(controller, message);
+}
+
+void ow_cancellation_ack_requested(struct ow_cancellation_ack *c, const struct ow_peer_message *m)
+{
+    struct ow_controller *controller = c->controller;
+    /* Committed is committed: it is acted on by whoever leads or thinks so, read or not. */
+    if (controller->leader == NULL)
+        return;
+    struct ow_job *job = ow_jobs_cancel(controller->jobs, m->job, m->revision, m->number);
+    if (job->state != OW_JOB_CANCELLED)
+        return;
+    if (job->cancellation_acked)
+        send_to_peers(controller, OW_PEER_CANCELLATION_ACK, job, controller->leader_token);
+    else
+        entry_get(c, m->job);
+}
+
+void ow_cancellation_ack_received(struct ow_cancellation_ack *c, const struct ow_peer_message *m)
+{
+    struct ow_job *job = ow_jobs_find(c->controller->jobs, m->job);
+    /* Whoever is asked about a job that we still take to be open reads it, and asks the leader then. */
+    if (job == NULL)
+        return;
+    /* The acknowledgement of a leader that was deposed before the cancellation was recorded is worth nothing:
+       the one that counts may not have it. A later one has read it before it became ready. */
+    if (job->state == OW_JOB_CANCELLED && m->number >= job->cancel_token)
+        job->cancellation_acked = true;
+}
+
+/* Whether we lead, rightly as far as this cancellation goes, and nothing of the job can start any more.
+ */
+static bool acknowledge(struct ow_controller *controller, struct ow_job *job)
+{
+    if (controller->leader == NULL || controller->leader_token < job->cancel_token ||
+        !ow_leader_cancel(controller->leader, job))
+        return false;
+    job->cancellation_acked = true;
+    send_to_peers(controller, OW_PEER_CANCELLATION_ACK, job, controller->leader_token);
+    return true;
+}
+
+static void answer_all(struct ow_controller *controller, struct entry *e, const struct ow_job *job)
+{
+    if (e->waiting_requests->len > 0)
+        g_info("cancellation of job %s acknowledged by the leader after %.3f s", e->id,
+               controller->now - e->since);
+    for (guint i = 0; i < e->waiting_requests->len; i++) {
+        const struct waiting_request *v = &g_array_index(e->waiting_requests, struct waiting_request, i);
+        ow_user_api_answer_job(controller, v->request, v->status, job);
+    }
+}
+
+/* Nobody is held back: who has waited long enough is asked to come again. */
+static void refuse_late(struct ow_controller *controller, struct entry *e)
+{
+    for (guint i = e->waiting_requests->len; i > 0; i--) {
+        const struct waiting_request *v = &g_array_index(e->waiting_requests, struct waiting_request, i - 1);
+        if (controller->now < v->until)
+            continue;
+        ow_controller_refuse(controller, v->request, 503,
+                             "the leader has not acknowledged the cancellation yet", RETRY_S);
+        g_array_remove_index(e->waiting_requests, i - 1);
+    }
+}
+
+/* True when the entry is of no use any more. */
+static bool step(struct ow_controller *controller, struct entry *e)
+{
+    struct ow_job *job = ow_jobs_find(controller->jobs, e->id);
+    if (job->cancellation_acked || acknowledge(controller, job)) {
+        answer_all(controller, e, job);
+        return true;
+    }
+    refuse_late(controller, e);
+    if (e->dropped_at > 0)
+        return controller->now > e->dropped_at;
+    if (controller->leader == NULL && controller->now >= e->send_at) {
+        e->send_at = controller->now + e->pause_s;
+        e->pause_s = MIN(2 * e->pause_s, RESEND_MOST_S);
+        send_to_peers(controller, OW_PEER_CANCELLATION, job, job->cancel_token);
+    }
+    return false;
+}
+
+void ow_cancellation_ack_tick(struct ow_cancellation_ack *c)
+{
+    GHashTableIter iter;
+    void *entry;
+    g_hash_table_iter_init(&iter, c->entries);
+    while (g_hash_table_iter_next(&iter, NULL, &entry))
+        if (step(c->controller, entry))
+            g_hash_table_iter_remove(&iter);
+}
--- /dev/null
+++ b/src/core/cancellation_ack.h
@@ -0,0 +1,27 @@
+/* Cancellations on their way to the leader. A user hears "cancelled" only when a leader that can
+ * still end the tasks has acknowledged the cancellation: the record alone may be out of its reach. */
+#ifndef OW_CORE_CANCELLATION_ACK_H
+#define OW_CORE_CANCELLATION_ACK_H
+
+#include <stdint.h>
+
+struct ow_cancellation_ack;
+struct ow_job;
+struct ow_controller;
+struct ow_peer_message;
+
+struct ow_cancellation_ack *ow_cancellation_ack_new(struct ow_controller *controller);
+void ow_cancellation_ack_free(struct ow_cancellation_ack *cancellation_ack);
+/* A user waits to hear of a job whose cancellation is committed; the answer comes with the next tick, or
+ * soon. */
+void ow_cancellation_ack_wait(struct ow_cancellation_ack *cancellation_ack, uint64_t request, int status,
+                              const struct ow_job *job);
+/* Another controller announces a committed cancellation. */
+void ow_cancellation_ack_requested(struct ow_cancellation_ack *cancellation_ack,
+                                   const struct ow_peer_message *message);
+/* A leader has acknowledged one. */
+void ow_cancellation_ack_received(struct ow_cancellation_ack *cancellation_ack,
+                                  const struct ow_peer_message *message);
+void ow_cancellation_ack_tick(struct ow_cancellation_ack *cancellation_ack);
+
+#endif
--- a/src/core/classes.h
+++ b/src/core/classes.h
@@ -4,7 +4,7 @@
 
 #include "core/job.h"
 
-struct ow_node;
+struct ow_controller;
 
 struct ow_class {
     double ratio; /* run time against the owners' estimates, as seen lately */
@@ -19,18 +19,18 @@
 };
 
 /* Grown as class names come; the pointer holds until the next call. */
-struct ow_class *ow_class_of(struct ow_node *node, int class_index);
-void ow_class_saw_job(struct ow_node *node, const struct ow_spec *spec);
-void ow_class_saw_run(struct ow_node *node, const struct ow_spec *spec, double ran_s);
+struct ow_class *ow_class_of(struct ow_controller *controller, int class_index);
+void ow_class_observe_job(struct ow_controller *controller, const struct ow_spec *spec);
+void ow_class_observe_run(struct ow_controller *controller, const struct ow_spec *spec, double ran_s);
 /* Takes how many tasks of the class run or wait now, and tells how many did lately. */
-double ow_class_peak(struct ow_node *node, int class_index, double tasks);
+double ow_class_peak(struct ow_controller *controller, int class_index, double tasks);
 /* How long a task of the job runs, corrected by what its class has shown. */
-double ow_class_run_s(struct ow_node *node, const struct ow_spec *spec);
+double ow_class_run_s(struct ow_controller *controller, const struct ow_spec *spec);
 /* How long a task of the class may wait for its start without missing an aim of its class. */
-double ow_class_slack_s(struct ow_node *node, int class_index);
+double ow_class_slack_s(struct ow_controller *controller, int class_index);
 /* How many aims for starting a job of such an age can no longer be met. */
-unsigned ow_class_missed(struct ow_node *node, int class_index, double age_s);
+unsigned ow_class_missed(struct ow_controller *controller, int class_index, double age_s);
 /* Whether the settings state an aim for the class. */
-bool ow_class_has_aim(struct ow_node *node, int class_index);
+bool ow_class_has_objective(struct ow_controller *controller, int class_index);
 
 #endif
--- /dev/null
+++ b/src/core/controller.h
@@ -0,0 +1,65 @@
+/* One controller: what its parts share. Owned by core.c; nothing outside core/ sees it. */
+#ifndef OW_CORE_CONTROLLER_H
+#define OW_CORE_CONTROLLER_H
+
+#include "core/rate_limiter.h"
+#include "core/pending_calls.h"
+#include "core/effects.h"
+#include "core/job.h"
+#include "core/limits.h"
+#include "core/settings.h"
+
+struct ow_cancellation_ack;
+struct ow_job_cache;
+struct ow_election;
+struct ow_leader;
+
+struct ow_controller {
+    const struct ow_settings *settings;
+    const struct ow_rules *rules;
+    struct ow_limits limits;
+    GHashTable
+        *peer_formats; /* peer name -> GUINT_TO_POINTER: the format of messages and records it speaks */
+    uint64_t nonce;    /* tells this process from others of the same name */
+    double now;
+    double time_of_day; /* roughly: nothing that must be safe rests on it */
+    GPtrArray *effects;
+    struct ow_pending_calls *pending_calls;
+    struct ow_name_tables names;
+    struct ow_jobs *jobs;
+    struct ow_machine_type *types[OW_MAX_TYPES]; /* by name index; NULL: not known */
+    bool types_known;
+    double types_asked_at;
+    GArray *classes; /* struct ow_class, by class index; owned by classes.c */
+    struct ow_job_cache *job_cache;
+    struct ow_election *election;
+    struct ow_leader *leader; /* NULL while another controller leads */
+    uint64_t leader_token;    /* of `leader` */
+    struct ow_cancellation_ack *cancellation_ack;
+    double state_ok_at;      /* the last answer of the state service that was no failure */
+    double state_bad_since;  /* 0: the last answer was good */
+    double state_refused_at; /* its last refusal: it is in our reach, but may serve others */
+    bool state_silent;       /* the last failure was no answer, rather than a refusal */
+    GHashTable *peers_ok;    /* peer name -> double *: when it last said that its state service answers */
+    double last_worker_report_at;    /* the last report that came here; 0: none yet */
+    double peer_receives_reports_at; /* when a peer last said that workers come to it */
+    double last_peer_message_at;     /* the last message of any peer; 0: none yet */
+    GArray *machine_hints;           /* struct ow_peer_machine, from the leader's last message */
+    double hello_at;
+};
+
+void ow_controller_emit(struct ow_controller *controller, struct ow_effect *effect);
+struct ow_effect *ow_effect_new(enum ow_effect_kind kind, uint64_t request);
+void ow_controller_refuse(struct ow_controller *controller, uint64_t request, int status, const char *text,
+                          int retry_after_s);
+void ow_controller_store(struct ow_controller *controller, struct ow_store_request *request, ow_call_fn fn,
+                         void *owner, void *data, void (*free_data)(void *));
+void ow_controller_cloud(struct ow_controller *controller, struct ow_cloud_request *request, ow_call_fn fn,
+                         void *owner, void *data, void (*free_data)(void *));
+void ow_controller_send_to_peers(struct ow_controller *controller, struct ow_peer_message *message);
+/* Tells the leader, here or elsewhere, that a job's record has changed. */
+void ow_controller_announce_job_change(struct ow_controller *controller, uint64_t revision);
+void ow_controller_set_types(struct ow_controller *controller, const GArray *types);
+void ow_controller_free_types(struct ow_controller *controller);
+
+#endif
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -1,4 +1,4 @@
-/* The core of a controller: commands with a time go in, effects come out. No socket, file, clock or timer. */
+/* The core of a controller: events with a time go in, effects come out. No socket, file, clock or timer. */
 #ifndef OW_CORE_CORE_H
 #define OW_CORE_CORE_H
 
@@ -10,16 +10,16 @@
 /* Settings and rules must outlive the core. `nonce` is a number that no other process has. */
 struct ow_core *ow_core_new(const struct ow_settings *settings, const struct ow_rules *rules, uint64_t nonce);
 void ow_core_free(struct ow_core *core);
-/* Queues a command, which the core takes over. */
-void ow_core_push(struct ow_core *core, struct ow_command *command);
+/* Queues an event, which the core takes over. */
+void ow_core_push(struct ow_core *core, struct ow_event *event);
 /* Works off the queue and everything that is due; the effects (struct ow_effect) go to the caller,
  * who owns the array and its members. `now` is steady; the time of day only tells how old jobs are. */
 GPtrArray *ow_core_run(struct ow_core *core, double now, double time_of_day);
 /* How long until the core wants to run again, if nothing comes in. */
-double ow_core_pause(const struct ow_core *core);
+double ow_core_idle_seconds(const struct ow_core *core);
 /* Whether users should be sent here. */
 bool ow_core_healthy(const struct ow_core *core);
-/* The token under which this controller coordinates; 0: it does not. */
+/* The token under which this controller leads; 0: it does not. */
 uint64_t ow_core_token(const struct ow_core *core);
 
 #endif
--- a/src/core/effects.c
+++ b/src/core/effects.c
@@ -38,7 +38,7 @@
 {
     if (m == NULL)
         return;
-    g_free(m->node);
+    g_free(m->sender);
     if (m->jobs != NULL)
         g_array_free(m->jobs, TRUE);
     if (m->machines != NULL)
@@ -72,8 +72,8 @@
 {
     struct ow_effect *e = effect;
     g_free(e->text);
-    if (e->orders != NULL)
-        g_array_free(e->orders, TRUE);
+    if (e->commands != NULL)
+        g_array_free(e->commands, TRUE);
     if (e->teams != NULL)
         g_array_free(e->teams, TRUE);
     ow_store_request_free(e->store);
@@ -82,9 +82,9 @@
     g_free(e);
 }
 
-void ow_command_free(void *command)
+void ow_event_free(void *event)
 {
-    struct ow_command *c = command;
+    struct ow_event *c = event;
     ow_report_free(c->report);
     ow_submission_free(c->submission);
     ow_store_reply_clear(&c->store);
--- a/src/core/effects.h
+++ b/src/core/effects.h
@@ -38,21 +38,21 @@
 enum ow_peer_kind {
     OW_PEER_HELLO = 1,
     OW_PEER_SUMMARY,
-    OW_PEER_NUDGE,
+    OW_PEER_JOB_CHANGED,
     OW_PEER_MACHINES,
     OW_PEER_CANCELLATION,
-    OW_PEER_TAKEN,
-    OW_PEER_LOST = 1000, /* never sent: the link itself says that a controller seems to have ended */
+    OW_PEER_CANCELLATION_ACK,
+    OW_PEER_LINK_LOST = 1000, /* never sent: the link itself says that a controller seems to have ended */
 };
 
 struct ow_peer_message {
     enum ow_peer_kind kind;
     uint32_t version; /* of the sender's messages and records */
-    char *node;
-    uint64_t number;         /* token, or revision of a nudge */
-    char job[OW_ID_MAX + 1]; /* of a cancellation, committed or taken in */
+    char *sender;
+    uint64_t number;         /* token, or revision of a changed job */
+    char job[OW_ID_MAX + 1]; /* of a cancellation, committed or acknowledged */
     uint64_t revision;       /* of its record */
-    bool leads, state_ok, hears_workers;
+    bool leads, state_ok, receives_reports;
     GArray *jobs;     /* struct ow_peer_job */
     GArray *machines; /* struct ow_peer_machine */
 };
@@ -69,12 +69,12 @@
 };
 
 enum ow_effect_kind {
-    OW_EFFECT_JOB,       /* answer a user with the state of a job */
-    OW_EFFECT_TEAMS,     /* answer a user with what teams use and wait for */
-    OW_EFFECT_REFUSE,    /* answer a user with an error */
-    OW_EFFECT_ORDERS,    /* answer a report with orders */
-    OW_EFFECT_MISDIRECT, /* tell a worker where to report */
-    OW_EFFECT_DIRECT,    /* give a worker orders at its own address */
+    OW_EFFECT_JOB,             /* answer a user with the state of a job */
+    OW_EFFECT_TEAMS,           /* answer a user with what teams use and wait for */
+    OW_EFFECT_REFUSE,          /* answer a user with an error */
+    OW_EFFECT_WORKER_COMMANDS, /* answer a report with commands */
+    OW_EFFECT_MISDIRECT,       /* tell a worker where to report */
+    OW_EFFECT_DIRECT,          /* give a worker commands at its own address */
     OW_EFFECT_STORE,
     OW_EFFECT_CLOUD,
     OW_EFFECT_PEER,
@@ -82,18 +82,18 @@
 
 struct ow_effect {
     enum ow_effect_kind kind;
-    uint64_t request; /* whom to answer, or the tag of a direct order */
+    uint64_t request; /* whom to answer, or the tag of a direct command */
     int status;
     /* job */
     char id[OW_ID_MAX + 1];
-    enum ow_stance stance;
+    enum ow_job_state state;
     int done, running;
-    char *text; /* the reason a job waits; an error; a node; an address */
+    char *text; /* the reason a job waits; an error; a controller; an address */
     int retry_after_s;
-    /* orders */
+    /* commands */
     uint64_t token, session;
-    GArray *orders; /* struct ow_order */
-    GArray *teams;  /* struct ow_team_view */
+    GArray *commands; /* struct ow_worker_command */
+    GArray *teams;    /* struct ow_team_view */
     struct ow_store_request *store;
     struct ow_cloud_request *cloud;
     struct ow_peer_message *peer;
@@ -103,24 +103,24 @@
 void ow_cloud_request_free(struct ow_cloud_request *request);
 void ow_cloud_reply_clear(struct ow_cloud_reply *reply);
 
-enum ow_command_kind {
+enum ow_event_kind {
     /* In the order in which a crowded queue is worked off: reports, decisions, submissions. */
-    OW_COMMAND_REPORT,
-    OW_COMMAND_DIRECT_REPLY,
-    OW_COMMAND_STORE,
-    OW_COMMAND_CLOUD,
-    OW_COMMAND_PEER,
-    OW_COMMAND_WITHDRAW,
-    OW_COMMAND_POLL,
-    OW_COMMAND_TEAMS,
-    OW_COMMAND_SUBMIT,
+    OW_EVENT_REPORT,
+    OW_EVENT_DIRECT_REPLY,
+    OW_EVENT_STORE,
+    OW_EVENT_CLOUD,
+    OW_EVENT_PEER,
+    OW_EVENT_CANCEL,
+    OW_EVENT_POLL,
+    OW_EVENT_TEAMS,
+    OW_EVENT_SUBMIT,
 };
 
-/* Of a direct order that was not sent at all. */
+/* Of a direct command that was not sent at all. */
 enum { OW_STATUS_UNSENT = -1 };
 
-struct ow_command {
-    enum ow_command_kind kind;
+struct ow_event {
+    enum ow_event_kind kind;
     uint64_t request; /* whom to answer, or the tag that is answered */
     int status;
     char id[OW_ID_MAX + 1];
@@ -132,6 +132,6 @@
     struct ow_peer_message *peer;
 };
 
-void ow_command_free(void *command);
+void ow_event_free(void *event);
 
 #endif
--- a/src/core/election.c
+++ b/src/core/election.c
@@ -1,7 +1,7 @@
 #include "core/election.h"
 
-#include "core/lead.h"
-#include "core/node.h"
+#include "core/leader.h"
+#include "core/controller.h"
 #include "core/records.h"
 #include "wire/records_json.h"
 
@@ -16,14 +16,14 @@
 enum stage { LOOKING, LEASING, TAKING, LEADING };
 
 struct ow_election {
-    struct ow_node *node;
+    struct ow_controller *controller;
     enum stage stage;
     bool busy;     /* a request of the stage at hand is under way */
     double act_at; /* not before */
     uint64_t lease;
     uint64_t key_version; /* of the key as last read; 0: nobody holds it */
-    bool key_known;       /* key_version and leader are from the state service */
-    char *leader;
+    bool key_known;       /* key_version and leader_name are from the state service */
+    char *leader_name;
     uint64_t token;      /* ours while LEADING */
     uint64_t seen_token; /* the highest known */
     uint64_t taken_from; /* the version that our attempt to take the key replaces */
@@ -36,16 +36,16 @@
     double began_at;   /* our own term */
 };
 
-struct ow_election *ow_election_new(struct ow_node *node)
+struct ow_election *ow_election_new(struct ow_controller *controller)
 {
     struct ow_election *e = g_new0(struct ow_election, 1);
-    e->node = node;
+    e->controller = controller;
     return e;
 }
 
 void ow_election_free(struct ow_election *e)
 {
-    g_free(e->leader);
+    g_free(e->leader_name);
     g_free(e);
 }
 
@@ -61,28 +61,28 @@
     return e->key_known ? e->key_version : 0;
 }
 
-const char *ow_election_leader(const struct ow_election *e)
+const char *ow_election_leader_name(const struct ow_election *e)
 {
-    return e->stage == LEADING ? e->node->settings->node : e->leader;
+    return e->stage == LEADING ? e->controller->settings->controller_name : e->leader_name;
 }
 
-static void set_leader(struct ow_election *e, const char *leader)
+static void set_leader_name(struct ow_election *e, const char *leader_name)
 {
-    char *copy = g_strdup(leader);
-    g_free(e->leader);
-    e->leader = copy;
+    char *copy = g_strdup(leader_name);
+    g_free(e->leader_name);
+    e->leader_name = copy;
 }
 
 static bool is_us(const struct ow_election *e, const char *name)
 {
-    return g_strcmp0(name, e->node->settings->node) == 0;
+    return g_strcmp0(name, e->controller->settings->controller_name) == 0;
 }
 
 static void look_again(struct ow_election *e, double after_s)
 {
     e->stage = LOOKING;
     e->key_known = false;
-    e->act_at = e->node->now + after_s;
+    e->act_at = e->controller->now + after_s;
 }
 
 /* A try for the key, with a new lease: one from an earlier try may have run out. */
@@ -95,23 +95,23 @@
 static void step_down(struct ow_election *e, const char *why)
 {
     if (e->stage == LEADING) {
-        g_info("no longer coordinator: %s", why);
-        ow_lead_free(e->node->lead);
-        e->node->lead = NULL;
-        e->node->lead_token = 0;
+        g_info("no longer leader: %s", why);
+        ow_leader_free(e->controller->leader);
+        e->controller->leader = NULL;
+        e->controller->leader_token = 0;
     }
-    set_leader(e, NULL);
+    set_leader_name(e, NULL);
     look_again(e, 0);
 }
 
-void ow_election_lost(struct ow_election *e, const char *node)
+void ow_election_peer_ended(struct ow_election *e, const char *controller_name)
 {
     if (e->stage != LOOKING || e->busy || !e->key_known || e->key_version == 0 ||
-        g_strcmp0(e->leader, node) != 0 || e->node->now - e->led_since < HINT_AGE_S)
+        g_strcmp0(e->leader_name, controller_name) != 0 || e->controller->now - e->led_since < HINT_AGE_S)
         return;
     /* Safe even if the hint is wrong: the token and the conditions of every write depose the old one. */
-    g_info("coordinator %s seems to have ended", node);
-    e->act_at = e->node->now;
+    g_info("leader %s seems to have ended", controller_name);
+    e->act_at = e->controller->now;
     begin(e);
 }
 
@@ -121,7 +121,7 @@
         step_down(e, "the key has changed hands");
 }
 
-void ow_election_stale(struct ow_election *e)
+void ow_election_invalidate(struct ow_election *e)
 {
     ow_election_deposed(e);
     if (e->stage == LOOKING)
@@ -133,64 +133,64 @@
     if (e->stage != LEADING)
         return;
     struct ow_store_request *txn = ow_store_request_new(OW_STORE_TXN, NULL);
-    ow_store_expect(txn, OW_KEY_COORDINATOR, e->token);
-    ow_store_write(txn, OW_KEY_COORDINATOR, NULL, 0);
-    ow_node_store(e->node, txn, NULL, e, NULL, NULL);
+    ow_store_expect(txn, OW_KEY_LEADER, e->token);
+    ow_store_write(txn, OW_KEY_LEADER, NULL, 0);
+    ow_controller_store(e->controller, txn, NULL, e, NULL, NULL);
     step_down(e, why);
     look_again(e, YIELD_S);
 }
 
-void ow_election_saw_token(struct ow_election *e, uint64_t token, const char *leader)
+void ow_election_observe_token(struct ow_election *e, uint64_t token, const char *leader_name)
 {
     if (token < e->seen_token)
         return;
     e->seen_token = token;
     if (e->stage == LEADING && token > e->token)
         step_down(e, "a higher token is about");
-    if (leader != NULL && e->stage != LEADING)
-        set_leader(e, leader);
+    if (leader_name != NULL && e->stage != LEADING)
+        set_leader_name(e, leader_name);
 }
 
 static char *nonce_text(const struct ow_election *e)
 {
-    return g_strdup_printf("%016" G_GINT64_MODIFIER "x", e->node->nonce);
+    return g_strdup_printf("%016" G_GINT64_MODIFIER "x", e->controller->nonce);
 }
 
 static void begin_lead(struct ow_election *e, uint64_t token)
 {
     e->stage = LEADING;
     e->token = token;
-    e->began_at = e->node->now;
+    e->began_at = e->controller->now;
     e->seen_token = MAX(e->seen_token, token);
-    e->renew_at = e->node->now + e->node->rules->leader_lease_s / 4;
+    e->renew_at = e->controller->now + e->controller->rules->leader_lease_s / 4;
     e->revision = token;
-    set_leader(e, NULL);
-    g_info("coordinator with token %" G_GUINT64_FORMAT, token);
-    e->node->lead = ow_lead_new(e->node, token);
-    e->node->lead_token = token;
+    set_leader_name(e, NULL);
+    g_info("leader with token %" G_GUINT64_FORMAT, token);
+    e->controller->leader = ow_leader_new(e->controller, token);
+    e->controller->leader_token = token;
 }
 
 /* The key as the state service shows it now. */
 static void learn_key(struct ow_election *e, const struct ow_store_item *item)
 {
-    const char *leader = NULL, *nonce = NULL;
+    const char *leader_name = NULL, *nonce = NULL;
     char *ours = nonce_text(e);
-    wire_coordinator_record_parse(item->value, &leader, &nonce);
+    wire_leader_record_parse(item->value, &leader_name, &nonce);
     if (item->version != e->key_version)
-        e->led_since = e->node->now;
+        e->led_since = e->controller->now;
     e->key_version = item->version;
     e->key_known = true;
-    if (is_us(e, leader) && g_strcmp0(nonce, ours) == 0 && e->lease != 0 && item->version > e->taken_from &&
-        item->version > e->token) {
+    if (is_us(e, leader_name) && g_strcmp0(nonce, ours) == 0 && e->lease != 0 &&
+        item->version > e->taken_from && item->version > e->token) {
         /* The answer to our own write was lost, but it was carried out. A token that we have led with and
            given up is not taken up again: launches sent under it may still be on their way. */
         begin_lead(e, item->version);
-    } else if (is_us(e, leader)) {
+    } else if (is_us(e, leader_name)) {
         /* An earlier process of this name, which has ended: its key need not run out first. */
-        set_leader(e, NULL);
+        set_leader_name(e, NULL);
         begin(e);
     } else {
-        set_leader(e, leader);
+        set_leader_name(e, leader_name);
         e->seen_token = MAX(e->seen_token, item->version);
     }
     g_free(ours);
@@ -200,11 +200,11 @@
 {
     e->key_version = 0;
     e->key_known = true;
-    set_leader(e, NULL);
+    set_leader_name(e, NULL);
     begin(e);
 }
 
-static void on_look(void *owner, void *data, const struct ow_command *answer)
+static void on_look(void *owner, void *data, const struct ow_event *answer)
 {
     struct ow_election *e = owner;
     const struct ow_store_reply *reply = &answer->store;
@@ -220,11 +220,11 @@
         e->revision = MAX(e->revision, reply->revision);
         key_free(e);
     } else {
-        e->act_at = e->node->now + RETRY_S;
+        e->act_at = e->controller->now + RETRY_S;
     }
 }
 
-static void on_lease(void *owner, void *data, const struct ow_command *answer)
+static void on_lease(void *owner, void *data, const struct ow_event *answer)
 {
     struct ow_election *e = owner;
     (void)data;
@@ -239,7 +239,7 @@
     }
 }
 
-static void on_take(void *owner, void *data, const struct ow_command *answer)
+static void on_take(void *owner, void *data, const struct ow_event *answer)
 {
     struct ow_election *e = owner;
     (void)data;
@@ -258,7 +258,7 @@
     look_again(e, status == 409 ? 0 : RETRY_S);
 }
 
-static void on_renewed(void *owner, void *data, const struct ow_command *answer)
+static void on_renewed(void *owner, void *data, const struct ow_event *answer)
 {
     struct ow_election *e = owner;
     uint64_t lease = *(uint64_t *)data;
@@ -270,16 +270,17 @@
     if (status == 404)
         step_down(e, "its lease has ended");
     else
-        e->renew_at = e->node->now + (status == 200 ? e->node->rules->leader_lease_s / 4 : RETRY_S);
+        e->renew_at =
+            e->controller->now + (status == 200 ? e->controller->rules->leader_lease_s / 4 : RETRY_S);
 }
 
-static void on_watch(void *owner, void *data, const struct ow_command *answer)
+static void on_watch(void *owner, void *data, const struct ow_event *answer)
 {
     struct ow_election *e = owner;
     const struct ow_store_reply *reply = &answer->store;
     (void)data;
     e->watching = false;
-    e->watch_at = e->node->now + (reply->status == 200 ? WATCH_GAP_S : RETRY_S);
+    e->watch_at = e->controller->now + (reply->status == 200 ? WATCH_GAP_S : RETRY_S);
     if (reply->status != 200) {
         if (reply->status == 410)
             e->revision = 0;
@@ -304,28 +305,29 @@
 static void look(struct ow_election *e)
 {
     e->busy = true;
-    ow_node_store(e->node, ow_store_request_new(OW_STORE_GET, OW_KEY_COORDINATOR), on_look, e, NULL, NULL);
+    ow_controller_store(e->controller, ow_store_request_new(OW_STORE_GET, OW_KEY_LEADER), on_look, e, NULL,
+                        NULL);
 }
 
 static void ask_lease(struct ow_election *e)
 {
     struct ow_store_request *request = ow_store_request_new(OW_STORE_LEASE, NULL);
-    request->seconds = e->node->rules->leader_lease_s;
+    request->seconds = e->controller->rules->leader_lease_s;
     e->busy = true;
-    ow_node_store(e->node, request, on_lease, e, NULL, NULL);
+    ow_controller_store(e->controller, request, on_lease, e, NULL, NULL);
 }
 
 static void take(struct ow_election *e)
 {
     struct ow_store_request *txn = ow_store_request_new(OW_STORE_TXN, NULL);
     char *nonce = nonce_text(e);
-    ow_store_expect(txn, OW_KEY_COORDINATOR, e->key_version);
-    ow_store_write(txn, OW_KEY_COORDINATOR, wire_coordinator_record(e->node->settings->node, nonce),
+    ow_store_expect(txn, OW_KEY_LEADER, e->key_version);
+    ow_store_write(txn, OW_KEY_LEADER, wire_leader_record(e->controller->settings->controller_name, nonce),
                    e->lease);
     g_free(nonce);
     e->taken_from = e->key_version;
     e->busy = true;
-    ow_node_store(e->node, txn, on_take, e, NULL, NULL);
+    ow_controller_store(e->controller, txn, on_take, e, NULL, NULL);
 }
 
 static void renew(struct ow_election *e)
@@ -334,34 +336,35 @@
     uint64_t *lease = g_new(uint64_t, 1);
     *lease = request->number = e->lease;
     e->renewing = true;
-    ow_node_store(e->node, request, on_renewed, e, lease, g_free);
+    ow_controller_store(e->controller, request, on_renewed, e, lease, g_free);
 }
 
 static void watch(struct ow_election *e)
 {
-    struct ow_store_request *request = ow_store_request_new(OW_STORE_FOLLOW, OW_KEY_COORDINATOR);
+    struct ow_store_request *request = ow_store_request_new(OW_STORE_WATCH, OW_KEY_LEADER);
     request->number = e->revision;
     request->seconds = WATCH_S;
     e->watching = true;
-    ow_node_store(e->node, request, on_watch, e, NULL, NULL);
+    ow_controller_store(e->controller, request, on_watch, e, NULL, NULL);
 }
 
-/* A coordinator that gets no answer at all from the state service, not even a refusal, may be cut off, alone
+/* A leader that gets no answer at all from the state service, not even a refusal, may be cut off, alone
    or together with workers and other controllers, and have a successor whose cancellations it does not hear
    of: by answering reports it would keep their tasks alive. It stops so early that leases end within the time
    that a cancelled task may last. In an ordinary outage the refusals themselves tell that it is not cut off.
  */
 static bool forsaken(const struct ow_election *e)
 {
-    const struct ow_settings *s = e->node->settings;
+    const struct ow_settings *s = e->controller->settings;
     double patience = s->cancel_s - s->lease_s * (1 + DRIFT) - MARGIN_S;
-    double heard_at = MAX(e->began_at, MAX(e->node->state_ok_at, e->node->state_refused_at));
-    return s->peers->len > 0 && e->node->now - heard_at > MAX(patience, 2 * e->node->rules->leader_lease_s);
+    double heard_at = MAX(e->began_at, MAX(e->controller->state_ok_at, e->controller->state_refused_at));
+    return s->peers->len > 0 &&
+           e->controller->now - heard_at > MAX(patience, 2 * e->controller->rules->leader_lease_s);
 }
 
 void ow_election_tick(struct ow_election *e)
 {
-    double now = e->node->now;
+    double now = e->controller->now;
     if (e->stage == LEADING && forsaken(e))
         step_down(e, "the state service is out of its reach");
     if (e->stage == LEADING) {
--- a/src/core/fleet.c
+++ b/src/core/fleet.c
@@ -1,5 +1,5 @@
 /* The machines that are rented: the cloud's list, and giving back what is of no use. */
-#include "core/rent_state.h"
+#include "core/rental.h"
 
 #include <math.h>
 
@@ -15,42 +15,42 @@
 
 /* ---- deleting ---- */
 
-static void take_deletion(struct ow_lead *lead, struct ow_machine *m, int status)
+static void take_deletion(struct ow_leader *leader, struct ow_machine *m, int status)
 {
     if (status == 200) {
         g_info("machine %s is returned", m->name);
-        g_hash_table_add(lead->returned, g_strdup(m->name));
-        ow_kinds_forget_refusal(lead, m); /* its place is free again */
-        ow_book_remove(lead, m, "its machine is deleted");
+        g_hash_table_add(leader->deleted_names, g_strdup(m->name));
+        ow_rental_options_forget_refusal(leader, m); /* its place is free again */
+        ow_machines_remove(leader, m, "its machine is deleted");
     } else {
         /* Refused, it was not carried out and the machine stays of use. Without an answer it may be carried
            out yet, so nothing new goes there. */
         m->deleting = status == 0;
-        m->delete_at = lead->node->now + 2;
+        m->delete_at = leader->controller->now + 2;
     }
 }
 
-static void on_deleted(void *owner, void *data, const struct ow_command *answer)
+static void on_deleted(void *owner, void *data, const struct ow_event *answer)
 {
-    struct ow_lead *lead = owner;
+    struct ow_leader *leader = owner;
     const GPtrArray *names = data;
     for (guint i = 0; i < names->len; i++) {
-        struct ow_machine *m = ow_book_find(lead, g_ptr_array_index(names, i));
+        struct ow_machine *m = ow_machines_find(leader, g_ptr_array_index(names, i));
         if (m != NULL)
-            take_deletion(lead, m, answer->cloud.status);
+            take_deletion(leader, m, answer->cloud.status);
     }
 }
 
-void ow_fleet_delete(struct ow_lead *lead, struct ow_machine *m, const char *why)
+void ow_fleet_delete(struct ow_leader *leader, struct ow_machine *m, const char *why)
 {
-    double now = lead->node->now;
-    if (now < m->delete_at || ow_bucket_level(&lead->cloud, now) < 1)
+    double now = leader->controller->now;
+    if (now < m->delete_at || ow_rate_limiter_level(&leader->cloud_limiter, now) < 1)
         return;
     if (!m->deleting)
         g_info("machine %s is being returned: %s", m->name, why);
     m->deleting = true;
     m->delete_at = INFINITY;
-    g_ptr_array_add(lead->doomed, g_strdup(m->name));
+    g_ptr_array_add(leader->to_delete, g_strdup(m->name));
 }
 
 static void free_names(void *names)
@@ -58,68 +58,71 @@
     g_ptr_array_free(names, TRUE);
 }
 
-void ow_fleet_send_deletions(struct ow_lead *lead)
+void ow_fleet_send_deletions(struct ow_leader *leader)
 {
-    if (lead->doomed->len == 0 || !ow_bucket_take(&lead->cloud, 1, lead->node->now))
+    if (leader->to_delete->len == 0 ||
+        !ow_rate_limiter_take(&leader->cloud_limiter, 1, leader->controller->now))
         return;
     struct ow_cloud_request *request = g_new0(struct ow_cloud_request, 1);
     GPtrArray *names = g_ptr_array_new_with_free_func(g_free);
     request->op = OW_CLOUD_DELETE;
     request->machines = g_ptr_array_new_with_free_func(g_free);
-    for (guint i = 0; i < lead->doomed->len && i < DELETE_MOST; i++) {
-        g_ptr_array_add(names, g_strdup(g_ptr_array_index(lead->doomed, i)));
-        g_ptr_array_add(request->machines, g_strdup(g_ptr_array_index(lead->doomed, i)));
+    for (guint i = 0; i < leader->to_delete->len && i < DELETE_MOST; i++) {
+        g_ptr_array_add(names, g_strdup(g_ptr_array_index(leader->to_delete, i)));
+        g_ptr_array_add(request->machines, g_strdup(g_ptr_array_index(leader->to_delete, i)));
     }
-    g_ptr_array_remove_range(lead->doomed, 0, names->len);
-    ow_node_cloud(lead->node, request, on_deleted, lead, names, free_names);
+    g_ptr_array_remove_range(leader->to_delete, 0, names->len);
+    ow_controller_cloud(leader->controller, request, on_deleted, leader, names, free_names);
 }
 
 /* ---- the list ---- */
 
-static void on_listed(void *owner, void *data, const struct ow_command *answer)
+static void on_listed(void *owner, void *data, const struct ow_event *answer)
 {
-    struct ow_lead *lead = owner;
+    struct ow_leader *leader = owner;
     (void)data;
-    lead->listing = false;
+    leader->listing = false;
     if (answer->cloud.status != 200 || answer->cloud.listed == NULL) {
-        lead->list_at = lead->node->now + 2;
+        leader->list_at = leader->controller->now + 2;
         return;
     }
     const GArray *listed = answer->cloud.listed;
     for (guint i = 0; i < listed->len; i++) {
         const struct ow_listed_machine *l = &g_array_index(listed, struct ow_listed_machine, i);
-        if (g_hash_table_contains(lead->returned, l->name))
+        if (g_hash_table_contains(leader->deleted_names, l->name))
             continue; /* the list lags */
-        struct ow_machine *m = ow_book_find(lead, l->name);
+        struct ow_machine *m = ow_machines_find(leader, l->name);
         bool fresh = m == NULL;
         if (fresh)
-            m = ow_book_get(lead, l->name);
-        ow_book_describe(lead, m, l->addr, l->type, l->zone, l->spot);
+            m = ow_machines_find_or_add(leader, l->name);
+        ow_machine_describe(leader, m, l->addr, l->type, l->zone, l->spot);
         /* Lists lag: what its own worker said is newer. */
-        if (m->seen_at == 0 || l->state == OW_LISTED_FAILED)
+        if (m->last_message_at == 0 || l->state == OW_LISTED_FAILED)
             m->listed = l->state;
         /* One that reported first was older than it seemed. */
-        m->rented_at = fresh ? lead->node->now - l->age_s : MIN(m->rented_at, lead->node->now - l->age_s);
+        m->rented_at = fresh ? leader->controller->now - l->age_s
+                             : MIN(m->rented_at, leader->controller->now - l->age_s);
     }
-    g_clear_pointer(&lead->list_after, g_free);
+    g_clear_pointer(&leader->list_after, g_free);
     if (answer->cloud.more && listed->len > 0) {
-        lead->list_after = g_strdup(g_array_index(listed, struct ow_listed_machine, listed->len - 1).name);
+        leader->list_after = g_strdup(g_array_index(listed, struct ow_listed_machine, listed->len - 1).name);
     } else {
         /* Not before the last page: what is not known yet would be rented a second time. */
-        lead->listed_once = true;
-        lead->list_at = lead->node->now + LIST_S;
+        leader->listed_once = true;
+        leader->list_at = leader->controller->now + LIST_S;
     }
 }
 
-void ow_fleet_list(struct ow_lead *lead)
+void ow_fleet_list(struct ow_leader *leader)
 {
-    if (lead->listing || lead->node->now < lead->list_at || !ow_bucket_take(&lead->cloud, 1, lead->node->now))
+    if (leader->listing || leader->controller->now < leader->list_at ||
+        !ow_rate_limiter_take(&leader->cloud_limiter, 1, leader->controller->now))
         return;
     struct ow_cloud_request *request = g_new0(struct ow_cloud_request, 1);
     request->op = OW_CLOUD_LIST;
-    request->after = g_strdup(lead->list_after);
-    lead->listing = true;
-    ow_node_cloud(lead->node, request, on_listed, lead, NULL, NULL);
+    request->after = g_strdup(leader->list_after);
+    leader->listing = true;
+    ow_controller_cloud(leader->controller, request, on_listed, leader, NULL, NULL);
 }
 
 /* ---- returning ---- */
@@ -144,30 +147,30 @@
 }
 
 /* Idle machines that no class needs ready, and how many there are of a machine's kind. */
-static void count_alike(const struct ow_lead *lead, const GPtrArray *unneeded, const struct ow_machine *m,
+static void count_alike(const struct ow_leader *leader, const GPtrArray *unneeded, const struct ow_machine *m,
                         unsigned *idle_alike, unsigned *all_alike)
 {
     *idle_alike = *all_alike = 0;
     for (guint i = 0; i < unneeded->len; i++)
         *idle_alike += alike(g_ptr_array_index(unneeded, i), m) ? 1 : 0;
-    for (guint i = 0; i < lead->machines->len; i++)
-        *all_alike += alike(g_ptr_array_index(lead->machines, i), m) ? 1 : 0;
+    for (guint i = 0; i < leader->machines->len; i++)
+        *all_alike += alike(g_ptr_array_index(leader->machines, i), m) ? 1 : 0;
 }
 
-void ow_fleet_return_idle(struct ow_lead *lead)
+void ow_fleet_return_idle(struct ow_leader *leader)
 {
-    double now = lead->node->now;
-    GPtrArray *unneeded = ow_spare_unneeded(lead, idle);
+    double now = leader->controller->now;
+    GPtrArray *unneeded = ow_headroom_unneeded(leader, idle);
     const struct ow_machine *last = NULL;
     unsigned idle_alike = 0, all_alike = 0;
     for (guint i = 0; i < unneeded->len; i++) {
         struct ow_machine *m = g_ptr_array_index(unneeded, i);
         if (last == NULL || !alike(m, last))
-            count_alike(lead, unneeded, m, &idle_alike, &all_alike);
+            count_alike(leader, unneeded, m, &idle_alike, &all_alike);
         last = m;
         if (now - m->rented_at > PAID_S &&
-            now - MAX(m->idle_since, lead->ready_at) > idle_limit(m, idle_alike, all_alike))
-            ow_fleet_delete(lead, m, "it is idle");
+            now - MAX(m->idle_since, leader->ready_at) > idle_limit(m, idle_alike, all_alike))
+            ow_fleet_delete(leader, m, "it is idle");
     }
     g_ptr_array_free(unneeded, TRUE);
 }
--- a/src/core/job.c
+++ b/src/core/job.c
@@ -66,27 +66,27 @@
 
 bool ow_job_over(const struct ow_job *job)
 {
-    return job->stance == OW_DONE || job->stance == OW_CANCELLED;
+    return job->state == OW_JOB_DONE || job->state == OW_JOB_CANCELLED;
 }
 
 static struct ow_job *add_job(struct ow_jobs *jobs, const char *id, uint64_t version)
 {
     struct ow_job *job = g_new0(struct ow_job, 1);
     job->id = g_strdup(id);
-    job->place = version;
+    job->accepted_revision = version;
     job->done = job->running = OW_UNCOUNTED;
     g_hash_table_insert(jobs->by_id, job->id, job);
     return job;
 }
 
-struct ow_job *ow_jobs_apply(struct ow_jobs *jobs, const char *id, uint64_t version, enum ow_stance stance,
+struct ow_job *ow_jobs_apply(struct ow_jobs *jobs, const char *id, uint64_t version, enum ow_job_state state,
                              struct ow_submission *submission, double now, double age_s)
 {
     struct ow_job *job = ow_jobs_find(jobs, id);
     bool fresh = job == NULL;
     /* Watches and lists may answer out of order: what is over must never come back to life. */
-    /* The record of a cancellation that was told ahead of it brings the rest of what is to be known. */
-    bool ahead = !fresh && job->ahead && version >= job->version;
+    /* The record of a cancellation that was announced ahead of it brings the rest of what is to be known. */
+    bool ahead = !fresh && job->record_unread && version >= job->version;
     if (!fresh && !ahead && version <= job->version) {
         ow_submission_free(submission);
         return NULL;
@@ -94,14 +94,14 @@
     if (fresh)
         job = add_job(jobs, id, version);
     fresh = fresh || ahead;
-    job->ahead = false;
+    job->record_unread = false;
     if (fresh) {
-        job->seen_at = now;
-        job->came_at = now - age_s;
+        job->first_seen_at = now;
+        job->accepted_at = now - age_s;
     }
     job->version = version;
-    job->stance = stance;
-    /* A cancelled job keeps its description until the coordinator has seen its last task end. */
+    job->state = state;
+    /* A cancelled job keeps its description until the leader has seen its last task end. */
     bool settled = submission == NULL;
     if (submission != NULL && job->spec == NULL)
         job->spec = ow_spec_new(jobs->names, submission);
@@ -110,8 +110,8 @@
     if (ow_job_over(job))
         ow_job_set_reason(job, NULL);
     /* The last record of a cancelled job is written when no task is left. */
-    if (job->stance == OW_CANCELLED && settled)
-        job->confirmed = true;
+    if (job->state == OW_JOB_CANCELLED && settled)
+        job->cancellation_acked = true;
     if (fresh && job->spec != NULL)
         g_ptr_array_add(jobs->open, job);
     else if (ow_job_over(job) && job->run == NULL && settled)
@@ -124,13 +124,13 @@
     struct ow_job *job = ow_jobs_find(jobs, id);
     if (job == NULL) {
         job = add_job(jobs, id, 0);
-        job->place = version;
-        job->ahead = true;
+        job->accepted_revision = version;
+        job->record_unread = true;
     }
     if (version <= job->version)
         return job;
     job->version = version;
-    job->stance = OW_CANCELLED;
+    job->state = OW_JOB_CANCELLED;
     job->cancel_token = token;
     ow_job_set_reason(job, NULL);
     return job;
--- a/src/core/job.h
+++ b/src/core/job.h
@@ -16,16 +16,16 @@
 
 struct ow_job {
     char *id;
-    enum ow_stance stance; /* OW_QUEUED stands for every job that is not over */
-    uint64_t version;      /* of its record */
-    uint64_t place;        /* its place in line: the revision that accepted it */
-    double came_at;        /* when it was accepted, by our steady clock */
-    double seen_at;        /* when this controller first saw it */
-    struct ow_spec *spec;  /* NULL once it is over and no task is left */
-    struct ow_run *run;    /* the coordinator's */
-    uint64_t cancel_token; /* of a cancelled one: who coordinated when that was recorded */
-    bool confirmed;        /* its cancellation has been taken in: users may hear of it */
-    bool ahead;            /* cancelled before its record has been read: nothing else is known of it */
+    enum ow_job_state state;    /* OW_JOB_QUEUED stands for every job that is not over */
+    uint64_t version;           /* of its record */
+    uint64_t accepted_revision; /* the revision that accepted it: its place in the queue */
+    double accepted_at;         /* when it was accepted, by our steady clock */
+    double first_seen_at;       /* when this controller first saw it */
+    struct ow_spec *spec;       /* NULL once it is over and no task is left */
+    struct ow_run *run;         /* the leader's */
+    uint64_t cancel_token;      /* of a cancelled one: who led when that was recorded */
+    bool cancellation_acked;    /* its cancellation has been acknowledged: users may hear of it */
+    bool record_unread;         /* cancelled before its record has been read: nothing else is known of it */
     /* For users' eyes only. */
     int done, running;
     char *reason;
@@ -41,7 +41,7 @@
 void ow_jobs_free(struct ow_jobs *jobs);
 struct ow_job *ow_jobs_find(const struct ow_jobs *jobs, const char *id);
 /* Takes over `submission`. An older version than the known one changes nothing and answers NULL. */
-struct ow_job *ow_jobs_apply(struct ow_jobs *jobs, const char *id, uint64_t version, enum ow_stance stance,
+struct ow_job *ow_jobs_apply(struct ow_jobs *jobs, const char *id, uint64_t version, enum ow_job_state state,
                              struct ow_submission *submission, double now, double age_s);
 /* A cancellation that is committed, here or elsewhere; its tasks may still have to be ended. A job that is
    not known yet is noted down, so that no older record of it, read later, lets it start. */
--- /dev/null
+++ b/src/core/job_cache.h
@@ -0,0 +1,23 @@
+/* This controller's copy of the job table, kept current from the state service. */
+#ifndef OW_CORE_JOB_CACHE_H
+#define OW_CORE_JOB_CACHE_H
+
+#include <stdbool.h>
+#include <stdint.h>
+
+struct ow_controller;
+struct ow_job_cache;
+
+/* Called once the copy is at least as new as the call that asked for it, or with false if that failed. */
+typedef void (*ow_fresh_fn)(struct ow_controller *controller, void *data, bool ok);
+
+struct ow_job_cache *ow_job_cache_new(struct ow_controller *controller);
+void ow_job_cache_free(struct ow_job_cache *job_cache);
+bool ow_job_cache_loaded(const struct ow_job_cache *job_cache);
+/* `data` is freed with g_free after the call. Waiting calls share one read. */
+void ow_job_cache_refresh(struct ow_job_cache *job_cache, ow_fresh_fn fn, void *data);
+/* Something changed elsewhere: read soon. */
+void ow_job_cache_hint(struct ow_job_cache *job_cache, uint64_t revision);
+void ow_job_cache_tick(struct ow_job_cache *job_cache);
+
+#endif
--- /dev/null
+++ b/src/core/leader.c
@@ -0,0 +1,242 @@
+#include "core/election.h"
+#include "core/leader_state.h"
+#include "core/records.h"
+#include "wire/records_json.h"
+
+#include <string.h>
+
+static const double PASS_GAP_S = 0.1, PASS_LEAST_S = 1, CARE_S = 0.5, SUMMARY_S = 1.5, HINTS_S = 5,
+                    TYPES_S = 60;
+/* So many reports missed by all machines, and a fresh message of a peer that they come to it. */
+static const double LOST_REPORTS = 2.5, LOST_MESSAGE_S = 3;
+/* One machine alone may be at fault itself. */
+enum { LOST_LEAST = 2 };
+
+struct ow_leader *ow_leader_new(struct ow_controller *controller, uint64_t token)
+{
+    struct ow_leader *leader = g_new0(struct ow_leader, 1);
+    leader->controller = controller;
+    leader->token = token;
+    leader->machines_by_name = g_hash_table_new(g_str_hash, g_str_equal);
+    leader->machines = g_ptr_array_new_with_free_func(ow_machine_free);
+    leader->runs = g_ptr_array_new();
+    leader->image_loads = ow_placement_new_loads();
+    leader->shortlists = ow_shortlists_new();
+    leader->allowances = ow_reason_new_allowances();
+    leader->record_values = g_ptr_array_new_with_free_func(ow_record_value_free);
+    leader->refusals = g_array_new(FALSE, FALSE, sizeof(struct ow_rental_refusal));
+    leader->to_delete = g_ptr_array_new_with_free_func(g_free);
+    leader->deleted_names = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+    leader->recorder = ow_recorder_new(leader);
+    ow_rate_limiter_init(&leader->cloud_limiter, 0.8 * controller->settings->cloud_rps,
+                         controller->settings->cloud_rps, controller->now);
+    return leader;
+}
+
+void ow_leader_free(struct ow_leader *leader)
+{
+    ow_pending_calls_forget(leader->controller->pending_calls, leader);
+    ow_takeover_free(leader);
+    while (leader->runs->len > 0)
+        ow_run_drop(leader, g_ptr_array_index(leader->runs, 0));
+    g_ptr_array_free(leader->runs, TRUE);
+    g_hash_table_destroy(leader->machines_by_name);
+    g_ptr_array_free(leader->machines, TRUE);
+    g_array_free(leader->refusals, TRUE);
+    g_ptr_array_free(leader->to_delete, TRUE);
+    g_hash_table_destroy(leader->deleted_names);
+    ow_recorder_free(leader->recorder);
+    g_ptr_array_free(leader->record_values, TRUE);
+    g_array_free(leader->image_loads, TRUE);
+    g_array_free(leader->shortlists, TRUE);
+    g_array_free(leader->allowances, TRUE);
+    g_free(leader->team_used);
+    g_free(leader->entitled);
+    g_free(leader->borrows);
+    g_free(leader->list_after);
+    g_free(leader->load_after);
+    g_free(leader);
+}
+
+void ow_leader_report(struct ow_leader *leader, uint64_t request, const struct ow_report *report)
+{
+    struct ow_effect *e = ow_effect_new(OW_EFFECT_WORKER_COMMANDS, request);
+    GArray *clears = g_array_new(FALSE, FALSE, sizeof(struct ow_worker_command));
+    struct ow_machine *m = ow_reports_receive(leader, report, clears);
+    if (m != NULL && report->session == m->session && report->seq == m->seq)
+        m->last_report_at = leader->controller->now;
+    /* Until the job table has been read, an answer could keep tasks alive whose cancellation a user has heard
+       of. One without our token renews nothing, and the worker stays. */
+    e->token = leader->phase == OW_LEADER_REFRESH ? 0 : leader->token;
+    bool current = m != NULL && m->fenced && report->token == leader->token &&
+                   report->session == m->session && report->seq == m->seq && leader->phase == OW_LEADER_READY;
+    /* Commands go only to the session that they are meant for, and not in answer to a late copy. */
+    if (current)
+        e->commands = ow_worker_commands_for(leader, m, NULL);
+    else if (leader->phase != OW_LEADER_REFRESH)
+        e->commands = ow_reports_cancelled(leader, report);
+    else
+        e->commands = g_array_new(FALSE, FALSE, sizeof(struct ow_worker_command));
+    if (current)
+        g_array_append_vals(e->commands, clears->data, clears->len);
+    g_array_free(clears, TRUE);
+    ow_controller_emit(leader->controller, e);
+}
+
+static void count_for_users(struct ow_leader *leader)
+{
+    for (guint i = 0; i < leader->runs->len; i++) {
+        const struct ow_run *run = g_ptr_array_index(leader->runs, i);
+        run->job->done = (int)run->done;
+        run->job->running = (int)run->running;
+    }
+}
+
+static void send_summary(struct ow_leader *leader)
+{
+    struct ow_peer_message *message = ow_peer_message_new(OW_PEER_SUMMARY);
+    message->number = leader->token;
+    for (guint i = 0; i < leader->runs->len && i < 1500; i++) {
+        const struct ow_run *run = g_ptr_array_index(leader->runs, i);
+        struct ow_peer_job job = {
+            .done = run->job->done, .running = run->job->running, .reason = g_strdup(run->job->reason)};
+        g_strlcpy(job.id, run->job->id, sizeof job.id);
+        g_array_append_val(message->jobs, job);
+    }
+    ow_controller_send_to_peers(leader->controller, message);
+}
+
+static void send_machines(struct ow_leader *leader)
+{
+    struct ow_peer_message *message = ow_peer_message_new(OW_PEER_MACHINES);
+    message->number = leader->token;
+    for (guint i = 0; i < leader->machines->len && i < 3000; i++) {
+        const struct ow_machine *m = g_ptr_array_index(leader->machines, i);
+        if (m->addr == NULL || m->type < 0 || m->deleting)
+            continue;
+        struct ow_peer_machine hint = {g_strdup(m->name), g_strdup(m->addr),
+                                       g_strdup(ow_names_text(leader->controller->names.types, m->type)),
+                                       g_strdup(ow_names_text(leader->controller->names.zones, m->zone)),
+                                       m->spot};
+        g_array_append_val(message->machines, hint);
+    }
+    ow_controller_send_to_peers(leader->controller, message);
+}
+
+static void on_types(void *owner, void *data, const struct ow_event *answer)
+{
+    struct ow_leader *leader = owner;
+    (void)data;
+    leader->types_busy = false;
+    if (answer->cloud.status != 200 || answer->cloud.types == NULL || answer->cloud.types->len == 0) {
+        leader->types_at = leader->controller->now + 2;
+        return;
+    }
+    bool first = leader->types_at == 0;
+    leader->types_at = leader->controller->now + TYPES_S;
+    ow_controller_set_types(leader->controller, answer->cloud.types);
+    if (!first)
+        return;
+    /* For whoever starts while the cloud is down. */
+    struct ow_store_request *txn = ow_store_request_new(OW_STORE_TXN, NULL);
+    char *record = wire_types_record(answer->cloud.types);
+    if (strlen(record) > leader->controller->limits.value_bytes)
+        g_warning(
+            "the machine types don't fit a value: who starts while the cloud is down can't accept jobs");
+    ow_store_expect(txn, OW_KEY_LEADER, leader->token);
+    if (strlen(record) <= leader->controller->limits.value_bytes)
+        ow_store_write(txn, OW_KEY_TYPES, g_steal_pointer(&record), 0);
+    g_free(record);
+    ow_controller_store(leader->controller, txn, NULL, leader, NULL, NULL);
+}
+
+static void ask_types(struct ow_leader *leader)
+{
+    if (leader->types_busy || leader->controller->now < leader->types_at ||
+        !ow_rate_limiter_take(&leader->cloud_limiter, 1, leader->controller->now))
+        return;
+    struct ow_cloud_request *request = g_new0(struct ow_cloud_request, 1);
+    request->op = OW_CLOUD_TYPES;
+    leader->types_busy = true;
+    ow_controller_cloud(leader->controller, request, on_types, leader, NULL, NULL);
+}
+
+/* Whether every worker has fallen silent at once while they come to other controllers: it is we who are cut
+   off from them, well as we may stand with the state service. Where they come to nobody, they are gone. */
+static bool workers_lost(const struct ow_leader *leader)
+{
+    double now = leader->controller->now, heard = leader->ready_at;
+    unsigned expected = 0;
+    for (guint i = 0; i < leader->machines->len; i++) {
+        const struct ow_machine *m = g_ptr_array_index(leader->machines, i);
+        heard = MAX(heard, m->last_message_at);
+        expected += m->listed == OW_LISTED_RUNNING && !m->deleting ? 1 : 0;
+    }
+    return expected >= LOST_LEAST && now - leader->controller->peer_receives_reports_at < LOST_MESSAGE_S &&
+           now - heard > LOST_REPORTS * leader->controller->settings->report_s;
+}
+
+/* Whether an attempt of a cancelled job is where it can only end: running, on a machine that heeds us alone.
+   Whatever has yet to begin might do so after the user was told, for as long as its stop is on the way. */
+static bool only_ends(const struct ow_attempt *at)
+{
+    return at->stop && at->state == OW_ATTEMPT_SEEN && at->machine->fenced &&
+           (at->phase == OW_PHASE_RUNNING || at->phase == OW_PHASE_SAVING);
+}
+
+bool ow_leader_cancel(struct ow_leader *leader, struct ow_job *job)
+{
+    /* Before it is ready a leader does not know what there is to end. */
+    if (leader->phase != OW_LEADER_READY)
+        return false;
+    ow_leader_wake(leader);
+    if (job->run == NULL)
+        return true;
+    ow_run_stop(leader, job->run, 0, "its job is cancelled");
+    for (guint i = 0; i < job->run->attempts->len; i++)
+        if (!only_ends(g_ptr_array_index(job->run->attempts, i)))
+            return false;
+    return true;
+}
+
+void ow_leader_wake(struct ow_leader *leader)
+{
+    leader->dirty = true;
+}
+
+void ow_leader_tick(struct ow_leader *leader)
+{
+    double now = leader->controller->now;
+    ow_record_format_tick(leader);
+    ow_takeover_tick(leader);
+    ask_types(leader);
+    if (leader->phase != OW_LEADER_READY)
+        return;
+    if ((leader->dirty && now >= leader->pass_at + PASS_GAP_S) || now >= leader->pass_at + PASS_LEAST_S) {
+        leader->dirty = false;
+        leader->pass_at = now;
+        ow_schedule_jobs(leader);
+        ow_schedule_pass(leader);
+        count_for_users(leader);
+    }
+    if (now >= leader->health_check_at) {
+        leader->health_check_at = now + CARE_S;
+        if (workers_lost(leader)) {
+            ow_election_yield(leader->controller->election, "no worker is heard any more");
+            return;
+        }
+        ow_machine_health_tick(leader);
+    }
+    ow_rent_tick(leader);
+    ow_fleet_send_deletions(leader);
+    ow_recorder_tick(leader);
+    ow_worker_commands_send(leader);
+    if (now >= leader->summary_at) {
+        leader->summary_at = now + SUMMARY_S;
+        send_summary(leader);
+    }
+    if (now >= leader->hints_at) {
+        leader->hints_at = now + HINTS_S;
+        send_machines(leader);
+    }
+}
--- a/src/core/names.h
+++ b/src/core/names.h
@@ -1,4 +1,4 @@
-/* Names become dense indices at the door. One table per kind of name. */
+/* Names become dense indices when they enter the core. One table per kind of name. */
 #ifndef OW_CORE_NAMES_H
 #define OW_CORE_NAMES_H
 
--- a/src/core/calls.c
+++ b/src/core/pending_calls.c
@@ -1,4 +1,4 @@
-#include "core/calls.h"
+#include "core/pending_calls.h"
 
 #include <glib.h>
 
@@ -9,7 +9,7 @@
     void (*free_data)(void *);
 };
 
-struct ow_calls {
+struct ow_pending_calls {
     GHashTable *by_tag;
     uint64_t last_tag;
 };
@@ -22,14 +22,14 @@
     g_free(call);
 }
 
-struct ow_calls *ow_calls_new(void)
+struct ow_pending_calls *ow_pending_calls_new(void)
 {
-    struct ow_calls *calls = g_new0(struct ow_calls, 1);
+    struct ow_pending_calls *calls = g_new0(struct ow_pending_calls, 1);
     calls->by_tag = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, call_free);
     return calls;
 }
 
-void ow_calls_free(struct ow_calls *calls)
+void ow_pending_calls_free(struct ow_pending_calls *calls)
 {
     if (calls == NULL)
         return;
@@ -37,8 +37,8 @@
     g_free(calls);
 }
 
-uint64_t ow_calls_add(struct ow_calls *calls, ow_call_fn fn, void *owner, void *data,
-                      void (*free_data)(void *))
+uint64_t ow_pending_calls_add(struct ow_pending_calls *calls, ow_call_fn fn, void *owner, void *data,
+                              void (*free_data)(void *))
 {
     struct call *call = g_new0(struct call, 1);
     *call = (struct call){++calls->last_tag, fn, owner, data, free_data};
@@ -46,7 +46,7 @@
     return call->tag;
 }
 
-void ow_calls_answer(struct ow_calls *calls, uint64_t tag, const struct ow_command *answer)
+void ow_pending_calls_answer(struct ow_pending_calls *calls, uint64_t tag, const struct ow_event *answer)
 {
     struct call *call = g_hash_table_lookup(calls->by_tag, &tag);
     if (call == NULL)
@@ -63,7 +63,7 @@
     return ((struct call *)value)->owner == owner;
 }
 
-void ow_calls_forget(struct ow_calls *calls, const void *owner)
+void ow_pending_calls_forget(struct ow_pending_calls *calls, const void *owner)
 {
     g_hash_table_foreach_remove(calls->by_tag, owned_by, (gpointer)owner);
 }
--- a/src/core/preempt.c
+++ b/src/core/preempt.c
@@ -1,5 +1,5 @@
 /* Stopping work to make room, where the rules allow it: the cheapest loss first. */
-#include "core/lead_state.h"
+#include "core/leader_state.h"
 
 #include <math.h>
 
@@ -10,37 +10,37 @@
 
 /* Lower ranks may be stopped for higher ones. What another team runs beyond its guarantee may be stopped to
    give a team its own; we do so for work at least as urgent as what is stopped. */
-static bool may_stop(const struct ow_lead *lead, const struct ow_spec *spec, const struct ow_attempt *at)
+static bool may_stop(const struct ow_leader *leader, const struct ow_spec *spec, const struct ow_attempt *at)
 {
     const struct ow_spec *other = at->job->spec;
-    if (at->session != at->machine->session || at->shielded)
+    if (at->session != at->machine->session || at->not_preemptible)
         return false;
     if (other->submission->rank > spec->submission->rank)
         return true;
     return other->submission->rank == spec->submission->rank && other->team != spec->team &&
-           lead->entitled[spec->team] && lead->borrows[other->team] &&
-           ow_team_covers(lead, spec->team, &spec->submission->need) &&
-           ow_team_covers(lead, other->team, &other->submission->need);
+           leader->entitled[spec->team] && leader->borrows[other->team] &&
+           ow_team_covers(leader, spec->team, &spec->submission->need) &&
+           ow_team_covers(leader, other->team, &other->submission->need);
 }
 
 /* Seconds of one task's work that stopping it now throws away. */
-static double loss_s(const struct ow_lead *lead, const struct ow_attempt *at)
+static double loss_s(const struct ow_leader *leader, const struct ow_attempt *at)
 {
     const struct ow_submission *s = at->job->spec->submission;
     /* A fetch given up has to begin anew. */
     if (at->running_at == 0)
-        return lead->node->now - at->placed_at;
-    double ran = lead->node->now - at->running_at;
+        return leader->controller->now - at->placed_at;
+    double ran = leader->controller->now - at->running_at;
     return s->checkpoint_s > 0 ? MIN(ran, s->save_s) : ran;
 }
 
 /* A slice of free room as it would be with some attempts gone. */
-static uint32_t slots_without(const struct ow_lead *lead, const struct ow_spec *spec,
+static uint32_t slots_without(const struct ow_leader *leader, const struct ow_spec *spec,
                               const struct ow_machine *m, const struct ow_amounts *gone)
 {
     struct ow_amounts used = m->used;
     ow_amounts_add(&used, gone, -1);
-    return ow_place_slots_beside(lead, spec, m, &used);
+    return ow_placement_slots_beside(leader, spec, m, &used);
 }
 
 static void add_need(struct ow_amounts *sum, const struct ow_attempt *at)
@@ -48,34 +48,36 @@
     ow_amounts_add(sum, &at->job->spec->submission->need, 1);
 }
 
-int ow_preempt_from(const struct ow_lead *lead, const struct ow_spec *spec)
+int ow_preempt_top_rank(const struct ow_leader *leader, const struct ow_spec *spec)
 {
     int rank = (int)spec->submission->rank;
-    return lead->entitled[spec->team] && ow_team_covers(lead, spec->team, &spec->submission->need) ? rank
-                                                                                                   : rank + 1;
+    return leader->entitled[spec->team] && ow_team_covers(leader, spec->team, &spec->submission->need)
+               ? rank
+               : rank + 1;
 }
 
-uint32_t ow_preempt_slots_most(const struct ow_lead *lead, const struct ow_spec *spec,
-                               const struct ow_machine *m, int from)
+uint32_t ow_preempt_slots_upper_bound(const struct ow_leader *leader, const struct ow_spec *spec,
+                                      const struct ow_machine *m, int from)
 {
     struct ow_amounts most = m->stopping;
     for (int rank = from; rank <= OW_RANK_LOW; rank++)
         ow_amounts_add(&most, &m->used_by[rank], 1);
-    return slots_without(lead, spec, m, &most);
+    return slots_without(leader, spec, m, &most);
 }
 
-uint32_t ow_preempt_slots(const struct ow_lead *lead, const struct ow_spec *spec, const struct ow_machine *m)
+uint32_t ow_preempt_slots(const struct ow_leader *leader, const struct ow_spec *spec,
+                          const struct ow_machine *m)
 {
     struct ow_amounts gone = {0};
     /* Most machines are full of work that may not be stopped: they are not to cost a walk over it. */
-    if (ow_preempt_slots_most(lead, spec, m, ow_preempt_from(lead, spec)) == 0)
+    if (ow_preempt_slots_upper_bound(leader, spec, m, ow_preempt_top_rank(leader, spec)) == 0)
         return 0;
     for (guint i = 0; i < m->attempts->len; i++) {
         const struct ow_attempt *at = g_ptr_array_index(m->attempts, i);
-        if (at->stop || may_stop(lead, spec, at))
+        if (at->stop || may_stop(leader, spec, at))
             add_need(&gone, at);
     }
-    return slots_without(lead, spec, m, &gone);
+    return slots_without(leader, spec, m, &gone);
 }
 
 struct victim {
@@ -90,24 +92,24 @@
 }
 
 /* The victims that make room, or NULL if none do. Work already being stopped comes first and is free. */
-static GArray *choose_victims(const struct ow_lead *lead, const struct ow_spec *spec,
+static GArray *choose_victims(const struct ow_leader *leader, const struct ow_spec *spec,
                               const struct ow_machine *m, uint32_t slots)
 {
     GArray *all = g_array_new(FALSE, FALSE, sizeof(struct victim));
     struct ow_amounts gone = {0};
     for (guint i = 0; i < m->attempts->len; i++) {
         struct ow_attempt *at = g_ptr_array_index(m->attempts, i);
-        struct victim v = {at, loss_s(lead, at)};
+        struct victim v = {at, loss_s(leader, at)};
         if (at->stop)
             add_need(&gone, at);
-        else if (may_stop(lead, spec, at))
+        else if (may_stop(leader, spec, at))
             g_array_append_val(all, v);
     }
     g_array_sort(all, by_loss);
     guint taken = 0;
-    while (slots_without(lead, spec, m, &gone) < slots && taken < all->len)
+    while (slots_without(leader, spec, m, &gone) < slots && taken < all->len)
         add_need(&gone, g_array_index(all, struct victim, taken++).attempt);
-    if (slots_without(lead, spec, m, &gone) < slots) {
+    if (slots_without(leader, spec, m, &gone) < slots) {
         g_array_free(all, TRUE);
         return NULL;
     }
@@ -115,10 +117,10 @@
     return all;
 }
 
-double ow_preempt_loss(const struct ow_lead *lead, const struct ow_spec *spec, const struct ow_machine *m,
+double ow_preempt_loss(const struct ow_leader *leader, const struct ow_spec *spec, const struct ow_machine *m,
                        uint32_t slots)
 {
-    GArray *victims = choose_victims(lead, spec, m, slots);
+    GArray *victims = choose_victims(leader, spec, m, slots);
     double loss = 0;
     if (victims == NULL)
         return INFINITY;
@@ -133,10 +135,10 @@
     return loss;
 }
 
-bool ow_preempt_make_room(struct ow_lead *lead, const struct ow_run *run, struct ow_machine *m,
+bool ow_preempt_make_room(struct ow_leader *leader, const struct ow_run *run, struct ow_machine *m,
                           uint32_t slots)
 {
-    GArray *victims = choose_victims(lead, run->job->spec, m, slots);
+    GArray *victims = choose_victims(leader, run->job->spec, m, slots);
     if (victims == NULL)
         return false;
     char *why = g_strdup_printf("room for job %s", run->job->id);
@@ -147,10 +149,10 @@
         /* The tasks of a gang stop in one round, or their saving fails. One stopped before may have ended
            another that was chosen, too. */
         if (s->gang) {
-            ow_run_stop(lead, at->job->run, grace, why);
+            ow_run_stop(leader, at->job->run, grace, why);
             break;
         }
-        ow_attempt_stop(lead, at, grace, why);
+        ow_attempt_stop(leader, at, grace, why);
     }
     g_free(why);
     g_array_free(victims, TRUE);
--- a/src/core/reason.c
+++ b/src/core/reason.c
@@ -1,5 +1,5 @@
 /* Why a job waits, in words for its team. */
-#include "core/lead_state.h"
+#include "core/leader_state.h"
 
 /* The machines that jobs with such demands allow: counted once a pass. */
 struct allowance {
@@ -14,37 +14,37 @@
     return g_array_new(FALSE, FALSE, sizeof(struct allowance));
 }
 
-static struct allowance allowed_machines(struct ow_lead *lead, const struct ow_spec *spec)
+static struct allowance allowed_machines(struct ow_leader *leader, const struct ow_spec *spec)
 {
-    for (guint i = 0; i < lead->allowances->len; i++) {
-        const struct allowance *a = &g_array_index(lead->allowances, struct allowance, i);
+    for (guint i = 0; i < leader->allowances->len; i++) {
+        const struct allowance *a = &g_array_index(leader->allowances, struct allowance, i);
         if (a->types == spec->types && a->zone == spec->zone && a->spot == spec->submission->spot)
             return *a;
     }
     struct allowance count = {spec->types, spec->zone, spec->submission->spot, 0, 0};
-    for (guint i = 0; i < lead->machines->len; i++) {
-        const struct ow_machine *m = g_ptr_array_index(lead->machines, i);
-        if (!ow_place_allowed(lead, spec, m))
+    for (guint i = 0; i < leader->machines->len; i++) {
+        const struct ow_machine *m = g_ptr_array_index(leader->machines, i);
+        if (!ow_placement_is_allowed(leader, spec, m))
             continue;
         count.allowed++;
-        count.usable += ow_book_usable(lead, m) ? 1 : 0;
+        count.usable += ow_machine_is_usable(leader, m) ? 1 : 0;
     }
-    g_array_append_val(lead->allowances, count);
+    g_array_append_val(leader->allowances, count);
     return count;
 }
 
-static char *waits_for(struct ow_lead *lead, const struct ow_run *run, uint32_t pending)
+static char *waits_for(struct ow_leader *leader, const struct ow_run *run, uint32_t pending)
 {
     const struct ow_spec *spec = run->job->spec;
     bool gang = spec->submission->gang;
     uint32_t wanted = gang ? run->count : 1;
-    if (run->ready_at > lead->node->now)
+    if (run->ready_at > leader->controller->now)
         return g_strdup("paused after failures; it is tried again soon");
     if (gang && run->attempts->len > 0)
         return g_strdup("waits until every task of its last attempt is proven gone");
-    if (ow_team_admits(lead, spec, wanted) < wanted)
+    if (ow_team_admits(leader, spec, wanted) < wanted)
         return g_strdup_printf("team %s is at its limit", spec->submission->team);
-    struct allowance there = allowed_machines(lead, spec);
+    struct allowance there = allowed_machines(leader, spec);
     if (there.allowed == 0)
         return g_strdup("no machine that it allows is rented yet");
     if (there.usable == 0)
@@ -56,17 +56,17 @@
     if (ow_run_is_service(run))
         return g_strdup_printf("%u of %u replicas wait for room on %u machines", pending, run->count,
                                there.usable);
-    if (ow_place_cheaply(lead, run))
+    if (ow_placement_waits_for_cheap(leader, run))
         return g_strdup_printf("%u tasks wait for room on cheap machines; before long they go on any",
                                pending);
     return g_strdup_printf("%u tasks wait for room on %u machines, behind earlier or more urgent work",
                            pending, there.usable);
 }
 
-void ow_reason_waits(struct ow_lead *lead, struct ow_run *run)
+void ow_reason_waits(struct ow_leader *leader, struct ow_run *run)
 {
     uint32_t pending = ow_run_pending(run);
-    char *reason = pending > 0 ? waits_for(lead, run, pending) : NULL;
+    char *reason = pending > 0 ? waits_for(leader, run, pending) : NULL;
     ow_job_set_reason(run->job, reason);
     g_free(reason);
 }
--- /dev/null
+++ b/src/core/record_format.c
@@ -0,0 +1,70 @@
+/* Which format of records may be written. A controller of an earlier version, which may still take over,
+ * would drop what it can't read. So the newest format is written only behind a format gate in the state
+ * service, and the gate only once every controller has been heard to speak it: one that does never comes back
+ * as an earlier version. */
+#include "core/leader_state.h"
+#include "wire/records_json.h"
+
+static const double LOOK_S = 1;
+
+static bool all_peers_support(const struct ow_controller *controller, unsigned format)
+{
+    for (guint i = 0; i < controller->settings->peers->len; i++) {
+        const struct ow_peer_settings *peer =
+            &g_array_index(controller->settings->peers, struct ow_peer_settings, i);
+        if (GPOINTER_TO_UINT(g_hash_table_lookup(controller->peer_formats, peer->node)) < format)
+            return false;
+    }
+    return true;
+}
+
+static void on_gate_written(void *owner, void *data, const struct ow_event *answer)
+{
+    struct ow_leader *leader = owner;
+    (void)data;
+    leader->format_busy = false;
+    leader->format_at = leader->controller->now + LOOK_S;
+    if (answer->store.status == 200) {
+        g_info("every controller reads records of format %d: it is written from now on", OW_FORMAT_FINE);
+        leader->format = OW_FORMAT_FINE;
+    } else if (answer->store.status == 409) {
+        leader->format = 0; /* carried out before, without an answer: read it */
+    }
+}
+
+static void write_format_gate(struct ow_leader *leader)
+{
+    struct ow_store_request *txn = ow_store_request_new(OW_STORE_TXN, NULL);
+    ow_store_expect(txn, OW_KEY_LEADER, leader->token);
+    ow_store_expect(txn, OW_KEY_FORMAT, 0);
+    ow_store_write(txn, OW_KEY_FORMAT, wire_format_record(OW_FORMAT_FINE), 0);
+    leader->format_busy = true;
+    ow_controller_store(leader->controller, txn, on_gate_written, leader, NULL, NULL);
+}
+
+static void on_read(void *owner, void *data, const struct ow_event *answer)
+{
+    struct ow_leader *leader = owner;
+    const struct ow_store_reply *reply = &answer->store;
+    (void)data;
+    leader->format_busy = false;
+    leader->format_at = leader->controller->now + 0.3;
+    if (reply->status == 404)
+        leader->format = OW_FORMAT_FIRST;
+    else if (reply->status == 200 && reply->items->len == 1)
+        leader->format = wire_format_record_parse(g_array_index(reply->items, struct ow_store_item, 0).value);
+}
+
+void ow_record_format_tick(struct ow_leader *leader)
+{
+    if (leader->format_busy || leader->controller->now < leader->format_at)
+        return;
+    if (leader->format == 0) {
+        leader->format_busy = true;
+        ow_controller_store(leader->controller, ow_store_request_new(OW_STORE_GET, OW_KEY_FORMAT), on_read,
+                            leader, NULL, NULL);
+    } else if (leader->format < OW_FORMAT_FINE && leader->phase == OW_LEADER_READY &&
+               all_peers_support(leader->controller, OW_FORMAT_FINE)) {
+        write_format_gate(leader);
+    }
+}
--- /dev/null
+++ b/src/core/record_values.c
@@ -0,0 +1,226 @@
+/* Which progress records share a value of the state service. Its changes are scarcer than its bytes: what
+ * changes together is written together. A chunk stays in its record value until its job is over, or until the
+ * record value outgrows a value. */
+#include "core/leader_state.h"
+#include "core/records.h"
+#include "wire/records_json.h"
+
+#include <string.h>
+
+/* How full a record value is made: its chunks grow as their ranges break up. */
+static const double FILL = 0.6;
+/* What a chunk is taken to need before it has been written. */
+enum { CHUNK_BYTES = 100, TASK_BYTES = 8 };
+
+static size_t value_limit(const struct ow_leader *leader)
+{
+    return leader->controller->limits.value_bytes;
+}
+
+uint32_t ow_record_values_chunk_tasks(const struct ow_leader *leader)
+{
+    return leader->format >= OW_FORMAT_FINE
+               ? MIN(ow_limits_tasks(&leader->controller->limits), (unsigned)OW_CHUNK_TASKS)
+               : OW_CHUNK_TASKS;
+}
+
+static struct ow_record_value *record_value_new(struct ow_leader *leader, uint32_t number)
+{
+    struct ow_record_value *g = g_new0(struct ow_record_value, 1);
+    g->number = number;
+    g->class_index = OW_NO_NAME;
+    g->chunks = g_ptr_array_new();
+    g->retained = g_array_new(FALSE, FALSE, sizeof(struct ow_retained_tasks));
+    g_ptr_array_add(leader->record_values, g);
+    return g;
+}
+
+void ow_record_value_free(void *record_value)
+{
+    struct ow_record_value *g = record_value;
+    g_ptr_array_free(g->chunks, TRUE);
+    g_array_free(g->retained, TRUE);
+    g_free(g);
+}
+
+struct ow_record_value *ow_record_values_find(const struct ow_leader *leader, uint32_t number)
+{
+    for (guint i = 0; i < leader->record_values->len; i++) {
+        struct ow_record_value *g = g_ptr_array_index(leader->record_values, i);
+        if (g->number == number)
+            return g;
+    }
+    return NULL;
+}
+
+struct ow_record_value *ow_record_values_find_or_add(struct ow_leader *leader, uint32_t number)
+{
+    struct ow_record_value *g = ow_record_values_find(leader, number);
+    return g != NULL ? g : record_value_new(leader, number);
+}
+
+static struct ow_record_value *fresh_record_value(struct ow_leader *leader)
+{
+    uint32_t number = 0;
+    while (ow_record_values_find(leader, number) != NULL)
+        number++;
+    return record_value_new(leader, number);
+}
+
+static size_t expected_bytes(const struct ow_chunk *chunk)
+{
+    const struct ow_run *run = chunk->job->run;
+    return CHUNK_BYTES + TASK_BYTES * MIN(run->count - chunk->index * run->chunk_tasks, run->chunk_tasks);
+}
+
+void ow_record_values_add(struct ow_record_value *g, struct ow_chunk *chunk)
+{
+    chunk->record_value = g;
+    g->class_index = chunk->job->spec->class_index;
+    g->bytes += expected_bytes(chunk);
+    g_ptr_array_add(g->chunks, chunk);
+}
+
+/* The fullest record value of the class with room for the chunk, or an empty one. Chunks of one class change
+   at the same pace; a record value of all classes would be written as often as the liveliest. */
+void ow_record_values_join(struct ow_leader *leader, struct ow_chunk *chunk)
+{
+    size_t room = (size_t)(FILL * value_limit(leader)), bytes = expected_bytes(chunk);
+    struct ow_record_value *best = NULL;
+    for (guint i = 0; i < leader->record_values->len; i++) {
+        struct ow_record_value *g = g_ptr_array_index(leader->record_values, i);
+        if (g->retained->len > 0)
+            continue;
+        bool alike = g->chunks->len == 0 || g->class_index == chunk->job->spec->class_index;
+        if (alike && (g->chunks->len == 0 || g->bytes + bytes <= room) &&
+            (best == NULL || g->chunks->len > best->chunks->len))
+            best = g;
+    }
+    ow_record_values_add(best != NULL ? best : fresh_record_value(leader), chunk);
+}
+
+struct ow_record_value *ow_record_values_leave(struct ow_chunk *chunk)
+{
+    struct ow_record_value *g = chunk->record_value;
+    if (g != NULL)
+        g_ptr_array_remove(g->chunks, chunk);
+    if (g != NULL && g->chunks->len == 0)
+        g->bytes = 0;
+    chunk->record_value = NULL;
+    return g;
+}
+
+void ow_record_values_retain(struct ow_record_value *g, struct ow_job *job, uint32_t first, uint32_t end)
+{
+    struct ow_retained_tasks retained = {job, first, end};
+    g_array_append_val(g->retained, retained);
+}
+
+/* Whether all of it stands in other values by now, or means nothing any more. */
+static bool settled(const struct ow_retained_tasks *retained)
+{
+    const struct ow_run *run = retained->job->run;
+    for (uint32_t task = retained->first; run != NULL && task < retained->end; task += run->chunk_tasks) {
+        const struct ow_chunk *chunk = ow_run_chunk(run, task);
+        if (chunk->record_value == NULL || chunk->dirty || chunk->writing)
+            return false;
+    }
+    return true;
+}
+
+bool ow_record_values_retains_tasks(struct ow_record_value *g)
+{
+    for (guint i = g->retained->len; i > 0; i--)
+        if (settled(&g_array_index(g->retained, struct ow_retained_tasks, i - 1)))
+            g_array_remove_index_fast(g->retained, i - 1);
+    return g->retained->len > 0;
+}
+
+void ow_record_values_refine(struct ow_leader *leader, struct ow_run *run)
+{
+    uint32_t tasks = run->chunk_tasks, finer = MIN(ow_record_values_chunk_tasks(leader), tasks / 2);
+    uint64_t last = 0;
+    for (uint32_t i = 0; i < run->chunk_count; i++) {
+        struct ow_chunk *chunk = &run->chunks[i];
+        struct ow_record_value *g = ow_record_values_leave(chunk);
+        last = MAX(last, chunk->last_attempt);
+        if (g == NULL)
+            continue;
+        ow_record_values_retain(g, run->job, i * tasks, MIN(run->count, (i + 1) * tasks));
+        ow_recorder_compact(leader, g);
+    }
+    ow_run_divide(run, finer);
+    for (uint32_t i = 0; i < run->chunk_count; i++)
+        run->chunks[i].last_attempt = last;
+    for (uint32_t task = 0; task < run->count; task += finer)
+        ow_recorder_chunk(leader, run, task, true);
+    g_info("job %s: recorded in chunks of %u tasks from now on", run->job->id, finer);
+}
+
+static gint by_place(gconstpointer a, gconstpointer b)
+{
+    const struct ow_live_record *x = a, *y = b;
+    int machines = strcmp(x->machine, y->machine);
+    if (machines != 0)
+        return machines;
+    if (x->session != y->session)
+        return x->session < y->session ? -1 : 1;
+    return x->task < y->task ? -1 : x->task > y->task;
+}
+
+static char *chunk_value(const struct ow_chunk *chunk)
+{
+    const struct ow_run *run = chunk->job->run;
+    struct ow_progress_record record = {
+        .last_attempt = chunk->last_attempt,
+        .done = g_array_new(FALSE, FALSE, sizeof(uint32_t)),
+        .live = g_array_new(FALSE, FALSE, sizeof(struct ow_live_record)),
+    };
+    uint32_t first = chunk->index * run->chunk_tasks, end = MIN(run->count, first + run->chunk_tasks);
+    for (uint32_t task = first; task < end; task++) {
+        const struct ow_attempt *at = run->tasks[task].attempt;
+        if (run->tasks[task].done)
+            g_array_append_val(record.done, task);
+        if (at == NULL)
+            continue;
+        struct ow_live_record live = {task, at->number, at->machine->name, at->session};
+        g_array_append_val(record.live, live);
+    }
+    g_array_sort(record.live, by_place);
+    char *value = wire_progress_record(&record);
+    wire_progress_record_clear(&record);
+    return value;
+}
+
+static char *record_value_encode(struct ow_record_value *g)
+{
+    GString *text = g_string_sized_new(g->bytes + 64);
+    for (guint i = 0; i < g->chunks->len; i++) {
+        const struct ow_chunk *chunk = g_ptr_array_index(g->chunks, i);
+        char *value = chunk_value(chunk);
+        wire_progress_value_add(text, chunk->job->id, chunk->index, chunk->job->run->chunk_tasks, value);
+        g_free(value);
+    }
+    wire_progress_value_end(text);
+    g->bytes = text->len;
+    return g_string_free(text, FALSE);
+}
+
+char *ow_record_values_encode(struct ow_leader *leader, struct ow_record_value *g,
+                              struct ow_record_value **moved)
+{
+    char *value = record_value_encode(g);
+    *moved = NULL;
+    while (strlen(value) > value_limit(leader) && g->chunks->len > 1) {
+        struct ow_record_value *other = *moved != NULL ? *moved : fresh_record_value(leader);
+        *moved = other;
+        for (guint keep = g->chunks->len / 2; g->chunks->len > keep;) {
+            struct ow_chunk *chunk = g_ptr_array_index(g->chunks, g->chunks->len - 1);
+            ow_record_values_leave(chunk);
+            ow_record_values_add(other, chunk);
+        }
+        g_free(value);
+        value = record_value_encode(g);
+    }
+    return value;
+}
--- a/src/core/records.h
+++ b/src/core/records.h
@@ -1,6 +1,6 @@
 /* What the state service keeps for us, as plain data.
  *
- *   coordinator      who leads; tethered to a short lease
+ *   coordinator      who leads; attached to a short lease
  *   format           the newest format of records that every controller reads; absent: 1
  *   types            the machine types last seen
  *   j/<id>           a job: its submission, or how it ended (a tombstone, kept forever)
@@ -13,7 +13,7 @@
 
 #include "core/types.h"
 
-#define OW_KEY_COORDINATOR "coordinator"
+#define OW_KEY_LEADER "coordinator"
 #define OW_KEY_TYPES "types"
 #define OW_KEY_FORMAT "format"
 #define OW_KEY_JOBS "j/"
@@ -26,9 +26,9 @@
 enum { OW_CHUNK_TASKS = 256 };
 
 struct ow_job_record {
-    enum ow_stance stance;            /* queued stands for every job that is not over */
+    enum ow_job_state state;          /* queued stands for every job that is not over */
     double accepted_at;               /* time of day; 0: not told */
-    uint64_t coordinator;             /* of a cancelled one: who coordinated when that was recorded */
+    uint64_t leader_token;            /* of a cancelled one: who led when that was recorded */
     struct ow_submission *submission; /* NULL once over and no task of it may be left */
 };
 
--- a/src/core/rent.c
+++ b/src/core/rent.c
@@ -1,5 +1,5 @@
 /* Renting for work that waits. */
-#include "core/rent_state.h"
+#include "core/rental.h"
 
 #include <math.h>
 
@@ -13,50 +13,50 @@
     unsigned count;
 };
 
-static void on_rented(void *owner, void *data, const struct ow_command *answer)
+static void on_rented(void *owner, void *data, const struct ow_event *answer)
 {
-    struct ow_lead *lead = owner;
+    struct ow_leader *leader = owner;
     const struct rental_call *call = data;
-    const char *type = ow_names_text(lead->node->names.types, call->type);
-    const char *zone = ow_names_text(lead->node->names.zones, call->zone);
-    lead->renting--;
-    lead->rent_at = lead->node->now; /* plan again with what this one has shown */
+    const char *type = ow_names_text(leader->controller->names.types, call->type);
+    const char *zone = ow_names_text(leader->controller->names.zones, call->zone);
+    leader->renting--;
+    leader->rent_at = leader->controller->now; /* plan again with what this one has shown */
     if (answer->cloud.status != 200 || answer->cloud.rented == NULL || answer->cloud.rented[0] == NULL) {
-        ow_kinds_refuse(lead, call->type, call->zone, call->spot);
+        ow_rental_options_refuse(leader, call->type, call->zone, call->spot);
         g_info("no %s machine of type %s in %s: status %d", call->spot ? "spot" : "ordinary", type, zone,
                answer->cloud.status);
         return;
     }
     if (g_strv_length(answer->cloud.rented) < call->count)
-        ow_kinds_refuse(lead, call->type, call->zone, call->spot); /* these were the last */
+        ow_rental_options_refuse(leader, call->type, call->zone, call->spot); /* these were the last */
     for (char **name = answer->cloud.rented; *name != NULL; name++) {
-        struct ow_machine *m = ow_book_get(lead, *name);
-        ow_book_describe(lead, m, NULL, type, zone, call->spot);
+        struct ow_machine *m = ow_machines_find_or_add(leader, *name);
+        ow_machine_describe(leader, m, NULL, type, zone, call->spot);
         if (m->listed == OW_LISTED_NOT)
             m->listed = OW_LISTED_BOOTING;
         g_info("machine %s rented: %s %s in %s", *name, call->spot ? "spot" : "ordinary", type, zone);
     }
 }
 
-static GArray *coming_up(const struct ow_lead *lead)
+static GArray *coming_up(const struct ow_leader *leader)
 {
-    GArray *list_ = g_array_new(FALSE, TRUE, sizeof(struct ow_coming));
-    for (guint i = 0; i < lead->machines->len; i++) {
-        const struct ow_machine *m = g_ptr_array_index(lead->machines, i);
-        if (m->seen_at != 0 || m->listed != OW_LISTED_BOOTING || m->deleting)
+    GArray *list_ = g_array_new(FALSE, TRUE, sizeof(struct ow_expected_machine));
+    for (guint i = 0; i < leader->machines->len; i++) {
+        const struct ow_machine *m = g_ptr_array_index(leader->machines, i);
+        if (m->last_message_at != 0 || m->listed != OW_LISTED_BOOTING || m->deleting)
             continue;
-        struct ow_coming c = {.machine = {.type = m->type, .zone = m->zone, .spot = m->spot}};
+        struct ow_expected_machine c = {.machine = {.type = m->type, .zone = m->zone, .spot = m->spot}};
         g_array_append_val(list_, c);
     }
     return list_;
 }
 
-static uint32_t take_room(const struct ow_lead *lead, const struct ow_spec *spec, struct ow_coming *c,
-                          uint32_t wanted)
+static uint32_t take_room(const struct ow_leader *leader, const struct ow_spec *spec,
+                          struct ow_expected_machine *c, uint32_t wanted)
 {
-    if (!ow_place_allowed(lead, spec, &c->machine))
+    if (!ow_placement_is_allowed(leader, spec, &c->machine))
         return 0;
-    uint32_t slots = MIN(wanted, ow_place_slots(lead, spec, &c->machine));
+    uint32_t slots = MIN(wanted, ow_placement_slots(leader, spec, &c->machine));
     ow_amounts_add(&c->machine.used, &spec->submission->need, slots);
     return slots;
 }
@@ -76,23 +76,23 @@
 };
 
 /* What a machine has for such work, in the same measure. */
-static double room_for(const struct ow_lead *lead, const struct ow_spec *spec, const struct ow_machine *m)
+static double room_for(const struct ow_leader *leader, const struct ow_spec *spec, const struct ow_machine *m)
 {
-    const struct ow_machine_type *type = ow_machine_spec(lead, m);
-    if (type == NULL || !ow_place_allowed(lead, spec, m))
+    const struct ow_machine_type *type = ow_machine_spec(leader, m);
+    if (type == NULL || !ow_placement_is_allowed(leader, spec, m))
         return 0;
     if (spec->submission->need.gpus <= 0)
-        return MAX(0, type->size.cpus - type->size.gpus * lead->gpu_cpus);
+        return MAX(0, type->size.cpus - type->size.gpus * leader->gpu_cpus);
     double cpus = type->size.cpus;
     for (guint i = 0; m->attempts != NULL && i < m->attempts->len; i++) {
         const struct ow_attempt *at = g_ptr_array_index(m->attempts, i);
         if (at->job->spec->submission->need.gpus <= 0)
             cpus -= at->job->spec->submission->need.cpus;
     }
-    return lead->gpu_cpus > 0 ? MIN(type->size.gpus, MAX(0, cpus) / lead->gpu_cpus) : type->size.gpus;
+    return leader->gpu_cpus > 0 ? MIN(type->size.gpus, MAX(0, cpus) / leader->gpu_cpus) : type->size.gpus;
 }
 
-static double supply_for(const struct ow_lead *lead, const struct ow_spec *spec, GArray *supplies)
+static double supply_for(const struct ow_leader *leader, const struct ow_spec *spec, GArray *supplies)
 {
     struct supply s = {spec->types, spec->zone, spec->submission->spot, spec->submission->need.gpus > 0, 0};
     for (guint i = 0; i < supplies->len; i++) {
@@ -100,35 +100,35 @@
         if (known->types == s.types && known->zone == s.zone && known->spot == s.spot && known->gpu == s.gpu)
             return known->there;
     }
-    for (guint i = 0; i < lead->machines->len; i++) {
-        const struct ow_machine *m = g_ptr_array_index(lead->machines, i);
-        if (ow_book_usable(lead, m))
-            s.there += room_for(lead, spec, m);
+    for (guint i = 0; i < leader->machines->len; i++) {
+        const struct ow_machine *m = g_ptr_array_index(leader->machines, i);
+        if (ow_machine_is_usable(leader, m))
+            s.there += room_for(leader, spec, m);
     }
     g_array_append_val(supplies, s);
     return s.there;
 }
 
-static double capacity(const struct ow_lead *lead, const struct ow_spec *spec, const GArray *plan,
+static double capacity(const struct ow_leader *leader, const struct ow_spec *spec, const GArray *plan,
                        GArray *supplies)
 {
-    double sum = supply_for(lead, spec, supplies);
+    double sum = supply_for(leader, spec, supplies);
     for (guint i = 0; i < plan->len; i++)
-        sum += room_for(lead, spec, &g_array_index(plan, struct ow_coming, i).machine);
+        sum += room_for(leader, spec, &g_array_index(plan, struct ow_expected_machine, i).machine);
     return sum;
 }
 
 /* Whether the machines that are there or coming get to the job in time for the aims of its class. */
-static bool in_time(struct ow_lead *lead, const struct ow_run *run, const GArray *plan, struct backlog *ahead,
-                    double *waits_out)
+static bool in_time(struct ow_leader *leader, const struct ow_run *run, const GArray *plan,
+                    struct backlog *ahead, double *waits_out)
 {
     const struct ow_spec *spec = run->job->spec;
     const struct ow_amounts *need = &spec->submission->need;
     bool gpu = need->gpus > 0;
-    double run_s = ow_class_run_s(lead->node, spec);
+    double run_s = ow_class_run_s(leader->controller, spec);
     double *work = gpu ? &ahead->gpu_s : &ahead->cpu_s;
     *work += ow_run_pending(run) * (gpu ? need->gpus : need->cpus) * run_s;
-    double there = capacity(lead, spec, plan, ahead->supplies);
+    double there = capacity(leader, spec, plan, ahead->supplies);
     *waits_out = INFINITY;
     /* A service's replicas free no place for one another, and none of them may wait. */
     if (there <= 0 || ow_run_is_service(run))
@@ -136,111 +136,112 @@
     /* Until the first of the places there is free, and then the work ahead. */
     double waits = (*work + run_s * (gpu ? need->gpus : need->cpus)) / there;
     *waits_out = waits;
-    double slack = ow_class_slack_s(lead->node, spec->class_index) - (lead->node->now - run->came_at);
+    double slack = ow_class_slack_s(leader->controller, spec->class_index) -
+                   (leader->controller->now - run->accepted_at);
     return waits < PATIENCE * slack;
 }
 
-static void plan_for(struct ow_lead *lead, const struct ow_run *run, GArray *plan, struct backlog *ahead,
+static void plan_for(struct ow_leader *leader, const struct ow_run *run, GArray *plan, struct backlog *ahead,
                      unsigned *most)
 {
     const struct ow_spec *spec = run->job->spec;
-    uint32_t wanted = ow_team_admits(lead, spec, ow_run_pending(run));
+    uint32_t wanted = ow_team_admits(leader, spec, ow_run_pending(run));
     double waits;
-    if (in_time(lead, run, plan, ahead, &waits))
+    if (in_time(leader, run, plan, ahead, &waits))
         return;
-    bool cheap = ow_place_cheaply(lead, run);
+    bool cheap = ow_placement_waits_for_cheap(leader, run);
     for (guint i = 0; i < plan->len && wanted > 0; i++)
-        wanted -= take_room(lead, spec, &g_array_index(plan, struct ow_coming, i), wanted);
-    struct ow_coming c;
-    while (wanted > 0 && *most > 0 && ow_kinds_best(lead, spec, waits, false, cheap, &c)) {
-        uint32_t taken = take_room(lead, spec, &c, wanted);
+        wanted -= take_room(leader, spec, &g_array_index(plan, struct ow_expected_machine, i), wanted);
+    struct ow_expected_machine c;
+    while (wanted > 0 && *most > 0 && ow_rental_options_best(leader, spec, waits, false, cheap, &c)) {
+        uint32_t taken = take_room(leader, spec, &c, wanted);
         if (taken == 0)
             return;
         wanted -= taken;
         g_debug("a %s machine is planned for job %s, which would wait %.0f s",
-                ow_names_text(lead->node->names.types, c.machine.type), run->job->id, waits);
+                ow_names_text(leader->controller->names.types, c.machine.type), run->job->id, waits);
         g_array_append_val(plan, c);
         (*most)--;
     }
 }
 
-static void rent(struct ow_lead *lead, const struct ow_coming *c, unsigned count)
+static void rent(struct ow_leader *leader, const struct ow_expected_machine *c, unsigned count)
 {
     struct ow_cloud_request *request = g_new0(struct ow_cloud_request, 1);
     struct rental_call *call = g_new0(struct rental_call, 1);
     *call = (struct rental_call){c->machine.type, c->machine.zone, c->machine.spot, count};
     request->op = OW_CLOUD_RENT;
     /* The token is ours alone, so no other process ever uses the same name for another request. */
-    request->name = g_strdup_printf("r-%" G_GUINT64_FORMAT "-%u", lead->token, ++lead->rentals);
-    request->type = g_strdup(ow_names_text(lead->node->names.types, call->type));
-    request->zone = g_strdup(ow_names_text(lead->node->names.zones, call->zone));
+    request->name = g_strdup_printf("r-%" G_GUINT64_FORMAT "-%u", leader->token, ++leader->rentals);
+    request->type = g_strdup(ow_names_text(leader->controller->names.types, call->type));
+    request->zone = g_strdup(ow_names_text(leader->controller->names.zones, call->zone));
     request->spot = call->spot;
     request->count = count;
-    lead->renting++;
-    ow_node_cloud(lead->node, request, on_rented, lead, call, g_free);
+    leader->renting++;
+    ow_controller_cloud(leader->controller, request, on_rented, leader, call, g_free);
 }
 
-static bool same_kind(const struct ow_coming *a, const struct ow_coming *b)
+static bool same_kind(const struct ow_expected_machine *a, const struct ow_expected_machine *b)
 {
     return a->to_rent && b->to_rent && a->machine.type == b->machine.type &&
            a->machine.zone == b->machine.zone && a->machine.spot == b->machine.spot;
 }
 
-static void rent_planned(struct ow_lead *lead, GArray *plan)
+static void rent_planned(struct ow_leader *leader, GArray *plan)
 {
     for (guint i = 0; i < plan->len; i++) {
-        struct ow_coming *c = &g_array_index(plan, struct ow_coming, i);
+        struct ow_expected_machine *c = &g_array_index(plan, struct ow_expected_machine, i);
         unsigned count = 0;
         if (!c->to_rent)
             continue;
         for (guint k = i; k < plan->len; k++)
-            count += same_kind(c, &g_array_index(plan, struct ow_coming, k)) ? 1 : 0;
-        if (!ow_bucket_take(&lead->cloud, 1, lead->node->now))
+            count += same_kind(c, &g_array_index(plan, struct ow_expected_machine, k)) ? 1 : 0;
+        if (!ow_rate_limiter_take(&leader->cloud_limiter, 1, leader->controller->now))
             return;
-        rent(lead, c, count);
+        rent(leader, c, count);
         for (guint k = plan->len; k > i; k--)
-            if (k - 1 != i && same_kind(c, &g_array_index(plan, struct ow_coming, k - 1)))
-                g_array_index(plan, struct ow_coming, k - 1).to_rent = false;
+            if (k - 1 != i && same_kind(c, &g_array_index(plan, struct ow_expected_machine, k - 1)))
+                g_array_index(plan, struct ow_expected_machine, k - 1).to_rent = false;
     }
 }
 
-static bool all_heard(const struct ow_lead *lead)
+static bool all_heard(const struct ow_leader *leader)
 {
-    for (guint i = 0; i < lead->machines->len; i++) {
-        const struct ow_machine *m = g_ptr_array_index(lead->machines, i);
+    for (guint i = 0; i < leader->machines->len; i++) {
+        const struct ow_machine *m = g_ptr_array_index(leader->machines, i);
         if (m->listed == OW_LISTED_RUNNING && !m->fenced)
             return false;
     }
-    return lead->listed_once;
+    return leader->listed_once;
 }
 
-static void rent_for_waiting(struct ow_lead *lead)
+static void rent_for_waiting(struct ow_leader *leader)
 {
     /* One round at a time: a second plan must see what the first has brought. And none before the machines
        that are there had time to report. */
-    if (lead->renting > 0 || lead->node->now - lead->ready_at < (all_heard(lead) ? 1 : 4))
+    if (leader->renting > 0 || leader->controller->now - leader->ready_at < (all_heard(leader) ? 1 : 4))
         return;
-    ow_kinds_forget_old(lead);
-    GArray *plan = coming_up(lead);
-    GPtrArray *runs = ow_schedule_line(lead);
+    ow_rental_options_forget_old(leader);
+    GArray *plan = coming_up(leader);
+    GPtrArray *runs = ow_schedule_queue(leader);
     struct backlog ahead = {.supplies = g_array_new(FALSE, FALSE, sizeof(struct supply))};
     unsigned most = RENT_MOST;
     for (guint i = 0; i < runs->len; i++)
-        plan_for(lead, g_ptr_array_index(runs, i), plan, &ahead, &most);
+        plan_for(leader, g_ptr_array_index(runs, i), plan, &ahead, &most);
     g_ptr_array_free(runs, TRUE);
     g_array_free(ahead.supplies, TRUE);
-    ow_spare_plan(lead, plan, &most);
-    rent_planned(lead, plan);
+    ow_headroom_plan(leader, plan, &most);
+    rent_planned(leader, plan);
     g_array_free(plan, TRUE);
 }
 
-void ow_rent_tick(struct ow_lead *lead)
+void ow_rent_tick(struct ow_leader *leader)
 {
-    double now = lead->node->now;
-    ow_fleet_list(lead);
-    if (now < lead->rent_at)
+    double now = leader->controller->now;
+    ow_fleet_list(leader);
+    if (now < leader->rent_at)
         return;
-    lead->rent_at = now + 1;
-    rent_for_waiting(lead);
-    ow_fleet_return_idle(lead);
+    leader->rent_at = now + 1;
+    rent_for_waiting(leader);
+    ow_fleet_return_idle(leader);
 }
--- a/src/core/kinds.c
+++ b/src/core/rental_options.c
@@ -1,5 +1,5 @@
 /* Kinds of machines: which has been refused lately, and which is worth renting for a job. */
-#include "core/rent_state.h"
+#include "core/rental.h"
 
 #include <math.h>
 
@@ -17,33 +17,33 @@
     return r->type == type && r->zone == zone && r->spot == spot;
 }
 
-static bool refused(const struct ow_lead *lead, int type, int zone, bool spot)
+static bool refused(const struct ow_leader *leader, int type, int zone, bool spot)
 {
-    for (guint i = 0; i < lead->refusals->len; i++)
-        if (is_kind(&g_array_index(lead->refusals, struct ow_rental_refusal, i), type, zone, spot))
+    for (guint i = 0; i < leader->refusals->len; i++)
+        if (is_kind(&g_array_index(leader->refusals, struct ow_rental_refusal, i), type, zone, spot))
             return true;
     return false;
 }
 
-void ow_kinds_forget_refusal(struct ow_lead *lead, const struct ow_machine *m)
+void ow_rental_options_forget_refusal(struct ow_leader *leader, const struct ow_machine *m)
 {
-    for (guint i = lead->refusals->len; i > 0; i--)
-        if (is_kind(&g_array_index(lead->refusals, struct ow_rental_refusal, i - 1), m->type, m->zone,
+    for (guint i = leader->refusals->len; i > 0; i--)
+        if (is_kind(&g_array_index(leader->refusals, struct ow_rental_refusal, i - 1), m->type, m->zone,
                     m->spot))
-            g_array_remove_index_fast(lead->refusals, i - 1);
+            g_array_remove_index_fast(leader->refusals, i - 1);
 }
 
-void ow_kinds_forget_old(struct ow_lead *lead)
+void ow_rental_options_forget_old(struct ow_leader *leader)
 {
-    for (guint i = lead->refusals->len; i > 0; i--)
-        if (g_array_index(lead->refusals, struct ow_rental_refusal, i - 1).until < lead->node->now)
-            g_array_remove_index_fast(lead->refusals, i - 1);
+    for (guint i = leader->refusals->len; i > 0; i--)
+        if (g_array_index(leader->refusals, struct ow_rental_refusal, i - 1).until < leader->controller->now)
+            g_array_remove_index_fast(leader->refusals, i - 1);
 }
 
-void ow_kinds_refuse(struct ow_lead *lead, int type, int zone, bool spot)
+void ow_rental_options_refuse(struct ow_leader *leader, int type, int zone, bool spot)
 {
-    struct ow_rental_refusal refusal = {type, zone, spot, lead->node->now + REFUSAL_S};
-    g_array_append_val(lead->refusals, refusal);
+    struct ow_rental_refusal refusal = {type, zone, spot, leader->controller->now + REFUSAL_S};
+    g_array_append_val(leader->refusals, refusal);
 }
 
 /* ---- what they are worth ---- */
@@ -61,29 +61,29 @@
 /* Hourly rent for a task. */
 static double price_of(const struct ow_machine_type *type, const struct ow_amounts *need, bool spot)
 {
-    uint32_t slots = ow_place_whole(type, need);
+    uint32_t slots = ow_placement_slots_on_empty(type, need);
     return slots > 0 ? (spot ? type->spot_price : type->price) / slots : INFINITY;
 }
 
 /* The cheapest ordinary machine without GPUs, whether or not it is to be had. */
-static double proper_price(const struct ow_lead *lead, const struct ow_amounts *need, uint64_t types)
+static double proper_price(const struct ow_leader *leader, const struct ow_amounts *need, uint64_t types)
 {
     double best = INFINITY;
     for (int i = 0; i < OW_MAX_TYPES; i++) {
-        const struct ow_machine_type *t = lead->node->types[i];
+        const struct ow_machine_type *t = leader->controller->types[i];
         if (t != NULL && !improper(t, need) && (types & (UINT64_C(1) << i)) != 0)
             best = MIN(best, price_of(t, need, false));
     }
     return best;
 }
 
-bool ow_kinds_wasteful(const struct ow_lead *lead, const struct ow_machine_type *type,
-                       const struct ow_class *c, bool spot)
+bool ow_rental_options_is_wasteful(const struct ow_leader *leader, const struct ow_machine_type *type,
+                                   const struct ow_class *c, bool spot)
 {
     /* Less urgent work gets only what the GPUs leave over. */
     return improper(type, &c->need) &&
-           ((int)c->rank >= lead->gpu_rank ||
-            price_of(type, &c->need, spot) > FAIR_PRICE * proper_price(lead, &c->need, c->types));
+           ((int)c->rank >= leader->gpu_rank ||
+            price_of(type, &c->need, spot) > FAIR_PRICE * proper_price(leader, &c->need, c->types));
 }
 
 /* How long a new machine takes until it can run the job. */
@@ -92,28 +92,28 @@
     return type->boot_s + (type->fetch_gb_per_s > 0 ? spec->submission->image_gb / type->fetch_gb_per_s : 0);
 }
 
-bool ow_kinds_best(const struct ow_lead *lead, const struct ow_spec *spec, double waits, bool proper,
-                   bool cheap, struct ow_coming *out)
+bool ow_rental_options_best(const struct ow_leader *leader, const struct ow_spec *spec, double waits,
+                            bool proper, bool cheap, struct ow_expected_machine *out)
 {
     double best = INFINITY;
     for (int type = 0; type < OW_MAX_TYPES; type++) {
-        const struct ow_machine_type *t = lead->node->types[type];
-        for (char **zone = lead->node->settings->zones; t != NULL && *zone != NULL; zone++) {
+        const struct ow_machine_type *t = leader->controller->types[type];
+        for (char **zone = leader->controller->settings->zones; t != NULL && *zone != NULL; zone++) {
             for (int spot = 0; spot < 2; spot++) {
-                int z = ow_names_add(lead->node->names.zones, *zone);
-                struct ow_coming c = {.machine = {.type = type, .zone = z, .spot = spot != 0},
-                                      .to_rent = true};
-                uint32_t slots = ow_place_slots(lead, spec, &c.machine);
-                bool wasteful =
-                    ow_kinds_wasteful(lead, t, ow_class_of(lead->node, spec->class_index), spot != 0);
+                int z = ow_names_add(leader->controller->names.zones, *zone);
+                struct ow_expected_machine c = {.machine = {.type = type, .zone = z, .spot = spot != 0},
+                                                .to_rent = true};
+                uint32_t slots = ow_placement_slots(leader, spec, &c.machine);
+                bool wasteful = ow_rental_options_is_wasteful(
+                    leader, t, ow_class_of(leader->controller, spec->class_index), spot != 0);
                 if (wasteful && proper)
                     continue;
                 if (cheap && spot == 0)
                     continue;
                 if (waits < HELP_PATIENCE * start_s(t, spec))
                     continue; /* it would come too late to help */
-                if (!offered_in(t, *zone) || slots == 0 || !ow_place_allowed(lead, spec, &c.machine) ||
-                    refused(lead, type, z, spot != 0))
+                if (!offered_in(t, *zone) || slots == 0 ||
+                    !ow_placement_is_allowed(leader, spec, &c.machine) || refused(leader, type, z, spot != 0))
                     continue;
                 double price = (spot ? t->spot_price : t->price) / MIN(slots, spec->submission->tasks);
                 if (price < best) {
--- a/src/core/reservation.c
+++ b/src/core/reservation.c
@@ -3,7 +3,7 @@
  * The members of a gang are alike, so their candidate lists have the same machines in the same order; a
  * machine stands in as many lists as it has room for members. The window closes as soon as every member
  * has a candidate, which in our own picture is often at once. */
-#include "core/lead_state.h"
+#include "core/leader_state.h"
 
 #include <math.h>
 
@@ -14,11 +14,11 @@
     uint32_t count;
 };
 
-static struct ow_reservation *reservation_of(struct ow_lead *lead, struct ow_run *run)
+static struct ow_reservation *reservation_of(struct ow_leader *leader, struct ow_run *run)
 {
     if (run->reservation == NULL) {
         struct ow_reservation *r = g_new0(struct ow_reservation, 1);
-        r->opened_at = r->short_since = lead->node->now;
+        r->opened_at = r->short_since = leader->controller->now;
         r->holds = g_array_new(FALSE, FALSE, sizeof(struct ow_hold));
         run->reservation = r;
     }
@@ -73,7 +73,7 @@
     const struct ow_submission *s = run->job->spec->submission;
     if (s->one_zone && only != OW_NO_NAME && zone != only)
         return 0;
-    uint32_t admits = ow_place_zone_admits(run, zone);
+    uint32_t admits = ow_placement_zone_admits(run, zone);
     if (!s->spread)
         return admits;
     for (guint i = 0; i < picks->len; i++) {
@@ -84,47 +84,49 @@
     return admits;
 }
 
-/* Picks machines for as many members as the rooms have, in their order; returns how many are left. */
-static uint32_t pick_members(const struct ow_run *run, const GArray *rooms, int only, GArray *picks,
+/* Picks machines for as many members as the candidates have, in their order; returns how many are left. */
+static uint32_t pick_members(const struct ow_run *run, const GArray *candidates, int only, GArray *picks,
                              double *cost)
 {
     uint32_t left = run->count;
     *cost = 0;
-    for (guint i = 0; i < rooms->len && left > 0; i++) {
-        const struct ow_room *room = &g_array_index(rooms, struct ow_room, i);
-        uint32_t n = MIN(left, MIN(room->slots, zone_admits(run, picks, room->machine->zone, only)));
+    for (guint i = 0; i < candidates->len && left > 0; i++) {
+        const struct ow_candidate *candidate = &g_array_index(candidates, struct ow_candidate, i);
+        uint32_t n =
+            MIN(left, MIN(candidate->slots, zone_admits(run, picks, candidate->machine->zone, only)));
         if (n == 0)
             continue;
-        struct pick p = {room->machine, n};
+        struct pick p = {candidate->machine, n};
         g_array_append_val(picks, p);
-        *cost += n * room->cost;
+        *cost += n * candidate->cost;
         left -= n;
     }
     return left;
 }
 
-static bool zone_before(const GArray *rooms, guint end, int zone)
+static bool zone_before(const GArray *candidates, guint end, int zone)
 {
     for (guint i = 0; i < end; i++)
-        if (g_array_index(rooms, struct ow_room, i).machine->zone == zone)
+        if (g_array_index(candidates, struct ow_candidate, i).machine->zone == zone)
             return true;
     return false;
 }
 
 /* The best pick over the zones if the gang must stay in one; fewest members left, then cheapest. */
-static uint32_t best_pick(const struct ow_run *run, const GArray *rooms, GArray *out)
+static uint32_t best_pick(const struct ow_run *run, const GArray *candidates, GArray *out)
 {
     uint32_t best_left = run->count + 1;
     double best_cost = INFINITY;
     bool one_zone = run->job->spec->submission->one_zone;
-    for (guint i = 0; i < MAX(rooms->len, 1); i++) {
-        int only =
-            one_zone && rooms->len > 0 ? g_array_index(rooms, struct ow_room, i).machine->zone : OW_NO_NAME;
-        if (only != OW_NO_NAME && zone_before(rooms, i, only))
+    for (guint i = 0; i < MAX(candidates->len, 1); i++) {
+        int only = one_zone && candidates->len > 0
+                       ? g_array_index(candidates, struct ow_candidate, i).machine->zone
+                       : OW_NO_NAME;
+        if (only != OW_NO_NAME && zone_before(candidates, i, only))
             continue;
         GArray *picks = g_array_new(FALSE, FALSE, sizeof(struct pick));
         double cost = 0;
-        uint32_t left = pick_members(run, rooms, only, picks, &cost);
+        uint32_t left = pick_members(run, candidates, only, picks, &cost);
         if (left < best_left || (left == best_left && cost < best_cost)) {
             best_left = left;
             best_cost = cost;
@@ -138,7 +140,7 @@
     return best_left;
 }
 
-static void start_all(struct ow_lead *lead, struct ow_run *run, const GArray *picks)
+static void start_all(struct ow_leader *leader, struct ow_run *run, const GArray *picks)
 {
     uint64_t number = 0;
     uint32_t task = 0;
@@ -147,7 +149,7 @@
     for (guint i = 0; i < picks->len; i++) {
         const struct pick *p = &g_array_index(picks, struct pick, i);
         for (uint32_t n = 0; n < p->count; n++)
-            ow_place_task(lead, run, task++, number, p->machine);
+            ow_placement_start_task(leader, run, task++, number, p->machine);
     }
     g_info("gang %s: all %u members start in one round, attempt %" G_GUINT64_FORMAT, run->job->id, run->count,
            number);
@@ -167,83 +169,85 @@
     g_array_append_val(r->holds, h);
 }
 
-static void drop_old_holds(struct ow_lead *lead, struct ow_reservation *r)
+static void drop_old_holds(struct ow_leader *leader, struct ow_reservation *r)
 {
     for (guint k = r->holds->len; k > 0; k--)
-        if (lead->node->now - g_array_index(r->holds, struct ow_hold, k - 1).made_at >=
-            lead->node->rules->hold_life_s)
+        if (leader->controller->now - g_array_index(r->holds, struct ow_hold, k - 1).made_at >=
+            leader->controller->rules->hold_life_s)
             drop_hold(r, k - 1);
 }
 
 /* Each member holds what is picked for it now, and nothing else: a hold left over from an earlier pick would
    keep room from everybody. */
-static void hold(struct ow_lead *lead, struct ow_run *run, const GArray *picks)
+static void hold(struct ow_leader *leader, struct ow_run *run, const GArray *picks)
 {
     uint32_t member = 0;
     drop_holds(run->reservation);
     for (guint i = 0; i < picks->len; i++) {
         const struct pick *p = &g_array_index(picks, struct pick, i);
         for (uint32_t n = 0; n < p->count; n++, member++)
-            add_hold(run->reservation, p->machine, member, true, lead->node->now);
+            add_hold(run->reservation, p->machine, member, true, leader->controller->now);
     }
 }
 
 /* While the window is open every member collects further candidates. */
-static void collect(struct ow_lead *lead, struct ow_run *run, const GArray *rooms)
+static void collect(struct ow_leader *leader, struct ow_run *run, const GArray *candidates)
 {
     struct ow_reservation *r = run->reservation;
-    for (uint32_t member = 0; member < run->count && member < rooms->len; member++)
-        for (guint i = 0; i < rooms->len && i < lead->node->rules->candidates; i++)
-            add_hold(r, g_array_index(rooms, struct ow_room, i).machine, member, false, lead->node->now);
+    for (uint32_t member = 0; member < run->count && member < candidates->len; member++)
+        for (guint i = 0; i < candidates->len && i < leader->controller->rules->candidates; i++)
+            add_hold(r, g_array_index(candidates, struct ow_candidate, i).machine, member, false,
+                     leader->controller->now);
 }
 
-/* Rooms as they would be after stopping what may be stopped, in the order of what that costs. */
-static GArray *awaited_rooms(struct ow_lead *lead, const struct ow_run *run)
+/* Candidates as they would be after stopping what may be stopped, in the order of what that costs. */
+static GArray *candidates_after_stops(struct ow_leader *leader, const struct ow_run *run)
 {
-    GArray *rooms = g_array_new(FALSE, FALSE, sizeof(struct ow_room));
+    GArray *candidates = g_array_new(FALSE, FALSE, sizeof(struct ow_candidate));
     const struct ow_spec *spec = run->job->spec;
-    const GPtrArray *machines = ow_shortlist_with_stops(lead, spec->class_index);
+    const GPtrArray *machines = ow_shortlist_with_preemption(leader, spec->class_index);
     for (guint i = 0; i < machines->len; i++) {
         struct ow_machine *m = g_ptr_array_index(machines, i);
-        if (!ow_place_may(lead, run, m))
+        if (!ow_placement_is_permitted(leader, run, m))
             continue;
-        uint32_t slots = MIN(ow_preempt_slots(lead, spec, m), run->count);
+        uint32_t slots = MIN(ow_preempt_slots(leader, spec, m), run->count);
         if (slots == 0)
             continue;
-        double cost = ow_place_cost(lead, run, m) + ow_preempt_loss(lead, spec, m, slots);
-        struct ow_room room = {m, slots, cost, false};
+        double cost = ow_placement_cost(leader, run, m) + ow_preempt_loss(leader, spec, m, slots);
+        struct ow_candidate candidate = {m, slots, cost, false};
         guint at = 0;
-        while (at < rooms->len && g_array_index(rooms, struct ow_room, at).cost <= cost)
+        while (at < candidates->len && g_array_index(candidates, struct ow_candidate, at).cost <= cost)
             at++;
-        g_array_insert_val(rooms, at, room);
+        g_array_insert_val(candidates, at, candidate);
     }
-    return rooms;
+    return candidates;
 }
 
 /* Holds for every member on room that lower work is stopped for. */
-static bool make_room(struct ow_lead *lead, struct ow_run *run)
+static bool make_room(struct ow_leader *leader, struct ow_run *run)
 {
-    GArray *rooms = awaited_rooms(lead, run);
+    GArray *candidates = candidates_after_stops(leader, run);
     GArray *picks = g_array_new(FALSE, FALSE, sizeof(struct pick));
-    bool all = best_pick(run, rooms, picks) == 0;
+    bool all = best_pick(run, candidates, picks) == 0;
     for (guint i = 0; all && i < picks->len; i++) {
         const struct pick *p = &g_array_index(picks, struct pick, i);
-        ow_preempt_make_room(lead, run, p->machine, p->count);
+        ow_preempt_make_room(leader, run, p->machine, p->count);
     }
     if (all)
-        hold(lead, run, picks); /* every member has its machine: the other holds are cancelled */
+        hold(leader, run, picks); /* every member has its machine: the other holds are cancelled */
     g_array_free(picks, TRUE);
-    g_array_free(rooms, TRUE);
+    g_array_free(candidates, TRUE);
     return all;
 }
 
-static void stay_short(struct ow_lead *lead, struct ow_run *run, const GArray *rooms, const GArray *picks)
+static void stay_short(struct ow_leader *leader, struct ow_run *run, const GArray *candidates,
+                       const GArray *picks)
 {
     struct ow_reservation *r = run->reservation;
-    double now = lead->node->now, limit = lead->node->rules->waiting_limit_s;
-    if (now < r->opened_at + lead->node->rules->window_s) {
-        hold(lead, run, picks);
-        collect(lead, run, rooms);
+    double now = leader->controller->now, limit = leader->controller->rules->waiting_limit_s;
+    if (now < r->opened_at + leader->controller->rules->window_s) {
+        hold(leader, run, picks);
+        collect(leader, run, candidates);
         return;
     }
     if (!r->closed) {
@@ -262,42 +266,43 @@
         r->given_up = false;
         r->short_since = now;
     }
-    hold(lead, run, picks);
+    hold(leader, run, picks);
 }
 
 /* Stopping work is weighed again only after a while; until then what was picked stays held. */
-static bool stops_pending(const struct ow_lead *lead, const struct ow_reservation *r)
+static bool stops_pending(const struct ow_leader *leader, const struct ow_reservation *r)
 {
-    return lead->node->now < r->stops_at + STOPS_GAP_S;
+    return leader->controller->now < r->stops_at + STOPS_GAP_S;
 }
 
-void ow_reservation_try(struct ow_lead *lead, struct ow_run *run)
+void ow_reservation_try(struct ow_leader *leader, struct ow_run *run)
 {
-    struct ow_reservation *r = reservation_of(lead, run);
-    drop_old_holds(lead, r);
+    struct ow_reservation *r = reservation_of(leader, run);
+    drop_old_holds(leader, r);
     /* Rule 4: nothing of a gang starts while an earlier attempt is not accounted for. */
-    if (run->attempts->len > 0 || ow_team_admits(lead, run->job->spec, run->count) < run->count)
+    if (run->attempts->len > 0 || ow_team_admits(leader, run->job->spec, run->count) < run->count)
         return;
-    GArray *rooms = ow_place_rooms(lead, run);
+    GArray *candidates = ow_placement_candidates(leader, run);
     GArray *picks = g_array_new(FALSE, FALSE, sizeof(struct pick));
-    if (best_pick(run, rooms, picks) == 0) {
-        start_all(lead, run, picks);
-    } else if (!(r->stops && stops_pending(lead, r))) {
-        if (!stops_pending(lead, r)) {
-            r->stops = make_room(lead, run);
-            r->stops_at = lead->node->now;
+    if (best_pick(run, candidates, picks) == 0) {
+        start_all(leader, run, picks);
+    } else if (!(r->stops && stops_pending(leader, r))) {
+        if (!stops_pending(leader, r)) {
+            r->stops = make_room(leader, run);
+            r->stops_at = leader->controller->now;
         }
         if (!r->stops)
-            stay_short(lead, run, rooms, picks);
+            stay_short(leader, run, candidates, picks);
     }
     g_array_free(picks, TRUE);
-    g_array_free(rooms, TRUE);
+    g_array_free(candidates, TRUE);
 }
 
-/* A gang behind in line that can start at once may take room from one that is short: a held room is taken if
-   there is no other, and a large gang would else idle a zone while it fills. Only what work is stopped for is
-   a gang's own, and what a starving one holds: others that starve, smaller, would pass it for ever. */
-void ow_reservation_book(const struct ow_run *run)
+/* A gang behind in the queue that can start at once may take room from one that is short: a held room is
+   taken if there is no other, and a large gang would else idle a zone while it fills. Only what work is
+   stopped for is a gang's own, and what a starving one holds: others that starve, smaller, would pass it for
+   ever. */
+void ow_reservation_apply_holds(const struct ow_run *run)
 {
     if (run->reservation == NULL)
         return;
@@ -306,6 +311,6 @@
     for (guint i = 0; i < run->reservation->holds->len; i++) {
         const struct ow_hold *h = &g_array_index(run->reservation->holds, struct ow_hold, i);
         if (h->picked)
-            ow_amounts_add(firm ? &h->machine->held : &h->machine->held_softly, need, 1);
+            ow_amounts_add(firm ? &h->machine->held : &h->machine->held_for_gangs, need, 1);
     }
 }
--- a/src/core/schedule.c
+++ b/src/core/schedule.c
@@ -1,5 +1,5 @@
 /* The scheduling pass: who comes first, and what becomes of jobs that are over. */
-#include "core/lead_state.h"
+#include "core/leader_state.h"
 
 /* How far the size of an array counts against its age. */
 static const double SIZE_WEIGHT = 5;
@@ -12,38 +12,38 @@
  */
 static const double BEGIN_S = 220, PROMOTION_LEAST_S = 40;
 
-static void settle(struct ow_lead *lead, struct ow_job *job)
+static void settle(struct ow_leader *leader, struct ow_job *job)
 {
-    struct ow_run *run = ow_run_get(lead, job);
-    if (job->stance == OW_DONE) {
+    struct ow_run *run = ow_run_find_or_add(leader, job);
+    if (job->state == OW_JOB_DONE) {
         /* Its last record was carried out although the answer was lost. What may still be on a machine counts
            until it is gone. */
-        ow_run_stop(lead, run, 0, "its job is done");
+        ow_run_stop(leader, run, 0, "its job is done");
         if (run->attempts->len > 0)
             return;
-        ow_run_drop(lead, run);
-        ow_jobs_close(lead->node->jobs, job);
+        ow_run_drop(leader, run);
+        ow_jobs_close(leader->controller->jobs, job);
         return;
     }
-    if (job->stance == OW_CANCELLED)
-        ow_run_stop(lead, run, 0, "its job is cancelled");
-    if (run->attempts->len == 0 && (job->stance == OW_CANCELLED || run->done == run->count))
-        ow_recorder_finish(lead, run);
+    if (job->state == OW_JOB_CANCELLED)
+        ow_run_stop(leader, run, 0, "its job is cancelled");
+    if (run->attempts->len == 0 && (job->state == OW_JOB_CANCELLED || run->done == run->count))
+        ow_recorder_finish(leader, run);
 }
 
-void ow_schedule_jobs(struct ow_lead *lead)
+void ow_schedule_jobs(struct ow_leader *leader)
 {
-    const GPtrArray *open = ow_jobs_open(lead->node->jobs);
-    lead->gpu_cpus = 0;
-    lead->gpu_rank = OW_RANK_LOW;
+    const GPtrArray *open = ow_jobs_open(leader->controller->jobs);
+    leader->gpu_cpus = 0;
+    leader->gpu_rank = OW_RANK_LOW;
     for (guint i = open->len; i > 0; i--) {
         struct ow_job *job = g_ptr_array_index(open, i - 1);
         const struct ow_amounts *need = &job->spec->submission->need;
         if (need->gpus > 0) {
-            lead->gpu_cpus = MAX(lead->gpu_cpus, need->cpus / need->gpus);
-            lead->gpu_rank = MIN(lead->gpu_rank, (int)job->spec->submission->rank);
+            leader->gpu_cpus = MAX(leader->gpu_cpus, need->cpus / need->gpus);
+            leader->gpu_rank = MIN(leader->gpu_rank, (int)job->spec->submission->rank);
         }
-        settle(lead, job);
+        settle(leader, job);
     }
 }
 
@@ -54,30 +54,32 @@
 static const double FETCH_SHARE = 0.5;
 
 /* Seconds that the slowest machine which fits the job takes to fetch its image. */
-static double fetch_s(const struct ow_lead *lead, const struct ow_spec *spec)
+static double fetch_s(const struct ow_leader *leader, const struct ow_spec *spec)
 {
     double slowest = 0;
     for (int i = 0; i < OW_MAX_TYPES; i++) {
-        const struct ow_machine_type *t = lead->node->types[i];
+        const struct ow_machine_type *t = leader->controller->types[i];
         if (t != NULL && t->fetch_gb_per_s > 0 && (spec->types & (UINT64_C(1) << i)) != 0 &&
-            ow_place_whole(t, &spec->submission->need) > 0)
+            ow_placement_slots_on_empty(t, &spec->submission->need) > 0)
             slowest = MAX(slowest, spec->submission->image_gb / t->fetch_gb_per_s);
     }
     return slowest;
 }
 
 /* GPUs that get through the work of GPU jobs in the time that their classes leave to wait. */
-static double gpus_wanted(struct ow_lead *lead)
+static double gpus_wanted(struct ow_leader *leader)
 {
     double wanted = 0;
-    for (guint i = 0; i < lead->runs->len; i++) {
-        const struct ow_run *run = g_ptr_array_index(lead->runs, i);
+    for (guint i = 0; i < leader->runs->len; i++) {
+        const struct ow_run *run = g_ptr_array_index(leader->runs, i);
         const struct ow_spec *spec = run->job->spec;
         double gpus = (run->count - run->done) * spec->submission->need.gpus;
-        double slack = MAX(ow_class_slack_s(lead->node, spec->class_index), 1);
+        double slack = MAX(ow_class_slack_s(leader->controller, spec->class_index), 1);
         if (gpus > 0 && !ow_job_over(run->job))
             wanted +=
-                gpus * MIN(1, (ow_class_run_s(lead->node, spec) + FETCH_SHARE * fetch_s(lead, spec)) / slack);
+                gpus *
+                MIN(1,
+                    (ow_class_run_s(leader->controller, spec) + FETCH_SHARE * fetch_s(leader, spec)) / slack);
     }
     return GPU_MARGIN * wanted;
 }
@@ -97,13 +99,13 @@
 
 /* Other work may fill GPU machines, but for those that GPU work needs: it would else wait or be driven to
    dear ones. */
-static void keep_gpus(struct ow_lead *lead)
+static void keep_gpus(struct ow_leader *leader)
 {
-    double wanted = gpus_wanted(lead);
+    double wanted = gpus_wanted(leader);
     for (int fitness = 2; fitness >= 0; fitness--) {
-        for (guint i = 0; i < lead->machines->len; i++) {
-            struct ow_machine *m = g_ptr_array_index(lead->machines, i);
-            const struct ow_machine_type *type = ow_machine_spec(lead, m);
+        for (guint i = 0; i < leader->machines->len; i++) {
+            struct ow_machine *m = g_ptr_array_index(leader->machines, i);
+            const struct ow_machine_type *type = ow_machine_spec(leader, m);
             if (type == NULL || type->size.gpus <= 0 || gpu_fitness(m) != fitness)
                 continue;
             m->gpus_kept = wanted > 0;
@@ -115,19 +117,19 @@
 struct entry {
     struct ow_run *run;
     int rank;
-    bool borrowing;  /* beyond its team's guarantee */
-    unsigned missed; /* aims for its start */
-    double turn;     /* earlier goes first */
+    bool borrowing;    /* beyond its team's guarantee */
+    unsigned missed;   /* aims for its start */
+    double queue_time; /* earlier goes first */
 };
 
 /* Whether the team stays within its guarantee with the job's waiting tasks. */
-static bool guaranteed(struct ow_lead *lead, const struct ow_run *run)
+static bool guaranteed(struct ow_leader *leader, const struct ow_run *run)
 {
     const struct ow_spec *spec = run->job->spec;
-    struct ow_amounts then = *ow_team_used(lead, spec->team);
+    struct ow_amounts then = *ow_team_used(leader, spec->team);
     ow_amounts_add(&then, &spec->submission->need, ow_run_pending(run));
-    return ow_team_covers(lead, spec->team, &spec->submission->need) &&
-           ow_team_guarantees(lead, spec->team, &then);
+    return ow_team_covers(leader, spec->team, &spec->submission->need) &&
+           ow_team_guarantees(leader, spec->team, &then);
 }
 
 static gint by_line(gconstpointer a, gconstpointer b)
@@ -140,43 +142,46 @@
     /* Who can still be in time goes before who can't any more. That is bounded: nobody starves. */
     if (x->missed != y->missed)
         return x->missed < y->missed ? -1 : 1;
-    if (x->turn != y->turn)
-        return x->turn < y->turn ? -1 : 1;
-    return x->run->job->place < y->run->job->place ? -1 : x->run->job->place > y->run->job->place;
+    if (x->queue_time != y->queue_time)
+        return x->queue_time < y->queue_time ? -1 : 1;
+    return x->run->job->accepted_revision < y->run->job->accepted_revision
+               ? -1
+               : x->run->job->accepted_revision > y->run->job->accepted_revision;
 }
 
-/* An array's turn is its arrival, put off by the time that its waiting work needs of the whole fleet: a short
-   one passes a long one by, and everybody's turn comes. A gang keeps its place. */
-static double turn_of(struct ow_lead *lead, const struct ow_run *run, double fleet_cpus, double fleet_gpus)
+/* An array's queue time is its arrival, put off by the time that its waiting work needs of the whole fleet: a
+   short one passes a long one by, and everybody's turn comes. A gang keeps its place. */
+static double turn_of(struct ow_leader *leader, const struct ow_run *run, double fleet_cpus,
+                      double fleet_gpus)
 {
     const struct ow_spec *spec = run->job->spec;
     const struct ow_amounts *need = &spec->submission->need;
     if (spec->submission->gang)
-        return run->came_at;
+        return run->accepted_at;
     double share = need->gpus > 0 ? need->gpus / MAX(fleet_gpus, 1) : need->cpus / MAX(fleet_cpus, 1);
-    double put_off = SIZE_WEIGHT * ow_run_pending(run) * ow_class_run_s(lead->node, spec) * share;
-    return run->came_at + MIN(put_off, PUT_OFF_MOST_S);
+    double put_off = SIZE_WEIGHT * ow_run_pending(run) * ow_class_run_s(leader->controller, spec) * share;
+    return run->accepted_at + MIN(put_off, PUT_OFF_MOST_S);
 }
 
-static void fleet_size(const struct ow_lead *lead, double *cpus, double *gpus)
+static void fleet_size(const struct ow_leader *leader, double *cpus, double *gpus)
 {
     *cpus = *gpus = 0;
-    for (guint i = 0; i < lead->machines->len; i++) {
-        const struct ow_machine *m = g_ptr_array_index(lead->machines, i);
-        const struct ow_machine_type *type = ow_machine_spec(lead, m);
-        if (!ow_book_usable(lead, m))
+    for (guint i = 0; i < leader->machines->len; i++) {
+        const struct ow_machine *m = g_ptr_array_index(leader->machines, i);
+        const struct ow_machine_type *type = ow_machine_spec(leader, m);
+        if (!ow_machine_is_usable(leader, m))
             continue;
         *cpus += type->size.cpus;
         *gpus += type->size.gpus;
     }
 }
 
-static void judge_age(const struct ow_lead *lead, struct ow_run *run)
+static void judge_age(const struct ow_leader *leader, struct ow_run *run)
 {
     bool service = ow_run_is_service(run);
-    double age = lead->node->now - (service ? run->missing_since : run->came_at);
+    double age = leader->controller->now - (service ? run->missing_since : run->accepted_at);
     double most = run->job->spec->submission->gang ? PROMOTION_GANG_S : PROMOTION_S;
-    double patience = CLAMP(BEGIN_S - fetch_s(lead, run->job->spec), PROMOTION_LEAST_S, most);
+    double patience = CLAMP(BEGIN_S - fetch_s(leader, run->job->spec), PROMOTION_LEAST_S, most);
     /* A service is never through: its age would put it before everybody for ever. What counts is how long a
        replica has been missed. */
     if (service) {
@@ -198,36 +203,36 @@
     return promoted(run) ? OW_RANK_CRITICAL : (int)run->job->spec->submission->rank;
 }
 
-static unsigned missed_aims(struct ow_lead *lead, const struct ow_run *run)
+static unsigned missed_aims(struct ow_leader *leader, const struct ow_run *run)
 {
-    double age = lead->node->now - run->came_at;
+    double age = leader->controller->now - run->accepted_at;
     /* A service's age says nothing of how long its replica has been missed. */
     if (ow_run_is_service(run))
         return 0;
     /* Of those that starve, who can still begin in time goes first: where all wait too long, nobody would. */
     if (run->starves)
         return age < BEGIN_S ? 0 : 1;
-    return ow_class_missed(lead->node, run->job->spec->class_index, age);
+    return ow_class_missed(leader->controller, run->job->spec->class_index, age);
 }
 
-static GArray *line(struct ow_lead *lead)
+static GArray *line(struct ow_leader *leader)
 {
     GArray *entries = g_array_new(FALSE, FALSE, sizeof(struct entry));
     double cpus, gpus;
-    fleet_size(lead, &cpus, &gpus);
-    for (guint i = 0; i < lead->runs->len; i++) {
-        struct ow_run *run = g_ptr_array_index(lead->runs, i);
+    fleet_size(leader, &cpus, &gpus);
+    for (guint i = 0; i < leader->runs->len; i++) {
+        struct ow_run *run = g_ptr_array_index(leader->runs, i);
         if (ow_run_pending(run) == 0) {
             run->missing_since = 0;
             continue;
         }
         if (run->missing_since == 0)
-            run->missing_since = lead->node->now;
-        if (run->ready_at > lead->node->now)
+            run->missing_since = leader->controller->now;
+        if (run->ready_at > leader->controller->now)
             continue;
-        judge_age(lead, run);
-        struct entry e = {run, rank_in_line(run), !guaranteed(lead, run), missed_aims(lead, run),
-                          turn_of(lead, run, cpus, gpus)};
+        judge_age(leader, run);
+        struct entry e = {run, rank_in_line(run), !guaranteed(leader, run), missed_aims(leader, run),
+                          turn_of(leader, run, cpus, gpus)};
         g_array_append_val(entries, e);
     }
     g_array_sort(entries, by_line);
@@ -252,26 +257,26 @@
 }
 
 /* The zone where stopping lower work makes most room for an array that must stay together. */
-static int best_zone_with_stops(struct ow_lead *lead, const struct ow_run *run, const GPtrArray *machines)
+static int best_zone_with_stops(struct ow_leader *leader, const struct ow_run *run, const GPtrArray *machines)
 {
     const struct ow_spec *spec = run->job->spec;
-    GArray *rooms = g_array_new(FALSE, FALSE, sizeof(struct ow_room));
+    GArray *candidates = g_array_new(FALSE, FALSE, sizeof(struct ow_candidate));
     for (guint i = 0; i < machines->len; i++) {
         struct ow_machine *m = g_ptr_array_index(machines, i);
-        if (!ow_place_may(lead, run, m))
+        if (!ow_placement_is_permitted(leader, run, m))
             continue;
-        struct ow_room room = {.machine = m, .slots = ow_preempt_slots(lead, spec, m)};
-        g_array_append_val(rooms, room);
+        struct ow_candidate candidate = {.machine = m, .slots = ow_preempt_slots(leader, spec, m)};
+        g_array_append_val(candidates, candidate);
     }
-    int zone = ow_place_best_zone(run, rooms);
-    g_array_free(rooms, TRUE);
+    int zone = ow_placement_best_zone(run, candidates);
+    g_array_free(candidates, TRUE);
     return zone;
 }
 
 /* What the zone still admits of the job, the places that were made there in this pass among them. */
 static uint32_t zone_still_admits(const struct ow_run *run, const GArray *made, int zone)
 {
-    uint32_t admitted = ow_place_zone_admits(run, zone);
+    uint32_t admitted = ow_placement_zone_admits(run, zone);
     for (guint i = 0; i < made->len && admitted > 0; i++)
         admitted -= g_array_index(made, int, i) == zone ? 1 : 0;
     return admitted;
@@ -279,25 +284,25 @@
 
 /* Room on machines where lower work is stopped for an array or a service that fits nowhere else. It is booked
    for the rest of the pass; in the next ones the job's rank keeps it. */
-static void array_makes_room(struct ow_lead *lead, struct ow_run *run)
+static void array_makes_room(struct ow_leader *leader, struct ow_run *run)
 {
     const struct ow_spec *spec = run->job->spec;
-    uint32_t wanted = ow_team_admits(lead, spec, ow_run_pending(run));
+    uint32_t wanted = ow_team_admits(leader, spec, ow_run_pending(run));
     bool service = ow_run_is_service(run);
-    if ((spec->submission->rank == OW_RANK_LOW && !ow_run_claims(lead, run)) ||
+    if ((spec->submission->rank == OW_RANK_LOW && !ow_run_claims(leader, run)) ||
         (!service && (spec->submission->one_zone || spec->submission->spread)))
         return;
-    const GPtrArray *machines = ow_shortlist_with_stops(lead, spec->class_index);
-    int only = spec->submission->one_zone ? best_zone_with_stops(lead, run, machines) : OW_NO_NAME;
+    const GPtrArray *machines = ow_shortlist_with_preemption(leader, spec->class_index);
+    int only = spec->submission->one_zone ? best_zone_with_stops(leader, run, machines) : OW_NO_NAME;
     GArray *made = g_array_new(FALSE, FALSE, sizeof(int)); /* zones of the places made */
     for (guint i = 0; i < machines->len && wanted > 0; i++) {
         struct ow_machine *m = g_ptr_array_index(machines, i);
-        if (!ow_place_may(lead, run, m) || (only != OW_NO_NAME && m->zone != only))
+        if (!ow_placement_is_permitted(leader, run, m) || (only != OW_NO_NAME && m->zone != only))
             continue;
         /* Replicas stand apart: a machine of its own for each, if need be. */
         uint32_t slots = MIN(service ? MIN(zone_still_admits(run, made, m->zone), 1) : wanted,
-                             ow_preempt_slots(lead, spec, m));
-        if (slots == 0 || !ow_preempt_make_room(lead, run, m, slots))
+                             ow_preempt_slots(leader, spec, m));
+        if (slots == 0 || !ow_preempt_make_room(leader, run, m, slots))
             continue;
         ow_amounts_add(&m->held, &spec->submission->need, slots);
         if (service)
@@ -307,79 +312,79 @@
     g_array_free(made, TRUE);
 }
 
-GPtrArray *ow_schedule_line(struct ow_lead *lead)
+GPtrArray *ow_schedule_queue(struct ow_leader *leader)
 {
-    GArray *entries = line(lead);
+    GArray *entries = line(leader);
     GPtrArray *runs = take_turns(entries);
     g_array_free(entries, TRUE);
     return runs;
 }
 
 /* Who may claim a guarantee and who has to give back, for the whole pass. */
-static void judge_teams(struct ow_lead *lead)
+static void judge_teams(struct ow_leader *leader)
 {
-    int count = ow_names_count(lead->node->names.teams);
-    lead->entitled = g_renew(bool, lead->entitled, count);
-    lead->borrows = g_renew(bool, lead->borrows, count);
+    int count = ow_names_count(leader->controller->names.teams);
+    leader->entitled = g_renew(bool, leader->entitled, count);
+    leader->borrows = g_renew(bool, leader->borrows, count);
     for (int team = 0; team < count; team++) {
-        lead->entitled[team] = ow_team_entitled(lead, team);
-        lead->borrows[team] = ow_team_borrows(lead, team);
+        leader->entitled[team] = ow_team_entitled(leader, team);
+        leader->borrows[team] = ow_team_borrows(leader, team);
     }
 }
 
-static void clear_held(struct ow_lead *lead)
+static void clear_held(struct ow_leader *leader)
 {
-    for (guint i = 0; i < lead->machines->len; i++) {
-        struct ow_machine *m = g_ptr_array_index(lead->machines, i);
-        m->held = m->held_softly = (struct ow_amounts){0};
+    for (guint i = 0; i < leader->machines->len; i++) {
+        struct ow_machine *m = g_ptr_array_index(leader->machines, i);
+        m->held = m->held_for_gangs = (struct ow_amounts){0};
     }
 }
 
 /* Gangs take nothing from those of a rank before their own in the line. */
-static void harden_held(struct ow_lead *lead)
+static void harden_held(struct ow_leader *leader)
 {
-    for (guint i = 0; i < lead->machines->len; i++) {
-        struct ow_machine *m = g_ptr_array_index(lead->machines, i);
-        ow_amounts_add(&m->held, &m->held_softly, 1);
-        m->held_softly = (struct ow_amounts){0};
+    for (guint i = 0; i < leader->machines->len; i++) {
+        struct ow_machine *m = g_ptr_array_index(leader->machines, i);
+        ow_amounts_add(&m->held, &m->held_for_gangs, 1);
+        m->held_for_gangs = (struct ow_amounts){0};
     }
 }
 
-void ow_schedule_pass(struct ow_lead *lead)
+void ow_schedule_pass(struct ow_leader *leader)
 {
-    judge_teams(lead);
-    keep_gpus(lead);
-    ow_place_weigh_images(lead);
-    clear_held(lead);
-    ow_shortlists_begin(lead);
-    g_array_set_size(lead->allowances, 0);
-    GPtrArray *runs = ow_schedule_line(lead);
+    judge_teams(leader);
+    keep_gpus(leader);
+    ow_placement_weigh_images(leader);
+    clear_held(leader);
+    ow_shortlists_begin(leader);
+    g_array_set_size(leader->allowances, 0);
+    GPtrArray *runs = ow_schedule_queue(leader);
     const struct ow_run *last = NULL;
     for (guint i = 0; i < runs->len; i++) {
         struct ow_run *run = g_ptr_array_index(runs, i);
         if (!promoted(run)) {
             if (last != NULL && rank_in_line(run) != rank_in_line(last))
-                harden_held(lead);
+                harden_held(leader);
             last = run;
         }
         if (run->job->spec->submission->gang) {
-            ow_reservation_try(lead, run);
-            ow_reservation_book(run);
+            ow_reservation_try(leader, run);
+            ow_reservation_apply_holds(run);
         } else {
             if (ow_run_is_service(run))
-                ow_replicas_place(lead, run);
+                ow_service_replicas_start(leader, run);
             else
-                ow_place_array(lead, run);
+                ow_placement_start_array(leader, run);
             if (ow_run_pending(run) > 0)
-                array_makes_room(lead, run);
+                array_makes_room(leader, run);
         }
-        ow_reason_waits(lead, run);
+        ow_reason_waits(leader, run);
     }
     g_ptr_array_free(runs, TRUE);
     /* Those that are paused have no place in the line, but their teams ask why they wait. */
-    for (guint i = 0; i < lead->runs->len; i++) {
-        struct ow_run *run = g_ptr_array_index(lead->runs, i);
-        if (run->ready_at > lead->node->now)
-            ow_reason_waits(lead, run);
+    for (guint i = 0; i < leader->runs->len; i++) {
+        struct ow_run *run = g_ptr_array_index(leader->runs, i);
+        if (run->ready_at > leader->controller->now)
+            ow_reason_waits(leader, run);
     }
 }
--- a/src/core/replicas.c
+++ b/src/core/service_replicas.c
@@ -1,5 +1,5 @@
-/* Services: replicas that run until their job is withdrawn, apart from one another. */
-#include "core/lead_state.h"
+/* Services: replicas that run until their job is cancelled, apart from one another. */
+#include "core/leader_state.h"
 
 #include <math.h>
 
@@ -47,71 +47,72 @@
 }
 
 /* What the job's own rules admit in each zone, by zone index. */
-static GArray *zones_admit(const struct ow_lead *lead, const struct ow_run *run)
+static GArray *zones_admit(const struct ow_leader *leader, const struct ow_run *run)
 {
     GArray *admitted = g_array_new(FALSE, FALSE, sizeof(uint32_t));
-    for (int zone = 0; zone < ow_names_count(lead->node->names.zones); zone++) {
-        uint32_t count = ow_place_zone_admits(run, zone);
+    for (int zone = 0; zone < ow_names_count(leader->controller->names.zones); zone++) {
+        uint32_t count = ow_placement_zone_admits(run, zone);
         g_array_append_val(admitted, count);
     }
     return admitted;
 }
 
-static struct ow_room *best_room(const struct neighbours *n, GArray *rooms, const GArray *admitted, int only)
+static struct ow_candidate *best_candidate(const struct neighbours *n, GArray *candidates,
+                                           const GArray *admitted, int only)
 {
-    struct ow_room *best = NULL;
+    struct ow_candidate *best = NULL;
     double least = INFINITY;
-    for (guint i = 0; i < rooms->len; i++) {
-        struct ow_room *room = &g_array_index(rooms, struct ow_room, i);
-        int zone = room->machine->zone;
-        if (room->slots == 0 || (only != OW_NO_NAME && zone != only) ||
+    for (guint i = 0; i < candidates->len; i++) {
+        struct ow_candidate *candidate = &g_array_index(candidates, struct ow_candidate, i);
+        int zone = candidate->machine->zone;
+        if (candidate->slots == 0 || (only != OW_NO_NAME && zone != only) ||
             g_array_index(admitted, uint32_t, zone) == 0)
             continue;
-        double cost = room->cost + MACHINE_S * count_at(n->on_machine, room->machine) +
+        double cost = candidate->cost + MACHINE_S * count_at(n->on_machine, candidate->machine) +
                       ZONE_S * count_at(n->in_zone, GINT_TO_POINTER(zone));
         if (cost < least) {
             least = cost;
-            best = room;
+            best = candidate;
         }
     }
     return best;
 }
 
-static void place_replica(struct ow_lead *lead, struct ow_run *run, uint64_t number, struct ow_machine *m)
+static void place_replica(struct ow_leader *leader, struct ow_run *run, uint64_t number, struct ow_machine *m)
 {
-    uint32_t task = ow_place_next_pending(run);
+    uint32_t task = ow_placement_next_pending(run);
     g_info("service %s: replica %u placed on %s", run->job->id, task, m->name);
-    ow_place_task(lead, run, task, number, m);
+    ow_placement_start_task(leader, run, task, number, m);
 }
 
-void ow_replicas_place(struct ow_lead *lead, struct ow_run *run)
+void ow_service_replicas_start(struct ow_leader *leader, struct ow_run *run)
 {
-    uint32_t wanted = ow_team_admits(lead, run->job->spec, ow_run_pending(run));
+    uint32_t wanted = ow_team_admits(leader, run->job->spec, ow_run_pending(run));
     if (wanted == 0)
         return;
-    GArray *rooms = ow_place_rooms(lead, run);
-    int only = run->job->spec->submission->one_zone ? ow_place_best_zone(run, rooms) : OW_NO_NAME;
+    GArray *candidates = ow_placement_candidates(leader, run);
+    int only = run->job->spec->submission->one_zone ? ow_placement_best_zone(run, candidates) : OW_NO_NAME;
     uint64_t number = ow_run_next_attempt(run);
     struct neighbours neighbours = neighbours_of(run);
     for (; wanted > 0; wanted--) {
-        GArray *admitted = zones_admit(lead, run);
-        struct ow_room *room = best_room(&neighbours, rooms, admitted, only);
+        GArray *admitted = zones_admit(leader, run);
+        struct ow_candidate *candidate = best_candidate(&neighbours, candidates, admitted, only);
         g_array_free(admitted, TRUE);
-        if (room == NULL)
+        if (candidate == NULL)
             break;
-        room->slots--;
-        add_neighbour(&neighbours, room->machine);
-        place_replica(lead, run, number, room->machine);
+        candidate->slots--;
+        add_neighbour(&neighbours, candidate->machine);
+        place_replica(leader, run, number, candidate->machine);
     }
     neighbours_clear(&neighbours);
-    g_array_free(rooms, TRUE);
+    g_array_free(candidates, TRUE);
 }
 
 /* ---- moves ---- */
 
 static bool is_serving(const struct ow_attempt *at)
 {
-    return at->state == OW_AT_SEEN && at->phase == OW_RUNNING && !at->stop;
+    return at->state == OW_ATTEMPT_SEEN && at->phase == OW_PHASE_RUNNING && !at->stop;
 }
 
 static uint32_t not_serving(const struct ow_run *run)
@@ -132,23 +133,25 @@
 
 /* A machine where a replica could start at once, away from the others of its service and, if so wanted, from
    a zone; NULL: none has room and its image. */
-static struct ow_machine *find_place(struct ow_lead *lead, const struct ow_run *run, int not_in_zone)
+static struct ow_machine *find_place(struct ow_leader *leader, const struct ow_run *run, int not_in_zone)
 {
-    for (guint i = 0; i < lead->machines->len; i++) {
-        struct ow_machine *m = g_ptr_array_index(lead->machines, i);
-        const struct ow_image_copy *copy = ow_book_image(m, run->job->spec->image);
-        if (copy != NULL && copy->present && m->zone != not_in_zone && ow_place_may(lead, run, m) &&
-            ow_place_slots(lead, run->job->spec, m) > 0 && !stands_on(run, m))
+    for (guint i = 0; i < leader->machines->len; i++) {
+        struct ow_machine *m = g_ptr_array_index(leader->machines, i);
+        const struct ow_image_copy *copy = ow_machine_image(m, run->job->spec->image);
+        if (copy != NULL && copy->present && m->zone != not_in_zone &&
+            ow_placement_is_permitted(leader, run, m) && ow_placement_slots(leader, run->job->spec, m) > 0 &&
+            !stands_on(run, m))
             return m;
     }
     return NULL;
 }
 
 /* The room is kept for the rest of the tick: one place is not to be counted on by two replicas. */
-static void move_to(struct ow_lead *lead, struct ow_attempt *at, struct ow_machine *place, const char *why)
+static void move_to(struct ow_leader *leader, struct ow_attempt *at, struct ow_machine *place,
+                    const char *why)
 {
     ow_amounts_add(&place->held, &at->job->spec->submission->need, 1);
-    ow_attempt_stop(lead, at, 0, why);
+    ow_attempt_stop(leader, at, 0, why);
 }
 
 static bool is_movable(const struct ow_attempt *at)
@@ -162,7 +165,7 @@
     uint32_t count = 0;
     for (guint i = 0; i < run->attempts->len; i++) {
         const struct ow_attempt *at = g_ptr_array_index(run->attempts, i);
-        count += at->machine->lost_at > 0 && !at->stop ? 1 : 0;
+        count += at->machine->reclaimed_at > 0 && !at->stop ? 1 : 0;
     }
     return count;
 }
@@ -177,20 +180,20 @@
 /* With its image elsewhere a replica is moved as soon as its service can do without it. Where no machine with
    the image has room, it serves as long as it may: then it is stopped all the same, for it starts elsewhere
    only once it is proven gone, and that takes far longer when its machine has been taken. */
-static void move_off_leaving(struct ow_lead *lead, struct ow_machine *m)
+static void move_off_leaving(struct ow_leader *leader, struct ow_machine *m)
 {
-    double left = m->lost_at - lead->node->now;
+    double left = m->reclaimed_at - leader->controller->now;
     for (guint i = m->attempts->len; i > 0; i--) {
         if (i > m->attempts->len)
             continue;
         struct ow_attempt *at = g_ptr_array_index(m->attempts, i - 1);
         if (!is_movable(at))
             continue;
-        struct ow_machine *place = find_place(lead, at->job->run, OW_NO_NAME);
+        struct ow_machine *place = find_place(leader, at->job->run, OW_NO_NAME);
         if (place != NULL && may_miss_one_more(at->job->run, left))
-            move_to(lead, at, place, "its machine is about to go; it moves");
+            move_to(leader, at, place, "its machine is about to go; it moves");
         else if (left < LAST_MOVE_S)
-            ow_attempt_stop(lead, at, 0, "its machine is about to go, and no other one has its image");
+            ow_attempt_stop(leader, at, 0, "its machine is about to go, and no other one has its image");
     }
 }
 
@@ -204,19 +207,19 @@
 
 /* A machine that fails tasks is returned once it is empty, which replicas that happen to run on it would put
    off for ever. They serve, so they move only where they are hardly missed. */
-static void move_off_faulty(struct ow_lead *lead, struct ow_machine *m)
+static void move_off_faulty(struct ow_leader *leader, struct ow_machine *m)
 {
-    if (!has_only_replicas(m) || !ow_book_heard_lately(lead, m))
+    if (!has_only_replicas(m) || !ow_machine_heard_recently(leader, m))
         return;
     for (guint i = m->attempts->len; i > 0; i--) {
         if (i > m->attempts->len)
             continue;
         struct ow_attempt *at = g_ptr_array_index(m->attempts, i - 1);
         struct ow_machine *place = is_movable(at) && not_serving(at->job->run) < MOVES_MOST
-                                       ? find_place(lead, at->job->run, OW_NO_NAME)
+                                       ? find_place(leader, at->job->run, OW_NO_NAME)
                                        : NULL;
         if (place != NULL)
-            move_to(lead, at, place, "its machine is faulty; it moves");
+            move_to(leader, at, place, "its machine is faulty; it moves");
     }
 }
 
@@ -241,40 +244,40 @@
     return found;
 }
 
-static bool has_been_calm(const struct ow_lead *lead, const struct ow_run *run)
+static bool has_been_calm(const struct ow_leader *leader, const struct ow_run *run)
 {
     for (guint i = 0; i < run->attempts->len; i++) {
         const struct ow_attempt *at = g_ptr_array_index(run->attempts, i);
-        if (lead->node->now - at->placed_at < CALM_S)
+        if (leader->controller->now - at->placed_at < CALM_S)
             return false;
     }
-    return lead->node->now - lead->ready_at >= CALM_S && not_serving(run) == 0;
+    return leader->controller->now - leader->ready_at >= CALM_S && not_serving(run) == 0;
 }
 
 /* Where room was short its replicas may have come together: one at a time they part again. */
-static void part(struct ow_lead *lead, struct ow_run *run)
+static void part(struct ow_leader *leader, struct ow_run *run)
 {
     int not_in_zone;
-    if (!ow_run_is_service(run) || ow_job_over(run->job) || lead->node->now < run->part_at)
+    if (!ow_run_is_service(run) || ow_job_over(run->job) || leader->controller->now < run->part_at)
         return;
-    run->part_at = lead->node->now + PART_S;
-    if (!has_been_calm(lead, run))
+    run->part_at = leader->controller->now + PART_S;
+    if (!has_been_calm(leader, run))
         return;
     struct ow_attempt *at = crowded(run, &not_in_zone);
-    struct ow_machine *place = at != NULL ? find_place(lead, run, not_in_zone) : NULL;
+    struct ow_machine *place = at != NULL ? find_place(leader, run, not_in_zone) : NULL;
     if (place != NULL)
-        move_to(lead, at, place, "it stands together with others of its service; it moves");
+        move_to(leader, at, place, "it stands together with others of its service; it moves");
 }
 
-void ow_replicas_care(struct ow_lead *lead)
+void ow_service_replicas_relocate(struct ow_leader *leader)
 {
-    for (guint i = 0; i < lead->machines->len; i++) {
-        struct ow_machine *m = g_ptr_array_index(lead->machines, i);
-        if (m->lost_at > 0)
-            move_off_leaving(lead, m);
-        else if (lead->node->now < m->quarantine_until)
-            move_off_faulty(lead, m);
+    for (guint i = 0; i < leader->machines->len; i++) {
+        struct ow_machine *m = g_ptr_array_index(leader->machines, i);
+        if (m->reclaimed_at > 0)
+            move_off_leaving(leader, m);
+        else if (leader->controller->now < m->quarantine_until)
+            move_off_faulty(leader, m);
     }
-    for (guint i = 0; i < lead->runs->len; i++)
-        part(lead, g_ptr_array_index(lead->runs, i));
+    for (guint i = 0; i < leader->runs->len; i++)
+        part(leader, g_ptr_array_index(leader->runs, i));
 }
--- a/src/core/settings.h
+++ b/src/core/settings.h
@@ -22,7 +22,7 @@
 };
 
 struct ow_settings {
-    char *node, *zone, *front, *peer_listen, *cloud, *state;
+    char *controller_name, *zone, *front, *peer_listen, *cloud, *state;
     GArray *peers;      /* struct ow_peer_settings */
     GArray *teams;      /* struct ow_team_settings */
     GArray *objectives; /* struct ow_objective */
@@ -45,7 +45,7 @@
     double hold_life_s;     /* an unrenewed hold is dropped after it */
     double waiting_limit_s; /* a short gang's holds drop after it; its place stays */
     unsigned candidates;    /* holds collected for each member at most */
-    double leader_lease_s;  /* the life of the coordinator's lease in the state service */
+    double leader_lease_s;  /* the life of the leader's lease in the state service */
 };
 
 struct ow_rules ow_rules_default(void);
--- a/src/core/shortlist.c
+++ b/src/core/shortlist.c
@@ -1,7 +1,7 @@
 /* Machines worth a look for a class: those with room for the least that any of its waiting tasks needs.
  * Listed once a pass, so that a pass costs machines times classes and not machines times waiting jobs. Room
  * only shrinks while a pass lasts; what a stop frees at once is found by the next one. */
-#include "core/lead_state.h"
+#include "core/leader_state.h"
 
 struct shortlist {
     bool wanted; /* a job of the class waits */
@@ -25,11 +25,11 @@
     return lists;
 }
 
-static struct shortlist *list_of(struct ow_lead *lead, int class_index)
+static struct shortlist *list_of(struct ow_leader *leader, int class_index)
 {
-    if (lead->shortlists->len <= (guint)class_index)
-        g_array_set_size(lead->shortlists, (guint)class_index + 1);
-    return &g_array_index(lead->shortlists, struct shortlist, class_index);
+    if (leader->shortlists->len <= (guint)class_index)
+        g_array_set_size(leader->shortlists, (guint)class_index + 1);
+    return &g_array_index(leader->shortlists, struct shortlist, class_index);
 }
 
 static void widen(struct shortlist *s, const struct ow_submission *job, int stops_from)
@@ -45,50 +45,50 @@
     least->need.cpus = MIN(least->need.cpus, job->need.cpus);
     least->need.gpus = MIN(least->need.gpus, job->need.gpus);
     least->need.memory_gb = MIN(least->need.memory_gb, job->need.memory_gb);
-    /* The less urgent are let onto more machines, and gangs onto room held softly. */
+    /* The less urgent are let onto more machines, and gangs onto room held for gangs. */
     least->rank = MAX(least->rank, job->rank);
     least->gang = least->gang || job->gang;
 }
 
-void ow_shortlists_begin(struct ow_lead *lead)
+void ow_shortlists_begin(struct ow_leader *leader)
 {
-    g_array_set_size(lead->shortlists, 0);
-    for (guint i = 0; i < lead->runs->len; i++) {
-        const struct ow_run *run = g_ptr_array_index(lead->runs, i);
+    g_array_set_size(leader->shortlists, 0);
+    for (guint i = 0; i < leader->runs->len; i++) {
+        const struct ow_run *run = g_ptr_array_index(leader->runs, i);
         if (ow_run_pending(run) > 0)
-            widen(list_of(lead, run->job->spec->class_index), run->job->spec->submission,
-                  ow_preempt_from(lead, run->job->spec));
+            widen(list_of(leader, run->job->spec->class_index), run->job->spec->submission,
+                  ow_preempt_top_rank(leader, run->job->spec));
     }
 }
 
-static GPtrArray *list_machines(struct ow_lead *lead, const struct shortlist *s, bool with_stops)
+static GPtrArray *list_machines(struct ow_leader *leader, const struct shortlist *s, bool with_stops)
 {
     struct ow_submission least = s->least;
     struct ow_spec spec = {.submission = &least};
     GPtrArray *found = g_ptr_array_new();
-    for (guint i = 0; s->wanted && i < lead->machines->len; i++) {
-        struct ow_machine *m = g_ptr_array_index(lead->machines, i);
-        if (!ow_book_usable(lead, m))
+    for (guint i = 0; s->wanted && i < leader->machines->len; i++) {
+        struct ow_machine *m = g_ptr_array_index(leader->machines, i);
+        if (!ow_machine_is_usable(leader, m))
             continue;
-        if (s->mixed || (with_stops ? ow_preempt_slots_most(lead, &spec, m, s->stops_from)
-                                    : ow_place_slots(lead, &spec, m)) > 0)
+        if (s->mixed || (with_stops ? ow_preempt_slots_upper_bound(leader, &spec, m, s->stops_from)
+                                    : ow_placement_slots(leader, &spec, m)) > 0)
             g_ptr_array_add(found, m);
     }
     return found;
 }
 
-const GPtrArray *ow_shortlist(struct ow_lead *lead, int class_index)
+const GPtrArray *ow_shortlist(struct ow_leader *leader, int class_index)
 {
-    struct shortlist *s = list_of(lead, class_index);
+    struct shortlist *s = list_of(leader, class_index);
     if (s->machines == NULL)
-        s->machines = list_machines(lead, s, false);
+        s->machines = list_machines(leader, s, false);
     return s->machines;
 }
 
-const GPtrArray *ow_shortlist_with_stops(struct ow_lead *lead, int class_index)
+const GPtrArray *ow_shortlist_with_preemption(struct ow_leader *leader, int class_index)
 {
-    struct shortlist *s = list_of(lead, class_index);
+    struct shortlist *s = list_of(leader, class_index);
     if (s->with_stops == NULL)
-        s->with_stops = list_machines(lead, s, true);
+        s->with_stops = list_machines(leader, s, true);
     return s->with_stops;
 }
--- a/src/core/store.h
+++ b/src/core/store.h
@@ -12,7 +12,7 @@
     OW_STORE_GET,
     OW_STORE_LIST,
     OW_STORE_TXN,
-    OW_STORE_FOLLOW,
+    OW_STORE_WATCH,
     OW_STORE_LEASE,
     OW_STORE_RENEW,
 };
--- a/src/core/takeover.c
+++ b/src/core/takeover.c
@@ -1,7 +1,7 @@
-/* Rebuilding the coordinator's picture: records first, then the workers' own reports. */
-#include "core/lead_state.h"
+/* Rebuilding the leader's picture: records first, then the workers' own reports. */
+#include "core/leader_state.h"
 #include "core/records.h"
-#include "core/replica.h"
+#include "core/job_cache.h"
 #include "wire/json.h"
 #include "wire/records_json.h"
 
@@ -10,25 +10,25 @@
 static const double RETRY_S = 0.3;
 
 /* Whether the value could not be written any more once the limits to come are there. */
-static bool is_too_large(const struct ow_lead *lead, const json_t *value)
+static bool is_too_large(const struct ow_leader *leader, const json_t *value)
 {
-    if (lead->node->limits.value_bytes >= lead->node->limits.value_bytes_now)
+    if (leader->controller->limits.value_bytes >= leader->controller->limits.value_bytes_now)
         return false;
     char *text = wj_text(value);
-    bool large = strlen(text) > lead->node->limits.value_bytes;
+    bool large = strlen(text) > leader->controller->limits.value_bytes;
     g_free(text);
     return large;
 }
 
-static void load_live(struct ow_lead *lead, struct ow_run *run, const GArray *live)
+static void load_live(struct ow_leader *leader, struct ow_run *run, const GArray *live)
 {
     for (guint i = 0; i < live->len; i++) {
         const struct ow_live_record *l = &g_array_index(live, struct ow_live_record, i);
         if (l->task >= run->count || run->tasks[l->task].attempt != NULL)
             continue;
-        struct ow_machine *m = ow_book_get(lead, l->machine);
-        struct ow_attempt *at = ow_attempt_new(lead, run, l->task, l->attempt, m, l->session);
-        at->state = OW_AT_INHERITED;
+        struct ow_machine *m = ow_machines_find_or_add(leader, l->machine);
+        struct ow_attempt *at = ow_attempt_new(leader, run, l->task, l->attempt, m, l->session);
+        at->state = OW_ATTEMPT_INHERITED;
         if (m->session == 0)
             m->session = l->session;
     }
@@ -38,7 +38,7 @@
    found in two values, or its tasks in chunks of two sizes, when what moved was not tidied up. The newer one
    counts. */
 struct loaded {
-    struct ow_group *group;
+    struct ow_record_value *record_value;
     uint64_t version;
     struct ow_job *job;
     uint32_t index, tasks;
@@ -50,9 +50,9 @@
     json_decref(((struct loaded *)item)->value);
 }
 
-void ow_takeover_free(struct ow_lead *lead)
+void ow_takeover_free(struct ow_leader *leader)
 {
-    g_clear_pointer(&lead->loaded, g_array_unref);
+    g_clear_pointer(&leader->loaded, g_array_unref);
 }
 
 static gint by_version(gconstpointer a, gconstpointer b)
@@ -61,7 +61,7 @@
     return x->version < y->version ? -1 : x->version > y->version;
 }
 
-static void load_record(struct ow_lead *lead, struct ow_run *run, const struct loaded *l)
+static void load_record(struct ow_leader *leader, struct ow_run *run, const struct loaded *l)
 {
     struct ow_progress_record record;
     uint32_t first = l->index * l->tasks, end = MIN(run->count, first + l->tasks);
@@ -70,7 +70,7 @@
     for (guint i = run->attempts->len; i > 0; i--) {
         struct ow_attempt *at = g_ptr_array_index(run->attempts, i - 1);
         if (at->task >= first && at->task < end)
-            ow_attempt_unload(lead, at);
+            ow_attempt_unload(leader, at);
     }
     for (uint32_t task = first; task < end; task += run->chunk_tasks)
         ow_run_chunk(run, task)->last_attempt =
@@ -82,164 +82,165 @@
             run->done++;
         }
     }
-    load_live(lead, run, record.live);
+    load_live(leader, run, record.live);
     wire_progress_record_clear(&record);
 }
 
-/* Where the record goes on standing: in its group, or, if its run is divided otherwise now, in smaller ones.
+/* Where the record goes on standing: in its record value, or, if its run is divided otherwise now, in smaller
+ * ones.
  */
-static void load_place(struct ow_lead *lead, struct ow_run *run, const struct loaded *l)
+static void load_place(struct ow_leader *leader, struct ow_run *run, const struct loaded *l)
 {
     uint32_t first = l->index * l->tasks, end = MIN(run->count, first + l->tasks);
     if (l->tasks == run->chunk_tasks) {
         struct ow_chunk *chunk = &run->chunks[l->index];
-        if (chunk->group != NULL)
-            ow_recorder_tidy(lead, ow_pack_leave(chunk));
-        ow_pack_add(l->group, chunk);
+        if (chunk->record_value != NULL)
+            ow_recorder_compact(leader, ow_record_values_leave(chunk));
+        ow_record_values_add(l->record_value, chunk);
         return;
     }
-    ow_pack_keep(l->group, run->job, first, end);
-    ow_recorder_tidy(lead, l->group);
+    ow_record_values_retain(l->record_value, run->job, first, end);
+    ow_recorder_compact(leader, l->record_value);
     for (uint32_t task = first; task < end; task += run->chunk_tasks)
-        ow_recorder_chunk(lead, run, task, true);
+        ow_recorder_chunk(leader, run, task, true);
 }
 
-static void take_loaded(struct ow_lead *lead)
+static void take_loaded(struct ow_leader *leader)
 {
-    g_array_sort(lead->loaded, by_version);
+    g_array_sort(leader->loaded, by_version);
     /* A run keeps the smallest chunks that it was recorded in. */
-    for (guint i = 0; i < lead->loaded->len; i++) {
-        const struct loaded *l = &g_array_index(lead->loaded, struct loaded, i);
+    for (guint i = 0; i < leader->loaded->len; i++) {
+        const struct loaded *l = &g_array_index(leader->loaded, struct loaded, i);
         bool fresh = l->job->run == NULL;
-        struct ow_run *run = ow_run_get(lead, l->job);
+        struct ow_run *run = ow_run_find_or_add(leader, l->job);
         if (fresh || l->tasks < run->chunk_tasks)
             ow_run_divide(run, l->tasks);
     }
-    for (guint i = 0; i < lead->loaded->len; i++) {
-        const struct loaded *l = &g_array_index(lead->loaded, struct loaded, i);
+    for (guint i = 0; i < leader->loaded->len; i++) {
+        const struct loaded *l = &g_array_index(leader->loaded, struct loaded, i);
         struct ow_run *run = l->job->run;
         if ((uint64_t)l->index * l->tasks >= run->count) {
-            ow_recorder_tidy(lead, l->group);
+            ow_recorder_compact(leader, l->record_value);
             continue;
         }
-        load_record(lead, run, l);
-        load_place(lead, run, l);
+        load_record(leader, run, l);
+        load_place(leader, run, l);
     }
-    ow_takeover_free(lead);
+    ow_takeover_free(leader);
 }
 
 /* False when the record is of no use any more: what a final record has left behind. */
-static bool keep_named(struct ow_lead *lead, struct ow_group *g, const char *name, json_t *value)
+static bool keep_named(struct ow_leader *leader, struct ow_record_value *g, const char *name, json_t *value)
 {
-    struct loaded l = {.group = g, .version = g->version};
+    struct loaded l = {.record_value = g, .version = g->version};
     char *id = wire_progress_name_parse(name, &l.index, &l.tasks);
-    l.job = id != NULL ? ow_jobs_find(lead->node->jobs, id) : NULL;
+    l.job = id != NULL ? ow_jobs_find(leader->controller->jobs, id) : NULL;
     g_free(id);
     if (l.job == NULL || l.job->spec == NULL)
         return false;
     l.value = json_incref(value);
-    g_array_append_val(lead->loaded, l);
+    g_array_append_val(leader->loaded, l);
     return true;
 }
 
-static void load_group(struct ow_lead *lead, const struct ow_store_item *item)
+static void load_record_value(struct ow_leader *leader, const struct ow_store_item *item)
 {
     guint64 number = 0;
     if (!g_ascii_string_to_unsigned(item->key + strlen(OW_KEY_PROGRESS), 10, 0, UINT32_MAX, &number, NULL))
         return;
-    struct ow_group *g = ow_pack_get(lead, (uint32_t)number);
+    struct ow_record_value *g = ow_record_values_find_or_add(leader, (uint32_t)number);
     const char *name;
     json_t *value;
     bool tidy = true;
     g->version = item->version;
     json_object_foreach(item->value, name, value)
     {
-        tidy = keep_named(lead, g, name, value) && tidy;
+        tidy = keep_named(leader, g, name, value) && tidy;
     }
-    if (!tidy || is_too_large(lead, item->value))
-        ow_recorder_tidy(lead, g);
+    if (!tidy || is_too_large(leader, item->value))
+        ow_recorder_compact(leader, g);
 }
 
-/* Machines that the last coordinator told us of can be reached before any list names them. */
-static void use_hints(struct ow_lead *lead)
+/* Machines that the last leader told us of can be reached before any list names them. */
+static void use_hints(struct ow_leader *leader)
 {
-    const GArray *hints = lead->node->machine_hints;
+    const GArray *hints = leader->controller->machine_hints;
     for (guint i = 0; i < hints->len; i++) {
         const struct ow_peer_machine *h = &g_array_index(hints, struct ow_peer_machine, i);
-        struct ow_machine *m = ow_book_get(lead, h->name);
-        ow_book_describe(lead, m, h->addr, h->type, h->zone, h->spot);
+        struct ow_machine *m = ow_machines_find_or_add(leader, h->name);
+        ow_machine_describe(leader, m, h->addr, h->type, h->zone, h->spot);
         m->listed = OW_LISTED_RUNNING;
     }
 }
 
-static void become_ready(struct ow_lead *lead)
+static void become_ready(struct ow_leader *leader)
 {
-    take_loaded(lead);
-    lead->phase = OW_LEAD_READY;
-    lead->ready_at = lead->node->now;
-    lead->dirty = true;
-    use_hints(lead);
-    /* Fencing: a worker that has seen our token heeds no older coordinator any more. */
-    for (guint i = 0; i < lead->machines->len; i++)
-        ((struct ow_machine *)g_ptr_array_index(lead->machines, i))->direct_wanted = true;
-    g_info("took over: %u jobs with progress, %u machines known", lead->runs->len, lead->machines->len);
+    take_loaded(leader);
+    leader->phase = OW_LEADER_READY;
+    leader->ready_at = leader->controller->now;
+    leader->dirty = true;
+    use_hints(leader);
+    /* Fencing: a worker that has seen our token heeds no older leader any more. */
+    for (guint i = 0; i < leader->machines->len; i++)
+        ((struct ow_machine *)g_ptr_array_index(leader->machines, i))->direct_wanted = true;
+    g_info("took over: %u jobs with progress, %u machines known", leader->runs->len, leader->machines->len);
 }
 
-static void on_page(void *owner, void *data, const struct ow_command *answer)
+static void on_page(void *owner, void *data, const struct ow_event *answer)
 {
-    struct ow_lead *lead = owner;
+    struct ow_leader *leader = owner;
     const struct ow_store_reply *reply = &answer->store;
     (void)data;
-    lead->load_busy = false;
+    leader->load_busy = false;
     if (reply->status != 200) {
-        lead->load_at = lead->node->now + RETRY_S;
+        leader->load_at = leader->controller->now + RETRY_S;
         return;
     }
     for (guint i = 0; i < reply->items->len; i++)
-        load_group(lead, &g_array_index(reply->items, struct ow_store_item, i));
+        load_record_value(leader, &g_array_index(reply->items, struct ow_store_item, i));
     if (reply->more && reply->items->len > 0) {
         const struct ow_store_item *last =
             &g_array_index(reply->items, struct ow_store_item, reply->items->len - 1);
-        g_free(lead->load_after);
-        lead->load_after = g_strdup(last->key);
+        g_free(leader->load_after);
+        leader->load_after = g_strdup(last->key);
         return;
     }
-    become_ready(lead);
+    become_ready(leader);
 }
 
-static void on_jobs_fresh(struct ow_node *node, void *data, bool ok)
+static void on_jobs_fresh(struct ow_controller *controller, void *data, bool ok)
 {
-    struct ow_lead *lead = node->lead;
+    struct ow_leader *leader = controller->leader;
     const uint64_t *token = data;
-    if (lead == NULL || lead->token != *token)
+    if (leader == NULL || leader->token != *token)
         return;
-    lead->load_busy = false;
+    leader->load_busy = false;
     if (ok) {
-        lead->phase = OW_LEAD_LOADING;
-        lead->loaded = g_array_new(FALSE, FALSE, sizeof(struct loaded));
-        g_array_set_clear_func(lead->loaded, loaded_clear);
+        leader->phase = OW_LEADER_LOADING;
+        leader->loaded = g_array_new(FALSE, FALSE, sizeof(struct loaded));
+        g_array_set_clear_func(leader->loaded, loaded_clear);
     } else
-        lead->load_at = node->now + RETRY_S;
+        leader->load_at = controller->now + RETRY_S;
 }
 
-void ow_takeover_tick(struct ow_lead *lead)
+void ow_takeover_tick(struct ow_leader *leader)
 {
-    if (lead->phase == OW_LEAD_READY || lead->load_busy || lead->node->now < lead->load_at)
+    if (leader->phase == OW_LEADER_READY || leader->load_busy || leader->controller->now < leader->load_at)
         return;
-    lead->load_busy = true;
-    if (lead->phase == OW_LEAD_REFRESH) {
+    leader->load_busy = true;
+    if (leader->phase == OW_LEADER_REFRESH) {
         /* Progress of a job that the copy does not show yet would read as a leftover. */
         uint64_t *token = g_new(uint64_t, 1);
-        *token = lead->token;
-        ow_replica_refresh(lead->node->replica, on_jobs_fresh, token);
+        *token = leader->token;
+        ow_job_cache_refresh(leader->controller->job_cache, on_jobs_fresh, token);
         return;
     }
-    if (lead->format == 0) {
+    if (leader->format == 0) {
         /* How runs are divided depends on it. */
-        lead->load_busy = false;
+        leader->load_busy = false;
         return;
     }
     struct ow_store_request *request = ow_store_request_new(OW_STORE_LIST, OW_KEY_PROGRESS);
-    request->after = g_strdup(lead->load_after);
-    ow_node_store(lead->node, request, on_page, lead, NULL, NULL);
+    request->after = g_strdup(leader->load_after);
+    ow_controller_store(leader->controller, request, on_page, leader, NULL, NULL);
 }
--- a/src/core/types.h
+++ b/src/core/types.h
@@ -18,10 +18,10 @@
 /* Adds `times` as much as `need`; a negative number takes away. */
 void ow_amounts_add(struct ow_amounts *sum, const struct ow_amounts *need, double times);
 
-/* A service is an array whose tasks end only when their job is withdrawn. */
+/* A service is an array whose tasks end only when their job is cancelled. */
 enum ow_kind { OW_KIND_ARRAY, OW_KIND_GANG, OW_KIND_SERVICE };
 
-/* A job as its user described it. Names are still strings: they become indices inside the core's door. */
+/* A job as its user described it. Names are still strings: they become indices inside the core. */
 struct ow_submission {
     char *id;
     char *class_name;
@@ -43,7 +43,7 @@
 void ow_submission_free(struct ow_submission *submission);
 
 /* What a worker says of one task. */
-enum ow_phase { OW_FETCHING, OW_WAITING, OW_RUNNING, OW_SAVING, OW_EXITED };
+enum ow_phase { OW_PHASE_FETCHING, OW_PHASE_WAITING, OW_PHASE_RUNNING, OW_PHASE_SAVING, OW_PHASE_EXITED };
 
 enum ow_cause {
     OW_CAUSE_NONE,
@@ -76,10 +76,10 @@
 
 void ow_report_free(struct ow_report *report);
 
-enum ow_op { OW_START, OW_STOP, OW_FORGET };
+enum ow_worker_command_kind { OW_WORKER_LAUNCH, OW_WORKER_STOP, OW_WORKER_CLEAR };
 
-struct ow_order {
-    enum ow_op op;
+struct ow_worker_command {
+    enum ow_worker_command_kind kind;
     char job[OW_ID_MAX + 1];
     uint32_t task;
     uint64_t attempt;
@@ -106,7 +106,7 @@
 
 void ow_listed_machine_clear(void *machine);
 
-enum ow_stance { OW_QUEUED, OW_ACTIVE, OW_DONE, OW_CANCELLED };
+enum ow_job_state { OW_JOB_QUEUED, OW_JOB_RUNNING, OW_JOB_DONE, OW_JOB_CANCELLED };
 
 /* A number for a job that nobody has counted. */
 enum { OW_UNCOUNTED = -1 };
--- a/src/io/peer_link.c
+++ b/src/io/peer_link.c
@@ -230,13 +230,13 @@
     open_out(l);
 }
 
-void ow_peer_links_tell(struct ow_peer_links *links, struct ow_peer_message *message)
+void ow_peer_links_send(struct ow_peer_links *links, struct ow_peer_message *message)
 {
     GString *frame = g_string_new(NULL);
     if (wire_peer_encode(message, frame)) {
         for (guint i = 0; i < links->out->len; i++) {
             struct out_link *l = g_ptr_array_index(links->out, i);
-            /* Nothing is kept for a peer that is away: it will hear newer words. */
+            /* Nothing is kept for a peer that is away: it will get newer messages. */
             if (!l->connected || l->out->len + frame->len > BACKLOG_MAX)
                 continue;
             g_string_append_len(l->out, frame->str, (gssize)frame->len);
--- a/src/io/peer_link.h
+++ b/src/io/peer_link.h
@@ -18,7 +18,7 @@
                                         ow_peer_lost_fn lost, void *owner);
 void ow_peer_links_free(struct ow_peer_links *links);
 void ow_peer_links_add(struct ow_peer_links *links, const char *endpoint);
-void ow_peer_links_tell(struct ow_peer_links *links, struct ow_peer_message *message);
+void ow_peer_links_send(struct ow_peer_links *links, struct ow_peer_message *message);
 /* Opens lost links again and drops those that take nothing; to be called now and then. */
 void ow_peer_links_sweep(struct ow_peer_links *links, double now);
 
--- a/src/io/service.c
+++ b/src/io/service.c
@@ -16,8 +16,8 @@
 static const double STATE_TIMEOUT_S = 1.5, CLOUD_TIMEOUT_S = 8, DIRECT_TIMEOUT_S = 3, SWEEP_S = 0.1,
                     IDLE_S = 60;
 enum { BODY_LIMIT = 64 * 1024, SPARE_SOCKETS = 60, SOCKETS_LEAST = 200 };
-/* Each machine reports on a connection of its own, and those come first. Ours, for orders, get what is left,
-   and at least this share. */
+/* Each machine reports on a connection of its own, and those come first. Ours, for commands, get what is
+   left, and at least this share. */
 static const double OWN_LEAST = 0.05;
 
 /* What a request to the outside was, until its answer comes. */
@@ -54,9 +54,9 @@
     answer_text(s, id, status, NULL, wire_error(text));
 }
 
-static struct ow_command *command_new(enum ow_command_kind kind, uint64_t request)
+static struct ow_event *command_new(enum ow_event_kind kind, uint64_t request)
 {
-    struct ow_command *c = g_new0(struct ow_command, 1);
+    struct ow_event *c = g_new0(struct ow_event, 1);
     c->kind = kind;
     c->request = request;
     return c;
@@ -72,7 +72,7 @@
         return;
     }
     /* With the id of a job that was accepted it is a repeat, whatever else it says. */
-    struct ow_command *c = command_new(OW_COMMAND_SUBMIT, r->id);
+    struct ow_event *c = command_new(OW_EVENT_SUBMIT, r->id);
     c->submission = submission;
     c->fault = fault;
     g_strlcpy(c->id, id, sizeof c->id);
@@ -86,7 +86,7 @@
         answer_error(s, r->id, 400, "not a report");
         return;
     }
-    struct ow_command *c = command_new(OW_COMMAND_REPORT, r->id);
+    struct ow_event *c = command_new(OW_EVENT_REPORT, r->id);
     c->report = report;
     ow_core_push(s->core, c);
 }
@@ -103,7 +103,7 @@
     } else if (!wire_job_id_valid(id)) {
         answer_error(s, r->id, cancel ? 400 : 404, "not the id of a job");
     } else {
-        struct ow_command *c = command_new(cancel ? OW_COMMAND_WITHDRAW : OW_COMMAND_POLL, r->id);
+        struct ow_event *c = command_new(cancel ? OW_EVENT_CANCEL : OW_EVENT_POLL, r->id);
         g_strlcpy(c->id, id, sizeof c->id);
         ow_core_push(s->core, c);
     }
@@ -135,7 +135,7 @@
             answer_text(s, r->id, ow_core_healthy(s->core) ? 200 : 503, NULL, g_strdup("{}"));
     } else if (strcmp(path, W_PATH_TEAMS) == 0) {
         if (method_is(s, r, "GET"))
-            ow_core_push(s->core, command_new(OW_COMMAND_TEAMS, r->id));
+            ow_core_push(s->core, command_new(OW_EVENT_TEAMS, r->id));
     } else {
         answer_error(s, r->id, 404, "no such path");
     }
@@ -145,7 +145,7 @@
 static void take_peer(void *owner, struct ow_peer_message *message)
 {
     struct ow_service *s = owner;
-    struct ow_command *c = command_new(OW_COMMAND_PEER, 0);
+    struct ow_event *c = command_new(OW_EVENT_PEER, 0);
     c->peer = message;
     ow_core_push(s->core, c);
 }
@@ -157,17 +157,17 @@
         const struct ow_peer_settings *peer = &g_array_index(s->settings->peers, struct ow_peer_settings, i);
         if (strcmp(peer->endpoint, endpoint) != 0)
             continue;
-        struct ow_peer_message *message = ow_peer_message_new(OW_PEER_LOST);
-        message->node = g_strdup(peer->node);
+        struct ow_peer_message *message = ow_peer_message_new(OW_PEER_LINK_LOST);
+        message->sender = g_strdup(peer->node);
         take_peer(s, message);
     }
 }
 
 /* ---- answers from outside ---- */
 
-static struct ow_command *cloud_answer(const struct asked *a, int status, const char *body, size_t size)
+static struct ow_event *cloud_answer(const struct asked *a, int status, const char *body, size_t size)
 {
-    struct ow_command *c = command_new(OW_COMMAND_CLOUD, a->tag);
+    struct ow_event *c = command_new(OW_EVENT_CLOUD, a->tag);
     c->cloud.status = status;
     if (status == 200 && a->op == OW_CLOUD_TYPES)
         c->cloud.types = wire_types_parse(body, size);
@@ -182,14 +182,14 @@
 {
     struct ow_service *s = owner;
     const struct asked *a = g_hash_table_lookup(s->asked, &tag);
-    struct ow_command *c;
+    struct ow_event *c;
     if (a->whom == ASKED_STATE) {
-        c = command_new(OW_COMMAND_STORE, a->tag);
+        c = command_new(OW_EVENT_STORE, a->tag);
         wire_store_reply((enum ow_store_op)a->op, status, body, size, &c->store);
     } else if (a->whom == ASKED_CLOUD) {
         c = cloud_answer(a, status, body, size);
     } else {
-        c = command_new(OW_COMMAND_DIRECT_REPLY, a->tag);
+        c = command_new(OW_EVENT_DIRECT_REPLY, a->tag);
         c->status = status;
         if (status == 200 || status == 409)
             c->report = wire_report_parse(body, size);
@@ -215,7 +215,7 @@
 static void send_store(struct ow_service *s, const struct ow_effect *e)
 {
     struct wire_http http = wire_store_request(e->store);
-    double timeout = STATE_TIMEOUT_S + (e->store->op == OW_STORE_FOLLOW ? e->store->seconds * 1.01 + 2 : 0);
+    double timeout = STATE_TIMEOUT_S + (e->store->op == OW_STORE_WATCH ? e->store->seconds * 1.01 + 2 : 0);
     uint64_t tag = remember(s, ASKED_STATE, e->store->op, e->store->tag);
     ow_http_client_send(s->client, s->settings->state, http.method, http.path, http.body, timeout, tag);
     wire_http_clear(&http);
@@ -246,10 +246,10 @@
     g_free(body);
 }
 
-/* Without a socket to spare the order goes with the answer to the machine's next report. */
+/* Without a socket to spare the command goes with the answer to the machine's next report. */
 static void give_up_direct(struct ow_service *s, const struct ow_effect *e)
 {
-    struct ow_command *c = command_new(OW_COMMAND_DIRECT_REPLY, e->request);
+    struct ow_event *c = command_new(OW_EVENT_DIRECT_REPLY, e->request);
     c->status = OW_STATUS_UNSENT;
     ow_core_push(s->core, c);
 }
@@ -267,7 +267,7 @@
         give_up_direct(s, e);
         return;
     }
-    char *body = wire_direct_orders(e->token, e->session, e->orders);
+    char *body = wire_direct_commands(e->token, e->session, e->commands);
     uint64_t tag = remember(s, ASKED_WORKER, 0, e->request);
     ow_http_client_send(s->client, e->text, "POST", W_PATH_COMMANDS, body, DIRECT_TIMEOUT_S, tag);
     g_free(body);
@@ -275,7 +275,7 @@
 
 static void answer_job(struct ow_service *s, const struct ow_effect *e)
 {
-    struct ow_job_view view = {e->id, e->stance, e->done, e->running, e->text};
+    struct ow_job_view view = {e->id, e->state, e->done, e->running, e->text};
     answer_text(s, e->request, e->status, NULL, wire_job_view(&view));
 }
 
@@ -298,8 +298,8 @@
     case OW_EFFECT_REFUSE:
         answer_refusal(s, e);
         break;
-    case OW_EFFECT_ORDERS:
-        answer_text(s, e->request, 200, NULL, wire_orders(e->token, e->orders));
+    case OW_EFFECT_WORKER_COMMANDS:
+        answer_text(s, e->request, 200, NULL, wire_worker_commands(e->token, e->commands));
         break;
     case OW_EFFECT_MISDIRECT:
         answer_text(s, e->request, 421, NULL, wire_misdirected(e->text));
@@ -314,7 +314,7 @@
         send_cloud(s, e);
         break;
     case OW_EFFECT_PEER:
-        ow_peer_links_tell(s->peers, e->peer);
+        ow_peer_links_send(s->peers, e->peer);
         break;
     }
 }
@@ -375,5 +375,5 @@
     for (guint i = 0; i < effects->len; i++)
         carry_out(s, g_ptr_array_index(effects, i));
     g_ptr_array_free(effects, TRUE);
-    return ow_core_pause(s->core);
+    return ow_core_idle_seconds(s->core);
 }
--- a/src/io/service.h
+++ b/src/io/service.h
@@ -1,4 +1,4 @@
-/* The serving process: turns requests into commands for the core, and its effects into requests. */
+/* The serving process: turns requests into events for the core, and its effects into requests. */
 #ifndef OW_IO_SERVICE_H
 #define OW_IO_SERVICE_H
 
--- a/src/wire/peer.x
+++ b/src/wire/peer.x
@@ -1,5 +1,5 @@
-/* What controllers tell each other. A lost message costs time only, but one kind is needed for more: a user hears
- * "cancelled" only after the coordinator has said that it has taken the cancellation in (core/confirm.c).
+/* The messages between controllers. A lost message costs time only, but one kind is needed for more: a user hears
+ * "cancelled" only after the leader has said that it has acknowledged the cancellation (core/cancellation_ack.c).
  *
  * Every message travels in an envelope. Kinds that are not known are skipped, and of a body whatever comes behind
  * the known fields: so later versions add kinds, and fields at the end of a body. */
@@ -11,11 +11,11 @@
 const PEER_MESSAGE_MAX = 262144;
 
 struct peer_hello {
-    string node<PEER_NAME_MAX>;
+    string sender<PEER_NAME_MAX>;
     unsigned hyper token;     /* the highest token known; the sender's own if it leads */
     bool leads;
     bool state_ok;            /* the state service answered the sender lately */
-    bool hears_workers;       /* workers came to the sender lately */
+    bool receives_reports;       /* workers came to the sender lately */
 };
 
 struct peer_job {
@@ -30,8 +30,8 @@
     peer_job jobs<PEER_JOBS_MAX>;
 };
 
-/* "This job's record has just changed": the coordinator reads at once instead of at its next watch. */
-struct peer_nudge {
+/* "This job's record has just changed": the leader reads at once instead of at its next watch. */
+struct peer_job_changed {
     unsigned hyper revision;
 };
 
@@ -49,18 +49,18 @@
     peer_machine machines<PEER_MACHINES_MAX>;
 };
 
-/* "This job's cancellation is committed": whoever coordinates takes it in, and need not read it anywhere. */
+/* "This job's cancellation is committed": whoever leads acknowledges it, and need not read it anywhere. */
 struct peer_cancellation {
     string job<PEER_NAME_MAX>;
     unsigned hyper revision;  /* of the record that says so */
-    unsigned hyper token;     /* of the coordinator at the time of that record */
+    unsigned hyper token;     /* of the leader at the time of that record */
 };
 
-/* "The coordinator has taken the cancellation in": it has queued the stops, and nothing of the job can start. */
-struct peer_taken {
+/* "The leader has acknowledged the cancellation": it has queued the stops, and nothing of the job can start. */
+struct peer_cancellation_ack {
     string job<PEER_NAME_MAX>;
     unsigned hyper revision;
-    unsigned hyper token;     /* of the coordinator that says so */
+    unsigned hyper token;     /* of the leader that says so */
 };
 
 const PEER_VERSION = 2;
@@ -68,10 +68,10 @@
 enum peer_kind {
     PEER_HELLO = 1,
     PEER_SUMMARY = 2,
-    PEER_NUDGE = 3,
+    PEER_JOB_CHANGED = 3,
     PEER_MACHINES = 4,
     PEER_CANCELLATION = 5,
-    PEER_TAKEN = 6
+    PEER_CANCELLATION_ACK = 6
 };
 
 struct peer_envelope {
--- a/src/wire/peer_xdr.c
+++ b/src/wire/peer_xdr.c
@@ -9,10 +9,10 @@
 union body {
     peer_hello hello;
     peer_summary summary;
-    peer_nudge nudge;
+    peer_job_changed job_changed;
     peer_machines machines;
     peer_cancellation cancellation;
-    peer_taken taken;
+    peer_cancellation_ack cancellation_ack;
 };
 
 static xdrproc_t body_coder(unsigned kind)
@@ -22,14 +22,14 @@
         return (xdrproc_t)xdr_peer_hello;
     case PEER_SUMMARY:
         return (xdrproc_t)xdr_peer_summary;
-    case PEER_NUDGE:
-        return (xdrproc_t)xdr_peer_nudge;
+    case PEER_JOB_CHANGED:
+        return (xdrproc_t)xdr_peer_job_changed;
     case PEER_MACHINES:
         return (xdrproc_t)xdr_peer_machines;
     case PEER_CANCELLATION:
         return (xdrproc_t)xdr_peer_cancellation;
-    case PEER_TAKEN:
-        return (xdrproc_t)xdr_peer_taken;
+    case PEER_CANCELLATION_ACK:
+        return (xdrproc_t)xdr_peer_cancellation_ack;
     default:
         return NULL;
     }
@@ -66,13 +66,13 @@
 {
     switch (m->kind) {
     case OW_PEER_HELLO:
-        b->hello = (peer_hello){m->node, m->number, m->leads, m->state_ok, m->hears_workers};
+        b->hello = (peer_hello){m->sender, m->number, m->leads, m->state_ok, m->receives_reports};
         return NULL;
     case OW_PEER_SUMMARY:
         fill_summary(m, &b->summary);
         return b->summary.jobs.jobs_val;
-    case OW_PEER_NUDGE:
-        b->nudge.revision = m->number;
+    case OW_PEER_JOB_CHANGED:
+        b->job_changed.revision = m->number;
         return NULL;
     case OW_PEER_MACHINES:
         fill_machines(m, &b->machines);
@@ -80,10 +80,10 @@
     case OW_PEER_CANCELLATION:
         b->cancellation = (peer_cancellation){m->job, m->revision, m->number};
         return NULL;
-    case OW_PEER_TAKEN:
-        b->taken = (peer_taken){m->job, m->revision, m->number};
+    case OW_PEER_CANCELLATION_ACK:
+        b->cancellation_ack = (peer_cancellation_ack){m->job, m->revision, m->number};
         return NULL;
-    case OW_PEER_LOST:
+    case OW_PEER_LINK_LOST:
         return NULL;
     }
     return NULL;
@@ -156,17 +156,17 @@
     struct ow_peer_message *m = ow_peer_message_new((enum ow_peer_kind)kind);
     switch (m->kind) {
     case OW_PEER_HELLO:
-        m->node = g_strdup(b->hello.node);
+        m->sender = g_strdup(b->hello.sender);
         m->number = b->hello.token;
         m->leads = b->hello.leads;
         m->state_ok = b->hello.state_ok;
-        m->hears_workers = b->hello.hears_workers;
+        m->receives_reports = b->hello.receives_reports;
         break;
     case OW_PEER_SUMMARY:
         read_summary(&b->summary, m);
         break;
-    case OW_PEER_NUDGE:
-        m->number = b->nudge.revision;
+    case OW_PEER_JOB_CHANGED:
+        m->number = b->job_changed.revision;
         break;
     case OW_PEER_MACHINES:
         read_machines(&b->machines, m);
@@ -176,12 +176,12 @@
         m->revision = b->cancellation.revision;
         m->number = b->cancellation.token;
         break;
-    case OW_PEER_TAKEN:
-        g_strlcpy(m->job, b->taken.job, sizeof m->job);
-        m->revision = b->taken.revision;
-        m->number = b->taken.token;
+    case OW_PEER_CANCELLATION_ACK:
+        g_strlcpy(m->job, b->cancellation_ack.job, sizeof m->job);
+        m->revision = b->cancellation_ack.revision;
+        m->number = b->cancellation_ack.token;
         break;
-    case OW_PEER_LOST:
+    case OW_PEER_LINK_LOST:
         break;
     }
     return m;
