--- a/src/wire/records_json.c
+++ b/src/wire/records_json.c
@@ -9,15 +9,15 @@
 #include <string.h>
 
 /* Field names of our own records are short: values have a size limit. */
-#define F_STANCE "e"
+#define F_STATE "e"
 #define F_SUBMISSION "s"
 #define F_ACCEPTED "t"
-#define F_COORDINATOR "c"
+#define F_LEADER_TOKEN "c"
 #define F_LAST "a"
 #define F_DONE "d"
 #define F_LIVE "l"
 #define F_FORMAT "v"
-#define F_NODE "node"
+#define F_CONTROLLER "node"
 #define F_NONCE "nonce"
 
 static char *take_text(json_t *o)
@@ -30,30 +30,30 @@
 char *wire_job_record(const struct ow_job_record *record)
 {
     json_t *o = json_object();
-    if (record->stance == OW_DONE || record->stance == OW_CANCELLED)
-        json_object_set_new(o, F_STANCE, json_integer(record->stance));
+    if (record->state == OW_JOB_DONE || record->state == OW_JOB_CANCELLED)
+        json_object_set_new(o, F_STATE, json_integer(record->state));
     if (record->submission != NULL)
         json_object_set_new(o, F_SUBMISSION, wire_submission_json(record->submission));
     if (record->accepted_at > 0)
         json_object_set_new(o, F_ACCEPTED, json_integer((json_int_t)record->accepted_at));
-    if (record->coordinator > 0)
-        json_object_set_new(o, F_COORDINATOR, json_integer((json_int_t)record->coordinator));
+    if (record->leader_token > 0)
+        json_object_set_new(o, F_LEADER_TOKEN, json_integer((json_int_t)record->leader_token));
     return take_text(o);
 }
 
 bool wire_job_record_parse(const json_t *value, struct ow_job_record *out)
 {
-    uint64_t stance = OW_QUEUED;
+    uint64_t state = OW_JOB_QUEUED;
     const char *fault = NULL;
     memset(out, 0, sizeof *out);
-    bool over = wj_count(value, F_STANCE, &stance);
-    out->stance = (enum ow_stance)stance;
+    bool over = wj_count(value, F_STATE, &state);
+    out->state = (enum ow_job_state)state;
     wj_number(value, F_ACCEPTED, &out->accepted_at);
-    wj_count(value, F_COORDINATOR, &out->coordinator);
+    wj_count(value, F_LEADER_TOKEN, &out->leader_token);
     const json_t *submission = json_object_get(value, F_SUBMISSION);
     if (submission != NULL)
         out->submission = wire_submission_from(submission, &fault);
-    return over ? stance == OW_DONE || stance == OW_CANCELLED : out->submission != NULL;
+    return over ? state == OW_JOB_DONE || state == OW_JOB_CANCELLED : out->submission != NULL;
 }
 
 /* Appends "from", or "from-to", and a comma if it is not the first. */
@@ -205,17 +205,17 @@
     g_array_free(record->live, TRUE);
 }
 
-void wire_progress_group_add(GString *text, const char *job, uint32_t chunk, uint32_t tasks,
+void wire_progress_value_add(GString *text, const char *job, uint32_t chunk, uint32_t tasks,
                              const char *record)
 {
-    /* Ids of jobs need no escaping: they are checked at the door. */
+    /* Ids of jobs need no escaping: they are checked on submission. */
     g_string_append_printf(text, "%c\"%s/%u", text->len == 0 ? '{' : ',', job, chunk);
     if (tasks != OW_CHUNK_TASKS)
         g_string_append_printf(text, ".%u", tasks);
     g_string_append_printf(text, "\":%s", record);
 }
 
-void wire_progress_group_end(GString *text)
+void wire_progress_value_end(GString *text)
 {
     g_string_append(text, text->len == 0 ? "{}" : "}");
 }
@@ -247,15 +247,15 @@
     return (unsigned)format;
 }
 
-char *wire_coordinator_record(const char *node, const char *nonce)
+char *wire_leader_record(const char *controller, const char *nonce)
 {
-    return take_text(json_pack("{s:s,s:s}", F_NODE, node, F_NONCE, nonce));
+    return take_text(json_pack("{s:s,s:s}", F_CONTROLLER, controller, F_NONCE, nonce));
 }
 
-void wire_coordinator_record_parse(const json_t *value, const char **node, const char **nonce)
+void wire_leader_record_parse(const json_t *value, const char **controller, const char **nonce)
 {
-    *node = *nonce = NULL;
-    wj_string(value, F_NODE, node);
+    *controller = *nonce = NULL;
+    wj_string(value, F_CONTROLLER, controller);
     wj_string(value, F_NONCE, nonce);
 }
 
--- a/src/wire/records_json.h
+++ b/src/wire/records_json.h
@@ -16,17 +16,17 @@
 
 /* Several of them in one value: "<job>/<chunk>" -> record, or "<job>/<chunk>.<tasks>" where chunks have not
    OW_CHUNK_TASKS. Records are added one by one, then comes the end. */
-void wire_progress_group_add(GString *text, const char *job, uint32_t chunk, uint32_t tasks,
+void wire_progress_value_add(GString *text, const char *job, uint32_t chunk, uint32_t tasks,
                              const char *record);
-void wire_progress_group_end(GString *text);
+void wire_progress_value_end(GString *text);
 /* The job's id, which the caller frees, the chunk of a record's name and how many tasks such chunks have;
    NULL if it is none. */
 char *wire_progress_name_parse(const char *name, uint32_t *chunk, uint32_t *tasks);
 
 /* `nonce` tells two processes of the same name apart. */
-char *wire_coordinator_record(const char *node, const char *nonce);
+char *wire_leader_record(const char *controller, const char *nonce);
 /* Both may come back NULL. */
-void wire_coordinator_record_parse(const struct json_t *value, const char **node, const char **nonce);
+void wire_leader_record_parse(const struct json_t *value, const char **controller, const char **nonce);
 
 char *wire_format_record(unsigned format);
 unsigned wire_format_record_parse(const struct json_t *value);
--- a/src/wire/state_json.c
+++ b/src/wire/state_json.c
@@ -59,7 +59,7 @@
         http.path = g_strdup(W_PATH_TXN);
         http.body = txn_body(r);
         break;
-    case OW_STORE_FOLLOW:
+    case OW_STORE_WATCH:
         http.path = g_strdup_printf("%s?%s=%s&%s=%" PRIu64 "&%s=%d", W_PATH_WATCH, W_PREFIX, r->key, W_AFTER,
                                     r->number, W_WAIT, (int)(r->seconds * 1000.0));
         break;
@@ -137,7 +137,7 @@
     case OW_STORE_LIST:
         wj_bool(o, W_MORE, &out->more);
         return json_object_get(o, W_REVISION) != NULL && read_items(o, W_ITEMS, false, out->items);
-    case OW_STORE_FOLLOW:
+    case OW_STORE_WATCH:
         return json_object_get(o, W_REVISION) != NULL && read_items(o, W_EVENTS, true, out->items);
     case OW_STORE_TXN:
         return json_object_get(o, W_REVISION) != NULL;
--- a/src/wire/user_json.c
+++ b/src/wire/user_json.c
@@ -172,7 +172,7 @@
         g_strlcpy(id, named, OW_ID_MAX + 1);
     struct ow_submission *s = wire_submission_from(object, fault);
     json_decref(object);
-    /* Asked at the door alone: what is stored was accepted, and stays readable. */
+    /* Checked on submission alone: what is stored was accepted, and stays readable. */
     if (s != NULL)
         *fault = estimate_fault(s);
     if (s != NULL && *fault != NULL)
@@ -199,7 +199,7 @@
 
 char *wire_job_view(const struct ow_job_view *view)
 {
-    json_t *o = json_pack("{s:s,s:s}", W_ID, view->id, W_STATE, w_stances[view->stance]);
+    json_t *o = json_pack("{s:s,s:s}", W_ID, view->id, W_STATE, w_job_states[view->state]);
     if (view->done != OW_UNCOUNTED)
         json_object_set_new(o, W_DONE_COUNT, json_integer(view->done));
     if (view->running != OW_UNCOUNTED)
--- a/src/wire/user_json.h
+++ b/src/wire/user_json.h
@@ -18,7 +18,7 @@
 
 struct ow_job_view {
     const char *id;
-    enum ow_stance stance;
+    enum ow_job_state state;
     int done, running;  /* OW_UNCOUNTED: left out */
     const char *reason; /* why it waits, or NULL */
 };
--- a/src/wire/words.c
+++ b/src/wire/words.c
@@ -8,9 +8,9 @@
 const char *const w_phases[] = {"fetching", "waiting", "running", "flushing", "exited", NULL};
 const char *const w_causes[] = {"",      "done", "halted", "peers",   "incomplete",
                                 "error", "full", "busy",   "unknown", NULL};
-const char *const w_ops[] = {"launch", "stop", "clear", NULL};
+const char *const w_worker_commands[] = {"launch", "stop", "clear", NULL};
 const char *const w_listed[] = {"", "booting", "running", "failed", NULL};
-const char *const w_stances[] = {"queued", "running", "done", "aborted", NULL};
+const char *const w_job_states[] = {"queued", "running", "done", "aborted", NULL};
 
 int w_index(const char *const *table, const char *word)
 {
--- a/src/wire/words.h
+++ b/src/wire/words.h
@@ -92,13 +92,13 @@
 #define W_REASON "reason"
 
 /* Values, in the order of the enums of core/types.h. */
-extern const char *const w_kinds[];   /* enum ow_kind */
-extern const char *const w_ranks[];   /* enum ow_rank */
-extern const char *const w_phases[];  /* enum ow_phase */
-extern const char *const w_causes[];  /* enum ow_cause */
-extern const char *const w_ops[];     /* enum ow_op */
-extern const char *const w_listed[];  /* enum ow_listed */
-extern const char *const w_stances[]; /* enum ow_stance */
+extern const char *const w_kinds[];           /* enum ow_kind */
+extern const char *const w_ranks[];           /* enum ow_rank */
+extern const char *const w_phases[];          /* enum ow_phase */
+extern const char *const w_causes[];          /* enum ow_cause */
+extern const char *const w_worker_commands[]; /* enum ow_worker_command_kind */
+extern const char *const w_listed[];          /* enum ow_listed */
+extern const char *const w_job_states[];      /* enum ow_job_state */
 
 /* The index of `word` in a table ended by NULL, or -1. */
 int w_index(const char *const *table, const char *word);
--- a/src/wire/worker_json.c
+++ b/src/wire/worker_json.c
@@ -86,17 +86,17 @@
     return NULL;
 }
 
-static json_t *orders_json(const GArray *orders)
+static json_t *commands_json(const GArray *commands)
 {
     json_t *list = json_array();
-    for (guint i = 0; orders != NULL && i < orders->len; i++) {
-        const struct ow_order *order = &g_array_index(orders, struct ow_order, i);
+    for (guint i = 0; commands != NULL && i < commands->len; i++) {
+        const struct ow_worker_command *command = &g_array_index(commands, struct ow_worker_command, i);
         char name[OW_ID_MAX + 16];
-        g_snprintf(name, sizeof name, "%s/%u", order->job, order->task);
-        json_t *o = json_pack("{s:s,s:s,s:I}", W_OP, w_ops[order->op], W_TASK, name, W_ATTEMPT,
-                              (json_int_t)order->attempt);
-        if (order->op == OW_STOP)
-            json_object_set_new(o, W_GRACE, json_real(order->grace_s));
+        g_snprintf(name, sizeof name, "%s/%u", command->job, command->task);
+        json_t *o = json_pack("{s:s,s:s,s:I}", W_OP, w_worker_commands[command->kind], W_TASK, name,
+                              W_ATTEMPT, (json_int_t)command->attempt);
+        if (command->kind == OW_WORKER_STOP)
+            json_object_set_new(o, W_GRACE, json_real(command->grace_s));
         json_array_append_new(list, o);
     }
     return list;
@@ -109,18 +109,18 @@
     return text;
 }
 
-char *wire_orders(uint64_t token, const GArray *orders)
+char *wire_worker_commands(uint64_t token, const GArray *commands)
 {
-    return take_text(json_pack("{s:I,s:o}", W_TOKEN, (json_int_t)token, W_COMMANDS, orders_json(orders)));
+    return take_text(json_pack("{s:I,s:o}", W_TOKEN, (json_int_t)token, W_COMMANDS, commands_json(commands)));
 }
 
-char *wire_direct_orders(uint64_t token, uint64_t session, const GArray *orders)
+char *wire_direct_commands(uint64_t token, uint64_t session, const GArray *commands)
 {
     return take_text(json_pack("{s:I,s:I,s:o}", W_TOKEN, (json_int_t)token, W_SESSION, (json_int_t)session,
-                               W_COMMANDS, orders_json(orders)));
+                               W_COMMANDS, commands_json(commands)));
 }
 
-char *wire_misdirected(const char *node)
+char *wire_misdirected(const char *controller)
 {
-    return take_text(node != NULL ? json_pack("{s:s}", W_REPORT_TO, node) : json_object());
+    return take_text(controller != NULL ? json_pack("{s:s}", W_REPORT_TO, controller) : json_object());
 }
--- a/src/wire/worker_json.h
+++ b/src/wire/worker_json.h
@@ -9,10 +9,10 @@
 /* NULL when malformed. */
 struct ow_report *wire_report_parse(const char *text, size_t size);
 /* The answer to a report. */
-char *wire_orders(uint64_t token, const GArray *orders);
+char *wire_worker_commands(uint64_t token, const GArray *commands);
 /* The body of a direct command. */
-char *wire_direct_orders(uint64_t token, uint64_t session, const GArray *orders);
-/* Where to report instead; `node` NULL: unknown. */
-char *wire_misdirected(const char *node);
+char *wire_direct_commands(uint64_t token, uint64_t session, const GArray *commands);
+/* Where to report instead; `controller` NULL: unknown. */
+char *wire_misdirected(const char *controller);
 
 #endif
--- a/tests/test_chaos.c
+++ b/tests/test_chaos.c
@@ -11,7 +11,7 @@
     struct world *w;
     GRand *rand;
     double calm_at;
-    bool withdrawn[JOBS];
+    bool cancelled[JOBS];
     GPtrArray *copies; /* struct ow_report, to be sent late */
 };
 
@@ -30,8 +30,8 @@
 static void send_copies(struct trouble *t)
 {
     while (t->copies->len > 0) {
-        int node = g_rand_int_range(t->rand, 0, WORLD_NODES);
-        world_send_copy(t->w, node, g_ptr_array_index(t->copies, 0));
+        int controller = g_rand_int_range(t->rand, 0, WORLD_CONTROLLERS);
+        world_send_copy(t->w, controller, g_ptr_array_index(t->copies, 0));
         g_ptr_array_steal_index(t->copies, 0);
     }
 }
@@ -41,13 +41,13 @@
     struct world_machine *m = any_machine(t);
     switch (g_rand_int_range(t->rand, 0, 9)) {
     case 7:
-        m->mute = !m->mute;
+        m->stopped_reporting = !m->stopped_reporting;
         break;
     case 8:
-        m->only_node = m->only_node < 0 ? g_rand_int_range(t->rand, 0, WORLD_NODES) : -1;
+        m->only_controller = m->only_controller < 0 ? g_rand_int_range(t->rand, 0, WORLD_CONTROLLERS) : -1;
         break;
     case 4:
-        m->deaf = !m->deaf;
+        m->unresponsive = !m->unresponsive;
         break;
     case 5:
         keep_copy(t, m);
@@ -73,27 +73,27 @@
 
 static void strike_node(struct trouble *t)
 {
-    int node = g_rand_int_range(t->rand, 0, WORLD_NODES);
-    int other = (node + 1) % WORLD_NODES;
+    int controller = g_rand_int_range(t->rand, 0, WORLD_CONTROLLERS);
+    int other = (controller + 1) % WORLD_CONTROLLERS;
     /* Links break with and without their process. */
     if (g_rand_boolean(t->rand) && t->w->cores[other] != NULL)
-        world_lose_link(t->w, other, node);
+        world_lose_link(t->w, other, controller);
     if (g_rand_int_range(t->rand, 0, 4) == 0)
         return;
-    if (t->w->cores[node] != NULL)
-        world_kill_node(t->w, node);
+    if (t->w->cores[controller] != NULL)
+        world_kill_controller(t->w, controller);
     else
-        world_start_node(t->w, node);
+        world_start_controller(t->w, controller);
     /* Some are back at once. */
-    if (t->w->cores[node] == NULL && g_rand_int_range(t->rand, 0, 3) == 0)
-        world_start_node(t->w, node);
+    if (t->w->cores[controller] == NULL && g_rand_int_range(t->rand, 0, 3) == 0)
+        world_start_controller(t->w, controller);
 }
 
 static void strike_service(struct trouble *t)
 {
     switch (g_rand_int_range(t->rand, 0, 10)) {
     case 7:
-        t->w->denied_node = g_rand_int_range(t->rand, -1, WORLD_NODES);
+        t->w->denied_controller = g_rand_int_range(t->rand, -1, WORLD_CONTROLLERS);
         break;
     case 8:
         t->w->peers_cut = !t->w->peers_cut;
@@ -102,10 +102,10 @@
         t->w->state_slow_s = t->w->state_slow_s > 0 ? 0 : g_rand_double_range(t->rand, 0.1, 1.2);
         break;
     case 5:
-        t->w->isolated_node = g_rand_int_range(t->rand, -1, WORLD_NODES);
+        t->w->isolated_controller = g_rand_int_range(t->rand, -1, WORLD_CONTROLLERS);
         break;
     case 6:
-        t->w->lonely_node = g_rand_int_range(t->rand, -1, WORLD_NODES);
+        t->w->lonely_controller = g_rand_int_range(t->rand, -1, WORLD_CONTROLLERS);
         break;
     case 0:
         t->w->state_down = !t->w->state_down;
@@ -139,18 +139,18 @@
 static void calm(struct trouble *t)
 {
     struct world *w = t->w;
-    w->isolated_node = w->lonely_node = w->denied_node = -1;
+    w->isolated_controller = w->lonely_controller = w->denied_controller = -1;
     w->peers_cut = false;
     w->state_slow_s = 0;
     w->state_down = w->cloud_down = w->hold_txns = w->lose_txn_answers = w->hold_directs = false;
     for (guint i = 0; i < w->machines->len; i++) {
         struct world_machine *m = g_ptr_array_index(w->machines, i);
-        m->cut = m->hangs = m->sick = m->deaf = m->mute = false;
-        m->only_node = -1;
+        m->cut = m->hangs = m->sick = m->unresponsive = m->stopped_reporting = false;
+        m->only_controller = -1;
     }
-    for (int i = 0; i < WORLD_NODES; i++)
+    for (int i = 0; i < WORLD_CONTROLLERS; i++)
         if (w->cores[i] == NULL)
-            world_start_node(w, i);
+            world_start_controller(w, i);
 }
 
 static void job_id(char *id, size_t size, int i)
@@ -170,7 +170,7 @@
         s->gang = i % 3 == 0;
         s->kind = s->gang ? OW_KIND_GANG : OW_KIND_ARRAY;
         s->one_zone = i % 2 == 0;
-        uint64_t request = world_submit(w, attempt % WORLD_NODES, s);
+        uint64_t request = world_submit(w, attempt % WORLD_CONTROLLERS, s);
         world_run(w, 1);
         const struct world_answer *a = world_answer(w, request);
         if (a != NULL && (a->status == 200 || a->status == 201))
@@ -183,13 +183,13 @@
     fail_msg("%s was never accepted", id);
 }
 
-static void withdraw_some(struct trouble *t)
+static void cancel_some(struct trouble *t)
 {
     int i = g_rand_int_range(t->rand, 0, JOBS);
     char id[16];
     job_id(id, sizeof id, i);
-    t->withdrawn[i] = true;
-    world_withdraw(t->w, g_rand_int_range(t->rand, 0, WORLD_NODES), id);
+    t->cancelled[i] = true;
+    world_cancel(t->w, g_rand_int_range(t->rand, 0, WORLD_CONTROLLERS), id);
 }
 
 static void free_report(void *report)
@@ -203,7 +203,7 @@
     for (int i = 0; i < JOBS; i++) {
         char id[16];
         job_id(id, sizeof id, i);
-        if (world_stance(t->w, id) < 0)
+        if (world_job_state(t->w, id) < 0)
             fail_msg("nobody knows %s", id);
     }
 }
@@ -215,7 +215,7 @@
     for (guint k = 0; k < m->tasks->len; k++) {
         const struct world_task *task = &g_array_index(m->tasks, struct world_task, k);
         const struct world_wish *wish = g_hash_table_lookup(w->wishes, task->job);
-        cpus -= task->phase != OW_EXITED ? wish->cpus : 0;
+        cpus -= task->phase != OW_PHASE_EXITED ? wish->cpus : 0;
     }
     return cpus;
 }
@@ -241,7 +241,7 @@
             char id[16];
             job_id(id, sizeof id, i);
             const struct world_wish *wish = g_hash_table_lookup(t->w->wishes, id);
-            bool waits = !t->withdrawn[i] && !world_all_done(t->w, id) && world_running(t->w, id) == 0 &&
+            bool waits = !t->cancelled[i] && !world_all_done(t->w, id) && world_running(t->w, id) == 0 &&
                          room_for(t->w, wish);
             waited[i] = waits ? waited[i] + 1 : 0;
             if (waited[i] >= 90)
@@ -258,10 +258,10 @@
     struct world *w = t.w;
     w->capacity = 40;
     /* Every other time records have to be spread over many values. */
-    for (int i = 0; i < WORLD_NODES && seed % 2 == 0; i++)
+    for (int i = 0; i < WORLD_CONTROLLERS && seed % 2 == 0; i++)
         w->settings[i].value_kb = w->value_kb = 0.5;
-    for (int i = 0; i < WORLD_NODES; i++)
-        world_start_node(w, i);
+    for (int i = 0; i < WORLD_CONTROLLERS; i++)
+        world_start_controller(w, i);
     for (int i = 0; i < MACHINES; i++) {
         char name[16];
         g_snprintf(name, sizeof name, "m-%d", i);
@@ -277,7 +277,7 @@
         world_run(w, g_rand_double_range(t.rand, 0, 6));
         strike(&t);
         if (i % 5 == 0)
-            withdraw_some(&t);
+            cancel_some(&t);
     }
     calm(&t);
     world_run(w, 25);
@@ -286,9 +286,9 @@
     for (int i = 0; i < JOBS; i++) {
         char id[16];
         job_id(id, sizeof id, i);
-        int stance = world_stance(w, id);
-        if (stance != OW_DONE && !(stance == OW_CANCELLED && t.withdrawn[i]))
-            fail_msg("seed %u: %s ends as %d", seed, id, stance);
+        int state = world_job_state(w, id);
+        if (state != OW_JOB_DONE && !(state == OW_JOB_CANCELLED && t.cancelled[i]))
+            fail_msg("seed %u: %s ends as %d", seed, id, state);
     }
     if (w->broken->len > 0 || w->too_large > 0)
         fail_msg("seed %u: %s", seed, w->broken->str);
--- a/tests/test_fleet.c
+++ b/tests/test_fleet.c
@@ -2,7 +2,7 @@
    a third of the machines is lost. No rule may break, all work is done, and what is asked of others is
    bounded. */
 #include "check.h"
-#include "core/lead_state.h"
+#include "core/leader_state.h"
 #include "world.h"
 
 enum { MACHINES = 2000, GANGS = 40, SCANS = 40, BILLS = 30 };
@@ -11,7 +11,7 @@
 
 static void set_rates(struct world *w)
 {
-    for (int i = 0; i < WORLD_NODES; i++) {
+    for (int i = 0; i < WORLD_CONTROLLERS; i++) {
         struct ow_settings *s = &w->settings[i];
         s->report_s = 5;
         s->lease_s = 26.5;
@@ -29,8 +29,8 @@
     struct world *w = world_new();
     set_rates(w);
     w->capacity = MACHINES;
-    for (int i = 0; i < WORLD_NODES; i++)
-        world_start_node(w, i);
+    for (int i = 0; i < WORLD_CONTROLLERS; i++)
+        world_start_controller(w, i);
     for (int i = 0; i < MACHINES; i++) {
         char name[16];
         g_snprintf(name, sizeof name, "m-%05d", i);
@@ -69,22 +69,24 @@
         struct ow_submission *s = job_of_class(n, "sync", 6 + 5 * ((uint32_t)i % 3), 8, 0, OW_RANK_URGENT);
         s->kind = OW_KIND_GANG;
         s->gang = s->one_zone = true;
-        world_submit(w, i % WORLD_NODES, s);
+        world_submit(w, i % WORLD_CONTROLLERS, s);
     }
     for (int i = 0; i < SCANS; i++, n++)
-        world_submit(w, i % WORLD_NODES, job_of_class(n, "scan", 20 + (uint32_t)i, 3, 1, OW_RANK_STANDARD));
+        world_submit(w, i % WORLD_CONTROLLERS,
+                     job_of_class(n, "scan", 20 + (uint32_t)i, 3, 1, OW_RANK_STANDARD));
     for (int i = 0; i < BILLS; i++, n++)
-        world_submit(w, i % WORLD_NODES, job_of_class(n, "bill", 100 + 10 * (uint32_t)i, 1, 0, OW_RANK_LOW));
+        world_submit(w, i % WORLD_CONTROLLERS,
+                     job_of_class(n, "bill", 100 + 10 * (uint32_t)i, 1, 0, OW_RANK_LOW));
     return n;
 }
 
 static void restart_all(struct world *w)
 {
-    for (int i = 0; i < WORLD_NODES; i++)
-        world_kill_node(w, i);
+    for (int i = 0; i < WORLD_CONTROLLERS; i++)
+        world_kill_controller(w, i);
     world_run(w, 8);
-    for (int i = 0; i < WORLD_NODES; i++)
-        world_start_node(w, i);
+    for (int i = 0; i < WORLD_CONTROLLERS; i++)
+        world_start_controller(w, i);
 }
 
 static void lose_a_third(struct world *w)
@@ -111,14 +113,14 @@
 
 static unsigned long looks;
 
-bool __real_ow_book_usable(const struct ow_lead *lead, const struct ow_machine *m);
-bool __wrap_ow_book_usable(const struct ow_lead *lead, const struct ow_machine *m);
+bool __real_ow_machine_is_usable(const struct ow_leader *leader, const struct ow_machine *m);
+bool __wrap_ow_machine_is_usable(const struct ow_leader *leader, const struct ow_machine *m);
 
 /* Every look at a machine begins with this question. */
-bool __wrap_ow_book_usable(const struct ow_lead *lead, const struct ow_machine *m)
+bool __wrap_ow_machine_is_usable(const struct ow_leader *leader, const struct ow_machine *m)
 {
     looks++;
-    return __real_ow_book_usable(lead, m);
+    return __real_ow_machine_is_usable(leader, m);
 }
 
 /* With every machine full, a decision costs a look at each machine for every class, not for every job that
--- a/tests/test_gangs.c
+++ b/tests/test_gangs.c
@@ -1,4 +1,4 @@
-/* The reservation path: holds, one starting round, the place in line, refusals, zones, preemption. */
+/* The reservation path: holds, one starting round, the place in the queue, refusals, zones, preemption. */
 #include "check.h"
 #include "world.h"
 
@@ -7,7 +7,7 @@
 static struct world *start_world(void)
 {
     struct world *w = world_new();
-    world_start_node(w, 0);
+    world_start_controller(w, 0);
     return w;
 }
 
@@ -18,7 +18,8 @@
         const struct world_machine *m = g_ptr_array_index(w->machines, i);
         for (guint k = 0; k < m->tasks->len; k++) {
             const struct world_task *t = &g_array_index(m->tasks, struct world_task, k);
-            count += strcmp(m->zone, zone) == 0 && t->phase != OW_EXITED && strcmp(t->job, job) == 0 ? 1 : 0;
+            count +=
+                strcmp(m->zone, zone) == 0 && t->phase != OW_PHASE_EXITED && strcmp(t->job, job) == 0 ? 1 : 0;
         }
     }
     return count;
@@ -196,7 +197,7 @@
 
 static void give_guarantee(struct world *w, guint team, double cpus)
 {
-    for (int i = 0; i < WORLD_NODES; i++)
+    for (int i = 0; i < WORLD_CONTROLLERS; i++)
         g_array_index(w->settings[i].teams, struct ow_team_settings, team).cpus = cpus;
 }
 
@@ -236,7 +237,7 @@
     struct world_machine *m = world_machine(w, "m-0");
     struct world_task *t = &g_array_index(m->tasks, struct world_task, 0);
     uint64_t attempt = t->attempt;
-    t->phase = OW_EXITED;
+    t->phase = OW_PHASE_EXITED;
     t->cause = OW_CAUSE_FULL; /* refused: the member that did start is stopped */
     m->report_at = w->now;
     world_run(w, 6);
@@ -335,14 +336,14 @@
 {
     struct world *w = full_world(4);
     char id[16];
-    for (int i = 0; i < WORLD_NODES; i++) {
+    for (int i = 0; i < WORLD_CONTROLLERS; i++) {
         w->settings[i].value_kb = 0.6;
         w->settings[i].txn_ops = 1; /* so that a value and the one it overflows to are written one by one */
     }
     w->value_kb = 0.6;
     w->txn_ops = 1;
-    world_kill_node(w, 0); /* settings are read at the start */
-    world_start_node(w, 0);
+    world_kill_controller(w, 0); /* settings are read at the start */
+    world_start_controller(w, 0);
     world_run(w, 6);
     w->run_s = 20;
     for (int i = 0; i < 8; i++) {
@@ -359,8 +360,8 @@
     }
     world_run(w, kill_after_s);
     /* Whoever takes over knows every attempt: none is started twice, none is lost. */
-    world_kill_node(w, 0);
-    world_start_node(w, 0);
+    world_kill_controller(w, 0);
+    world_start_controller(w, 0);
     for (int i = 0; i < 8; i++) {
         g_snprintf(id, sizeof id, "run-%d", i);
         assert_true(world_until(w, 90, world_all_done, id));
@@ -373,7 +374,7 @@
 }
 
 /* Records that share a value are moved to another before they outgrow it, and none is lost on the way,
-   whenever the coordinator ends. */
+   whenever the leader ends. */
 static void test_records_outgrow_their_value(void **state)
 {
     (void)state;
@@ -481,8 +482,8 @@
     /* Nor does anybody wait for ever, though the controller begins anew again and again. */
     for (int i = 0; i < 4; i++) {
         world_run(w, 60);
-        world_kill_node(w, 0);
-        world_start_node(w, 0);
+        world_kill_controller(w, 0);
+        world_start_controller(w, 0);
     }
     assert_true(world_until(w, 20, world_some_running, "run-1"));
     world_finish(w);
@@ -500,8 +501,8 @@
     world_submit(w, 0, numbered(1, 4, 8, false, OW_RANK_LOW));
     for (int i = 0; i < 2; i++) {
         assert_false(begins_within(w, "run-1", 55, 1, urgent_array, 100 + 100 * i));
-        world_kill_node(w, 0); /* the only one in this world */
-        world_start_node(w, 0);
+        world_kill_controller(w, 0); /* the only one in this world */
+        world_start_controller(w, 0);
     }
     assert_true(begins_within(w, "run-1", 90, 1, urgent_array, 300));
     world_finish(w);
--- a/tests/test_isolation.c
+++ b/tests/test_isolation.c
@@ -21,63 +21,63 @@
     return world_where(w, "run-1");
 }
 
-/* ---- a machine whose reports arrive, but which hears nothing ---- */
+/* ---- a machine whose reports arrive, but which is unresponsive ---- */
 
-static void test_a_deaf_machine_is_given_nothing_and_returned(void **state)
+static void test_an_unresponsive_machine_is_given_nothing_and_returned(void **state)
 {
     (void)state;
     struct world *w = start_world(3);
-    struct world_machine *deaf = start_long_job(w);
-    deaf->deaf = true;
+    struct world_machine *unresponsive = start_long_job(w);
+    unresponsive->unresponsive = true;
     /* A gang that needs a machine whole may pick it before anything shows: it must not wait for it. */
     w->run_s = 2;
     world_submit(w, 0, world_gang("run-2", 2, 16));
-    assert_true(world_until(w, 40, world_is_gone, deaf));
+    assert_true(world_until(w, 40, world_is_gone, unresponsive));
     assert_true(world_until(w, 40, world_all_done, "run-2"));
     assert_true(world_until(w, 40, world_all_done, "run-1"));
     world_finish(w);
 }
 
-/* From the first order that finds no answer on, it gets nothing more, long before it is returned. */
-static void test_a_deaf_machine_gets_nothing_more(void **state)
+/* From the first command that finds no answer on, it gets nothing more, long before it is returned. */
+static void test_an_unresponsive_machine_gets_nothing_more(void **state)
 {
     (void)state;
     struct world *w = start_world(2);
-    struct world_machine *deaf = start_long_job(w);
-    deaf->deaf = true;
+    struct world_machine *unresponsive = start_long_job(w);
+    unresponsive->unresponsive = true;
     w->run_s = 1;
     world_submit(w, 0, world_job("run-2", 1, 1)); /* fits best beside the other */
     world_run(w, 5);
-    assert_false(deaf->gone);
+    assert_false(unresponsive->gone);
     world_submit(w, 0, world_job("run-3", 1, 1));
     assert_true(world_until(w, 4, world_all_done, "run-3"));
-    assert_false(deaf->gone);
+    assert_false(unresponsive->gone);
     world_finish(w);
 }
 
-static void test_a_deaf_machine_at_a_take_over(void **state)
+static void test_an_unresponsive_machine_at_a_take_over(void **state)
 {
     (void)state;
     struct world *w = start_world(3);
-    struct world_machine *deaf = start_long_job(w);
-    deaf->deaf = true;
-    world_kill_node(w, world_leader(w));
+    struct world_machine *unresponsive = start_long_job(w);
+    unresponsive->unresponsive = true;
+    world_kill_controller(w, world_leader(w));
     /* Its reports, under a token that is not ours, keep coming: they are no sign of health. */
-    assert_true(world_until(w, 60, world_runs_on_another, deaf));
-    assert_true(world_until(w, 90, world_is_gone, deaf));
+    assert_true(world_until(w, 60, world_runs_on_another, unresponsive));
+    assert_true(world_until(w, 90, world_is_gone, unresponsive));
     world_finish(w);
 }
 
-static void test_a_cancelled_task_on_a_deaf_machine(void **state)
+static void test_a_cancelled_task_on_an_unresponsive_machine(void **state)
 {
     (void)state;
     struct world *w = start_world(2);
-    struct world_machine *deaf = start_long_job(w);
-    deaf->deaf = true;
-    deaf->renewed_at = w->now + 1000; /* its lease does not end it */
-    world_withdraw(w, 0, "run-1");
+    struct world_machine *unresponsive = start_long_job(w);
+    unresponsive->unresponsive = true;
+    unresponsive->renewed_at = w->now + 1000; /* its lease does not end it */
+    world_cancel(w, 0, "run-1");
     world_run(w, 39);
-    assert_true(deaf->gone);
+    assert_true(unresponsive->gone);
     world_run(w, 5);
     world_finish(w);
 }
@@ -117,9 +117,9 @@
     struct ow_report *copy = m == world_machine(w, "m-0") ? before : other;
     m->cut = true;
     m->renewed_at = w->now + 1000;
-    world_kill_node(w, world_leader(w));
+    world_kill_controller(w, world_leader(w));
     world_run(w, 8);
-    /* It names no task, and it is the first that this coordinator hears of the machine. */
+    /* It names no task, and it is the first that this leader hears of the machine. */
     world_send_copy(w, world_leader(w), copy);
     world_run(w, 15);
     assert_false(world_runs_on_another(w, m));
@@ -151,15 +151,15 @@
     world_finish(w);
 }
 
-/* ---- a coordinator without state service and peers, but with its workers ---- */
+/* ---- a leader without state service and peers, but with its workers ---- */
 
-static void test_an_isolated_coordinator_gives_way(void **state)
+static void test_an_isolated_leader_gives_way(void **state)
 {
     (void)state;
     struct world *w = start_world(2);
     struct world_machine *m = start_long_job(w);
     int old = world_leader(w);
-    w->isolated_node = old;
+    w->isolated_controller = old;
     world_run(w, 4);
     uint64_t poll = world_poll(w, old, "run-1");
     world_submit(w, old, world_job("run-2", 1, 1));
@@ -177,7 +177,7 @@
     world_submit(w, world_leader(w), world_job("run-3", 1, 1));
     assert_true(world_until(w, 20, world_all_done, "run-3"));
     assert_int_equal(world_running(w, "run-2"), 0);
-    w->isolated_node = -1;
+    w->isolated_controller = -1;
     world_run(w, 10);
     assert_true(ow_core_healthy(w->cores[old]));
     world_finish(w);
@@ -187,25 +187,25 @@
 {
     (void)state;
     struct world *w = start_world(1);
-    int other = (world_leader(w) + 1) % WORLD_NODES;
-    w->isolated_node = other;
+    int other = (world_leader(w) + 1) % WORLD_CONTROLLERS;
+    w->isolated_controller = other;
     world_run(w, 8);
     assert_false(ow_core_healthy(w->cores[other]));
     assert_true(ow_core_healthy(w->cores[world_leader(w)]));
-    w->isolated_node = -1;
+    w->isolated_controller = -1;
     world_run(w, 8);
     assert_true(ow_core_healthy(w->cores[other]));
     world_finish(w);
 }
 
-/* One that workers can't reach is no coordinator, however well it stands with the state service. */
-static void test_a_coordinator_without_workers_gives_way(void **state)
+/* One that workers can't reach is no leader, however well it stands with the state service. */
+static void test_a_leader_without_workers_gives_way(void **state)
 {
     (void)state;
     struct world *w = start_world(2);
     struct world_machine *m = start_long_job(w);
     int old = world_leader(w);
-    w->lonely_node = old;
+    w->lonely_controller = old;
     world_run(w, 18);
     assert_true(world_leader(w) >= 0 && world_leader(w) != old);
     assert_true(world_where(w, "run-1") == m);
@@ -222,15 +222,15 @@
         w->run_s = 4;
         world_submit(w, 0, world_job("run-1", 3, 1));
         world_run(w, 0.1);
-        /* The coordinator ends, one that takes over ends in mid-election, and both are back at once. */
-        int old = world_leader(w), next = (old + 1) % WORLD_NODES;
+        /* The leader ends, one that takes over ends in mid-election, and both are back at once. */
+        int old = world_leader(w), next = (old + 1) % WORLD_CONTROLLERS;
         w->lose_txn_answers = step % 3 == 0;
-        world_kill_node(w, old);
+        world_kill_controller(w, old);
         world_lose_link(w, next, old);
-        world_start_node(w, old);
+        world_start_controller(w, old);
         world_run(w, 0.05 * step);
-        world_kill_node(w, next);
-        world_start_node(w, next);
+        world_kill_controller(w, next);
+        world_start_controller(w, next);
         w->lose_txn_answers = false;
         world_run(w, 0.1);
         world_submit(w, next, world_job("run-1", 3, 1));
@@ -274,26 +274,26 @@
     w->run_s = 1;
     for (int i = 0; i < JOBS; i++) {
         g_snprintf(id, sizeof id, "run-%d", i);
-        world_submit(w, i % WORLD_NODES, world_job(id, 1, 0.2));
+        world_submit(w, i % WORLD_CONTROLLERS, world_job(id, 1, 0.2));
         if (i % 20 == 19)
             world_run(w, 0.5);
     }
     world_run(w, 20);
-    for (int round = 0; round < WORLD_NODES; round++) {
-        int node = world_leader(w);
-        world_kill_node(w, node);
+    for (int round = 0; round < WORLD_CONTROLLERS; round++) {
+        int controller = world_leader(w);
+        world_kill_controller(w, controller);
         world_run(w, 2);
-        world_start_node(w, node);
+        world_start_controller(w, controller);
         world_run(w, 8);
     }
     for (int i = 0; i < JOBS; i++) {
         g_snprintf(id, sizeof id, "run-%d", i);
-        polls[i] = world_poll(w, i % WORLD_NODES, id);
+        polls[i] = world_poll(w, i % WORLD_CONTROLLERS, id);
     }
     world_run(w, 2);
     for (int i = 0; i < JOBS; i++) {
         const struct world_answer *a = world_answer(w, polls[i]);
-        assert_true(a != NULL && a->status == 200 && a->stance == OW_DONE);
+        assert_true(a != NULL && a->status == 200 && a->state == OW_JOB_DONE);
     }
     world_finish(w);
 }
@@ -316,7 +316,7 @@
     world_finish(w);
 }
 
-/* Without a socket to spare, orders go with the answers to reports, and no machine is blamed for that. */
+/* Without a socket to spare, commands go with the answers to reports, and no machine is blamed for that. */
 static void test_without_sockets_work_goes_on(void **state)
 {
     (void)state;
@@ -335,16 +335,16 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_a_deaf_machine_is_given_nothing_and_returned),
-        cmocka_unit_test(test_a_deaf_machine_gets_nothing_more),
-        cmocka_unit_test(test_a_deaf_machine_at_a_take_over),
-        cmocka_unit_test(test_a_cancelled_task_on_a_deaf_machine),
+        cmocka_unit_test(test_an_unresponsive_machine_is_given_nothing_and_returned),
+        cmocka_unit_test(test_an_unresponsive_machine_gets_nothing_more),
+        cmocka_unit_test(test_an_unresponsive_machine_at_a_take_over),
+        cmocka_unit_test(test_a_cancelled_task_on_an_unresponsive_machine),
         cmocka_unit_test(test_a_late_copy_renews_nothing),
         cmocka_unit_test(test_a_late_copy_proves_nothing_after_a_take_over),
         cmocka_unit_test(test_a_late_copy_brings_no_deleted_machine_back),
-        cmocka_unit_test(test_an_isolated_coordinator_gives_way),
+        cmocka_unit_test(test_an_isolated_leader_gives_way),
         cmocka_unit_test(test_an_isolated_follower_is_left_out),
-        cmocka_unit_test(test_a_coordinator_without_workers_gives_way),
+        cmocka_unit_test(test_a_leader_without_workers_gives_way),
         cmocka_unit_test(test_back_at_once_at_any_moment),
         cmocka_unit_test(test_a_worker_whose_numbers_go_back),
         cmocka_unit_test(test_every_poll_is_answered),
--- a/tests/test_meetings.c
+++ b/tests/test_meetings.c
@@ -17,7 +17,7 @@
 
 static int beside(const struct world *w)
 {
-    return (world_leader(w) + 1) % WORLD_NODES;
+    return (world_leader(w) + 1) % WORLD_CONTROLLERS;
 }
 
 static struct world_machine *start_job(struct world *w, struct ow_submission *job)
@@ -33,7 +33,7 @@
 /* A user who asks every second until the cancellation is confirmed. */
 struct canceller {
     const char *id;
-    int node;
+    int controller;
     uint64_t request;
     double asked_at, told_at;
 };
@@ -46,7 +46,7 @@
         c->told_at = w->now;
     else if (w->now >= c->asked_at + 1) {
         c->asked_at = w->now;
-        c->request = world_withdraw(w, c->node, c->id);
+        c->request = world_cancel(w, c->controller, c->id);
     }
 }
 
@@ -65,8 +65,8 @@
     (void)state;
     struct world *w = start_world(2);
     start_job(w, world_job("run-1", 3, 1));
-    w->denied_node = world_leader(w);
-    struct canceller c = {.id = "run-1", .node = beside(w)};
+    w->denied_controller = world_leader(w);
+    struct canceller c = {.id = "run-1", .controller = beside(w)};
     run_cancelling(w, &c, 1);
     assert_true(c.told_at > 0);
     w->state_down = true;
@@ -81,9 +81,9 @@
     (void)state;
     struct world *w = start_world(2);
     start_job(w, world_job("run-1", 3, 1));
-    w->denied_node = world_leader(w);
+    w->denied_controller = world_leader(w);
     w->peers_cut = true;
-    struct canceller c = {.id = "run-1", .node = beside(w)};
+    struct canceller c = {.id = "run-1", .controller = beside(w)};
     run_cancelling(w, &c, 1.2);
     w->state_down = true;
     run_cancelling(w, &c, 60);
@@ -91,66 +91,67 @@
     world_run(w, 1);
     assert_int_equal(world_status(w, c.request), 503);
     assert_true(world_answer(w, c.request)->retry_after_s > 0);
-    uint64_t poll = world_poll(w, c.node, "run-1");
+    uint64_t poll = world_poll(w, c.controller, "run-1");
     world_run(w, 1);
     assert_int_equal(world_status(w, poll), 503);
-    /* The commit is kept: what was asked for comes true, and is told, once a coordinator has it. */
+    /* The commit is kept: what was asked for comes true, and is told, once a leader has it. */
     w->state_down = w->peers_cut = false;
-    w->denied_node = -1;
+    w->denied_controller = -1;
     run_cancelling(w, &c, 12);
     assert_true(c.told_at > 0);
     assert_int_equal(world_running(w, "run-1"), 0);
     world_finish(w);
 }
 
-static void say_taken(struct world *w, int node, const char *job, uint64_t revision, uint64_t token)
+static void say_taken(struct world *w, int controller, const char *job, uint64_t revision, uint64_t token)
 {
-    struct ow_command *c = g_new0(struct ow_command, 1);
-    c->kind = OW_COMMAND_PEER;
-    c->peer = ow_peer_message_new(OW_PEER_TAKEN);
+    struct ow_event *c = g_new0(struct ow_event, 1);
+    c->kind = OW_EVENT_PEER;
+    c->peer = ow_peer_message_new(OW_PEER_CANCELLATION_ACK);
     g_strlcpy(c->peer->job, job, sizeof c->peer->job);
     c->peer->revision = revision;
     c->peer->number = token;
-    ow_core_push(w->cores[node], c);
+    ow_core_push(w->cores[controller], c);
 }
 
-/* What a coordinator says that was deposed before the cancellation was recorded counts for nothing: its
+/* What a leader says that was deposed before the cancellation was recorded counts for nothing: its
    successor need not have it. */
-static void test_the_word_of_a_deposed_coordinator(void **state)
+static void test_the_acknowledgement_of_a_deposed_leader(void **state)
 {
     (void)state;
     struct world *w = start_world(2);
     start_job(w, world_job("run-1", 1, 1));
     uint64_t token = ow_core_token(w->cores[world_leader(w)]);
-    w->denied_node = world_leader(w);
+    w->denied_controller = world_leader(w);
     w->peers_cut = true;
-    int node = beside(w);
-    world_withdraw(w, node, "run-1");
+    int controller = beside(w);
+    world_cancel(w, controller, "run-1");
     world_run(w, 1);
     w->state_down = true;
-    say_taken(w, node, "run-1", w->revision, token - 1);
-    uint64_t poll = world_poll(w, node, "run-1");
+    say_taken(w, controller, "run-1", w->revision, token - 1);
+    uint64_t poll = world_poll(w, controller, "run-1");
     world_run(w, 1);
     assert_int_equal(world_status(w, poll), 503);
-    say_taken(w, node, "run-1", w->revision, token);
-    poll = world_poll(w, node, "run-1");
+    say_taken(w, controller, "run-1", w->revision, token);
+    poll = world_poll(w, controller, "run-1");
     world_run(w, 1);
     assert_int_equal(world_status(w, poll), 200);
     world_free(w); /* that word was made up: the tasks go on */
 }
 
-/* A cancellation told ahead of the job itself: an older record of the job, read later, must not let it start.
+/* A cancellation announced ahead of the job itself: an older record of the job, read later, must not let it
+ * start.
  */
 static void test_a_cancellation_overtakes_its_job(void **state)
 {
     (void)state;
     struct world *w = start_world(2);
     int leader = world_leader(w);
-    w->slow_node = leader;
+    w->slow_controller = leader;
     w->state_slow_s = 1.2; /* what it reads is as old when it comes */
     world_submit(w, beside(w), world_job("run-1", 1, 1));
     world_run(w, 0.3);
-    struct canceller c = {.id = "run-1", .node = beside(w)};
+    struct canceller c = {.id = "run-1", .controller = beside(w)};
     run_cancelling(w, &c, 0.6);
     assert_true(c.told_at > 0);
     world_run(w, 4);
@@ -164,35 +165,35 @@
 }
 
 /* A record that reaches the state service only after a take-over would be unknown to who has read before: it
-   expects the coordinator that was known to its writer. */
-static void test_a_withdrawal_that_comes_after_a_take_over(void **state)
+   expects the leader that was known to its writer. */
+static void test_a_cancellation_that_comes_after_a_take_over(void **state)
 {
     (void)state;
     struct world *w = start_world(2);
     start_job(w, world_job("run-1", 1, 1));
     int old = world_leader(w);
-    w->hold_node = beside(w);
+    w->hold_controller = beside(w);
     w->hold_next = 1;
     w->keep_held = true;
-    uint64_t first = world_withdraw(w, w->hold_node, "run-1");
+    uint64_t first = world_cancel(w, w->hold_controller, "run-1");
     world_run(w, 3);
     assert_int_equal(world_status(w, first), 503);
-    world_kill_node(w, old);
+    world_kill_controller(w, old);
     world_run(w, 10);
     assert_true(world_leader(w) >= 0 && world_leader(w) != old);
     w->keep_held = false;
     world_run(w, 3);
     assert_int_equal(w->held->len, 0);
-    assert_int_equal(world_stance(w, "run-1"), OW_ACTIVE);
+    assert_int_equal(world_job_state(w, "run-1"), OW_JOB_RUNNING);
     world_finish(w);
 }
 
-/* Until another node than `old` has taken the coordinator's key; its answer is still on the way. */
+/* Until another controller than `old` has taken the leader's key; its answer is still on the way. */
 static void run_until_taken(struct world *w, int old)
 {
     for (int i = 0; i < 200; i++) {
-        const char *key = world_value_text(w, OW_KEY_COORDINATOR);
-        if (key != NULL && strstr(key, w->settings[old].node) == NULL)
+        const char *key = world_value_text(w, OW_KEY_LEADER);
+        if (key != NULL && strstr(key, w->settings[old].controller_name) == NULL)
             return;
         world_run(w, 0.05);
     }
@@ -208,10 +209,10 @@
     struct world_machine *m = start_job(w, world_job("run-1", 1, 1));
     int old = world_leader(w);
     m->hangs = true; /* so that the stop does not get there */
-    struct canceller c = {.id = "run-1", .node = beside(w)};
+    struct canceller c = {.id = "run-1", .controller = beside(w)};
     run_cancelling(w, &c, 0.5);
     assert_true(c.told_at > 0);
-    world_kill_node(w, old);
+    world_kill_controller(w, old);
     w->state_slow_s = 0.5;
     run_until_taken(w, old);
     w->state_down = true;
@@ -222,7 +223,7 @@
     world_finish(w);
 }
 
-/* One that is told of a cancellation before it knows what there is to end gives no word. */
+/* One that learns of a cancellation before it knows what there is to end acknowledges nothing. */
 static void test_a_leader_that_is_not_ready_gives_no_word(void **state)
 {
     (void)state;
@@ -231,14 +232,14 @@
     w->cloud_down = true;
     int old = world_leader(w);
     m->cut = true;
-    world_kill_node(w, old);
+    world_kill_controller(w, old);
     run_until_taken(w, old);
     while (world_leader(w) < 0)
         world_run(w, 0.05);
-    w->slow_node = world_leader(w);
+    w->slow_controller = world_leader(w);
     w->state_slow_s = 3;
     world_run(w, 0.3); /* the others learn who leads */
-    struct canceller c = {.id = "run-1", .node = 3 - old - world_leader(w)};
+    struct canceller c = {.id = "run-1", .controller = 3 - old - world_leader(w)};
     run_cancelling(w, &c, 2);
     assert_true(c.told_at == 0);
     w->state_slow_s = 0;
@@ -256,17 +257,17 @@
     struct world *w = start_world(2);
     struct world_machine *m = start_job(w, world_job("run-1", 1, 1));
     int old = world_leader(w);
-    w->isolated_node = m->only_node = old;
+    w->isolated_controller = m->only_controller = old;
     w->cloud_down = cloud_down;
     world_run(w, 6);
     assert_true(world_leader(w) != old);
-    struct canceller c = {.id = "run-1", .node = world_leader(w)};
+    struct canceller c = {.id = "run-1", .controller = world_leader(w)};
     run_cancelling(w, &c, 45);
     /* The leader inside stops answering in time; outside, only proof lets the user hear. */
     assert_int_equal(world_running(w, "run-1"), 0);
     assert_true(m->gone == !cloud_down);
     assert_true((c.told_at > 0) == !cloud_down);
-    w->isolated_node = m->only_node = -1;
+    w->isolated_controller = m->only_controller = -1;
     w->cloud_down = false;
     run_cancelling(w, &c, 10);
     assert_true(c.told_at > 0);
@@ -287,11 +288,11 @@
     struct world *w = start_world(2);
     int old = world_leader(w);
     uint64_t before = ow_core_token(w->cores[old]);
-    w->isolated_node = old;
+    w->isolated_controller = old;
     w->state_down = true; /* its key stays where it is: leases don't run out */
     world_run(w, 30);
     assert_int_equal(ow_core_token(w->cores[old]), 0);
-    w->isolated_node = -1;
+    w->isolated_controller = -1;
     w->state_down = false;
     world_run(w, 8);
     assert_int_equal(world_leader(w), old);
@@ -308,21 +309,21 @@
         struct world *w = world_with_machines(2);
         w->run_s = 1;
         w->state_slow_s = offset % 2 == 0 ? 0 : 0.2;
-        world_submit(w, offset % WORLD_NODES, world_job("run-1", 2, 1));
+        world_submit(w, offset % WORLD_CONTROLLERS, world_job("run-1", 2, 1));
         world_run(w, 1 + 0.1 * offset);
-        uint64_t cancel = world_withdraw(w, (offset + 1) % WORLD_NODES, "run-1");
-        uint64_t poll = world_poll(w, (offset + 2) % WORLD_NODES, "run-1");
-        world_submit(w, offset % WORLD_NODES, world_job("run-1", 2, 1));
+        uint64_t cancel = world_cancel(w, (offset + 1) % WORLD_CONTROLLERS, "run-1");
+        uint64_t poll = world_poll(w, (offset + 2) % WORLD_CONTROLLERS, "run-1");
+        world_submit(w, offset % WORLD_CONTROLLERS, world_job("run-1", 2, 1));
         world_run(w, 0.1);
-        uint64_t again = world_poll(w, offset % WORLD_NODES, "run-1");
+        uint64_t again = world_poll(w, offset % WORLD_CONTROLLERS, "run-1");
         world_run(w, 6);
         assert_int_not_equal(world_status(w, cancel), 0);
         assert_int_not_equal(world_status(w, poll), 0);
         assert_int_not_equal(world_status(w, again), 0);
-        int end = world_stance(w, "run-1");
-        assert_true(end == OW_DONE || end == OW_CANCELLED);
+        int end = world_job_state(w, "run-1");
+        assert_true(end == OW_JOB_DONE || end == OW_JOB_CANCELLED);
         if (world_status(w, cancel) == 200)
-            assert_int_equal(world_answer(w, cancel)->stance, end);
+            assert_int_equal(world_answer(w, cancel)->state, end);
         world_finish(w);
     }
 }
@@ -334,7 +335,7 @@
     struct world *w = start_world(2);
     struct world_machine *m = start_job(w, world_job("run-1", 2, 1));
     m->hangs = true;
-    struct canceller c = {.id = "run-1", .node = beside(w)};
+    struct canceller c = {.id = "run-1", .controller = beside(w)};
     run_cancelling(w, &c, 16);
     m->hangs = false;
     run_cancelling(w, &c, 4);
@@ -354,7 +355,7 @@
     m->report_at = w->now + 10;
     world_submit(w, 0, world_job("run-1", 1, 1));
     world_run(w, 1);
-    struct canceller c = {.id = "run-1", .node = beside(w)};
+    struct canceller c = {.id = "run-1", .controller = beside(w)};
     run_cancelling(w, &c, 3);
     w->hold_directs = false;
     run_cancelling(w, &c, 15);
@@ -379,10 +380,10 @@
     assert_int_equal(world_running(w, "run-1"), 2);
     struct world_machine *m = world_where(w, "run-1");
     m->cut = true;
-    world_kill_node(w, world_leader(w));
-    struct canceller c = {.id = "run-1", .node = world_leader(w) == 0 ? 1 : 0};
-    for (int i = 0; i < WORLD_NODES; i++)
-        c.node = w->cores[i] != NULL ? i : c.node;
+    world_kill_controller(w, world_leader(w));
+    struct canceller c = {.id = "run-1", .controller = world_leader(w) == 0 ? 1 : 0};
+    for (int i = 0; i < WORLD_CONTROLLERS; i++)
+        c.controller = w->cores[i] != NULL ? i : c.controller;
     run_cancelling(w, &c, 50);
     m->cut = false;
     run_cancelling(w, &c, 20);
@@ -393,16 +394,17 @@
 
 /* ---- machines that are half there ---- */
 
-/* Its reports reach nobody, so its lease runs out again and again, however well it answers orders. */
+/* Its reports reach nobody, so its lease runs out again and again, however well it answers commands. */
 static void test_a_mute_machine_gets_nothing_more(void **state)
 {
     (void)state;
     struct world *w = start_world(2);
     w->run_s = 15;
     struct world_machine *m = start_job(w, world_job("run-1", 1, 1));
-    m->mute = true;
-    /* A new leader asks it at its own address, is answered, and goes on being answered whenever it orders. */
-    world_kill_node(w, world_leader(w));
+    m->stopped_reporting = true;
+    /* A new leader asks it at its own address, is answered, and goes on being answered whenever it sends
+     * commands. */
+    world_kill_controller(w, world_leader(w));
     world_run(w, 6);
     unsigned before = m->starts;
     for (int i = 2; i < 32; i++) {
@@ -431,14 +433,14 @@
     job->one_zone = true;
     struct world_machine *m = start_job(w, job);
     m->hangs = true;
-    world_kill_node(w, world_leader(w));
+    world_kill_controller(w, world_leader(w));
     world_run(w, 15);
     m->hangs = false;
     w->run_s = 3;
     world_run(w, 5);
-    for (int i = 0; i < WORLD_NODES; i++)
+    for (int i = 0; i < WORLD_CONTROLLERS; i++)
         if (w->cores[i] == NULL)
-            world_start_node(w, i);
+            world_start_controller(w, i);
     m->gone = true;
     g_array_set_size(m->tasks, 0);
     world_run(w, 60);
@@ -459,13 +461,13 @@
     (void)state;
     struct world *w = start_world(2);
     start_job(w, world_job("run-1", 3, 1));
-    for (int i = 0; i < WORLD_NODES; i++)
-        world_kill_node(w, i);
+    for (int i = 0; i < WORLD_CONTROLLERS; i++)
+        world_kill_controller(w, i);
     world_run(w, 30);
     assert_int_equal(world_running(w, "run-1"), 0);
     w->run_s = 3;
-    for (int i = 0; i < WORLD_NODES; i++)
-        world_start_node(w, i);
+    for (int i = 0; i < WORLD_CONTROLLERS; i++)
+        world_start_controller(w, i);
     assert_true(world_until(w, 30, world_all_done, "run-1"));
     world_finish(w);
 }
@@ -489,10 +491,10 @@
     for (int i = 0; i < 3; i++) {
         world_run(w, 9);
         int old = world_leader(w);
-        world_kill_node(w, old);
+        world_kill_controller(w, old);
         world_run(w, 6);
-        world_start_node(w, old);
-        assert_int_equal(world_stance(w, "run-1") == OW_DONE, i == 2);
+        world_start_controller(w, old);
+        assert_int_equal(world_job_state(w, "run-1") == OW_JOB_DONE, i == 2);
     }
     unsigned starts = 0;
     for (guint i = 0; i < w->machines->len; i++)
@@ -506,21 +508,21 @@
     (void)state;
     struct world *w = start_world(3);
     w->run_s = 8;
-    struct canceller c = {.id = "run-3", .node = 0};
+    struct canceller c = {.id = "run-3", .controller = 0};
     for (int i = 1; i <= 6; i++) {
         char id[16];
         g_snprintf(id, sizeof id, "run-%d", i);
-        world_submit(w, i % WORLD_NODES, i % 2 == 0 ? world_gang(id, 3, 6) : world_job(id, 20, 4));
+        world_submit(w, i % WORLD_CONTROLLERS, i % 2 == 0 ? world_gang(id, 3, 6) : world_job(id, 20, 4));
     }
     world_run(w, 2);
     for (int change = 0; change < 10; change++) {
         int old = world_leader(w);
         if (old >= 0)
-            world_kill_node(w, old);
+            world_kill_controller(w, old);
         run_cancelling(w, &c, 1);
         if (old >= 0)
-            world_start_node(w, old);
-        c.node = change % WORLD_NODES;
+            world_start_controller(w, old);
+        c.controller = change % WORLD_CONTROLLERS;
         w->state_down = change == 4 || change == 5;
         run_cancelling(w, &c, 10);
     }
@@ -540,9 +542,9 @@
     const struct CMUnitTest tests[] = {
         cmocka_unit_test(test_the_gap),
         cmocka_unit_test(test_the_gap_without_peers),
-        cmocka_unit_test(test_the_word_of_a_deposed_coordinator),
+        cmocka_unit_test(test_the_acknowledgement_of_a_deposed_leader),
         cmocka_unit_test(test_a_cancellation_overtakes_its_job),
-        cmocka_unit_test(test_a_withdrawal_that_comes_after_a_take_over),
+        cmocka_unit_test(test_a_cancellation_that_comes_after_a_take_over),
         cmocka_unit_test(test_a_leader_that_has_read_nothing_renews_nothing),
         cmocka_unit_test(test_a_leader_that_is_not_ready_gives_no_word),
         cmocka_unit_test(test_a_zone_cut_off_with_its_leader),
--- a/tests/test_records.c
+++ b/tests/test_records.c
@@ -1,8 +1,8 @@
 /* Our own records: what is written is read back, in small room. */
 #include "check.h"
-#include "core/bucket.h"
+#include "core/rate_limiter.h"
 #include "core/job.h"
-#include "core/lead_state.h"
+#include "core/leader_state.h"
 #include "core/names.h"
 #include "wire/json.h"
 #include "wire/records_json.h"
@@ -68,11 +68,11 @@
 static void test_job_records(void **state)
 {
     (void)state;
-    struct ow_job_record done = {.stance = OW_DONE}, back;
+    struct ow_job_record done = {.state = OW_JOB_DONE}, back;
     char *text = wire_job_record(&done);
     json_t *value = wj_object(text, strlen(text));
     assert_true(wire_job_record_parse(value, &back));
-    assert_true(back.stance == OW_DONE && back.submission == NULL);
+    assert_true(back.state == OW_JOB_DONE && back.submission == NULL);
     json_decref(value);
     g_free(text);
     value = wj_object("{\"e\":1}", 7);
@@ -86,12 +86,12 @@
     struct ow_name_tables names = {ow_names_new(), ow_names_new(), ow_names_new(), ow_names_new(),
                                    ow_names_new()};
     struct ow_jobs *jobs = ow_jobs_new(&names);
-    assert_non_null(ow_jobs_apply(jobs, "run-1", 5, OW_QUEUED, world_job("run-1", 1, 1), 0, 0));
+    assert_non_null(ow_jobs_apply(jobs, "run-1", 5, OW_JOB_QUEUED, world_job("run-1", 1, 1), 0, 0));
     assert_int_equal(ow_jobs_open(jobs)->len, 1);
-    assert_non_null(ow_jobs_apply(jobs, "run-1", 9, OW_DONE, NULL, 0, 0));
+    assert_non_null(ow_jobs_apply(jobs, "run-1", 9, OW_JOB_DONE, NULL, 0, 0));
     /* A list page read earlier arrives late: what is over must not come back to life. */
-    assert_null(ow_jobs_apply(jobs, "run-1", 5, OW_QUEUED, world_job("run-1", 1, 1), 0, 0));
-    assert_int_equal(ow_jobs_find(jobs, "run-1")->stance, OW_DONE);
+    assert_null(ow_jobs_apply(jobs, "run-1", 5, OW_JOB_QUEUED, world_job("run-1", 1, 1), 0, 0));
+    assert_int_equal(ow_jobs_find(jobs, "run-1")->state, OW_JOB_DONE);
     assert_int_equal(ow_jobs_open(jobs)->len, 0);
     ow_jobs_free(jobs);
     ow_names_free(names.classes);
@@ -116,16 +116,16 @@
 static void test_bucket(void **state)
 {
     (void)state;
-    struct ow_bucket b;
-    ow_bucket_init(&b, 2, 4, 100);
-    assert_true(ow_bucket_take(&b, 4, 100));
-    assert_false(ow_bucket_take(&b, 1, 100.4));
-    assert_true(ow_bucket_take(&b, 1, 100.5));
-    assert_true(ow_bucket_level(&b, 200) == 4);
-    ow_bucket_spend(&b, 6, 200);
-    assert_false(ow_bucket_take(&b, 1, 201));
-    ow_bucket_empty(&b, 300);
-    assert_true(ow_bucket_level(&b, 300) == 0);
+    struct ow_rate_limiter b;
+    ow_rate_limiter_init(&b, 2, 4, 100);
+    assert_true(ow_rate_limiter_take(&b, 4, 100));
+    assert_false(ow_rate_limiter_take(&b, 1, 100.4));
+    assert_true(ow_rate_limiter_take(&b, 1, 100.5));
+    assert_true(ow_rate_limiter_level(&b, 200) == 4);
+    ow_rate_limiter_spend(&b, 6, 200);
+    assert_false(ow_rate_limiter_take(&b, 1, 201));
+    ow_rate_limiter_empty(&b, 300);
+    assert_true(ow_rate_limiter_level(&b, 300) == 0);
 }
 
 int main(void)
--- a/tests/test_safety.c
+++ b/tests/test_safety.c
@@ -9,10 +9,10 @@
 {
     (void)state;
     struct world *w = world_with_machines(2);
-    w->hold_node = world_leader(w);
+    w->hold_controller = world_leader(w);
     w->hold_next = 1000;
     w->keep_held = true;
-    world_submit(w, (w->hold_node + 1) % WORLD_NODES, world_job("run-1", 2, 1));
+    world_submit(w, (w->hold_controller + 1) % WORLD_CONTROLLERS, world_job("run-1", 2, 1));
     for (int i = 0; i < 60; i++) {
         world_run(w, 0.1);
         assert_int_equal(world_running(w, "run-1"), 0);
@@ -69,7 +69,7 @@
     return world_where(w, job) != NULL;
 }
 
-/* Tasks recorded on a machine that is gone when another coordinator takes over. */
+/* Tasks recorded on a machine that is gone when another leader takes over. */
 static void test_a_machine_gone_before_a_take_over(void **state)
 {
     (void)state;
@@ -78,18 +78,18 @@
     world_submit(w, 0, world_job("run-1", 1, 1));
     assert_true(world_until(w, 10, world_some_running, "run-1"));
     struct world_machine *m = world_where(w, "run-1");
-    for (int i = 0; i < WORLD_NODES; i++)
-        world_kill_node(w, i);
+    for (int i = 0; i < WORLD_CONTROLLERS; i++)
+        world_kill_controller(w, i);
     m->gone = true;
     g_array_set_size(m->tasks, 0);
-    for (int i = 0; i < WORLD_NODES; i++)
-        world_start_node(w, i);
+    for (int i = 0; i < WORLD_CONTROLLERS; i++)
+        world_start_controller(w, i);
     assert_true(world_until(w, 22, job_runs, "run-1"));
     world_finish(w);
 }
 
-/* The same when the other controllers know the machine from the last coordinator. */
-static void test_a_machine_gone_with_its_coordinator(void **state)
+/* The same when the other controllers know the machine from the last leader. */
+static void test_a_machine_gone_with_its_leader(void **state)
 {
     (void)state;
     struct world *w = world_with_machines(2);
@@ -104,14 +104,14 @@
     world_run(w, 5);
     assert_int_equal(world_running(w, "run-2"), 1);
     struct world_machine *m = world_where(w, "run-1");
-    world_kill_node(w, world_leader(w));
+    world_kill_controller(w, world_leader(w));
     m->gone = true;
     g_array_set_size(m->tasks, 0);
     assert_true(world_until(w, 33, job_runs, "run-1"));
     world_finish(w);
 }
 
-/* Rule 2, fencing: a machine that a deposed coordinator may still feed is no man's until it has seen the
+/* Rule 2, fencing: a machine that a deposed leader may still feed is no man's until it has seen the
    new token. */
 static void test_a_machine_with_an_old_token_is_not_given_up(void **state)
 {
@@ -125,8 +125,8 @@
     struct world_machine *m = world_where(w, "run-1");
     int old = world_leader(w);
     m->cut = true;
-    world_kill_node(w, old);
-    /* The machine is fed by nobody here, but the new coordinator can't know that: a cut-off old one might. */
+    world_kill_controller(w, old);
+    /* The machine is fed by nobody here, but the new leader can't know that: a cut-off old one might. */
     m->renewed_at = w->now + 1000;
     world_run(w, 60);
     assert_true(world_leader(w) != old);
@@ -137,14 +137,14 @@
     world_finish(w);
 }
 
-/* Rule 3: a launch whose order got no answer may still be carried out: what it left is not cleared, so a late
-   copy finds it there. */
+/* Rule 3: a launch whose command got no answer may still be carried out: what it left is not cleared, so a
+   late copy finds it there. */
 static void test_a_floating_launch_is_not_cleared(void **state)
 {
     (void)state;
     struct world *w = world_with_machines(1);
     struct world_machine *m = world_machine(w, "m-0");
-    w->hold_directs = true; /* direct orders hang; answers to reports get through */
+    w->hold_directs = true; /* direct commands hang; answers to reports get through */
     w->run_s = 1;
     world_submit(w, 0, world_job("run-1", 1, 1));
     assert_true(world_until(w, 30, world_all_done, "run-1"));
@@ -170,11 +170,11 @@
     assert_true(world_none_running(w, "run-1"));
     assert_int_equal(world_machine(w, "m-0")->forgets, 0);
     /* Everybody dies with the result unrecorded: it is still on the machine. */
-    for (int i = 0; i < WORLD_NODES; i++)
-        world_kill_node(w, i);
+    for (int i = 0; i < WORLD_CONTROLLERS; i++)
+        world_kill_controller(w, i);
     w->hold_txns = false;
-    for (int i = 0; i < WORLD_NODES; i++)
-        world_start_node(w, i);
+    for (int i = 0; i < WORLD_CONTROLLERS; i++)
+        world_start_controller(w, i);
     assert_true(world_until(w, 20, world_all_done, "run-1"));
     assert_int_equal(world_machine(w, "m-0")->starts, 1);
     world_run(w, 10);
@@ -182,7 +182,7 @@
     world_finish(w);
 }
 
-/* Rules 2 and 4: what a worker says before it has seen the new token, an older coordinator may still change.
+/* Rules 2 and 4: what a worker says before it has seen the new token, an older leader may still change.
    It frees no task and invites none. */
 static void test_a_report_under_an_old_token_proves_nothing(void **state)
 {
@@ -198,11 +198,11 @@
     for (guint i = 0; i < w->machines->len; i++)
         ((struct world_machine *)g_ptr_array_index(w->machines, i))->cut = true;
     m->renewed_at = w->now + 1000;
-    world_kill_node(w, world_leader(w));
+    world_kill_controller(w, world_leader(w));
     world_run(w, 8);
-    int node = world_leader(w);
-    world_report(w, node, m, m->seq + 1, token);
-    world_submit(w, node, world_job("run-2", 1, 1));
+    int controller = world_leader(w);
+    world_report(w, controller, m, m->seq + 1, token);
+    world_submit(w, controller, world_job("run-2", 1, 1));
     world_run(w, 3);
     char *first = world_progress(w, "run-1/0");
     assert_non_null(first);
@@ -212,19 +212,19 @@
     world_finish(w);
 }
 
-/* A transaction of a coordinator that has been deposed meanwhile decides nothing, however late it comes. */
-static void test_a_deposed_coordinator_writes_nothing(void **state)
+/* A transaction of a leader that has been deposed meanwhile decides nothing, however late it comes. */
+static void test_a_deposed_leader_writes_nothing(void **state)
 {
     (void)state;
     struct world *w = world_with_machines(1);
     int old = world_leader(w);
     w->keep_held = true;
     w->hold_next = 1;
-    w->hold_node = old;
-    world_submit(w, (old + 1) % WORLD_NODES, world_job("run-1", 1, 1));
+    w->hold_controller = old;
+    world_submit(w, (old + 1) % WORLD_CONTROLLERS, world_job("run-1", 1, 1));
     world_run(w, 0.4);
     assert_int_equal(w->held->len, 1);
-    w->denied_node = old;
+    w->denied_controller = old;
     world_machine(w, "m-0")->cut = true; /* so that the new one has nothing to write */
     world_run(w, 12);
     assert_true(world_leader(w) != old);
@@ -245,8 +245,8 @@
     int leader = world_leader(w);
     w->keep_held = true;
     w->hold_next = 1;
-    w->hold_node = leader;
-    world_submit(w, (leader + 1) % WORLD_NODES, world_job("run-1", 1, 1));
+    w->hold_controller = leader;
+    world_submit(w, (leader + 1) % WORLD_CONTROLLERS, world_job("run-1", 1, 1));
     assert_true(world_until(w, 10, world_some_running, "run-1"));
     assert_int_equal(w->held->len, 1);
     struct world_machine *m = world_where(w, "run-1");
@@ -264,7 +264,7 @@
     world_finish(w);
 }
 
-/* Rule 4: a new coordinator starts nothing on a machine before it has its report under the new token. */
+/* Rule 4: a new leader starts nothing on a machine before it has its report under the new token. */
 static void test_nothing_starts_before_the_new_token_is_seen(void **state)
 {
     (void)state;
@@ -273,10 +273,10 @@
     struct world_machine *m = world_machine(w, "m-0");
     uint64_t before = m->token;
     m->cut = true;
-    world_kill_node(w, world_leader(w));
+    world_kill_controller(w, world_leader(w));
     world_run(w, 8);
-    int node = world_leader(w);
-    world_submit(w, node, world_job("run-1", 1, 1));
+    int controller = world_leader(w);
+    world_submit(w, controller, world_job("run-1", 1, 1));
     world_run(w, 5);
     assert_int_equal(m->starts, 0);
     m->cut = false;
@@ -285,7 +285,7 @@
     world_finish(w);
 }
 
-/* Rule 4: attempts of an earlier coordinator count against the team's limit until they are accounted for. */
+/* Rule 4: attempts of an earlier leader count against the team's limit until they are accounted for. */
 static void test_inherited_attempts_count_against_the_limit(void **state)
 {
     (void)state;
@@ -301,7 +301,7 @@
     struct world_machine *m = world_where(w, "run-1");
     m->cut = true;
     m->renewed_at = w->now + 1000;
-    world_kill_node(w, world_leader(w));
+    world_kill_controller(w, world_leader(w));
     world_run(w, 8);
     world_submit(w, world_leader(w), second);
     world_run(w, 20);
@@ -309,8 +309,8 @@
     world_finish(w);
 }
 
-/* Rule 7: a withdrawal ends every attempt, those whose launch is still on its way included. */
-static void test_a_withdrawal_ends_a_launch_in_flight(void **state)
+/* Rule 7: a cancellation ends every attempt, those whose launch is still on its way included. */
+static void test_a_cancellation_ends_a_launch_in_flight(void **state)
 {
     (void)state;
     struct world *w = world_with_machines(1);
@@ -319,18 +319,18 @@
     m->cut = true;
     world_submit(w, 0, world_job("run-1", 2, 1));
     world_run(w, 2);
-    uint64_t withdrawal = world_withdraw(w, 1, "run-1");
+    uint64_t cancellation = world_cancel(w, 1, "run-1");
     world_run(w, 4);
     /* While the launch may still be carried out nobody is told that it won't. */
-    assert_int_equal(world_answer(w, withdrawal)->status, 503);
-    assert_true(world_answer(w, withdrawal)->retry_after_s > 0);
+    assert_int_equal(world_answer(w, cancellation)->status, 503);
+    assert_true(world_answer(w, cancellation)->retry_after_s > 0);
     m->cut = false; /* the held launch is carried out now */
     world_run(w, 6);
     assert_int_equal(world_running(w, "run-1"), 0);
-    withdrawal = world_withdraw(w, 1, "run-1");
+    cancellation = world_cancel(w, 1, "run-1");
     world_run(w, 0.3);
-    assert_int_equal(world_answer(w, withdrawal)->status, 200);
-    assert_int_equal(world_answer(w, withdrawal)->stance, OW_CANCELLED);
+    assert_int_equal(world_answer(w, cancellation)->status, 200);
+    assert_int_equal(world_answer(w, cancellation)->state, OW_JOB_CANCELLED);
     world_run(w, 60);
     world_finish(w);
 }
@@ -345,18 +345,18 @@
     assert_true(world_until(w, 10, world_some_running, "run-1"));
     struct world_machine *m = world_machine(w, "m-0");
     m->cut = true;
-    m->renewed_at = w->now + 1000; /* the coordinator that is cut off with it keeps it alive */
+    m->renewed_at = w->now + 1000; /* the leader that is cut off with it keeps it alive */
     int old = world_leader(w);
-    world_withdraw(w, (old + 1) % WORLD_NODES, "run-1");
+    world_cancel(w, (old + 1) % WORLD_CONTROLLERS, "run-1");
     world_run(w, 0.2);
-    world_kill_node(w, old);
+    world_kill_controller(w, old);
     world_run(w, 38);
     assert_true(m->gone);
     world_run(w, 10);
     world_finish(w);
 }
 
-/* A coordinator that meets a higher token is none any more, and says so. */
+/* A leader that meets a higher token is none any more, and says so. */
 static void test_a_higher_token_deposes(void **state)
 {
     (void)state;
@@ -403,7 +403,7 @@
     world_run(w, 2);
     w->lose_txn_answers = false;
     assert_true(world_until(w, 30, world_all_done, "run-2"));
-    assert_int_equal(world_stance(w, "run-2"), OW_DONE);
+    assert_int_equal(world_job_state(w, "run-2"), OW_JOB_DONE);
     world_finish(w);
 }
 
@@ -439,16 +439,16 @@
         cmocka_unit_test(test_a_silent_machine_keeps_its_task_for_its_lease),
         cmocka_unit_test(test_a_deleted_machine_frees_its_tasks),
         cmocka_unit_test(test_a_machine_gone_before_a_take_over),
-        cmocka_unit_test(test_a_machine_gone_with_its_coordinator),
+        cmocka_unit_test(test_a_machine_gone_with_its_leader),
         cmocka_unit_test(test_a_machine_with_an_old_token_is_not_given_up),
         cmocka_unit_test(test_a_floating_launch_is_not_cleared),
         cmocka_unit_test(test_a_result_is_kept_until_recorded),
         cmocka_unit_test(test_a_report_under_an_old_token_proves_nothing),
-        cmocka_unit_test(test_a_deposed_coordinator_writes_nothing),
+        cmocka_unit_test(test_a_deposed_leader_writes_nothing),
         cmocka_unit_test(test_an_overtaken_record_is_not_written),
         cmocka_unit_test(test_nothing_starts_before_the_new_token_is_seen),
         cmocka_unit_test(test_inherited_attempts_count_against_the_limit),
-        cmocka_unit_test(test_a_withdrawal_ends_a_launch_in_flight),
+        cmocka_unit_test(test_a_cancellation_ends_a_launch_in_flight),
         cmocka_unit_test(test_a_cancelled_task_out_of_reach_loses_its_machine),
         cmocka_unit_test(test_a_higher_token_deposes),
         cmocka_unit_test(test_a_late_transaction_changes_nothing),
--- a/tests/test_services.c
+++ b/tests/test_services.c
@@ -1,4 +1,4 @@
-/* Services: replicas run until their job is withdrawn, apart from one another, and again elsewhere when they
+/* Services: replicas run until their job is cancelled, apart from one another, and again elsewhere when they
  * end. */
 #include "check.h"
 #include "world.h"
@@ -27,7 +27,7 @@
     unsigned count = 0;
     for (guint k = 0; k < m->tasks->len; k++) {
         const struct world_task *t = &g_array_index(m->tasks, struct world_task, k);
-        count += t->phase != OW_EXITED && strcmp(t->job, job) == 0 ? 1 : 0;
+        count += t->phase != OW_PHASE_EXITED && strcmp(t->job, job) == 0 ? 1 : 0;
     }
     return count;
 }
@@ -45,10 +45,10 @@
         assert_int_equal(replicas_on(g_ptr_array_index(w->machines, i), "run-1"), 1);
     world_run(w, 60);
     assert_int_equal(world_running(w, "run-1"), 3);
-    assert_int_equal(world_stance(w, "run-1"), OW_ACTIVE);
-    uint64_t cancel = world_withdraw(w, 1, "run-1");
+    assert_int_equal(world_job_state(w, "run-1"), OW_JOB_RUNNING);
+    uint64_t cancel = world_cancel(w, 1, "run-1");
     world_run(w, 2);
-    assert_int_equal(world_answer(w, cancel)->stance, OW_CANCELLED);
+    assert_int_equal(world_answer(w, cancel)->state, OW_JOB_CANCELLED);
     assert_int_equal(world_running(w, "run-1"), 0);
     world_finish(w);
 }
@@ -66,7 +66,7 @@
         world_run(w, 1);
         assert_true(world_until(w, 6, three_run, "run-1"));
         assert_int_equal(m->starts, before);
-        assert_int_equal(world_stance(w, "run-1"), OW_ACTIVE);
+        assert_int_equal(world_job_state(w, "run-1"), OW_JOB_RUNNING);
         world_finish(w);
     }
 }
@@ -171,9 +171,9 @@
     unsigned starts = 0;
     for (int i = 0; i < 4; i++) {
         int old = world_leader(w);
-        world_kill_node(w, old);
+        world_kill_controller(w, old);
         world_run(w, 8);
-        world_start_node(w, old);
+        world_start_controller(w, old);
         world_run(w, 4);
         assert_int_equal(world_running(w, "run-1"), 3);
     }
@@ -436,7 +436,7 @@
         said = answer != NULL && answer->reason != NULL && strstr(answer->reason, "paused") != NULL;
     }
     assert_true(said);
-    assert_int_not_equal(world_stance(w, "run-1"), OW_DONE);
+    assert_int_not_equal(world_job_state(w, "run-1"), OW_JOB_DONE);
     world_finish(w);
 }
 
--- a/tests/test_settings.c
+++ b/tests/test_settings.c
@@ -46,7 +46,7 @@
     char *fault = NULL;
     struct ow_settings *s = load(good, &fault);
     assert_non_null(s);
-    assert_string_equal(s->node, "n-0");
+    assert_string_equal(s->controller_name, "n-0");
     assert_int_equal(s->peers->len, 1);
     assert_int_equal(s->objectives->len, 1); /* the one it does not know is passed over */
     assert_true(g_array_index(s->teams, struct ow_team_settings, 0).cpus_max == 4);
--- a/tests/test_sockets.c
+++ b/tests/test_sockets.c
@@ -193,7 +193,7 @@
     close_bench(&b);
 }
 
-/* Orders to many machines at once leave the sockets to reports: past the bound there is no room, and the
+/* Commands to many machines at once leave the sockets to reports: past the bound there is no room, and the
    connection that has been idle for longest makes some. */
 static void test_own_connections_are_bounded(void **state)
 {
--- a/tests/test_store_core.c
+++ b/tests/test_store_core.c
@@ -4,11 +4,11 @@
 
 #include <string.h>
 
-static struct world *start_world(int nodes, int machines)
+static struct world *start_world(int controllers, int machines)
 {
     struct world *w = world_new();
-    for (int i = 0; i < nodes; i++)
-        world_start_node(w, i);
+    for (int i = 0; i < controllers; i++)
+        world_start_controller(w, i);
     for (int i = 0; i < machines; i++) {
         char name[16];
         g_snprintf(name, sizeof name, "m-%d", i);
@@ -25,9 +25,9 @@
     int first = world_leader(w);
     assert_true(first >= 0);
     uint64_t token = ow_core_token(w->cores[first]);
-    for (int i = 0; i < WORLD_NODES; i++)
+    for (int i = 0; i < WORLD_CONTROLLERS; i++)
         assert_true(i == first || ow_core_token(w->cores[i]) == 0);
-    world_kill_node(w, first);
+    world_kill_controller(w, first);
     world_run(w, 8);
     int second = world_leader(w);
     assert_true(second >= 0 && second != first);
@@ -40,13 +40,13 @@
     (void)state;
     struct world *w = start_world(3, 1);
     world_run(w, 8);
-    int first = world_leader(w), other = (first + 1) % WORLD_NODES;
-    world_kill_node(w, first);
+    int first = world_leader(w), other = (first + 1) % WORLD_CONTROLLERS;
+    world_kill_controller(w, first);
     world_lose_link(w, other, first);
     world_run(w, 0.5);
     assert_int_equal(world_leader(w), other);
     /* Two that can't reach each other must not take turns. */
-    world_start_node(w, first);
+    world_start_controller(w, first);
     world_run(w, 2);
     uint64_t token = ow_core_token(w->cores[other]);
     world_lose_link(w, first, other);
@@ -60,8 +60,8 @@
     (void)state;
     struct world *w = start_world(1, 1);
     uint64_t token = ow_core_token(w->cores[0]);
-    world_kill_node(w, 0);
-    world_start_node(w, 0);
+    world_kill_controller(w, 0);
+    world_start_controller(w, 0);
     world_run(w, 1);
     assert_true(ow_core_token(w->cores[0]) > token);
     world_finish(w);
@@ -72,7 +72,7 @@
     (void)state;
     struct world *w = world_new();
     w->lose_txn_answers = true;
-    world_start_node(w, 0);
+    world_start_controller(w, 0);
     world_run(w, 2);
     w->lose_txn_answers = false;
     world_run(w, 2);
@@ -109,7 +109,7 @@
     assert_int_equal(world_status(w, request), 503);
     assert_true(world_answer(w, request)->retry_after_s > 0);
     w->state_down = false;
-    assert_int_equal(world_stance(w, "run-1"), -404);
+    assert_int_equal(world_job_state(w, "run-1"), -404);
     world_finish(w);
 }
 
@@ -117,18 +117,18 @@
 {
     (void)state;
     struct world *w = start_world(3, 1);
-    w->denied_node = 2;
+    w->denied_controller = 2;
     world_poll(w, 2, "run-1"); /* so that it notices */
     world_run(w, 5);
     assert_false(ow_core_healthy(w->cores[2]));
     assert_true(ow_core_healthy(w->cores[0]) && ow_core_healthy(w->cores[1]));
-    w->denied_node = -1;
+    w->denied_controller = -1;
     w->state_down = true;
     world_run(w, 18);
-    world_kill_node(w, 0);
-    world_start_node(w, 0);
+    world_kill_controller(w, 0);
+    world_start_controller(w, 0);
     world_run(w, 2);
-    for (int i = 0; i < WORLD_NODES; i++)
+    for (int i = 0; i < WORLD_CONTROLLERS; i++)
         assert_true(ow_core_healthy(w->cores[i]));
     world_finish(w);
 }
@@ -154,7 +154,7 @@
 {
     (void)state;
     struct world *w = start_world(3, 1);
-    w->deaf_watches = true;
+    w->silent_watches = true;
     uint64_t first = world_submit(w, 0, world_job("run-1", 1, 1));
     /* Node 1 has not read it yet, and by its text it can never run. */
     world_run(w, 0.1);
@@ -170,7 +170,7 @@
 {
     (void)state;
     struct world *w = start_world(3, 1);
-    w->deaf_watches = true;
+    w->silent_watches = true;
     world_submit(w, 0, world_job("run-1", 1, 1));
     world_run(w, 0.1);
     uint64_t repeat = world_submit_malformed(w, 1, "run-1"), other = world_submit_malformed(w, 1, "run-2");
@@ -231,19 +231,19 @@
     w->run_s = 100;
     world_submit(w, 0, world_job("run-1", 1, 1));
     world_run(w, 3);
-    int asked = (world_leader(w) + 1) % WORLD_NODES, other = (world_leader(w) + 2) % WORLD_NODES;
+    int asked = (world_leader(w) + 1) % WORLD_CONTROLLERS, other = (world_leader(w) + 2) % WORLD_CONTROLLERS;
     uint64_t poll = world_poll(w, asked, "run-1");
     world_run(w, 0.3);
     assert_int_equal(world_status(w, poll), 200);
-    w->deaf_watches = true;
-    uint64_t withdrawal = world_withdraw(w, other, "run-1");
+    w->silent_watches = true;
+    uint64_t cancellation = world_cancel(w, other, "run-1");
     world_run(w, 0.3);
-    assert_int_equal(world_status(w, withdrawal), 200);
+    assert_int_equal(world_status(w, cancellation), 200);
     /* It learns of it only by asking: rule 5. */
     poll = world_poll(w, asked, "run-1");
     world_run(w, 0.3);
     assert_int_equal(world_status(w, poll), 200);
-    assert_int_equal(world_answer(w, poll)->stance, OW_CANCELLED);
+    assert_int_equal(world_answer(w, poll)->state, OW_JOB_CANCELLED);
     w->state_down = true;
     uint64_t blind = world_poll(w, other, "run-9"), sure = world_poll(w, asked, "run-1");
     world_run(w, 0.5);
@@ -262,18 +262,18 @@
     w->hold_txns = true;
     world_run(w, 4);
     assert_true(world_none_running(w, "run-1"));
-    for (int node = 0; node < WORLD_NODES; node++) {
-        uint64_t poll = world_poll(w, node, "run-1");
+    for (int controller = 0; controller < WORLD_CONTROLLERS; controller++) {
+        uint64_t poll = world_poll(w, controller, "run-1");
         world_run(w, 0.3);
-        assert_true(world_status(w, poll) == 200 && world_answer(w, poll)->stance != OW_DONE);
+        assert_true(world_status(w, poll) == 200 && world_answer(w, poll)->state != OW_JOB_DONE);
     }
     w->hold_txns = false;
     assert_true(world_until(w, 10, world_all_done, "run-1"));
-    assert_int_equal(world_stance(w, "run-1"), OW_DONE);
+    assert_int_equal(world_job_state(w, "run-1"), OW_JOB_DONE);
     world_finish(w);
 }
 
-static void test_a_withdrawal_and_a_finish_exclude_each_other(void **state)
+static void test_a_cancellation_and_a_finish_exclude_each_other(void **state)
 {
     (void)state;
     struct world *w = start_world(3, 1);
@@ -281,12 +281,12 @@
     world_submit(w, 0, world_job("run-1", 1, 1));
     assert_true(world_until(w, 10, world_some_running, "run-1"));
     assert_true(world_until(w, 10, world_none_running, "run-1"));
-    uint64_t late = world_withdraw(w, 1, "run-1");
+    uint64_t late = world_cancel(w, 1, "run-1");
     world_run(w, 5);
     assert_int_equal(world_status(w, late), 200);
-    enum ow_stance told = world_answer(w, late)->stance;
-    assert_true(told == OW_DONE || told == OW_CANCELLED);
-    assert_int_equal(world_stance(w, "run-1"), told);
+    enum ow_job_state announced_state = world_answer(w, late)->state;
+    assert_true(announced_state == OW_JOB_DONE || announced_state == OW_JOB_CANCELLED);
+    assert_int_equal(world_job_state(w, "run-1"), announced_state);
     world_finish(w);
 }
 
@@ -299,8 +299,8 @@
     world_run(w, 2);
     world_submit(w, 0, world_job("run-2", 1, 16));
     world_run(w, 4);
-    for (int node = 0; node < 2; node++) {
-        uint64_t poll = world_poll(w, node, "run-2");
+    for (int controller = 0; controller < 2; controller++) {
+        uint64_t poll = world_poll(w, controller, "run-2");
         world_run(w, 0.3);
         const struct world_answer *a = world_answer(w, poll);
         assert_int_equal(a->status, 200);
@@ -327,7 +327,7 @@
         cmocka_unit_test(test_limits_of_teams_are_refused),
         cmocka_unit_test(test_a_live_job_is_answered_only_from_a_fresh_read),
         cmocka_unit_test(test_done_is_told_only_once_it_is_recorded),
-        cmocka_unit_test(test_a_withdrawal_and_a_finish_exclude_each_other),
+        cmocka_unit_test(test_a_cancellation_and_a_finish_exclude_each_other),
         cmocka_unit_test(test_the_reason_for_waiting_is_told),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test_upgrade.c
+++ b/tests/test_upgrade.c
@@ -36,27 +36,27 @@
     struct ow_job_record record;
     json_t *value = fixture_json("job-queued.json");
     assert_true(wire_job_record_parse(value, &record));
-    assert_true(record.stance == OW_QUEUED && record.accepted_at == 1700001000 &&
+    assert_true(record.state == OW_JOB_QUEUED && record.accepted_at == 1700001000 &&
                 record.submission->tasks == 300);
     ow_submission_free(record.submission);
     json_decref(value);
     value = fixture_json("job-cancelled.json");
     assert_true(wire_job_record_parse(value, &record));
-    assert_true(record.stance == OW_CANCELLED && record.coordinator == 42 && record.submission->gang);
+    assert_true(record.state == OW_JOB_CANCELLED && record.leader_token == 42 && record.submission->gang);
     ow_submission_free(record.submission);
     json_decref(value);
     value = fixture_json("job-ended.json");
     assert_true(wire_job_record_parse(value, &record));
-    assert_true(record.stance == OW_CANCELLED && record.submission == NULL);
+    assert_true(record.state == OW_JOB_CANCELLED && record.submission == NULL);
     json_decref(value);
     value = fixture_json("job-done.json");
     assert_true(wire_job_record_parse(value, &record));
-    assert_true(record.stance == OW_DONE && record.submission == NULL);
+    assert_true(record.state == OW_JOB_DONE && record.submission == NULL);
     json_decref(value);
-    const char *node = NULL, *nonce = NULL;
+    const char *controller = NULL, *nonce = NULL;
     value = fixture_json("coordinator.json");
-    wire_coordinator_record_parse(value, &node, &nonce);
-    assert_string_equal(node, "node-0");
+    wire_leader_record_parse(value, &controller, &nonce);
+    assert_string_equal(controller, "node-0");
     assert_string_equal(nonce, "0123456789abcdef");
     json_decref(value);
 }
@@ -85,15 +85,16 @@
 {
     (void)state;
     struct ow_peer_message *m = fixture_message("peer-hello.hex");
-    assert_true(m->kind == OW_PEER_HELLO && m->number == 77 && m->leads && m->state_ok && !m->hears_workers);
-    assert_string_equal(m->node, "node-1");
+    assert_true(m->kind == OW_PEER_HELLO && m->number == 77 && m->leads && m->state_ok &&
+                !m->receives_reports);
+    assert_string_equal(m->sender, "node-1");
     ow_peer_message_free(m);
     m = fixture_message("peer-summary.hex");
     assert_true(m->kind == OW_PEER_SUMMARY && m->jobs->len == 1);
     assert_string_equal(g_array_index(m->jobs, struct ow_peer_job, 0).reason, "because");
     ow_peer_message_free(m);
     m = fixture_message("peer-nudge.hex");
-    assert_true(m->kind == OW_PEER_NUDGE && m->number == 77);
+    assert_true(m->kind == OW_PEER_JOB_CHANGED && m->number == 77);
     ow_peer_message_free(m);
     m = fixture_message("peer-machines.hex");
     assert_true(m->kind == OW_PEER_MACHINES && m->machines->len == 1);
@@ -104,7 +105,7 @@
     assert_string_equal(m->job, "run-2");
     ow_peer_message_free(m);
     m = fixture_message("peer-taken.hex");
-    assert_true(m->kind == OW_PEER_TAKEN && m->number == 77 && m->revision == 99);
+    assert_true(m->kind == OW_PEER_CANCELLATION_ACK && m->number == 77 && m->revision == 99);
     ow_peer_message_free(m);
 }
 
@@ -113,11 +114,11 @@
 {
     (void)state;
     char *text = fixture("progress.json");
-    json_t *group = fixture_json("progress.json");
+    json_t *record_value = fixture_json("progress.json");
     GString *again = g_string_new(NULL);
     const char *name;
     json_t *value;
-    json_object_foreach(group, name, value)
+    json_object_foreach(record_value, name, value)
     {
         struct ow_progress_record record;
         uint32_t chunk = 0, tasks = 0;
@@ -125,16 +126,16 @@
         assert_int_equal(tasks, OW_CHUNK_TASKS);
         assert_true(wire_progress_record_parse(value, &record));
         char *record_text = wire_progress_record(&record);
-        wire_progress_group_add(again, job, chunk, tasks, record_text);
+        wire_progress_value_add(again, job, chunk, tasks, record_text);
         wire_progress_record_clear(&record);
         g_free(record_text);
         g_free(job);
     }
-    wire_progress_group_end(again);
+    wire_progress_value_end(again);
     g_strchomp(text);
     assert_string_equal(again->str, text);
     g_string_free(again, TRUE);
-    json_decref(group);
+    json_decref(record_value);
     g_free(text);
     struct ow_job_record record;
     const char *const jobs[] = {"job-queued.json", "job-cancelled.json", "job-ended.json", "job-done.json"};
@@ -154,35 +155,35 @@
 
 static void all_old(struct world *w, bool old)
 {
-    for (int i = 0; i < WORLD_NODES; i++)
-        w->old_node[i] = old;
+    for (int i = 0; i < WORLD_CONTROLLERS; i++)
+        w->old_controller[i] = old;
 }
 
 /* Limits to come are known to the new version alone. */
 static void announce(struct world *w, double value_kb, unsigned txn_ops)
 {
-    for (int i = 0; i < WORLD_NODES; i++) {
-        w->settings[i].next_value_kb = w->old_node[i] ? w->settings[i].value_kb : value_kb;
-        w->settings[i].next_txn_ops = w->old_node[i] ? w->settings[i].txn_ops : txn_ops;
+    for (int i = 0; i < WORLD_CONTROLLERS; i++) {
+        w->settings[i].next_value_kb = w->old_controller[i] ? w->settings[i].value_kb : value_kb;
+        w->settings[i].next_txn_ops = w->old_controller[i] ? w->settings[i].txn_ops : txn_ops;
     }
 }
 
-static void upgrade(struct world *w, int node, double away_s)
+static void upgrade(struct world *w, int controller, double away_s)
 {
-    if (w->cores[node] != NULL)
-        world_kill_node(w, node);
+    if (w->cores[controller] != NULL)
+        world_kill_controller(w, controller);
     world_run(w, away_s);
-    w->old_node[node] = false;
+    w->old_controller[controller] = false;
     announce(w, 0.6, 4);
-    world_start_node(w, node);
+    world_start_controller(w, controller);
 }
 
 static struct world *old_world(int machines)
 {
     struct world *w = world_new();
     all_old(w, true);
-    for (int i = 0; i < WORLD_NODES; i++)
-        world_start_node(w, i);
+    for (int i = 0; i < WORLD_CONTROLLERS; i++)
+        world_start_controller(w, i);
     world_add_machines(w, machines);
     world_run(w, 6);
     return w;
@@ -210,7 +211,7 @@
         struct world_machine *m = g_ptr_array_index(w->machines, i);
         for (guint k = 0; k < m->tasks->len; k++) {
             struct world_task *t = &g_array_index(m->tasks, struct world_task, k);
-            if (t->phase == OW_RUNNING)
+            if (t->phase == OW_PHASE_RUNNING)
                 t->phase_at = w->now + 1 + 0.01 * within_s * (ended++ % 100);
         }
     }
@@ -237,15 +238,15 @@
     struct world *w = old_world(6);
     w->run_s = 60;
     submit_spread(w, "run-1", 200);
-    for (int i = 0; i < WORLD_NODES; i++) {
+    for (int i = 0; i < WORLD_CONTROLLERS; i++) {
         upgrade(w, i, away_s);
         world_run(w, 4);
         if (crash == i) {
             /* One that has not had its turn comes back old, and may lead. */
-            int node = (i + 1) % WORLD_NODES;
-            world_kill_node(w, node);
+            int controller = (i + 1) % WORLD_CONTROLLERS;
+            world_kill_controller(w, controller);
             world_run(w, 1);
-            world_start_node(w, node);
+            world_start_controller(w, controller);
             world_run(w, 5);
         }
     }
@@ -259,9 +260,9 @@
     uint64_t more = world_submit(w, 1, world_job("run-2", 150, 0.4)), cancel = 0;
     world_run(w, 6);
     assert_int_equal(world_answer(w, more)->status, 201);
-    cancel = world_withdraw(w, 2, "run-2");
+    cancel = world_cancel(w, 2, "run-2");
     world_run(w, 3);
-    assert_int_equal(world_answer(w, cancel)->stance, OW_CANCELLED);
+    assert_int_equal(world_answer(w, cancel)->state, OW_JOB_CANCELLED);
     assert_true(world_until(w, 90, world_all_done, "run-1"));
     assert_true(starts_of(w) >= 200 && starts_of(w) <= 350);
     world_finish(w);
@@ -276,7 +277,7 @@
     }
 }
 
-/* Records in larger chunks than fit are divided in steps: whenever the coordinator ends, none is lost. */
+/* Records in larger chunks than fit are divided in steps: whenever the leader ends, none is lost. */
 static void test_dividing_records_is_interrupted(void **state)
 {
     (void)state;
@@ -284,16 +285,16 @@
         struct world *w = old_world(6);
         w->run_s = 60;
         submit_spread(w, "run-1", 200);
-        for (int i = 0; i < WORLD_NODES; i++)
+        for (int i = 0; i < WORLD_CONTROLLERS; i++)
             upgrade(w, i, 0.3);
         assert_true(world_until(w, 20, marked, NULL));
         end_bit_by_bit(w, 40);
         world_run(w, 1 + 0.1 * step);
         int leader = world_leader(w);
         if (leader >= 0) {
-            world_kill_node(w, leader);
+            world_kill_controller(w, leader);
             world_run(w, 0.3);
-            world_start_node(w, leader);
+            world_start_controller(w, leader);
         }
         world_run(w, 14);
         w->value_kb = 0.6;
@@ -326,13 +327,13 @@
     w->run_s = 200;
     submit_spread(w, "run-1", 200);
     assert_true(largest_progress(w) > 614);
-    for (int i = 0; i < WORLD_NODES; i++)
+    for (int i = 0; i < WORLD_CONTROLLERS; i++)
         upgrade(w, i, 0.3);
     assert_true(world_until(w, 20, marked, NULL));
     int leader = world_leader(w);
-    world_kill_node(w, leader);
+    world_kill_controller(w, leader);
     world_run(w, 6);
-    world_start_node(w, leader);
+    world_start_controller(w, leader);
     world_run(w, 20);
     assert_true(largest_progress(w) <= 614);
     assert_int_equal(world_running(w, "run-1"), 100);
@@ -352,10 +353,10 @@
     world_run(w, 8);
     assert_null(world_value_text(w, OW_KEY_FORMAT));
     /* Nor when it is away: it would come back old. */
-    world_kill_node(w, 2);
+    world_kill_controller(w, 2);
     world_run(w, 20);
     assert_null(world_value_text(w, OW_KEY_FORMAT));
-    world_start_node(w, 2);
+    world_start_controller(w, 2);
     assert_true(world_until(w, 60, world_all_done, "run-1"));
     world_finish(w);
 }
@@ -364,17 +365,17 @@
 static void test_cancellations_across_versions(void **state)
 {
     (void)state;
-    for (int first = 0; first < WORLD_NODES; first++) {
+    for (int first = 0; first < WORLD_CONTROLLERS; first++) {
         struct world *w = old_world(3);
         w->run_s = 300;
         world_submit(w, 0, world_job("run-1", 6, 1));
         world_run(w, 6);
         upgrade(w, first, 0.3);
         world_run(w, 10);
-        w->denied_node = world_leader(w);
-        uint64_t cancel = world_withdraw(w, (world_leader(w) + 1) % WORLD_NODES, "run-1");
+        w->denied_controller = world_leader(w);
+        uint64_t cancel = world_cancel(w, (world_leader(w) + 1) % WORLD_CONTROLLERS, "run-1");
         world_run(w, 1);
-        assert_int_equal(world_answer(w, cancel)->stance, OW_CANCELLED);
+        assert_int_equal(world_answer(w, cancel)->state, OW_JOB_CANCELLED);
         w->state_down = true;
         world_run(w, 60);
         assert_int_equal(world_running(w, "run-1"), 0);
@@ -408,9 +409,9 @@
 {
     (void)state;
     struct world *w = world_new();
-    for (int i = 0; i < WORLD_NODES; i++) {
+    for (int i = 0; i < WORLD_CONTROLLERS; i++) {
         w->settings[i].txn_ops = 64;
-        world_start_node(w, i);
+        world_start_controller(w, i);
     }
     world_add_machines(w, 6);
     world_run(w, 8);
--- a/tests/test_wire.c
+++ b/tests/test_wire.c
@@ -115,7 +115,7 @@
     assert_true(r->session == 1 && r->seq == 88 && r->token == 41 && r->notice_s == 7.5 &&
                 r->tasks->len == 2);
     const struct ow_task_report *t = &g_array_index(r->tasks, struct ow_task_report, 1);
-    assert_true(t->task == 0 && t->phase == OW_EXITED && t->cause == OW_CAUSE_STOPPED && t->saved);
+    assert_true(t->task == 0 && t->phase == OW_PHASE_EXITED && t->cause == OW_CAUSE_STOPPED && t->saved);
     ow_report_free(r);
     /* A task that can't be read must not look like one that is gone. */
     char **parts = g_strsplit(report, "run-000398/0", 2);
@@ -128,15 +128,16 @@
 static void test_orders(void **state)
 {
     (void)state;
-    GArray *orders = g_array_new(FALSE, TRUE, sizeof(struct ow_order));
-    struct ow_order o = {.op = OW_STOP, .job = "run-7", .task = 1, .attempt = 3, .grace_s = 2};
-    g_array_append_val(orders, o);
-    char *text = wire_direct_orders(41, 2, orders);
+    GArray *commands = g_array_new(FALSE, TRUE, sizeof(struct ow_worker_command));
+    struct ow_worker_command o = {
+        .kind = OW_WORKER_STOP, .job = "run-7", .task = 1, .attempt = 3, .grace_s = 2};
+    g_array_append_val(commands, o);
+    char *text = wire_direct_commands(41, 2, commands);
     assert_string_equal(
         text, "{\"crest\":41,\"stint\":2,\"calls\":[{\"call\":\"stop\",\"talon\":\"run-7/1\",\"dive\":3,"
               "\"glide_s\":2.0}]}");
     g_free(text);
-    g_array_free(orders, TRUE);
+    g_array_free(commands, TRUE);
 }
 
 static void test_cloud(void **state)
@@ -180,10 +181,10 @@
     ow_peer_message_free(m);
 }
 
-static void test_a_cancellation_goes_to_the_coordinator_whole(void **state)
+static void test_a_cancellation_goes_to_the_leader_whole(void **state)
 {
     (void)state;
-    for (enum ow_peer_kind kind = OW_PEER_CANCELLATION; kind <= OW_PEER_TAKEN; kind++) {
+    for (enum ow_peer_kind kind = OW_PEER_CANCELLATION; kind <= OW_PEER_CANCELLATION_ACK; kind++) {
         struct ow_peer_message *m = ow_peer_message_new(kind);
         g_strlcpy(m->job, "run-000412", sizeof m->job);
         m->revision = UINT64_C(1) << 41;
@@ -210,7 +211,7 @@
     assert_null(m);
     assert_true(wire_peer_decode(longer, sizeof longer - 1, &m));
     assert_non_null(m);
-    assert_int_equal(m->kind, OW_PEER_NUDGE);
+    assert_int_equal(m->kind, OW_PEER_JOB_CHANGED);
     assert_int_equal(m->number, 9);
     assert_int_equal(m->version, 2);
     ow_peer_message_free(m);
@@ -248,7 +249,7 @@
         cmocka_unit_test(test_orders),
         cmocka_unit_test(test_cloud),
         cmocka_unit_test(test_peer_messages),
-        cmocka_unit_test(test_a_cancellation_goes_to_the_coordinator_whole),
+        cmocka_unit_test(test_a_cancellation_goes_to_the_leader_whole),
         cmocka_unit_test(test_messages_of_later_versions),
         cmocka_unit_test(test_peer_noise),
     };
--- a/tests/world.c
+++ b/tests/world.c
@@ -10,12 +10,12 @@
 
 static const double STEP_S = 0.05, TIME_OF_DAY = 1.7e9;
 
-/* A command to a node, and when it gets there. */
+/* An event for a controller, and when it gets there. */
 struct delivery {
-    int node;
+    int controller;
     uint64_t nonce; /* of the process that it is for; 0: any */
     double at;
-    struct ow_command *command;
+    struct ow_event *event;
 };
 
 static void answer_free(void *item)
@@ -30,18 +30,18 @@
     g_array_append_val(teams, t);
 }
 
-static void init_settings(struct ow_settings *s, int node)
+static void init_settings(struct ow_settings *s, int controller)
 {
     static char *names[] = {"node-0", "node-1", "node-2"};
     static char *zones[] = {"east", "west", NULL};
     static char endpoint[] = "10.0.0.1:1";
-    s->node = names[node];
+    s->controller_name = names[controller];
     s->zone = zones[0];
     s->front = s->peer_listen = s->cloud = s->state = endpoint;
     s->peers = g_array_new(FALSE, TRUE, sizeof(struct ow_peer_settings));
-    for (int i = 0; i < WORLD_NODES; i++) {
+    for (int i = 0; i < WORLD_CONTROLLERS; i++) {
         struct ow_peer_settings peer = {.node = names[i], .endpoint = endpoint};
-        if (i != node)
+        if (i != controller)
             g_array_append_val(s->peers, peer);
     }
     s->teams = g_array_new(FALSE, TRUE, sizeof(struct ow_team_settings));
@@ -75,14 +75,14 @@
     w->rules = ow_rules_default();
     world_state_init(w);
     world_workers_init(w);
-    w->denied_node = w->isolated_node = w->lonely_node = w->slow_node = -1;
+    w->denied_controller = w->isolated_controller = w->lonely_controller = w->slow_controller = -1;
     w->run_s = 5;
     w->queue = g_ptr_array_new();
     w->answers = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, answer_free);
     w->wishes = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-    w->told = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+    w->announced = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     w->broken = g_string_new(NULL);
-    for (int i = 0; i < WORLD_NODES; i++)
+    for (int i = 0; i < WORLD_CONTROLLERS; i++)
         init_settings(&w->settings[i], i);
     w->value_kb = w->settings[0].value_kb;
     w->txn_ops = w->settings[0].txn_ops;
@@ -91,7 +91,7 @@
 
 void world_free(struct world *w)
 {
-    for (int i = 0; i < WORLD_NODES; i++) {
+    for (int i = 0; i < WORLD_CONTROLLERS; i++) {
         if (w->cores[i] != NULL)
             ow_core_free(w->cores[i]);
         g_array_free(w->settings[i].peers, TRUE);
@@ -100,7 +100,7 @@
     }
     for (guint i = 0; i < w->queue->len; i++) {
         struct delivery *d = g_ptr_array_index(w->queue, i);
-        ow_command_free(d->command);
+        ow_event_free(d->event);
         g_free(d);
     }
     world_state_clear(w);
@@ -108,23 +108,23 @@
     g_ptr_array_free(w->queue, TRUE);
     g_hash_table_destroy(w->answers);
     g_hash_table_destroy(w->wishes);
-    g_hash_table_destroy(w->told);
+    g_hash_table_destroy(w->announced);
     g_string_free(w->broken, TRUE);
     g_free(w);
 }
 
 /* ---- deliveries ---- */
 
-void world_deliver(struct world *w, int node, uint64_t nonce, double after_s, struct ow_command *c)
+void world_deliver(struct world *w, int controller, uint64_t nonce, double after_s, struct ow_event *c)
 {
     struct delivery *d = g_new0(struct delivery, 1);
-    *d = (struct delivery){node, nonce, w->now + after_s, c};
+    *d = (struct delivery){controller, nonce, w->now + after_s, c};
     g_ptr_array_add(w->queue, d);
 }
 
-struct ow_command *world_command(enum ow_command_kind kind, uint64_t request)
+struct ow_event *world_command(enum ow_event_kind kind, uint64_t request)
 {
-    struct ow_command *c = g_new0(struct ow_command, 1);
+    struct ow_event *c = g_new0(struct ow_event, 1);
     c->kind = kind;
     c->request = request;
     return c;
@@ -132,16 +132,16 @@
 
 /* ---- users ---- */
 
-static void check_told(struct world *w, const char *id, enum ow_stance stance)
+static void check_announcement(struct world *w, const char *id, enum ow_job_state state)
 {
-    const struct world_told *before = g_hash_table_lookup(w->told, id);
-    if (before != NULL && before->stance != stance)
-        g_string_append_printf(w->broken, "%s went back from %d to %d; ", id, before->stance, stance);
-    if (before != NULL || (stance != OW_DONE && stance != OW_CANCELLED))
+    const struct world_announcement *before = g_hash_table_lookup(w->announced, id);
+    if (before != NULL && before->state != state)
+        g_string_append_printf(w->broken, "%s went back from %d to %d; ", id, before->state, state);
+    if (before != NULL || (state != OW_JOB_DONE && state != OW_JOB_CANCELLED))
         return;
-    struct world_told *told = g_new0(struct world_told, 1);
-    *told = (struct world_told){stance, w->now};
-    g_hash_table_replace(w->told, g_strdup(id), told);
+    struct world_announcement *announcement = g_new0(struct world_announcement, 1);
+    *announcement = (struct world_announcement){state, w->now};
+    g_hash_table_replace(w->announced, g_strdup(id), announcement);
 }
 
 static void take_answer(struct world *w, const struct ow_effect *e)
@@ -149,28 +149,29 @@
     uint64_t *key = g_new(uint64_t, 1);
     struct world_answer *a = g_new0(struct world_answer, 1);
     *key = e->request;
-    *a = (struct world_answer){e->request, e->status, e->stance, e->retry_after_s, g_strdup(e->text)};
+    *a = (struct world_answer){e->request, e->status, e->state, e->retry_after_s, g_strdup(e->text)};
     if (e->kind == OW_EFFECT_JOB)
-        check_told(w, e->id, e->stance);
+        check_announcement(w, e->id, e->state);
     g_hash_table_replace(w->answers, key, a);
 }
 
-static uint64_t ask(struct world *w, int node, struct ow_command *c)
+static uint64_t ask(struct world *w, int controller, struct ow_event *c)
 {
     c->request = ++w->last_request;
-    world_deliver(w, node, w->node_nonce[node], 0, c);
+    world_deliver(w, controller, w->controller_nonce[controller], 0, c);
     return w->last_request;
 }
 
-void world_report(struct world *w, int node, const struct world_machine *m, uint64_t seq, uint64_t token)
+void world_report(struct world *w, int controller, const struct world_machine *m, uint64_t seq,
+                  uint64_t token)
 {
     struct world_machine copy = *m;
-    struct ow_command *c = world_command(OW_COMMAND_REPORT, (uint64_t)1 << 60);
+    struct ow_event *c = world_command(OW_EVENT_REPORT, (uint64_t)1 << 60);
     copy.seq = seq - 1;
     copy.token = token;
     c->report = world_make_report(&copy);
     g_array_set_size(c->report->tasks, 0);
-    world_deliver(w, node, w->node_nonce[node], 0, c);
+    world_deliver(w, controller, w->controller_nonce[controller], 0, c);
 }
 
 struct ow_report *world_last_report(const struct world_machine *m)
@@ -180,11 +181,11 @@
     return world_make_report(&copy);
 }
 
-void world_send_copy(struct world *w, int node, struct ow_report *report)
+void world_send_copy(struct world *w, int controller, struct ow_report *report)
 {
-    struct ow_command *c = world_command(OW_COMMAND_REPORT, (uint64_t)1 << 60);
+    struct ow_event *c = world_command(OW_EVENT_REPORT, (uint64_t)1 << 60);
     c->report = report;
-    world_deliver(w, node, w->node_nonce[node], 0, c);
+    world_deliver(w, controller, w->controller_nonce[controller], 0, c);
 }
 
 void world_reboot(struct world *w, struct world_machine *m)
@@ -196,9 +197,9 @@
     m->renewed_at = m->report_at = w->now;
 }
 
-uint64_t world_submit(struct world *w, int node, struct ow_submission *submission)
+uint64_t world_submit(struct world *w, int controller, struct ow_submission *submission)
 {
-    struct ow_command *c = world_command(OW_COMMAND_SUBMIT, 0);
+    struct ow_event *c = world_command(OW_EVENT_SUBMIT, 0);
     c->submission = submission;
     struct world_wish *wish = g_new0(struct world_wish, 1);
     *wish = (struct world_wish){.tasks = submission->tasks,
@@ -213,29 +214,29 @@
         g_hash_table_insert(w->wishes, g_strdup(submission->id), wish);
     else
         g_free(wish);
-    return ask(w, node, c);
+    return ask(w, controller, c);
 }
 
-uint64_t world_submit_malformed(struct world *w, int node, const char *id)
+uint64_t world_submit_malformed(struct world *w, int controller, const char *id)
 {
-    struct ow_command *c = world_command(OW_COMMAND_SUBMIT, 0);
+    struct ow_event *c = world_command(OW_EVENT_SUBMIT, 0);
     g_strlcpy(c->id, id, sizeof c->id);
     c->fault = "made up";
-    return ask(w, node, c);
+    return ask(w, controller, c);
 }
 
-uint64_t world_poll(struct world *w, int node, const char *id)
+uint64_t world_poll(struct world *w, int controller, const char *id)
 {
-    struct ow_command *c = world_command(OW_COMMAND_POLL, 0);
+    struct ow_event *c = world_command(OW_EVENT_POLL, 0);
     g_strlcpy(c->id, id, sizeof c->id);
-    return ask(w, node, c);
+    return ask(w, controller, c);
 }
 
-uint64_t world_withdraw(struct world *w, int node, const char *id)
+uint64_t world_cancel(struct world *w, int controller, const char *id)
 {
-    struct ow_command *c = world_command(OW_COMMAND_WITHDRAW, 0);
+    struct ow_event *c = world_command(OW_EVENT_CANCEL, 0);
     g_strlcpy(c->id, id, sizeof c->id);
-    return ask(w, node, c);
+    return ask(w, controller, c);
 }
 
 const struct world_answer *world_answer(struct world *w, uint64_t request)
@@ -249,14 +250,14 @@
     return a != NULL ? a->status : 0;
 }
 
-int world_stance(struct world *w, const char *id)
+int world_job_state(struct world *w, const char *id)
 {
     for (int i = 0; i < 30; i++) {
-        uint64_t request = world_poll(w, i % WORLD_NODES, id);
+        uint64_t request = world_poll(w, i % WORLD_CONTROLLERS, id);
         world_run(w, 1);
         const struct world_answer *a = world_answer(w, request);
         if (a != NULL && a->status == 200)
-            return (int)a->stance;
+            return (int)a->state;
         if (a != NULL && a->status == 404)
             return -404;
     }
@@ -303,27 +304,27 @@
     return s;
 }
 
-/* ---- nodes ---- */
+/* ---- controllers ---- */
 
 static void send_peers(struct world *w, int from, struct ow_peer_message *message)
 {
     GString *frame = g_string_new(NULL);
     wire_peer_encode(message, frame);
-    for (int i = 0; i < WORLD_NODES; i++) {
-        if (i == from || w->cores[i] == NULL || w->peers_cut || i == w->isolated_node ||
-            from == w->isolated_node)
+    for (int i = 0; i < WORLD_CONTROLLERS; i++) {
+        if (i == from || w->cores[i] == NULL || w->peers_cut || i == w->isolated_controller ||
+            from == w->isolated_controller)
             continue;
-        struct ow_command *c = world_command(OW_COMMAND_PEER, 0);
+        struct ow_event *c = world_command(OW_EVENT_PEER, 0);
         assert_true(wire_peer_decode(frame->str + 4, frame->len - 4, &c->peer));
         assert_non_null(c->peer);
-        if (w->old_node[i] || w->old_node[from])
+        if (w->old_controller[i] || w->old_controller[from])
             c->peer->version = OW_FORMAT_FIRST;
-        world_deliver(w, i, w->node_nonce[i], 0.01, c);
+        world_deliver(w, i, w->controller_nonce[i], 0.01, c);
     }
     g_string_free(frame, TRUE);
 }
 
-static void carry_out(struct world *w, int node, struct ow_effect *e)
+static void carry_out(struct world *w, int controller, struct ow_effect *e)
 {
     switch (e->kind) {
     case OW_EFFECT_JOB:
@@ -331,43 +332,43 @@
     case OW_EFFECT_TEAMS:
         take_answer(w, e);
         break;
-    case OW_EFFECT_ORDERS:
+    case OW_EFFECT_WORKER_COMMANDS:
     case OW_EFFECT_MISDIRECT:
-        world_workers_take_answer(w, node, e);
+        world_workers_take_answer(w, controller, e);
         break;
     case OW_EFFECT_DIRECT:
-        world_workers_take_direct(w, node, e);
+        world_workers_take_direct(w, controller, e);
         break;
     case OW_EFFECT_STORE:
-        world_state_take(w, node, e);
+        world_state_take(w, controller, e);
         break;
     case OW_EFFECT_CLOUD:
-        world_cloud_take(w, node, e->cloud);
+        world_cloud_take(w, controller, e->cloud);
         break;
     case OW_EFFECT_PEER:
-        send_peers(w, node, e->peer);
+        send_peers(w, controller, e->peer);
         break;
     }
 }
 
-void world_start_node(struct world *w, int node)
+void world_start_controller(struct world *w, int controller)
 {
-    w->node_nonce[node] = ++w->nonce;
-    w->cores[node] = ow_core_new(&w->settings[node], &w->rules, w->nonce);
+    w->controller_nonce[controller] = ++w->nonce;
+    w->cores[controller] = ow_core_new(&w->settings[controller], &w->rules, w->nonce);
 }
 
-void world_lose_link(struct world *w, int node, int lost)
+void world_lose_link(struct world *w, int controller, int lost)
 {
-    struct ow_command *c = world_command(OW_COMMAND_PEER, 0);
-    c->peer = ow_peer_message_new(OW_PEER_LOST);
-    c->peer->node = g_strdup(w->settings[lost].node);
-    world_deliver(w, node, w->node_nonce[node], 0.01, c);
+    struct ow_event *c = world_command(OW_EVENT_PEER, 0);
+    c->peer = ow_peer_message_new(OW_PEER_LINK_LOST);
+    c->peer->sender = g_strdup(w->settings[lost].controller_name);
+    world_deliver(w, controller, w->controller_nonce[controller], 0.01, c);
 }
 
-void world_kill_node(struct world *w, int node)
+void world_kill_controller(struct world *w, int controller)
 {
-    ow_core_free(w->cores[node]);
-    w->cores[node] = NULL;
+    ow_core_free(w->cores[controller]);
+    w->cores[controller] = NULL;
 }
 
 static void deliver_due(struct world *w)
@@ -379,10 +380,11 @@
             g_ptr_array_index(w->queue, kept++) = d;
             continue;
         }
-        if (w->cores[d->node] != NULL && (d->nonce == 0 || d->nonce == w->node_nonce[d->node]))
-            ow_core_push(w->cores[d->node], d->command);
+        if (w->cores[d->controller] != NULL &&
+            (d->nonce == 0 || d->nonce == w->controller_nonce[d->controller]))
+            ow_core_push(w->cores[d->controller], d->event);
         else
-            ow_command_free(d->command);
+            ow_event_free(d->event);
         g_free(d);
     }
     g_ptr_array_set_size(w->queue, (gint)kept);
@@ -394,7 +396,7 @@
     world_state_step(w);
     world_workers_step(w);
     deliver_due(w);
-    for (int i = 0; i < WORLD_NODES; i++) {
+    for (int i = 0; i < WORLD_CONTROLLERS; i++) {
         if (w->cores[i] == NULL)
             continue;
         GPtrArray *effects = ow_core_run(w->cores[i], w->now, w->now + TIME_OF_DAY);
@@ -425,7 +427,7 @@
 {
     int leader = -1;
     uint64_t highest = 0;
-    for (int i = 0; i < WORLD_NODES; i++) {
+    for (int i = 0; i < WORLD_CONTROLLERS; i++) {
         uint64_t token = w->cores[i] != NULL ? ow_core_token(w->cores[i]) : 0;
         if (token > highest) {
             highest = token;
@@ -442,7 +444,7 @@
         const struct world_machine *m = g_ptr_array_index(w->machines, i);
         for (guint k = 0; !m->gone && k < m->tasks->len; k++) {
             const struct world_task *t = &g_array_index(m->tasks, struct world_task, k);
-            count += t->phase != OW_EXITED && strcmp(t->job, job) == 0 ? 1 : 0;
+            count += t->phase != OW_PHASE_EXITED && strcmp(t->job, job) == 0 ? 1 : 0;
         }
     }
     return count;
@@ -478,8 +480,8 @@
 struct world *world_with_machines(int machines)
 {
     struct world *w = world_new();
-    for (int i = 0; i < WORLD_NODES; i++)
-        world_start_node(w, i);
+    for (int i = 0; i < WORLD_CONTROLLERS; i++)
+        world_start_controller(w, i);
     world_add_machines(w, machines);
     world_run(w, 4);
     return w;
@@ -498,7 +500,7 @@
         struct world_machine *m = g_ptr_array_index(w->machines, i);
         for (guint k = 0; !m->gone && k < m->tasks->len; k++) {
             const struct world_task *t = &g_array_index(m->tasks, struct world_task, k);
-            if (strcmp(t->job, job) == 0 && t->phase != OW_EXITED)
+            if (strcmp(t->job, job) == 0 && t->phase != OW_PHASE_EXITED)
                 return m;
         }
     }
--- a/tests/world_cloud.c
+++ b/tests/world_cloud.c
@@ -81,13 +81,13 @@
     }
 }
 
-void world_cloud_take(struct world *w, int node, const struct ow_cloud_request *r)
+void world_cloud_take(struct world *w, int controller, const struct ow_cloud_request *r)
 {
-    struct ow_command *c = world_command(OW_COMMAND_CLOUD, r->tag);
+    struct ow_event *c = world_command(OW_EVENT_CLOUD, r->tag);
     c->cloud.status = w->cloud_down ? 503 : 200;
     w->cloud_calls++;
     if (w->cloud_down) {
-        world_deliver(w, node, w->node_nonce[node], 0.1, c);
+        world_deliver(w, controller, w->controller_nonce[controller], 0.1, c);
         return;
     }
     if (r->op == OW_CLOUD_TYPES)
@@ -98,5 +98,5 @@
         rent(w, r, &c->cloud);
     else
         delete_machines(w, r->machines);
-    world_deliver(w, node, w->node_nonce[node], 0.1, c);
+    world_deliver(w, controller, w->controller_nonce[controller], 0.1, c);
 }
--- a/tests/world_state.c
+++ b/tests/world_state.c
@@ -20,14 +20,14 @@
 };
 
 struct held_txn {
-    int node;
+    int controller;
     uint64_t nonce;
     struct ow_store_request *request;
     double deadline;
 };
 
 struct follow {
-    int node;
+    int controller;
     uint64_t nonce, tag, since;
     char *prefix;
     double until;
@@ -107,25 +107,26 @@
     g_array_append_val(items, item);
 }
 
-static double answer_time(const struct world *w, int node)
+static double answer_time(const struct world *w, int controller)
 {
-    return 0.01 + (w->slow_node < 0 || node == w->slow_node ? w->state_slow_s : 0);
+    return 0.01 + (w->slow_controller < 0 || controller == w->slow_controller ? w->state_slow_s : 0);
 }
 
-static void answer_page(struct world *w, int node, uint64_t nonce, uint64_t tag, GArray *items, bool more)
+static void answer_page(struct world *w, int controller, uint64_t nonce, uint64_t tag, GArray *items,
+                        bool more)
 {
-    struct ow_command *c = world_command(OW_COMMAND_STORE, tag);
+    struct ow_event *c = world_command(OW_EVENT_STORE, tag);
     c->store = (struct ow_store_reply){tag, 200, w->revision, 0, more, items, NULL};
-    world_deliver(w, node, nonce, answer_time(w, node), c);
+    world_deliver(w, controller, nonce, answer_time(w, controller), c);
 }
 
-static void answer_store(struct world *w, int node, uint64_t nonce, uint64_t tag, int status, GArray *items,
-                         uint64_t lease, char **failed)
+static void answer_store(struct world *w, int controller, uint64_t nonce, uint64_t tag, int status,
+                         GArray *items, uint64_t lease, char **failed)
 {
-    struct ow_command *c = world_command(OW_COMMAND_STORE, tag);
+    struct ow_event *c = world_command(OW_EVENT_STORE, tag);
     c->store = (struct ow_store_reply){
         tag, status, w->revision, lease, false, items != NULL ? items : new_items(), failed};
-    world_deliver(w, node, nonce, answer_time(w, node), c);
+    world_deliver(w, controller, nonce, answer_time(w, controller), c);
 }
 
 static uint64_t version_of(struct world *w, const char *key)
@@ -156,19 +157,19 @@
 static void check_format(struct world *w, const struct ow_change *c)
 {
     bool old = false;
-    for (int i = 0; i < WORLD_NODES; i++)
-        old = old || w->old_node[i];
+    for (int i = 0; i < WORLD_CONTROLLERS; i++)
+        old = old || w->old_controller[i];
     if (!old || c->value == NULL || !g_str_has_prefix(c->key, OW_KEY_PROGRESS))
         return;
-    json_t *group = json_loads(c->value, 0, NULL);
+    json_t *record_value = json_loads(c->value, 0, NULL);
     const char *name;
     json_t *record;
-    json_object_foreach(group, name, record)
+    json_object_foreach(record_value, name, record)
     {
         if (strchr(name, '.') != NULL)
             g_string_append_printf(w->broken, "%s is written beside an old controller; ", name);
     }
-    json_decref(group);
+    json_decref(record_value);
 }
 
 /* The status of the transaction, carried out if it is 200. */
@@ -203,7 +204,7 @@
     return 200;
 }
 
-static void do_txn(struct world *w, int node, uint64_t nonce, const struct ow_store_request *r)
+static void do_txn(struct world *w, int controller, uint64_t nonce, const struct ow_store_request *r)
 {
     char **failed = NULL;
     int status = apply_txn(w, r, &failed);
@@ -212,9 +213,9 @@
         g_clear_pointer(&failed, g_strfreev);
     if (w->lose_txn_answers) {
         g_strfreev(failed);
-        answer_store(w, node, nonce, r->tag, 0, NULL, 0, NULL);
+        answer_store(w, controller, nonce, r->tag, 0, NULL, 0, NULL);
     } else {
-        answer_store(w, node, nonce, r->tag, status, NULL, 0, failed);
+        answer_store(w, controller, nonce, r->tag, status, NULL, 0, failed);
     }
 }
 
@@ -224,7 +225,7 @@
 }
 
 /* A page of the list: so many items, and so many bytes. */
-static void do_list(struct world *w, int node, uint64_t nonce, const struct ow_store_request *r)
+static void do_list(struct world *w, int controller, uint64_t nonce, const struct ow_store_request *r)
 {
     GPtrArray *keys = g_ptr_array_new();
     GArray *items = new_items();
@@ -241,7 +242,7 @@
         bytes += strlen(v->text);
         add_item(items, g_ptr_array_index(keys, items->len), v->text, v->version);
     }
-    answer_page(w, node, nonce, r->tag, items, items->len < keys->len);
+    answer_page(w, controller, nonce, r->tag, items, items->len < keys->len);
     g_ptr_array_free(keys, TRUE);
 }
 
@@ -259,88 +260,88 @@
     return items;
 }
 
-static void do_follow(struct world *w, int node, uint64_t nonce, const struct ow_store_request *r)
+static void do_follow(struct world *w, int controller, uint64_t nonce, const struct ow_store_request *r)
 {
     GArray *items = changes_since(w, r->key, r->number);
     if (items->len > 0 || r->seconds <= 0) {
-        answer_store(w, node, nonce, r->tag, 200, items, 0, NULL);
+        answer_store(w, controller, nonce, r->tag, 200, items, 0, NULL);
         return;
     }
     g_array_free(items, TRUE);
     struct follow *f = g_new0(struct follow, 1);
-    *f = (struct follow){node, nonce, r->tag, r->number, g_strdup(r->key), w->now + r->seconds};
+    *f = (struct follow){controller, nonce, r->tag, r->number, g_strdup(r->key), w->now + r->seconds};
     g_ptr_array_add(w->follows, f);
 }
 
-static void do_lease(struct world *w, int node, uint64_t nonce, const struct ow_store_request *r)
+static void do_lease(struct world *w, int controller, uint64_t nonce, const struct ow_store_request *r)
 {
     uint64_t *id = g_new(uint64_t, 1);
     double *until = g_new(double, 1);
     *id = ++w->last_lease;
     *until = w->now + r->seconds;
     g_hash_table_replace(w->leases, id, until);
-    answer_store(w, node, nonce, r->tag, 200, NULL, *id, NULL);
+    answer_store(w, controller, nonce, r->tag, 200, NULL, *id, NULL);
 }
 
-static void do_renew(struct world *w, int node, uint64_t nonce, const struct ow_store_request *r)
+static void do_renew(struct world *w, int controller, uint64_t nonce, const struct ow_store_request *r)
 {
     double *until = g_hash_table_lookup(w->leases, &r->number);
     if (until != NULL)
         *until = w->now + w->rules.leader_lease_s;
-    answer_store(w, node, nonce, r->tag, until != NULL ? 200 : 404, NULL, 0, NULL);
+    answer_store(w, controller, nonce, r->tag, until != NULL ? 200 : 404, NULL, 0, NULL);
 }
 
-static void do_get(struct world *w, int node, uint64_t nonce, const struct ow_store_request *r)
+static void do_get(struct world *w, int controller, uint64_t nonce, const struct ow_store_request *r)
 {
     const struct world_value *v = g_hash_table_lookup(w->keys, r->key);
     GArray *items = new_items();
     if (v != NULL)
         add_item(items, r->key, v->text, v->version);
-    answer_store(w, node, nonce, r->tag, v != NULL ? 200 : 404, items, 0, NULL);
+    answer_store(w, controller, nonce, r->tag, v != NULL ? 200 : 404, items, 0, NULL);
 }
 
-void world_state_take(struct world *w, int node, struct ow_effect *e)
+void world_state_take(struct world *w, int controller, struct ow_effect *e)
 {
     const struct ow_store_request *r = e->store;
-    uint64_t nonce = w->node_nonce[node];
+    uint64_t nonce = w->controller_nonce[controller];
     w->state_requests++;
     w->state_changes += r->changes != NULL ? r->changes->len : 0;
-    if (node == w->isolated_node) {
-        struct ow_command *c = world_command(OW_COMMAND_STORE, r->tag);
+    if (controller == w->isolated_controller) {
+        struct ow_event *c = world_command(OW_EVENT_STORE, r->tag);
         c->store = (struct ow_store_reply){.tag = r->tag, .items = new_items()};
-        world_deliver(w, node, nonce, 1.5, c);
+        world_deliver(w, controller, nonce, 1.5, c);
         return;
     }
-    if (w->state_down || node == w->denied_node) {
-        answer_store(w, node, nonce, r->tag, 503, NULL, 0, NULL);
+    if (w->state_down || controller == w->denied_controller) {
+        answer_store(w, controller, nonce, r->tag, 503, NULL, 0, NULL);
         return;
     }
     switch (r->op) {
     case OW_STORE_TXN:
-        bool next = w->hold_next > 0 && node == w->hold_node;
+        bool next = w->hold_next > 0 && controller == w->hold_controller;
         if (w->hold_txns || next) {
             w->hold_next -= next ? 1 : 0;
             struct held_txn *h = g_new0(struct held_txn, 1);
-            *h = (struct held_txn){node, nonce, g_steal_pointer(&e->store), w->now + 1.5};
+            *h = (struct held_txn){controller, nonce, g_steal_pointer(&e->store), w->now + 1.5};
             g_ptr_array_add(w->held, h);
             return;
         }
-        do_txn(w, node, nonce, r);
+        do_txn(w, controller, nonce, r);
         return;
     case OW_STORE_LIST:
-        do_list(w, node, nonce, r);
+        do_list(w, controller, nonce, r);
         return;
-    case OW_STORE_FOLLOW:
-        do_follow(w, node, nonce, r);
+    case OW_STORE_WATCH:
+        do_follow(w, controller, nonce, r);
         return;
     case OW_STORE_LEASE:
-        do_lease(w, node, nonce, r);
+        do_lease(w, controller, nonce, r);
         return;
     case OW_STORE_RENEW:
-        do_renew(w, node, nonce, r);
+        do_renew(w, controller, nonce, r);
         return;
     case OW_STORE_GET:
-        do_get(w, node, nonce, r);
+        do_get(w, controller, nonce, r);
         return;
     }
 }
@@ -379,13 +380,13 @@
         struct held_txn *h = g_ptr_array_index(w->held, i - 1);
         /* The asker has given up; the transaction stays on its way. */
         if (h->nonce != 0 && w->now > h->deadline) {
-            answer_store(w, h->node, h->nonce, h->request->tag, 0, NULL, 0, NULL);
+            answer_store(w, h->controller, h->nonce, h->request->tag, 0, NULL, 0, NULL);
             h->nonce = 0;
         }
         if (w->hold_txns || w->keep_held)
             continue;
         if (h->nonce != 0) {
-            do_txn(w, h->node, h->nonce, h->request);
+            do_txn(w, h->controller, h->nonce, h->request);
         } else {
             char **failed = NULL;
             apply_txn(w, h->request, &failed);
@@ -397,14 +398,14 @@
     }
     for (guint i = w->follows->len; i > 0 && !w->state_down; i--) {
         struct follow *f = g_ptr_array_index(w->follows, i - 1);
-        if (f->node == w->isolated_node || f->node == w->denied_node)
+        if (f->controller == w->isolated_controller || f->controller == w->denied_controller)
             continue;
         GArray *items = changes_since(w, f->prefix, f->since);
-        if ((items->len == 0 || w->deaf_watches) && w->now < f->until) {
+        if ((items->len == 0 || w->silent_watches) && w->now < f->until) {
             g_array_free(items, TRUE);
             continue;
         }
-        answer_store(w, f->node, f->nonce, f->tag, 200, items, 0, NULL);
+        answer_store(w, f->controller, f->nonce, f->tag, 200, items, 0, NULL);
         free_follow(f);
         g_ptr_array_remove_index_fast(w->follows, i - 1);
     }
@@ -425,10 +426,10 @@
     while (found == NULL && g_hash_table_iter_next(&iter, &key, &value)) {
         if (!g_str_has_prefix(key, OW_KEY_PROGRESS))
             continue;
-        json_t *group = json_loads(((struct world_value *)value)->text, 0, NULL);
-        json_t *record = json_object_get(group, name);
+        json_t *record_value = json_loads(((struct world_value *)value)->text, 0, NULL);
+        json_t *record = json_object_get(record_value, name);
         found = record != NULL ? wj_text(record) : NULL;
-        json_decref(group);
+        json_decref(record_value);
     }
     return found;
 }
--- a/tests/world_workers.c
+++ b/tests/world_workers.c
@@ -10,7 +10,7 @@
 struct late_direct {
     char machine[32];
     uint64_t token, session;
-    GArray *orders;
+    GArray *commands;
 };
 
 void world_workers_init(struct world *w)
@@ -29,7 +29,7 @@
         g_free(m);
     }
     for (guint i = 0; i < w->late->len; i++)
-        g_array_free(g_array_index(w->late, struct late_direct, i).orders, TRUE);
+        g_array_free(g_array_index(w->late, struct late_direct, i).commands, TRUE);
     g_array_free(w->late, TRUE);
     g_hash_table_destroy(w->machines_by_name);
     g_hash_table_destroy(w->started_on);
@@ -52,7 +52,7 @@
     m->spot = spot;
     m->session = 1;
     m->notice_s = -1;
-    m->only_node = -1;
+    m->only_controller = -1;
     m->up_at = m->renewed_at = m->report_at = w->now;
     m->tasks = g_array_new(FALSE, TRUE, sizeof(struct world_task));
     g_ptr_array_add(w->machines, m);
@@ -84,7 +84,7 @@
     return r;
 }
 
-static struct world_task *find_task(struct world_machine *m, const struct ow_order *o)
+static struct world_task *find_task(struct world_machine *m, const struct ow_worker_command *o)
 {
     for (guint i = 0; i < m->tasks->len; i++) {
         struct world_task *t = &g_array_index(m->tasks, struct world_task, i);
@@ -95,13 +95,13 @@
 }
 
 /* A task may only be on the machine where it was started last; elsewhere it would have been told before. */
-static void check_twice(struct world *w, struct world_machine *here, const struct ow_order *o)
+static void check_twice(struct world *w, struct world_machine *here, const struct ow_worker_command *o)
 {
     char *name = g_strdup_printf("%s/%u", o->job, o->task);
     const struct world_machine *m = g_hash_table_lookup(w->started_on, name);
     for (guint k = 0; m != NULL && m != here && !m->gone && k < m->tasks->len; k++) {
         const struct world_task *t = &g_array_index(m->tasks, struct world_task, k);
-        if (t->phase != OW_EXITED && t->task == o->task && strcmp(t->job, o->job) == 0)
+        if (t->phase != OW_PHASE_EXITED && t->task == o->task && strcmp(t->job, o->job) == 0)
             g_string_append_printf(w->broken, "%s runs twice, on %s and %s; ", name, m->name, here->name);
     }
     g_hash_table_replace(w->started_on, name, here);
@@ -110,16 +110,17 @@
 /* Nothing of a job may start once its user has heard that it is over, however it ended. */
 static void check_over(struct world *w, const char *job)
 {
-    const struct world_told *told = g_hash_table_lookup(w->told, job);
-    if (told != NULL)
+    const struct world_announcement *announcement = g_hash_table_lookup(w->announced, job);
+    if (announcement != NULL)
         g_string_append_printf(w->broken, "%s was told %s and is started; ", job,
-                               told->stance == OW_DONE ? "done" : "cancelled");
+                               announcement->state == OW_JOB_DONE ? "done" : "cancelled");
 }
 
 /* Whether nothing gets through between the two, either way. */
-static bool apart(const struct world *w, const struct world_machine *m, int node)
+static bool apart(const struct world *w, const struct world_machine *m, int controller)
 {
-    return m->cut || node == w->lonely_node || (m->only_node >= 0 && node != m->only_node);
+    return m->cut || controller == w->lonely_controller ||
+           (m->only_controller >= 0 && controller != m->only_controller);
 }
 
 static const struct world_wish *wish_of(struct world *w, const char *job)
@@ -137,7 +138,7 @@
         const struct world_machine *m = g_ptr_array_index(w->machines, i);
         for (guint k = 0; !m->gone && k < m->tasks->len; k++) {
             const struct world_task *t = &g_array_index(m->tasks, struct world_task, k);
-            if (t->phase != OW_EXITED)
+            if (t->phase != OW_PHASE_EXITED)
                 take(w, m, t, sum);
         }
     }
@@ -204,68 +205,68 @@
         g_string_append_printf(w->broken, "%s is at a wrong place on %s; ", job, m->name);
 }
 
-static void start_task(struct world *w, struct world_machine *m, const struct ow_order *o)
+static void start_task(struct world *w, struct world_machine *m, const struct ow_worker_command *o)
 {
     if (find_task(m, o) != NULL)
         return;
     struct world_task t = {
-        .task = o->task, .attempt = o->attempt, .phase = OW_FETCHING, .phase_at = w->now + FETCH_S};
+        .task = o->task, .attempt = o->attempt, .phase = OW_PHASE_FETCHING, .phase_at = w->now + FETCH_S};
     g_strlcpy(t.job, o->job, sizeof t.job);
     for (guint i = 0; i < m->tasks->len; i++) {
         const struct world_task *other = &g_array_index(m->tasks, struct world_task, i);
-        if (other->task == o->task && strcmp(other->job, o->job) == 0 && other->phase != OW_EXITED) {
-            t.phase = OW_EXITED;
+        if (other->task == o->task && strcmp(other->job, o->job) == 0 && other->phase != OW_PHASE_EXITED) {
+            t.phase = OW_PHASE_EXITED;
             t.cause = OW_CAUSE_BUSY;
         }
     }
-    if (t.phase != OW_EXITED) {
+    if (t.phase != OW_PHASE_EXITED) {
         check_twice(w, m, o);
         check_over(w, o->job);
         m->starts++;
     }
     g_array_append_val(m->tasks, t);
-    if (t.phase != OW_EXITED) {
+    if (t.phase != OW_PHASE_EXITED) {
         check_limit(w, o->job);
         check_place(w, m, o->job);
     }
 }
 
-static void obey(struct world *w, struct world_machine *m, const GArray *orders)
+static void obey(struct world *w, struct world_machine *m, const GArray *commands)
 {
-    for (guint i = 0; i < orders->len; i++) {
-        const struct ow_order *o = &g_array_index(orders, struct ow_order, i);
+    for (guint i = 0; i < commands->len; i++) {
+        const struct ow_worker_command *o = &g_array_index(commands, struct ow_worker_command, i);
         struct world_task *t = find_task(m, o);
-        if (o->op == OW_START) {
+        if (o->kind == OW_WORKER_LAUNCH) {
             start_task(w, m, o);
-        } else if (o->op == OW_STOP && t != NULL && t->phase != OW_EXITED) {
-            t->phase = OW_EXITED;
+        } else if (o->kind == OW_WORKER_STOP && t != NULL && t->phase != OW_PHASE_EXITED) {
+            t->phase = OW_PHASE_EXITED;
             t->cause = OW_CAUSE_STOPPED;
-        } else if (o->op == OW_FORGET && t != NULL && t->phase == OW_EXITED) {
+        } else if (o->kind == OW_WORKER_CLEAR && t != NULL && t->phase == OW_PHASE_EXITED) {
             m->forgets++;
             g_array_remove_index(m->tasks, (guint)(t - (struct world_task *)m->tasks->data));
         }
     }
 }
 
-void world_workers_take_direct(struct world *w, int node, struct ow_effect *e)
+void world_workers_take_direct(struct world *w, int controller, struct ow_effect *e)
 {
     struct world_machine *m = world_machine(w, e->text);
-    struct ow_command *c = world_command(OW_COMMAND_DIRECT_REPLY, e->request);
+    struct ow_event *c = world_command(OW_EVENT_DIRECT_REPLY, e->request);
     w->directs++;
     if (w->no_sockets) {
         c->status = OW_STATUS_UNSENT;
-        world_deliver(w, node, w->node_nonce[node], 0, c);
+        world_deliver(w, controller, w->controller_nonce[controller], 0, c);
         return;
     }
-    if (m == NULL || m->gone || m->hangs || m->deaf || w->hold_directs || apart(w, m, node)) {
+    if (m == NULL || m->gone || m->hangs || m->unresponsive || w->hold_directs || apart(w, m, controller)) {
         if (m != NULL && !m->gone && (m->cut || w->hold_directs)) {
             /* The cut holds the packets; they get there once it ends. */
             struct late_direct late = {
-                .token = e->token, .session = e->session, .orders = g_steal_pointer(&e->orders)};
+                .token = e->token, .session = e->session, .commands = g_steal_pointer(&e->commands)};
             g_strlcpy(late.machine, m->name, sizeof late.machine);
             g_array_append_val(w->late, late);
         }
-        world_deliver(w, node, w->node_nonce[node], 3, c);
+        world_deliver(w, controller, w->controller_nonce[controller], 3, c);
         return;
     }
     bool ok = e->token >= m->token && e->session == m->session;
@@ -274,10 +275,10 @@
         m->report_at = MIN(m->report_at, w->now + 0.5);
     }
     if (ok)
-        obey(w, m, e->orders);
+        obey(w, m, e->commands);
     c->status = ok ? 200 : 409;
     c->report = world_make_report(m);
-    world_deliver(w, node, w->node_nonce[node], 0.01, c);
+    world_deliver(w, controller, w->controller_nonce[controller], 0.01, c);
 }
 
 static void release_late(struct world *w)
@@ -289,29 +290,29 @@
             continue;
         if (!m->gone && late->token >= m->token && late->session == m->session) {
             m->token = late->token;
-            obey(w, m, late->orders);
+            obey(w, m, late->commands);
         }
-        g_array_free(late->orders, TRUE);
+        g_array_free(late->commands, TRUE);
         g_array_remove_index(w->late, i - 1);
     }
 }
 
 /* The answer to a report: requests of workers carry their machine's index above 2^32. */
-void world_workers_take_answer(struct world *w, int node, const struct ow_effect *e)
+void world_workers_take_answer(struct world *w, int controller, const struct ow_effect *e)
 {
     guint index = (guint)(e->request >> 32) - 1;
     if (index >= w->machines->len)
         return; /* nobody waits for it */
     struct world_machine *m = g_ptr_array_index(w->machines, index);
-    if (!m->report_busy || (uint32_t)e->request != (uint32_t)m->seq || m->hangs || m->deaf ||
-        apart(w, m, node))
+    if (!m->report_busy || (uint32_t)e->request != (uint32_t)m->seq || m->hangs || m->unresponsive ||
+        apart(w, m, controller))
         return;
     m->report_busy = false;
     m->report_at = w->now + w->settings[0].report_s;
     if (e->kind == OW_EFFECT_MISDIRECT) {
-        int named = e->text != NULL ? atoi(e->text + strlen("node-")) : node;
-        m->node = named != node ? named : (node + 1) % WORLD_NODES;
-        m->report_at = w->now + (named != node ? 0.1 : 1);
+        int named = e->text != NULL ? atoi(e->text + strlen("node-")) : controller;
+        m->controller = named != controller ? named : (controller + 1) % WORLD_CONTROLLERS;
+        m->report_at = w->now + (named != controller ? 0.1 : 1);
         return;
     }
     if (e->token < m->token)
@@ -321,25 +322,25 @@
     m->token = e->token;
     m->renewed_at = m->sent_at;
     guint before = m->tasks->len;
-    obey(w, m, e->orders);
+    obey(w, m, e->commands);
     if (m->tasks->len != before)
         m->report_at = w->now + 0.5;
 }
 
 static void step_task(struct world *w, struct world_machine *m, struct world_task *t)
 {
-    if (t->phase == OW_EXITED || w->now < t->phase_at)
+    if (t->phase == OW_PHASE_EXITED || w->now < t->phase_at)
         return;
-    if (t->phase == OW_FETCHING) {
+    if (t->phase == OW_PHASE_FETCHING) {
         check_over(w, t->job);
-        t->phase = OW_RUNNING;
+        t->phase = OW_PHASE_RUNNING;
         const struct world_wish *wish = wish_of(w, t->job);
         t->phase_at = wish != NULL && wish->service ? INFINITY : w->now + w->run_s;
     } else {
-        t->phase = OW_EXITED;
+        t->phase = OW_PHASE_EXITED;
         t->cause = m->sick ? OW_CAUSE_ERROR : OW_CAUSE_DONE;
     }
-    if (m->sick && t->phase == OW_RUNNING)
+    if (m->sick && t->phase == OW_PHASE_RUNNING)
         t->phase_at = w->now;
     m->report_at = MIN(m->report_at, w->now + 0.5);
 }
@@ -348,9 +349,9 @@
 {
     for (guint i = 0; i < m->tasks->len; i++) {
         const struct world_task *t = &g_array_index(m->tasks, struct world_task, i);
-        const struct world_told *told = g_hash_table_lookup(w->told, t->job);
-        if (t->phase != OW_EXITED && told != NULL && told->stance == OW_CANCELLED &&
-            w->now > told->at + w->settings[0].cancel_s)
+        const struct world_announcement *announcement = g_hash_table_lookup(w->announced, t->job);
+        if (t->phase != OW_PHASE_EXITED && announcement != NULL && announcement->state == OW_JOB_CANCELLED &&
+            w->now > announcement->at + w->settings[0].cancel_s)
             g_string_append_printf(w->broken, "%s/%u is on %s long after it was cancelled; ", t->job, t->task,
                                    m->name);
     }
@@ -373,22 +374,22 @@
         step_task(w, m, &g_array_index(m->tasks, struct world_task, i));
     if (m->report_busy && w->now - m->sent_at > 4) {
         m->report_busy = false;
-        m->node = (m->node + 1) % WORLD_NODES;
+        m->controller = (m->controller + 1) % WORLD_CONTROLLERS;
         m->report_at = w->now + 1;
     }
     if (m->report_busy || w->now < m->report_at || m->cut)
         return;
     m->sent_at = w->now;
-    if (w->cores[m->node] == NULL || m->mute || apart(w, m, m->node)) {
-        m->node = (m->node + 1) % WORLD_NODES;
+    if (w->cores[m->controller] == NULL || m->stopped_reporting || apart(w, m, m->controller)) {
+        m->controller = (m->controller + 1) % WORLD_CONTROLLERS;
         m->report_at = w->now + 1;
         return;
     }
     struct ow_report *report = world_make_report(m);
     m->report_busy = true;
-    struct ow_command *c = world_command(OW_COMMAND_REPORT, ((uint64_t)(index + 1) << 32) | (uint32_t)m->seq);
+    struct ow_event *c = world_command(OW_EVENT_REPORT, ((uint64_t)(index + 1) << 32) | (uint32_t)m->seq);
     c->report = report;
-    world_deliver(w, m->node, w->node_nonce[m->node], 0.01, c);
+    world_deliver(w, m->controller, w->controller_nonce[m->controller], 0.01, c);
 }
 
 void world_workers_step(struct world *w)
