--- a/src/core/election.c
+++ b/src/core/election.c
@@ -2,6 +2,7 @@
 
 #include "core/leader.h"
 #include "core/controller.h"
+#include "core/job_cache.h"
 #include "core/records.h"
 #include "wire/records_json.h"
 
@@ -10,6 +11,9 @@
 static const double DRIFT = 0.002, MARGIN_S = 3;
 /* A leader so young is not taken over on a hint: two that can't reach each other would take turns. */
 static const double HINT_AGE_S = 8;
+/* During an upgrade: how long a leader of an earlier version is left in office by one that has just come
+   back, and how fresh the word of its version must be. */
+static const double OUTDATED_LEADER_S = 2, PEER_FRESH_S = 5;
 /* How long one that has stepped down for the workers' sake leaves the key to others. */
 static const double YIELD_S = 15;
 
@@ -362,6 +366,32 @@
            e->controller->now - heard_at > MAX(patience, 2 * e->controller->rules->leader_lease_s);
 }
 
+/* Whether the leader's process is of an earlier version, which an upgrade is about to replace. Leadership
+   then moves once, now, instead of with every process of that version that happens to hold it as its turn
+   comes. An earlier version never takes it back for this reason, so the two do not alternate. */
+static bool leader_is_outdated(const struct ow_election *e)
+{
+    const struct ow_controller *controller = e->controller;
+    if (e->leader_name == NULL || e->key_version == 0 || !ow_job_cache_loaded(controller->job_cache))
+        return false;
+    guint format = GPOINTER_TO_UINT(g_hash_table_lookup(controller->peer_formats, e->leader_name));
+    const double *heard_at = g_hash_table_lookup(controller->peers_ok, e->leader_name);
+    if (format == 0 || format >= OW_FORMAT_FINE || heard_at == NULL)
+        return false;
+    bool state_is_well =
+        controller->state_bad_since == 0 && controller->now - controller->state_ok_at < PEER_FRESH_S;
+    return state_is_well && controller->now - *heard_at < PEER_FRESH_S &&
+           controller->now - e->led_since > OUTDATED_LEADER_S;
+}
+
+static void replace_outdated_leader(struct ow_election *e)
+{
+    g_info("leader %s is of an earlier version: its place is taken before its process is replaced",
+           e->leader_name);
+    e->led_since = e->controller->now; /* should it fail, it is not tried again at once */
+    begin(e);
+}
+
 void ow_election_tick(struct ow_election *e)
 {
     double now = e->controller->now;
@@ -380,6 +410,8 @@
         take(e);
     else if (!e->key_known)
         look(e);
+    else if (leader_is_outdated(e))
+        replace_outdated_leader(e);
     else if (!e->watching && now >= e->watch_at)
         watch(e);
 }
--- a/tests/test_upgrade.c
+++ b/tests/test_upgrade.c
@@ -277,6 +277,41 @@
     }
 }
 
+/* Of two controllers that are up one has come back new: it leads before the other one's turn comes. */
+static void test_leadership_leaves_the_earlier_version_once(void **state)
+{
+    (void)state;
+    struct world *w = old_world(4);
+    int old = world_leader(w), first = (old + 1) % WORLD_CONTROLLERS, last = (old + 2) % WORLD_CONTROLLERS;
+    upgrade(w, first, 0.3);
+    world_run(w, 8);
+    assert_int_equal(world_leader(w), first);
+    upgrade(w, old, 0.3);
+    world_run(w, 8);
+    upgrade(w, last, 0.3);
+    world_run(w, 8);
+    assert_int_equal(world_leader(w), first);
+    world_finish(w);
+}
+
+/* A controller that comes back as the earlier version, or all of them, leave leadership where it is. */
+static void test_the_earlier_version_takes_no_leadership_back(void **state)
+{
+    (void)state;
+    struct world *w = old_world(4);
+    int first = (world_leader(w) + 1) % WORLD_CONTROLLERS, other = (first + 1) % WORLD_CONTROLLERS;
+    upgrade(w, first, 0.3);
+    world_run(w, 8);
+    for (int i = 0; i < 3; i++) {
+        world_kill_controller(w, other);
+        world_run(w, 0.3);
+        world_start_controller(w, other);
+        world_run(w, 6);
+        assert_int_equal(world_leader(w), first);
+    }
+    world_finish(w);
+}
+
 /* Records in larger chunks than fit are divided in steps: whenever the leader ends, none is lost. */
 static void test_dividing_records_is_interrupted(void **state)
 {
@@ -471,6 +506,8 @@
         cmocka_unit_test(test_messages_of_production_are_read),
         cmocka_unit_test(test_records_are_written_as_production_does),
         cmocka_unit_test(test_a_roll),
+        cmocka_unit_test(test_leadership_leaves_the_earlier_version_once),
+        cmocka_unit_test(test_the_earlier_version_takes_no_leadership_back),
         cmocka_unit_test(test_dividing_records_is_interrupted),
         cmocka_unit_test(test_large_values_are_written_anew),
         cmocka_unit_test(test_no_mark_beside_an_old_controller),
--- a/tests/world.c
+++ b/tests/world.c
@@ -317,8 +317,11 @@
         struct ow_event *c = world_command(OW_EVENT_PEER, 0);
         assert_true(wire_peer_decode(frame->str + 4, frame->len - 4, &c->peer));
         assert_non_null(c->peer);
-        if (w->old_controller[i] || w->old_controller[from])
+        /* An earlier version says its format, and has no notion of other versions. */
+        if (w->old_controller[from])
             c->peer->version = OW_FORMAT_FIRST;
+        if (w->old_controller[i])
+            c->peer->version = 0;
         world_deliver(w, i, w->controller_nonce[i], 0.01, c);
     }
     g_string_free(frame, TRUE);
