--- a/src/wire/json.c
+++ b/src/wire/json.c
@@ -65,19 +65,21 @@
     return true;
 }
 
+static bool all_strings(const json_t *array)
+{
+    for (size_t i = 0; i < json_array_size(array); i++)
+        if (!json_is_string(json_array_get(array, i)))
+            return false;
+    return true;
+}
+
 char **wj_strings(const json_t *array)
 {
-    if (!json_is_array(array))
+    if (!json_is_array(array) || !all_strings(array))
         return NULL;
     size_t count = json_array_size(array);
     char **list = g_new0(char *, count + 1);
-    for (size_t i = 0; i < count; i++) {
-        const char *text = json_string_value(json_array_get(array, i));
-        if (text == NULL) {
-            g_strfreev(list);
-            return NULL;
-        }
-        list[i] = g_strdup(text);
-    }
+    for (size_t i = 0; i < count; i++)
+        list[i] = g_strdup(json_string_value(json_array_get(array, i)));
     return list;
 }
