--- a/src/io/http_client.c
+++ b/src/io/http_client.c
@@ -28,23 +28,29 @@
     struct ow_loop *loop;
     ow_http_reply_fn reply;
     void *owner;
-    GPtrArray *calls; /* connections, busy and idle */
+    GPtrArray *calls; /* connections, busy and idle; owned */
     unsigned most;    /* with more than these open, idle ones are closed */
 };
 
-static void free_call(struct call *call)
+/* Frees what the array of calls owns. */
+static void release_call(gpointer data)
 {
+    struct call *call = data;
     if (call->watch.fd >= 0) {
         ow_loop_forget(call->client->loop, &call->watch);
         close(call->watch.fd);
     }
-    g_ptr_array_remove_fast(call->client->calls, call);
     ow_http_parser_clear(&call->parser);
     g_string_free(call->out, TRUE);
     g_free(call->endpoint);
     g_free(call);
 }
 
+static void free_call(struct call *call)
+{
+    g_ptr_array_remove_fast(call->client->calls, call);
+}
+
 static void fail_call(struct call *call)
 {
     struct ow_http_client *client = call->client;
@@ -177,7 +183,7 @@
     client->most = most;
     client->reply = reply;
     client->owner = owner;
-    client->calls = g_ptr_array_new();
+    client->calls = g_ptr_array_new_with_free_func(release_call);
     return client;
 }
 
@@ -185,8 +191,6 @@
 {
     if (client == NULL)
         return;
-    while (client->calls->len > 0)
-        free_call(g_ptr_array_index(client->calls, 0));
     g_ptr_array_free(client->calls, TRUE);
     g_free(client);
 }
--- a/src/io/http_server.c
+++ b/src/io/http_server.c
@@ -66,19 +66,24 @@
     }
 }
 
-static void close_connection(struct connection *c)
+static void release_connection(struct connection *c)
 {
-    struct ow_http_server *server = c->server;
-    ow_loop_forget(server->loop, &c->watch);
+    ow_loop_forget(c->server->loop, &c->watch);
     close(c->watch.fd);
-    g_ptr_array_index(server->slots, c->slot) = NULL;
-    server->count--;
     ow_http_parser_clear(&c->parser);
     g_string_free(c->pending, TRUE);
     g_string_free(c->out, TRUE);
     g_free(c);
 }
 
+static void close_connection(struct connection *c)
+{
+    struct ow_http_server *server = c->server;
+    g_ptr_array_index(server->slots, c->slot) = NULL;
+    server->count--;
+    release_connection(c);
+}
+
 static void append_answer(struct connection *c, int status, const char *headers, const char *body,
                           size_t size)
 {
@@ -194,6 +199,10 @@
     ow_http_parser_init(&c->parser, OW_HTTP_REQUEST, server->body_limit);
     c->pending = g_string_sized_new(0);
     c->out = g_string_sized_new(0);
+    if (!ow_loop_watch(server->loop, &c->watch, EPOLLIN)) {
+        release_connection(c);
+        return;
+    }
     uint32_t slot = 0;
     while (slot < server->slots->len && g_ptr_array_index(server->slots, slot) != NULL)
         slot++;
@@ -202,8 +211,6 @@
     c->slot = slot;
     g_ptr_array_index(server->slots, slot) = c;
     server->count++;
-    if (!ow_loop_watch(server->loop, &c->watch, EPOLLIN))
-        close_connection(c);
 }
 
 /* Room for a new connection at the cost of the one that has been quiet for longest. Workers report every few
--- a/src/io/peer_link.c
+++ b/src/io/peer_link.c
@@ -36,7 +36,7 @@
     struct ow_loop *loop;
     struct ow_watch listener;
     GPtrArray *out; /* struct out_link */
-    GPtrArray *in;  /* struct in_link */
+    GPtrArray *in;  /* struct in_link, owned */
     ow_peer_fn take;
     ow_peer_lost_fn lost;
     void *owner;
@@ -102,15 +102,21 @@
     ow_loop_watch(l->links->loop, &l->watch, EPOLLIN | EPOLLOUT);
 }
 
-static void cut_in(struct in_link *l)
+/* Frees what the array of incoming links owns. */
+static void release_in(gpointer data)
 {
+    struct in_link *l = data;
     ow_loop_forget(l->links->loop, &l->watch);
     close(l->watch.fd);
-    g_ptr_array_remove_fast(l->links->in, l);
     g_string_free(l->in, TRUE);
     g_free(l);
 }
 
+static void cut_in(struct in_link *l)
+{
+    g_ptr_array_remove_fast(l->links->in, l);
+}
+
 /* False when what came can't be a frame of ours. */
 static bool take_frames(struct in_link *l)
 {
@@ -193,7 +199,7 @@
     links->lost = lost;
     links->owner = owner;
     links->out = g_ptr_array_new();
-    links->in = g_ptr_array_new();
+    links->in = g_ptr_array_new_with_free_func(release_in);
     links->listener = (struct ow_watch){.fd = fd, .ready = listener_ready, .owner = links};
     ow_loop_watch(loop, &links->listener, EPOLLIN);
     return links;
@@ -203,8 +209,7 @@
 {
     if (links == NULL)
         return;
-    while (links->in->len > 0)
-        cut_in(g_ptr_array_index(links->in, 0));
+    g_ptr_array_free(links->in, TRUE);
     for (guint i = 0; i < links->out->len; i++) {
         struct out_link *l = g_ptr_array_index(links->out, i);
         cut_out(l);
@@ -214,7 +219,6 @@
     }
     ow_loop_forget(links->loop, &links->listener);
     close(links->listener.fd);
-    g_ptr_array_free(links->in, TRUE);
     g_ptr_array_free(links->out, TRUE);
     g_free(links);
 }
