--- a/tests/world_state.c
+++ b/tests/world_state.c
@@ -317,7 +317,7 @@
         return;
     }
     switch (r->op) {
-    case OW_STORE_TXN:
+    case OW_STORE_TXN: {
         bool next = w->hold_next > 0 && controller == w->hold_controller;
         if (w->hold_txns || next) {
             w->hold_next -= next ? 1 : 0;
@@ -328,6 +328,7 @@
         }
         do_txn(w, controller, nonce, r);
         return;
+    }
     case OW_STORE_LIST:
         do_list(w, controller, nonce, r);
         return;
