--- a/src/core/leader.c
+++ b/src/core/leader.c
@@ -1,6 +1,24 @@
+#include "core/leader.h"
 #include "core/election.h"
+#include "core/fleet.h"
 #include "core/leader_state.h"
+#include "core/machine.h"
+#include "core/machine_health.h"
+#include "core/machine_registry.h"
+#include "core/placement.h"
+#include "core/reason.h"
+#include "core/record_format.h"
+#include "core/record_values.h"
+#include "core/recorder.h"
 #include "core/records.h"
+#include "core/rent.h"
+#include "core/rental_options.h"
+#include "core/reports.h"
+#include "core/run.h"
+#include "core/schedule.h"
+#include "core/shortlist.h"
+#include "core/takeover.h"
+#include "core/worker_commands.h"
 #include "wire/records_json.h"
 
 #include <string.h>
@@ -24,7 +42,7 @@
     leader->shortlists = ow_shortlists_new();
     leader->allowances = ow_reason_new_allowances();
     leader->record_values = g_ptr_array_new_with_free_func(ow_record_value_free);
-    leader->refusals = g_array_new(FALSE, FALSE, sizeof(struct ow_rental_refusal));
+    leader->refusals = ow_rental_options_new_refusals();
     leader->to_delete = g_ptr_array_new_with_free_func(g_free);
     leader->deleted_names = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     leader->recorder = ow_recorder_new(leader);
--- /dev/null
+++ b/src/core/machine.h
@@ -0,0 +1,81 @@
+/* A rented machine as the leader knows it. Machines are created and freed by machine_registry.c alone; each
+ * group of fields below names the module that keeps it up to date. Times are seconds of the controller's
+ * steady clock, 0 meaning "not yet" unless said otherwise. */
+#ifndef OW_CORE_MACHINE_H
+#define OW_CORE_MACHINE_H
+
+#include "core/job.h"
+#include "core/types.h"
+
+struct ow_machine;
+
+/* A container image that a machine has or is fetching. */
+struct ow_image_copy {
+    int image; /* name index */
+    double gb;
+    double used_at;  /* when a task last needed it: the machine's cache drops the oldest first */
+    bool present;    /* else it is being fetched */
+    double ready_at; /* when the fetch is expected to be complete */
+};
+
+/* A launch sent to the machine's own address to which no answer has come: it may be carried out at any time
+   until the worker's session ends. */
+struct ow_unacknowledged_launch {
+    const struct ow_job *job;
+    uint32_t task;
+    uint64_t number;
+};
+
+struct ow_machine {
+    /* Identity and rent: machine_registry.c and fleet.c. */
+    char *name, *addr; /* owned; addr is NULL until known */
+    int type, zone;    /* name indices; OW_NO_NAME: not known yet */
+    bool spot;         /* the cloud may take it back at short notice */
+    enum ow_listed listed;
+    double rented_at;
+    bool deleting;    /* it is being returned to the cloud */
+    double delete_at; /* the next try to delete it */
+
+    /* Liveness: reports.c, worker_commands.c and machine_health.c. */
+    double met_at;           /* when this leader first heard of it */
+    double last_message_at;  /* arrival of its newest message of any kind; 0: none has come */
+    double last_report_at;   /* arrival of its newest report; an answer to a command renews no lease */
+    double unanswered_since; /* commands find no answer since then; 0: it answers */
+    uint64_t session, seq;   /* of its newest message */
+    uint64_t dead_session;   /* every session up to this one is proven over */
+    bool fenced;             /* it has seen this leader's token and accepts no older leader's commands */
+    double fenced_at;
+    double reclaimed_at;        /* when the cloud takes it back, after a notice; 0: no notice */
+    uint32_t report_generation; /* the leader's count of reports at its newest one */
+
+    /* Load: run.c, reports.c and machine_registry.c. */
+    GPtrArray *attempts;                        /* struct ow_attempt, not owned */
+    struct ow_amounts used;                     /* by attempts that may exist */
+    struct ow_amounts used_by[OW_RANK_LOW + 1]; /* the same by rank */
+    struct ow_amounts stopping;                 /* the part of `used` that is being stopped */
+    struct ow_amounts unknown_tasks_use;        /* by reported tasks that are in no record */
+    GArray *images;                             /* struct ow_image_copy */
+    double idle_since;
+
+    /* Direct commands: worker_commands.c. */
+    bool direct_busy, direct_wanted; /* a call is under way; a call is due */
+    double direct_at;                /* no call before this time */
+    GArray *direct_launches;         /* struct ow_unacknowledged_launch of the call under way */
+    GArray *unacknowledged_launches; /* struct ow_unacknowledged_launch of earlier calls without an answer */
+
+    /* Fault history: machine_health.c, and run.c for results. */
+    unsigned errors;                 /* jobs that failed on it since the last task that succeeded */
+    const struct ow_job *failed_job; /* the last of them, not owned */
+    unsigned quarantines;
+    double quarantine_until;
+    double suspect_until; /* it has failed a job, and it is not known yet which of the two is at fault */
+    double slowness;      /* observed run time divided by the estimate; 1: as expected */
+
+    /* Scratch of the scheduling pass: schedule.c and reservation.c. */
+    bool gpus_kept;                   /* waiting work needs its GPUs: other work stays off */
+    struct ow_amounts held;           /* kept from every job behind in the queue */
+    struct ow_amounts held_for_gangs; /* the same, but a gang that can start at once may take it */
+    unsigned holders;                 /* gangs with a hold on it; outlives the pass */
+};
+
+#endif
--- a/src/core/placement.c
+++ b/src/core/placement.c
@@ -1,5 +1,13 @@
 /* Where a task may run, where it runs best, and placing it there. */
+#include "core/placement.h"
+#include "core/classes.h"
 #include "core/leader_state.h"
+#include "core/machine.h"
+#include "core/machine_registry.h"
+#include "core/recorder.h"
+#include "core/reservation.h"
+#include "core/run.h"
+#include "core/shortlist.h"
 
 #include <math.h>
 
--- a/src/core/preempt.c
+++ b/src/core/preempt.c
@@ -1,5 +1,9 @@
 /* Stopping work to make room, where the rules allow it: the cheapest loss first. */
+#include "core/preempt.h"
 #include "core/leader_state.h"
+#include "core/machine.h"
+#include "core/placement.h"
+#include "core/run.h"
 
 #include <math.h>
 
--- a/src/core/reason.c
+++ b/src/core/reason.c
@@ -1,5 +1,11 @@
 /* Why a job waits, in words for its team. */
+#include "core/reason.h"
 #include "core/leader_state.h"
+#include "core/machine.h"
+#include "core/machine_registry.h"
+#include "core/placement.h"
+#include "core/reservation.h"
+#include "core/run.h"
 
 /* The machines that jobs with such demands allow: counted once a pass. */
 struct allowance {
--- a/src/core/record_values.c
+++ b/src/core/record_values.c
@@ -1,12 +1,22 @@
 /* Which progress records share a value of the state service. Its changes are scarcer than its bytes: what
  * changes together is written together. A chunk stays in its record value until its job is over, or until the
  * record value outgrows a value. */
+#include "core/record_values.h"
 #include "core/leader_state.h"
+#include "core/machine.h"
+#include "core/recorder.h"
 #include "core/records.h"
+#include "core/run.h"
 #include "wire/records_json.h"
 
 #include <string.h>
 
+/* Tasks of a run that a value records in chunks of another size than the run has now. */
+struct ow_retained_tasks {
+    struct ow_job *job;
+    uint32_t first, end;
+};
+
 /* How full a record value is made: its chunks grow as their ranges break up. */
 static const double FILL = 0.6;
 /* What a chunk is taken to need before it has been written. */
--- a/src/core/recorder.c
+++ b/src/core/recorder.c
@@ -1,10 +1,14 @@
 /* Changed records, written in batches. Every transaction is conditioned on the leader's key, so a
  * deposed leader decides nothing, and on the version of each record, so one that is applied late
  * changes nothing. One transaction is under way at a time. */
+#include "core/recorder.h"
 #include "core/election.h"
+#include "core/job_cache.h"
 #include "core/leader_state.h"
+#include "core/machine.h"
+#include "core/record_values.h"
 #include "core/records.h"
-#include "core/job_cache.h"
+#include "core/run.h"
 #include "wire/records_json.h"
 
 #include <string.h>
--- a/src/core/rent.c
+++ b/src/core/rent.c
@@ -1,5 +1,15 @@
 /* Renting for work that waits. */
-#include "core/rental.h"
+#include "core/rent.h"
+#include "core/classes.h"
+#include "core/fleet.h"
+#include "core/headroom.h"
+#include "core/leader_state.h"
+#include "core/machine.h"
+#include "core/machine_registry.h"
+#include "core/placement.h"
+#include "core/rental_options.h"
+#include "core/run.h"
+#include "core/schedule.h"
 
 #include <math.h>
 
--- a/src/core/rental_options.c
+++ b/src/core/rental_options.c
@@ -1,5 +1,9 @@
 /* Kinds of machines: which has been refused lately, and which is worth renting for a job. */
-#include "core/rental.h"
+#include "core/rental_options.h"
+#include "core/classes.h"
+#include "core/leader_state.h"
+#include "core/machine.h"
+#include "core/placement.h"
 
 #include <math.h>
 
@@ -12,6 +16,18 @@
 
 /* ---- refusals ---- */
 
+/* A kind of machine that the cloud has refused to rent. */
+struct ow_rental_refusal {
+    int type, zone;
+    bool spot;
+    double until;
+};
+
+GArray *ow_rental_options_new_refusals(void)
+{
+    return g_array_new(FALSE, FALSE, sizeof(struct ow_rental_refusal));
+}
+
 static bool is_kind(const struct ow_rental_refusal *r, int type, int zone, bool spot)
 {
     return r->type == type && r->zone == zone && r->spot == spot;
--- /dev/null
+++ b/src/core/rental_options.h
@@ -0,0 +1,34 @@
+/* Rental options: which kinds of machines could be rented for a job, what they are worth, and which the cloud
+ * has refused lately. It owns the list of refusals. */
+#ifndef OW_CORE_RENTAL_OPTIONS_H
+#define OW_CORE_RENTAL_OPTIONS_H
+
+#include "core/classes.h"
+#include "core/machine.h"
+
+struct ow_leader;
+
+/* A machine that work could have: one that is coming up, or one to be rented. */
+struct ow_expected_machine {
+    struct ow_machine machine; /* a stand-in: type, zone, kind and use alone */
+    bool to_rent;
+};
+
+/* The empty list of a leader's refusals; freed with g_array_free(). */
+GArray *ow_rental_options_new_refusals(void);
+/* Finds the cheapest kind of machine for the job that has not been refused lately; false if there is none.
+   `waits`: seconds the job would wait without it; `proper`: no machine whose GPUs would be wasted on it;
+   `cheap`: spot machines alone. */
+bool ow_rental_options_best(const struct ow_leader *leader, const struct ow_spec *spec, double waits,
+                            bool proper, bool cheap, struct ow_expected_machine *out);
+/* Whether a machine with GPUs would be too expensive for work that does not need them. */
+bool ow_rental_options_is_wasteful(const struct ow_leader *leader, const struct ow_machine_type *type,
+                                   const struct ow_class *c, bool spot);
+/* Notes that the cloud has refused to rent this kind of machine; it is not asked again for a while. */
+void ow_rental_options_refuse(struct ow_leader *leader, int type, int zone, bool spot);
+/* Forgets the refusal of the machine's kind: a machine of it has gone back to the cloud. */
+void ow_rental_options_forget_refusal(struct ow_leader *leader, const struct ow_machine *m);
+/* Forgets refusals that have expired. */
+void ow_rental_options_forget_old(struct ow_leader *leader);
+
+#endif
--- a/src/core/reservation.c
+++ b/src/core/reservation.c
@@ -3,10 +3,24 @@
  * The members of a gang are alike, so their candidate lists have the same machines in the same order; a
  * machine stands in as many lists as it has room for members. The window closes as soon as every member
  * has a candidate, which in our own picture is often at once. */
+#include "core/reservation.h"
 #include "core/leader_state.h"
+#include "core/machine.h"
+#include "core/placement.h"
+#include "core/preempt.h"
+#include "core/run.h"
+#include "core/shortlist.h"
 
 #include <math.h>
 
+/* Room for one member of a gang on a machine. */
+struct ow_hold {
+    struct ow_machine *machine;
+    uint32_t member;
+    bool picked; /* what the gang would start on, if there were enough of it; else a further candidate */
+    double made_at;
+};
+
 static const double STOPS_GAP_S = 0.5;
 
 struct pick {
--- a/src/core/schedule.c
+++ b/src/core/schedule.c
@@ -1,5 +1,17 @@
 /* The scheduling pass: who comes first, and what becomes of jobs that are over. */
+#include "core/schedule.h"
+#include "core/classes.h"
 #include "core/leader_state.h"
+#include "core/machine.h"
+#include "core/machine_registry.h"
+#include "core/placement.h"
+#include "core/preempt.h"
+#include "core/reason.h"
+#include "core/recorder.h"
+#include "core/reservation.h"
+#include "core/run.h"
+#include "core/service_replicas.h"
+#include "core/shortlist.h"
 
 /* How far the size of an array counts against its age. */
 static const double SIZE_WEIGHT = 5;
--- /dev/null
+++ b/src/core/service_replicas.h
@@ -0,0 +1,13 @@
+/* Services: replicas that run until their job is cancelled, kept apart from one another. */
+#ifndef OW_CORE_SERVICE_REPLICAS_H
+#define OW_CORE_SERVICE_REPLICAS_H
+
+struct ow_leader;
+struct ow_run;
+
+/* Starts the missing replicas of a service. */
+void ow_service_replicas_start(struct ow_leader *leader, struct ow_run *run);
+/* Moves replicas off machines that are about to go. */
+void ow_service_replicas_relocate(struct ow_leader *leader);
+
+#endif
--- a/src/core/takeover.c
+++ b/src/core/takeover.c
@@ -1,7 +1,13 @@
 /* Rebuilding the leader's picture: records first, then the workers' own reports. */
+#include "core/takeover.h"
+#include "core/job_cache.h"
 #include "core/leader_state.h"
+#include "core/machine.h"
+#include "core/machine_registry.h"
+#include "core/record_values.h"
+#include "core/recorder.h"
 #include "core/records.h"
-#include "core/job_cache.h"
+#include "core/run.h"
 #include "wire/json.h"
 #include "wire/records_json.h"
 
--- a/src/core/worker_commands.c
+++ b/src/core/worker_commands.c
@@ -1,6 +1,11 @@
 /* Commands to workers: launches whose record has committed, and stops. */
+#include "core/worker_commands.h"
 #include "core/election.h"
 #include "core/leader_state.h"
+#include "core/machine.h"
+#include "core/machine_registry.h"
+#include "core/reports.h"
+#include "core/run.h"
 
 enum { COMMANDS_MAX = 400 };
 static const double DIRECT_PAUSE_S = 3, UNSENT_PAUSE_S = 0.5;
--- a/tests/test_records.c
+++ b/tests/test_records.c
@@ -2,7 +2,7 @@
 #include "check.h"
 #include "core/rate_limiter.h"
 #include "core/job.h"
-#include "core/leader_state.h"
+#include "core/limits.h"
 #include "core/names.h"
 #include "wire/json.h"
 #include "wire/records_json.h"
