--- a/src/core/fleet.c
+++ b/src/core/fleet.c
@@ -24,7 +24,7 @@
 {
     if (status == 200) {
         g_info("machine %s is returned", m->name);
-        g_hash_table_add(leader->deleted_names, g_strdup(m->name));
+        g_hash_table_add(leader->deletions.names, g_strdup(m->name));
         ow_rental_options_forget_refusal(leader, m); /* its place is free again */
         ow_machines_remove(leader, m, "its machine is deleted");
     } else {
@@ -49,13 +49,13 @@
 void ow_fleet_delete(struct ow_leader *leader, struct ow_machine *m, const char *why)
 {
     double now = leader->controller->now;
-    if (now < m->delete_at || ow_rate_limiter_level(&leader->cloud_limiter, now) < 1)
+    if (now < m->delete_at || ow_rate_limiter_level(&leader->cloud.limiter, now) < 1)
         return;
     if (!m->deleting)
         g_info("machine %s is being returned: %s", m->name, why);
     m->deleting = true;
     m->delete_at = INFINITY;
-    g_ptr_array_add(leader->to_delete, g_strdup(m->name));
+    g_ptr_array_add(leader->deletions.queued, g_strdup(m->name));
 }
 
 static void free_names(void *names)
@@ -65,18 +65,18 @@
 
 void ow_fleet_send_deletions(struct ow_leader *leader)
 {
-    if (leader->to_delete->len == 0 ||
-        !ow_rate_limiter_take(&leader->cloud_limiter, 1, leader->controller->now))
+    if (leader->deletions.queued->len == 0 ||
+        !ow_rate_limiter_take(&leader->cloud.limiter, 1, leader->controller->now))
         return;
     struct ow_cloud_request *request = g_new0(struct ow_cloud_request, 1);
     GPtrArray *names = g_ptr_array_new_with_free_func(g_free);
     request->op = OW_CLOUD_DELETE;
     request->machines = g_ptr_array_new_with_free_func(g_free);
-    for (guint i = 0; i < leader->to_delete->len && i < DELETE_MOST; i++) {
-        g_ptr_array_add(names, g_strdup(g_ptr_array_index(leader->to_delete, i)));
-        g_ptr_array_add(request->machines, g_strdup(g_ptr_array_index(leader->to_delete, i)));
+    for (guint i = 0; i < leader->deletions.queued->len && i < DELETE_MOST; i++) {
+        g_ptr_array_add(names, g_strdup(g_ptr_array_index(leader->deletions.queued, i)));
+        g_ptr_array_add(request->machines, g_strdup(g_ptr_array_index(leader->deletions.queued, i)));
     }
-    g_ptr_array_remove_range(leader->to_delete, 0, names->len);
+    g_ptr_array_remove_range(leader->deletions.queued, 0, names->len);
     ow_controller_cloud(leader->controller, request, on_deleted, leader, names, free_names);
 }
 
@@ -86,15 +86,15 @@
 {
     struct ow_leader *leader = owner;
     (void)data;
-    leader->listing = false;
+    leader->cloud.list_busy = false;
     if (answer->cloud.status != 200 || answer->cloud.listed == NULL) {
-        leader->list_at = leader->controller->now + 2;
+        leader->cloud.list_at = leader->controller->now + 2;
         return;
     }
     const GArray *listed = answer->cloud.listed;
     for (guint i = 0; i < listed->len; i++) {
         const struct ow_listed_machine *l = &g_array_index(listed, struct ow_listed_machine, i);
-        if (g_hash_table_contains(leader->deleted_names, l->name))
+        if (g_hash_table_contains(leader->deletions.names, l->name))
             continue; /* the list lags */
         struct ow_machine *m = ow_machines_find(leader, l->name);
         bool fresh = m == NULL;
@@ -108,25 +108,26 @@
         m->rented_at = fresh ? leader->controller->now - l->age_s
                              : MIN(m->rented_at, leader->controller->now - l->age_s);
     }
-    g_clear_pointer(&leader->list_after, g_free);
+    g_clear_pointer(&leader->cloud.list_after, g_free);
     if (answer->cloud.more && listed->len > 0) {
-        leader->list_after = g_strdup(g_array_index(listed, struct ow_listed_machine, listed->len - 1).name);
+        leader->cloud.list_after =
+            g_strdup(g_array_index(listed, struct ow_listed_machine, listed->len - 1).name);
     } else {
         /* Not before the last page: what is not known yet would be rented a second time. */
-        leader->listed_once = true;
-        leader->list_at = leader->controller->now + LIST_S;
+        leader->cloud.listed_once = true;
+        leader->cloud.list_at = leader->controller->now + LIST_S;
     }
 }
 
 void ow_fleet_list(struct ow_leader *leader)
 {
-    if (leader->listing || leader->controller->now < leader->list_at ||
-        !ow_rate_limiter_take(&leader->cloud_limiter, 1, leader->controller->now))
+    if (leader->cloud.list_busy || leader->controller->now < leader->cloud.list_at ||
+        !ow_rate_limiter_take(&leader->cloud.limiter, 1, leader->controller->now))
         return;
     struct ow_cloud_request *request = g_new0(struct ow_cloud_request, 1);
     request->op = OW_CLOUD_LIST;
-    request->after = g_strdup(leader->list_after);
-    leader->listing = true;
+    request->after = g_strdup(leader->cloud.list_after);
+    leader->cloud.list_busy = true;
     ow_controller_cloud(leader->controller, request, on_listed, leader, NULL, NULL);
 }
 
--- a/src/core/headroom.c
+++ b/src/core/headroom.c
@@ -34,7 +34,7 @@
     /* What ordinary GPU machines have for it is what their GPUs leave over, as in placement. */
     struct ow_machine_type left = {.size = type->size};
     if (ow_rental_options_is_wasteful(leader, type, c, m->spot) && !m->spot)
-        left.size.cpus = MAX(0, left.size.cpus - left.size.gpus * leader->gpu_cpus);
+        left.size.cpus = MAX(0, left.size.cpus - left.size.gpus * leader->pass.gpu_cpus);
     return ow_placement_slots_on_empty(&left, &c->need);
 }
 
--- a/src/core/leader.c
+++ b/src/core/leader.c
@@ -38,15 +38,15 @@
     leader->machines_by_name = g_hash_table_new(g_str_hash, g_str_equal);
     leader->machines = g_ptr_array_new_with_free_func(ow_machine_free);
     leader->runs = g_ptr_array_new();
-    leader->image_loads = ow_placement_new_loads();
-    leader->shortlists = ow_shortlists_new();
-    leader->allowances = ow_reason_new_allowances();
+    leader->pass.image_loads = ow_placement_new_loads();
+    leader->pass.shortlists = ow_shortlists_new();
+    leader->pass.allowances = ow_reason_new_allowances();
     leader->record_values = g_ptr_array_new_with_free_func(ow_record_value_free);
-    leader->refusals = ow_rental_options_new_refusals();
-    leader->to_delete = g_ptr_array_new_with_free_func(g_free);
-    leader->deleted_names = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+    leader->renting.refusals = ow_rental_options_new_refusals();
+    leader->deletions.queued = g_ptr_array_new_with_free_func(g_free);
+    leader->deletions.names = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     leader->recorder = ow_recorder_new(leader);
-    ow_rate_limiter_init(&leader->cloud_limiter, 0.8 * controller->settings->cloud_rps,
+    ow_rate_limiter_init(&leader->cloud.limiter, 0.8 * controller->settings->cloud_rps,
                          controller->settings->cloud_rps, controller->now);
     return leader;
 }
@@ -60,19 +60,19 @@
     g_ptr_array_free(leader->runs, TRUE);
     g_hash_table_destroy(leader->machines_by_name);
     g_ptr_array_free(leader->machines, TRUE);
-    g_array_free(leader->refusals, TRUE);
-    g_ptr_array_free(leader->to_delete, TRUE);
-    g_hash_table_destroy(leader->deleted_names);
+    g_array_free(leader->renting.refusals, TRUE);
+    g_ptr_array_free(leader->deletions.queued, TRUE);
+    g_hash_table_destroy(leader->deletions.names);
     ow_recorder_free(leader->recorder);
     g_ptr_array_free(leader->record_values, TRUE);
-    g_array_free(leader->image_loads, TRUE);
-    g_array_free(leader->shortlists, TRUE);
-    g_array_free(leader->allowances, TRUE);
-    g_free(leader->team_used);
-    g_free(leader->entitled);
-    g_free(leader->borrows);
-    g_free(leader->list_after);
-    g_free(leader->load_after);
+    g_array_free(leader->pass.image_loads, TRUE);
+    g_array_free(leader->pass.shortlists, TRUE);
+    g_array_free(leader->pass.allowances, TRUE);
+    g_free(leader->teams.used);
+    g_free(leader->teams.entitled);
+    g_free(leader->teams.borrows);
+    g_free(leader->cloud.list_after);
+    g_free(leader->takeover.after);
     g_free(leader);
 }
 
@@ -145,13 +145,13 @@
 {
     struct ow_leader *leader = owner;
     (void)data;
-    leader->types_busy = false;
+    leader->cloud.types_busy = false;
     if (answer->cloud.status != 200 || answer->cloud.types == NULL || answer->cloud.types->len == 0) {
-        leader->types_at = leader->controller->now + 2;
+        leader->cloud.types_at = leader->controller->now + 2;
         return;
     }
-    bool first = leader->types_at == 0;
-    leader->types_at = leader->controller->now + TYPES_S;
+    bool first = leader->cloud.types_at == 0;
+    leader->cloud.types_at = leader->controller->now + TYPES_S;
     ow_controller_set_types(leader->controller, answer->cloud.types);
     if (!first)
         return;
@@ -170,12 +170,12 @@
 
 static void ask_types(struct ow_leader *leader)
 {
-    if (leader->types_busy || leader->controller->now < leader->types_at ||
-        !ow_rate_limiter_take(&leader->cloud_limiter, 1, leader->controller->now))
+    if (leader->cloud.types_busy || leader->controller->now < leader->cloud.types_at ||
+        !ow_rate_limiter_take(&leader->cloud.limiter, 1, leader->controller->now))
         return;
     struct ow_cloud_request *request = g_new0(struct ow_cloud_request, 1);
     request->op = OW_CLOUD_TYPES;
-    leader->types_busy = true;
+    leader->cloud.types_busy = true;
     ow_controller_cloud(leader->controller, request, on_types, leader, NULL, NULL);
 }
 
@@ -219,7 +219,7 @@
 
 void ow_leader_wake(struct ow_leader *leader)
 {
-    leader->dirty = true;
+    leader->pass.due = true;
 }
 
 void ow_leader_tick(struct ow_leader *leader)
@@ -230,15 +230,16 @@
     ask_types(leader);
     if (leader->phase != OW_LEADER_READY)
         return;
-    if ((leader->dirty && now >= leader->pass_at + PASS_GAP_S) || now >= leader->pass_at + PASS_LEAST_S) {
-        leader->dirty = false;
-        leader->pass_at = now;
+    if ((leader->pass.due && now >= leader->pass.last_at + PASS_GAP_S) ||
+        now >= leader->pass.last_at + PASS_LEAST_S) {
+        leader->pass.due = false;
+        leader->pass.last_at = now;
         ow_schedule_jobs(leader);
         ow_schedule_pass(leader);
         count_for_users(leader);
     }
-    if (now >= leader->health_check_at) {
-        leader->health_check_at = now + CARE_S;
+    if (now >= leader->periodic.health_check_at) {
+        leader->periodic.health_check_at = now + CARE_S;
         if (workers_lost(leader)) {
             ow_election_yield(leader->controller->election, "no worker is heard any more");
             return;
@@ -249,12 +250,12 @@
     ow_fleet_send_deletions(leader);
     ow_recorder_tick(leader);
     ow_worker_commands_send(leader);
-    if (now >= leader->summary_at) {
-        leader->summary_at = now + SUMMARY_S;
+    if (now >= leader->periodic.summary_at) {
+        leader->periodic.summary_at = now + SUMMARY_S;
         send_summary(leader);
     }
-    if (now >= leader->hints_at) {
-        leader->hints_at = now + HINTS_S;
+    if (now >= leader->periodic.hints_at) {
+        leader->periodic.hints_at = now + HINTS_S;
         send_machines(leader);
     }
 }
--- a/src/core/leader_state.h
+++ b/src/core/leader_state.h
@@ -8,47 +8,95 @@
 
 struct ow_recorder;
 
+/* Reading the records of earlier leaders: takeover.c. */
+struct ow_takeover_progress {
+    bool busy;      /* a read is under way */
+    double next_at; /* no read before this time */
+    char *after;    /* the last key read; NULL: none yet */
+    GArray *loaded; /* records read so far; NULL while there are none */
+};
+
+/* The format in which records may be written: record_format.c. */
+struct ow_format_state {
+    unsigned current; /* 0: not known yet */
+    bool busy;        /* a read or write of the stored format is under way */
+    double next_at;   /* no read or write before this time */
+};
+
+/* Sums and rights of teams, by name index: run.c; `entitled` and `borrows` are set by each scheduling pass.
+ */
+struct ow_team_state {
+    struct ow_amounts *used; /* `count` of them, grown as teams come */
+    guint count;
+    bool *entitled; /* ow_team_entitled() */
+    bool *borrows;  /* ow_team_borrows() */
+};
+
+/* When the scheduling pass is due, and what it computes once for all jobs: schedule.c unless said otherwise.
+ */
+struct ow_pass_scratch {
+    bool due;            /* something has changed since the last pass */
+    double last_at;      /* leader.c */
+    GArray *image_loads; /* placement.c; by image */
+    GArray *shortlists;  /* shortlist.c; by class */
+    GArray *allowances;  /* reason.c */
+    int gpu_rank;        /* the most urgent rank among open jobs that need GPUs */
+    double gpu_cpus;     /* CPUs that a GPU needs to be of use, by the jobs that are open */
+};
+
+/* What is read from the cloud: the machine types by leader.c, the list of machines by fleet.c. */
+struct ow_cloud_polling {
+    struct ow_rate_limiter limiter; /* of all calls to the cloud */
+    double types_at, list_at;       /* when each is due next */
+    bool types_busy, list_busy;     /* a call is under way */
+    bool listed_once;               /* the list has been read completely */
+    char *list_after;               /* the last machine of the list's pages read; NULL: at its beginning */
+};
+
+/* Renting: rent.c, and rental_options.c for refusals. */
+struct ow_renting {
+    double next_at; /* when it is considered next */
+    unsigned count; /* of rent requests, which gives names to the machines */
+    unsigned calls; /* under way */
+    GArray *refusals;
+};
+
+/* Returning machines: fleet.c. */
+struct ow_deletions {
+    GPtrArray *queued; /* names of machines whose deletion is to be sent */
+    GHashTable *names; /* names of machines deleted, which lagging lists still show */
+};
+
+/* When leader.c does its periodic work next. */
+struct ow_leader_timers {
+    double summary_at, hints_at; /* messages to the other controllers */
+    double health_check_at;
+};
+
 struct ow_leader {
     struct ow_controller *controller;
-    uint64_t token;
-    enum { OW_LEADER_REFRESH, OW_LEADER_LOADING, OW_LEADER_READY } phase;
-    bool load_busy;
-    double load_at;
-    char *load_after;
-    GArray *loaded;  /* takeover.c: records read so far */
-    unsigned format; /* that may be written; 0: not known yet */
-    bool format_busy;
-    double format_at;
-    double ready_at; /* when it became ready */
-
-    GHashTable *machines_by_name;
-    GPtrArray *machines;
-    uint32_t report_generation;
-
-    GPtrArray *runs;
-    struct ow_amounts *team_used; /* by team index of the settings' order, grown as names come */
-    guint team_count;
-    bool *entitled, *borrows; /* by team index, of the pass at hand */
+    uint64_t token;                                                       /* of its lease */
+    enum { OW_LEADER_REFRESH, OW_LEADER_LOADING, OW_LEADER_READY } phase; /* takeover.c */
+    double ready_at;                                                      /* when it became ready */
+    struct ow_takeover_progress takeover;
+
+    /* Machines: machine_registry.c. */
+    GHashTable *machines_by_name; /* name -> struct ow_machine */
+    GPtrArray *machines;          /* struct ow_machine, owned */
+    uint32_t report_generation;   /* reports.c: reports taken in so far */
 
+    GPtrArray *runs; /* struct ow_run, owned: run.c */
+    struct ow_team_state teams;
+
+    struct ow_format_state format;
     struct ow_recorder *recorder;
-    GPtrArray *record_values; /* struct ow_record_value */
-    GArray *image_loads;      /* by image; placement.c's, of the pass at hand */
-    GArray *shortlists;       /* by class; shortlist.c's, of the pass at hand */
-    GArray *allowances;       /* reason.c's, of the pass at hand */
-    bool dirty;               /* a scheduling pass is due */
-    double pass_at;
-
-    struct ow_rate_limiter cloud_limiter;
-    double list_at, types_at, rent_at, summary_at, hints_at, health_check_at;
-    bool listing, listed_once, types_busy;
-    char *list_after;
-    unsigned rentals;
-    unsigned renting;          /* calls under way */
-    GPtrArray *to_delete;      /* names of machines whose deletion is to be sent */
-    GHashTable *deleted_names; /* names of machines deleted, which lagging lists still show */
-    GArray *refusals;          /* struct ow_rental_refusal */
-    int gpu_rank;              /* the most urgent rank among open jobs that need GPUs */
-    double gpu_cpus;           /* CPUs that a GPU needs to be of use, by the jobs that are open */
+    GPtrArray *record_values; /* struct ow_record_value, owned: record_values.c */
+
+    struct ow_pass_scratch pass;
+    struct ow_cloud_polling cloud;
+    struct ow_renting renting;
+    struct ow_deletions deletions;
+    struct ow_leader_timers periodic;
 };
 
 #endif
--- a/src/core/machine.h
+++ b/src/core/machine.h
@@ -7,8 +7,6 @@
 #include "core/job.h"
 #include "core/types.h"
 
-struct ow_machine;
-
 /* A container image that a machine has or is fetching. */
 struct ow_image_copy {
     int image; /* name index */
--- a/src/core/machine_registry.c
+++ b/src/core/machine_registry.c
@@ -66,7 +66,7 @@
     }
     g_hash_table_remove(leader->machines_by_name, m->name);
     g_ptr_array_remove_fast(leader->machines, m);
-    leader->dirty = true;
+    leader->pass.due = true;
 }
 
 bool ow_machine_heard_recently(const struct ow_leader *leader, const struct ow_machine *m)
--- a/src/core/placement.c
+++ b/src/core/placement.c
@@ -61,11 +61,11 @@
     double gpus = type->size.gpus - taken.gpus;
     double cpus = type->size.cpus - taken.cpus;
     double memory = type->size.memory_gb - taken.memory_gb;
-    bool urgent = (int)spec->submission->rank < leader->gpu_rank;
+    bool urgent = (int)spec->submission->rank < leader->pass.gpu_rank;
     if (need->gpus <= 0 && gpus > 0 && (m->gpus_kept || (urgent && !m->spot)))
         /* Room that the machine's free GPUs need to be of use to other work, or are too dear to be without.
          */
-        cpus -= gpus * leader->gpu_cpus;
+        cpus -= gpus * leader->pass.gpu_cpus;
     double slots = MIN(MIN(fit(cpus, need->cpus), fit(gpus, need->gpus)), fit(memory, need->memory_gb));
     return slots <= 0 ? 0 : (uint32_t)slots;
 }
@@ -100,7 +100,7 @@
     cost += spec->submission->estimate_s * MAX(0, m->slowness - SLOW);
     /* Less urgent work gets only what GPUs leave over, which is nobody else's loss. */
     if (type->size.gpus > 0 && spec->submission->need.gpus <= 0 &&
-        (int)spec->submission->rank < leader->gpu_rank)
+        (int)spec->submission->rank < leader->pass.gpu_rank)
         cost += GPU_WASTE_S;
     if (sought_by_gangs(leader, spec, m, type))
         cost += SOUGHT_S;
@@ -245,9 +245,9 @@
 
 static struct ow_image_load *load_of(struct ow_leader *leader, int image)
 {
-    if (leader->image_loads->len <= (guint)image)
-        g_array_set_size(leader->image_loads, (guint)image + 1);
-    return &g_array_index(leader->image_loads, struct ow_image_load, image);
+    if (leader->pass.image_loads->len <= (guint)image)
+        g_array_set_size(leader->pass.image_loads, (guint)image + 1);
+    return &g_array_index(leader->pass.image_loads, struct ow_image_load, image);
 }
 
 GArray *ow_placement_new_loads(void)
@@ -257,7 +257,7 @@
 
 void ow_placement_weigh_images(struct ow_leader *leader)
 {
-    g_array_set_size(leader->image_loads, 0);
+    g_array_set_size(leader->pass.image_loads, 0);
     for (guint i = 0; i < leader->runs->len; i++) {
         const struct ow_run *run = g_ptr_array_index(leader->runs, i);
         const struct ow_spec *spec = run->job->spec;
--- a/src/core/preempt.c
+++ b/src/core/preempt.c
@@ -22,7 +22,7 @@
     if (other->submission->rank > spec->submission->rank)
         return true;
     return other->submission->rank == spec->submission->rank && other->team != spec->team &&
-           leader->entitled[spec->team] && leader->borrows[other->team] &&
+           leader->teams.entitled[spec->team] && leader->teams.borrows[other->team] &&
            ow_team_covers(leader, spec->team, &spec->submission->need) &&
            ow_team_covers(leader, other->team, &other->submission->need);
 }
@@ -55,7 +55,7 @@
 int ow_preempt_top_rank(const struct ow_leader *leader, const struct ow_spec *spec)
 {
     int rank = (int)spec->submission->rank;
-    return leader->entitled[spec->team] && ow_team_covers(leader, spec->team, &spec->submission->need)
+    return leader->teams.entitled[spec->team] && ow_team_covers(leader, spec->team, &spec->submission->need)
                ? rank
                : rank + 1;
 }
--- a/src/core/reason.c
+++ b/src/core/reason.c
@@ -22,8 +22,8 @@
 
 static struct allowance allowed_machines(struct ow_leader *leader, const struct ow_spec *spec)
 {
-    for (guint i = 0; i < leader->allowances->len; i++) {
-        const struct allowance *a = &g_array_index(leader->allowances, struct allowance, i);
+    for (guint i = 0; i < leader->pass.allowances->len; i++) {
+        const struct allowance *a = &g_array_index(leader->pass.allowances, struct allowance, i);
         if (a->types == spec->types && a->zone == spec->zone && a->spot == spec->submission->spot)
             return *a;
     }
@@ -35,7 +35,7 @@
         count.allowed++;
         count.usable += ow_machine_is_usable(leader, m) ? 1 : 0;
     }
-    g_array_append_val(leader->allowances, count);
+    g_array_append_val(leader->pass.allowances, count);
     return count;
 }
 
--- a/src/core/record_format.c
+++ b/src/core/record_format.c
@@ -24,13 +24,13 @@
 {
     struct ow_leader *leader = owner;
     (void)data;
-    leader->format_busy = false;
-    leader->format_at = leader->controller->now + LOOK_S;
+    leader->format.busy = false;
+    leader->format.next_at = leader->controller->now + LOOK_S;
     if (answer->store.status == 200) {
         g_info("every controller reads records of format %d: it is written from now on", OW_FORMAT_FINE);
-        leader->format = OW_FORMAT_FINE;
+        leader->format.current = OW_FORMAT_FINE;
     } else if (answer->store.status == 409) {
-        leader->format = 0; /* carried out before, without an answer: read it */
+        leader->format.current = 0; /* carried out before, without an answer: read it */
     }
 }
 
@@ -40,7 +40,7 @@
     ow_store_expect(txn, OW_KEY_LEADER, leader->token);
     ow_store_expect(txn, OW_KEY_FORMAT, 0);
     ow_store_write(txn, OW_KEY_FORMAT, wire_format_record(OW_FORMAT_FINE), 0);
-    leader->format_busy = true;
+    leader->format.busy = true;
     ow_controller_store(leader->controller, txn, on_gate_written, leader, NULL, NULL);
 }
 
@@ -49,23 +49,24 @@
     struct ow_leader *leader = owner;
     const struct ow_store_reply *reply = &answer->store;
     (void)data;
-    leader->format_busy = false;
-    leader->format_at = leader->controller->now + 0.3;
+    leader->format.busy = false;
+    leader->format.next_at = leader->controller->now + 0.3;
     if (reply->status == 404)
-        leader->format = OW_FORMAT_FIRST;
+        leader->format.current = OW_FORMAT_FIRST;
     else if (reply->status == 200 && reply->items->len == 1)
-        leader->format = wire_format_record_parse(g_array_index(reply->items, struct ow_store_item, 0).value);
+        leader->format.current =
+            wire_format_record_parse(g_array_index(reply->items, struct ow_store_item, 0).value);
 }
 
 void ow_record_format_tick(struct ow_leader *leader)
 {
-    if (leader->format_busy || leader->controller->now < leader->format_at)
+    if (leader->format.busy || leader->controller->now < leader->format.next_at)
         return;
-    if (leader->format == 0) {
-        leader->format_busy = true;
+    if (leader->format.current == 0) {
+        leader->format.busy = true;
         ow_controller_store(leader->controller, ow_store_request_new(OW_STORE_GET, OW_KEY_FORMAT), on_read,
                             leader, NULL, NULL);
-    } else if (leader->format < OW_FORMAT_FINE && leader->phase == OW_LEADER_READY &&
+    } else if (leader->format.current < OW_FORMAT_FINE && leader->phase == OW_LEADER_READY &&
                all_peers_support(leader->controller, OW_FORMAT_FINE)) {
         write_format_gate(leader);
     }
--- a/src/core/record_values.c
+++ b/src/core/record_values.c
@@ -29,7 +29,7 @@
 
 uint32_t ow_record_values_chunk_tasks(const struct ow_leader *leader)
 {
-    return leader->format >= OW_FORMAT_FINE
+    return leader->format.current >= OW_FORMAT_FINE
                ? MIN(ow_limits_tasks(&leader->controller->limits), (unsigned)OW_CHUNK_TASKS)
                : OW_CHUNK_TASKS;
 }
--- a/src/core/recorder.c
+++ b/src/core/recorder.c
@@ -160,7 +160,7 @@
     if (strlen(value) <= leader->controller->limits.value_bytes || g->chunks->len != 1)
         return false;
     const struct ow_chunk *chunk = g_ptr_array_index(g->chunks, 0);
-    return leader->format >= OW_FORMAT_FINE && chunk->job->run->chunk_tasks > LEAST_CHUNK_TASKS;
+    return leader->format.current >= OW_FORMAT_FINE && chunk->job->run->chunk_tasks > LEAST_CHUNK_TASKS;
 }
 
 static void put_record_value(struct ow_leader *leader, struct ow_write *w, struct ow_store_request *txn)
@@ -335,7 +335,7 @@
     const uint64_t *token = data;
     if (leader != NULL && leader->token == *token) {
         leader->recorder->checking--;
-        leader->dirty = true;
+        leader->pass.due = true;
         (void)ok; /* if it failed, the write fails again and asks again */
     }
 }
@@ -375,7 +375,7 @@
             put_group_back(leader, w);
         } else if (w->run != NULL) {
             w->run->finishing = false; /* the scheduling pass finishes it again, if that is still so */
-            leader->dirty = true;
+            leader->pass.due = true;
         }
     }
     g_ptr_array_free(sent, TRUE);
--- a/src/core/rent.c
+++ b/src/core/rent.c
@@ -29,8 +29,8 @@
     const struct rental_call *call = data;
     const char *type = ow_names_text(leader->controller->names.types, call->type);
     const char *zone = ow_names_text(leader->controller->names.zones, call->zone);
-    leader->renting--;
-    leader->rent_at = leader->controller->now; /* plan again with what this one has shown */
+    leader->renting.calls--;
+    leader->renting.next_at = leader->controller->now; /* plan again with what this one has shown */
     if (answer->cloud.status != 200 || answer->cloud.rented == NULL || answer->cloud.rented[0] == NULL) {
         ow_rental_options_refuse(leader, call->type, call->zone, call->spot);
         g_info("no %s machine of type %s in %s: status %d", call->spot ? "spot" : "ordinary", type, zone,
@@ -92,14 +92,15 @@
     if (type == NULL || !ow_placement_is_allowed(leader, spec, m))
         return 0;
     if (spec->submission->need.gpus <= 0)
-        return MAX(0, type->size.cpus - type->size.gpus * leader->gpu_cpus);
+        return MAX(0, type->size.cpus - type->size.gpus * leader->pass.gpu_cpus);
     double cpus = type->size.cpus;
     for (guint i = 0; m->attempts != NULL && i < m->attempts->len; i++) {
         const struct ow_attempt *at = g_ptr_array_index(m->attempts, i);
         if (at->job->spec->submission->need.gpus <= 0)
             cpus -= at->job->spec->submission->need.cpus;
     }
-    return leader->gpu_cpus > 0 ? MIN(type->size.gpus, MAX(0, cpus) / leader->gpu_cpus) : type->size.gpus;
+    return leader->pass.gpu_cpus > 0 ? MIN(type->size.gpus, MAX(0, cpus) / leader->pass.gpu_cpus)
+                                     : type->size.gpus;
 }
 
 static double supply_for(const struct ow_leader *leader, const struct ow_spec *spec, GArray *supplies)
@@ -182,12 +183,12 @@
     *call = (struct rental_call){c->machine.type, c->machine.zone, c->machine.spot, count};
     request->op = OW_CLOUD_RENT;
     /* The token is ours alone, so no other process ever uses the same name for another request. */
-    request->name = g_strdup_printf("r-%" G_GUINT64_FORMAT "-%u", leader->token, ++leader->rentals);
+    request->name = g_strdup_printf("r-%" G_GUINT64_FORMAT "-%u", leader->token, ++leader->renting.count);
     request->type = g_strdup(ow_names_text(leader->controller->names.types, call->type));
     request->zone = g_strdup(ow_names_text(leader->controller->names.zones, call->zone));
     request->spot = call->spot;
     request->count = count;
-    leader->renting++;
+    leader->renting.calls++;
     ow_controller_cloud(leader->controller, request, on_rented, leader, call, g_free);
 }
 
@@ -206,7 +207,7 @@
             continue;
         for (guint k = i; k < plan->len; k++)
             count += same_kind(c, &g_array_index(plan, struct ow_expected_machine, k)) ? 1 : 0;
-        if (!ow_rate_limiter_take(&leader->cloud_limiter, 1, leader->controller->now))
+        if (!ow_rate_limiter_take(&leader->cloud.limiter, 1, leader->controller->now))
             return;
         rent(leader, c, count);
         for (guint k = plan->len; k > i; k--)
@@ -222,14 +223,14 @@
         if (m->listed == OW_LISTED_RUNNING && !m->fenced)
             return false;
     }
-    return leader->listed_once;
+    return leader->cloud.listed_once;
 }
 
 static void rent_for_waiting(struct ow_leader *leader)
 {
     /* One round at a time: a second plan must see what the first has brought. And none before the machines
        that are there had time to report. */
-    if (leader->renting > 0 || leader->controller->now - leader->ready_at < (all_heard(leader) ? 1 : 4))
+    if (leader->renting.calls > 0 || leader->controller->now - leader->ready_at < (all_heard(leader) ? 1 : 4))
         return;
     ow_rental_options_forget_old(leader);
     GArray *plan = coming_up(leader);
@@ -249,9 +250,9 @@
 {
     double now = leader->controller->now;
     ow_fleet_list(leader);
-    if (now < leader->rent_at)
+    if (now < leader->renting.next_at)
         return;
-    leader->rent_at = now + 1;
+    leader->renting.next_at = now + 1;
     rent_for_waiting(leader);
     ow_fleet_return_idle(leader);
 }
--- a/src/core/rental_options.c
+++ b/src/core/rental_options.c
@@ -35,31 +35,32 @@
 
 static bool refused(const struct ow_leader *leader, int type, int zone, bool spot)
 {
-    for (guint i = 0; i < leader->refusals->len; i++)
-        if (is_kind(&g_array_index(leader->refusals, struct ow_rental_refusal, i), type, zone, spot))
+    for (guint i = 0; i < leader->renting.refusals->len; i++)
+        if (is_kind(&g_array_index(leader->renting.refusals, struct ow_rental_refusal, i), type, zone, spot))
             return true;
     return false;
 }
 
 void ow_rental_options_forget_refusal(struct ow_leader *leader, const struct ow_machine *m)
 {
-    for (guint i = leader->refusals->len; i > 0; i--)
-        if (is_kind(&g_array_index(leader->refusals, struct ow_rental_refusal, i - 1), m->type, m->zone,
-                    m->spot))
-            g_array_remove_index_fast(leader->refusals, i - 1);
+    for (guint i = leader->renting.refusals->len; i > 0; i--)
+        if (is_kind(&g_array_index(leader->renting.refusals, struct ow_rental_refusal, i - 1), m->type,
+                    m->zone, m->spot))
+            g_array_remove_index_fast(leader->renting.refusals, i - 1);
 }
 
 void ow_rental_options_forget_old(struct ow_leader *leader)
 {
-    for (guint i = leader->refusals->len; i > 0; i--)
-        if (g_array_index(leader->refusals, struct ow_rental_refusal, i - 1).until < leader->controller->now)
-            g_array_remove_index_fast(leader->refusals, i - 1);
+    for (guint i = leader->renting.refusals->len; i > 0; i--)
+        if (g_array_index(leader->renting.refusals, struct ow_rental_refusal, i - 1).until <
+            leader->controller->now)
+            g_array_remove_index_fast(leader->renting.refusals, i - 1);
 }
 
 void ow_rental_options_refuse(struct ow_leader *leader, int type, int zone, bool spot)
 {
     struct ow_rental_refusal refusal = {type, zone, spot, leader->controller->now + REFUSAL_S};
-    g_array_append_val(leader->refusals, refusal);
+    g_array_append_val(leader->renting.refusals, refusal);
 }
 
 /* ---- what they are worth ---- */
@@ -98,7 +99,7 @@
 {
     /* Less urgent work gets only what the GPUs leave over. */
     return improper(type, &c->need) &&
-           ((int)c->rank >= leader->gpu_rank ||
+           ((int)c->rank >= leader->pass.gpu_rank ||
             price_of(type, &c->need, spot) > FAIR_PRICE * proper_price(leader, &c->need, c->types));
 }
 
--- a/src/core/reports.c
+++ b/src/core/reports.c
@@ -185,7 +185,7 @@
     m->fenced = true;
     m->fenced_at = m->idle_since = leader->controller->now;
     m->unanswered_since = 0;
-    leader->dirty = true;
+    leader->pass.due = true;
     g_info("machine %s reports, session %" G_GUINT64_FORMAT, m->name, m->session);
 }
 
@@ -205,7 +205,7 @@
                                       GArray *commands)
 {
     /* A copy of an old report must not bring a deleted machine back. */
-    if (g_hash_table_contains(leader->deleted_names, report->machine))
+    if (g_hash_table_contains(leader->deletions.names, report->machine))
         return NULL;
     struct ow_machine *m = ow_machines_find_or_add(leader, report->machine);
     /* A late copy says nothing about now, renews nothing, and a session proven over is over. */
--- a/src/core/run.c
+++ b/src/core/run.c
@@ -20,13 +20,13 @@
 struct ow_amounts *ow_team_used(struct ow_leader *leader, int team)
 {
     guint wanted = (guint)team + 1;
-    if (wanted > leader->team_count) {
-        leader->team_used = g_renew(struct ow_amounts, leader->team_used, wanted);
-        memset(leader->team_used + leader->team_count, 0,
-               (wanted - leader->team_count) * sizeof *leader->team_used);
-        leader->team_count = wanted;
+    if (wanted > leader->teams.count) {
+        leader->teams.used = g_renew(struct ow_amounts, leader->teams.used, wanted);
+        memset(leader->teams.used + leader->teams.count, 0,
+               (wanted - leader->teams.count) * sizeof *leader->teams.used);
+        leader->teams.count = wanted;
     }
-    return &leader->team_used[team];
+    return &leader->teams.used[team];
 }
 
 static uint32_t admits(double limit, double used, double need, uint32_t wanted)
@@ -101,7 +101,8 @@
 {
     const struct ow_spec *spec = run->job->spec;
     double patience = CLAIM_SHARE * ow_class_slack_s(leader->controller, spec->class_index);
-    return leader->entitled[spec->team] && ow_team_covers(leader, spec->team, &spec->submission->need) &&
+    return leader->teams.entitled[spec->team] &&
+           ow_team_covers(leader, spec->team, &spec->submission->need) &&
            leader->controller->now - run->accepted_at > patience;
 }
 
@@ -130,7 +131,7 @@
     ow_class_observe_job(leader->controller, job->spec);
     job->run = run;
     g_ptr_array_add(leader->runs, run);
-    leader->dirty = true;
+    leader->pass.due = true;
     return run;
 }
 
@@ -244,7 +245,7 @@
         learn_speed(leader, at);
     detach(leader, at);
     g_free(at);
-    leader->dirty = true;
+    leader->pass.due = true;
     ow_recorder_chunk(leader, run, task, false);
     if (cause == OW_CAUSE_DONE && ow_run_is_service(run)) {
         /* Its machine keeps the result and would end it again: it goes elsewhere. */
--- a/src/core/schedule.c
+++ b/src/core/schedule.c
@@ -46,14 +46,14 @@
 void ow_schedule_jobs(struct ow_leader *leader)
 {
     const GPtrArray *open = ow_jobs_open(leader->controller->jobs);
-    leader->gpu_cpus = 0;
-    leader->gpu_rank = OW_RANK_LOW;
+    leader->pass.gpu_cpus = 0;
+    leader->pass.gpu_rank = OW_RANK_LOW;
     for (guint i = open->len; i > 0; i--) {
         struct ow_job *job = g_ptr_array_index(open, i - 1);
         const struct ow_amounts *need = &job->spec->submission->need;
         if (need->gpus > 0) {
-            leader->gpu_cpus = MAX(leader->gpu_cpus, need->cpus / need->gpus);
-            leader->gpu_rank = MIN(leader->gpu_rank, (int)job->spec->submission->rank);
+            leader->pass.gpu_cpus = MAX(leader->pass.gpu_cpus, need->cpus / need->gpus);
+            leader->pass.gpu_rank = MIN(leader->pass.gpu_rank, (int)job->spec->submission->rank);
         }
         settle(leader, job);
     }
@@ -336,11 +336,11 @@
 static void judge_teams(struct ow_leader *leader)
 {
     int count = ow_names_count(leader->controller->names.teams);
-    leader->entitled = g_renew(bool, leader->entitled, count);
-    leader->borrows = g_renew(bool, leader->borrows, count);
+    leader->teams.entitled = g_renew(bool, leader->teams.entitled, count);
+    leader->teams.borrows = g_renew(bool, leader->teams.borrows, count);
     for (int team = 0; team < count; team++) {
-        leader->entitled[team] = ow_team_entitled(leader, team);
-        leader->borrows[team] = ow_team_borrows(leader, team);
+        leader->teams.entitled[team] = ow_team_entitled(leader, team);
+        leader->teams.borrows[team] = ow_team_borrows(leader, team);
     }
 }
 
@@ -369,7 +369,7 @@
     ow_placement_weigh_images(leader);
     clear_held(leader);
     ow_shortlists_begin(leader);
-    g_array_set_size(leader->allowances, 0);
+    g_array_set_size(leader->pass.allowances, 0);
     GPtrArray *runs = ow_schedule_queue(leader);
     const struct ow_run *last = NULL;
     for (guint i = 0; i < runs->len; i++) {
--- a/src/core/shortlist.c
+++ b/src/core/shortlist.c
@@ -33,9 +33,9 @@
 
 static struct shortlist *list_of(struct ow_leader *leader, int class_index)
 {
-    if (leader->shortlists->len <= (guint)class_index)
-        g_array_set_size(leader->shortlists, (guint)class_index + 1);
-    return &g_array_index(leader->shortlists, struct shortlist, class_index);
+    if (leader->pass.shortlists->len <= (guint)class_index)
+        g_array_set_size(leader->pass.shortlists, (guint)class_index + 1);
+    return &g_array_index(leader->pass.shortlists, struct shortlist, class_index);
 }
 
 static void widen(struct shortlist *s, const struct ow_submission *job, int stops_from)
@@ -58,7 +58,7 @@
 
 void ow_shortlists_begin(struct ow_leader *leader)
 {
-    g_array_set_size(leader->shortlists, 0);
+    g_array_set_size(leader->pass.shortlists, 0);
     for (guint i = 0; i < leader->runs->len; i++) {
         const struct ow_run *run = g_ptr_array_index(leader->runs, i);
         if (ow_run_pending(run) > 0)
--- a/src/core/takeover.c
+++ b/src/core/takeover.c
@@ -58,7 +58,7 @@
 
 void ow_takeover_free(struct ow_leader *leader)
 {
-    g_clear_pointer(&leader->loaded, g_array_unref);
+    g_clear_pointer(&leader->takeover.loaded, g_array_unref);
 }
 
 static gint by_version(gconstpointer a, gconstpointer b)
@@ -113,17 +113,17 @@
 
 static void take_loaded(struct ow_leader *leader)
 {
-    g_array_sort(leader->loaded, by_version);
+    g_array_sort(leader->takeover.loaded, by_version);
     /* A run keeps the smallest chunks that it was recorded in. */
-    for (guint i = 0; i < leader->loaded->len; i++) {
-        const struct loaded *l = &g_array_index(leader->loaded, struct loaded, i);
+    for (guint i = 0; i < leader->takeover.loaded->len; i++) {
+        const struct loaded *l = &g_array_index(leader->takeover.loaded, struct loaded, i);
         bool fresh = l->job->run == NULL;
         struct ow_run *run = ow_run_find_or_add(leader, l->job);
         if (fresh || l->tasks < run->chunk_tasks)
             ow_run_divide(run, l->tasks);
     }
-    for (guint i = 0; i < leader->loaded->len; i++) {
-        const struct loaded *l = &g_array_index(leader->loaded, struct loaded, i);
+    for (guint i = 0; i < leader->takeover.loaded->len; i++) {
+        const struct loaded *l = &g_array_index(leader->takeover.loaded, struct loaded, i);
         struct ow_run *run = l->job->run;
         if ((uint64_t)l->index * l->tasks >= run->count) {
             ow_recorder_compact(leader, l->record_value);
@@ -145,7 +145,7 @@
     if (l.job == NULL || l.job->spec == NULL)
         return false;
     l.value = json_incref(value);
-    g_array_append_val(leader->loaded, l);
+    g_array_append_val(leader->takeover.loaded, l);
     return true;
 }
 
@@ -184,7 +184,7 @@
     take_loaded(leader);
     leader->phase = OW_LEADER_READY;
     leader->ready_at = leader->controller->now;
-    leader->dirty = true;
+    leader->pass.due = true;
     use_hints(leader);
     /* Fencing: a worker that has seen our token heeds no older leader any more. */
     for (guint i = 0; i < leader->machines->len; i++)
@@ -197,9 +197,9 @@
     struct ow_leader *leader = owner;
     const struct ow_store_reply *reply = &answer->store;
     (void)data;
-    leader->load_busy = false;
+    leader->takeover.busy = false;
     if (reply->status != 200) {
-        leader->load_at = leader->controller->now + RETRY_S;
+        leader->takeover.next_at = leader->controller->now + RETRY_S;
         return;
     }
     for (guint i = 0; i < reply->items->len; i++)
@@ -207,8 +207,8 @@
     if (reply->more && reply->items->len > 0) {
         const struct ow_store_item *last =
             &g_array_index(reply->items, struct ow_store_item, reply->items->len - 1);
-        g_free(leader->load_after);
-        leader->load_after = g_strdup(last->key);
+        g_free(leader->takeover.after);
+        leader->takeover.after = g_strdup(last->key);
         return;
     }
     become_ready(leader);
@@ -220,20 +220,21 @@
     const uint64_t *token = data;
     if (leader == NULL || leader->token != *token)
         return;
-    leader->load_busy = false;
+    leader->takeover.busy = false;
     if (ok) {
         leader->phase = OW_LEADER_LOADING;
-        leader->loaded = g_array_new(FALSE, FALSE, sizeof(struct loaded));
-        g_array_set_clear_func(leader->loaded, loaded_clear);
+        leader->takeover.loaded = g_array_new(FALSE, FALSE, sizeof(struct loaded));
+        g_array_set_clear_func(leader->takeover.loaded, loaded_clear);
     } else
-        leader->load_at = controller->now + RETRY_S;
+        leader->takeover.next_at = controller->now + RETRY_S;
 }
 
 void ow_takeover_tick(struct ow_leader *leader)
 {
-    if (leader->phase == OW_LEADER_READY || leader->load_busy || leader->controller->now < leader->load_at)
+    if (leader->phase == OW_LEADER_READY || leader->takeover.busy ||
+        leader->controller->now < leader->takeover.next_at)
         return;
-    leader->load_busy = true;
+    leader->takeover.busy = true;
     if (leader->phase == OW_LEADER_REFRESH) {
         /* Progress of a job that the copy does not show yet would read as a leftover. */
         uint64_t *token = g_new(uint64_t, 1);
@@ -241,12 +242,12 @@
         ow_job_cache_refresh(leader->controller->job_cache, on_jobs_fresh, token);
         return;
     }
-    if (leader->format == 0) {
+    if (leader->format.current == 0) {
         /* How runs are divided depends on it. */
-        leader->load_busy = false;
+        leader->takeover.busy = false;
         return;
     }
     struct ow_store_request *request = ow_store_request_new(OW_STORE_LIST, OW_KEY_PROGRESS);
-    request->after = g_strdup(leader->load_after);
+    request->after = g_strdup(leader->takeover.after);
     ow_controller_store(leader->controller, request, on_page, leader, NULL, NULL);
 }
