--- a/src/core/cancellation_ack.c
+++ b/src/core/api/cancellation_ack.c
@@ -1,8 +1,8 @@
-#include "core/cancellation_ack.h"
+#include "core/api/cancellation_ack.h"
 
-#include "core/user_api.h"
-#include "core/leader.h"
+#include "core/api/user_api.h"
 #include "core/controller.h"
+#include "core/leader.h"
 
 /* How long a user waits for the leader's acknowledgement before being asked to come back, and how often it is
  * sent.
--- a/src/core/cancellation_ack.h
+++ b/src/core/api/cancellation_ack.h
@@ -1,7 +1,7 @@
 /* Cancellations on their way to the leader. A user hears "cancelled" only when a leader that can
  * still end the tasks has acknowledged the cancellation: the record alone may be out of its reach. */
-#ifndef OW_CORE_CANCELLATION_ACK_H
-#define OW_CORE_CANCELLATION_ACK_H
+#ifndef OW_CORE_API_CANCELLATION_ACK_H
+#define OW_CORE_API_CANCELLATION_ACK_H
 
 #include <stdint.h>
 
--- a/src/core/job.c
+++ b/src/core/api/job.c
@@ -1,4 +1,4 @@
-#include "core/job.h"
+#include "core/api/job.h"
 
 struct ow_jobs {
     struct ow_name_tables *names;
--- a/src/core/job.h
+++ b/src/core/api/job.h
@@ -1,6 +1,6 @@
 /* The job table: every job ever accepted, by id. Final jobs keep little more than their id. */
-#ifndef OW_CORE_JOB_H
-#define OW_CORE_JOB_H
+#ifndef OW_CORE_API_JOB_H
+#define OW_CORE_API_JOB_H
 
 #include "core/names.h"
 #include "core/types.h"
--- a/src/core/job_cache.c
+++ b/src/core/api/job_cache.c
@@ -1,8 +1,8 @@
-#include "core/job_cache.h"
+#include "core/api/job_cache.h"
 
-#include "core/leader.h"
 #include "core/controller.h"
-#include "core/records.h"
+#include "core/leader.h"
+#include "core/records/records.h"
 #include "wire/records_json.h"
 
 #include <string.h>
--- a/src/core/user_api.c
+++ b/src/core/api/user_api.c
@@ -1,10 +1,10 @@
-#include "core/user_api.h"
+#include "core/api/user_api.h"
 
-#include "core/cancellation_ack.h"
-#include "core/election.h"
+#include "core/api/cancellation_ack.h"
+#include "core/api/job_cache.h"
 #include "core/controller.h"
-#include "core/records.h"
-#include "core/job_cache.h"
+#include "core/election/election.h"
+#include "core/records/records.h"
 #include "wire/records_json.h"
 
 #include <string.h>
--- a/src/core/user_api.h
+++ b/src/core/api/user_api.h
@@ -1,6 +1,6 @@
 /* Users' requests: submissions, polls and cancellations. */
-#ifndef OW_CORE_USER_API_H
-#define OW_CORE_USER_API_H
+#ifndef OW_CORE_API_USER_API_H
+#define OW_CORE_API_USER_API_H
 
 #include "core/types.h"
 
--- a/src/core/controller.h
+++ b/src/core/controller.h
@@ -2,11 +2,11 @@
 #ifndef OW_CORE_CONTROLLER_H
 #define OW_CORE_CONTROLLER_H
 
-#include "core/rate_limiter.h"
-#include "core/pending_calls.h"
+#include "core/api/job.h"
 #include "core/effects.h"
-#include "core/job.h"
-#include "core/limits.h"
+#include "core/pending_calls.h"
+#include "core/rate_limiter.h"
+#include "core/records/limits.h"
 #include "core/settings.h"
 
 struct ow_cancellation_ack;
--- a/src/core/core.c
+++ b/src/core/core.c
@@ -1,13 +1,13 @@
 #include "core/core.h"
 
-#include "core/classes.h"
-#include "core/cancellation_ack.h"
-#include "core/user_api.h"
-#include "core/election.h"
-#include "core/leader.h"
+#include "core/api/cancellation_ack.h"
+#include "core/api/job_cache.h"
+#include "core/api/user_api.h"
 #include "core/controller.h"
-#include "core/records.h"
-#include "core/job_cache.h"
+#include "core/election/election.h"
+#include "core/leader.h"
+#include "core/records/records.h"
+#include "core/scheduling/classes.h"
 #include "wire/cloud_json.h"
 
 static const double HELLO_S = 1, TYPES_RETRY_S = 1.5, STATE_BAD_S = 2, STATE_RECENT_S = 12,
--- a/src/core/election.c
+++ b/src/core/election/election.c
@@ -1,8 +1,8 @@
-#include "core/election.h"
+#include "core/election/election.h"
 
-#include "core/leader.h"
 #include "core/controller.h"
-#include "core/records.h"
+#include "core/leader.h"
+#include "core/records/records.h"
 #include "wire/records_json.h"
 
 static const double RETRY_S = 0.4, WATCH_S = 20, WATCH_GAP_S = 0.2;
--- a/src/core/election.h
+++ b/src/core/election/election.h
@@ -1,7 +1,7 @@
 /* Who leads: a key of the state service, attached to a short lease. The revision of the write
  * that took the key is the leader's token, so tokens only grow. */
-#ifndef OW_CORE_ELECTION_H
-#define OW_CORE_ELECTION_H
+#ifndef OW_CORE_ELECTION_ELECTION_H
+#define OW_CORE_ELECTION_ELECTION_H
 
 #include <stdbool.h>
 #include <stdint.h>
--- a/src/core/fleet.c
+++ b/src/core/machines/fleet.c
@@ -1,10 +1,10 @@
 /* The machines that are rented: the cloud's list, and giving back what is of no use. */
-#include "core/fleet.h"
-#include "core/headroom.h"
+#include "core/machines/fleet.h"
 #include "core/leader_state.h"
-#include "core/machine.h"
-#include "core/machine_registry.h"
-#include "core/rental_options.h"
+#include "core/machines/headroom.h"
+#include "core/machines/machine.h"
+#include "core/machines/machine_registry.h"
+#include "core/machines/rental_options.h"
 
 #include <math.h>
 
--- a/src/core/fleet.h
+++ b/src/core/machines/fleet.h
@@ -1,7 +1,7 @@
 /* The fleet of rented machines: the cloud's list of them, and their return. It owns the deletions that are
  * due and the names of deleted machines. */
-#ifndef OW_CORE_FLEET_H
-#define OW_CORE_FLEET_H
+#ifndef OW_CORE_MACHINES_FLEET_H
+#define OW_CORE_MACHINES_FLEET_H
 
 struct ow_leader;
 struct ow_machine;
--- a/src/core/headroom.c
+++ b/src/core/machines/headroom.c
@@ -1,12 +1,12 @@
 /* Room kept ready for classes that can't wait for a machine to boot. */
-#include "core/headroom.h"
-#include "core/classes.h"
+#include "core/machines/headroom.h"
 #include "core/leader_state.h"
-#include "core/machine.h"
-#include "core/machine_registry.h"
-#include "core/placement.h"
-#include "core/rental_options.h"
+#include "core/machines/machine.h"
+#include "core/machines/machine_registry.h"
+#include "core/machines/rental_options.h"
 #include "core/run.h"
+#include "core/scheduling/classes.h"
+#include "core/scheduling/placement.h"
 
 #include <math.h>
 
--- a/src/core/headroom.h
+++ b/src/core/machines/headroom.h
@@ -1,6 +1,6 @@
 /* Headroom: idle machines kept ready for classes whose aims leave no time for a machine to boot. */
-#ifndef OW_CORE_HEADROOM_H
-#define OW_CORE_HEADROOM_H
+#ifndef OW_CORE_MACHINES_HEADROOM_H
+#define OW_CORE_MACHINES_HEADROOM_H
 
 #include <glib.h>
 #include <stdbool.h>
--- a/src/core/machine.h
+++ b/src/core/machines/machine.h
@@ -1,10 +1,10 @@
 /* A rented machine as the leader knows it. Machines are created and freed by machine_registry.c alone; each
  * group of fields below names the module that keeps it up to date. Times are seconds of the controller's
  * steady clock, 0 meaning "not yet" unless said otherwise. */
-#ifndef OW_CORE_MACHINE_H
-#define OW_CORE_MACHINE_H
+#ifndef OW_CORE_MACHINES_MACHINE_H
+#define OW_CORE_MACHINES_MACHINE_H
 
-#include "core/job.h"
+#include "core/api/job.h"
 #include "core/types.h"
 
 /* A container image that a machine has or is fetching. */
--- a/src/core/machine_health.c
+++ b/src/core/machines/machine_health.c
@@ -1,11 +1,11 @@
 /* Machines that are silent, sick or about to be taken, and attempts that must be gone by a certain time. */
-#include "core/machine_health.h"
-#include "core/fleet.h"
+#include "core/machines/machine_health.h"
 #include "core/leader_state.h"
-#include "core/machine.h"
-#include "core/machine_registry.h"
+#include "core/machines/fleet.h"
+#include "core/machines/machine.h"
+#include "core/machines/machine_registry.h"
 #include "core/run.h"
-#include "core/service_replicas.h"
+#include "core/scheduling/service_replicas.h"
 
 static const double DRIFT = 0.002, MARGIN_S = 1.5;
 /* Recorded tasks on a machine that neither speaks nor is listed: by then it would have reported. */
--- a/src/core/machine_health.h
+++ b/src/core/machines/machine_health.h
@@ -1,7 +1,7 @@
 /* Machine health: machines that are silent, faulty or about to be taken by the cloud, and attempts that must
  * be gone by a certain time. It owns the fault history of machines. */
-#ifndef OW_CORE_MACHINE_HEALTH_H
-#define OW_CORE_MACHINE_HEALTH_H
+#ifndef OW_CORE_MACHINES_MACHINE_HEALTH_H
+#define OW_CORE_MACHINES_MACHINE_HEALTH_H
 
 struct ow_leader;
 struct ow_machine;
--- a/src/core/machine_registry.c
+++ b/src/core/machines/machine_registry.c
@@ -1,9 +1,9 @@
 /* The machine registry: what is known of every machine. */
-#include "core/machine_registry.h"
+#include "core/machines/machine_registry.h"
 #include "core/leader_state.h"
-#include "core/machine.h"
-#include "core/reservation.h"
+#include "core/machines/machine.h"
 #include "core/run.h"
+#include "core/scheduling/reservation.h"
 
 #include <string.h>
 
--- a/src/core/machine_registry.h
+++ b/src/core/machines/machine_registry.h
@@ -1,10 +1,10 @@
 /* The machine registry: every machine the leader knows, by name. It owns the machines; they stay valid until
  * ow_machines_remove(). */
-#ifndef OW_CORE_MACHINE_REGISTRY_H
-#define OW_CORE_MACHINE_REGISTRY_H
+#ifndef OW_CORE_MACHINES_MACHINE_REGISTRY_H
+#define OW_CORE_MACHINES_MACHINE_REGISTRY_H
 
 #include "core/leader_state.h"
-#include "core/machine.h"
+#include "core/machines/machine.h"
 
 /* The machine's type, owned by the controller, or NULL while its type is unknown. */
 static inline const struct ow_machine_type *ow_machine_spec(const struct ow_leader *leader,
--- a/src/core/rent.c
+++ b/src/core/machines/rent.c
@@ -1,15 +1,15 @@
 /* Renting for work that waits. */
-#include "core/rent.h"
-#include "core/classes.h"
-#include "core/fleet.h"
-#include "core/headroom.h"
+#include "core/machines/rent.h"
 #include "core/leader_state.h"
-#include "core/machine.h"
-#include "core/machine_registry.h"
-#include "core/placement.h"
-#include "core/rental_options.h"
+#include "core/machines/fleet.h"
+#include "core/machines/headroom.h"
+#include "core/machines/machine.h"
+#include "core/machines/machine_registry.h"
+#include "core/machines/rental_options.h"
 #include "core/run.h"
-#include "core/schedule.h"
+#include "core/scheduling/classes.h"
+#include "core/scheduling/placement.h"
+#include "core/scheduling/schedule.h"
 
 #include <math.h>
 
--- a/src/core/rent.h
+++ b/src/core/machines/rent.h
@@ -1,6 +1,6 @@
 /* Renting machines for work that waits. */
-#ifndef OW_CORE_RENT_H
-#define OW_CORE_RENT_H
+#ifndef OW_CORE_MACHINES_RENT_H
+#define OW_CORE_MACHINES_RENT_H
 
 struct ow_leader;
 
--- a/src/core/rental_options.c
+++ b/src/core/machines/rental_options.c
@@ -1,9 +1,9 @@
 /* Kinds of machines: which has been refused lately, and which is worth renting for a job. */
-#include "core/rental_options.h"
-#include "core/classes.h"
+#include "core/machines/rental_options.h"
 #include "core/leader_state.h"
-#include "core/machine.h"
-#include "core/placement.h"
+#include "core/machines/machine.h"
+#include "core/scheduling/classes.h"
+#include "core/scheduling/placement.h"
 
 #include <math.h>
 
--- a/src/core/rental_options.h
+++ b/src/core/machines/rental_options.h
@@ -1,10 +1,10 @@
 /* Rental options: which kinds of machines could be rented for a job, what they are worth, and which the cloud
  * has refused lately. It owns the list of refusals. */
-#ifndef OW_CORE_RENTAL_OPTIONS_H
-#define OW_CORE_RENTAL_OPTIONS_H
+#ifndef OW_CORE_MACHINES_RENTAL_OPTIONS_H
+#define OW_CORE_MACHINES_RENTAL_OPTIONS_H
 
-#include "core/classes.h"
-#include "core/machine.h"
+#include "core/machines/machine.h"
+#include "core/scheduling/classes.h"
 
 struct ow_leader;
 
--- a/src/core/reports.c
+++ b/src/core/machines/reports.c
@@ -1,9 +1,9 @@
 /* What workers report, and what it proves. */
-#include "core/reports.h"
+#include "core/machines/reports.h"
 #include "core/leader_state.h"
-#include "core/machine.h"
-#include "core/machine_registry.h"
-#include "core/recorder.h"
+#include "core/machines/machine.h"
+#include "core/machines/machine_registry.h"
+#include "core/records/recorder.h"
 #include "core/run.h"
 
 #include <string.h>
--- a/src/core/reports.h
+++ b/src/core/machines/reports.h
@@ -1,7 +1,7 @@
 /* Reports of workers: what they say about machines, sessions and tasks, and which attempts that proves to be
  * running, done or gone. */
-#ifndef OW_CORE_REPORTS_H
-#define OW_CORE_REPORTS_H
+#ifndef OW_CORE_MACHINES_REPORTS_H
+#define OW_CORE_MACHINES_REPORTS_H
 
 #include "core/types.h"
 
--- a/src/core/worker_commands.c
+++ b/src/core/machines/worker_commands.c
@@ -1,10 +1,10 @@
 /* Commands to workers: launches whose record has committed, and stops. */
-#include "core/worker_commands.h"
-#include "core/election.h"
+#include "core/machines/worker_commands.h"
+#include "core/election/election.h"
 #include "core/leader_state.h"
-#include "core/machine.h"
-#include "core/machine_registry.h"
-#include "core/reports.h"
+#include "core/machines/machine.h"
+#include "core/machines/machine_registry.h"
+#include "core/machines/reports.h"
 #include "core/run.h"
 
 enum { COMMANDS_MAX = 400 };
--- a/src/core/worker_commands.h
+++ b/src/core/machines/worker_commands.h
@@ -1,7 +1,7 @@
 /* Commands to workers: launches whose record has been committed, and stops. They leave in the answer to a
  * report, or as a direct command to the machine's own address. The module owns a machine's direct channel. */
-#ifndef OW_CORE_WORKER_COMMANDS_H
-#define OW_CORE_WORKER_COMMANDS_H
+#ifndef OW_CORE_MACHINES_WORKER_COMMANDS_H
+#define OW_CORE_MACHINES_WORKER_COMMANDS_H
 
 #include <glib.h>
 
--- a/src/core/limits.c
+++ b/src/core/records/limits.c
@@ -1,4 +1,4 @@
-#include "core/limits.h"
+#include "core/records/limits.h"
 
 /* What one task takes in a progress record at most: a machine with its session, the task and its attempt, or
    a mark among those that are done. Beside them a record has its name and its frame. */
--- a/src/core/limits.h
+++ b/src/core/records/limits.h
@@ -1,7 +1,7 @@
 /* What a write to the state service may hold, and how many there may be: the smaller of what it allows now
  * and of what it will allow from some moment on, for that moment comes without notice. */
-#ifndef OW_CORE_LIMITS_H
-#define OW_CORE_LIMITS_H
+#ifndef OW_CORE_RECORDS_LIMITS_H
+#define OW_CORE_RECORDS_LIMITS_H
 
 #include "core/settings.h"
 
--- a/src/core/record_format.c
+++ b/src/core/records/record_format.c
@@ -2,9 +2,9 @@
  * would drop what it can't read. So the newest format is written only behind a format gate in the state
  * service, and the gate only once every controller has been heard to speak it: one that does never comes back
  * as an earlier version. */
-#include "core/record_format.h"
+#include "core/records/record_format.h"
 #include "core/leader_state.h"
-#include "core/records.h"
+#include "core/records/records.h"
 #include "wire/records_json.h"
 
 static const double LOOK_S = 1;
--- a/src/core/record_values.c
+++ b/src/core/records/record_values.c
@@ -1,11 +1,11 @@
 /* Which progress records share a value of the state service. Its changes are scarcer than its bytes: what
  * changes together is written together. A chunk stays in its record value until its job is over, or until the
  * record value outgrows a value. */
-#include "core/record_values.h"
+#include "core/records/record_values.h"
 #include "core/leader_state.h"
-#include "core/machine.h"
-#include "core/recorder.h"
-#include "core/records.h"
+#include "core/machines/machine.h"
+#include "core/records/recorder.h"
+#include "core/records/records.h"
 #include "core/run.h"
 #include "wire/records_json.h"
 
--- a/src/core/record_values.h
+++ b/src/core/records/record_values.h
@@ -1,7 +1,7 @@
 /* Record values: which chunks share a value of the state service, and the text of that value. The module
  * owns the record values of a leader; when they are written is up to recorder.h. */
-#ifndef OW_CORE_RECORD_VALUES_H
-#define OW_CORE_RECORD_VALUES_H
+#ifndef OW_CORE_RECORDS_RECORD_VALUES_H
+#define OW_CORE_RECORDS_RECORD_VALUES_H
 
 #include "core/run.h"
 
--- a/src/core/recorder.c
+++ b/src/core/records/recorder.c
@@ -1,13 +1,13 @@
 /* Changed records, written in batches. Every transaction is conditioned on the leader's key, so a
  * deposed leader decides nothing, and on the version of each record, so one that is applied late
  * changes nothing. One transaction is under way at a time. */
-#include "core/recorder.h"
-#include "core/election.h"
-#include "core/job_cache.h"
+#include "core/records/recorder.h"
+#include "core/api/job_cache.h"
+#include "core/election/election.h"
 #include "core/leader_state.h"
-#include "core/machine.h"
-#include "core/record_values.h"
-#include "core/records.h"
+#include "core/machines/machine.h"
+#include "core/records/record_values.h"
+#include "core/records/records.h"
 #include "core/run.h"
 #include "wire/records_json.h"
 
--- a/src/core/recorder.h
+++ b/src/core/records/recorder.h
@@ -1,7 +1,7 @@
 /* The recorder writes changed records to the state service, in batches and in an order that keeps every
  * decision recoverable. It owns the queue of writes and the transaction under way. */
-#ifndef OW_CORE_RECORDER_H
-#define OW_CORE_RECORDER_H
+#ifndef OW_CORE_RECORDS_RECORDER_H
+#define OW_CORE_RECORDS_RECORDER_H
 
 #include <stdbool.h>
 #include <stdint.h>
--- a/src/core/records.h
+++ b/src/core/records/records.h
@@ -8,8 +8,8 @@
  *                    "<id>/<chunk>.<tasks>" where a run has not 256 tasks: what is done, which
  *                    attempts may exist, and where. Of a record found in two values the newer value's counts
  */
-#ifndef OW_CORE_RECORDS_H
-#define OW_CORE_RECORDS_H
+#ifndef OW_CORE_RECORDS_RECORDS_H
+#define OW_CORE_RECORDS_RECORDS_H
 
 #include "core/types.h"
 
--- a/src/core/run.c
+++ b/src/core/run.c
@@ -1,12 +1,12 @@
 /* Runs of jobs, their attempts, and what teams use. */
 #include "core/run.h"
-#include "core/classes.h"
 #include "core/leader_state.h"
-#include "core/machine.h"
-#include "core/machine_health.h"
-#include "core/record_values.h"
-#include "core/recorder.h"
-#include "core/reservation.h"
+#include "core/machines/machine.h"
+#include "core/machines/machine_health.h"
+#include "core/records/record_values.h"
+#include "core/records/recorder.h"
+#include "core/scheduling/classes.h"
+#include "core/scheduling/reservation.h"
 
 #include <string.h>
 
--- a/src/core/run.h
+++ b/src/core/run.h
@@ -4,7 +4,7 @@
 #ifndef OW_CORE_RUN_H
 #define OW_CORE_RUN_H
 
-#include "core/job.h"
+#include "core/api/job.h"
 #include "core/settings.h"
 #include "core/types.h"
 
--- a/src/core/classes.c
+++ b/src/core/scheduling/classes.c
@@ -1,4 +1,4 @@
-#include "core/classes.h"
+#include "core/scheduling/classes.h"
 
 #include "core/controller.h"
 
--- a/src/core/classes.h
+++ b/src/core/scheduling/classes.h
@@ -1,8 +1,8 @@
 /* What has been seen of each class of jobs, and what its aims leave to wait. */
-#ifndef OW_CORE_CLASSES_H
-#define OW_CORE_CLASSES_H
+#ifndef OW_CORE_SCHEDULING_CLASSES_H
+#define OW_CORE_SCHEDULING_CLASSES_H
 
-#include "core/job.h"
+#include "core/api/job.h"
 
 struct ow_controller;
 
--- a/src/core/placement.c
+++ b/src/core/scheduling/placement.c
@@ -1,13 +1,13 @@
 /* Where a task may run, where it runs best, and placing it there. */
-#include "core/placement.h"
-#include "core/classes.h"
+#include "core/scheduling/placement.h"
 #include "core/leader_state.h"
-#include "core/machine.h"
-#include "core/machine_registry.h"
-#include "core/recorder.h"
-#include "core/reservation.h"
+#include "core/machines/machine.h"
+#include "core/machines/machine_registry.h"
+#include "core/records/recorder.h"
 #include "core/run.h"
-#include "core/shortlist.h"
+#include "core/scheduling/classes.h"
+#include "core/scheduling/reservation.h"
+#include "core/scheduling/shortlist.h"
 
 #include <math.h>
 
--- a/src/core/placement.h
+++ b/src/core/scheduling/placement.h
@@ -1,7 +1,7 @@
 /* Placement: where a task may run, how well a machine suits it, and starting it there. Slots are numbers of
  * tasks of one job that fit; costs are in seconds, or as good as, and lower is better. */
-#ifndef OW_CORE_PLACEMENT_H
-#define OW_CORE_PLACEMENT_H
+#ifndef OW_CORE_SCHEDULING_PLACEMENT_H
+#define OW_CORE_SCHEDULING_PLACEMENT_H
 
 #include "core/run.h"
 
--- a/src/core/preempt.c
+++ b/src/core/scheduling/preempt.c
@@ -1,9 +1,9 @@
 /* Stopping work to make room, where the rules allow it: the cheapest loss first. */
-#include "core/preempt.h"
+#include "core/scheduling/preempt.h"
 #include "core/leader_state.h"
-#include "core/machine.h"
-#include "core/placement.h"
+#include "core/machines/machine.h"
 #include "core/run.h"
+#include "core/scheduling/placement.h"
 
 #include <math.h>
 
--- a/src/core/preempt.h
+++ b/src/core/scheduling/preempt.h
@@ -1,7 +1,7 @@
 /* Preemption: stopping running work to make room for more urgent work, the cheapest loss first. Losses are in
  * seconds of work. */
-#ifndef OW_CORE_PREEMPT_H
-#define OW_CORE_PREEMPT_H
+#ifndef OW_CORE_SCHEDULING_PREEMPT_H
+#define OW_CORE_SCHEDULING_PREEMPT_H
 
 #include "core/run.h"
 
--- a/src/core/reason.c
+++ b/src/core/scheduling/reason.c
@@ -1,11 +1,11 @@
 /* Why a job waits, in words for its team. */
-#include "core/reason.h"
+#include "core/scheduling/reason.h"
 #include "core/leader_state.h"
-#include "core/machine.h"
-#include "core/machine_registry.h"
-#include "core/placement.h"
-#include "core/reservation.h"
+#include "core/machines/machine.h"
+#include "core/machines/machine_registry.h"
 #include "core/run.h"
+#include "core/scheduling/placement.h"
+#include "core/scheduling/reservation.h"
 
 /* The machines that jobs with such demands allow: counted once a pass. */
 struct allowance {
--- a/src/core/reason.h
+++ b/src/core/scheduling/reason.h
@@ -1,6 +1,6 @@
 /* Why a job waits, in words for its team. */
-#ifndef OW_CORE_REASON_H
-#define OW_CORE_REASON_H
+#ifndef OW_CORE_SCHEDULING_REASON_H
+#define OW_CORE_SCHEDULING_REASON_H
 
 #include <glib.h>
 
--- a/src/core/reservation.c
+++ b/src/core/scheduling/reservation.c
@@ -3,13 +3,13 @@
  * The members of a gang are alike, so their candidate lists have the same machines in the same order; a
  * machine stands in as many lists as it has room for members. The window closes as soon as every member
  * has a candidate, which in our own picture is often at once. */
-#include "core/reservation.h"
+#include "core/scheduling/reservation.h"
 #include "core/leader_state.h"
-#include "core/machine.h"
-#include "core/placement.h"
-#include "core/preempt.h"
+#include "core/machines/machine.h"
 #include "core/run.h"
-#include "core/shortlist.h"
+#include "core/scheduling/placement.h"
+#include "core/scheduling/preempt.h"
+#include "core/scheduling/shortlist.h"
 
 #include <math.h>
 
--- a/src/core/reservation.h
+++ b/src/core/scheduling/reservation.h
@@ -1,7 +1,7 @@
 /* Reservations: the holds of waiting gangs on machines, until there is one for each member. The module owns
  * reservations, and the count of holders of each machine. */
-#ifndef OW_CORE_RESERVATION_H
-#define OW_CORE_RESERVATION_H
+#ifndef OW_CORE_SCHEDULING_RESERVATION_H
+#define OW_CORE_SCHEDULING_RESERVATION_H
 
 #include "core/run.h"
 
--- a/src/core/schedule.c
+++ b/src/core/scheduling/schedule.c
@@ -1,17 +1,17 @@
 /* The scheduling pass: who comes first, and what becomes of jobs that are over. */
-#include "core/schedule.h"
-#include "core/classes.h"
+#include "core/scheduling/schedule.h"
 #include "core/leader_state.h"
-#include "core/machine.h"
-#include "core/machine_registry.h"
-#include "core/placement.h"
-#include "core/preempt.h"
-#include "core/reason.h"
-#include "core/recorder.h"
-#include "core/reservation.h"
+#include "core/machines/machine.h"
+#include "core/machines/machine_registry.h"
+#include "core/records/recorder.h"
 #include "core/run.h"
-#include "core/service_replicas.h"
-#include "core/shortlist.h"
+#include "core/scheduling/classes.h"
+#include "core/scheduling/placement.h"
+#include "core/scheduling/preempt.h"
+#include "core/scheduling/reason.h"
+#include "core/scheduling/reservation.h"
+#include "core/scheduling/service_replicas.h"
+#include "core/scheduling/shortlist.h"
 
 /* How far the size of an array counts against its age. */
 static const double SIZE_WEIGHT = 5;
--- a/src/core/schedule.h
+++ b/src/core/scheduling/schedule.h
@@ -1,7 +1,7 @@
 /* The scheduling pass: the order of the queue, and what is started or held for each waiting run in turn. It
  * also completes jobs whose tasks are over. */
-#ifndef OW_CORE_SCHEDULE_H
-#define OW_CORE_SCHEDULE_H
+#ifndef OW_CORE_SCHEDULING_SCHEDULE_H
+#define OW_CORE_SCHEDULING_SCHEDULE_H
 
 #include <glib.h>
 
--- a/src/core/service_replicas.c
+++ b/src/core/scheduling/service_replicas.c
@@ -1,10 +1,10 @@
 /* Services: replicas that run until their job is cancelled, apart from one another. */
-#include "core/service_replicas.h"
+#include "core/scheduling/service_replicas.h"
 #include "core/leader_state.h"
-#include "core/machine.h"
-#include "core/machine_registry.h"
-#include "core/placement.h"
+#include "core/machines/machine.h"
+#include "core/machines/machine_registry.h"
 #include "core/run.h"
+#include "core/scheduling/placement.h"
 
 #include <math.h>
 
--- a/src/core/service_replicas.h
+++ b/src/core/scheduling/service_replicas.h
@@ -1,6 +1,6 @@
 /* Services: replicas that run until their job is cancelled, kept apart from one another. */
-#ifndef OW_CORE_SERVICE_REPLICAS_H
-#define OW_CORE_SERVICE_REPLICAS_H
+#ifndef OW_CORE_SCHEDULING_SERVICE_REPLICAS_H
+#define OW_CORE_SCHEDULING_SERVICE_REPLICAS_H
 
 struct ow_leader;
 struct ow_run;
--- a/src/core/shortlist.c
+++ b/src/core/scheduling/shortlist.c
@@ -1,13 +1,13 @@
 /* Machines worth a look for a class: those with room for the least that any of its waiting tasks needs.
  * Listed once a pass, so that a pass costs machines times classes and not machines times waiting jobs. Room
  * only shrinks while a pass lasts; what a stop frees at once is found by the next one. */
-#include "core/shortlist.h"
+#include "core/scheduling/shortlist.h"
 #include "core/leader_state.h"
-#include "core/machine.h"
-#include "core/machine_registry.h"
-#include "core/placement.h"
-#include "core/preempt.h"
+#include "core/machines/machine.h"
+#include "core/machines/machine_registry.h"
 #include "core/run.h"
+#include "core/scheduling/placement.h"
+#include "core/scheduling/preempt.h"
 
 struct shortlist {
     bool wanted; /* a job of the class waits */
--- a/src/core/shortlist.h
+++ b/src/core/scheduling/shortlist.h
@@ -1,7 +1,7 @@
 /* Shortlists: for each class, the machines with room for the least that any of its waiting tasks needs. Each
  * is computed at most once a pass, so that a pass costs machines times classes, not machines times jobs. */
-#ifndef OW_CORE_SHORTLIST_H
-#define OW_CORE_SHORTLIST_H
+#ifndef OW_CORE_SCHEDULING_SHORTLIST_H
+#define OW_CORE_SCHEDULING_SHORTLIST_H
 
 #include <glib.h>
 
--- a/src/wire/records_json.h
+++ b/src/wire/records_json.h
@@ -2,7 +2,7 @@
 #ifndef OW_WIRE_RECORDS_JSON_H
 #define OW_WIRE_RECORDS_JSON_H
 
-#include "core/records.h"
+#include "core/records/records.h"
 
 struct json_t;
 
--- a/tests/test_fleet.c
+++ b/tests/test_fleet.c
@@ -2,7 +2,7 @@
    a third of the machines is lost. No rule may break, all work is done, and what is asked of others is
    bounded. */
 #include "check.h"
-#include "core/machine_registry.h"
+#include "core/machines/machine_registry.h"
 #include "world.h"
 
 enum { MACHINES = 2000, GANGS = 40, SCANS = 40, BILLS = 30 };
--- a/tests/test_meetings.c
+++ b/tests/test_meetings.c
@@ -4,7 +4,7 @@
 #include "check.h"
 #include "world.h"
 
-#include "core/records.h"
+#include "core/records/records.h"
 
 #include <string.h>
 
--- a/tests/test_records.c
+++ b/tests/test_records.c
@@ -1,8 +1,8 @@
 /* Our own records: what is written is read back, in small room. */
 #include "check.h"
 #include "core/rate_limiter.h"
-#include "core/job.h"
-#include "core/limits.h"
+#include "core/api/job.h"
+#include "core/records/limits.h"
 #include "core/names.h"
 #include "wire/json.h"
 #include "wire/records_json.h"
--- a/tests/test_upgrade.c
+++ b/tests/test_upgrade.c
@@ -3,7 +3,7 @@
 #include "check.h"
 #include "world.h"
 
-#include "core/records.h"
+#include "core/records/records.h"
 #include "wire/json.h"
 #include "wire/peer_xdr.h"
 #include "wire/records_json.h"
--- a/tests/world.c
+++ b/tests/world.c
@@ -3,7 +3,7 @@
 
 #include "check.h"
 
-#include "core/records.h"
+#include "core/records/records.h"
 #include "wire/peer_xdr.h"
 
 #include <string.h>
--- a/tests/world_state.c
+++ b/tests/world_state.c
@@ -1,7 +1,7 @@
 /* The fake world's state service. */
 #include "world_parts.h"
 
-#include "core/records.h"
+#include "core/records/records.h"
 #include "wire/json.h"
 
 #include <string.h>
