--- a/src/core/machine_registry.c
+++ b/src/core/machines/machine_registry.c
@@ -1,5 +1,9 @@
 /* The machine registry: what is known of every machine. */
+#include "core/machines/machine_registry.h"
 #include "core/leader_state.h"
+#include "core/machines/machine.h"
+#include "core/run.h"
+#include "core/scheduling/reservation.h"
 
 #include <string.h>
 
@@ -62,7 +66,7 @@
     }
     g_hash_table_remove(leader->machines_by_name, m->name);
     g_ptr_array_remove_fast(leader->machines, m);
-    leader->dirty = true;
+    leader->pass.due = true;
 }
 
 bool ow_machine_heard_recently(const struct ow_leader *leader, const struct ow_machine *m)
--- a/src/core/worker_commands.c
+++ b/src/core/machines/worker_commands.c
@@ -1,6 +1,11 @@
 /* Commands to workers: launches whose record has committed, and stops. */
-#include "core/election.h"
+#include "core/machines/worker_commands.h"
+#include "core/election/election.h"
 #include "core/leader_state.h"
+#include "core/machines/machine.h"
+#include "core/machines/machine_registry.h"
+#include "core/machines/reports.h"
+#include "core/run.h"
 
 enum { COMMANDS_MAX = 400 };
 static const double DIRECT_PAUSE_S = 3, UNSENT_PAUSE_S = 0.5;
--- a/src/core/reason.c
+++ b/src/core/scheduling/reason.c
@@ -1,5 +1,11 @@
 /* Why a job waits, in words for its team. */
+#include "core/scheduling/reason.h"
 #include "core/leader_state.h"
+#include "core/machines/machine.h"
+#include "core/machines/machine_registry.h"
+#include "core/run.h"
+#include "core/scheduling/placement.h"
+#include "core/scheduling/reservation.h"
 
 /* The machines that jobs with such demands allow: counted once a pass. */
 struct allowance {
@@ -16,8 +22,8 @@
 
 static struct allowance allowed_machines(struct ow_leader *leader, const struct ow_spec *spec)
 {
-    for (guint i = 0; i < leader->allowances->len; i++) {
-        const struct allowance *a = &g_array_index(leader->allowances, struct allowance, i);
+    for (guint i = 0; i < leader->pass.allowances->len; i++) {
+        const struct allowance *a = &g_array_index(leader->pass.allowances, struct allowance, i);
         if (a->types == spec->types && a->zone == spec->zone && a->spot == spec->submission->spot)
             return *a;
     }
@@ -29,7 +35,7 @@
         count.allowed++;
         count.usable += ow_machine_is_usable(leader, m) ? 1 : 0;
     }
-    g_array_append_val(leader->allowances, count);
+    g_array_append_val(leader->pass.allowances, count);
     return count;
 }
 
--- a/src/core/shortlist.c
+++ b/src/core/scheduling/shortlist.c
@@ -1,7 +1,13 @@
 /* Machines worth a look for a class: those with room for the least that any of its waiting tasks needs.
  * Listed once a pass, so that a pass costs machines times classes and not machines times waiting jobs. Room
  * only shrinks while a pass lasts; what a stop frees at once is found by the next one. */
+#include "core/scheduling/shortlist.h"
 #include "core/leader_state.h"
+#include "core/machines/machine.h"
+#include "core/machines/machine_registry.h"
+#include "core/run.h"
+#include "core/scheduling/placement.h"
+#include "core/scheduling/preempt.h"
 
 struct shortlist {
     bool wanted; /* a job of the class waits */
@@ -27,9 +33,9 @@
 
 static struct shortlist *list_of(struct ow_leader *leader, int class_index)
 {
-    if (leader->shortlists->len <= (guint)class_index)
-        g_array_set_size(leader->shortlists, (guint)class_index + 1);
-    return &g_array_index(leader->shortlists, struct shortlist, class_index);
+    if (leader->pass.shortlists->len <= (guint)class_index)
+        g_array_set_size(leader->pass.shortlists, (guint)class_index + 1);
+    return &g_array_index(leader->pass.shortlists, struct shortlist, class_index);
 }
 
 static void widen(struct shortlist *s, const struct ow_submission *job, int stops_from)
@@ -52,7 +58,7 @@
 
 void ow_shortlists_begin(struct ow_leader *leader)
 {
-    g_array_set_size(leader->shortlists, 0);
+    g_array_set_size(leader->pass.shortlists, 0);
     for (guint i = 0; i < leader->runs->len; i++) {
         const struct ow_run *run = g_ptr_array_index(leader->runs, i);
         if (ow_run_pending(run) > 0)
