--- a/src/core/scheduling/service_replicas.c
+++ b/src/core/scheduling/service_replicas.c
@@ -164,22 +164,43 @@
     return ow_run_is_service(at->job->run) && !at->stop && !ow_job_over(at->job);
 }
 
+/* A machine whose reports no longer arrive although it answers commands: its lease is not renewed, so its
+   worker is about to end all tasks. One that answers nothing is none of these, for no stop would reach it. */
+static bool loses_its_lease(const struct ow_leader *leader, const struct ow_machine *machine)
+{
+    return machine->fenced && machine->unanswered_since == 0 && ow_machine_heard_recently(leader, machine) &&
+           ow_machine_stopped_reporting(leader, machine);
+}
+
+/* When tasks on the machine will be gone: the cloud takes it back, or its lease runs out. 0: not as far as is
+   known. */
+static double leaves_at(const struct ow_leader *leader, const struct ow_machine *machine)
+{
+    if (machine->reclaimed_at > 0)
+        return machine->reclaimed_at;
+    if (!loses_its_lease(leader, machine))
+        return 0;
+    /* This leader may never have had a report of it: then there is no time that could be counted on. */
+    double since = machine->last_report_at;
+    return since > 0 ? since + leader->controller->settings->lease_s : leader->controller->now;
+}
+
 /* The service's replicas on machines that are about to go. */
-static uint32_t leaving(const struct ow_run *run)
+static uint32_t leaving(const struct ow_leader *leader, const struct ow_run *run)
 {
     uint32_t count = 0;
     for (guint i = 0; i < run->attempts->len; i++) {
         const struct ow_attempt *at = g_ptr_array_index(run->attempts, i);
-        count += at->machine->reclaimed_at > 0 && !at->stop ? 1 : 0;
+        count += !at->stop && leaves_at(leader, at->machine) > 0 ? 1 : 0;
     }
     return count;
 }
 
 /* Whether the service can do without one more replica for a moment: one at a time is missed, unless the
    machines that are about to go leave no time for that. */
-static bool may_miss_one_more(const struct ow_run *run, double left_s)
+static bool may_miss_one_more(const struct ow_leader *leader, const struct ow_run *run, double left_s)
 {
-    return not_serving(run) < MOVES_MOST || leaving(run) * MOVE_S > left_s - LAST_MOVE_S;
+    return not_serving(run) < MOVES_MOST || leaving(leader, run) * MOVE_S > left_s - LAST_MOVE_S;
 }
 
 /* With its image elsewhere a replica is moved as soon as its service can do without it. Where no machine with
@@ -187,7 +208,7 @@
    only once it is proven gone, and that takes far longer when its machine has been taken. */
 static void move_off_leaving(struct ow_leader *leader, struct ow_machine *m)
 {
-    double left = m->reclaimed_at - leader->controller->now;
+    double left = leaves_at(leader, m) - leader->controller->now;
     for (guint i = m->attempts->len; i > 0; i--) {
         if (i > m->attempts->len)
             continue;
@@ -195,7 +216,7 @@
         if (!is_movable(at))
             continue;
         struct ow_machine *place = find_place(leader, at->job->run, OW_NO_NAME);
-        if (place != NULL && may_miss_one_more(at->job->run, left))
+        if (place != NULL && may_miss_one_more(leader, at->job->run, left))
             move_to(leader, at, place, "its machine is about to go; it moves");
         else if (left < LAST_MOVE_S)
             ow_attempt_stop(leader, at, 0, "its machine is about to go, and no other one has its image");
@@ -278,7 +299,7 @@
 {
     for (guint i = 0; i < leader->machines->len; i++) {
         struct ow_machine *m = g_ptr_array_index(leader->machines, i);
-        if (m->reclaimed_at > 0)
+        if (leaves_at(leader, m) > 0)
             move_off_leaving(leader, m);
         else if (leader->controller->now < m->quarantine_until)
             move_off_faulty(leader, m);
--- a/tests/test_services.c
+++ b/tests/test_services.c
@@ -315,6 +315,32 @@
     world_finish(w);
 }
 
+static bool has_no_replica(struct world *w, const void *machine)
+{
+    (void)w;
+    return replicas_on(machine, "run-1") == 0;
+}
+
+/* A machine whose reports don't arrive loses its lease, although it answers commands: its replica moves
+ * before that. */
+static void test_a_replica_moves_before_its_machine_loses_its_lease(void **state)
+{
+    (void)state;
+    struct world *w = with_service(4, 3);
+    w->run_s = 200;
+    world_submit(w, 0, world_job("run-9", 4, 12));
+    world_run(w, 6);
+    struct world_machine *machine = world_where(w, "run-1");
+    unsigned starts = machine->starts;
+    machine->stopped_reporting = true;
+    double lost_at = w->now + w->settings[0].lease_s;
+    assert_true(world_until(w, w->settings[0].lease_s, has_no_replica, machine));
+    assert_true(world_until(w, 4, three_run, "run-1"));
+    assert_true(w->now < lost_at - 2);
+    assert_int_equal(machine->starts, starts);
+    world_finish(w);
+}
+
 /* A service is never through: that must not count as having waited too long. */
 static void test_an_old_service_gives_way_to_more_urgent_work(void **state)
 {
@@ -455,6 +481,7 @@
         cmocka_unit_test(test_all_replicas_move_before_a_spot_wave),
         cmocka_unit_test(test_a_replica_moves_off_a_faulty_machine),
         cmocka_unit_test(test_replicas_part_when_there_is_room_again),
+        cmocka_unit_test(test_a_replica_moves_before_its_machine_loses_its_lease),
         cmocka_unit_test(test_an_old_service_gives_way_to_more_urgent_work),
         cmocka_unit_test(test_room_is_made_in_one_zone),
         cmocka_unit_test(test_no_more_room_is_made_than_a_zone_admits),
