--- /dev/null
+++ b/src/io/outgoing.c
@@ -0,0 +1,183 @@
+/* Requests to the state service, the cloud and workers, and what becomes of their responses. */
+#include "io/service_state.h"
+
+#include "wire/cloud_json.h"
+#include "wire/state_json.h"
+#include "wire/words.h"
+#include "wire/worker_json.h"
+
+/* How long each may take to respond. */
+static const double STATE_TIMEOUT_S = 1.5, CLOUD_TIMEOUT_S = 8, DIRECT_TIMEOUT_S = 3;
+/* A watch may stay open for as long as it was asked to, by the state service's clock, and then some. */
+static const double WATCH_DRIFT = 1.01, WATCH_MARGIN_S = 2;
+
+enum target { TARGET_STATE_SERVICE, TARGET_CLOUD, TARGET_WORKER };
+enum { NO_OPERATION = 0 };
+
+/* A request that waits for its response. */
+struct pending_request {
+    enum target target;
+    int operation;     /* enum ow_store_op, or that of struct ow_cloud_request, by the target */
+    uint64_t core_tag; /* the core's name for it */
+};
+
+GHashTable *ow_outgoing_pending_new(void)
+{
+    return g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, g_free);
+}
+
+/* The tag under which the HTTP client is to send the request. */
+static uint64_t add_pending(struct ow_service *service, enum target target, int operation, uint64_t core_tag)
+{
+    uint64_t *key = g_new(uint64_t, 1);
+    struct pending_request *pending = g_new0(struct pending_request, 1);
+    *key = ++service->last_tag;
+    pending->target = target;
+    pending->operation = operation;
+    pending->core_tag = core_tag;
+    g_hash_table_insert(service->pending_requests, key, pending);
+    return *key;
+}
+
+/* ---- responses ---- */
+
+static struct ow_event *cloud_event(const struct pending_request *pending, int status, const char *body,
+                                    size_t size)
+{
+    struct ow_event *event = ow_service_event_new(OW_EVENT_CLOUD, pending->core_tag);
+    event->cloud.status = status;
+    if (status != OW_HTTP_STATUS_OK)
+        return event;
+    if (pending->operation == OW_CLOUD_TYPES)
+        event->cloud.types = wire_types_parse(body, size);
+    else if (pending->operation == OW_CLOUD_LIST)
+        event->cloud.listed = wire_list_parse(body, size, &event->cloud.more);
+    else if (pending->operation == OW_CLOUD_RENT)
+        event->cloud.rented = wire_rented_parse(body, size);
+    return event;
+}
+
+static struct ow_event *state_event(const struct pending_request *pending, int status, const char *body,
+                                    size_t size)
+{
+    struct ow_event *event = ow_service_event_new(OW_EVENT_STORE, pending->core_tag);
+    wire_store_reply((enum ow_store_op)pending->operation, status, body, size, &event->store);
+    return event;
+}
+
+static struct ow_event *worker_event(const struct pending_request *pending, int status, const char *body,
+                                     size_t size)
+{
+    struct ow_event *event = ow_service_event_new(OW_EVENT_DIRECT_REPLY, pending->core_tag);
+    event->status = status;
+    if (status == OW_HTTP_STATUS_OK || status == OW_HTTP_STATUS_CONFLICT)
+        event->report = wire_report_parse(body, size);
+    return event;
+}
+
+static struct ow_event *reply_event(const struct pending_request *pending, int status, const char *body,
+                                    size_t size)
+{
+    switch (pending->target) {
+    case TARGET_STATE_SERVICE:
+        return state_event(pending, status, body, size);
+    case TARGET_CLOUD:
+        return cloud_event(pending, status, body, size);
+    case TARGET_WORKER:
+        break;
+    }
+    return worker_event(pending, status, body, size);
+}
+
+void ow_outgoing_take_reply(void *owner, uint64_t tag, int status, const char *body, size_t size)
+{
+    struct ow_service *service = owner;
+    const struct pending_request *pending = g_hash_table_lookup(service->pending_requests, &tag);
+    ow_core_push(service->core, reply_event(pending, status, body, size));
+    g_hash_table_remove(service->pending_requests, &tag);
+}
+
+/* ---- requests ---- */
+
+static void send_store(struct ow_service *service, const struct ow_effect *effect)
+{
+    struct wire_http http = wire_store_request(effect->store);
+    double timeout = STATE_TIMEOUT_S;
+    if (effect->store->op == OW_STORE_WATCH)
+        timeout += effect->store->seconds * WATCH_DRIFT + WATCH_MARGIN_S;
+    uint64_t tag = add_pending(service, TARGET_STATE_SERVICE, (int)effect->store->op, effect->store->tag);
+    ow_http_client_send(service->client, service->settings->state, http.method, http.path, http.body, timeout,
+                        tag);
+    wire_http_clear(&http);
+}
+
+static void send_cloud(struct ow_service *service, const struct ow_effect *effect)
+{
+    const struct ow_cloud_request *request = effect->cloud;
+    uint64_t tag = add_pending(service, TARGET_CLOUD, (int)request->op, request->tag);
+    const char *method = "GET";
+    char *path = NULL, *body = NULL;
+    if (request->op == OW_CLOUD_TYPES) {
+        path = g_strdup(W_PATH_TYPES);
+    } else if (request->op == OW_CLOUD_LIST) {
+        path = wire_list_path(request->after);
+    } else if (request->op == OW_CLOUD_RENT) {
+        struct ow_rental rental = {request->name, request->type, request->zone, request->spot,
+                                   request->count};
+        method = "POST";
+        path = g_strdup(W_PATH_MACHINES);
+        body = wire_rental(&rental);
+    } else {
+        method = "POST";
+        path = g_strdup(W_PATH_DELETE);
+        body = wire_delete(request->machines);
+    }
+    ow_http_client_send(service->client, service->settings->cloud, method, path, body, CLOUD_TIMEOUT_S, tag);
+    g_free(path);
+    g_free(body);
+}
+
+/* Without a socket to spare the command goes with the answer to the machine's next report. */
+static void give_up_direct(struct ow_service *service, const struct ow_effect *effect)
+{
+    struct ow_event *event = ow_service_event_new(OW_EVENT_DIRECT_REPLY, effect->request);
+    event->status = OW_STATUS_UNSENT;
+    ow_core_push(service->core, event);
+}
+
+void ow_outgoing_bound_sockets(struct ow_service *service)
+{
+    unsigned taken = ow_http_server_count(service->server);
+    ow_http_client_bound(service->client,
+                         MAX(service->client_sockets_least, service->sockets - MIN(service->sockets, taken)));
+}
+
+static void send_direct(struct ow_service *service, const struct ow_effect *effect)
+{
+    ow_outgoing_bound_sockets(service);
+    if (!ow_http_client_has_room(service->client, effect->text)) {
+        give_up_direct(service, effect);
+        return;
+    }
+    char *body = wire_direct_commands(effect->token, effect->session, effect->commands);
+    uint64_t tag = add_pending(service, TARGET_WORKER, NO_OPERATION, effect->request);
+    ow_http_client_send(service->client, effect->text, "POST", W_PATH_COMMANDS, body, DIRECT_TIMEOUT_S, tag);
+    g_free(body);
+}
+
+void ow_outgoing_send(struct ow_service *service, const struct ow_effect *effect)
+{
+    switch (effect->kind) {
+    case OW_EFFECT_DIRECT:
+        send_direct(service, effect);
+        break;
+    case OW_EFFECT_STORE:
+        send_store(service, effect);
+        break;
+    case OW_EFFECT_CLOUD:
+        send_cloud(service, effect);
+        break;
+    default:
+        break;
+    }
+}
--- a/src/io/service.h
+++ b/src/io/service.h
@@ -11,7 +11,8 @@
 struct ow_service *ow_service_new(struct ow_loop *loop, const struct ow_settings *settings,
                                   const struct ow_rules *rules, char **fault);
 void ow_service_free(struct ow_service *service);
-/* The loop's round. */
-double ow_service_round(void *service, double now);
+/* The round of the event loop (ow_round_fn): lets the core run and carries out its effects. `owner` is the
+   service. */
+double ow_service_round(void *owner, double now);
 
 #endif
--- /dev/null
+++ b/src/io/service_state.h
@@ -0,0 +1,48 @@
+/* The state of the serving process, shared by the files that make it up. Private to src/io. */
+#ifndef OW_IO_SERVICE_STATE_H
+#define OW_IO_SERVICE_STATE_H
+
+#include "core/core.h"
+#include "core/settings.h"
+#include "io/http_client.h"
+#include "io/http_server.h"
+#include "io/http_status.h"
+#include "io/loop.h"
+#include "io/peer_link.h"
+
+struct ow_service {
+    struct ow_loop *loop;
+    const struct ow_settings *settings;
+    struct ow_core *core;
+    struct ow_http_server *server;
+    struct ow_http_client *client;
+    struct ow_peer_links *peers;
+    GHashTable *pending_requests; /* tag of the HTTP client -> struct pending_request of outgoing.c */
+    uint64_t last_tag;            /* the last one given to the HTTP client */
+    unsigned sockets; /* without those reserved for the state service, the cloud and other controllers */
+    unsigned client_sockets_least; /* of `sockets`, those that our own requests may always use */
+    double sweep_at;               /* when idle connections are looked at next */
+};
+
+/* service.c: an event for the core. `request` names whom to answer, or the request that is answered. */
+struct ow_event *ow_service_event_new(enum ow_event_kind kind, uint64_t request);
+
+/* incoming.c: requests of users and workers. */
+
+/* The HTTP server's handler: turns a request into an event, or answers it. `owner` is the service. */
+void ow_incoming_handle(void *owner, const struct ow_http_request *request);
+/* Answers a user or a worker as the core says. */
+void ow_incoming_answer(struct ow_service *service, const struct ow_effect *effect);
+
+/* outgoing.c: requests to the state service, the cloud and workers. */
+
+/* Sends a request of the core to the state service, the cloud or a worker. */
+void ow_outgoing_send(struct ow_service *service, const struct ow_effect *effect);
+/* The HTTP client's reply function: turns a response into an event. `owner` is the service. */
+void ow_outgoing_take_reply(void *owner, uint64_t tag, int status, const char *body, size_t size);
+/* Leaves the HTTP client the sockets that incoming connections don't use. */
+void ow_outgoing_bound_sockets(struct ow_service *service);
+/* An empty table of pending requests. */
+GHashTable *ow_outgoing_pending_new(void);
+
+#endif
