--- a/src/io/client.c
+++ b/src/io/client.c
@@ -1,6 +1,7 @@
 #include "io/client.h"
 
 #include "io/http_client.h"
+#include "io/http_status.h"
 #include "io/net.h"
 #include "wire/json.h"
 #include "wire/words.h"
@@ -10,7 +11,7 @@
 #include <stdio.h>
 #include <string.h>
 
-static const double TIMEOUT_S = 5;
+static const double TIMEOUT_S = 5, SWEEP_S = 0.1;
 
 struct exchange {
     bool ended;
@@ -30,7 +31,7 @@
 static double sweep(void *owner, double now)
 {
     ow_http_client_sweep(owner, now);
-    return 0.1;
+    return SWEEP_S;
 }
 
 static int request(const char *server, const char *method, const char *path, const char *body,
@@ -92,23 +93,23 @@
     }
 }
 
-static int print_answer(int status, const GString *answer, bool teams)
+static enum ow_client_status print_answer(int status, const GString *answer, bool teams)
 {
     json_t *o = wj_object(answer->str, answer->len);
     const char *fault = "no readable answer";
-    bool ok = (status == 200 || status == 201) && o != NULL;
+    bool ok = (status == OW_HTTP_STATUS_OK || status == OW_HTTP_STATUS_CREATED) && o != NULL;
     if (ok && teams)
         print_teams(o);
     else if (ok)
         print_job(o);
-    else if (status == 0)
+    else if (status == OW_HTTP_STATUS_NONE)
         fprintf(stderr, "ospreywell: the controller does not answer\n");
     else {
         wj_string(o, "error", &fault);
         fprintf(stderr, "ospreywell: status %d: %s\n", status, fault);
     }
     json_decref(o);
-    return ok ? 0 : 1;
+    return ok ? OW_CLIENT_DONE : OW_CLIENT_FAILED;
 }
 
 static char *read_job(const char *file)
@@ -122,28 +123,29 @@
     return text;
 }
 
-static int exchange(const char *server, const char *method, char *path, char *body, bool teams)
+static enum ow_client_status exchange(const char *server, const char *method, char *path, char *body,
+                                      bool teams)
 {
     GString *answer = g_string_new(NULL);
     int status = request(server, method, path, body, answer);
-    int result = print_answer(status, answer, teams);
+    enum ow_client_status result = print_answer(status, answer, teams);
     g_string_free(answer, TRUE);
     g_free(path);
     g_free(body);
     return result;
 }
 
-int ow_client_run(const char *server, char **words)
+enum ow_client_status ow_client_run(const char *server, char **words)
 {
     const char *verb = words[0], *what = words[1];
     bool one = what != NULL && words[2] == NULL;
     if (!ow_net_endpoint_valid(server)) {
         fprintf(stderr, "ospreywell: --server ADDRESS:PORT or OSPREYWELL_SERVER is needed\n");
-        return 2;
+        return OW_CLIENT_USAGE;
     }
     if (strcmp(verb, "submit") == 0 && one) {
         char *job = read_job(what);
-        return job != NULL ? exchange(server, "POST", g_strdup(W_PATH_JOBS), job, false) : 1;
+        return job != NULL ? exchange(server, "POST", g_strdup(W_PATH_JOBS), job, false) : OW_CLIENT_FAILED;
     }
     if (strcmp(verb, "show") == 0 && one)
         return exchange(server, "GET", g_strconcat(W_PATH_JOBS, "/", what, NULL), NULL, false);
@@ -153,5 +155,5 @@
     if (strcmp(verb, "teams") == 0 && what == NULL)
         return exchange(server, "GET", g_strdup(W_PATH_TEAMS), NULL, true);
     fprintf(stderr, "ospreywell: %s: not a command, or wrong words behind it; see --help\n", verb);
-    return 2;
+    return OW_CLIENT_USAGE;
 }
--- a/src/io/http_client.h
+++ b/src/io/http_client.h
@@ -10,13 +10,17 @@
 
 struct ow_http_client;
 
-/* Status 0: no response; the request might have been carried out. */
+/* Reports the end of the request `tag`. Status 0 (OW_HTTP_STATUS_NONE): no response; the request might have
+   been carried out. The body is valid during the call only. */
 typedef void (*ow_http_reply_fn)(void *owner, uint64_t tag, int status, const char *body, size_t size);
 
+/* `most` connections are kept open at most; `owner` is handed to `reply`. */
 struct ow_http_client *ow_http_client_new(struct ow_loop *loop, unsigned most, ow_http_reply_fn reply,
                                           void *owner);
+/* Closes all connections without reporting their requests; NULL is allowed. */
 void ow_http_client_free(struct ow_http_client *client);
-/* `body` may be NULL. The reply never comes from inside this call. */
+/* Sends a request to ADDRESS:PORT. `body` is JSON text or NULL. The reply never comes from inside this call.
+ */
 void ow_http_client_send(struct ow_http_client *client, const char *endpoint, const char *method,
                          const char *path, const char *body, double timeout_s, uint64_t tag);
 /* From now on `most` connections are kept open at most. */
--- a/src/io/http_parse.c
+++ b/src/io/http_parse.c
@@ -2,19 +2,20 @@
 
 #include <string.h>
 
+/* Bytes. */
 enum { HEAD_LIMIT = 16 * 1024, LINE_LIMIT = 8 * 1024, KEEP_BUFFER = 16 * 1024 };
+/* More digits than any size within the limits has. */
+enum { SIZE_DIGITS_MAX = 9 };
 
-enum phase { START, HEADERS, BODY, CHUNK_SIZE, CHUNK_DATA, CHUNK_END, TRAILERS };
-
-void ow_http_parser_init(struct ow_http_parser *p, enum ow_http_side side, size_t body_limit)
+void ow_http_parser_init(struct ow_http_parser *parser, enum ow_http_side side, size_t body_limit)
 {
-    memset(p, 0, sizeof *p);
-    p->side = side;
-    p->body_limit = body_limit;
-    p->line = g_string_sized_new(64);
-    p->target = g_string_sized_new(32);
-    p->body = g_string_sized_new(0);
-    ow_http_parser_reset(p);
+    memset(parser, 0, sizeof *parser);
+    parser->side = side;
+    parser->body_limit = body_limit;
+    parser->line = g_string_sized_new(64);
+    parser->target = g_string_sized_new(32);
+    parser->body = g_string_sized_new(0);
+    ow_http_parser_reset(parser);
 }
 
 static void trim_buffer(GString **buffer)
@@ -27,33 +28,33 @@
     g_string_truncate(*buffer, 0);
 }
 
-void ow_http_parser_reset(struct ow_http_parser *p)
+void ow_http_parser_reset(struct ow_http_parser *parser)
 {
-    p->phase = START;
-    trim_buffer(&p->line);
-    trim_buffer(&p->target);
-    trim_buffer(&p->body);
-    p->head_bytes = 0;
-    p->left = 0;
-    p->has_length = p->chunked = p->close = false;
-    p->method[0] = '\0';
-    p->status = 0;
-    p->minor = 1;
+    parser->phase = OW_HTTP_PHASE_START;
+    trim_buffer(&parser->line);
+    trim_buffer(&parser->target);
+    trim_buffer(&parser->body);
+    parser->head_bytes = 0;
+    parser->left = 0;
+    parser->has_length = parser->chunked = parser->close = false;
+    parser->method[0] = '\0';
+    parser->status = 0;
+    parser->minor = 1;
 }
 
-void ow_http_parser_clear(struct ow_http_parser *p)
+void ow_http_parser_clear(struct ow_http_parser *parser)
 {
-    g_string_free(p->line, TRUE);
-    g_string_free(p->target, TRUE);
-    g_string_free(p->body, TRUE);
+    g_string_free(parser->line, TRUE);
+    g_string_free(parser->target, TRUE);
+    g_string_free(parser->body, TRUE);
 }
 
-static bool parse_version(struct ow_http_parser *p, const char *text, size_t size)
+static bool parse_version(struct ow_http_parser *parser, const char *text, size_t size)
 {
     if (size != 8 || memcmp(text, "HTTP/1.", 7) != 0 || (text[7] != '0' && text[7] != '1'))
         return false;
-    p->minor = text[7] - '0';
-    p->close = p->minor == 0;
+    parser->minor = text[7] - '0';
+    parser->close = parser->minor == 0;
     return true;
 }
 
@@ -62,17 +63,17 @@
     return g_ascii_isalnum(c) || (c != '\0' && strchr("!#$%&'*+-.^_`|~", c) != NULL);
 }
 
-static bool parse_request_line(struct ow_http_parser *p)
+static bool parse_request_line(struct ow_http_parser *parser)
 {
-    const char *line = p->line->str;
+    const char *line = parser->line->str;
     const char *space = strchr(line, ' ');
-    if (space == NULL || space == line || (size_t)(space - line) >= sizeof p->method)
+    if (space == NULL || space == line || (size_t)(space - line) >= sizeof parser->method)
         return false;
     for (const char *c = line; c < space; c++)
         if (!token_char(*c))
             return false;
-    memcpy(p->method, line, (size_t)(space - line));
-    p->method[space - line] = '\0';
+    memcpy(parser->method, line, (size_t)(space - line));
+    parser->method[space - line] = '\0';
     const char *target = space + 1;
     const char *end = strchr(target, ' ');
     if (end == NULL || end == target || *target != '/')
@@ -80,19 +81,19 @@
     for (const char *c = target; c < end; c++)
         if ((unsigned char)*c <= ' ' || *c == 127)
             return false;
-    g_string_append_len(p->target, target, end - target);
-    return parse_version(p, end + 1, strlen(end + 1));
+    g_string_append_len(parser->target, target, end - target);
+    return parse_version(parser, end + 1, strlen(end + 1));
 }
 
-static bool parse_status_line(struct ow_http_parser *p)
+static bool parse_status_line(struct ow_http_parser *parser)
 {
-    const char *line = p->line->str;
-    if (p->line->len < 12 || !parse_version(p, line, 8) || line[8] != ' ')
+    const char *line = parser->line->str;
+    if (parser->line->len < 12 || !parse_version(parser, line, 8) || line[8] != ' ')
         return false;
     for (int i = 9; i < 12; i++) {
         if (!g_ascii_isdigit(line[i]))
             return false;
-        p->status = p->status * 10 + (line[i] - '0');
+        parser->status = parser->status * 10 + (line[i] - '0');
     }
     return line[12] == '\0' || line[12] == ' ';
 }
@@ -104,7 +105,7 @@
     int digits = 0;
     for (; g_ascii_isxdigit(*text); text++, digits++) {
         int d = g_ascii_xdigit_value(*text);
-        if (d >= base || digits >= 9)
+        if (d >= base || digits >= SIZE_DIGITS_MAX)
             return false;
         value = value * (size_t)base + (size_t)d;
     }
@@ -114,133 +115,140 @@
     return digits > 0 && (*text == '\0' || (base == 16 && *text == ';'));
 }
 
-static bool parse_header(struct ow_http_parser *p)
+static bool parse_header(struct ow_http_parser *parser)
 {
-    char *colon = strchr(p->line->str, ':');
-    if (colon == NULL || colon == p->line->str)
+    char *colon = strchr(parser->line->str, ':');
+    if (colon == NULL || colon == parser->line->str)
         return false;
-    for (const char *c = p->line->str; c < colon; c++)
+    for (const char *c = parser->line->str; c < colon; c++)
         if (!token_char(*c))
             return false;
     *colon = '\0';
-    const char *name = p->line->str;
+    const char *name = parser->line->str;
     char *value = g_strstrip(colon + 1);
     if (g_ascii_strcasecmp(name, "content-length") == 0) {
         size_t length = 0;
         /* Two lengths, or a length beside chunks, leave the end of a message open to dispute. */
-        if (p->has_length || p->chunked || !parse_size(value, 10, &length))
+        if (parser->has_length || parser->chunked || !parse_size(value, 10, &length))
             return false;
-        p->has_length = true;
-        p->left = length;
+        parser->has_length = true;
+        parser->left = length;
     } else if (g_ascii_strcasecmp(name, "transfer-encoding") == 0) {
-        if (p->has_length || p->chunked || g_ascii_strcasecmp(value, "chunked") != 0)
+        if (parser->has_length || parser->chunked || g_ascii_strcasecmp(value, "chunked") != 0)
             return false;
-        p->chunked = true;
+        parser->chunked = true;
     } else if (g_ascii_strcasecmp(name, "connection") == 0) {
         if (g_ascii_strcasecmp(value, "close") == 0)
-            p->close = true;
+            parser->close = true;
         else if (g_ascii_strcasecmp(value, "keep-alive") == 0)
-            p->close = false;
+            parser->close = false;
     }
     return true;
 }
 
-static enum ow_http_result end_of_head(struct ow_http_parser *p)
+static enum ow_http_result end_of_head(struct ow_http_parser *parser)
 {
-    if (p->side == OW_HTTP_RESPONSE && p->status < 200) {
+    if (parser->side == OW_HTTP_RESPONSE && parser->status < 200) {
         /* Nobody asked for another protocol. */
-        bool switched = p->status == 101;
-        p->phase = START;
-        p->status = 0;
+        bool switched = parser->status == 101;
+        parser->phase = OW_HTTP_PHASE_START;
+        parser->status = 0;
         return switched ? OW_HTTP_MALFORMED : OW_HTTP_MORE;
     }
-    if (p->chunked) {
-        p->phase = CHUNK_SIZE;
+    if (parser->chunked) {
+        parser->phase = OW_HTTP_PHASE_CHUNK_SIZE;
         return OW_HTTP_MORE;
     }
-    if (p->body_limit != 0 && p->left > p->body_limit)
+    if (parser->body_limit != 0 && parser->left > parser->body_limit)
         return OW_HTTP_TOO_LARGE;
-    p->phase = BODY;
-    return p->left == 0 ? OW_HTTP_DONE : OW_HTTP_MORE;
+    parser->phase = OW_HTTP_PHASE_BODY;
+    return parser->left == 0 ? OW_HTTP_DONE : OW_HTTP_MORE;
 }
 
-static enum ow_http_result chunk_size(struct ow_http_parser *p)
+static enum ow_http_result chunk_size(struct ow_http_parser *parser)
 {
-    if (!parse_size(p->line->str, 16, &p->left))
+    if (!parse_size(parser->line->str, 16, &parser->left))
         return OW_HTTP_MALFORMED;
-    if (p->body_limit != 0 && p->left + p->body->len > p->body_limit)
+    if (parser->body_limit != 0 && parser->left + parser->body->len > parser->body_limit)
         return OW_HTTP_TOO_LARGE;
-    p->phase = p->left == 0 ? TRAILERS : CHUNK_DATA;
+    parser->phase = parser->left == 0 ? OW_HTTP_PHASE_TRAILERS : OW_HTTP_PHASE_CHUNK_DATA;
     return OW_HTTP_MORE;
 }
 
-static enum ow_http_result take_line(struct ow_http_parser *p)
+static enum ow_http_result take_line(struct ow_http_parser *parser)
 {
-    switch (p->phase) {
-    case START:
-        if (p->line->len == 0)
+    switch (parser->phase) {
+    case OW_HTTP_PHASE_START:
+        if (parser->line->len == 0)
             return OW_HTTP_MORE; /* a stray empty line between messages */
-        p->phase = HEADERS;
-        if (p->side == OW_HTTP_REQUEST)
-            return parse_request_line(p) ? OW_HTTP_MORE : OW_HTTP_MALFORMED;
-        return parse_status_line(p) ? OW_HTTP_MORE : OW_HTTP_MALFORMED;
-    case HEADERS:
-        if (p->line->len == 0)
-            return end_of_head(p);
-        return parse_header(p) ? OW_HTTP_MORE : OW_HTTP_MALFORMED;
-    case CHUNK_SIZE:
-        return chunk_size(p);
-    case CHUNK_END:
-        p->phase = CHUNK_SIZE;
-        return p->line->len == 0 ? OW_HTTP_MORE : OW_HTTP_MALFORMED;
-    default: /* TRAILERS */
-        return p->line->len == 0 ? OW_HTTP_DONE : OW_HTTP_MORE;
+        parser->phase = OW_HTTP_PHASE_HEADERS;
+        if (parser->side == OW_HTTP_REQUEST)
+            return parse_request_line(parser) ? OW_HTTP_MORE : OW_HTTP_MALFORMED;
+        return parse_status_line(parser) ? OW_HTTP_MORE : OW_HTTP_MALFORMED;
+    case OW_HTTP_PHASE_HEADERS:
+        if (parser->line->len == 0)
+            return end_of_head(parser);
+        return parse_header(parser) ? OW_HTTP_MORE : OW_HTTP_MALFORMED;
+    case OW_HTTP_PHASE_CHUNK_SIZE:
+        return chunk_size(parser);
+    case OW_HTTP_PHASE_CHUNK_END:
+        parser->phase = OW_HTTP_PHASE_CHUNK_SIZE;
+        return parser->line->len == 0 ? OW_HTTP_MORE : OW_HTTP_MALFORMED;
+    case OW_HTTP_PHASE_TRAILERS:
+        return parser->line->len == 0 ? OW_HTTP_DONE : OW_HTTP_MORE;
+    case OW_HTTP_PHASE_BODY:
+    case OW_HTTP_PHASE_CHUNK_DATA:
+        break; /* these have no lines */
     }
+    return OW_HTTP_MALFORMED;
 }
 
-static enum ow_http_result feed_line(struct ow_http_parser *p, const char *data, size_t size, size_t *used)
+static enum ow_http_result feed_line(struct ow_http_parser *parser, const char *data, size_t size,
+                                     size_t *used)
 {
     const char *end = memchr(data, '\n', size);
     size_t part = end != NULL ? (size_t)(end - data) : size;
     *used = end != NULL ? part + 1 : part;
-    p->head_bytes += *used;
+    parser->head_bytes += *used;
     /* A head without end must not grow the buffer. Chunk lines count too. */
-    if (p->line->len + part > LINE_LIMIT || (p->phase <= HEADERS && p->head_bytes > HEAD_LIMIT))
+    if (parser->line->len + part > LINE_LIMIT ||
+        (parser->phase <= OW_HTTP_PHASE_HEADERS && parser->head_bytes > HEAD_LIMIT))
         return OW_HTTP_MALFORMED;
-    g_string_append_len(p->line, data, (gssize)part);
+    g_string_append_len(parser->line, data, (gssize)part);
     if (end == NULL)
         return OW_HTTP_MORE;
-    if (p->line->len > 0 && p->line->str[p->line->len - 1] == '\r')
-        g_string_truncate(p->line, p->line->len - 1);
-    if (memchr(p->line->str, '\0', p->line->len) != NULL)
+    if (parser->line->len > 0 && parser->line->str[parser->line->len - 1] == '\r')
+        g_string_truncate(parser->line, parser->line->len - 1);
+    if (memchr(parser->line->str, '\0', parser->line->len) != NULL)
         return OW_HTTP_MALFORMED;
-    enum ow_http_result result = take_line(p);
-    g_string_truncate(p->line, 0);
+    enum ow_http_result result = take_line(parser);
+    g_string_truncate(parser->line, 0);
     return result;
 }
 
-static enum ow_http_result feed_body(struct ow_http_parser *p, const char *data, size_t size, size_t *used)
+static enum ow_http_result feed_body(struct ow_http_parser *parser, const char *data, size_t size,
+                                     size_t *used)
 {
-    size_t part = MIN(size, p->left);
-    g_string_append_len(p->body, data, (gssize)part);
-    p->left -= part;
+    size_t part = MIN(size, parser->left);
+    g_string_append_len(parser->body, data, (gssize)part);
+    parser->left -= part;
     *used = part;
-    if (p->left > 0)
+    if (parser->left > 0)
         return OW_HTTP_MORE;
-    if (p->phase == BODY)
+    if (parser->phase == OW_HTTP_PHASE_BODY)
         return OW_HTTP_DONE;
-    p->phase = CHUNK_END;
+    parser->phase = OW_HTTP_PHASE_CHUNK_END;
     return OW_HTTP_MORE;
 }
 
-enum ow_http_result ow_http_parse(struct ow_http_parser *p, const char *data, size_t size, size_t *used)
+enum ow_http_result ow_http_parse(struct ow_http_parser *parser, const char *data, size_t size, size_t *used)
 {
     *used = 0;
     while (*used < size) {
         size_t step = 0;
-        bool in_body = p->phase == BODY || p->phase == CHUNK_DATA;
-        enum ow_http_result result = in_body ? feed_body(p, data + *used, size - *used, &step)
-                                             : feed_line(p, data + *used, size - *used, &step);
+        bool in_body = parser->phase == OW_HTTP_PHASE_BODY || parser->phase == OW_HTTP_PHASE_CHUNK_DATA;
+        enum ow_http_result result = in_body ? feed_body(parser, data + *used, size - *used, &step)
+                                             : feed_line(parser, data + *used, size - *used, &step);
         *used += step;
         if (result != OW_HTTP_MORE)
             return result;
--- a/src/io/log.h
+++ b/src/io/log.h
@@ -2,6 +2,7 @@
 #ifndef OW_IO_LOG_H
 #define OW_IO_LOG_H
 
+/* `level` is "error", "info" or "debug"; NULL and anything else count as "error". */
 void ow_log_setup(const char *level);
 
 #endif
--- a/src/io/net.h
+++ b/src/io/net.h
@@ -5,15 +5,20 @@
 #include <glib.h>
 #include <stdbool.h>
 
+/* A socket that listens on ADDRESS:PORT, or -1. */
 int ow_net_listen(const char *endpoint);
-/* Begins a connection; the socket turns writable once it stands or has failed. */
+/* Begins a connection; the socket turns writable once it is established or has failed. -1: it could not
+ * begin. */
 int ow_net_connect(const char *endpoint);
+/* The next connection that waits at the listener, or -1. */
 int ow_net_accept(int listener);
-/* 0 when the connection stands, otherwise an errno. */
+/* 0 when the connection is established, otherwise an errno. */
 int ow_net_connect_error(int fd);
+/* Whether this is an IPv4 address and a port, ADDRESS:PORT. NULL is not. */
 bool ow_net_endpoint_valid(const char *endpoint);
 
-/* Writes what the socket takes now; false when the connection is broken. */
+/* Writes what the socket accepts now of `out` from `*sent` on; once all is written, both are emptied. False
+   when the connection is broken. */
 bool ow_net_flush(int fd, GString *out, size_t *sent);
 
 #endif
