--- a/src/config/cmdline.c
+++ b/src/config/cmdline.c
@@ -3,6 +3,7 @@
 #include <glib.h>
 #include <stdio.h>
 
+/* What --help says first. */
 static const char summary[] = "Serves as a controller of the cluster scheduler:\n"
                               "  ospreywell --config FILE [--operators FILE]\n"
                               "or talks to one:\n"
@@ -35,7 +36,7 @@
     if (!ok) {
         fprintf(stderr, "ospreywell: %s\n", error->message);
         g_error_free(error);
-        return 2;
+        return OW_CMDLINE_USAGE;
     }
     if (out->server == NULL)
         out->server = g_strdup(g_getenv("OSPREYWELL_SERVER"));
@@ -45,16 +46,16 @@
         out->action = OW_ACTION_CLIENT;
     else if (out->config == NULL) {
         fprintf(stderr, "ospreywell: --config or a command is needed; see --help\n");
-        return 2;
+        return OW_CMDLINE_USAGE;
     } else
         out->action = check ? OW_ACTION_CHECK : OW_ACTION_SERVE;
     return 0;
 }
 
-void ow_cmdline_clear(struct ow_cmdline *c)
+void ow_cmdline_clear(struct ow_cmdline *cmdline)
 {
-    g_free(c->config);
-    g_free(c->operators);
-    g_free(c->server);
-    g_strfreev(c->words);
+    g_free(cmdline->config);
+    g_free(cmdline->operators);
+    g_free(cmdline->server);
+    g_strfreev(cmdline->words);
 }
--- a/src/config/operators_file.c
+++ b/src/config/operators_file.c
@@ -5,6 +5,7 @@
 #include <stddef.h>
 #include <string.h>
 
+/* A setting: where it stands in the file and in struct ow_rules, and its range. */
 struct value {
     const char *element, *attribute;
     size_t offset;
@@ -12,16 +13,15 @@
     double least, most;
 };
 
-#define AT(field) offsetof(struct ow_rules, field)
-
 static const struct value values[] = {
-    {"reservation", "window_s", AT(window_s), false, 0, 5},
-    {"reservation", "hold_life_s", AT(hold_life_s), false, 0.5, 600},
-    {"reservation", "waiting_limit_s", AT(waiting_limit_s), false, 1, 86400},
-    {"reservation", "candidates", AT(candidates), true, 1, 100},
-    {"election", "lease_s", AT(leader_lease_s), false, 1, 60},
+    {"reservation", "window_s", offsetof(struct ow_rules, window_s), false, 0, 5},
+    {"reservation", "hold_life_s", offsetof(struct ow_rules, hold_life_s), false, 0.5, 600},
+    {"reservation", "waiting_limit_s", offsetof(struct ow_rules, waiting_limit_s), false, 1, 86400},
+    {"reservation", "candidates", offsetof(struct ow_rules, candidates), true, 1, 100},
+    {"election", "lease_s", offsetof(struct ow_rules, leader_lease_s), false, 1, 60},
 };
 
+/* The state of reading one file. */
 struct reader {
     XML_Parser parser;
     struct ow_rules *rules;
@@ -29,37 +29,37 @@
     char *fault;
 };
 
-static void fail(struct reader *r, const char *name, const char *what)
+static void fail(struct reader *reader, const char *name, const char *what)
 {
-    if (r->fault == NULL)
-        r->fault = g_strdup_printf("line %lu: %s: %s", (unsigned long)XML_GetCurrentLineNumber(r->parser),
-                                   name, what);
-    XML_StopParser(r->parser, XML_FALSE);
+    if (reader->fault == NULL)
+        reader->fault = g_strdup_printf("line %lu: %s: %s",
+                                        (unsigned long)XML_GetCurrentLineNumber(reader->parser), name, what);
+    XML_StopParser(reader->parser, XML_FALSE);
 }
 
-static void take_value(struct reader *r, const struct value *v, const char *text)
+static void take_value(struct reader *reader, const struct value *value, const char *text)
 {
     char *end = NULL;
     double number = g_ascii_strtod(text, &end);
     if (end == text || *end != '\0' || !isfinite(number)) {
-        fail(r, v->attribute, "is not a number");
-    } else if (number < v->least || number > v->most || (v->whole && number != floor(number))) {
-        char *what = g_strdup_printf("must be %s from %g to %g", v->whole ? "a whole number" : "a number",
-                                     v->least, v->most);
-        fail(r, v->attribute, what);
+        fail(reader, value->attribute, "is not a number");
+    } else if (number < value->least || number > value->most || (value->whole && number != floor(number))) {
+        char *what = g_strdup_printf("must be %s from %g to %g", value->whole ? "a whole number" : "a number",
+                                     value->least, value->most);
+        fail(reader, value->attribute, what);
         g_free(what);
-    } else if (v->whole) {
-        *(unsigned *)((char *)r->rules + v->offset) = (unsigned)number;
+    } else if (value->whole) {
+        *(unsigned *)((char *)reader->rules + value->offset) = (unsigned)number;
     } else {
-        *(double *)((char *)r->rules + v->offset) = number;
+        *(double *)((char *)reader->rules + value->offset) = number;
     }
 }
 
-static void take_attribute(struct reader *r, const char *element, const char *name, const char *text)
+static void take_attribute(struct reader *reader, const char *element, const char *name, const char *text)
 {
     for (size_t i = 0; i < G_N_ELEMENTS(values); i++) {
         if (strcmp(values[i].element, element) == 0 && strcmp(values[i].attribute, name) == 0) {
-            take_value(r, &values[i], text);
+            take_value(reader, &values[i], text);
             return;
         }
     }
@@ -68,21 +68,21 @@
 
 static void XMLCALL on_start(void *owner, const XML_Char *name, const XML_Char **attributes)
 {
-    struct reader *r = owner;
-    if (r->depth++ == 0) {
+    struct reader *reader = owner;
+    if (reader->depth++ == 0) {
         if (strcmp(name, "ospreywell") != 0)
-            fail(r, name, "the root must be ospreywell");
+            fail(reader, name, "the root must be ospreywell");
         return;
     }
-    for (; *attributes != NULL && r->fault == NULL; attributes += 2)
-        take_attribute(r, name, attributes[0], attributes[1]);
+    for (; *attributes != NULL && reader->fault == NULL; attributes += 2)
+        take_attribute(reader, name, attributes[0], attributes[1]);
 }
 
 static void XMLCALL on_end(void *owner, const XML_Char *name)
 {
-    struct reader *r = owner;
+    struct reader *reader = owner;
     (void)name;
-    r->depth--;
+    reader->depth--;
 }
 
 static void XMLCALL on_doctype(void *owner, const XML_Char *name, const XML_Char *system, const XML_Char *id,
@@ -106,17 +106,17 @@
         return false;
     }
     struct ow_rules changed = *rules;
-    struct reader r = {XML_ParserCreate(NULL), &changed, 0, NULL};
-    XML_SetUserData(r.parser, &r);
-    XML_SetElementHandler(r.parser, on_start, on_end);
-    XML_SetStartDoctypeDeclHandler(r.parser, on_doctype);
-    if (XML_Parse(r.parser, text, (int)size, 1) != XML_STATUS_OK && r.fault == NULL)
-        r.fault = g_strdup_printf("line %lu: %s", (unsigned long)XML_GetCurrentLineNumber(r.parser),
-                                  XML_ErrorString(XML_GetErrorCode(r.parser)));
-    XML_ParserFree(r.parser);
+    struct reader reader = {XML_ParserCreate(NULL), &changed, 0, NULL};
+    XML_SetUserData(reader.parser, &reader);
+    XML_SetElementHandler(reader.parser, on_start, on_end);
+    XML_SetStartDoctypeDeclHandler(reader.parser, on_doctype);
+    if (XML_Parse(reader.parser, text, (int)size, 1) != XML_STATUS_OK && reader.fault == NULL)
+        reader.fault = g_strdup_printf("line %lu: %s", (unsigned long)XML_GetCurrentLineNumber(reader.parser),
+                                       XML_ErrorString(XML_GetErrorCode(reader.parser)));
+    XML_ParserFree(reader.parser);
     g_free(text);
-    *fault = r.fault;
-    if (r.fault == NULL)
+    *fault = reader.fault;
+    if (reader.fault == NULL)
         *rules = changed;
-    return r.fault == NULL;
+    return reader.fault == NULL;
 }
--- a/src/config/operators_file.h
+++ b/src/config/operators_file.h
@@ -1,4 +1,4 @@
-/* The operators' own settings: an XML file over the design's starting values. */
+/* The operators' own settings: an XML file whose values replace the defaults. */
 #ifndef OW_CONFIG_OPERATORS_FILE_H
 #define OW_CONFIG_OPERATORS_FILE_H
 
--- a/src/config/settings_file.c
+++ b/src/config/settings_file.c
@@ -8,16 +8,22 @@
 #include <stdlib.h>
 #include <string.h>
 
+/* More than any team has. */
+static const double AMOUNT_MAX = 1e9;
+/* The largest values that are accepted: an hour, and more than any service or controller has. */
+static const double HOUR_S = 3600, RATE_MAX = 1e6, VALUE_KB_MAX = 1e6, OPERATIONS_MAX = 1e4;
+static const double CORES_MAX = 1024, MEMORY_MB_MAX = 1e9, SOCKETS_MAX = 1e7;
+
 /* Reads until the first fault, which it keeps. */
 struct reader {
     const struct toml_doc *doc;
     char *fault;
 };
 
-static void fail(struct reader *r, const char *path, const char *what)
+static void fail(struct reader *reader, const char *path, const char *what)
 {
-    if (r->fault == NULL)
-        r->fault = g_strdup_printf("%s: %s", path, what);
+    if (reader->fault == NULL)
+        reader->fault = g_strdup_printf("%s: %s", path, what);
 }
 
 static char *path_of(const char *array, size_t index, const char *field)
@@ -25,46 +31,46 @@
     return g_strdup_printf("%s[%zu].%s", array, index, field);
 }
 
-static char *text(struct reader *r, const char *path)
+static char *text(struct reader *reader, const char *path)
 {
-    const char *value = toml_doc_string(r->doc, path);
+    const char *value = toml_doc_string(reader->doc, path);
     if (value == NULL)
-        fail(r, path, toml_doc_kind(r->doc, path) == TOML_NONE ? "is missing" : "is not a string");
+        fail(reader, path, toml_doc_kind(reader->doc, path) == TOML_NONE ? "is missing" : "is not a string");
     else if (*value == '\0')
-        fail(r, path, "is empty");
+        fail(reader, path, "is empty");
     return g_strdup(value != NULL ? value : "");
 }
 
-static char *endpoint(struct reader *r, const char *path)
+static char *endpoint(struct reader *reader, const char *path)
 {
-    char *value = text(r, path);
-    if (r->fault == NULL && !ow_net_endpoint_valid(value))
-        fail(r, path, "is not an address with a port");
+    char *value = text(reader, path);
+    if (reader->fault == NULL && !ow_net_endpoint_valid(value))
+        fail(reader, path, "is not an address with a port");
     return value;
 }
 
-static double number(struct reader *r, const char *path, double least, double most)
+static double number(struct reader *reader, const char *path, double least, double most)
 {
     double value = 0;
-    if (!toml_doc_number(r->doc, path, &value))
-        fail(r, path, toml_doc_kind(r->doc, path) == TOML_NONE ? "is missing" : "is not a number");
+    if (!toml_doc_number(reader->doc, path, &value))
+        fail(reader, path, toml_doc_kind(reader->doc, path) == TOML_NONE ? "is missing" : "is not a number");
     else if (!isfinite(value) || value < least || value > most)
-        fail(r, path, "is out of range");
+        fail(reader, path, "is out of range");
     return value;
 }
 
-static char *text_in(struct reader *r, const char *array, size_t index, const char *field)
+static char *text_in(struct reader *reader, const char *array, size_t index, const char *field)
 {
     char *path = path_of(array, index, field);
-    char *value = text(r, path);
+    char *value = text(reader, path);
     g_free(path);
     return value;
 }
 
-static double number_in(struct reader *r, const char *array, size_t index, const char *field)
+static double number_in(struct reader *reader, const char *array, size_t index, const char *field)
 {
     char *path = path_of(array, index, field);
-    double value = number(r, path, 0, 1e9);
+    double value = number(reader, path, 0, AMOUNT_MAX);
     g_free(path);
     return value;
 }
@@ -77,14 +83,14 @@
     g_free(p->endpoint);
 }
 
-static GArray *read_peers(struct reader *r)
+static GArray *read_peers(struct reader *reader)
 {
     GArray *peers = g_array_new(FALSE, FALSE, sizeof(struct ow_peer_settings));
     g_array_set_clear_func(peers, peer_clear);
-    for (size_t i = 0; i < toml_doc_count(r->doc, "others"); i++) {
+    for (size_t i = 0; i < toml_doc_count(reader->doc, "others"); i++) {
         char *path = path_of("others", i, "endpoint");
-        struct ow_peer_settings p = {text_in(r, "others", i, "host_name"), text_in(r, "others", i, "area"),
-                                     endpoint(r, path)};
+        struct ow_peer_settings p = {text_in(reader, "others", i, "host_name"),
+                                     text_in(reader, "others", i, "area"), endpoint(reader, path)};
         g_free(path);
         g_array_append_val(peers, p);
     }
@@ -96,19 +102,20 @@
     g_free(((struct ow_team_settings *)item)->name);
 }
 
-static GArray *read_teams(struct reader *r)
+static GArray *read_teams(struct reader *reader)
 {
     const char *array = "params.teams";
     GArray *teams = g_array_new(FALSE, FALSE, sizeof(struct ow_team_settings));
     g_array_set_clear_func(teams, team_clear);
-    for (size_t i = 0; i < toml_doc_count(r->doc, array); i++) {
-        struct ow_team_settings t = {text_in(r, array, i, "name"), number_in(r, array, i, "cpus"),
-                                     number_in(r, array, i, "cpus_max"), number_in(r, array, i, "gpus"),
-                                     number_in(r, array, i, "gpus_max")};
+    for (size_t i = 0; i < toml_doc_count(reader->doc, array); i++) {
+        struct ow_team_settings t = {text_in(reader, array, i, "name"), number_in(reader, array, i, "cpus"),
+                                     number_in(reader, array, i, "cpus_max"),
+                                     number_in(reader, array, i, "gpus"),
+                                     number_in(reader, array, i, "gpus_max")};
         g_array_append_val(teams, t);
     }
     if (teams->len == 0)
-        fail(r, array, "is missing or empty");
+        fail(reader, array, "is missing or empty");
     return teams;
 }
 
@@ -125,19 +132,19 @@
 }
 
 /* Objectives only guide; one that is not understood is passed over. */
-static GArray *read_objectives(struct reader *r)
+static GArray *read_objectives(struct reader *reader)
 {
     const char *array = "params.objectives";
     GArray *objectives = g_array_new(FALSE, TRUE, sizeof(struct ow_objective));
     g_array_set_clear_func(objectives, objective_clear);
-    for (size_t i = 0; i < toml_doc_count(r->doc, array); i++) {
+    for (size_t i = 0; i < toml_doc_count(reader->doc, array); i++) {
         struct ow_objective o = {0};
         char *kind = path_of(array, i, "kind"), *name = path_of(array, i, "class");
         char *within = path_of(array, i, "within_s"), *share = path_of(array, i, "share");
-        o.kind = objective_kind(toml_doc_string(r->doc, kind));
-        o.class_name = g_strdup(toml_doc_string(r->doc, name));
-        toml_doc_number(r->doc, share, &o.share);
-        if (o.class_name != NULL && toml_doc_number(r->doc, within, &o.within_s) &&
+        o.kind = objective_kind(toml_doc_string(reader->doc, kind));
+        o.class_name = g_strdup(toml_doc_string(reader->doc, name));
+        toml_doc_number(reader->doc, share, &o.share);
+        if (o.class_name != NULL && toml_doc_number(reader->doc, within, &o.within_s) &&
             o.kind != OW_OBJECTIVE_OTHER)
             g_array_append_val(objectives, o);
         else
@@ -150,49 +157,52 @@
     return objectives;
 }
 
-static char **read_zones(struct reader *r)
+static char **read_zones(struct reader *reader)
 {
-    size_t count = toml_doc_count(r->doc, "params.zones");
+    size_t count = toml_doc_count(reader->doc, "params.zones");
     char **zones = g_new0(char *, count + 1);
     for (size_t i = 0; i < count; i++) {
         char *path = g_strdup_printf("params.zones[%zu]", i);
-        zones[i] = text(r, path);
+        zones[i] = text(reader, path);
         g_free(path);
     }
     if (count == 0)
-        fail(r, "params.zones", "is missing or empty");
+        fail(reader, "params.zones", "is missing or empty");
     return zones;
 }
 
-static double number_or(struct reader *r, const char *path, double least, double most, double otherwise)
+static double number_or(struct reader *reader, const char *path, double least, double most, double otherwise)
 {
-    return toml_doc_kind(r->doc, path) == TOML_NONE ? otherwise : number(r, path, least, most);
+    return toml_doc_kind(reader->doc, path) == TOML_NONE ? otherwise : number(reader, path, least, most);
 }
 
-/* Limits to come. */
-static void read_next(struct reader *r, struct ow_settings *s)
+/* Limits of the state service that will apply later; those of now where nothing is said. */
+static void read_coming_limits(struct reader *reader, struct ow_settings *settings)
 {
-    s->next_write_rps = number_or(r, "params.state.next.write_rps", 1, 1e6, s->state_write_rps);
-    s->next_value_kb = number_or(r, "params.state.next.value_kb", 1, 1e6, s->value_kb);
-    s->next_txn_ops = (unsigned)number_or(r, "params.state.next.txn_ops", 1, 1e4, s->txn_ops);
+    settings->next_write_rps =
+        number_or(reader, "params.state.next.write_rps", 1, RATE_MAX, settings->state_write_rps);
+    settings->next_value_kb =
+        number_or(reader, "params.state.next.value_kb", 1, VALUE_KB_MAX, settings->value_kb);
+    settings->next_txn_ops =
+        (unsigned)number_or(reader, "params.state.next.txn_ops", 1, OPERATIONS_MAX, settings->txn_ops);
 }
 
-static void read_numbers(struct reader *r, struct ow_settings *s)
+static void read_bounds(struct reader *reader, struct ow_settings *settings)
 {
-    s->report_s = number(r, "params.workers.report_s", 0.1, 3600);
-    s->lease_s = number(r, "params.workers.lease_s", 1, 3600);
-    s->gang_wait_s = number(r, "params.workers.gang_wait_s", 1, 3600);
-    s->gang_peer_s = number(r, "params.workers.gang_peer_s", 0.1, 3600);
-    s->cancel_s = number(r, "params.workers.cancel_s", 1, 3600);
-    s->state_rps = number(r, "params.state.rps", 1, 1e6);
-    s->state_write_rps = number(r, "params.state.write_rps", 1, 1e6);
-    s->value_kb = number(r, "params.state.value_kb", 1, 1e6);
-    s->txn_ops = (unsigned)number(r, "params.state.txn_ops", 1, 1e4);
-    s->cloud_rps = number(r, "params.cloud.rps", 0.1, 1e6);
-    s->list_lag_s = number(r, "params.cloud.list_lag_s", 0, 3600);
-    s->core_share = number(r, "params.quota.core_share", 0.001, 1024);
-    s->memory_mb = number(r, "params.quota.memory_mb", 8, 1e9);
-    s->sockets = (unsigned)number(r, "params.quota.sockets", 16, 1e7);
+    settings->report_s = number(reader, "params.workers.report_s", 0.1, HOUR_S);
+    settings->lease_s = number(reader, "params.workers.lease_s", 1, HOUR_S);
+    settings->gang_wait_s = number(reader, "params.workers.gang_wait_s", 1, HOUR_S);
+    settings->gang_peer_s = number(reader, "params.workers.gang_peer_s", 0.1, HOUR_S);
+    settings->cancel_s = number(reader, "params.workers.cancel_s", 1, HOUR_S);
+    settings->state_rps = number(reader, "params.state.rps", 1, RATE_MAX);
+    settings->state_write_rps = number(reader, "params.state.write_rps", 1, RATE_MAX);
+    settings->value_kb = number(reader, "params.state.value_kb", 1, VALUE_KB_MAX);
+    settings->txn_ops = (unsigned)number(reader, "params.state.txn_ops", 1, OPERATIONS_MAX);
+    settings->cloud_rps = number(reader, "params.cloud.rps", 0.1, RATE_MAX);
+    settings->list_lag_s = number(reader, "params.cloud.list_lag_s", 0, HOUR_S);
+    settings->core_share = number(reader, "params.quota.core_share", 0.001, CORES_MAX);
+    settings->memory_mb = number(reader, "params.quota.memory_mb", 8, MEMORY_MB_MAX);
+    settings->sockets = (unsigned)number(reader, "params.quota.sockets", 16, SOCKETS_MAX);
 }
 
 struct ow_settings *ow_settings_load(const char *path, char **fault)
@@ -204,41 +214,41 @@
         free(unread);
         return NULL;
     }
-    struct reader r = {doc, NULL};
-    struct ow_settings *s = g_new0(struct ow_settings, 1);
-    s->controller_name = text(&r, "host_name");
-    s->zone = text(&r, "area");
-    s->front = endpoint(&r, "front");
-    s->peer_listen = endpoint(&r, "peer_listen");
-    s->cloud = endpoint(&r, "services.cloud");
-    s->state = endpoint(&r, "services.state");
-    s->peers = read_peers(&r);
-    s->teams = read_teams(&r);
-    s->objectives = read_objectives(&r);
-    s->zones = read_zones(&r);
-    read_numbers(&r, s);
-    read_next(&r, s);
+    struct reader reader = {doc, NULL};
+    struct ow_settings *settings = g_new0(struct ow_settings, 1);
+    settings->controller_name = text(&reader, "host_name");
+    settings->zone = text(&reader, "area");
+    settings->front = endpoint(&reader, "front");
+    settings->peer_listen = endpoint(&reader, "peer_listen");
+    settings->cloud = endpoint(&reader, "services.cloud");
+    settings->state = endpoint(&reader, "services.state");
+    settings->peers = read_peers(&reader);
+    settings->teams = read_teams(&reader);
+    settings->objectives = read_objectives(&reader);
+    settings->zones = read_zones(&reader);
+    read_bounds(&reader, settings);
+    read_coming_limits(&reader, settings);
     toml_doc_free(doc);
-    if (r.fault == NULL)
-        return s;
-    *fault = r.fault;
-    ow_settings_free(s);
+    if (reader.fault == NULL)
+        return settings;
+    *fault = reader.fault;
+    ow_settings_free(settings);
     return NULL;
 }
 
-void ow_settings_free(struct ow_settings *s)
+void ow_settings_free(struct ow_settings *settings)
 {
-    if (s == NULL)
+    if (settings == NULL)
         return;
-    g_free(s->controller_name);
-    g_free(s->zone);
-    g_free(s->front);
-    g_free(s->peer_listen);
-    g_free(s->cloud);
-    g_free(s->state);
-    g_array_free(s->peers, TRUE);
-    g_array_free(s->teams, TRUE);
-    g_array_free(s->objectives, TRUE);
-    g_strfreev(s->zones);
-    g_free(s);
+    g_free(settings->controller_name);
+    g_free(settings->zone);
+    g_free(settings->front);
+    g_free(settings->peer_listen);
+    g_free(settings->cloud);
+    g_free(settings->state);
+    g_array_free(settings->peers, TRUE);
+    g_array_free(settings->teams, TRUE);
+    g_array_free(settings->objectives, TRUE);
+    g_strfreev(settings->zones);
+    g_free(settings);
 }
--- a/src/config/settings_file.h
+++ b/src/config/settings_file.h
@@ -6,6 +6,7 @@
 
 /* NULL if it can't be used; *fault then names the field and what is wrong (free with g_free). */
 struct ow_settings *ow_settings_load(const char *path, char **fault);
+/* NULL is allowed. */
 void ow_settings_free(struct ow_settings *settings);
 
 #endif
--- a/src/config/toml_doc.cpp
+++ b/src/config/toml_doc.cpp
@@ -35,18 +35,18 @@
 
 enum toml_kind toml_doc_kind(const struct toml_doc *doc, const char *path)
 {
-    auto controller = doc->table.at_path(path);
-    if (!controller)
+    auto node = doc->table.at_path(path);
+    if (!node)
         return TOML_NONE;
-    if (controller.is_string())
+    if (node.is_string())
         return TOML_STRING;
-    return controller.is_number() ? TOML_NUMBER : TOML_OTHER;
+    return node.is_number() ? TOML_NUMBER : TOML_OTHER;
 }
 
 const char *toml_doc_string(const struct toml_doc *doc, const char *path)
 {
-    auto controller = doc->table.at_path(path);
-    return controller.is_string() ? controller.as_string()->get().c_str() : nullptr;
+    auto node = doc->table.at_path(path);
+    return node.is_string() ? node.as_string()->get().c_str() : nullptr;
 }
 
 bool toml_doc_number(const struct toml_doc *doc, const char *path, double *out)
@@ -60,7 +60,7 @@
 
 size_t toml_doc_count(const struct toml_doc *doc, const char *path)
 {
-    auto controller = doc->table.at_path(path);
-    return controller.is_array() ? controller.as_array()->size() : 0;
+    auto node = doc->table.at_path(path);
+    return node.is_array() ? node.as_array()->size() : 0;
 }
 }
--- a/src/main.c
+++ b/src/main.c
@@ -1,3 +1,4 @@
+/* The program: a controller, a check of its settings, or a client command. */
 #include "config/cmdline.h"
 #include "config/operators_file.h"
 #include "config/settings_file.h"
@@ -8,13 +9,17 @@
 #include <stdio.h>
 #include <stdlib.h>
 
+enum { STATUS_DONE = 0, STATUS_FAILED = 1 };
+
+/* Says what is wrong with the file, and frees the fault. */
 static int complain(const char *file, char *fault)
 {
     fprintf(stderr, "ospreywell: %s: %s\n", file, fault);
     g_free(fault);
-    return 1;
+    return STATUS_FAILED;
 }
 
+/* Serves as a controller; returns only if it can't begin. */
 static int serve(const struct ow_cmdline *cmdline, struct ow_settings *settings, const struct ow_rules *rules)
 {
     char *fault = NULL;
@@ -23,9 +28,10 @@
     if (service == NULL)
         return complain(cmdline->config, fault);
     ow_loop_run(loop, ow_service_round, service);
-    return 0;
+    return STATUS_DONE;
 }
 
+/* Reads the settings, and serves unless only a check is wanted. */
 static int with_settings(const struct ow_cmdline *cmdline)
 {
     char *fault = NULL;
@@ -37,7 +43,7 @@
         ow_settings_free(settings);
         return complain(cmdline->operators, fault);
     }
-    int status = 0;
+    int status = STATUS_DONE;
     if (cmdline->action == OW_ACTION_CHECK)
         printf("the settings are in order\n");
     else
@@ -51,11 +57,11 @@
     struct ow_cmdline cmdline;
     int status = ow_cmdline_parse(argc, argv, &cmdline);
     ow_log_setup(getenv("LOG_LEVEL"));
-    if (status == 0 && cmdline.action == OW_ACTION_VERSION)
+    if (status == STATUS_DONE && cmdline.action == OW_ACTION_VERSION)
         printf("ospreywell %s\n", OW_VERSION);
-    else if (status == 0 && cmdline.action == OW_ACTION_CLIENT)
+    else if (status == STATUS_DONE && cmdline.action == OW_ACTION_CLIENT)
         status = ow_client_run(cmdline.server, cmdline.words);
-    else if (status == 0)
+    else if (status == STATUS_DONE)
         status = with_settings(&cmdline);
     ow_cmdline_clear(&cmdline);
     return status;
