--- a/src/wire/cloud_json.c
+++ b/src/wire/cloud_json.c
@@ -70,9 +70,7 @@
 {
     json_t *o = json_pack("{s:s,s:s,s:s,s:b,s:i}", W_REQUEST, r->request, W_TYPE, r->type, W_ZONE, r->zone,
                           W_SPOT, (int)r->spot, W_COUNT, (int)r->count);
-    char *text = wj_text(o);
-    json_decref(o);
-    return text;
+    return wj_take_text(o);
 }
 
 char **wire_rented_parse(const char *text, size_t size)
@@ -89,9 +87,7 @@
     for (guint i = 0; i < names->len; i++)
         json_array_append_new(list, json_string(g_ptr_array_index(names, i)));
     json_t *o = json_pack("{s:o}", W_MACHINES, list);
-    char *text = wj_text(o);
-    json_decref(o);
-    return text;
+    return wj_take_text(o);
 }
 
 static bool parse_listed(const json_t *o, struct ow_listed_machine *m)
--- a/src/wire/cloud_json.h
+++ b/src/wire/cloud_json.h
@@ -7,23 +7,31 @@
 #include <jansson.h>
 #include <stddef.h>
 
-/* struct ow_machine_type each; NULL when malformed. Also the form kept in the state service. */
+/* The cloud's answer with the machine types: struct ow_machine_type each; NULL when malformed. */
 GArray *wire_types_parse(const char *text, size_t size);
+/* The same from a JSON object, which is also the form kept in the state service. */
 GArray *wire_types_from(const json_t *object);
+/* The reverse: a new reference. */
 json_t *wire_types_json(const GArray *types);
 
+/* A request for machines. */
 struct ow_rental {
-    const char *request, *type, *zone;
+    const char *request; /* its name, by which the cloud knows a repeat */
+    const char *type, *zone;
     bool spot;
     unsigned count;
 };
 
+/* The body of a request for machines (g_free). */
 char *wire_rental(const struct ow_rental *rental);
-/* Names of the machines rented (an NULL-ended vector), or NULL. */
+/* Names of the machines rented (a NULL-ended vector), or NULL. */
 char **wire_rented_parse(const char *text, size_t size);
+/* The body of a request that returns machines (g_free). */
 char *wire_delete(const GPtrArray *names);
-/* struct ow_listed_machine each; NULL when malformed. */
+/* One page of the list of machines: struct ow_listed_machine each; NULL when malformed. *more says whether
+   there is another page. */
 GArray *wire_list_parse(const char *text, size_t size, bool *more);
+/* The path of the page behind the machine `after`, or of the first one if that is NULL or empty (g_free). */
 char *wire_list_path(const char *after);
 
 #endif
--- a/src/wire/json.c
+++ b/src/wire/json.c
@@ -23,6 +23,13 @@
     return copy;
 }
 
+char *wj_take_text(json_t *value)
+{
+    char *text = wj_text(value);
+    json_decref(value);
+    return text;
+}
+
 bool wj_absent(const json_t *object, const char *field)
 {
     const json_t *value = json_object_get(object, field);
--- a/src/wire/records_json.c
+++ b/src/wire/records_json.c
@@ -20,13 +20,6 @@
 #define F_CONTROLLER "node"
 #define F_NONCE "nonce"
 
-static char *take_text(json_t *o)
-{
-    char *text = wj_text(o);
-    json_decref(o);
-    return text;
-}
-
 char *wire_job_record(const struct ow_job_record *record)
 {
     json_t *o = json_object();
@@ -38,7 +31,7 @@
         json_object_set_new(o, F_ACCEPTED, json_integer((json_int_t)record->accepted_at));
     if (record->leader_token > 0)
         json_object_set_new(o, F_LEADER_TOKEN, json_integer((json_int_t)record->leader_token));
-    return take_text(o);
+    return wj_take_text(o);
 }
 
 bool wire_job_record_parse(const json_t *value, struct ow_job_record *out)
@@ -123,7 +116,7 @@
     json_t *o =
         json_pack("{s:I,s:s,s:o}", F_LAST, (json_int_t)record->last_attempt, F_DONE, done, F_LIVE, live);
     g_free(done);
-    return take_text(o);
+    return wj_take_text(o);
 }
 
 static bool parse_range(const char **text, uint32_t *from, uint32_t *to)
@@ -237,7 +230,7 @@
 
 char *wire_format_record(unsigned format)
 {
-    return take_text(json_pack("{s:I}", F_FORMAT, (json_int_t)format));
+    return wj_take_text(json_pack("{s:I}", F_FORMAT, (json_int_t)format));
 }
 
 unsigned wire_format_record_parse(const json_t *value)
@@ -249,7 +242,7 @@
 
 char *wire_leader_record(const char *controller, const char *nonce)
 {
-    return take_text(json_pack("{s:s,s:s}", F_CONTROLLER, controller, F_NONCE, nonce));
+    return wj_take_text(json_pack("{s:s,s:s}", F_CONTROLLER, controller, F_NONCE, nonce));
 }
 
 void wire_leader_record_parse(const json_t *value, const char **controller, const char **nonce)
@@ -261,5 +254,5 @@
 
 char *wire_types_record(const GArray *types)
 {
-    return take_text(wire_types_json(types));
+    return wj_take_text(wire_types_json(types));
 }
--- a/src/wire/records_json.h
+++ b/src/wire/records_json.h
@@ -6,12 +6,18 @@
 
 struct json_t;
 
+/* All texts are the caller's (g_free). */
+
+/* A job: its submission, or how it ended. */
 char *wire_job_record(const struct ow_job_record *record);
+/* False if it can't be read. The submission is the caller's. */
 bool wire_job_record_parse(const struct json_t *value, struct ow_job_record *out);
 
+/* What is done, and which attempts may exist, of the tasks of one chunk. */
 char *wire_progress_record(const struct ow_progress_record *record);
-/* Machine names are interned and stay. */
+/* False if it can't be read in full; *out then holds what could be. Machine names are interned and stay. */
 bool wire_progress_record_parse(const struct json_t *value, struct ow_progress_record *out);
+/* Frees what it holds. */
 void wire_progress_record_clear(struct ow_progress_record *record);
 
 /* Several of them in one value: "<job>/<chunk>" -> record, or "<job>/<chunk>.<tasks>" where chunks have not
@@ -23,14 +29,17 @@
    NULL if it is none. */
 char *wire_progress_name_parse(const char *name, uint32_t *chunk, uint32_t *tasks);
 
-/* `nonce` tells two processes of the same name apart. */
+/* Who leads. `nonce` tells two processes of the same name apart. */
 char *wire_leader_record(const char *controller, const char *nonce);
-/* Both may come back NULL. */
+/* Both may come back NULL; the texts stay the value's. */
 void wire_leader_record_parse(const struct json_t *value, const char **controller, const char **nonce);
 
+/* The newest format of records that every controller reads. */
 char *wire_format_record(unsigned format);
+/* The first format if there is none in it. */
 unsigned wire_format_record_parse(const struct json_t *value);
 
+/* The machine types: struct ow_machine_type each. */
 char *wire_types_record(const GArray *types);
 
 #endif
--- a/src/wire/state_json.c
+++ b/src/wire/state_json.c
@@ -7,13 +7,6 @@
 
 enum { LIST_PAGE = 500 };
 
-static char *take_text(json_t *o)
-{
-    char *text = wj_text(o);
-    json_decref(o);
-    return text;
-}
-
 static char *txn_body(const struct ow_store_request *r)
 {
     json_t *conditions = json_array(), *changes = json_array();
@@ -33,7 +26,7 @@
             json_object_set_new(o, W_LEASE, json_integer((json_int_t)c->lease));
         json_array_append_new(changes, o);
     }
-    return take_text(json_pack("{s:o,s:o}", W_IF, conditions, W_THEN, changes));
+    return wj_take_text(json_pack("{s:o,s:o}", W_IF, conditions, W_THEN, changes));
 }
 
 static char *list_path(const struct ow_store_request *r)
@@ -66,7 +59,7 @@
     case OW_STORE_LEASE:
         http.method = "POST";
         http.path = g_strdup(W_PATH_LEASES);
-        http.body = take_text(json_pack("{s:i}", W_TTL, (int)(r->seconds * 1000.0)));
+        http.body = wj_take_text(json_pack("{s:i}", W_TTL, (int)(r->seconds * 1000.0)));
         break;
     case OW_STORE_RENEW:
         http.method = "POST";
--- a/src/wire/user_json.c
+++ b/src/wire/user_json.c
@@ -92,7 +92,9 @@
     return true;
 }
 
-static const char *first_fault(const json_t *o, struct ow_submission *s)
+/* Each of these reads some fields, and answers with the first that is wrong, or NULL. */
+
+static const char *identity_fault(const json_t *o, struct ow_submission *s)
 {
     int kind = 0, rank = 0;
     if (!take_id(o, &s->id))
@@ -107,6 +109,14 @@
         return W_RANK ": missing or unknown";
     if (!take_tasks(o, &s->tasks))
         return W_TASKS ": missing or not from 1 to 100000";
+    s->kind = (enum ow_kind)kind;
+    s->gang = s->kind == OW_KIND_GANG;
+    s->rank = (enum ow_rank)rank;
+    return NULL;
+}
+
+static const char *need_fault(const json_t *o, struct ow_submission *s)
+{
     if (!take_amount(o, W_CPUS, 0, &s->need.cpus))
         return W_CPUS ": missing or out of range";
     if (!take_amount(o, W_GPUS, 0, &s->need.gpus))
@@ -117,6 +127,11 @@
         return W_IMAGE ": missing or not a name";
     if (!take_amount(o, W_IMAGE_GB, 0, &s->image_gb))
         return W_IMAGE_GB ": missing or out of range";
+    return NULL;
+}
+
+static const char *placement_fault(const json_t *o, struct ow_submission *s)
+{
     if (!take_types(o, &s->types))
         return W_TYPES ": not a list of names";
     if (!wj_absent(o, W_ZONE) && !take_name(o, W_ZONE, &s->zone))
@@ -127,6 +142,11 @@
         return W_SPREAD ": missing or not true or false";
     if (!take_flag(o, W_SPOT, &s->spot))
         return W_SPOT ": missing or not true or false";
+    return NULL;
+}
+
+static const char *time_fault(const json_t *o, struct ow_submission *s)
+{
     if (!take_amount(o, W_ESTIMATE, 0, &s->estimate_s))
         return W_ESTIMATE ": missing or out of range";
     if (!take_amount(o, W_CHECKPOINT, 0, &s->checkpoint_s))
@@ -135,12 +155,19 @@
         return W_SAVE ": missing or out of range";
     if (!take_optional_amount(o, W_DEADLINE, &s->deadline_s))
         return W_DEADLINE ": out of range";
-    s->kind = (enum ow_kind)kind;
-    s->gang = s->kind == OW_KIND_GANG;
-    s->rank = (enum ow_rank)rank;
     return NULL;
 }
 
+static const char *first_fault(const json_t *o, struct ow_submission *s)
+{
+    const char *(*const readers[])(const json_t *, struct ow_submission *) = {identity_fault, need_fault,
+                                                                              placement_fault, time_fault};
+    const char *fault = NULL;
+    for (size_t i = 0; i < G_N_ELEMENTS(readers) && fault == NULL; i++)
+        fault = readers[i](o, s);
+    return fault;
+}
+
 struct ow_submission *wire_submission_from(const json_t *object, const char **fault)
 {
     struct ow_submission *s = g_new0(struct ow_submission, 1);
@@ -206,9 +233,7 @@
         json_object_set_new(o, W_RUNNING_COUNT, json_integer(view->running));
     if (view->reason != NULL)
         json_object_set_new(o, W_REASON, json_string(view->reason));
-    char *text = wj_text(o);
-    json_decref(o);
-    return text;
+    return wj_take_text(o);
 }
 
 static json_t *amounts_json(const struct ow_amounts *a)
@@ -227,15 +252,11 @@
                                         amounts_json(&t->running), "waiting", amounts_json(&t->waiting)));
     }
     json_t *o = json_pack("{s:o}", "teams", list);
-    char *text = wj_text(o);
-    json_decref(o);
-    return text;
+    return wj_take_text(o);
 }
 
 char *wire_error(const char *message)
 {
     json_t *o = json_pack("{s:s}", "error", message);
-    char *text = wj_text(o);
-    json_decref(o);
-    return text;
+    return wj_take_text(o);
 }
--- a/src/wire/words.h
+++ b/src/wire/words.h
@@ -1,4 +1,5 @@
-/* The one table of every odd word of the platform's protocols. Nothing outside wire/ may spell them. */
+/* Every word of the platform's protocols: paths, field names and values. They are spelt here and nowhere
+ * else; the names of the macros are the terms that the rest of the code uses. */
 #ifndef OW_WIRE_WORDS_H
 #define OW_WIRE_WORDS_H
 
--- a/src/wire/worker_json.c
+++ b/src/wire/worker_json.c
@@ -102,25 +102,19 @@
     return list;
 }
 
-static char *take_text(json_t *o)
-{
-    char *text = wj_text(o);
-    json_decref(o);
-    return text;
-}
-
 char *wire_worker_commands(uint64_t token, const GArray *commands)
 {
-    return take_text(json_pack("{s:I,s:o}", W_TOKEN, (json_int_t)token, W_COMMANDS, commands_json(commands)));
+    return wj_take_text(
+        json_pack("{s:I,s:o}", W_TOKEN, (json_int_t)token, W_COMMANDS, commands_json(commands)));
 }
 
 char *wire_direct_commands(uint64_t token, uint64_t session, const GArray *commands)
 {
-    return take_text(json_pack("{s:I,s:I,s:o}", W_TOKEN, (json_int_t)token, W_SESSION, (json_int_t)session,
-                               W_COMMANDS, commands_json(commands)));
+    return wj_take_text(json_pack("{s:I,s:I,s:o}", W_TOKEN, (json_int_t)token, W_SESSION, (json_int_t)session,
+                                  W_COMMANDS, commands_json(commands)));
 }
 
 char *wire_misdirected(const char *controller)
 {
-    return take_text(controller != NULL ? json_pack("{s:s}", W_REPORT_TO, controller) : json_object());
+    return wj_take_text(controller != NULL ? json_pack("{s:s}", W_REPORT_TO, controller) : json_object());
 }
--- a/src/wire/worker_json.h
+++ b/src/wire/worker_json.h
@@ -6,13 +6,13 @@
 
 #include <stddef.h>
 
-/* NULL when malformed. */
+/* A worker's report, which the caller owns; NULL when malformed. */
 struct ow_report *wire_report_parse(const char *text, size_t size);
-/* The answer to a report. */
+/* The answer to a report (g_free): struct ow_worker_command each. */
 char *wire_worker_commands(uint64_t token, const GArray *commands);
-/* The body of a direct command. */
+/* The body of commands sent to a worker's own address, meant for one session of it (g_free). */
 char *wire_direct_commands(uint64_t token, uint64_t session, const GArray *commands);
-/* Where to report instead; `controller` NULL: unknown. */
+/* The answer to a report that should go to another controller (g_free); `controller` NULL: unknown. */
 char *wire_misdirected(const char *controller);
 
 #endif
