--- a/src/io/http_client.c
+++ b/src/io/http_client.c
@@ -1,6 +1,7 @@
 #include "io/http_client.h"
 
 #include "io/http_parse.h"
+#include "io/http_status.h"
 #include "io/net.h"
 
 #include <errno.h>
@@ -10,9 +11,11 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-enum { IDLE_CLOSE_S = 20, BODY_LIMIT = 4 * 1024 * 1024 };
+static const double IDLE_CLOSE_S = 20;
+enum { BODY_LIMIT_BYTES = 4 * 1024 * 1024, READ_BYTES = 16 * 1024 };
 
-struct call {
+/* A connection, and the request that is under way on it, if any. */
+struct connection {
     struct ow_http_client *client;
     struct ow_watch watch; /* fd -1: could not even begin */
     char *endpoint;
@@ -28,118 +31,119 @@
     struct ow_loop *loop;
     ow_http_reply_fn reply;
     void *owner;
-    GPtrArray *calls; /* connections, busy and idle */
-    unsigned most;    /* with more than these open, idle ones are closed */
+    GPtrArray *connections; /* connections, busy and idle */
+    unsigned most;          /* with more than these open, idle ones are closed */
 };
 
-static void free_call(struct call *call)
+static void close_connection(struct connection *connection)
 {
-    if (call->watch.fd >= 0) {
-        ow_loop_forget(call->client->loop, &call->watch);
-        close(call->watch.fd);
+    if (connection->watch.fd >= 0) {
+        ow_loop_forget(connection->client->loop, &connection->watch);
+        close(connection->watch.fd);
     }
-    g_ptr_array_remove_fast(call->client->calls, call);
-    ow_http_parser_clear(&call->parser);
-    g_string_free(call->out, TRUE);
-    g_free(call->endpoint);
-    g_free(call);
+    g_ptr_array_remove_fast(connection->client->connections, connection);
+    ow_http_parser_clear(&connection->parser);
+    g_string_free(connection->out, TRUE);
+    g_free(connection->endpoint);
+    g_free(connection);
 }
 
-static void fail_call(struct call *call)
+static void fail(struct connection *connection)
 {
-    struct ow_http_client *client = call->client;
-    bool busy = call->busy;
-    uint64_t tag = call->tag;
-    free_call(call);
+    struct ow_http_client *client = connection->client;
+    bool busy = connection->busy;
+    uint64_t tag = connection->tag;
+    close_connection(connection);
     if (busy)
-        client->reply(client->owner, tag, 0, "", 0);
+        client->reply(client->owner, tag, OW_HTTP_STATUS_NONE, "", 0);
 }
 
-static void finish_call(struct call *call)
+static void finish(struct connection *connection)
 {
-    struct ow_http_client *client = call->client;
-    GString *body = call->parser.body;
-    uint64_t tag = call->tag;
-    int status = call->parser.status;
-    call->parser.body = g_string_sized_new(0);
-    if (call->parser.close) {
-        free_call(call);
+    struct ow_http_client *client = connection->client;
+    GString *body = connection->parser.body;
+    uint64_t tag = connection->tag;
+    int status = connection->parser.status;
+    connection->parser.body = g_string_sized_new(0);
+    if (connection->parser.close) {
+        close_connection(connection);
     } else {
-        ow_http_parser_reset(&call->parser);
-        call->busy = false;
-        call->deadline = ow_loop_now(client->loop) + IDLE_CLOSE_S;
+        ow_http_parser_reset(&connection->parser);
+        connection->busy = false;
+        connection->deadline = ow_loop_now(client->loop) + IDLE_CLOSE_S;
     }
     client->reply(client->owner, tag, status, body->str, body->len);
     g_string_free(body, TRUE);
 }
 
 /* False when the connection is gone or the request has ended. */
-static bool push_out(struct call *call)
+static bool push_out(struct connection *connection)
 {
-    if (!ow_net_flush(call->watch.fd, call->out, &call->sent)) {
-        fail_call(call);
+    if (!ow_net_flush(connection->watch.fd, connection->out, &connection->sent)) {
+        fail(connection);
         return false;
     }
-    ow_loop_change(call->client->loop, &call->watch, EPOLLIN | (call->out->len > 0 ? EPOLLOUT : 0));
+    ow_loop_change(connection->client->loop, &connection->watch,
+                   EPOLLIN | (connection->out->len > 0 ? EPOLLOUT : 0));
     return true;
 }
 
-static void read_ready(struct call *call)
+static void read_ready(struct connection *connection)
 {
-    char buffer[16384];
+    char buffer[READ_BYTES];
     for (;;) {
-        ssize_t n = recv(call->watch.fd, buffer, sizeof buffer, 0);
+        ssize_t n = recv(connection->watch.fd, buffer, sizeof buffer, 0);
         if (n < 0 && errno == EINTR)
             continue;
         if (n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK))
             return;
         size_t used = 0;
         enum ow_http_result result = OW_HTTP_MALFORMED;
-        if (n > 0 && call->busy)
-            result = ow_http_parse(&call->parser, buffer, (size_t)n, &used);
+        if (n > 0 && connection->busy)
+            result = ow_http_parse(&connection->parser, buffer, (size_t)n, &used);
         if (result == OW_HTTP_MORE)
             continue;
         /* Anything unasked-for on an idle connection ends it, too. */
         if (result == OW_HTTP_DONE && used == (size_t)n)
-            finish_call(call);
+            finish(connection);
         else
-            fail_call(call);
+            fail(connection);
         return;
     }
 }
 
-static void call_ready(void *owner, uint32_t events)
+static void connection_ready(void *owner, uint32_t events)
 {
-    struct call *call = owner;
+    struct connection *connection = owner;
     if (events & EPOLLOUT) {
-        if (ow_net_connect_error(call->watch.fd) != 0) {
-            fail_call(call);
+        if (ow_net_connect_error(connection->watch.fd) != 0) {
+            fail(connection);
             return;
         }
-        if (!push_out(call))
+        if (!push_out(connection))
             return;
     }
     if (events & (EPOLLIN | EPOLLHUP | EPOLLERR))
-        read_ready(call);
+        read_ready(connection);
 }
 
-static struct call *idle_call(struct ow_http_client *client, const char *endpoint)
+static struct connection *idle_connection(struct ow_http_client *client, const char *endpoint)
 {
-    for (guint i = 0; i < client->calls->len; i++) {
-        struct call *call = g_ptr_array_index(client->calls, i);
-        if (!call->busy && strcmp(call->endpoint, endpoint) == 0)
-            return call;
+    for (guint i = 0; i < client->connections->len; i++) {
+        struct connection *connection = g_ptr_array_index(client->connections, i);
+        if (!connection->busy && strcmp(connection->endpoint, endpoint) == 0)
+            return connection;
     }
     return NULL;
 }
 
-static struct call *longest_idle(const struct ow_http_client *client)
+static struct connection *longest_idle(const struct ow_http_client *client)
 {
-    struct call *longest = NULL;
-    for (guint i = 0; i < client->calls->len; i++) {
-        struct call *call = g_ptr_array_index(client->calls, i);
-        if (!call->busy && (longest == NULL || call->deadline < longest->deadline))
-            longest = call;
+    struct connection *longest = NULL;
+    for (guint i = 0; i < client->connections->len; i++) {
+        struct connection *connection = g_ptr_array_index(client->connections, i);
+        if (!connection->busy && (longest == NULL || connection->deadline < longest->deadline))
+            longest = connection;
     }
     return longest;
 }
@@ -147,26 +151,27 @@
 /* The connection idle for longest gives way to a new one; false where all are busy. */
 static bool make_room(struct ow_http_client *client)
 {
-    if (client->calls->len < client->most)
+    if (client->connections->len < client->most)
         return true;
-    struct call *call = longest_idle(client);
-    if (call != NULL)
-        free_call(call);
-    return call != NULL && client->calls->len < client->most;
+    struct connection *connection = longest_idle(client);
+    if (connection != NULL)
+        close_connection(connection);
+    return connection != NULL && client->connections->len < client->most;
 }
 
-static struct call *open_call(struct ow_http_client *client, const char *endpoint)
+static struct connection *open_connection(struct ow_http_client *client, const char *endpoint)
 {
-    struct call *call = g_new0(struct call, 1);
-    call->client = client;
-    call->endpoint = g_strdup(endpoint);
-    call->watch = (struct ow_watch){.fd = ow_net_connect(endpoint), .ready = call_ready, .owner = call};
-    ow_http_parser_init(&call->parser, OW_HTTP_RESPONSE, BODY_LIMIT);
-    call->out = g_string_sized_new(256);
-    g_ptr_array_add(client->calls, call);
-    if (call->watch.fd >= 0)
-        ow_loop_watch(client->loop, &call->watch, EPOLLIN | EPOLLOUT);
-    return call;
+    struct connection *connection = g_new0(struct connection, 1);
+    connection->client = client;
+    connection->endpoint = g_strdup(endpoint);
+    connection->watch =
+        (struct ow_watch){.fd = ow_net_connect(endpoint), .ready = connection_ready, .owner = connection};
+    ow_http_parser_init(&connection->parser, OW_HTTP_RESPONSE, BODY_LIMIT_BYTES);
+    connection->out = g_string_sized_new(256);
+    g_ptr_array_add(client->connections, connection);
+    if (connection->watch.fd >= 0)
+        ow_loop_watch(client->loop, &connection->watch, EPOLLIN | EPOLLOUT);
+    return connection;
 }
 
 struct ow_http_client *ow_http_client_new(struct ow_loop *loop, unsigned most, ow_http_reply_fn reply,
@@ -177,7 +182,7 @@
     client->most = most;
     client->reply = reply;
     client->owner = owner;
-    client->calls = g_ptr_array_new();
+    client->connections = g_ptr_array_new();
     return client;
 }
 
@@ -185,34 +190,34 @@
 {
     if (client == NULL)
         return;
-    while (client->calls->len > 0)
-        free_call(g_ptr_array_index(client->calls, 0));
-    g_ptr_array_free(client->calls, TRUE);
+    while (client->connections->len > 0)
+        close_connection(g_ptr_array_index(client->connections, 0));
+    g_ptr_array_free(client->connections, TRUE);
     g_free(client);
 }
 
 void ow_http_client_send(struct ow_http_client *client, const char *endpoint, const char *method,
                          const char *path, const char *body, double timeout_s, uint64_t tag)
 {
-    struct call *call = idle_call(client, endpoint);
-    if (call == NULL) {
+    struct connection *connection = idle_connection(client, endpoint);
+    if (connection == NULL) {
         make_room(client); /* but who sends without having asked for room is in need of it */
-        call = open_call(client, endpoint);
+        connection = open_connection(client, endpoint);
     }
-    call->busy = true;
-    call->tag = tag;
-    call->deadline = ow_loop_now(client->loop) + timeout_s;
-    g_string_append_printf(call->out, "%s %s HTTP/1.1\r\nHost: %s\r\n", method, path, endpoint);
+    connection->busy = true;
+    connection->tag = tag;
+    connection->deadline = ow_loop_now(client->loop) + timeout_s;
+    g_string_append_printf(connection->out, "%s %s HTTP/1.1\r\nHost: %s\r\n", method, path, endpoint);
     if (body != NULL)
-        g_string_append_printf(call->out, "Content-Type: application/json\r\nContent-Length: %zu\r\n",
+        g_string_append_printf(connection->out, "Content-Type: application/json\r\nContent-Length: %zu\r\n",
                                strlen(body));
-    g_string_append(call->out, "\r\n");
+    g_string_append(connection->out, "\r\n");
     if (body != NULL)
-        g_string_append(call->out, body);
-    if (call->watch.fd >= 0)
-        ow_loop_change(client->loop, &call->watch, EPOLLIN | EPOLLOUT);
+        g_string_append(connection->out, body);
+    if (connection->watch.fd >= 0)
+        ow_loop_change(client->loop, &connection->watch, EPOLLIN | EPOLLOUT);
     else
-        call->deadline = 0; /* the sweep reports it */
+        connection->deadline = 0; /* the sweep reports it */
 }
 
 void ow_http_client_bound(struct ow_http_client *client, unsigned most)
@@ -222,25 +227,25 @@
 
 bool ow_http_client_has_room(struct ow_http_client *client, const char *endpoint)
 {
-    return idle_call(client, endpoint) != NULL || make_room(client);
+    return idle_connection(client, endpoint) != NULL || make_room(client);
 }
 
 /* Connections to many machines must not use up the sockets that reports need. */
 static void close_surplus(struct ow_http_client *client)
 {
-    struct call *call;
-    while (client->calls->len > client->most && (call = longest_idle(client)) != NULL)
-        free_call(call);
+    struct connection *connection;
+    while (client->connections->len > client->most && (connection = longest_idle(client)) != NULL)
+        close_connection(connection);
 }
 
 void ow_http_client_sweep(struct ow_http_client *client, double now)
 {
     close_surplus(client);
-    for (guint i = client->calls->len; i > 0; i--) {
-        if (i > client->calls->len)
+    for (guint i = client->connections->len; i > 0; i--) {
+        if (i > client->connections->len)
             continue;
-        struct call *call = g_ptr_array_index(client->calls, i - 1);
-        if (now >= call->deadline)
-            fail_call(call);
+        struct connection *connection = g_ptr_array_index(client->connections, i - 1);
+        if (now >= connection->deadline)
+            fail(connection);
     }
 }
--- a/src/io/loop.c
+++ b/src/io/loop.c
@@ -5,6 +5,7 @@
 #include <time.h>
 #include <unistd.h>
 
+/* Events taken from the system at a time. */
 enum { BATCH = 64 };
 
 struct ow_loop {
--- a/src/io/net.c
+++ b/src/io/net.c
@@ -9,16 +9,19 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
+/* Connections that may wait to be accepted; bytes of an address; the largest port. */
+enum { LISTEN_BACKLOG = 256, HOST_BYTES = 64, PORT_MAX = 65535 };
+
 static bool parse_endpoint(const char *endpoint, struct sockaddr_in *addr)
 {
     const char *colon = endpoint != NULL ? strrchr(endpoint, ':') : NULL;
-    char host[64];
+    char host[HOST_BYTES];
     if (colon == NULL || (size_t)(colon - endpoint) >= sizeof host)
         return false;
     memcpy(host, endpoint, (size_t)(colon - endpoint));
     host[colon - endpoint] = '\0';
     guint64 port = 0;
-    if (!g_ascii_string_to_unsigned(colon + 1, 10, 1, 65535, &port, NULL))
+    if (!g_ascii_string_to_unsigned(colon + 1, 10, 1, PORT_MAX, &port, NULL))
         return false;
     memset(addr, 0, sizeof *addr);
     addr->sin_family = AF_INET;
@@ -52,7 +55,7 @@
         return -1;
     int one = 1;
     setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &one, sizeof one);
-    if (bind(fd, (struct sockaddr *)&addr, sizeof addr) != 0 || listen(fd, 256) != 0) {
+    if (bind(fd, (struct sockaddr *)&addr, sizeof addr) != 0 || listen(fd, LISTEN_BACKLOG) != 0) {
         close(fd);
         return -1;
     }
--- a/src/io/peer_link.c
+++ b/src/io/peer_link.c
@@ -11,149 +11,158 @@
 #include <unistd.h>
 
 /* A peer that takes nothing is cut off before its backlog matters. */
-enum { BACKLOG_MAX = 128 * 1024, INCOMING_MAX = 32 };
+enum {
+    BACKLOG_MAX_BYTES = 128 * 1024,
+    INCOMING_MAX = 32, /* links */
+    READ_BYTES = 16 * 1024,
+    LENGTH_BYTES = 4, /* before each frame */
+};
+/* When a link that could not be opened is tried again; how long one may make no progress; how long an
+   incoming one may be silent. */
 static const double RETRY_S = 1, STALL_S = 5, SILENT_S = 15;
 
-struct out_link {
+/* To one controller, kept up. */
+struct outgoing_link {
     struct ow_peer_links *links;
     struct ow_watch watch; /* fd -1: not connected */
     char *endpoint;
     GString *out;
     size_t sent;
     bool connected;
-    bool stood; /* since we last said that it is lost */
+    bool was_established; /* since it was last reported lost */
     double retry_at, moved_at;
 };
 
-struct in_link {
+/* From one controller. */
+struct incoming_link {
     struct ow_peer_links *links;
     struct ow_watch watch;
-    GString *in;
+    GString *received; /* bytes of frames that are not complete */
     double heard_at;
 };
 
 struct ow_peer_links {
     struct ow_loop *loop;
     struct ow_watch listener;
-    GPtrArray *out; /* struct out_link */
-    GPtrArray *in;  /* struct in_link */
+    GPtrArray *out; /* struct outgoing_link */
+    GPtrArray *in;  /* struct incoming_link */
     ow_peer_fn take;
     ow_peer_lost_fn lost;
     void *owner;
 };
 
-static void cut_out(struct out_link *l)
+static void close_outgoing(struct outgoing_link *link)
 {
-    if (l->watch.fd >= 0) {
-        ow_loop_forget(l->links->loop, &l->watch);
-        close(l->watch.fd);
+    if (link->watch.fd >= 0) {
+        ow_loop_forget(link->links->loop, &link->watch);
+        close(link->watch.fd);
     }
-    l->watch.fd = -1;
-    bool was_connected = l->connected;
-    l->connected = false;
-    g_string_truncate(l->out, 0);
-    l->sent = 0;
+    link->watch.fd = -1;
+    bool was_connected = link->connected;
+    link->connected = false;
+    g_string_truncate(link->out, 0);
+    link->sent = 0;
     /* A lost link is tried again at once: whether anybody listens is worth knowing. */
-    l->retry_at = ow_loop_now(l->links->loop) + (was_connected ? 0 : RETRY_S);
+    link->retry_at = ow_loop_now(link->links->loop) + (was_connected ? 0 : RETRY_S);
 }
 
-static void push_out(struct out_link *l)
+static void flush(struct outgoing_link *link)
 {
-    size_t before = l->out->len - l->sent;
-    if (!ow_net_flush(l->watch.fd, l->out, &l->sent)) {
-        cut_out(l);
+    size_t before = link->out->len - link->sent;
+    if (!ow_net_flush(link->watch.fd, link->out, &link->sent)) {
+        close_outgoing(link);
         return;
     }
-    if (l->out->len - l->sent != before)
-        l->moved_at = ow_loop_now(l->links->loop);
-    ow_loop_change(l->links->loop, &l->watch, EPOLLIN | (l->out->len > 0 ? EPOLLOUT : 0));
+    if (link->out->len - link->sent != before)
+        link->moved_at = ow_loop_now(link->links->loop);
+    ow_loop_change(link->links->loop, &link->watch, EPOLLIN | (link->out->len > 0 ? EPOLLOUT : 0));
 }
 
-static void out_ready(void *owner, uint32_t events)
+static void outgoing_ready(void *owner, uint32_t events)
 {
-    struct out_link *l = owner;
+    struct outgoing_link *link = owner;
     char byte;
-    int error = l->connected ? 0 : ow_net_connect_error(l->watch.fd);
+    int error = link->connected ? 0 : ow_net_connect_error(link->watch.fd);
     if (error != 0) {
-        cut_out(l);
-        if (error == ECONNREFUSED && l->stood) {
-            l->stood = false;
-            l->links->lost(l->links->owner, l->endpoint);
+        close_outgoing(link);
+        if (error == ECONNREFUSED && link->was_established) {
+            link->was_established = false;
+            link->links->lost(link->links->owner, link->endpoint);
         }
         return;
     }
-    l->connected = l->stood = true;
+    link->connected = link->was_established = true;
     /* The other side never speaks on this link: readable means closed. */
-    if ((events & (EPOLLIN | EPOLLHUP | EPOLLERR)) && recv(l->watch.fd, &byte, 1, 0) >= 0) {
-        cut_out(l);
+    if ((events & (EPOLLIN | EPOLLHUP | EPOLLERR)) && recv(link->watch.fd, &byte, 1, 0) >= 0) {
+        close_outgoing(link);
         return;
     }
-    push_out(l);
+    flush(link);
 }
 
-static void open_out(struct out_link *l)
+static void open_outgoing(struct outgoing_link *link)
 {
-    l->retry_at = ow_loop_now(l->links->loop) + RETRY_S;
-    int fd = ow_net_connect(l->endpoint);
+    link->retry_at = ow_loop_now(link->links->loop) + RETRY_S;
+    int fd = ow_net_connect(link->endpoint);
     if (fd < 0)
         return;
-    l->watch = (struct ow_watch){.fd = fd, .ready = out_ready, .owner = l};
-    l->moved_at = ow_loop_now(l->links->loop);
-    ow_loop_watch(l->links->loop, &l->watch, EPOLLIN | EPOLLOUT);
+    link->watch = (struct ow_watch){.fd = fd, .ready = outgoing_ready, .owner = link};
+    link->moved_at = ow_loop_now(link->links->loop);
+    ow_loop_watch(link->links->loop, &link->watch, EPOLLIN | EPOLLOUT);
 }
 
-static void cut_in(struct in_link *l)
+static void close_incoming(struct incoming_link *link)
 {
-    ow_loop_forget(l->links->loop, &l->watch);
-    close(l->watch.fd);
-    g_ptr_array_remove_fast(l->links->in, l);
-    g_string_free(l->in, TRUE);
-    g_free(l);
+    ow_loop_forget(link->links->loop, &link->watch);
+    close(link->watch.fd);
+    g_ptr_array_remove_fast(link->links->in, link);
+    g_string_free(link->received, TRUE);
+    g_free(link);
 }
 
 /* False when what came can't be a frame of ours. */
-static bool take_frames(struct in_link *l)
+static bool take_frames(struct incoming_link *link)
 {
     size_t at = 0;
-    while (l->in->len - at >= 4) {
+    while (link->received->len - at >= LENGTH_BYTES) {
         uint32_t size;
-        memcpy(&size, l->in->str + at, 4);
+        memcpy(&size, link->received->str + at, LENGTH_BYTES);
         size = ntohl(size);
         if (size > WIRE_PEER_MAX)
             return false;
-        if (l->in->len - at - 4 < size)
+        if (link->received->len - at - LENGTH_BYTES < size)
             break;
         struct ow_peer_message *message = NULL;
-        if (!wire_peer_decode(l->in->str + at + 4, size, &message))
+        if (!wire_peer_decode(link->received->str + at + LENGTH_BYTES, size, &message))
             return false;
         if (message != NULL)
-            l->links->take(l->links->owner, message);
-        at += 4 + size;
+            link->links->take(link->links->owner, message);
+        at += LENGTH_BYTES + size;
     }
-    g_string_erase(l->in, 0, (gssize)at);
+    g_string_erase(link->received, 0, (gssize)at);
     return true;
 }
 
-static void in_ready(void *owner, uint32_t events)
+static void incoming_ready(void *owner, uint32_t events)
 {
-    struct in_link *l = owner;
-    char buffer[16384];
+    struct incoming_link *link = owner;
+    char buffer[READ_BYTES];
     (void)events;
     for (;;) {
-        ssize_t n = recv(l->watch.fd, buffer, sizeof buffer, 0);
+        ssize_t n = recv(link->watch.fd, buffer, sizeof buffer, 0);
         if (n < 0 && errno == EINTR)
             continue;
         if (n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK))
             return;
         if (n <= 0) {
-            cut_in(l);
+            close_incoming(link);
             return;
         }
-        g_string_append_len(l->in, buffer, n);
-        l->heard_at = ow_loop_now(l->links->loop);
-        if (!take_frames(l)) {
+        g_string_append_len(link->received, buffer, n);
+        link->heard_at = ow_loop_now(link->links->loop);
+        if (!take_frames(link)) {
             g_info("a peer sent what is no message: its link is cut");
-            cut_in(l);
+            close_incoming(link);
             return;
         }
         if ((size_t)n < sizeof buffer)
@@ -172,13 +181,13 @@
         close(fd);
         return;
     }
-    struct in_link *l = g_new0(struct in_link, 1);
-    l->links = links;
-    l->in = g_string_new(NULL);
-    l->heard_at = ow_loop_now(links->loop);
-    l->watch = (struct ow_watch){.fd = fd, .ready = in_ready, .owner = l};
-    g_ptr_array_add(links->in, l);
-    ow_loop_watch(links->loop, &l->watch, EPOLLIN);
+    struct incoming_link *link = g_new0(struct incoming_link, 1);
+    link->links = links;
+    link->received = g_string_new(NULL);
+    link->heard_at = ow_loop_now(links->loop);
+    link->watch = (struct ow_watch){.fd = fd, .ready = incoming_ready, .owner = link};
+    g_ptr_array_add(links->in, link);
+    ow_loop_watch(links->loop, &link->watch, EPOLLIN);
 }
 
 struct ow_peer_links *ow_peer_links_new(struct ow_loop *loop, const char *listen_endpoint, ow_peer_fn take,
@@ -204,13 +213,13 @@
     if (links == NULL)
         return;
     while (links->in->len > 0)
-        cut_in(g_ptr_array_index(links->in, 0));
+        close_incoming(g_ptr_array_index(links->in, 0));
     for (guint i = 0; i < links->out->len; i++) {
-        struct out_link *l = g_ptr_array_index(links->out, i);
-        cut_out(l);
-        g_string_free(l->out, TRUE);
-        g_free(l->endpoint);
-        g_free(l);
+        struct outgoing_link *link = g_ptr_array_index(links->out, i);
+        close_outgoing(link);
+        g_string_free(link->out, TRUE);
+        g_free(link->endpoint);
+        g_free(link);
     }
     ow_loop_forget(links->loop, &links->listener);
     close(links->listener.fd);
@@ -221,13 +230,13 @@
 
 void ow_peer_links_add(struct ow_peer_links *links, const char *endpoint)
 {
-    struct out_link *l = g_new0(struct out_link, 1);
-    l->links = links;
-    l->watch.fd = -1;
-    l->endpoint = g_strdup(endpoint);
-    l->out = g_string_new(NULL);
-    g_ptr_array_add(links->out, l);
-    open_out(l);
+    struct outgoing_link *link = g_new0(struct outgoing_link, 1);
+    link->links = links;
+    link->watch.fd = -1;
+    link->endpoint = g_strdup(endpoint);
+    link->out = g_string_new(NULL);
+    g_ptr_array_add(links->out, link);
+    open_outgoing(link);
 }
 
 void ow_peer_links_send(struct ow_peer_links *links, struct ow_peer_message *message)
@@ -235,12 +244,12 @@
     GString *frame = g_string_new(NULL);
     if (wire_peer_encode(message, frame)) {
         for (guint i = 0; i < links->out->len; i++) {
-            struct out_link *l = g_ptr_array_index(links->out, i);
+            struct outgoing_link *link = g_ptr_array_index(links->out, i);
             /* Nothing is kept for a peer that is away: it will get newer messages. */
-            if (!l->connected || l->out->len + frame->len > BACKLOG_MAX)
+            if (!link->connected || link->out->len + frame->len > BACKLOG_MAX_BYTES)
                 continue;
-            g_string_append_len(l->out, frame->str, (gssize)frame->len);
-            push_out(l);
+            g_string_append_len(link->out, frame->str, (gssize)frame->len);
+            flush(link);
         }
     }
     g_string_free(frame, TRUE);
@@ -249,16 +258,17 @@
 void ow_peer_links_sweep(struct ow_peer_links *links, double now)
 {
     for (guint i = 0; i < links->out->len; i++) {
-        struct out_link *l = g_ptr_array_index(links->out, i);
-        bool stalled = l->watch.fd >= 0 && (!l->connected || l->out->len > 0) && now - l->moved_at > STALL_S;
+        struct outgoing_link *link = g_ptr_array_index(links->out, i);
+        bool stalled =
+            link->watch.fd >= 0 && (!link->connected || link->out->len > 0) && now - link->moved_at > STALL_S;
         if (stalled)
-            cut_out(l);
-        if (l->watch.fd < 0 && now >= l->retry_at)
-            open_out(l);
+            close_outgoing(link);
+        if (link->watch.fd < 0 && now >= link->retry_at)
+            open_outgoing(link);
     }
     for (guint i = links->in->len; i > 0; i--) {
-        struct in_link *l = g_ptr_array_index(links->in, i - 1);
-        if (now - l->heard_at > SILENT_S)
-            cut_in(l);
+        struct incoming_link *link = g_ptr_array_index(links->in, i - 1);
+        if (now - link->heard_at > SILENT_S)
+            close_incoming(link);
     }
 }
