--- a/tests/test_sockets.c
+++ b/tests/test_sockets.c
@@ -6,11 +6,13 @@
 
 #include <errno.h>
 #include <glib.h>
+#include <netinet/in.h>
 #include <string.h>
 #include <sys/socket.h>
 #include <unistd.h>
 
-static const char endpoint[] = "127.0.0.1:28471";
+/* Chosen for each test: a fixed port would make two runs on one machine fail each other. */
+static char endpoint[32];
 
 struct bench {
     struct ow_loop *loop;
@@ -47,8 +49,20 @@
     return 0.01;
 }
 
+static void choose_free_port(void)
+{
+    struct sockaddr_in address = {.sin_family = AF_INET, .sin_addr.s_addr = htonl(INADDR_LOOPBACK)};
+    socklen_t size = sizeof address;
+    int fd = socket(AF_INET, SOCK_STREAM, 0);
+    assert_int_equal(bind(fd, (struct sockaddr *)&address, sizeof address), 0);
+    assert_int_equal(getsockname(fd, (struct sockaddr *)&address, &size), 0);
+    close(fd);
+    g_snprintf(endpoint, sizeof endpoint, "127.0.0.1:%u", (unsigned)ntohs(address.sin_port));
+}
+
 static void open_bench(struct bench *b)
 {
+    choose_free_port();
     struct ow_http_server_options options = {endpoint, 1000, 4, 60};
     memset(b, 0, sizeof *b);
     b->loop = ow_loop_new();
