--- a/src/core/api/cancellation_ack.c
+++ b/src/core/api/cancellation_ack.c
@@ -2,6 +2,7 @@
 
 #include "core/api/user_api.h"
 #include "core/controller.h"
+#include "core/election/election.h"
 #include "core/leader.h"
 
 /* How long a user waits for the leader's acknowledgement before being asked to come back, and how often it is
@@ -98,7 +99,7 @@
     if (job->state != OW_JOB_CANCELLED)
         return;
     if (job->cancellation_acked)
-        send_to_peers(controller, OW_PEER_CANCELLATION_ACK, job, controller->leader_token);
+        send_to_peers(controller, OW_PEER_CANCELLATION_ACK, job, ow_election_token(controller->election));
     else
         entry_get(c, m->job);
 }
@@ -119,11 +120,11 @@
  */
 static bool acknowledge(struct ow_controller *controller, struct ow_job *job)
 {
-    if (controller->leader == NULL || controller->leader_token < job->cancel_token ||
+    if (controller->leader == NULL || ow_election_token(controller->election) < job->cancel_token ||
         !ow_leader_cancel(controller->leader, job))
         return false;
     job->cancellation_acked = true;
-    send_to_peers(controller, OW_PEER_CANCELLATION_ACK, job, controller->leader_token);
+    send_to_peers(controller, OW_PEER_CANCELLATION_ACK, job, ow_election_token(controller->election));
     return true;
 }
 
--- a/src/core/controller.h
+++ b/src/core/controller.h
@@ -34,7 +34,6 @@
     struct ow_job_cache *job_cache;
     struct ow_election *election;
     struct ow_leader *leader; /* NULL while another controller leads */
-    uint64_t leader_token;    /* of `leader` */
     struct ow_cancellation_ack *cancellation_ack;
     double state_ok_at;      /* the last answer of the state service that was no failure */
     double state_bad_since;  /* 0: the last answer was good */
--- a/src/core/election/election.c
+++ b/src/core/election/election.c
@@ -102,7 +102,6 @@
         g_info("no longer leader: %s", why);
         ow_leader_free(e->controller->leader);
         e->controller->leader = NULL;
-        e->controller->leader_token = 0;
     }
     set_leader_name(e, NULL);
     look_again(e, 0);
@@ -171,7 +170,6 @@
     set_leader_name(e, NULL);
     g_info("leader with token %" G_GUINT64_FORMAT, token);
     e->controller->leader = ow_leader_new(e->controller, token);
-    e->controller->leader_token = token;
 }
 
 /* The key as the state service shows it now. */
--- a/src/core/records/limits.c
+++ b/src/core/records/limits.c
@@ -1,8 +1,10 @@
 #include "core/records/limits.h"
 
+#include "core/records/records.h"
+
 /* What one task takes in a progress record at most: a machine with its session, the task and its attempt, or
    a mark among those that are done. Beside them a record has its name and its frame. */
-enum { TASK_BYTES = 30, FRAME_BYTES = 150, LEAST_TASKS = 8, LEAST_BYTES = 256 };
+enum { TASK_BYTES = 30, FRAME_BYTES = 150, LEAST_BYTES = 256 };
 
 struct ow_limits ow_limits_of(const struct ow_settings *s)
 {
@@ -32,8 +34,8 @@
 
 unsigned ow_limits_tasks(const struct ow_limits *limits)
 {
-    unsigned tasks = LEAST_TASKS;
-    while (tasks < 256 && FRAME_BYTES + 2 * tasks * TASK_BYTES <= limits->value_bytes)
+    unsigned tasks = OW_LEAST_CHUNK_TASKS;
+    while (tasks < OW_CHUNK_TASKS && FRAME_BYTES + 2 * tasks * TASK_BYTES <= limits->value_bytes)
         tasks *= 2;
     return tasks;
 }
--- a/src/core/records/record_values.c
+++ b/src/core/records/record_values.c
@@ -14,7 +14,7 @@
 /* Tasks of a run that a value records in chunks of another size than the run has now. */
 struct ow_retained_tasks {
     struct ow_job *job;
-    uint32_t first, end;
+    struct ow_task_range tasks;
 };
 
 /* How full a record value is made: its chunks grow as their ranges break up. */
@@ -27,11 +27,22 @@
     return leader->controller->limits.value_bytes;
 }
 
+struct ow_task_range ow_chunk_task_range(uint32_t index, uint32_t chunk_tasks, uint32_t task_count)
+{
+    uint32_t first = index * chunk_tasks;
+    return (struct ow_task_range){first, MIN(task_count, first + chunk_tasks)};
+}
+
+static struct ow_task_range tasks_of(const struct ow_chunk *chunk)
+{
+    const struct ow_run *run = chunk->job->run;
+    return ow_chunk_task_range(chunk->index, run->chunk_tasks, run->count);
+}
+
 uint32_t ow_record_values_chunk_tasks(const struct ow_leader *leader)
 {
-    return leader->format.current >= OW_FORMAT_FINE
-               ? MIN(ow_limits_tasks(&leader->controller->limits), (unsigned)OW_CHUNK_TASKS)
-               : OW_CHUNK_TASKS;
+    return leader->format.current >= OW_FORMAT_FINE ? ow_limits_tasks(&leader->controller->limits)
+                                                    : OW_CHUNK_TASKS;
 }
 
 static struct ow_record_value *record_value_new(struct ow_leader *leader, uint32_t number)
@@ -79,8 +90,8 @@
 
 static size_t expected_bytes(const struct ow_chunk *chunk)
 {
-    const struct ow_run *run = chunk->job->run;
-    return CHUNK_BYTES + TASK_BYTES * MIN(run->count - chunk->index * run->chunk_tasks, run->chunk_tasks);
+    struct ow_task_range tasks = tasks_of(chunk);
+    return CHUNK_BYTES + TASK_BYTES * (tasks.end - tasks.first);
 }
 
 void ow_record_values_add(struct ow_record_value *g, struct ow_chunk *chunk)
@@ -120,9 +131,9 @@
     return g;
 }
 
-void ow_record_values_retain(struct ow_record_value *g, struct ow_job *job, uint32_t first, uint32_t end)
+void ow_record_values_retain(struct ow_record_value *g, struct ow_job *job, struct ow_task_range tasks)
 {
-    struct ow_retained_tasks retained = {job, first, end};
+    struct ow_retained_tasks retained = {job, tasks};
     g_array_append_val(g->retained, retained);
 }
 
@@ -130,7 +141,8 @@
 static bool settled(const struct ow_retained_tasks *retained)
 {
     const struct ow_run *run = retained->job->run;
-    for (uint32_t task = retained->first; run != NULL && task < retained->end; task += run->chunk_tasks) {
+    for (uint32_t task = retained->tasks.first; run != NULL && task < retained->tasks.end;
+         task += run->chunk_tasks) {
         const struct ow_chunk *chunk = ow_run_chunk(run, task);
         if (chunk->record_value == NULL || chunk->dirty || chunk->writing)
             return false;
@@ -156,7 +168,7 @@
         last = MAX(last, chunk->last_attempt);
         if (g == NULL)
             continue;
-        ow_record_values_retain(g, run->job, i * tasks, MIN(run->count, (i + 1) * tasks));
+        ow_record_values_retain(g, run->job, ow_chunk_task_range(i, tasks, run->count));
         ow_recorder_compact(leader, g);
     }
     ow_run_divide(run, finer);
@@ -186,8 +198,8 @@
         .done = g_array_new(FALSE, FALSE, sizeof(uint32_t)),
         .live = g_array_new(FALSE, FALSE, sizeof(struct ow_live_record)),
     };
-    uint32_t first = chunk->index * run->chunk_tasks, end = MIN(run->count, first + run->chunk_tasks);
-    for (uint32_t task = first; task < end; task++) {
+    struct ow_task_range tasks = tasks_of(chunk);
+    for (uint32_t task = tasks.first; task < tasks.end; task++) {
         const struct ow_attempt *at = run->tasks[task].attempt;
         if (run->tasks[task].done)
             g_array_append_val(record.done, task);
--- a/src/core/records/record_values.h
+++ b/src/core/records/record_values.h
@@ -7,6 +7,11 @@
 
 struct ow_write;
 
+/* Consecutive tasks of a job: from `first` up to, not including, `end`. */
+struct ow_task_range {
+    uint32_t first, end;
+};
+
 /* One value of the state service, with the records of the chunks in it. */
 struct ow_record_value {
     uint32_t number;   /* in its key */
@@ -21,14 +26,16 @@
     struct ow_record_value *after;
 };
 
+/* The tasks of the chunk `index` in a run of `task_count` tasks that is divided into chunks of `chunk_tasks`.
+ */
+struct ow_task_range ow_chunk_task_range(uint32_t index, uint32_t chunk_tasks, uint32_t task_count);
 /* The record value of this number, or NULL. */
 struct ow_record_value *ow_record_values_find(const struct ow_leader *leader, uint32_t number);
 /* The record value of this number, which is added empty if it is new. */
 struct ow_record_value *ow_record_values_find_or_add(struct ow_leader *leader, uint32_t number);
-/* The stored value keeps what it says of tasks `first` up to, not including, `end` until all of them are
-   recorded elsewhere. */
-void ow_record_values_retain(struct ow_record_value *record_value, struct ow_job *job, uint32_t first,
-                             uint32_t end);
+/* The stored value keeps what it says of these tasks until all of them are recorded elsewhere. */
+void ow_record_values_retain(struct ow_record_value *record_value, struct ow_job *job,
+                             struct ow_task_range tasks);
 /* Whether the stored value must stay as it is for now. */
 bool ow_record_values_retains_tasks(struct ow_record_value *record_value);
 /* Records the run in smaller chunks from now on. Nothing of it may be in a write. */
--- a/src/core/records/recorder.c
+++ b/src/core/records/recorder.c
@@ -13,7 +13,7 @@
 
 #include <string.h>
 
-enum { TXN_BYTES = 60 * 1024, KEY_BYTES = 120, LEAST_CHUNK_TASKS = 8 };
+enum { TXN_BYTES = 60 * 1024, KEY_BYTES = 120 };
 /* Progress alone may wait so long for company, and values that hold what is over; the rest goes out at once.
  */
 static const double LAZY_S = 1.5, TIDY_S = 10, RETRY_S = 0.2, REFUSED_S = 5;
@@ -160,7 +160,7 @@
     if (strlen(value) <= leader->controller->limits.value_bytes || g->chunks->len != 1)
         return false;
     const struct ow_chunk *chunk = g_ptr_array_index(g->chunks, 0);
-    return leader->format.current >= OW_FORMAT_FINE && chunk->job->run->chunk_tasks > LEAST_CHUNK_TASKS;
+    return leader->format.current >= OW_FORMAT_FINE && chunk->job->run->chunk_tasks > OW_LEAST_CHUNK_TASKS;
 }
 
 static void put_record_value(struct ow_leader *leader, struct ow_write *w, struct ow_store_request *txn)
--- a/src/core/records/records.h
+++ b/src/core/records/records.h
@@ -22,8 +22,8 @@
 /* Formats of records and messages. Before every controller is known to read FINE, progress is recorded in
    runs of 256 tasks; with it in runs as small as values have to be, whose size stands in their name. */
 enum { OW_FORMAT_FIRST = 1, OW_FORMAT_FINE = 2 };
-/* The tasks of a chunk in the first format. */
-enum { OW_CHUNK_TASKS = 256 };
+/* The tasks of a chunk in the first format, the most that a chunk may have; and the fewest. */
+enum { OW_CHUNK_TASKS = 256, OW_LEAST_CHUNK_TASKS = 8 };
 
 struct ow_job_record {
     enum ow_job_state state;          /* queued stands for every job that is not over */
--- a/src/core/records/takeover.c
+++ b/src/core/records/takeover.c
@@ -70,15 +70,15 @@
 static void load_record(struct ow_leader *leader, struct ow_run *run, const struct loaded *l)
 {
     struct ow_progress_record record;
-    uint32_t first = l->index * l->tasks, end = MIN(run->count, first + l->tasks);
+    struct ow_task_range tasks = ow_chunk_task_range(l->index, l->tasks, run->count);
     if (!wire_progress_record_parse(l->value, &record))
         g_warning("a progress record of job %s cannot be read in full", run->job->id);
     for (guint i = run->attempts->len; i > 0; i--) {
         struct ow_attempt *at = g_ptr_array_index(run->attempts, i - 1);
-        if (at->task >= first && at->task < end)
+        if (at->task >= tasks.first && at->task < tasks.end)
             ow_attempt_unload(leader, at);
     }
-    for (uint32_t task = first; task < end; task += run->chunk_tasks)
+    for (uint32_t task = tasks.first; task < tasks.end; task += run->chunk_tasks)
         ow_run_chunk(run, task)->last_attempt =
             MAX(ow_run_chunk(run, task)->last_attempt, record.last_attempt);
     for (guint i = 0; i < record.done->len; i++) {
@@ -97,7 +97,7 @@
  */
 static void load_place(struct ow_leader *leader, struct ow_run *run, const struct loaded *l)
 {
-    uint32_t first = l->index * l->tasks, end = MIN(run->count, first + l->tasks);
+    struct ow_task_range tasks = ow_chunk_task_range(l->index, l->tasks, run->count);
     if (l->tasks == run->chunk_tasks) {
         struct ow_chunk *chunk = &run->chunks[l->index];
         if (chunk->record_value != NULL)
@@ -105,9 +105,9 @@
         ow_record_values_add(l->record_value, chunk);
         return;
     }
-    ow_record_values_retain(l->record_value, run->job, first, end);
+    ow_record_values_retain(l->record_value, run->job, tasks);
     ow_recorder_compact(leader, l->record_value);
-    for (uint32_t task = first; task < end; task += run->chunk_tasks)
+    for (uint32_t task = tasks.first; task < tasks.end; task += run->chunk_tasks)
         ow_recorder_chunk(leader, run, task, true);
 }
 
