--- a/src/core/records/record_values.h
+++ b/src/core/records/record_values.h
@@ -21,7 +21,7 @@
     bool refines;      /* its only chunk does not fit a value and is to be divided */
     GArray *retained;  /* tasks that its stored value records and that must first be recorded elsewhere */
     size_t bytes;      /* of its value as last written, and an estimate of what came since */
-    struct ow_write *queued; /* recorder.c: the write that waits for it; NULL: none */
+    struct ow_write *queued; /* write_queue.c: the write that waits for it; NULL: none */
     /* The value to which chunks moved: it must be written before this one; NULL: none. */
     struct ow_record_value *after;
 };
--- /dev/null
+++ b/src/core/records/transaction_reply.c
@@ -0,0 +1,224 @@
+#include "core/records/transaction_reply.h"
+
+#include "core/api/job_cache.h"
+#include "core/election/election.h"
+#include "core/leader_state.h"
+#include "core/machines/machine.h"
+#include "core/records/record_values.h"
+#include "core/records/recorder_state.h"
+#include "core/records/records.h"
+#include "core/run.h"
+
+#include <string.h>
+
+/* How long after a failure the next transaction is sent; and when it can't be made any smaller. */
+static const double RETRY_S = 0.2, REFUSED_S = 5;
+
+/* The writes of the answered transaction, detached: handling them may drop runs with their other writes. The
+   caller frees them. */
+static GPtrArray *take_sent(struct ow_recorder *recorder)
+{
+    GPtrArray *sent = recorder->sent;
+    recorder->sent = g_ptr_array_new_with_free_func(g_free);
+    return sent;
+}
+
+/* ---- success ---- */
+
+/* Record values that waited for this one need not wait any more. */
+static void unblock_others(struct ow_leader *leader, const struct ow_record_value *record_value)
+{
+    for (guint i = 0; i < leader->record_values->len; i++) {
+        struct ow_record_value *other = g_ptr_array_index(leader->record_values, i);
+        if (other->after == record_value)
+            other->after = NULL;
+    }
+}
+
+static void commit_chunk(struct ow_chunk *chunk, uint64_t serial)
+{
+    const struct ow_run *run = chunk->job->run;
+    chunk->writing = false;
+    for (guint i = 0; i < run->attempts->len; i++) {
+        struct ow_attempt *attempt = g_ptr_array_index(run->attempts, i);
+        if (attempt->state != OW_ATTEMPT_PLANNED || attempt->in_write != serial)
+            continue;
+        if (ow_run_chunk(run, attempt->task) != chunk)
+            continue;
+        attempt->state = OW_ATTEMPT_COMMITTED;
+        attempt->machine->direct_wanted = true;
+    }
+}
+
+static void commit_record_value(struct ow_leader *leader, struct ow_record_value *record_value,
+                                uint64_t revision)
+{
+    record_value->version = revision;
+    unblock_others(leader, record_value);
+    for (guint i = 0; i < record_value->chunks->len; i++)
+        commit_chunk(g_ptr_array_index(record_value->chunks, i), leader->recorder->serial);
+}
+
+static void commit_finish(struct ow_leader *leader, struct ow_run *run, uint64_t revision)
+{
+    struct ow_job *job = run->job;
+    if (!ow_job_over(job))
+        g_info("job %s done", job->id);
+    ow_run_drop(leader, run);
+    enum ow_job_state state = job->state == OW_JOB_CANCELLED ? OW_JOB_CANCELLED : OW_JOB_DONE;
+    ow_jobs_apply(leader->controller->jobs, job->id, revision, state, NULL, leader->controller->now, 0);
+}
+
+static void commit(struct ow_leader *leader, uint64_t revision)
+{
+    GPtrArray *sent = take_sent(leader->recorder);
+    for (guint i = 0; i < sent->len; i++) {
+        const struct ow_write *write = g_ptr_array_index(sent, i);
+        if (write->kind == OW_WRITE_RECORD_VALUE)
+            commit_record_value(leader, write->record_value, revision);
+        else if (write->run != NULL)
+            commit_finish(leader, write->run, revision);
+    }
+    g_ptr_array_free(sent, TRUE);
+}
+
+/* ---- checks of versions that a failed transaction expected ---- */
+
+static void read_version(struct ow_leader *leader, const char *key);
+
+static struct ow_record_value *record_value_of_key(const struct ow_leader *leader, const char *key)
+{
+    guint64 number = 0;
+    if (!g_ascii_string_to_unsigned(key + strlen(OW_KEY_PROGRESS), 10, 0, UINT32_MAX, &number, NULL))
+        return NULL;
+    return ow_record_values_find(leader, (uint32_t)number);
+}
+
+static void on_version(void *owner, void *data, const struct ow_event *answer)
+{
+    struct ow_leader *leader = owner;
+    const char *key = data;
+    int status = answer->store.status;
+    if (status != 200 && status != 404) {
+        /* Nothing is written before the versions are known again. */
+        read_version(leader, key);
+        return;
+    }
+    leader->recorder->version_checks--;
+    struct ow_record_value *record_value = record_value_of_key(leader, key);
+    if (record_value == NULL)
+        return;
+    record_value->version = 0;
+    if (status == 200)
+        record_value->version = g_array_index(answer->store.items, struct ow_store_item, 0).version;
+}
+
+static void read_version(struct ow_leader *leader, const char *key)
+{
+    struct ow_store_request *request = ow_store_request_new(OW_STORE_GET, key);
+    ow_controller_store(leader->controller, request, on_version, leader, g_strdup(key), g_free);
+}
+
+static void on_job_fresh(struct ow_controller *controller, void *data, bool ok)
+{
+    struct ow_leader *leader = controller->leader;
+    const uint64_t *token = data;
+    (void)ok; /* if the read failed, the write fails again and the job is read again */
+    if (leader == NULL || leader->token != *token)
+        return;
+    leader->recorder->version_checks--;
+    leader->pass.due = true;
+}
+
+/* Learns the version of a record that was not as the transaction expected. */
+static void check_version(struct ow_leader *leader, const char *key)
+{
+    leader->recorder->version_checks++;
+    if (!g_str_has_prefix(key, OW_KEY_JOBS)) {
+        read_version(leader, key);
+        return;
+    }
+    uint64_t *token = g_new(uint64_t, 1);
+    *token = leader->token;
+    ow_job_cache_refresh(leader->controller->job_cache, on_job_fresh, token);
+}
+
+/* ---- failure ---- */
+
+static void requeue_record_value(struct ow_leader *leader, const struct ow_write *write)
+{
+    for (guint i = 0; i < write->record_value->chunks->len; i++) {
+        struct ow_chunk *chunk = g_ptr_array_index(write->record_value->chunks, i);
+        chunk->dirty = chunk->dirty || chunk->writing;
+        chunk->writing = false;
+    }
+    ow_write_queue_add_record_value(leader->recorder->queue, write->record_value, write->order,
+                                    write->due_at);
+}
+
+/* Queues everything again: a record is made anew from the state at the time it is written. */
+static void requeue(struct ow_leader *leader)
+{
+    GPtrArray *sent = take_sent(leader->recorder);
+    for (guint i = 0; i < sent->len; i++) {
+        const struct ow_write *write = g_ptr_array_index(sent, i);
+        if (write->kind == OW_WRITE_RECORD_VALUE) {
+            requeue_record_value(leader, write);
+        } else if (write->run != NULL) {
+            write->run->finishing = false; /* the scheduling pass finishes it again, if it is still over */
+            leader->pass.due = true;
+        }
+    }
+    g_ptr_array_free(sent, TRUE);
+}
+
+/* Too large: the limits have changed otherwise than the settings say. The same again would fail for ever. */
+static void shrink_limits(struct ow_leader *leader)
+{
+    struct ow_recorder *recorder = leader->recorder;
+    bool smaller =
+        ow_limits_refused(&leader->controller->limits, recorder->sent_changes, recorder->sent_largest);
+    g_warning("the state service refuses a write of %u changes, the largest of %zu bytes; %s",
+              recorder->sent_changes, recorder->sent_largest,
+              smaller ? "the next ones are smaller" : "it can't be made smaller");
+    recorder->next_at = leader->controller->now + (smaller ? RETRY_S : REFUSED_S);
+}
+
+static bool leader_key_has_changed(const struct ow_store_reply *reply)
+{
+    if (reply->status != 409 || reply->failed == NULL)
+        return false;
+    return g_strv_contains((const char *const *)reply->failed, OW_KEY_LEADER);
+}
+
+static void check_failed_versions(struct ow_leader *leader, const struct ow_store_reply *reply)
+{
+    if (reply->failed == NULL)
+        return;
+    for (char **key = reply->failed; *key != NULL; key++)
+        check_version(leader, *key);
+}
+
+void ow_transaction_reply_handle(struct ow_leader *leader, const struct ow_store_reply *reply)
+{
+    struct ow_recorder *recorder = leader->recorder;
+    recorder->busy = false;
+    if (reply->status == 200) {
+        commit(leader, reply->revision);
+        return;
+    }
+    if (leader_key_has_changed(reply)) {
+        ow_election_deposed(leader->controller->election);
+        return;
+    }
+    /* Without a response it may have been carried out, or may still be: the versions it expects make a
+       second time harmless, and if it was, the next try fails on them and learns the new ones. */
+    requeue(leader);
+    recorder->next_at = leader->controller->now + RETRY_S;
+    if (reply->status == 429)
+        ow_rate_limiter_empty(&recorder->changes, leader->controller->now);
+    if (reply->status == 400)
+        shrink_limits(leader);
+    if (reply->status == 409)
+        check_failed_versions(leader, reply);
+}
