--- a/src/core/election/election.h
+++ b/src/core/election/election.h
@@ -9,23 +9,26 @@
 struct ow_controller;
 struct ow_election;
 
+/* An election in which this controller has not taken part yet; freed by ow_election_free(). */
 struct ow_election *ow_election_new(struct ow_controller *controller);
 void ow_election_free(struct ow_election *election);
+/* Sends what is due: reads, watches and writes of the key, and renewals of its lease. */
 void ow_election_tick(struct ow_election *election);
 /* Our token; 0 while we do not lead. */
 uint64_t ow_election_token(const struct ow_election *election);
-/* The revision of the leader's key as we know it, ours included; 0: nobody holds it, or we don't know.
- */
+/* The revision of the leader's key as we know it, ours included; 0: nobody holds it, or it is unknown. */
 uint64_t ow_election_key(const struct ow_election *election);
 /* A write of ours showed that the key is not as we know it. */
 void ow_election_invalidate(struct ow_election *election);
 /* The name of the controller that leads as far as we know, or NULL. */
 const char *ow_election_leader_name(const struct ow_election *election);
-/* Somebody has seen this token; `leader_name` is its holder's name, or NULL if unknown. */
+/* Somebody has seen this token. A token higher than ours ends our term; `leader_name` is its holder's name,
+ * or NULL if unknown. */
 void ow_election_observe_token(struct ow_election *election, uint64_t token, const char *leader_name);
 /* A controller seems to have ended. If it leads, its key is taken over without waiting for its lease. */
 void ow_election_peer_ended(struct ow_election *election, const char *controller_name);
-/* We lead, but are of no use to the workers: another one is to lead, and we try again only later. */
+/* Gives up leadership because the workers cannot reach us: the key is deleted, and we try again only later.
+ */
 void ow_election_yield(struct ow_election *election, const char *why);
 /* A write of ours failed because the key has changed hands. */
 void ow_election_deposed(struct ow_election *election);
--- /dev/null
+++ b/src/core/election/leader_key.c
@@ -0,0 +1,138 @@
+#include "core/election/leader_key.h"
+
+#include "core/controller.h"
+#include "core/election/election_state.h"
+#include "core/records/records.h"
+#include "wire/records_json.h"
+
+/* How long one watch lasts, and the time from the end of one to the next. */
+static const double WATCH_S = 20, WATCH_GAP_S = 0.2;
+
+bool ow_leader_key_is_own_name(const struct ow_election *election, const char *name)
+{
+    return g_strcmp0(name, election->controller->settings->controller_name) == 0;
+}
+
+char *ow_leader_key_nonce(const struct ow_election *election)
+{
+    return g_strdup_printf("%016" G_GINT64_MODIFIER "x", election->controller->nonce);
+}
+
+/* Whether this process has written the key with the lease that it still holds, and has not led with it yet.
+   A token that it has led with and given up is not taken up again: launches sent under it may still be on
+   their way. */
+static bool is_own_write(const struct ow_election *election, uint64_t version, const char *leader_name,
+                         const char *nonce)
+{
+    if (!ow_leader_key_is_own_name(election, leader_name) || election->lease == 0)
+        return false;
+    if (version <= election->taken_from || version <= election->token)
+        return false;
+    char *own_nonce = ow_leader_key_nonce(election);
+    bool same = g_strcmp0(nonce, own_nonce) == 0;
+    g_free(own_nonce);
+    return same;
+}
+
+static void handle_key(struct ow_election *election, const struct ow_store_item *item)
+{
+    const char *leader_name = NULL, *nonce = NULL;
+    wire_leader_record_parse(item->value, &leader_name, &nonce);
+    if (item->version != election->key_version)
+        election->led_since = election->controller->now;
+    election->key_version = item->version;
+    election->key_known = true;
+    if (is_own_write(election, item->version, leader_name, nonce)) {
+        /* The answer to our own write was lost, but it was carried out. */
+        ow_election_begin_to_lead(election, item->version);
+        return;
+    }
+    if (ow_leader_key_is_own_name(election, leader_name)) {
+        /* An earlier process of this name, which has ended: its key need not run out first. */
+        ow_election_set_leader_name(election, NULL);
+        ow_election_run_for_leader(election);
+        return;
+    }
+    ow_election_set_leader_name(election, leader_name);
+    election->seen_token = MAX(election->seen_token, item->version);
+}
+
+static void handle_missing_key(struct ow_election *election)
+{
+    election->key_version = 0;
+    election->key_known = true;
+    ow_election_set_leader_name(election, NULL);
+    ow_election_run_for_leader(election);
+}
+
+static void on_read(void *owner, void *data, const struct ow_event *answer)
+{
+    struct ow_election *election = owner;
+    const struct ow_store_reply *reply = &answer->store;
+    (void)data;
+    election->busy = false;
+    if (election->stage != OW_ELECTION_LOOKING)
+        return;
+    if (reply->status == 200 && reply->items->len == 1) {
+        const struct ow_store_item *item = &g_array_index(reply->items, struct ow_store_item, 0);
+        election->revision = MAX(election->revision, item->version);
+        handle_key(election, item);
+    } else if (reply->status == 404) {
+        election->revision = MAX(election->revision, reply->revision);
+        handle_missing_key(election);
+    } else {
+        election->act_at = election->controller->now + OW_ELECTION_RETRY_S;
+    }
+}
+
+void ow_leader_key_read(struct ow_election *election)
+{
+    struct ow_store_request *request = ow_store_request_new(OW_STORE_GET, OW_KEY_LEADER);
+    election->busy = true;
+    ow_controller_store(election->controller, request, on_read, election, NULL, NULL);
+}
+
+static void handle_failed_watch(struct ow_election *election, int status)
+{
+    /* The changes since this revision are not available any more. */
+    if (status == 410)
+        election->revision = 0;
+    if (election->stage == OW_ELECTION_LOOKING)
+        election->key_known = false;
+}
+
+static void handle_change(struct ow_election *election, const struct ow_store_item *item)
+{
+    if (item->version < election->key_version)
+        return;
+    if (item->value == NULL)
+        handle_missing_key(election);
+    else
+        handle_key(election, item);
+}
+
+static void on_watch(void *owner, void *data, const struct ow_event *answer)
+{
+    struct ow_election *election = owner;
+    const struct ow_store_reply *reply = &answer->store;
+    (void)data;
+    election->watching = false;
+    if (reply->status != 200) {
+        election->watch_at = election->controller->now + OW_ELECTION_RETRY_S;
+        handle_failed_watch(election, reply->status);
+        return;
+    }
+    election->watch_at = election->controller->now + WATCH_GAP_S;
+    election->revision = MAX(election->revision, reply->revision);
+    for (guint i = 0; i < reply->items->len && election->stage == OW_ELECTION_LOOKING; i++)
+        handle_change(election, &g_array_index(reply->items, struct ow_store_item, i));
+}
+
+void ow_leader_key_watch(struct ow_election *election)
+{
+    struct ow_store_request *request = ow_store_request_new(OW_STORE_WATCH, OW_KEY_LEADER);
+    request->number = election->revision;
+    request->seconds = WATCH_S;
+    election->watching = true;
+    ow_controller_store(election->controller, request, on_watch, election, NULL, NULL);
+}
--- /dev/null
+++ b/src/core/election/leader_key.h
@@ -0,0 +1,18 @@
+/* The leader's key as the state service shows it: reading and watching it while another controller leads. */
+#ifndef OW_CORE_ELECTION_LEADER_KEY_H
+#define OW_CORE_ELECTION_LEADER_KEY_H
+
+#include <stdbool.h>
+
+struct ow_election;
+
+/* Whether the name is that of this controller. */
+bool ow_leader_key_is_own_name(const struct ow_election *election, const char *name);
+/* The text by which this process recognizes a key that it has written; the caller frees it. */
+char *ow_leader_key_nonce(const struct ow_election *election);
+/* Reads the key. No request of the stage may be under way. */
+void ow_leader_key_read(struct ow_election *election);
+/* Waits for the next change of the key. No watch may be under way. */
+void ow_leader_key_watch(struct ow_election *election);
+
+#endif
--- /dev/null
+++ b/src/core/election/leader_lease.c
@@ -0,0 +1,99 @@
+#include "core/election/leader_lease.h"
+
+#include "core/controller.h"
+#include "core/election/election_state.h"
+#include "core/election/leader_key.h"
+#include "core/records/records.h"
+#include "wire/records_json.h"
+
+static void on_lease(void *owner, void *data, const struct ow_event *answer)
+{
+    struct ow_election *election = owner;
+    (void)data;
+    election->busy = false;
+    if (election->stage != OW_ELECTION_LEASING)
+        return;
+    if (answer->store.status != 200) {
+        ow_election_look_again(election, OW_ELECTION_RETRY_S);
+        return;
+    }
+    election->lease = answer->store.lease;
+    election->stage = OW_ELECTION_TAKING;
+}
+
+void ow_leader_lease_obtain(struct ow_election *election)
+{
+    struct ow_store_request *request = ow_store_request_new(OW_STORE_LEASE, NULL);
+    request->seconds = election->controller->rules->leader_lease_s;
+    election->busy = true;
+    ow_controller_store(election->controller, request, on_lease, election, NULL, NULL);
+}
+
+static void on_key_taken(void *owner, void *data, const struct ow_event *answer)
+{
+    struct ow_election *election = owner;
+    int status = answer->store.status;
+    (void)data;
+    election->busy = false;
+    if (election->stage != OW_ELECTION_TAKING)
+        return;
+    if (status == 200) {
+        ow_election_begin_to_lead(election, answer->store.revision);
+        return;
+    }
+    /* No response: the write may have been carried out, so the key is read before anything else.
+       A refused lease must not be used again. */
+    if (status == 400)
+        election->lease = 0;
+    ow_election_look_again(election, status == 409 ? 0 : OW_ELECTION_RETRY_S);
+}
+
+void ow_leader_lease_take_key(struct ow_election *election)
+{
+    struct ow_store_request *transaction = ow_store_request_new(OW_STORE_TXN, NULL);
+    char *nonce = ow_leader_key_nonce(election);
+    char *record = wire_leader_record(election->controller->settings->controller_name, nonce);
+    ow_store_expect(transaction, OW_KEY_LEADER, election->key_version);
+    ow_store_write(transaction, OW_KEY_LEADER, record, election->lease);
+    g_free(nonce);
+    election->taken_from = election->key_version;
+    election->busy = true;
+    ow_controller_store(election->controller, transaction, on_key_taken, election, NULL, NULL);
+}
+
+static void on_renewed(void *owner, void *data, const struct ow_event *answer)
+{
+    struct ow_election *election = owner;
+    const uint64_t *lease = data;
+    int status = answer->store.status;
+    election->renewing = false;
+    if (election->stage != OW_ELECTION_LEADING || *lease != election->lease)
+        return;
+    /* In an outage the lease keeps its full time, so only a clear "no such lease" ends our term. */
+    if (status == 404) {
+        ow_election_step_down(election, "its lease has ended");
+        return;
+    }
+    double pause_s = OW_ELECTION_RETRY_S;
+    if (status == 200)
+        pause_s = election->controller->rules->leader_lease_s / 4;
+    election->renew_at = election->controller->now + pause_s;
+}
+
+void ow_leader_lease_renew(struct ow_election *election)
+{
+    struct ow_store_request *request = ow_store_request_new(OW_STORE_RENEW, NULL);
+    uint64_t *lease = g_new(uint64_t, 1);
+    *lease = election->lease;
+    request->number = election->lease;
+    election->renewing = true;
+    ow_controller_store(election->controller, request, on_renewed, election, lease, g_free);
+}
+
+void ow_leader_lease_release_key(struct ow_election *election)
+{
+    struct ow_store_request *transaction = ow_store_request_new(OW_STORE_TXN, NULL);
+    ow_store_expect(transaction, OW_KEY_LEADER, election->token);
+    ow_store_write(transaction, OW_KEY_LEADER, NULL, 0);
+    ow_controller_store(election->controller, transaction, NULL, election, NULL, NULL);
+}
--- /dev/null
+++ b/src/core/election/succession.c
@@ -0,0 +1,65 @@
+#include "core/election/succession.h"
+
+#include "core/api/job_cache.h"
+#include "core/controller.h"
+#include "core/election/election_state.h"
+#include "core/records/records.h"
+
+/* Slack for clocks that drift, for messages under way, and for a worker's last report. */
+static const double CLOCK_DRIFT = 0.002, MARGIN_S = 3;
+/* A leader so young is not taken over on a hint: two that can't reach each other would take turns. */
+static const double HINT_AGE_S = 8;
+/* During an upgrade: how long a controller that has just come back lets a leader of an earlier version lead,
+   and how recently that leader must have said which version it is. */
+static const double OUTDATED_LEADER_S = 2, PEER_FRESH_S = 5;
+
+bool ow_succession_may_replace_ended(const struct ow_election *election, const char *controller_name)
+{
+    if (election->stage != OW_ELECTION_LOOKING || election->busy)
+        return false;
+    if (!election->key_known || election->key_version == 0)
+        return false;
+    if (g_strcmp0(election->leader_name, controller_name) != 0)
+        return false;
+    return election->controller->now - election->led_since >= HINT_AGE_S;
+}
+
+/* A leader that gets no answer at all from the state service, not even a refusal, may be cut off, alone
+   or together with workers and other controllers, and have a successor whose cancellations it does not hear
+   of: by answering reports it would keep their tasks alive. It stops so early that leases end within the time
+   that a cancelled task may last. In an ordinary outage the refusals themselves show that it is not cut off.
+ */
+bool ow_succession_is_cut_off(const struct ow_election *election)
+{
+    const struct ow_controller *controller = election->controller;
+    const struct ow_settings *settings = controller->settings;
+    if (settings->peers->len == 0)
+        return false;
+    double patience_s = settings->cancel_s - settings->lease_s * (1 + CLOCK_DRIFT) - MARGIN_S;
+    double answered_at = MAX(controller->state_ok_at, controller->state_refused_at);
+    double heard_at = MAX(election->began_at, answered_at);
+    return controller->now - heard_at > MAX(patience_s, 2 * controller->rules->leader_lease_s);
+}
+
+static bool leader_format_is_outdated(const struct ow_election *election)
+{
+    const struct ow_controller *controller = election->controller;
+    void *stored = g_hash_table_lookup(controller->peer_formats, election->leader_name);
+    guint format = GPOINTER_TO_UINT(stored);
+    return format != 0 && format < OW_FORMAT_FINE;
+}
+
+bool ow_succession_leader_is_outdated(const struct ow_election *election)
+{
+    const struct ow_controller *controller = election->controller;
+    double now = controller->now;
+    if (election->leader_name == NULL || election->key_version == 0)
+        return false;
+    if (!ow_job_cache_loaded(controller->job_cache) || !leader_format_is_outdated(election))
+        return false;
+    const double *heard_at = g_hash_table_lookup(controller->peers_ok, election->leader_name);
+    if (heard_at == NULL || now - *heard_at >= PEER_FRESH_S)
+        return false;
+    bool state_is_well = controller->state_bad_since == 0 && now - controller->state_ok_at < PEER_FRESH_S;
+    return state_is_well && now - election->led_since > OUTDATED_LEADER_S;
+}
