--- a/src/core/api/cancellation_ack.c
+++ b/src/core/api/cancellation_ack.c
@@ -1,6 +1,6 @@
 #include "core/api/cancellation_ack.h"
 
-#include "core/api/user_api.h"
+#include "core/api/job_answer.h"
 #include "core/controller.h"
 #include "core/election/election.h"
 #include "core/leader.h"
@@ -135,7 +135,7 @@
                controller->now - e->since);
     for (guint i = 0; i < e->waiting_requests->len; i++) {
         const struct waiting_request *v = &g_array_index(e->waiting_requests, struct waiting_request, i);
-        ow_user_api_answer_job(controller, v->request, v->status, job);
+        ow_job_answer_acknowledged(controller, v->request, v->status, job);
     }
 }
 
--- /dev/null
+++ b/src/core/api/poll.h
@@ -0,0 +1,12 @@
+/* Users' polls for the state of a job. */
+#ifndef OW_CORE_API_POLL_H
+#define OW_CORE_API_POLL_H
+
+#include <stdint.h>
+
+struct ow_controller;
+
+/* Answers with the state of the job of this id, after a read of the state service if need be. */
+void ow_poll_job(struct ow_controller *controller, uint64_t request, const char *id);
+
+#endif
--- /dev/null
+++ b/src/core/api/submit.h
@@ -0,0 +1,15 @@
+/* Users' submissions of jobs. A submission whose id is known is a repeat and answered as a poll. */
+#ifndef OW_CORE_API_SUBMIT_H
+#define OW_CORE_API_SUBMIT_H
+
+#include "core/types.h"
+
+struct ow_controller;
+
+/* Records the job if it is new and can run some day, and answers. Takes over `submission`. */
+void ow_submit_job(struct ow_controller *controller, uint64_t request, struct ow_submission *submission);
+/* Handles a submission of which only the id can be read; `fault` must stay valid. */
+void ow_submit_malformed(struct ow_controller *controller, uint64_t request, const char *id,
+                         const char *fault);
+
+#endif
--- /dev/null
+++ b/src/core/api/team_usage.h
@@ -0,0 +1,12 @@
+/* Users' requests for what each team uses and waits for. */
+#ifndef OW_CORE_API_TEAM_USAGE_H
+#define OW_CORE_API_TEAM_USAGE_H
+
+#include <stdint.h>
+
+struct ow_controller;
+
+/* Answers with the usage of every team in the settings. */
+void ow_team_usage_answer(struct ow_controller *controller, uint64_t request);
+
+#endif
--- a/src/core/core.c
+++ b/src/core/core.c
@@ -1,8 +1,11 @@
 #include "core/core.h"
 
+#include "core/api/cancel.h"
 #include "core/api/cancellation_ack.h"
 #include "core/api/job_cache.h"
-#include "core/api/user_api.h"
+#include "core/api/poll.h"
+#include "core/api/submit.h"
+#include "core/api/team_usage.h"
 #include "core/controller.h"
 #include "core/election/election.h"
 #include "core/leader.h"
@@ -187,19 +190,19 @@
         handle_peer(controller, c);
         break;
     case OW_EVENT_CANCEL:
-        ow_user_api_cancel(controller, c->request, c->id);
+        ow_cancel_job(controller, c->request, c->id);
         break;
     case OW_EVENT_POLL:
-        ow_user_api_poll(controller, c->request, c->id);
+        ow_poll_job(controller, c->request, c->id);
         break;
     case OW_EVENT_TEAMS:
-        ow_user_api_teams(controller, c->request);
+        ow_team_usage_answer(controller, c->request);
         break;
     case OW_EVENT_SUBMIT:
         if (c->submission != NULL)
-            ow_user_api_submit(controller, c->request, g_steal_pointer(&c->submission));
+            ow_submit_job(controller, c->request, g_steal_pointer(&c->submission));
         else
-            ow_user_api_malformed(controller, c->request, c->id, c->fault);
+            ow_submit_malformed(controller, c->request, c->id, c->fault);
         break;
     }
 }
