--- a/src/core/api/submit.c
+++ b/src/core/api/submit.c
@@ -106,7 +106,8 @@
     }
 }
 
-/* NULL and an answer if the record doesn't fit a value of the state service. */
+/* NULL and an answer if the record doesn't fit a value of the state service. Another controller, which has
+   not met the limit, may have accepted the job before. */
 static char *record_that_fits(struct ow_controller *controller, uint64_t request,
                               const struct ow_job_record *record)
 {
@@ -114,7 +115,7 @@
     if (strlen(text) < controller->limits.refused_bytes)
         return text;
     g_free(text);
-    ow_controller_refuse(controller, request, 422, TOO_LARGE, 0);
+    refuse_unless_known(controller, request, record->submission->id, 422, TOO_LARGE);
     return NULL;
 }
 
--- a/src/core/records/limits.c
+++ b/src/core/records/limits.c
@@ -25,6 +25,11 @@
         return true;
     }
     limits->refused_bytes = MIN(limits->refused_bytes, largest);
+    /* A value that could not be made smaller: it tells nothing of those that are. */
+    if (largest > limits->value_bytes) {
+        limits->value_bytes_now = limits->value_bytes;
+        return false;
+    }
     if (limits->value_bytes <= LEAST_BYTES)
         return false;
     limits->value_bytes = MAX(MIN(limits->value_bytes, largest) / 2, LEAST_BYTES);
--- a/src/core/records/record_values.h
+++ b/src/core/records/record_values.h
@@ -14,13 +14,15 @@
 
 /* One value of the state service, with the records of the chunks in it. */
 struct ow_record_value {
-    uint32_t number;   /* in its key */
-    uint64_t version;  /* of its value; 0: none */
-    int class_index;   /* of its chunks */
-    GPtrArray *chunks; /* struct ow_chunk, owned by their runs */
-    bool refines;      /* its only chunk does not fit a value and is to be divided */
-    GArray *retained;  /* tasks that its stored value records and that must first be recorded elsewhere */
-    size_t bytes;      /* of its value as last written, and an estimate of what came since */
+    bool oversized;       /* as last encoded it was larger than the limit for values */
+    double refused_until; /* it was refused for its size and can not be made smaller: not written before */
+    uint32_t number;      /* in its key */
+    uint64_t version;     /* of its value; 0: none */
+    int class_index;      /* of its chunks */
+    GPtrArray *chunks;    /* struct ow_chunk, owned by their runs */
+    bool refines;         /* its only chunk does not fit a value and is to be divided */
+    GArray *retained;     /* tasks that its stored value records and that must first be recorded elsewhere */
+    size_t bytes;         /* of its value as last written, and an estimate of what came since */
     struct ow_write *queued; /* write_queue.c: the write that waits for it; NULL: none */
     /* The value to which chunks moved: it must be written before this one; NULL: none. */
     struct ow_record_value *after;
--- a/src/core/records/transaction.c
+++ b/src/core/records/transaction.c
@@ -84,6 +84,12 @@
         ow_write_queue_add_record_value(queue, record_value, write->order, write->due_at);
         return;
     }
+    record_value->oversized = strlen(value) > leader->controller->limits.value_bytes;
+    if (record_value->oversized && transaction->changes->len > 0) {
+        g_free(value);
+        ow_write_queue_add_record_value(queue, record_value, write->order, write->due_at);
+        return;
+    }
     put_value(leader, record_value, value, transaction);
     add_to_sent(leader->recorder, write);
 }
@@ -128,7 +134,8 @@
    spare nothing is gained by waiting longer. */
 static bool must_wait(const struct ow_write *write, double now, bool spare)
 {
-    if (write->kind == OW_WRITE_RECORD_VALUE && is_blocked(write->record_value))
+    if (write->kind == OW_WRITE_RECORD_VALUE &&
+        (is_blocked(write->record_value) || now < write->record_value->refused_until))
         return true;
     if (write->due_at <= now)
         return false;
@@ -136,6 +143,12 @@
     return !(spare && due_soon);
 }
 
+/* A value that may be refused for its size goes alone, or it would take the others down with it. */
+static bool must_go_alone(const struct ow_write *write)
+{
+    return write->kind == OW_WRITE_RECORD_VALUE && write->record_value->oversized;
+}
+
 /* Whether the transaction has room for one more change, which may be as large as a value may be now. */
 static bool has_room(const struct ow_leader *leader, const struct ow_store_request *transaction,
                      guint most_changes)
@@ -144,6 +157,8 @@
         return false;
     if (transaction->changes->len == 0)
         return true;
+    if (ow_store_largest_value(transaction) > leader->controller->limits.value_bytes)
+        return false;
     return transaction_bytes(transaction) + leader->controller->limits.value_bytes_now < TRANSACTION_BYTES;
 }
 
@@ -165,7 +180,8 @@
     guint position = 0;
     ow_write_queue_sort(recorder->queue);
     while (position < ow_write_queue_length(recorder->queue) && has_room(leader, transaction, most_changes)) {
-        if (must_wait(ow_write_queue_at(recorder->queue, position), now, spare)) {
+        const struct ow_write *next = ow_write_queue_at(recorder->queue, position);
+        if (must_wait(next, now, spare) || (transaction->changes->len > 0 && must_go_alone(next))) {
             position++;
             continue;
         }
--- a/src/core/records/transaction_reply.c
+++ b/src/core/records/transaction_reply.c
@@ -172,16 +172,32 @@
     g_ptr_array_free(sent, TRUE);
 }
 
+/* Record values that can't be made smaller yet wait, so that all others are written meanwhile. */
+static bool postpone_refused(struct ow_recorder *recorder, double until)
+{
+    bool postponed = false;
+    for (guint i = 0; i < recorder->sent->len; i++) {
+        const struct ow_write *write = g_ptr_array_index(recorder->sent, i);
+        if (write->kind != OW_WRITE_RECORD_VALUE)
+            continue;
+        write->record_value->refused_until = until;
+        postponed = true;
+    }
+    return postponed;
+}
+
 /* Too large: the limits have changed otherwise than the settings say. The same again would fail for ever. */
 static void shrink_limits(struct ow_leader *leader)
 {
+    double now = leader->controller->now;
     struct ow_recorder *recorder = leader->recorder;
     bool smaller =
         ow_limits_refused(&leader->controller->limits, recorder->sent_changes, recorder->sent_largest);
     g_warning("the state service refuses a write of %u changes, the largest of %zu bytes; %s",
               recorder->sent_changes, recorder->sent_largest,
               smaller ? "the next ones are smaller" : "it can't be made smaller");
-    recorder->next_at = leader->controller->now + (smaller ? RETRY_S : REFUSED_S);
+    bool others_may_go = smaller || postpone_refused(recorder, now + REFUSED_S);
+    recorder->next_at = now + (others_may_go ? RETRY_S : REFUSED_S);
 }
 
 static bool leader_key_has_changed(const struct ow_store_reply *reply)
@@ -213,12 +229,12 @@
     }
     /* Without a response it may have been carried out, or may still be: the versions it expects make a
        second time harmless, and if it was, the next try fails on them and learns the new ones. */
-    requeue(leader);
     recorder->next_at = leader->controller->now + RETRY_S;
-    if (reply->status == 429)
-        ow_rate_limiter_empty(&recorder->changes, leader->controller->now);
     if (reply->status == 400)
         shrink_limits(leader);
+    requeue(leader);
+    if (reply->status == 429)
+        ow_rate_limiter_empty(&recorder->changes, leader->controller->now);
     if (reply->status == 409)
         check_failed_versions(leader, reply);
 }
--- a/tests/test_upgrade.c
+++ b/tests/test_upgrade.c
@@ -468,6 +468,64 @@
     world_free(w);
 }
 
+/* Limits fall before every controller has been heard to read smaller records: what can't be made smaller yet
+ * waits, and everything else goes on. */
+static void test_a_value_that_is_too_large_holds_up_no_other(void **state)
+{
+    (void)state;
+    struct world *w = old_world(6);
+    w->run_s = 60;
+    submit_spread(w, "run-1", 200);
+    for (int i = 0; i < WORLD_CONTROLLERS; i++)
+        upgrade(w, i, 0.3);
+    w->peers_cut = true;
+    world_run(w, 3);
+    assert_false(marked(w, NULL));
+    w->value_kb = 0.6;
+    w->txn_ops = 4;
+    end_bit_by_bit(w, 40);
+    w->run_s = 10;
+    for (int i = 0; i < 10; i++) {
+        char id[OW_ID_MAX + 1];
+        g_snprintf(id, sizeof id, "run-%d", 100 + i);
+        struct ow_submission *job = world_job(id, 2, 0.4);
+        g_free(job->class_name);
+        job->class_name = g_strdup("other");
+        world_submit(w, world_leader(w), job);
+        world_run(w, 2.5);
+        assert_int_equal(world_running(w, id), 2);
+    }
+    assert_true(w->too_large > 0);
+    w->peers_cut = false;
+    assert_true(world_until(w, 90, world_all_done, "run-1"));
+    assert_string_equal(w->broken->str, "");
+    world_free(w);
+}
+
+/* A repeat of a job that another controller has accepted is known by its id, however small values have become
+ * here. */
+static void test_a_known_job_is_not_refused_for_its_size(void **state)
+{
+    (void)state;
+    struct world *w = world_with_machines(2);
+    int here = (world_leader(w) + 1) % WORLD_CONTROLLERS;
+    double value_kb = w->value_kb;
+    w->value_kb = 0.1;
+    world_submit(w, here, world_job("run-1", 1, 1));
+    world_run(w, 2);
+    w->value_kb = value_kb;
+    w->silent_watches = true;
+    w->peers_cut = true;
+    uint64_t accepted = world_submit(w, world_leader(w), world_job("run-2", 1, 1));
+    world_run(w, 1);
+    assert_int_equal(world_status(w, accepted), 201);
+    uint64_t repeated = world_submit(w, here, world_job("run-2", 1, 1));
+    world_run(w, 2);
+    assert_int_equal(world_status(w, repeated), 200);
+    assert_string_equal(w->broken->str, "");
+    world_free(w);
+}
+
 /* The limit has fallen below a job's own record, without a word: its user hears at once that it can't be
  * taken.
  */
@@ -516,6 +574,8 @@
         cmocka_unit_test(test_a_submission_that_fits_no_value),
         cmocka_unit_test(test_fewer_changes_do_not_make_values_smaller),
         cmocka_unit_test(test_a_submission_that_is_refused_for_its_size),
+        cmocka_unit_test(test_a_value_that_is_too_large_holds_up_no_other),
+        cmocka_unit_test(test_a_known_job_is_not_refused_for_its_size),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
