--- a/src/core/leader.c
+++ b/src/core/leader.c
@@ -27,6 +27,8 @@
                     TYPES_S = 60;
 /* So many reports missed by all machines, and a fresh message of a peer that they come to it. */
 static const double LOST_REPORTS = 2.5, LOST_MESSAGE_S = 3;
+/* After so long without an answer a worker reports to another controller. */
+static const double REPORT_TIMEOUT_S = 4;
 /* One machine alone may be at fault itself. */
 enum { LOST_LEAST = 2 };
 
@@ -76,13 +78,32 @@
     g_free(leader);
 }
 
+/* A worker has one report under way at a time, and one that gets no answer turns to the next controller after
+   4 s. So a report that comes sooner after the last one shows that our answer to that one arrived: the
+   machine hears us, whatever has become of the commands sent to its own address. */
+static void note_answers_arrive(struct ow_machine *machine, double now)
+{
+    if (machine->last_report_at > 0 && now - machine->last_report_at < REPORT_TIMEOUT_S)
+        machine->unanswered_since = 0;
+}
+
+static uint64_t session_of(const struct ow_leader *leader, const struct ow_report *report)
+{
+    const struct ow_machine *machine = ow_machines_find(leader, report->machine);
+    return machine != NULL ? machine->session : 0;
+}
+
 void ow_leader_report(struct ow_leader *leader, uint64_t request, const struct ow_report *report)
 {
+    uint64_t session_before = session_of(leader, report);
     struct ow_effect *e = ow_effect_new(OW_EFFECT_WORKER_COMMANDS, request);
     GArray *clears = g_array_new(FALSE, FALSE, sizeof(struct ow_worker_command));
     struct ow_machine *m = ow_reports_receive(leader, report, clears);
-    if (m != NULL && report->session == m->session && report->seq == m->seq)
+    if (m != NULL && report->session == m->session && report->seq == m->seq) {
+        if (m->fenced && report->session == session_before)
+            note_answers_arrive(m, leader->controller->now);
         m->last_report_at = leader->controller->now;
+    }
     /* Until the job table has been read, an answer could keep tasks alive whose cancellation a user has heard
        of. One without our token renews nothing, and the worker stays. */
     e->token = leader->phase == OW_LEADER_REFRESH ? 0 : leader->token;
--- a/src/core/machines/machine_health.c
+++ b/src/core/machines/machine_health.c
@@ -223,7 +223,8 @@
     ow_machine_health_avoid(leader, m, run);
     /* A service that otherwise serves has no result that would forgive its failures: without this they would
        add up as long as it lives, and its replicas wait ever longer. */
-    if (is_proven(leader, run))
+    bool proven = is_proven(leader, run);
+    if (proven)
         run->failures = 0;
     run->failures = MIN(run->failures + 1, 1000);
     guint bad = g_hash_table_size(run->bad_machines);
@@ -233,9 +234,12 @@
         if (run->ready_at < now + 1)
             g_info("job %s fails on %u machines: paused for %.0f s", run->job->id, bad, pause);
         run->ready_at = MAX(run->ready_at, now + pause);
-        clear_suspicion(run);
-        g_hash_table_remove_all(run->bad_machines);
-        return;
+        /* Of a proven service the machines are at fault: it must not go back to them at once. */
+        if (!proven) {
+            clear_suspicion(run);
+            g_hash_table_remove_all(run->bad_machines);
+            return;
+        }
     }
     /* A job with many tasks proves no more against a machine than one with a single task. */
     m->errors += m->failed_job != run->job ? 1 : 0;
--- a/src/core/scheduling/service_replicas.c
+++ b/src/core/scheduling/service_replicas.c
@@ -11,6 +11,8 @@
 /* Seconds of a later start that it is worth to keep a replica off a machine, and out of a zone, where another
    one of its service is: one loss is to take few. */
 static const double MACHINE_S = 60, ZONE_S = 4;
+/* The same for each replica of another service on the machine, and for all of them at most. */
+static const double CROWD_S = 0.2, CROWD_MOST_S = 2;
 /* Replicas of one service that are moved at a time. */
 enum { MOVES_MOST = 1 };
 /* How long a move takes: a stop, its report, a launch. So long before its machine goes a replica is stopped
@@ -62,6 +64,22 @@
     return admitted;
 }
 
+/* One loss is to take few replicas of other services as well: of machines that are much alike the one with
+   fewer of them is chosen. Never at the price of an image fetch. */
+static void add_crowding_costs(GArray *candidates)
+{
+    for (guint i = 0; i < candidates->len; i++) {
+        struct ow_candidate *candidate = &g_array_index(candidates, struct ow_candidate, i);
+        const GPtrArray *attempts = candidate->machine->attempts;
+        double cost_s = 0;
+        for (guint k = 0; k < attempts->len && cost_s < CROWD_MOST_S; k++) {
+            const struct ow_attempt *attempt = g_ptr_array_index(attempts, k);
+            cost_s += ow_run_is_service(attempt->job->run) ? CROWD_S : 0;
+        }
+        candidate->cost += MIN(cost_s, CROWD_MOST_S);
+    }
+}
+
 static struct ow_candidate *best_candidate(const struct neighbours *n, GArray *candidates,
                                            const GArray *admitted, int only)
 {
@@ -99,6 +117,7 @@
     int only = run->job->spec->submission->one_zone ? ow_placement_best_zone(run, candidates) : OW_NO_NAME;
     uint64_t number = ow_run_next_attempt(run);
     struct neighbours neighbours = neighbours_of(run);
+    add_crowding_costs(candidates);
     for (; wanted > 0; wanted--) {
         GArray *admitted = zones_admit(leader, run);
         struct ow_candidate *candidate = best_candidate(&neighbours, candidates, admitted, only);
--- a/tests/test_services.c
+++ b/tests/test_services.c
@@ -341,6 +341,55 @@
     world_finish(w);
 }
 
+/* Only commands to the machines' own addresses are held up; reports are answered as ever. Nothing is
+ * returned, and new replicas start by the answers. */
+static void test_late_commands_alone_cost_no_machine(void **state)
+{
+    (void)state;
+    struct world *w = with_service(4, 3);
+    w->run_s = 200;
+    world_submit(w, 0, world_job("run-9", 4, 12));
+    world_run(w, 6);
+    w->hold_directs = true;
+    world_submit(w, 0, world_service("run-2", 2, 1));
+    world_run(w, 25);
+    for (guint i = 0; i < 4; i++)
+        assert_false(((struct world_machine *)g_ptr_array_index(w->machines, i))->gone);
+    assert_int_equal(world_running(w, "run-1"), 3);
+    assert_int_equal(world_running(w, "run-2"), 2);
+    w->hold_directs = false;
+    world_run(w, 10);
+    world_finish(w);
+}
+
+/* Services come one after the other, and there is more than one machine with their image: no machine gets
+ * them all. */
+static void test_services_do_not_crowd_on_one_machine(void **state)
+{
+    (void)state;
+    struct world *w = start_world(2);
+    w->run_s = 300;
+    w->capacity = 0;
+    world_submit(w, 0, world_job("run-9", 2, 11));
+    world_run(w, 6);
+    for (int i = 0; i < 6; i++) {
+        char id[OW_ID_MAX + 1];
+        g_snprintf(id, sizeof id, "run-%d", 10 + i);
+        world_submit(w, 0, world_service(id, 1, 1));
+        world_run(w, 4);
+    }
+    unsigned most = 0;
+    for (guint i = 0; i < w->machines->len; i++) {
+        const struct world_machine *machine = g_ptr_array_index(w->machines, i);
+        unsigned services = 0;
+        for (guint k = 0; k < machine->tasks->len; k++)
+            services += strcmp(g_array_index(machine->tasks, struct world_task, k).job, "run-9") != 0 ? 1 : 0;
+        most = MAX(most, services);
+    }
+    assert_int_equal(most, 3);
+    world_finish(w);
+}
+
 /* A service is never through: that must not count as having waited too long. */
 static void test_an_old_service_gives_way_to_more_urgent_work(void **state)
 {
@@ -482,6 +531,8 @@
         cmocka_unit_test(test_a_replica_moves_off_a_faulty_machine),
         cmocka_unit_test(test_replicas_part_when_there_is_room_again),
         cmocka_unit_test(test_a_replica_moves_before_its_machine_loses_its_lease),
+        cmocka_unit_test(test_late_commands_alone_cost_no_machine),
+        cmocka_unit_test(test_services_do_not_crowd_on_one_machine),
         cmocka_unit_test(test_an_old_service_gives_way_to_more_urgent_work),
         cmocka_unit_test(test_room_is_made_in_one_zone),
         cmocka_unit_test(test_no_more_room_is_made_than_a_zone_admits),
