--- a/src/core/controller.h
+++ b/src/core/controller.h
@@ -29,7 +29,6 @@
     struct ow_jobs *jobs;
     struct ow_machine_type *types[OW_MAX_TYPES]; /* by name index; NULL: not known */
     bool types_known;
-    double types_asked_at;
     GArray *classes; /* struct ow_class, by class index; owned by classes.c */
     struct ow_job_cache *job_cache;
     struct ow_election *election;
--- /dev/null
+++ b/src/core/health.h
@@ -0,0 +1,26 @@
+/* Whether this controller is in a state to serve users: whether the state service answers it, and whether
+ * other controllers are better off. */
+#ifndef OW_CORE_HEALTH_H
+#define OW_CORE_HEALTH_H
+
+#include <stdbool.h>
+
+struct ow_controller;
+
+/* Reads of the state service that only show whether it answers. */
+struct ow_health_probe {
+    bool busy; /* one is under way */
+    double at; /* when the last one was sent */
+};
+
+/* Notes the status of an answer from the state service; 0 is that there was none. */
+void ow_health_note_state_answer(struct ow_controller *controller, int status);
+/* Probes the state service if it has not been heard of for some time. A controller without requests of its
+   own has open watches alone, and those give no answer when it is cut off. */
+void ow_health_probe_state(struct ow_controller *controller, struct ow_health_probe *probe);
+/* Whether the state service has answered recently. */
+bool ow_health_state_is_ok(const struct ow_controller *controller);
+/* Whether users should be sent here. */
+bool ow_health_is_good(const struct ow_controller *controller);
+
+#endif
