--- a/src/core/records/record_values.c
+++ b/src/core/records/record_values.c
@@ -47,37 +47,37 @@
 
 static struct ow_record_value *record_value_new(struct ow_leader *leader, uint32_t number)
 {
-    struct ow_record_value *g = g_new0(struct ow_record_value, 1);
-    g->number = number;
-    g->class_index = OW_NO_NAME;
-    g->chunks = g_ptr_array_new();
-    g->retained = g_array_new(FALSE, FALSE, sizeof(struct ow_retained_tasks));
-    g_ptr_array_add(leader->record_values, g);
-    return g;
+    struct ow_record_value *record_value = g_new0(struct ow_record_value, 1);
+    record_value->number = number;
+    record_value->class_index = OW_NO_NAME;
+    record_value->chunks = g_ptr_array_new();
+    record_value->retained = g_array_new(FALSE, FALSE, sizeof(struct ow_retained_tasks));
+    g_ptr_array_add(leader->record_values, record_value);
+    return record_value;
 }
 
-void ow_record_value_free(void *record_value)
+void ow_record_value_free(void *item)
 {
-    struct ow_record_value *g = record_value;
-    g_ptr_array_free(g->chunks, TRUE);
-    g_array_free(g->retained, TRUE);
-    g_free(g);
+    struct ow_record_value *record_value = item;
+    g_ptr_array_free(record_value->chunks, TRUE);
+    g_array_free(record_value->retained, TRUE);
+    g_free(record_value);
 }
 
 struct ow_record_value *ow_record_values_find(const struct ow_leader *leader, uint32_t number)
 {
     for (guint i = 0; i < leader->record_values->len; i++) {
-        struct ow_record_value *g = g_ptr_array_index(leader->record_values, i);
-        if (g->number == number)
-            return g;
+        struct ow_record_value *record_value = g_ptr_array_index(leader->record_values, i);
+        if (record_value->number == number)
+            return record_value;
     }
     return NULL;
 }
 
 struct ow_record_value *ow_record_values_find_or_add(struct ow_leader *leader, uint32_t number)
 {
-    struct ow_record_value *g = ow_record_values_find(leader, number);
-    return g != NULL ? g : record_value_new(leader, number);
+    struct ow_record_value *record_value = ow_record_values_find(leader, number);
+    return record_value != NULL ? record_value : record_value_new(leader, number);
 }
 
 static struct ow_record_value *fresh_record_value(struct ow_leader *leader)
@@ -94,12 +94,12 @@
     return CHUNK_BYTES + TASK_BYTES * (tasks.end - tasks.first);
 }
 
-void ow_record_values_add(struct ow_record_value *g, struct ow_chunk *chunk)
+void ow_record_values_add(struct ow_record_value *record_value, struct ow_chunk *chunk)
 {
-    chunk->record_value = g;
-    g->class_index = chunk->job->spec->class_index;
-    g->bytes += expected_bytes(chunk);
-    g_ptr_array_add(g->chunks, chunk);
+    chunk->record_value = record_value;
+    record_value->class_index = chunk->job->spec->class_index;
+    record_value->bytes += expected_bytes(chunk);
+    g_ptr_array_add(record_value->chunks, chunk);
 }
 
 /* The fullest record value of the class with room for the chunk, or an empty one. Chunks of one class change
@@ -109,32 +109,34 @@
     size_t room = (size_t)(FILL * value_limit(leader)), bytes = expected_bytes(chunk);
     struct ow_record_value *best = NULL;
     for (guint i = 0; i < leader->record_values->len; i++) {
-        struct ow_record_value *g = g_ptr_array_index(leader->record_values, i);
-        if (g->retained->len > 0)
+        struct ow_record_value *record_value = g_ptr_array_index(leader->record_values, i);
+        if (record_value->retained->len > 0)
             continue;
-        bool alike = g->chunks->len == 0 || g->class_index == chunk->job->spec->class_index;
-        if (alike && (g->chunks->len == 0 || g->bytes + bytes <= room) &&
-            (best == NULL || g->chunks->len > best->chunks->len))
-            best = g;
+        bool alike =
+            record_value->chunks->len == 0 || record_value->class_index == chunk->job->spec->class_index;
+        if (alike && (record_value->chunks->len == 0 || record_value->bytes + bytes <= room) &&
+            (best == NULL || record_value->chunks->len > best->chunks->len))
+            best = record_value;
     }
     ow_record_values_add(best != NULL ? best : fresh_record_value(leader), chunk);
 }
 
 struct ow_record_value *ow_record_values_leave(struct ow_chunk *chunk)
 {
-    struct ow_record_value *g = chunk->record_value;
-    if (g != NULL)
-        g_ptr_array_remove(g->chunks, chunk);
-    if (g != NULL && g->chunks->len == 0)
-        g->bytes = 0;
+    struct ow_record_value *record_value = chunk->record_value;
+    if (record_value != NULL)
+        g_ptr_array_remove(record_value->chunks, chunk);
+    if (record_value != NULL && record_value->chunks->len == 0)
+        record_value->bytes = 0;
     chunk->record_value = NULL;
-    return g;
+    return record_value;
 }
 
-void ow_record_values_retain(struct ow_record_value *g, struct ow_job *job, struct ow_task_range tasks)
+void ow_record_values_retain(struct ow_record_value *record_value, struct ow_job *job,
+                             struct ow_task_range tasks)
 {
     struct ow_retained_tasks retained = {job, tasks};
-    g_array_append_val(g->retained, retained);
+    g_array_append_val(record_value->retained, retained);
 }
 
 /* Whether all of it stands in other values by now, or means nothing any more. */
@@ -150,12 +152,12 @@
     return true;
 }
 
-bool ow_record_values_retains_tasks(struct ow_record_value *g)
+bool ow_record_values_retains_tasks(struct ow_record_value *record_value)
 {
-    for (guint i = g->retained->len; i > 0; i--)
-        if (settled(&g_array_index(g->retained, struct ow_retained_tasks, i - 1)))
-            g_array_remove_index_fast(g->retained, i - 1);
-    return g->retained->len > 0;
+    for (guint i = record_value->retained->len; i > 0; i--)
+        if (settled(&g_array_index(record_value->retained, struct ow_retained_tasks, i - 1)))
+            g_array_remove_index_fast(record_value->retained, i - 1);
+    return record_value->retained->len > 0;
 }
 
 void ow_record_values_refine(struct ow_leader *leader, struct ow_run *run)
@@ -164,12 +166,12 @@
     uint64_t last = 0;
     for (uint32_t i = 0; i < run->chunk_count; i++) {
         struct ow_chunk *chunk = &run->chunks[i];
-        struct ow_record_value *g = ow_record_values_leave(chunk);
+        struct ow_record_value *record_value = ow_record_values_leave(chunk);
         last = MAX(last, chunk->last_attempt);
-        if (g == NULL)
+        if (record_value == NULL)
             continue;
-        ow_record_values_retain(g, run->job, ow_chunk_task_range(i, tasks, run->count));
-        ow_recorder_compact(leader, g);
+        ow_record_values_retain(record_value, run->job, ow_chunk_task_range(i, tasks, run->count));
+        ow_recorder_compact(leader, record_value);
     }
     ow_run_divide(run, finer);
     for (uint32_t i = 0; i < run->chunk_count; i++)
@@ -200,12 +202,12 @@
     };
     struct ow_task_range tasks = tasks_of(chunk);
     for (uint32_t task = tasks.first; task < tasks.end; task++) {
-        const struct ow_attempt *at = run->tasks[task].attempt;
+        const struct ow_attempt *attempt = run->tasks[task].attempt;
         if (run->tasks[task].done)
             g_array_append_val(record.done, task);
-        if (at == NULL)
+        if (attempt == NULL)
             continue;
-        struct ow_live_record live = {task, at->number, at->machine->name, at->session};
+        struct ow_live_record live = {task, attempt->number, attempt->machine->name, attempt->session};
         g_array_append_val(record.live, live);
     }
     g_array_sort(record.live, by_place);
@@ -214,35 +216,35 @@
     return value;
 }
 
-static char *record_value_encode(struct ow_record_value *g)
+static char *record_value_encode(struct ow_record_value *record_value)
 {
-    GString *text = g_string_sized_new(g->bytes + 64);
-    for (guint i = 0; i < g->chunks->len; i++) {
-        const struct ow_chunk *chunk = g_ptr_array_index(g->chunks, i);
+    GString *text = g_string_sized_new(record_value->bytes + 64);
+    for (guint i = 0; i < record_value->chunks->len; i++) {
+        const struct ow_chunk *chunk = g_ptr_array_index(record_value->chunks, i);
         char *value = chunk_value(chunk);
         wire_progress_value_add(text, chunk->job->id, chunk->index, chunk->job->run->chunk_tasks, value);
         g_free(value);
     }
     wire_progress_value_end(text);
-    g->bytes = text->len;
+    record_value->bytes = text->len;
     return g_string_free(text, FALSE);
 }
 
-char *ow_record_values_encode(struct ow_leader *leader, struct ow_record_value *g,
+char *ow_record_values_encode(struct ow_leader *leader, struct ow_record_value *record_value,
                               struct ow_record_value **moved)
 {
-    char *value = record_value_encode(g);
+    char *value = record_value_encode(record_value);
     *moved = NULL;
-    while (strlen(value) > value_limit(leader) && g->chunks->len > 1) {
+    while (strlen(value) > value_limit(leader) && record_value->chunks->len > 1) {
         struct ow_record_value *other = *moved != NULL ? *moved : fresh_record_value(leader);
         *moved = other;
-        for (guint keep = g->chunks->len / 2; g->chunks->len > keep;) {
-            struct ow_chunk *chunk = g_ptr_array_index(g->chunks, g->chunks->len - 1);
+        for (guint keep = record_value->chunks->len / 2; record_value->chunks->len > keep;) {
+            struct ow_chunk *chunk = g_ptr_array_index(record_value->chunks, record_value->chunks->len - 1);
             ow_record_values_leave(chunk);
             ow_record_values_add(other, chunk);
         }
         g_free(value);
-        value = record_value_encode(g);
+        value = record_value_encode(record_value);
     }
     return value;
 }
--- a/src/core/records/record_values.h
+++ b/src/core/records/record_values.h
@@ -54,6 +54,6 @@
 /* How many tasks a new chunk records, by the format of records and the limits of a value. */
 uint32_t ow_record_values_chunk_tasks(const struct ow_leader *leader);
 /* Frees a record value: the free function of the leader's array. */
-void ow_record_value_free(void *record_value);
+void ow_record_value_free(void *item);
 
 #endif
--- a/src/core/records/takeover.c
+++ b/src/core/records/takeover.c
@@ -29,31 +29,33 @@
 static void load_live(struct ow_leader *leader, struct ow_run *run, const GArray *live)
 {
     for (guint i = 0; i < live->len; i++) {
-        const struct ow_live_record *l = &g_array_index(live, struct ow_live_record, i);
-        if (l->task >= run->count || run->tasks[l->task].attempt != NULL)
+        const struct ow_live_record *record = &g_array_index(live, struct ow_live_record, i);
+        if (record->task >= run->count || run->tasks[record->task].attempt != NULL)
             continue;
-        struct ow_machine *m = ow_machines_find_or_add(leader, l->machine);
-        struct ow_attempt *at = ow_attempt_new(leader, run, l->task, l->attempt, m, l->session);
-        at->state = OW_ATTEMPT_INHERITED;
-        if (m->session == 0)
-            m->session = l->session;
+        struct ow_machine *machine = ow_machines_find_or_add(leader, record->machine);
+        struct ow_attempt *attempt =
+            ow_attempt_new(leader, run, record->task, record->attempt, machine, record->session);
+        attempt->state = OW_ATTEMPT_INHERITED;
+        if (machine->session == 0)
+            machine->session = record->session;
     }
 }
 
 /* A record as it was read. They are taken in once all are there, the oldest value first: a record may be
    found in two values, or its tasks in chunks of two sizes, when what moved was not tidied up. The newer one
    counts. */
-struct loaded {
+struct loaded_record {
     struct ow_record_value *record_value;
     uint64_t version;
     struct ow_job *job;
-    uint32_t index, tasks;
+    uint32_t index;
+    uint32_t chunk_tasks; /* the size of the chunks that it was recorded in */
     json_t *value;
 };
 
 static void loaded_clear(void *item)
 {
-    json_decref(((struct loaded *)item)->value);
+    json_decref(((struct loaded_record *)item)->value);
 }
 
 void ow_takeover_free(struct ow_leader *leader)
@@ -63,20 +65,20 @@
 
 static gint by_version(gconstpointer a, gconstpointer b)
 {
-    const struct loaded *x = a, *y = b;
+    const struct loaded_record *x = a, *y = b;
     return x->version < y->version ? -1 : x->version > y->version;
 }
 
-static void load_record(struct ow_leader *leader, struct ow_run *run, const struct loaded *l)
+static void load_record(struct ow_leader *leader, struct ow_run *run, const struct loaded_record *loaded)
 {
     struct ow_progress_record record;
-    struct ow_task_range tasks = ow_chunk_task_range(l->index, l->tasks, run->count);
-    if (!wire_progress_record_parse(l->value, &record))
+    struct ow_task_range tasks = ow_chunk_task_range(loaded->index, loaded->chunk_tasks, run->count);
+    if (!wire_progress_record_parse(loaded->value, &record))
         g_warning("a progress record of job %s cannot be read in full", run->job->id);
     for (guint i = run->attempts->len; i > 0; i--) {
-        struct ow_attempt *at = g_ptr_array_index(run->attempts, i - 1);
-        if (at->task >= tasks.first && at->task < tasks.end)
-            ow_attempt_unload(leader, at);
+        struct ow_attempt *attempt = g_ptr_array_index(run->attempts, i - 1);
+        if (attempt->task >= tasks.first && attempt->task < tasks.end)
+            ow_attempt_unload(leader, attempt);
     }
     for (uint32_t task = tasks.first; task < tasks.end; task += run->chunk_tasks)
         ow_run_chunk(run, task)->last_attempt =
@@ -95,18 +97,18 @@
 /* Where the record goes on standing: in its record value, or, if its run is divided otherwise now, in smaller
  * ones.
  */
-static void load_place(struct ow_leader *leader, struct ow_run *run, const struct loaded *l)
+static void load_place(struct ow_leader *leader, struct ow_run *run, const struct loaded_record *loaded)
 {
-    struct ow_task_range tasks = ow_chunk_task_range(l->index, l->tasks, run->count);
-    if (l->tasks == run->chunk_tasks) {
-        struct ow_chunk *chunk = &run->chunks[l->index];
+    struct ow_task_range tasks = ow_chunk_task_range(loaded->index, loaded->chunk_tasks, run->count);
+    if (loaded->chunk_tasks == run->chunk_tasks) {
+        struct ow_chunk *chunk = &run->chunks[loaded->index];
         if (chunk->record_value != NULL)
             ow_recorder_compact(leader, ow_record_values_leave(chunk));
-        ow_record_values_add(l->record_value, chunk);
+        ow_record_values_add(loaded->record_value, chunk);
         return;
     }
-    ow_record_values_retain(l->record_value, run->job, tasks);
-    ow_recorder_compact(leader, l->record_value);
+    ow_record_values_retain(loaded->record_value, run->job, tasks);
+    ow_recorder_compact(leader, loaded->record_value);
     for (uint32_t task = tasks.first; task < tasks.end; task += run->chunk_tasks)
         ow_recorder_chunk(leader, run, task, true);
 }
@@ -116,36 +118,37 @@
     g_array_sort(leader->takeover.loaded, by_version);
     /* A run keeps the smallest chunks that it was recorded in. */
     for (guint i = 0; i < leader->takeover.loaded->len; i++) {
-        const struct loaded *l = &g_array_index(leader->takeover.loaded, struct loaded, i);
-        bool fresh = l->job->run == NULL;
-        struct ow_run *run = ow_run_find_or_add(leader, l->job);
-        if (fresh || l->tasks < run->chunk_tasks)
-            ow_run_divide(run, l->tasks);
+        const struct loaded_record *loaded = &g_array_index(leader->takeover.loaded, struct loaded_record, i);
+        bool fresh = loaded->job->run == NULL;
+        struct ow_run *run = ow_run_find_or_add(leader, loaded->job);
+        if (fresh || loaded->chunk_tasks < run->chunk_tasks)
+            ow_run_divide(run, loaded->chunk_tasks);
     }
     for (guint i = 0; i < leader->takeover.loaded->len; i++) {
-        const struct loaded *l = &g_array_index(leader->takeover.loaded, struct loaded, i);
-        struct ow_run *run = l->job->run;
-        if ((uint64_t)l->index * l->tasks >= run->count) {
-            ow_recorder_compact(leader, l->record_value);
+        const struct loaded_record *loaded = &g_array_index(leader->takeover.loaded, struct loaded_record, i);
+        struct ow_run *run = loaded->job->run;
+        if ((uint64_t)loaded->index * loaded->chunk_tasks >= run->count) {
+            ow_recorder_compact(leader, loaded->record_value);
             continue;
         }
-        load_record(leader, run, l);
-        load_place(leader, run, l);
+        load_record(leader, run, loaded);
+        load_place(leader, run, loaded);
     }
     ow_takeover_free(leader);
 }
 
 /* False when the record is of no use any more: what a final record has left behind. */
-static bool keep_named(struct ow_leader *leader, struct ow_record_value *g, const char *name, json_t *value)
+static bool keep_named(struct ow_leader *leader, struct ow_record_value *record_value, const char *name,
+                       json_t *value)
 {
-    struct loaded l = {.record_value = g, .version = g->version};
-    char *id = wire_progress_name_parse(name, &l.index, &l.tasks);
-    l.job = id != NULL ? ow_jobs_find(leader->controller->jobs, id) : NULL;
+    struct loaded_record loaded = {.record_value = record_value, .version = record_value->version};
+    char *id = wire_progress_name_parse(name, &loaded.index, &loaded.chunk_tasks);
+    loaded.job = id != NULL ? ow_jobs_find(leader->controller->jobs, id) : NULL;
     g_free(id);
-    if (l.job == NULL || l.job->spec == NULL)
+    if (loaded.job == NULL || loaded.job->spec == NULL)
         return false;
-    l.value = json_incref(value);
-    g_array_append_val(leader->takeover.loaded, l);
+    loaded.value = json_incref(value);
+    g_array_append_val(leader->takeover.loaded, loaded);
     return true;
 }
 
@@ -154,17 +157,17 @@
     guint64 number = 0;
     if (!g_ascii_string_to_unsigned(item->key + strlen(OW_KEY_PROGRESS), 10, 0, UINT32_MAX, &number, NULL))
         return;
-    struct ow_record_value *g = ow_record_values_find_or_add(leader, (uint32_t)number);
+    struct ow_record_value *record_value = ow_record_values_find_or_add(leader, (uint32_t)number);
     const char *name;
     json_t *value;
     bool tidy = true;
-    g->version = item->version;
+    record_value->version = item->version;
     json_object_foreach(item->value, name, value)
     {
-        tidy = keep_named(leader, g, name, value) && tidy;
+        tidy = keep_named(leader, record_value, name, value) && tidy;
     }
     if (!tidy || is_too_large(leader, item->value))
-        ow_recorder_compact(leader, g);
+        ow_recorder_compact(leader, record_value);
 }
 
 /* Machines that the last leader told us of can be reached before any list names them. */
@@ -172,10 +175,10 @@
 {
     const GArray *hints = leader->controller->machine_hints;
     for (guint i = 0; i < hints->len; i++) {
-        const struct ow_peer_machine *h = &g_array_index(hints, struct ow_peer_machine, i);
-        struct ow_machine *m = ow_machines_find_or_add(leader, h->name);
-        ow_machine_describe(leader, m, h->addr, h->type, h->zone, h->spot);
-        m->listed = OW_LISTED_RUNNING;
+        const struct ow_peer_machine *hint = &g_array_index(hints, struct ow_peer_machine, i);
+        struct ow_machine *machine = ow_machines_find_or_add(leader, hint->name);
+        ow_machine_describe(leader, machine, hint->addr, hint->type, hint->zone, hint->spot);
+        machine->listed = OW_LISTED_RUNNING;
     }
 }
 
@@ -223,7 +226,7 @@
     leader->takeover.busy = false;
     if (ok) {
         leader->phase = OW_LEADER_LOADING;
-        leader->takeover.loaded = g_array_new(FALSE, FALSE, sizeof(struct loaded));
+        leader->takeover.loaded = g_array_new(FALSE, FALSE, sizeof(struct loaded_record));
         g_array_set_clear_func(leader->takeover.loaded, loaded_clear);
     } else
         leader->takeover.next_at = controller->now + RETRY_S;
