--- a/src/core/machines/rent.c
+++ b/src/core/machines/rent.c
@@ -9,7 +9,7 @@
 #include "core/run.h"
 #include "core/scheduling/classes.h"
 #include "core/scheduling/placement.h"
-#include "core/scheduling/schedule.h"
+#include "core/scheduling/queue.h"
 
 #include <math.h>
 
@@ -234,7 +234,7 @@
         return;
     ow_rental_options_forget_old(leader);
     GArray *plan = coming_up(leader);
-    GPtrArray *runs = ow_schedule_queue(leader);
+    GPtrArray *runs = ow_queue_sorted(leader);
     struct backlog ahead = {.supplies = g_array_new(FALSE, FALSE, sizeof(struct supply))};
     unsigned most = RENT_MOST;
     for (guint i = 0; i < runs->len; i++)
--- /dev/null
+++ b/src/core/scheduling/gpu_reserve.c
@@ -0,0 +1,69 @@
+/* Which GPU machines are kept for jobs that need GPUs. */
+#include "core/scheduling/gpu_reserve.h"
+#include "core/leader_state.h"
+#include "core/machines/machine.h"
+#include "core/machines/machine_registry.h"
+#include "core/run.h"
+#include "core/scheduling/classes.h"
+#include "core/scheduling/image_demand.h"
+
+/* What is kept for GPU jobs as a multiple of what they need now. */
+static const double GPU_MARGIN = 1.2;
+
+/* The share of tasks that are assumed to fetch their image first. */
+static const double FETCH_SHARE = 0.5;
+
+/* How well a machine serves GPU jobs, the best last. */
+enum gpu_fitness {
+    GPU_FITNESS_OTHER_WORK, /* it runs other work */
+    GPU_FITNESS_FREE,       /* it runs nothing */
+    GPU_FITNESS_IN_USE,     /* it runs GPU jobs */
+};
+
+/* GPUs that complete the run's waiting work in the time that its class leaves to wait. */
+static double gpus_wanted_by(struct ow_leader *leader, const struct ow_run *run)
+{
+    const struct ow_spec *spec = run->job->spec;
+    double gpus = (run->count - run->done) * spec->submission->need.gpus;
+    if (gpus <= 0 || ow_job_over(run->job))
+        return 0;
+    double slack_s = MAX(ow_class_slack_s(leader->controller, spec->class_index), 1);
+    double fetch_s = FETCH_SHARE * ow_image_slowest_fetch_seconds(leader, spec);
+    double task_s = ow_class_run_s(leader->controller, spec) + fetch_s;
+    return gpus * MIN(1, task_s / slack_s);
+}
+
+static double gpus_wanted(struct ow_leader *leader)
+{
+    double wanted = 0;
+    for (guint i = 0; i < leader->runs->len; i++)
+        wanted += gpus_wanted_by(leader, g_ptr_array_index(leader->runs, i));
+    return GPU_MARGIN * wanted;
+}
+
+static enum gpu_fitness gpu_fitness(const struct ow_machine *machine)
+{
+    for (guint i = 0; i < machine->attempts->len; i++) {
+        const struct ow_attempt *attempt = g_ptr_array_index(machine->attempts, i);
+        if (attempt->job->spec->submission->need.gpus > 0)
+            return GPU_FITNESS_IN_USE;
+    }
+    return machine->attempts->len > 0 ? GPU_FITNESS_OTHER_WORK : GPU_FITNESS_FREE;
+}
+
+/* Other work may fill GPU machines, except those that GPU jobs need: these would otherwise wait, or be driven
+   to expensive machines. */
+void ow_gpu_reserve_update(struct ow_leader *leader)
+{
+    double wanted = gpus_wanted(leader);
+    for (int fitness = GPU_FITNESS_IN_USE; fitness >= GPU_FITNESS_OTHER_WORK; fitness--) {
+        for (guint i = 0; i < leader->machines->len; i++) {
+            struct ow_machine *machine = g_ptr_array_index(leader->machines, i);
+            const struct ow_machine_type *type = ow_machine_spec(leader, machine);
+            if (type == NULL || type->size.gpus <= 0 || (int)gpu_fitness(machine) != fitness)
+                continue;
+            machine->gpus_kept = wanted > 0;
+            wanted -= type->size.gpus;
+        }
+    }
+}
