--- a/src/core/leader.c
+++ b/src/core/leader.c
@@ -15,7 +15,7 @@
 #include "core/records/records.h"
 #include "core/records/takeover.h"
 #include "core/run.h"
-#include "core/scheduling/placement.h"
+#include "core/scheduling/image_demand.h"
 #include "core/scheduling/reason.h"
 #include "core/scheduling/schedule.h"
 #include "core/scheduling/shortlist.h"
@@ -38,7 +38,7 @@
     leader->machines_by_name = g_hash_table_new(g_str_hash, g_str_equal);
     leader->machines = g_ptr_array_new_with_free_func(ow_machine_free);
     leader->runs = g_ptr_array_new();
-    leader->pass.image_loads = ow_placement_new_loads();
+    leader->pass.image_demand = ow_image_demand_new_table();
     leader->pass.shortlists = ow_shortlists_new();
     leader->pass.allowances = ow_reason_new_allowances();
     leader->record_values = g_ptr_array_new_with_free_func(ow_record_value_free);
@@ -65,7 +65,7 @@
     g_hash_table_destroy(leader->deletions.names);
     ow_recorder_free(leader->recorder);
     g_ptr_array_free(leader->record_values, TRUE);
-    g_array_free(leader->pass.image_loads, TRUE);
+    g_array_free(leader->pass.image_demand, TRUE);
     g_array_free(leader->pass.shortlists, TRUE);
     g_array_free(leader->pass.allowances, TRUE);
     g_free(leader->teams.used);
--- a/src/core/leader_state.h
+++ b/src/core/leader_state.h
@@ -35,13 +35,13 @@
 /* When the scheduling pass is due, and what it computes once for all jobs: schedule.c unless said otherwise.
  */
 struct ow_pass_scratch {
-    bool due;            /* something has changed since the last pass */
-    double last_at;      /* leader.c */
-    GArray *image_loads; /* placement.c; by image */
-    GArray *shortlists;  /* shortlist.c; by class */
-    GArray *allowances;  /* reason.c */
-    int gpu_rank;        /* the most urgent rank among open jobs that need GPUs */
-    double gpu_cpus;     /* CPUs that a GPU needs to be of use, by the jobs that are open */
+    bool due;             /* something has changed since the last pass */
+    double last_at;       /* leader.c */
+    GArray *image_demand; /* image_demand.c; by image */
+    GArray *shortlists;   /* shortlist.c; by class */
+    GArray *allowances;   /* reason.c */
+    int gpu_rank;         /* the most urgent rank among open jobs that need GPUs */
+    double gpu_cpus;      /* CPUs that a GPU needs to be of use, by the jobs that are open */
 };
 
 /* What is read from the cloud: the machine types by leader.c, the list of machines by fleet.c. */
--- a/src/core/machines/rent.c
+++ b/src/core/machines/rent.c
@@ -9,6 +9,7 @@
 #include "core/run.h"
 #include "core/scheduling/classes.h"
 #include "core/scheduling/placement.h"
+#include "core/scheduling/placement_cost.h"
 #include "core/scheduling/queue.h"
 
 #include <math.h>
--- a/src/core/scheduling/array_preemption.c
+++ b/src/core/scheduling/array_preemption.c
@@ -3,6 +3,7 @@
 #include "core/leader_state.h"
 #include "core/machines/machine.h"
 #include "core/run.h"
+#include "core/scheduling/candidates.h"
 #include "core/scheduling/placement.h"
 #include "core/scheduling/preempt.h"
 #include "core/scheduling/shortlist.h"
@@ -31,7 +32,7 @@
         };
         g_array_append_val(candidates, candidate);
     }
-    int zone = ow_placement_best_zone(run, candidates);
+    int zone = ow_candidates_best_zone(run, candidates);
     g_array_free(candidates, TRUE);
     return zone;
 }
--- /dev/null
+++ b/src/core/scheduling/array_start.c
@@ -0,0 +1,137 @@
+/* Starting the tasks of arrays. */
+#include "core/scheduling/array_start.h"
+#include "core/leader_state.h"
+#include "core/machines/machine.h"
+#include "core/machines/machine_registry.h"
+#include "core/run.h"
+#include "core/scheduling/candidates.h"
+#include "core/scheduling/classes.h"
+#include "core/scheduling/image_demand.h"
+#include "core/scheduling/placement.h"
+
+/* The share of a class's slack that tasks may wait for a machine with their image, if a fetch is expensive.
+ */
+static const double IMAGE_PATIENCE = 0.9;
+/* A fetch so short is never worth waiting for. */
+static const double SHORT_FETCH_S = 10;
+/* Of two waits, one is clearly the longer if it takes so many times as long. */
+static const double CLEARLY_LONGER = 2;
+/* The machine has no image that other work of the class waits for. */
+static const double NO_WAIT = -1;
+
+/* The start of an array's tasks in one pass. */
+struct array_start {
+    struct ow_run *run;
+    uint64_t number; /* of the attempts */
+    uint32_t wanted;
+    uint32_t placed;
+    int only_zone; /* OW_NO_NAME: any */
+    double work_s; /* seconds of work that waits for the image */
+    double slots;  /* on machines that have the image, or fetch it */
+};
+
+/* How long work of the class waits that the machine could start at once with the images it has; NO_WAIT:
+   there is none. */
+static double wait_for_its_images(struct ow_leader *leader, const struct ow_spec *spec,
+                                  const struct ow_machine *machine)
+{
+    double longest = NO_WAIT;
+    for (guint i = 0; i < machine->images->len; i++) {
+        const struct ow_image_copy *copy = &g_array_index(machine->images, struct ow_image_copy, i);
+        const struct ow_image_demand *demand = ow_image_demand_of(leader, copy->image);
+        if (!copy->present || copy->image == spec->image)
+            continue;
+        if (demand->spec == NULL || demand->spec->class_index != spec->class_index || demand->slots <= 0)
+            continue;
+        longest = MAX(longest, demand->work_s / demand->slots);
+    }
+    return longest;
+}
+
+/* A machine without the image is left alone while those that have it complete the work sooner, in `wait_s`,
+   than it could fetch the image, as long as the objectives of the class leave the time. */
+static bool is_better_to_wait(struct ow_leader *leader, const struct ow_run *run,
+                              const struct ow_machine *machine, double wait_s, bool starves)
+{
+    const struct ow_spec *spec = run->job->spec;
+    double fetch_s = ow_machine_fetch_seconds(leader, machine, spec);
+    /* Capacity that others are stopped for must be taken, or they would be put there and stopped again. */
+    if (fetch_s <= SHORT_FETCH_S || starves || ow_run_claims(leader, run))
+        return false;
+    /* However late it is, a fetch that takes twice as long as the work that is left helps nobody. */
+    if (CLEARLY_LONGER * wait_s < fetch_s)
+        return true;
+    double waited_s = leader->controller->now - run->accepted_at + wait_s;
+    double slack_s = ow_class_slack_s(leader->controller, spec->class_index);
+    if (wait_s < fetch_s && waited_s < slack_s)
+        return true;
+    /* A fetch that costs more than the work it serves is made only when the objectives need it, ... */
+    if (fetch_s <= ow_class_run_s(leader->controller, spec))
+        return false;
+    if (waited_s < IMAGE_PATIENCE * slack_s)
+        return true;
+    /* ... and not if it takes the machine from work that waits as long for an image which it has. */
+    double others_wait_s = wait_for_its_images(leader, spec, machine);
+    return others_wait_s >= 0 && wait_s < CLEARLY_LONGER * MAX(fetch_s, others_wait_s);
+}
+
+/* Whether to leave the machine alone because the image is sooner available elsewhere. */
+static bool waits_for_image(struct ow_leader *leader, const struct array_start *start,
+                            const struct ow_machine *machine)
+{
+    if (start->slots <= 0)
+        return false;
+    bool starves = start->run->starves && start->placed == 0;
+    return is_better_to_wait(leader, start->run, machine, start->work_s / start->slots, starves);
+}
+
+static void start_on(struct ow_leader *leader, struct array_start *start,
+                     const struct ow_candidate *candidate)
+{
+    struct ow_run *run = start->run;
+    uint32_t slots = MIN(candidate->slots, ow_placement_zone_admits(run, candidate->machine->zone));
+    for (; slots > 0 && start->placed < start->wanted; slots--) {
+        uint32_t task = ow_placement_next_pending(run);
+        ow_placement_start_task(leader, run, task, start->number, candidate->machine);
+        start->placed++;
+    }
+}
+
+static void consider(struct ow_leader *leader, struct array_start *start,
+                     const struct ow_candidate *candidate)
+{
+    const struct ow_machine *machine = candidate->machine;
+    const struct ow_spec *spec = start->run->job->spec;
+    if (start->only_zone != OW_NO_NAME && machine->zone != start->only_zone)
+        return;
+    if (ow_machine_image(machine, spec->image) == NULL) {
+        if (waits_for_image(leader, start, machine))
+            return;
+        const struct ow_machine_type *type = ow_machine_spec(leader, machine);
+        start->slots += ow_placement_slots_on_empty(type, &spec->submission->need);
+    }
+    start_on(leader, start, candidate);
+}
+
+void ow_array_start(struct ow_leader *leader, struct ow_run *run)
+{
+    const struct ow_spec *spec = run->job->spec;
+    uint32_t wanted = ow_team_admits(leader, spec, ow_run_pending(run));
+    if (wanted == 0)
+        return;
+    GArray *candidates = ow_candidates_find(leader, run);
+    const struct ow_image_demand *demand = ow_image_demand_of(leader, spec->image);
+    struct array_start start = {
+        .run = run,
+        .number = ow_run_next_attempt(run),
+        .wanted = wanted,
+        .only_zone = spec->submission->one_zone ? ow_candidates_best_zone(run, candidates) : OW_NO_NAME,
+        .work_s = demand->work_s,
+        .slots = demand->slots,
+    };
+    for (guint i = 0; i < candidates->len && start.placed < wanted; i++)
+        consider(leader, &start, &g_array_index(candidates, struct ow_candidate, i));
+    g_array_free(candidates, TRUE);
+    if (start.placed > 0)
+        g_info("job %s: %u tasks placed", run->job->id, start.placed);
+}
--- /dev/null
+++ b/src/core/scheduling/candidates.c
@@ -0,0 +1,75 @@
+/* The machines on which tasks of a run could be started. */
+#include "core/scheduling/candidates.h"
+#include "core/leader_state.h"
+#include "core/machines/machine.h"
+#include "core/scheduling/placement.h"
+#include "core/scheduling/placement_cost.h"
+#include "core/scheduling/reservation.h"
+#include "core/scheduling/shortlist.h"
+
+static gint compare_candidates(gconstpointer a, gconstpointer b)
+{
+    const struct ow_candidate *first = a;
+    const struct ow_candidate *second = b;
+    /* Candidates without a conflict are preferred, whatever they cost. */
+    if (first->conflicted != second->conflicted)
+        return first->conflicted ? 1 : -1;
+    if (first->cost < second->cost)
+        return -1;
+    return first->cost > second->cost ? 1 : 0;
+}
+
+GArray *ow_candidates_find(struct ow_leader *leader, const struct ow_run *run)
+{
+    GArray *candidates = g_array_new(FALSE, FALSE, sizeof(struct ow_candidate));
+    const struct ow_spec *spec = run->job->spec;
+    const GPtrArray *machines = ow_shortlist(leader, spec->class_index);
+    bool only_cheap = ow_placement_waits_for_cheap(leader, run);
+    for (guint i = 0; i < machines->len; i++) {
+        struct ow_machine *machine = g_ptr_array_index(machines, i);
+        if (!ow_placement_is_permitted(leader, run, machine))
+            continue;
+        uint32_t slots = ow_placement_slots(leader, spec, machine);
+        if (slots == 0)
+            continue;
+        if (only_cheap && ow_placement_is_expensive(leader, machine))
+            continue;
+        struct ow_candidate candidate = {
+            .machine = machine,
+            .slots = slots,
+            .cost = ow_placement_cost(leader, run, machine),
+            .conflicted = spec->submission->gang && ow_reservation_conflicts(run, machine),
+        };
+        g_array_append_val(candidates, candidate);
+    }
+    g_array_sort(candidates, compare_candidates);
+    return candidates;
+}
+
+static uint64_t slots_in_zone(const GArray *candidates, int zone)
+{
+    uint64_t slots = 0;
+    for (guint i = 0; i < candidates->len; i++) {
+        const struct ow_candidate *candidate = &g_array_index(candidates, struct ow_candidate, i);
+        if (candidate->machine->zone == zone)
+            slots += candidate->slots;
+    }
+    return slots;
+}
+
+int ow_candidates_best_zone(const struct ow_run *run, const GArray *candidates)
+{
+    int best_zone = OW_NO_NAME;
+    uint64_t most_slots = 0;
+    for (guint i = 0; i < candidates->len; i++) {
+        int zone = g_array_index(candidates, struct ow_candidate, i).machine->zone;
+        if (ow_placement_zone_admits(run, zone) == 0)
+            continue;
+        uint64_t slots = slots_in_zone(candidates, zone);
+        if (slots > most_slots) {
+            most_slots = slots;
+            best_zone = zone;
+        }
+    }
+    return best_zone;
+}
--- a/src/core/scheduling/image_demand.c
+++ b/src/core/scheduling/image_demand.c
@@ -1,6 +1,9 @@
-/* How long fetching a container image takes. */
+/* How long fetching a container image takes, and how much work waits for it. */
 #include "core/scheduling/image_demand.h"
 #include "core/leader_state.h"
+#include "core/machines/machine.h"
+#include "core/machines/machine_registry.h"
+#include "core/scheduling/classes.h"
 #include "core/scheduling/placement.h"
 
 static bool fits_type(const struct ow_spec *spec, int index, const struct ow_machine_type *type)
@@ -20,3 +23,56 @@
     }
     return slowest;
 }
+
+GArray *ow_image_demand_new_table(void)
+{
+    return g_array_new(FALSE, TRUE, sizeof(struct ow_image_demand));
+}
+
+static struct ow_image_demand *find_or_add(struct ow_leader *leader, int image)
+{
+    GArray *table = leader->pass.image_demand;
+    if (table->len <= (guint)image)
+        g_array_set_size(table, (guint)image + 1);
+    return &g_array_index(table, struct ow_image_demand, image);
+}
+
+const struct ow_image_demand *ow_image_demand_of(struct ow_leader *leader, int image)
+{
+    return find_or_add(leader, image);
+}
+
+/* Gangs don't count: they start as a whole wherever there is capacity. */
+static void add_waiting_work(struct ow_leader *leader, const struct ow_run *run)
+{
+    const struct ow_spec *spec = run->job->spec;
+    uint32_t pending = spec->submission->gang ? 0 : ow_run_pending(run);
+    if (pending == 0)
+        return;
+    struct ow_image_demand *demand = find_or_add(leader, spec->image);
+    demand->spec = spec;
+    demand->work_s += pending * ow_class_run_s(leader->controller, spec);
+}
+
+static void add_slots(struct ow_leader *leader, const struct ow_machine *machine)
+{
+    if (!ow_machine_is_usable(leader, machine))
+        return;
+    const struct ow_machine_type *type = ow_machine_spec(leader, machine);
+    for (guint i = 0; i < machine->images->len; i++) {
+        int image = g_array_index(machine->images, struct ow_image_copy, i).image;
+        struct ow_image_demand *demand = find_or_add(leader, image);
+        if (demand->spec == NULL || !ow_placement_is_allowed(leader, demand->spec, machine))
+            continue;
+        demand->slots += ow_placement_slots_on_empty(type, &demand->spec->submission->need);
+    }
+}
+
+void ow_image_demand_update(struct ow_leader *leader)
+{
+    g_array_set_size(leader->pass.image_demand, 0);
+    for (guint i = 0; i < leader->runs->len; i++)
+        add_waiting_work(leader, g_ptr_array_index(leader->runs, i));
+    for (guint i = 0; i < leader->machines->len; i++)
+        add_slots(leader, g_ptr_array_index(leader->machines, i));
+}
--- /dev/null
+++ b/src/core/scheduling/placement_cost.h
@@ -0,0 +1,16 @@
+/* How well a machine suits a job. Costs are in seconds, or taken as such, and lower is better. */
+#ifndef OW_CORE_SCHEDULING_PLACEMENT_COST_H
+#define OW_CORE_SCHEDULING_PLACEMENT_COST_H
+
+#include "core/run.h"
+
+/* The cost of running a task of the run there. The machine's type must be known. */
+double ow_placement_cost(const struct ow_leader *leader, const struct ow_run *run,
+                         const struct ow_machine *machine);
+/* Whether the run's tasks wait for cheap machines for now. */
+bool ow_placement_waits_for_cheap(const struct ow_leader *leader, const struct ow_run *run);
+/* Whether classes have objectives, and none of them has proper use for such machines: they cost what work
+   without objectives is not worth while there are cheaper ones of their type. */
+bool ow_placement_is_expensive(const struct ow_leader *leader, const struct ow_machine *machine);
+
+#endif
--- a/src/core/scheduling/reason.c
+++ b/src/core/scheduling/reason.c
@@ -5,6 +5,7 @@
 #include "core/machines/machine_registry.h"
 #include "core/run.h"
 #include "core/scheduling/placement.h"
+#include "core/scheduling/placement_cost.h"
 #include "core/scheduling/reservation.h"
 
 /* The machines that jobs with such demands allow: counted once a pass. */
--- a/src/core/scheduling/reservation.c
+++ b/src/core/scheduling/reservation.c
@@ -7,7 +7,9 @@
 #include "core/leader_state.h"
 #include "core/machines/machine.h"
 #include "core/run.h"
+#include "core/scheduling/candidates.h"
 #include "core/scheduling/placement.h"
+#include "core/scheduling/placement_cost.h"
 #include "core/scheduling/preempt.h"
 #include "core/scheduling/shortlist.h"
 
@@ -296,7 +298,7 @@
     /* Rule 4: nothing of a gang starts while an earlier attempt is not accounted for. */
     if (run->attempts->len > 0 || ow_team_admits(leader, run->job->spec, run->count) < run->count)
         return;
-    GArray *candidates = ow_placement_candidates(leader, run);
+    GArray *candidates = ow_candidates_find(leader, run);
     GArray *picks = g_array_new(FALSE, FALSE, sizeof(struct pick));
     if (best_pick(run, candidates, picks) == 0) {
         start_all(leader, run, picks);
--- a/src/core/scheduling/schedule.c
+++ b/src/core/scheduling/schedule.c
@@ -5,8 +5,9 @@
 #include "core/records/recorder.h"
 #include "core/run.h"
 #include "core/scheduling/array_preemption.h"
+#include "core/scheduling/array_start.h"
 #include "core/scheduling/gpu_reserve.h"
-#include "core/scheduling/placement.h"
+#include "core/scheduling/image_demand.h"
 #include "core/scheduling/queue.h"
 #include "core/scheduling/reason.h"
 #include "core/scheduling/reservation.h"
@@ -99,7 +100,7 @@
 {
     update_teams(leader);
     ow_gpu_reserve_update(leader);
-    ow_placement_weigh_images(leader);
+    ow_image_demand_update(leader);
     clear_held(leader);
     ow_shortlists_begin(leader);
     g_array_set_size(leader->pass.allowances, 0);
@@ -116,7 +117,7 @@
     if (ow_run_is_service(run))
         ow_service_replicas_start(leader, run);
     else
-        ow_placement_start_array(leader, run);
+        ow_array_start(leader, run);
     if (ow_run_pending(run) > 0)
         ow_array_preempt(leader, run);
 }
--- a/src/core/scheduling/service_replicas.c
+++ b/src/core/scheduling/service_replicas.c
@@ -4,6 +4,7 @@
 #include "core/machines/machine.h"
 #include "core/machines/machine_registry.h"
 #include "core/run.h"
+#include "core/scheduling/candidates.h"
 #include "core/scheduling/placement.h"
 
 #include <math.h>
@@ -95,8 +96,8 @@
     uint32_t wanted = ow_team_admits(leader, run->job->spec, ow_run_pending(run));
     if (wanted == 0)
         return;
-    GArray *candidates = ow_placement_candidates(leader, run);
-    int only = run->job->spec->submission->one_zone ? ow_placement_best_zone(run, candidates) : OW_NO_NAME;
+    GArray *candidates = ow_candidates_find(leader, run);
+    int only = run->job->spec->submission->one_zone ? ow_candidates_best_zone(run, candidates) : OW_NO_NAME;
     uint64_t number = ow_run_next_attempt(run);
     struct neighbours neighbours = neighbours_of(run);
     for (; wanted > 0; wanted--) {
