--- /dev/null
+++ b/src/core/scheduling/gang_selection.c
@@ -0,0 +1,135 @@
+/* Selecting machines for the members of a gang. */
+#include "core/scheduling/gang_selection.h"
+#include "core/leader_state.h"
+#include "core/machines/machine.h"
+#include "core/scheduling/candidates.h"
+#include "core/scheduling/placement.h"
+#include "core/scheduling/placement_cost.h"
+#include "core/scheduling/preempt.h"
+#include "core/scheduling/shortlist.h"
+
+#include <math.h>
+
+/* One way to place the members. */
+struct selection {
+    GArray *picks; /* struct ow_gang_pick */
+    uint32_t members_left;
+    double cost;
+};
+
+GArray *ow_gang_selection_new(void)
+{
+    return g_array_new(FALSE, FALSE, sizeof(struct ow_gang_pick));
+}
+
+/* How many members the zone rules admit in the zone, beside those picked already. */
+static uint32_t zone_admits(const struct ow_run *run, const GArray *picks, int zone, int only_zone)
+{
+    const struct ow_submission *submission = run->job->spec->submission;
+    if (submission->one_zone && only_zone != OW_NO_NAME && zone != only_zone)
+        return 0;
+    uint32_t admits = ow_placement_zone_admits(run, zone);
+    if (!submission->spread)
+        return admits;
+    for (guint i = 0; i < picks->len; i++) {
+        const struct ow_gang_pick *pick = &g_array_index(picks, struct ow_gang_pick, i);
+        if (pick->machine->zone == zone)
+            admits = admits > pick->members ? admits - pick->members : 0;
+    }
+    return admits;
+}
+
+/* Picks machines for as many members as the candidates have slots for, in their order. */
+static struct selection select_in_order(const struct ow_run *run, const GArray *candidates, int only_zone)
+{
+    struct selection selection = {.picks = ow_gang_selection_new(), .members_left = run->count};
+    for (guint i = 0; i < candidates->len && selection.members_left > 0; i++) {
+        const struct ow_candidate *candidate = &g_array_index(candidates, struct ow_candidate, i);
+        uint32_t admitted = zone_admits(run, selection.picks, candidate->machine->zone, only_zone);
+        uint32_t members = MIN(selection.members_left, MIN(candidate->slots, admitted));
+        if (members == 0)
+            continue;
+        struct ow_gang_pick pick = {candidate->machine, members};
+        g_array_append_val(selection.picks, pick);
+        selection.cost += members * candidate->cost;
+        selection.members_left -= members;
+    }
+    return selection;
+}
+
+static bool is_better(const struct selection *selection, const struct selection *best)
+{
+    if (selection->members_left != best->members_left)
+        return selection->members_left < best->members_left;
+    return selection->cost < best->cost;
+}
+
+/* Makes `selection` the best one if it is; else it is dropped. */
+static void keep_if_better(struct selection *best, struct selection *selection)
+{
+    if (is_better(selection, best)) {
+        best->members_left = selection->members_left;
+        best->cost = selection->cost;
+        g_array_set_size(best->picks, 0);
+        g_array_append_vals(best->picks, selection->picks->data, selection->picks->len);
+    }
+    g_array_free(selection->picks, TRUE);
+}
+
+/* Whether one of the first `end` candidates is in the zone. */
+static bool is_zone_before(const GArray *candidates, guint end, int zone)
+{
+    for (guint i = 0; i < end; i++) {
+        if (g_array_index(candidates, struct ow_candidate, i).machine->zone == zone)
+            return true;
+    }
+    return false;
+}
+
+uint32_t ow_gang_select(const struct ow_run *run, const GArray *candidates, GArray *picks)
+{
+    struct selection best = {.picks = picks, .members_left = run->count + 1, .cost = INFINITY};
+    if (!run->job->spec->submission->one_zone || candidates->len == 0) {
+        struct selection selection = select_in_order(run, candidates, OW_NO_NAME);
+        keep_if_better(&best, &selection);
+        return best.members_left;
+    }
+    for (guint i = 0; i < candidates->len; i++) {
+        int zone = g_array_index(candidates, struct ow_candidate, i).machine->zone;
+        if (zone != OW_NO_NAME && is_zone_before(candidates, i, zone))
+            continue;
+        struct selection selection = select_in_order(run, candidates, zone);
+        keep_if_better(&best, &selection);
+    }
+    return best.members_left;
+}
+
+/* Inserts the candidate behind all that cost no more. */
+static void insert_by_cost(GArray *candidates, const struct ow_candidate *candidate)
+{
+    guint index = 0;
+    while (index < candidates->len &&
+           g_array_index(candidates, struct ow_candidate, index).cost <= candidate->cost)
+        index++;
+    g_array_insert_vals(candidates, index, candidate, 1);
+}
+
+GArray *ow_gang_candidates_with_preemption(struct ow_leader *leader, const struct ow_run *run)
+{
+    GArray *candidates = g_array_new(FALSE, FALSE, sizeof(struct ow_candidate));
+    const struct ow_spec *spec = run->job->spec;
+    const GPtrArray *machines = ow_shortlist_with_preemption(leader, spec->class_index);
+    for (guint i = 0; i < machines->len; i++) {
+        struct ow_machine *machine = g_ptr_array_index(machines, i);
+        if (!ow_placement_is_permitted(leader, run, machine))
+            continue;
+        uint32_t slots = MIN(ow_preempt_slots(leader, spec, machine), run->count);
+        if (slots == 0)
+            continue;
+        double cost = ow_placement_cost(leader, run, machine);
+        cost += ow_preempt_loss(leader, spec, machine, slots);
+        struct ow_candidate candidate = {.machine = machine, .slots = slots, .cost = cost};
+        insert_by_cost(candidates, &candidate);
+    }
+    return candidates;
+}
