--- /dev/null
+++ b/src/core/attempt.c
@@ -0,0 +1,180 @@
+/* Attempts at the tasks of runs. */
+#include "core/attempt.h"
+#include "core/leader_state.h"
+#include "core/machines/machine.h"
+#include "core/machines/machine_health.h"
+#include "core/records/recorder.h"
+#include "core/run.h"
+#include "core/scheduling/classes.h"
+#include "core/teams.h"
+
+#include <string.h>
+
+/* Weight of the newest run in a machine's slowness. */
+static const double SLOWNESS_WEIGHT = 0.1;
+/* The most that one run may add to it, as a multiple of the expected run time. */
+static const double SLOWNESS_MOST = 6;
+/* A run waits so long after a machine has lost or refused a task of it. */
+static const double RETRY_PAUSE_S = 1;
+
+struct ow_attempt *ow_attempt_new(struct ow_leader *leader, struct ow_run *run, uint32_t task,
+                                  uint64_t number, struct ow_machine *machine, uint64_t session)
+{
+    struct ow_attempt *attempt = g_new0(struct ow_attempt, 1);
+    const struct ow_submission *submission = run->job->spec->submission;
+    attempt->job = run->job;
+    attempt->task = task;
+    attempt->number = number;
+    attempt->machine = machine;
+    attempt->session = session;
+    attempt->placed_at = leader->controller->now;
+    run->tasks[task].attempt = attempt;
+    g_ptr_array_add(run->attempts, attempt);
+    g_ptr_array_add(machine->attempts, attempt);
+    ow_amounts_add(&machine->used, &submission->need, 1);
+    ow_amounts_add(&machine->used_by[submission->rank], &submission->need, 1);
+    ow_amounts_add(ow_team_used(leader, run->job->spec->team), &submission->need, 1);
+    return attempt;
+}
+
+/* Takes the attempt out of the sums and lists of its machine. */
+static void detach_from_machine(const struct ow_leader *leader, struct ow_attempt *attempt)
+{
+    struct ow_machine *machine = attempt->machine;
+    const struct ow_submission *submission = attempt->job->spec->submission;
+    g_ptr_array_remove_fast(machine->attempts, attempt);
+    ow_amounts_add(&machine->used, &submission->need, -1);
+    ow_amounts_add(&machine->used_by[submission->rank], &submission->need, -1);
+    if (attempt->stop)
+        ow_amounts_add(&machine->stopping, &submission->need, -1);
+    if (machine->attempts->len > 0)
+        return;
+    /* Sums of fractions drift. */
+    machine->used = (struct ow_amounts){0};
+    machine->stopping = (struct ow_amounts){0};
+    memset(machine->used_by, 0, sizeof machine->used_by);
+    machine->idle_since = leader->controller->now;
+}
+
+static void detach(struct ow_leader *leader, struct ow_attempt *attempt)
+{
+    const struct ow_spec *spec = attempt->job->spec;
+    struct ow_run *run = attempt->job->run;
+    g_ptr_array_remove_fast(run->attempts, attempt);
+    detach_from_machine(leader, attempt);
+    ow_amounts_add(ow_team_used(leader, spec->team), &spec->submission->need, -1);
+    if (attempt->state == OW_ATTEMPT_SEEN && attempt->phase == OW_PHASE_RUNNING)
+        run->running--;
+    run->tasks[attempt->task].attempt = NULL;
+    run->cursor = MIN(run->cursor, attempt->task);
+}
+
+void ow_attempt_unload(struct ow_leader *leader, struct ow_attempt *attempt)
+{
+    detach(leader, attempt);
+    g_free(attempt);
+}
+
+static void mark_done(struct ow_run *run, uint32_t task)
+{
+    if (run->tasks[task].done)
+        return;
+    run->tasks[task].done = true;
+    run->done++;
+}
+
+/* The tasks of a gang complete together: one result is that of all of them. */
+static void complete_tasks(struct ow_leader *leader, struct ow_run *run, uint32_t task)
+{
+    mark_done(run, task);
+    run->failures = 0;
+    if (!run->job->spec->submission->gang)
+        return;
+    for (uint32_t i = 0; i < run->count; i++) {
+        mark_done(run, i);
+        ow_recorder_chunk(leader, run, i, false);
+    }
+}
+
+/* Takes in what the run time of a completed task tells of its class and of its machine. */
+static void observe_run_time(struct ow_leader *leader, const struct ow_attempt *attempt)
+{
+    const struct ow_spec *spec = attempt->job->spec;
+    struct ow_machine *machine = attempt->machine;
+    double ran_s = leader->controller->now - attempt->running_at;
+    double expected_s = ow_class_run_s(leader->controller, spec);
+    /* A gang is as fast as its slowest machine, which need not be this one. */
+    if (expected_s > 0 && !spec->submission->gang) {
+        double slowness = MIN(ran_s / expected_s, SLOWNESS_MOST);
+        machine->slowness += SLOWNESS_WEIGHT * (slowness - machine->slowness);
+    }
+    ow_class_observe_run(leader->controller, spec, ran_s);
+}
+
+/* The attempt at the task has ended with a result. */
+static void take_result(struct ow_leader *leader, struct ow_run *run, uint32_t task,
+                        struct ow_machine *machine)
+{
+    if (ow_run_is_service(run)) {
+        /* Its machine keeps the result and would end the replica again: it goes elsewhere. */
+        ow_machine_health_avoid(leader, machine, run);
+        return;
+    }
+    machine->errors = 0;
+    machine->suspect_until = 0;
+    machine->failed_job = NULL;
+    complete_tasks(leader, run, task);
+}
+
+/* The attempt at the task has ended without a result. */
+static void take_failure(struct ow_leader *leader, struct ow_run *run, uint32_t task,
+                         struct ow_machine *machine, enum ow_cause cause, bool stopped)
+{
+    if (cause == OW_CAUSE_ERROR)
+        ow_machine_health_error(leader, machine, run);
+    if (cause == OW_CAUSE_UNKNOWN || cause == OW_CAUSE_FULL || cause == OW_CAUSE_BUSY)
+        run->ready_at = MAX(run->ready_at, leader->controller->now + RETRY_PAUSE_S);
+    /* One that is gone, or refused, ends the gang's attempt: the others would wait or fail, too. */
+    if (run->job->spec->submission->gang && !stopped && !run->tasks[task].done)
+        ow_run_stop(leader, run, 0, "another task of the gang is gone");
+}
+
+void ow_attempt_end(struct ow_leader *leader, struct ow_attempt *attempt, enum ow_cause cause,
+                    const char *proof)
+{
+    struct ow_run *run = attempt->job->run;
+    struct ow_machine *machine = attempt->machine;
+    uint32_t task = attempt->task;
+    bool stopped = attempt->stop;
+    g_debug("task %s/%u attempt %" G_GUINT64_FORMAT " on %s is gone: %s", attempt->job->id, task,
+            attempt->number, machine->name, proof);
+    if (cause == OW_CAUSE_DONE && attempt->running_at > 0 && !ow_run_is_service(run))
+        observe_run_time(leader, attempt);
+    detach(leader, attempt);
+    g_free(attempt);
+    leader->pass.due = true;
+    ow_recorder_chunk(leader, run, task, false);
+    if (cause == OW_CAUSE_DONE)
+        take_result(leader, run, task, machine);
+    else
+        take_failure(leader, run, task, machine, cause, stopped);
+}
+
+void ow_attempt_stop(struct ow_leader *leader, struct ow_attempt *attempt, double grace_s, const char *why)
+{
+    struct ow_machine *machine = attempt->machine;
+    if (attempt->stop && attempt->stop_grace_s <= grace_s)
+        return;
+    if (!attempt->stop) {
+        g_info("task %s/%u on %s is stopped, grace %.1f s: %s", attempt->job->id, attempt->task,
+               machine->name, grace_s, why);
+        ow_amounts_add(&machine->stopping, &attempt->job->spec->submission->need, 1);
+    }
+    attempt->stop = true;
+    attempt->stop_grace_s = grace_s;
+    attempt->stop_at = leader->controller->now;
+    if (attempt->state == OW_ATTEMPT_PLANNED || attempt->state == OW_ATTEMPT_COMMITTED)
+        ow_attempt_end(leader, attempt, OW_CAUSE_STOPPED, "no launch has left");
+    else
+        machine->direct_wanted = true;
+}
--- a/src/core/leader_state.h
+++ b/src/core/leader_state.h
@@ -23,7 +23,7 @@
     double next_at;   /* no read or write before this time */
 };
 
-/* Sums and rights of teams, by name index: run.c; `entitled` and `borrows` are set by each scheduling pass.
+/* Sums and rights of teams, by name index: teams.c; `entitled` and `borrows` are set by each scheduling pass.
  */
 struct ow_team_state {
     struct ow_amounts *used; /* `count` of them, grown as teams come */
--- a/src/core/machines/rent.c
+++ b/src/core/machines/rent.c
@@ -11,6 +11,7 @@
 #include "core/scheduling/placement.h"
 #include "core/scheduling/placement_cost.h"
 #include "core/scheduling/queue.h"
+#include "core/teams.h"
 
 #include <math.h>
 
--- a/src/core/run.h
+++ b/src/core/run.h
@@ -1,44 +1,16 @@
-/* Runs of jobs, the attempts at their tasks, and what teams use. A run is the leader's view of a job whose
- * tasks may still exist; run.c owns runs and attempts and keeps the resource sums of machines and teams in
- * step with them. */
+/* Runs of jobs: the leader's view of a job whose tasks may still exist. run.c owns runs, with their tasks and
+ * chunks. */
 #ifndef OW_CORE_RUN_H
 #define OW_CORE_RUN_H
 
 #include "core/api/job.h"
-#include "core/settings.h"
+#include "core/attempt.h"
 #include "core/types.h"
 
 struct ow_leader;
-struct ow_machine;
 struct ow_record_value;
 struct ow_reservation;
 
-enum ow_attempt_state {
-    OW_ATTEMPT_PLANNED,   /* its record is not committed: no launch may leave */
-    OW_ATTEMPT_COMMITTED, /* recorded; no launch has left */
-    OW_ATTEMPT_SENT,      /* a launch may be on its way or carried out */
-    OW_ATTEMPT_SEEN,      /* the worker reports it */
-    OW_ATTEMPT_INHERITED, /* recorded by an earlier leader; not accounted for yet */
-};
-
-/* One try to run a task on a machine. It exists until there is proof that the worker does not run it. */
-struct ow_attempt {
-    struct ow_job *job;
-    uint32_t task;
-    uint64_t number; /* grows with each attempt at any task of the chunk */
-    struct ow_machine *machine;
-    uint64_t session; /* the worker's session that it belongs to */
-    enum ow_attempt_state state;
-    enum ow_phase phase;
-    uint64_t in_write;            /* serial of the write that carries its record */
-    uint32_t report_generation;   /* of the last report that lists it */
-    double placed_at, running_at; /* running_at 0: not yet seen running */
-    bool not_preemptible;         /* its job starved: it is not stopped again for others */
-    bool stop;                    /* it is to be stopped */
-    double stop_grace_s;          /* time to save its work */
-    double stop_at;               /* when the stop was decided */
-};
-
 struct ow_task {
     bool done;
     uint8_t failures;
@@ -88,8 +60,6 @@
     return &run->chunks[task / run->chunk_tasks];
 }
 
-/* ---- runs ---- */
-
 /* Replaces the run's chunks by fresh ones of `chunk_tasks` tasks. No chunk of it may be in a record value or
    a write. */
 void ow_run_divide(struct ow_run *run, uint32_t chunk_tasks);
@@ -106,39 +76,4 @@
 /* Whether the run's team is entitled and has waited long enough for others to be stopped for it. */
 bool ow_run_claims(const struct ow_leader *leader, const struct ow_run *run);
 
-/* ---- attempts ---- */
-
-/* Creates an attempt in state OW_ATTEMPT_PLANNED and adds its needs to the sums of machine and team. */
-struct ow_attempt *ow_attempt_new(struct ow_leader *leader, struct ow_run *run, uint32_t task,
-                                  uint64_t number, struct ow_machine *machine, uint64_t session);
-/* Ends and frees an attempt that is proven gone, or of which no launch ever left. `proof` is for the log.
-   Other attempts of a gang may end with it. */
-void ow_attempt_end(struct ow_leader *leader, struct ow_attempt *attempt, enum ow_cause cause,
-                    const char *proof);
-/* Frees an attempt without any consequence for its task: an outdated record named it. */
-void ow_attempt_unload(struct ow_leader *leader, struct ow_attempt *attempt);
-/* Decides to stop the attempt with `grace_s` seconds to save its work; a shorter grace replaces a longer
-   one. An attempt of which no launch has left ends, and is freed, at once. */
-void ow_attempt_stop(struct ow_leader *leader, struct ow_attempt *attempt, double grace_s, const char *why);
-
-/* ---- teams; `team` is a name index ---- */
-
-/* The team's settings, owned by the settings, or NULL if they name no such team. */
-const struct ow_team_settings *ow_team_settings_of(const struct ow_leader *leader, int team);
-/* What the team's attempts use. Valid until the next call. */
-struct ow_amounts *ow_team_used(struct ow_leader *leader, int team);
-/* Whether the amounts lie within what the team is guaranteed. A resource of which it is guaranteed none is
-   left out; one that is guaranteed must be among them. */
-bool ow_team_guarantees(const struct ow_leader *leader, int team, const struct ow_amounts *amounts);
-/* Whether such tasks need anything of which the team is guaranteed some: only then guarantees concern them.
- */
-bool ow_team_covers(const struct ow_leader *leader, int team, const struct ow_amounts *need);
-/* Whether all unfinished jobs of the team together fit within its guarantee: they need not wait for others.
- */
-bool ow_team_entitled(const struct ow_leader *leader, int team);
-/* Whether the team uses more than its guarantee, which entitled teams may claim back. */
-bool ow_team_borrows(struct ow_leader *leader, int team);
-/* How many of `wanted` further tasks of a job its team's limit admits; 0 for a team without settings. */
-uint32_t ow_team_admits(struct ow_leader *leader, const struct ow_spec *spec, uint32_t wanted);
-
 #endif
--- a/src/core/scheduling/array_preemption.c
+++ b/src/core/scheduling/array_preemption.c
@@ -7,6 +7,7 @@
 #include "core/scheduling/placement.h"
 #include "core/scheduling/preempt.h"
 #include "core/scheduling/shortlist.h"
+#include "core/teams.h"
 
 /* Whether other work may be stopped for the run at all. */
 static bool may_preempt(const struct ow_leader *leader, const struct ow_run *run)
--- a/src/core/scheduling/array_start.c
+++ b/src/core/scheduling/array_start.c
@@ -8,6 +8,7 @@
 #include "core/scheduling/classes.h"
 #include "core/scheduling/image_demand.h"
 #include "core/scheduling/placement.h"
+#include "core/teams.h"
 
 /* The share of a class's slack that tasks may wait for a machine with their image, if a fetch is expensive.
  */
--- a/src/core/scheduling/preempt.c
+++ b/src/core/scheduling/preempt.c
@@ -4,6 +4,7 @@
 #include "core/machines/machine.h"
 #include "core/run.h"
 #include "core/scheduling/placement.h"
+#include "core/teams.h"
 
 #include <math.h>
 
--- a/src/core/scheduling/queue.c
+++ b/src/core/scheduling/queue.c
@@ -5,6 +5,7 @@
 #include "core/machines/machine_registry.h"
 #include "core/scheduling/classes.h"
 #include "core/scheduling/image_demand.h"
+#include "core/teams.h"
 
 /* How far the size of an array counts against its age. */
 static const double SIZE_WEIGHT = 5;
--- a/src/core/scheduling/reason.c
+++ b/src/core/scheduling/reason.c
@@ -7,6 +7,7 @@
 #include "core/scheduling/placement.h"
 #include "core/scheduling/placement_cost.h"
 #include "core/scheduling/reservation.h"
+#include "core/teams.h"
 
 /* The machines that jobs with such demands allow: counted once a pass. */
 struct allowance {
--- a/src/core/scheduling/reservation.c
+++ b/src/core/scheduling/reservation.c
@@ -11,6 +11,7 @@
 #include "core/scheduling/gang_selection.h"
 #include "core/scheduling/placement.h"
 #include "core/scheduling/preempt.h"
+#include "core/teams.h"
 
 /* Capacity for one member of a gang on a machine. */
 struct ow_hold {
--- a/src/core/scheduling/schedule.c
+++ b/src/core/scheduling/schedule.c
@@ -13,6 +13,7 @@
 #include "core/scheduling/reservation.h"
 #include "core/scheduling/service_replicas.h"
 #include "core/scheduling/shortlist.h"
+#include "core/teams.h"
 
 /* The last record of the job was carried out although the answer was lost. */
 static void close_done_job(struct ow_leader *leader, struct ow_run *run)
--- a/src/core/scheduling/service_replicas.c
+++ b/src/core/scheduling/service_replicas.c
@@ -6,6 +6,7 @@
 #include "core/run.h"
 #include "core/scheduling/candidates.h"
 #include "core/scheduling/placement.h"
+#include "core/teams.h"
 
 #include <math.h>
 
