--- a/src/core/machines/machine.h
+++ b/src/core/machines/machine.h
@@ -46,7 +46,7 @@
     double reclaimed_at;        /* when the cloud takes it back, after a notice; 0: no notice */
     uint32_t report_generation; /* the leader's count of reports at its newest one */
 
-    /* Load: run.c, reports.c and machine_registry.c. */
+    /* Load: attempt.c, reports.c and machine_registry.c. */
     GPtrArray *attempts;                        /* struct ow_attempt, not owned */
     struct ow_amounts used;                     /* by attempts that may exist */
     struct ow_amounts used_by[OW_RANK_LOW + 1]; /* the same by rank */
@@ -61,7 +61,7 @@
     GArray *direct_launches;         /* struct ow_unacknowledged_launch of the call under way */
     GArray *unacknowledged_launches; /* struct ow_unacknowledged_launch of earlier calls without an answer */
 
-    /* Fault history: machine_health.c, and run.c for results. */
+    /* Fault history: machine_health.c, and attempt.c for results. */
     unsigned errors;                 /* jobs that failed on it since the last task that succeeded */
     const struct ow_job *failed_job; /* the last of them, not owned */
     unsigned quarantines;
@@ -69,7 +69,7 @@
     double suspect_until; /* it has failed a job, and it is not known yet which of the two is at fault */
     double slowness;      /* observed run time divided by the estimate; 1: as expected */
 
-    /* Scratch of the scheduling pass: schedule.c and reservation.c. */
+    /* Scratch of the scheduling pass: schedule.c, gpu_reserve.c, array_preemption.c and reservation.c. */
     bool gpus_kept;                   /* waiting work needs its GPUs: other work stays off */
     struct ow_amounts held;           /* kept from every job behind in the queue */
     struct ow_amounts held_for_gangs; /* the same, but a gang that can start at once may take it */
--- a/src/core/machines/machine_health.c
+++ b/src/core/machines/machine_health.c
@@ -5,7 +5,7 @@
 #include "core/machines/machine.h"
 #include "core/machines/machine_registry.h"
 #include "core/run.h"
-#include "core/scheduling/service_replicas.h"
+#include "core/scheduling/service_moves.h"
 
 static const double DRIFT = 0.002, MARGIN_S = 1.5;
 /* Recorded tasks on a machine that neither speaks nor is listed: by then it would have reported. */
@@ -162,7 +162,7 @@
 void ow_machine_health_tick(struct ow_leader *leader)
 {
     bool may_blame = few_unresponsive(leader), may_fear = few_silent(leader);
-    ow_service_replicas_relocate(leader);
+    ow_service_moves_tick(leader);
     for (guint i = leader->machines->len; i > 0; i--) {
         if (i > leader->machines->len)
             continue;
--- a/src/core/run.h
+++ b/src/core/run.h
@@ -40,7 +40,7 @@
     bool starves;                       /* nothing of it starts for too long; set by each scheduling pass */
     double ready_at;                    /* not to be started before */
     double missing_since;               /* a task of it waits since then; 0: none does */
-    double part_at;                     /* service_replicas.c: when its replicas are next looked at */
+    double separate_at;                 /* service_service_moves.c: when its replicas are next looked at */
     unsigned failures;                  /* in a row, on several machines */
     double bad_until;                   /* when bad_machines expires */
     GHashTable *bad_machines;           /* set of struct ow_machine * where a task of it failed */
--- a/src/core/scheduling/service_replicas.h
+++ b/src/core/scheduling/service_replicas.h
@@ -7,7 +7,5 @@
 
 /* Starts the missing replicas of a service. */
 void ow_service_replicas_start(struct ow_leader *leader, struct ow_run *run);
-/* Moves replicas off machines that are about to go. */
-void ow_service_replicas_relocate(struct ow_leader *leader);
 
 #endif
