--- a/src/core/scheduling/classes.c
+++ b/src/core/scheduling/classes.c
@@ -1,3 +1,4 @@
+/* What has been observed of each class of jobs, and how long its objectives let it wait. */
 #include "core/scheduling/classes.h"
 
 #include "core/controller.h"
@@ -5,8 +6,19 @@
 #include <math.h>
 #include <string.h>
 
-/* Weight of the newest run, and bounds that keep one odd job from ruling its class. */
-static const double NEWEST = 0.05, RATIO_LEAST = 0.3, RATIO_MOST = 4, NO_AIM_SLACK_S = 80, PEAK_S = 150;
+/* Weight of the newest run in the ratio of its class. */
+static const double RATIO_WEIGHT = 0.05;
+/* Bounds of a run's ratio, which keep one unusual job from dominating its class. */
+static const double RATIO_LEAST = 0.3;
+static const double RATIO_MOST = 4;
+/* Weight of the newest job in the estimate of its class. */
+static const double ESTIMATE_WEIGHT = 0.2;
+/* The slack of a class without objectives. */
+static const double NO_OBJECTIVE_SLACK_S = 80;
+/* Time constant with which the peak of a class decays. */
+static const double PEAK_DECAY_S = 150;
+/* The longer runs of a class take so many times its expected run time. */
+static const double LONGER_RUN = 1.5;
 
 struct ow_class *ow_class_of(struct ow_controller *controller, int class_index)
 {
@@ -19,35 +31,39 @@
 
 void ow_class_observe_job(struct ow_controller *controller, const struct ow_spec *spec)
 {
-    struct ow_class *c = ow_class_of(controller, spec->class_index);
-    const struct ow_submission *s = spec->submission;
-    c->estimate_s = c->seen ? c->estimate_s + 0.2 * (s->estimate_s - c->estimate_s) : s->estimate_s;
-    c->image_gb = MAX(c->image_gb, s->image_gb);
-    c->service = s->kind == OW_KIND_SERVICE;
-    c->largest = MAX(c->largest, s->gang || c->service ? s->tasks : 1);
-    c->need = s->need;
-    c->gang = s->gang;
-    c->spot = s->spot;
-    c->rank = s->rank;
-    c->types = spec->types;
-    c->seen = true;
+    struct ow_class *class = ow_class_of(controller, spec->class_index);
+    const struct ow_submission *submission = spec->submission;
+    if (class->seen)
+        class->estimate_s += ESTIMATE_WEIGHT * (submission->estimate_s - class->estimate_s);
+    else
+        class->estimate_s = submission->estimate_s;
+    class->image_gb = MAX(class->image_gb, submission->image_gb);
+    class->service = submission->kind == OW_KIND_SERVICE;
+    bool together = submission->gang || class->service;
+    class->largest = MAX(class->largest, together ? submission->tasks : 1);
+    class->need = submission->need;
+    class->gang = submission->gang;
+    class->spot = submission->spot;
+    class->rank = submission->rank;
+    class->types = spec->types;
+    class->seen = true;
 }
 
 void ow_class_observe_run(struct ow_controller *controller, const struct ow_spec *spec, double ran_s)
 {
-    struct ow_class *c = ow_class_of(controller, spec->class_index);
+    struct ow_class *class = ow_class_of(controller, spec->class_index);
     if (spec->submission->estimate_s <= 0)
         return;
     double ratio = CLAMP(ran_s / spec->submission->estimate_s, RATIO_LEAST, RATIO_MOST);
-    c->ratio += NEWEST * (ratio - c->ratio);
+    class->ratio += RATIO_WEIGHT * (ratio - class->ratio);
 }
 
 double ow_class_peak(struct ow_controller *controller, int class_index, double tasks)
 {
-    struct ow_class *c = ow_class_of(controller, class_index);
-    c->peak = MAX(tasks, c->peak * exp(-(controller->now - c->peak_at) / PEAK_S));
-    c->peak_at = controller->now;
-    return c->peak;
+    struct ow_class *class = ow_class_of(controller, class_index);
+    class->peak = MAX(tasks, class->peak * exp(-(controller->now - class->peak_at) / PEAK_DECAY_S));
+    class->peak_at = controller->now;
+    return class->peak;
 }
 
 double ow_class_run_s(struct ow_controller *controller, const struct ow_spec *spec)
@@ -57,22 +73,24 @@
 
 double ow_class_slack_s(struct ow_controller *controller, int class_index)
 {
-    const struct ow_class *c = ow_class_of(controller, class_index);
-    /* A replica that does not run is an outage, whatever aims are stated. */
-    if (c->service)
+    const struct ow_class *class = ow_class_of(controller, class_index);
+    /* A replica that does not run is an outage, whatever objectives are stated. */
+    if (class->service)
         return 0;
     const char *name = ow_names_text(controller->names.classes, class_index);
     double slack = INFINITY;
     for (guint i = 0; i < controller->settings->objectives->len; i++) {
-        const struct ow_objective *o =
+        const struct ow_objective *objective =
             &g_array_index(controller->settings->objectives, struct ow_objective, i);
-        if (strcmp(o->class_name, name) != 0)
+        if (strcmp(objective->class_name, name) != 0)
             continue;
-        /* The longer runs are the ones that decide whether the aim is met. */
-        double run = o->kind == OW_OBJECTIVE_FINISHED ? 1.5 * c->estimate_s * c->ratio : 0;
-        slack = MIN(slack, MAX(0, o->within_s - run));
+        /* The longer runs are the ones that decide whether the objective is met. */
+        double run_s = 0;
+        if (objective->kind == OW_OBJECTIVE_FINISHED)
+            run_s = LONGER_RUN * class->estimate_s * class->ratio;
+        slack = MIN(slack, MAX(0, objective->within_s - run_s));
     }
-    return slack < INFINITY ? slack : NO_AIM_SLACK_S;
+    return slack < INFINITY ? slack : NO_OBJECTIVE_SLACK_S;
 }
 
 unsigned ow_class_missed(struct ow_controller *controller, int class_index, double age_s)
@@ -80,10 +98,12 @@
     const char *name = ow_names_text(controller->names.classes, class_index);
     unsigned missed = 0;
     for (guint i = 0; i < controller->settings->objectives->len; i++) {
-        const struct ow_objective *o =
+        const struct ow_objective *objective =
             &g_array_index(controller->settings->objectives, struct ow_objective, i);
-        missed +=
-            o->kind == OW_OBJECTIVE_WAIT && strcmp(o->class_name, name) == 0 && age_s > o->within_s ? 1 : 0;
+        if (objective->kind != OW_OBJECTIVE_WAIT || strcmp(objective->class_name, name) != 0)
+            continue;
+        if (age_s > objective->within_s)
+            missed++;
     }
     return missed;
 }
@@ -93,9 +113,11 @@
     if (ow_class_of(controller, class_index)->service)
         return true;
     const char *name = ow_names_text(controller->names.classes, class_index);
-    for (guint i = 0; i < controller->settings->objectives->len; i++)
-        if (strcmp(g_array_index(controller->settings->objectives, struct ow_objective, i).class_name,
-                   name) == 0)
+    for (guint i = 0; i < controller->settings->objectives->len; i++) {
+        const struct ow_objective *objective =
+            &g_array_index(controller->settings->objectives, struct ow_objective, i);
+        if (strcmp(objective->class_name, name) == 0)
             return true;
+    }
     return false;
 }
--- a/src/core/scheduling/classes.h
+++ b/src/core/scheduling/classes.h
@@ -1,4 +1,4 @@
-/* What has been seen of each class of jobs, and what its aims leave to wait. */
+/* What has been observed of each class of jobs, and how long its objectives let it wait. */
 #ifndef OW_CORE_SCHEDULING_CLASSES_H
 #define OW_CORE_SCHEDULING_CLASSES_H
 
@@ -15,22 +15,24 @@
     bool gang, spot, service;
     enum ow_rank rank;
     uint64_t types;
-    double peak, peak_at; /* tasks that ran or waited at once, slowly forgotten */
+    double peak, peak_at; /* tasks that ran or waited at once, decaying */
 };
 
-/* Grown as class names come; the pointer holds until the next call. */
+/* What is known of the class; valid until the next call. The list grows as class names come. */
 struct ow_class *ow_class_of(struct ow_controller *controller, int class_index);
+/* Takes in what a newly accepted job shows of its class. */
 void ow_class_observe_job(struct ow_controller *controller, const struct ow_spec *spec);
+/* Takes in how long a task of the job ran, against its owner's estimate. */
 void ow_class_observe_run(struct ow_controller *controller, const struct ow_spec *spec, double ran_s);
-/* Takes how many tasks of the class run or wait now, and tells how many did lately. */
+/* Takes in how many tasks of the class run or wait now; returns their decaying maximum. */
 double ow_class_peak(struct ow_controller *controller, int class_index, double tasks);
-/* How long a task of the job runs, corrected by what its class has shown. */
+/* How long a task of the job runs, the estimate corrected by the ratio of its class. */
 double ow_class_run_s(struct ow_controller *controller, const struct ow_spec *spec);
-/* How long a task of the class may wait for its start without missing an aim of its class. */
+/* How long a task of the class may wait for its start without missing an objective of its class. */
 double ow_class_slack_s(struct ow_controller *controller, int class_index);
-/* How many aims for starting a job of such an age can no longer be met. */
+/* How many objectives for starting a job of such an age can no longer be met. */
 unsigned ow_class_missed(struct ow_controller *controller, int class_index, double age_s);
-/* Whether the settings state an aim for the class. */
+/* Whether the settings state an objective for the class; services always have one. */
 bool ow_class_has_objective(struct ow_controller *controller, int class_index);
 
 #endif
