--- a/src/core/scheduling/reason.c
+++ b/src/core/scheduling/reason.c
@@ -9,12 +9,13 @@
 #include "core/scheduling/reservation.h"
 #include "core/teams.h"
 
-/* The machines that jobs with such demands allow: counted once a pass. */
+/* How many machines jobs with such demands allow: counted once a pass. */
 struct allowance {
     uint64_t types;
     int zone;
     bool spot;
-    uint32_t allowed, usable;
+    uint32_t allowed;
+    uint32_t usable;
 };
 
 GArray *ow_reason_new_allowances(void)
@@ -25,22 +26,35 @@
 static struct allowance allowed_machines(struct ow_leader *leader, const struct ow_spec *spec)
 {
     for (guint i = 0; i < leader->pass.allowances->len; i++) {
-        const struct allowance *a = &g_array_index(leader->pass.allowances, struct allowance, i);
-        if (a->types == spec->types && a->zone == spec->zone && a->spot == spec->submission->spot)
-            return *a;
+        const struct allowance *allowance = &g_array_index(leader->pass.allowances, struct allowance, i);
+        if (allowance->types == spec->types && allowance->zone == spec->zone &&
+            allowance->spot == spec->submission->spot)
+            return *allowance;
     }
-    struct allowance count = {spec->types, spec->zone, spec->submission->spot, 0, 0};
+    struct allowance count = {.types = spec->types, .zone = spec->zone, .spot = spec->submission->spot};
     for (guint i = 0; i < leader->machines->len; i++) {
-        const struct ow_machine *m = g_ptr_array_index(leader->machines, i);
-        if (!ow_placement_is_allowed(leader, spec, m))
+        const struct ow_machine *machine = g_ptr_array_index(leader->machines, i);
+        if (!ow_placement_is_allowed(leader, spec, machine))
             continue;
         count.allowed++;
-        count.usable += ow_machine_is_usable(leader, m) ? 1 : 0;
+        if (ow_machine_is_usable(leader, machine))
+            count.usable++;
     }
     g_array_append_val(leader->pass.allowances, count);
     return count;
 }
 
+/* A gang's holds are counted up to its size: members may hold several machines. */
+static char *gang_reason(const struct ow_run *run)
+{
+    uint32_t held = 0;
+    if (run->reservation != NULL)
+        held = MIN(run->reservation->holds->len, run->count);
+    return g_strdup_printf("short of room for all %u tasks at once; holds room for %u and keeps its place",
+                           run->count, held);
+}
+
+/* The reason of a run with waiting tasks; the caller frees it. */
 static char *waits_for(struct ow_leader *leader, const struct ow_run *run, uint32_t pending)
 {
     const struct ow_spec *spec = run->job->spec;
@@ -52,23 +66,22 @@
         return g_strdup("waits until every task of its last attempt is proven gone");
     if (ow_team_admits(leader, spec, wanted) < wanted)
         return g_strdup_printf("team %s is at its limit", spec->submission->team);
-    struct allowance there = allowed_machines(leader, spec);
-    if (there.allowed == 0)
+    struct allowance allowance = allowed_machines(leader, spec);
+    if (allowance.allowed == 0)
         return g_strdup("no machine that it allows is rented yet");
-    if (there.usable == 0)
-        return g_strdup_printf("none of the %u machines that it allows can take tasks now", there.allowed);
+    if (allowance.usable == 0)
+        return g_strdup_printf("none of the %u machines that it allows can take tasks now",
+                               allowance.allowed);
     if (gang)
-        return g_strdup_printf(
-            "short of room for all %u tasks at once; holds room for %u and keeps its place", run->count,
-            run->reservation != NULL ? MIN(run->reservation->holds->len, run->count) : 0);
+        return gang_reason(run);
     if (ow_run_is_service(run))
         return g_strdup_printf("%u of %u replicas wait for room on %u machines", pending, run->count,
-                               there.usable);
+                               allowance.usable);
     if (ow_placement_waits_for_cheap(leader, run))
         return g_strdup_printf("%u tasks wait for room on cheap machines; before long they go on any",
                                pending);
     return g_strdup_printf("%u tasks wait for room on %u machines, behind earlier or more urgent work",
-                           pending, there.usable);
+                           pending, allowance.usable);
 }
 
 void ow_reason_waits(struct ow_leader *leader, struct ow_run *run)
