--- a/src/core/scheduling/service_moves.c
+++ b/src/core/scheduling/service_moves.c
@@ -1,3 +1,4 @@
+/* Moving replicas of services. */
 #include "core/scheduling/service_moves.h"
 
 #include "core/leader_state.h"
@@ -9,49 +10,69 @@
 
 /* Replicas of one service that are moved at a time. */
 enum { MOVES_MOST = 1 };
-/* How long a move takes: a stop, its report, a launch. So long before its machine goes a replica is stopped
-   at the latest. */
-static const double MOVE_S = 2, LAST_MOVE_S = 4;
-/* A service without a loss for so long is moved for the sake of losses to come, and looked at so often. */
-static const double CALM_S = 60, SEPARATE_S = 5;
+/* How long a move takes: a stop, its report, a launch. */
+static const double MOVE_S = 2;
+/* A replica is stopped at the latest so long before its machine goes. */
+static const double LAST_MOVE_S = 4;
+/* Replicas are separated only in a service that has lost none for so long, ... */
+static const double CALM_S = 60;
+/* ... and that is considered so often. */
+static const double SEPARATE_S = 5;
 
 static bool is_serving(const struct ow_attempt *attempt)
 {
     return attempt->state == OW_ATTEMPT_SEEN && attempt->phase == OW_PHASE_RUNNING && !attempt->stop;
 }
 
+/* How many of the service's replicas are missed now. */
 static uint32_t not_serving(const struct ow_run *run)
 {
     uint32_t serving = 0;
-    for (guint i = 0; i < run->attempts->len; i++)
-        serving += is_serving(g_ptr_array_index(run->attempts, i)) ? 1 : 0;
+    for (guint i = 0; i < run->attempts->len; i++) {
+        if (is_serving(g_ptr_array_index(run->attempts, i)))
+            serving++;
+    }
     return run->count - serving;
 }
 
-static bool stands_on(const struct ow_run *run, const struct ow_machine *machine)
+static bool has_attempt_on(const struct ow_run *run, const struct ow_machine *machine)
 {
-    for (guint i = 0; i < machine->attempts->len; i++)
-        if (((const struct ow_attempt *)g_ptr_array_index(machine->attempts, i))->job == run->job)
+    for (guint i = 0; i < machine->attempts->len; i++) {
+        const struct ow_attempt *attempt = g_ptr_array_index(machine->attempts, i);
+        if (attempt->job == run->job)
             return true;
+    }
     return false;
 }
 
-/* A machine where a replica could start at once, away from the others of its service and, if so wanted, from
-   a zone; NULL: none has room and its image. */
+/* Whether the machine has the image, and not only a fetch of it under way. */
+static bool has_image(const struct ow_machine *machine, int image)
+{
+    const struct ow_image_copy *copy = ow_machine_image(machine, image);
+    return copy != NULL && copy->present;
+}
+
+/* Whether a replica of the service could start on the machine at once, apart from the others. */
+static bool is_place_for(struct ow_leader *leader, const struct ow_run *run, const struct ow_machine *machine)
+{
+    const struct ow_spec *spec = run->job->spec;
+    return has_image(machine, spec->image) && ow_placement_is_permitted(leader, run, machine) &&
+           ow_placement_slots(leader, spec, machine) > 0 && !has_attempt_on(run, machine);
+}
+
+/* A machine where a replica could start at once, apart from the others of its service and outside a zone
+   (OW_NO_NAME: in any); NULL: none has capacity and the image. */
 static struct ow_machine *find_place(struct ow_leader *leader, const struct ow_run *run, int not_in_zone)
 {
     for (guint i = 0; i < leader->machines->len; i++) {
         struct ow_machine *machine = g_ptr_array_index(leader->machines, i);
-        const struct ow_image_copy *copy = ow_machine_image(machine, run->job->spec->image);
-        if (copy != NULL && copy->present && machine->zone != not_in_zone &&
-            ow_placement_is_permitted(leader, run, machine) &&
-            ow_placement_slots(leader, run->job->spec, machine) > 0 && !stands_on(run, machine))
+        if (machine->zone != not_in_zone && is_place_for(leader, run, machine))
             return machine;
     }
     return NULL;
 }
 
-/* The room is kept for the rest of the tick: one place is not to be counted on by two replicas. */
+/* The capacity is held for the rest of the tick: two replicas must not count on the same place. */
 static void move_to(struct ow_leader *leader, struct ow_attempt *attempt, struct ow_machine *place,
                     const char *why)
 {
@@ -91,7 +112,8 @@
     uint32_t count = 0;
     for (guint i = 0; i < run->attempts->len; i++) {
         const struct ow_attempt *attempt = g_ptr_array_index(run->attempts, i);
-        count += !attempt->stop && leaves_at(leader, attempt->machine) > 0 ? 1 : 0;
+        if (!attempt->stop && leaves_at(leader, attempt->machine) > 0)
+            count++;
     }
     return count;
 }
@@ -104,8 +126,8 @@
 }
 
 /* With its image elsewhere a replica is moved as soon as its service can do without it. Where no machine with
-   the image has room, it serves as long as it may: then it is stopped all the same, for it starts elsewhere
-   only once it is proven gone, and that takes far longer when its machine has been taken. */
+   the image has capacity, it serves as long as it may: then it is stopped all the same, for it starts
+   elsewhere only once it is proven gone, and that takes far longer when its machine has been taken. */
 static void move_off_leaving(struct ow_leader *leader, struct ow_machine *machine)
 {
     double left = leaves_at(leader, machine) - leader->controller->now;
@@ -125,10 +147,11 @@
 
 static bool has_only_replicas(const struct ow_machine *machine)
 {
-    for (guint i = 0; i < machine->attempts->len; i++)
-        if (!ow_run_is_service(
-                ((const struct ow_attempt *)g_ptr_array_index(machine->attempts, i))->job->run))
+    for (guint i = 0; i < machine->attempts->len; i++) {
+        const struct ow_attempt *attempt = g_ptr_array_index(machine->attempts, i);
+        if (!ow_run_is_service(attempt->job->run))
             return false;
+    }
     return true;
 }
 
@@ -142,9 +165,9 @@
         if (i > machine->attempts->len)
             continue;
         struct ow_attempt *attempt = g_ptr_array_index(machine->attempts, i - 1);
-        struct ow_machine *place = is_movable(attempt) && not_serving(attempt->job->run) < MOVES_MOST
-                                       ? find_place(leader, attempt->job->run, OW_NO_NAME)
-                                       : NULL;
+        if (!is_movable(attempt) || not_serving(attempt->job->run) >= MOVES_MOST)
+            continue;
+        struct ow_machine *place = find_place(leader, attempt->job->run, OW_NO_NAME);
         if (place != NULL)
             move_to(leader, attempt, place, "its machine is faulty; it moves");
     }
@@ -160,7 +183,8 @@
     *not_in_zone = OW_NO_NAME;
     for (guint i = 0; i < run->attempts->len && found == NULL; i++) {
         struct ow_attempt *attempt = g_ptr_array_index(run->attempts, i);
-        found = ow_replica_spread_on_machine(&spread, attempt->machine) > 1 ? attempt : NULL;
+        if (ow_replica_spread_on_machine(&spread, attempt->machine) > 1)
+            found = attempt;
     }
     bool one_zone = run->attempts->len > 1 && ow_replica_spread_zones(&spread) == 1;
     if (found == NULL && one_zone && !spec->submission->one_zone && spec->zone == OW_NO_NAME) {
@@ -181,7 +205,8 @@
     return leader->controller->now - leader->ready_at >= CALM_S && not_serving(run) == 0;
 }
 
-/* Where room was short its replicas may have come together: one at a time they are separated again. */
+/* Where capacity was short, replicas may have been placed together: one at a time they are separated again.
+ */
 static void separate(struct ow_leader *leader, struct ow_run *run)
 {
     int not_in_zone;
@@ -191,7 +216,9 @@
     if (!has_been_calm(leader, run))
         return;
     struct ow_attempt *attempt = crowded(run, &not_in_zone);
-    struct ow_machine *place = attempt != NULL ? find_place(leader, run, not_in_zone) : NULL;
+    if (attempt == NULL)
+        return;
+    struct ow_machine *place = find_place(leader, run, not_in_zone);
     if (place != NULL)
         move_to(leader, attempt, place, "it stands together with others of its service; it moves");
 }
--- a/src/core/scheduling/service_moves.h
+++ b/src/core/scheduling/service_moves.h
@@ -6,7 +6,7 @@
 
 struct ow_leader;
 
-/* Looks at every machine and service; called a few times a second. */
+/* Considers every machine and service; called a few times a second. */
 void ow_service_moves_tick(struct ow_leader *leader);
 
 #endif
