--- a/src/core/scheduling/service_replicas.c
+++ b/src/core/scheduling/service_replicas.c
@@ -12,11 +12,13 @@
 
 #include <math.h>
 
-/* Seconds of a later start that it is worth to keep a replica off a machine, and out of a zone, where another
-   one of its service is: one loss is to take few. */
-static const double MACHINE_S = 60, ZONE_S = 4;
-/* The same for each replica of another service on the machine, and for all of them at most. */
-static const double CROWD_S = 0.2, CROWD_MOST_S = 2;
+/* The cost, in seconds of a later start, of each replica of the same service on the machine, and in its zone:
+   one loss is to take few. */
+static const double SAME_MACHINE_COST_S = 60;
+static const double SAME_ZONE_COST_S = 4;
+/* The cost of each replica of another service on the machine, and of all of them at most. */
+static const double CROWDING_COST_S = 0.2;
+static const double CROWDING_COST_MOST_S = 2;
 
 /* What the job's own rules admit in each zone, by zone index. */
 static GArray *zones_admit(const struct ow_leader *leader, const struct ow_run *run)
@@ -37,27 +39,37 @@
         struct ow_candidate *candidate = &g_array_index(candidates, struct ow_candidate, i);
         const GPtrArray *attempts = candidate->machine->attempts;
         double cost_s = 0;
-        for (guint k = 0; k < attempts->len && cost_s < CROWD_MOST_S; k++) {
+        for (guint k = 0; k < attempts->len && cost_s < CROWDING_COST_MOST_S; k++) {
             const struct ow_attempt *attempt = g_ptr_array_index(attempts, k);
-            cost_s += ow_run_is_service(attempt->job->run) ? CROWD_S : 0;
+            if (ow_run_is_service(attempt->job->run))
+                cost_s += CROWDING_COST_S;
         }
-        candidate->cost += MIN(cost_s, CROWD_MOST_S);
+        candidate->cost += MIN(cost_s, CROWDING_COST_MOST_S);
     }
 }
 
+/* The cost of one more replica there, with that of its being close to others of its service. */
+static double replica_cost(const struct ow_replica_spread *spread, const struct ow_candidate *candidate)
+{
+    const struct ow_machine *machine = candidate->machine;
+    return candidate->cost + SAME_MACHINE_COST_S * ow_replica_spread_on_machine(spread, machine) +
+           SAME_ZONE_COST_S * ow_replica_spread_in_zone(spread, machine->zone);
+}
+
+/* The cheapest candidate in an admitted zone; NULL: there is none. */
 static struct ow_candidate *best_candidate(const struct ow_replica_spread *spread, GArray *candidates,
-                                           const GArray *admitted, int only)
+                                           const GArray *admitted, int only_zone)
 {
     struct ow_candidate *best = NULL;
     double least = INFINITY;
     for (guint i = 0; i < candidates->len; i++) {
         struct ow_candidate *candidate = &g_array_index(candidates, struct ow_candidate, i);
         int zone = candidate->machine->zone;
-        if (candidate->slots == 0 || (only != OW_NO_NAME && zone != only) ||
-            g_array_index(admitted, uint32_t, zone) == 0)
+        if (only_zone != OW_NO_NAME && zone != only_zone)
+            continue;
+        if (candidate->slots == 0 || g_array_index(admitted, uint32_t, zone) == 0)
             continue;
-        double cost = candidate->cost + MACHINE_S * ow_replica_spread_on_machine(spread, candidate->machine) +
-                      ZONE_S * ow_replica_spread_in_zone(spread, zone);
+        double cost = replica_cost(spread, candidate);
         if (cost < least) {
             least = cost;
             best = candidate;
@@ -80,13 +92,15 @@
     if (wanted == 0)
         return;
     GArray *candidates = ow_candidates_find(leader, run);
-    int only = run->job->spec->submission->one_zone ? ow_candidates_best_zone(run, candidates) : OW_NO_NAME;
+    int only_zone = OW_NO_NAME;
+    if (run->job->spec->submission->one_zone)
+        only_zone = ow_candidates_best_zone(run, candidates);
     uint64_t number = ow_run_next_attempt(run);
     struct ow_replica_spread spread = ow_replica_spread_of(run);
     add_crowding_costs(candidates);
     for (; wanted > 0; wanted--) {
         GArray *admitted = zones_admit(leader, run);
-        struct ow_candidate *candidate = best_candidate(&spread, candidates, admitted, only);
+        struct ow_candidate *candidate = best_candidate(&spread, candidates, admitted, only_zone);
         g_array_free(admitted, TRUE);
         if (candidate == NULL)
             break;
