--- a/src/core/attempt.c
+++ b/src/core/attempt.c
@@ -96,7 +96,7 @@
     }
 }
 
-/* Takes in what the run time of a completed task tells of its class and of its machine. */
+/* Takes in what the run time of a completed task shows of its class and its machine. */
 static void observe_run_time(struct ow_leader *leader, const struct ow_attempt *attempt)
 {
     const struct ow_spec *spec = attempt->job->spec;
--- a/src/core/scheduling/service_replicas.c
+++ b/src/core/scheduling/service_replicas.c
@@ -48,7 +48,7 @@
     }
 }
 
-/* The cost of one more replica there, with that of its being close to others of its service. */
+/* The cost of one more replica on the machine, higher the more of its service are there or in the zone. */
 static double replica_cost(const struct ow_replica_spread *spread, const struct ow_candidate *candidate)
 {
     const struct ow_machine *machine = candidate->machine;
