--- a/src/core/machines/fleet.c
+++ b/src/core/machines/fleet.c
@@ -1,4 +1,4 @@
-/* The machines that are rented: the cloud's list, and giving back what is of no use. */
+/* The machines that are rented: the cloud's list, and the return of those that are not needed. */
 #include "core/machines/fleet.h"
 #include "core/leader_state.h"
 #include "core/machines/headroom.h"
@@ -8,7 +8,7 @@
 
 #include <math.h>
 
-static const double LIST_S = 10, IDLE_S = 25;
+static const double LIST_S = 10, LIST_RETRY_S = 2, DELETE_RETRY_S = 2, IDLE_S = 25;
 /* Names in one deletion, by the cloud's protocol. */
 enum { DELETE_MOST = 100 };
 /* A machine is charged for a minute at least: giving it back within the first half of it saves little. */
@@ -20,18 +20,18 @@
 
 /* ---- deleting ---- */
 
-static void take_deletion(struct ow_leader *leader, struct ow_machine *m, int status)
+static void apply_deletion_answer(struct ow_leader *leader, struct ow_machine *machine, int status)
 {
     if (status == 200) {
-        g_info("machine %s is returned", m->name);
-        g_hash_table_add(leader->deletions.names, g_strdup(m->name));
-        ow_rental_options_forget_refusal(leader, m); /* its place is free again */
-        ow_machines_remove(leader, m, "its machine is deleted");
+        g_info("machine %s is returned", machine->name);
+        g_hash_table_add(leader->deletions.names, g_strdup(machine->name));
+        ow_rental_options_forget_refusal(leader, machine); /* its place is free again */
+        ow_machines_remove(leader, machine, "its machine is deleted");
     } else {
         /* Refused, it was not carried out and the machine stays of use. Without an answer it may be carried
            out yet, so nothing new goes there. */
-        m->deleting = status == 0;
-        m->delete_at = leader->controller->now + 2;
+        machine->deleting = status == 0;
+        machine->delete_at = leader->controller->now + DELETE_RETRY_S;
     }
 }
 
@@ -40,22 +40,22 @@
     struct ow_leader *leader = owner;
     const GPtrArray *names = data;
     for (guint i = 0; i < names->len; i++) {
-        struct ow_machine *m = ow_machines_find(leader, g_ptr_array_index(names, i));
-        if (m != NULL)
-            take_deletion(leader, m, answer->cloud.status);
+        struct ow_machine *machine = ow_machines_find(leader, g_ptr_array_index(names, i));
+        if (machine != NULL)
+            apply_deletion_answer(leader, machine, answer->cloud.status);
     }
 }
 
-void ow_fleet_delete(struct ow_leader *leader, struct ow_machine *m, const char *why)
+void ow_fleet_delete(struct ow_leader *leader, struct ow_machine *machine, const char *why)
 {
     double now = leader->controller->now;
-    if (now < m->delete_at || ow_rate_limiter_level(&leader->cloud.limiter, now) < 1)
+    if (now < machine->delete_at || ow_rate_limiter_level(&leader->cloud.limiter, now) < 1)
         return;
-    if (!m->deleting)
-        g_info("machine %s is being returned: %s", m->name, why);
-    m->deleting = true;
-    m->delete_at = INFINITY;
-    g_ptr_array_add(leader->deletions.queued, g_strdup(m->name));
+    if (!machine->deleting)
+        g_info("machine %s is being returned: %s", machine->name, why);
+    machine->deleting = true;
+    machine->delete_at = INFINITY;
+    g_ptr_array_add(leader->deletions.queued, g_strdup(machine->name));
 }
 
 static void free_names(void *names)
@@ -88,25 +88,26 @@
     (void)data;
     leader->cloud.list_busy = false;
     if (answer->cloud.status != 200 || answer->cloud.listed == NULL) {
-        leader->cloud.list_at = leader->controller->now + 2;
+        leader->cloud.list_at = leader->controller->now + LIST_RETRY_S;
         return;
     }
     const GArray *listed = answer->cloud.listed;
     for (guint i = 0; i < listed->len; i++) {
-        const struct ow_listed_machine *l = &g_array_index(listed, struct ow_listed_machine, i);
-        if (g_hash_table_contains(leader->deletions.names, l->name))
+        const struct ow_listed_machine *listed_machine = &g_array_index(listed, struct ow_listed_machine, i);
+        if (g_hash_table_contains(leader->deletions.names, listed_machine->name))
             continue; /* the list lags */
-        struct ow_machine *m = ow_machines_find(leader, l->name);
-        bool fresh = m == NULL;
+        struct ow_machine *machine = ow_machines_find(leader, listed_machine->name);
+        bool fresh = machine == NULL;
         if (fresh)
-            m = ow_machines_find_or_add(leader, l->name);
-        ow_machine_describe(leader, m, l->addr, l->type, l->zone, l->spot);
-        /* Lists lag: what its own worker said is newer. */
-        if (m->last_message_at == 0 || l->state == OW_LISTED_FAILED)
-            m->listed = l->state;
+            machine = ow_machines_find_or_add(leader, listed_machine->name);
+        ow_machine_describe(leader, machine, listed_machine->addr, listed_machine->type, listed_machine->zone,
+                            listed_machine->spot);
+        /* Lists lag: what its own worker reported is newer. */
+        if (machine->last_message_at == 0 || listed_machine->state == OW_LISTED_FAILED)
+            machine->listed = listed_machine->state;
         /* One that reported first was older than it seemed. */
-        m->rented_at = fresh ? leader->controller->now - l->age_s
-                             : MIN(m->rented_at, leader->controller->now - l->age_s);
+        machine->rented_at = fresh ? leader->controller->now - listed_machine->age_s
+                                   : MIN(machine->rented_at, leader->controller->now - listed_machine->age_s);
     }
     g_clear_pointer(&leader->cloud.list_after, g_free);
     if (answer->cloud.more && listed->len > 0) {
@@ -133,9 +134,9 @@
 
 /* ---- returning ---- */
 
-static bool idle(const struct ow_machine *m)
+static bool idle(const struct ow_machine *machine)
 {
-    return m->attempts->len == 0 && m->fenced && !m->deleting && m->holders == 0;
+    return machine->attempts->len == 0 && machine->fenced && !machine->deleting && machine->holders == 0;
 }
 
 static bool alike(const struct ow_machine *a, const struct ow_machine *b)
@@ -144,23 +145,23 @@
 }
 
 /* The more machines of a kind are idle, the less likely each is to be needed soon; in a large fleet their
-   share counts, or a moment's lull would empty it. A cheap one may wait longer for work than it costs to do
+   share counts, or a short lull would empty it. A cheap one may wait longer for work than it costs to do
    without it. */
-static double idle_limit(const struct ow_machine *m, unsigned idle_alike, unsigned all_alike)
+static double idle_limit(const struct ow_machine *machine, unsigned idle_alike, unsigned all_alike)
 {
     double crowd = MIN(idle_alike, CROWD_SHARES * idle_alike / MAX(all_alike, 1));
-    return (m->spot ? SPOT_PATIENCE : 1) * IDLE_S / MAX(crowd, 1);
+    return (machine->spot ? SPOT_PATIENCE : 1) * IDLE_S / MAX(crowd, 1);
 }
 
 /* Idle machines that no class needs ready, and how many there are of a machine's kind. */
-static void count_alike(const struct ow_leader *leader, const GPtrArray *unneeded, const struct ow_machine *m,
-                        unsigned *idle_alike, unsigned *all_alike)
+static void count_alike(const struct ow_leader *leader, const GPtrArray *unneeded,
+                        const struct ow_machine *machine, unsigned *idle_alike, unsigned *all_alike)
 {
     *idle_alike = *all_alike = 0;
     for (guint i = 0; i < unneeded->len; i++)
-        *idle_alike += alike(g_ptr_array_index(unneeded, i), m) ? 1 : 0;
+        *idle_alike += alike(g_ptr_array_index(unneeded, i), machine) ? 1 : 0;
     for (guint i = 0; i < leader->machines->len; i++)
-        *all_alike += alike(g_ptr_array_index(leader->machines, i), m) ? 1 : 0;
+        *all_alike += alike(g_ptr_array_index(leader->machines, i), machine) ? 1 : 0;
 }
 
 void ow_fleet_return_idle(struct ow_leader *leader)
@@ -170,13 +171,13 @@
     const struct ow_machine *last = NULL;
     unsigned idle_alike = 0, all_alike = 0;
     for (guint i = 0; i < unneeded->len; i++) {
-        struct ow_machine *m = g_ptr_array_index(unneeded, i);
-        if (last == NULL || !alike(m, last))
-            count_alike(leader, unneeded, m, &idle_alike, &all_alike);
-        last = m;
-        if (now - m->rented_at > PAID_S &&
-            now - MAX(m->idle_since, leader->ready_at) > idle_limit(m, idle_alike, all_alike))
-            ow_fleet_delete(leader, m, "it is idle");
+        struct ow_machine *machine = g_ptr_array_index(unneeded, i);
+        if (last == NULL || !alike(machine, last))
+            count_alike(leader, unneeded, machine, &idle_alike, &all_alike);
+        last = machine;
+        if (now - machine->rented_at > PAID_S &&
+            now - MAX(machine->idle_since, leader->ready_at) > idle_limit(machine, idle_alike, all_alike))
+            ow_fleet_delete(leader, machine, "it is idle");
     }
     g_ptr_array_free(unneeded, TRUE);
 }
--- a/src/core/machines/fleet.h
+++ b/src/core/machines/fleet.h
@@ -11,7 +11,7 @@
 /* Marks machines for return that have been idle for long enough and that no class needs ready. */
 void ow_fleet_return_idle(struct ow_leader *leader);
 /* Marks the machine for return to the cloud; `why` is for the log. */
-void ow_fleet_delete(struct ow_leader *leader, struct ow_machine *m, const char *why);
+void ow_fleet_delete(struct ow_leader *leader, struct ow_machine *machine, const char *why);
 /* Sends all deletions that are due in one call. */
 void ow_fleet_send_deletions(struct ow_leader *leader);
 
--- a/src/core/machines/headroom.c
+++ b/src/core/machines/headroom.c
@@ -16,40 +16,41 @@
 /* Whether the class has so little slack that a machine rented at need would come late for it. */
 static bool is_tight(struct ow_leader *leader, int class_index, const struct ow_machine_type *type)
 {
-    const struct ow_class *c = ow_class_of(leader->controller, class_index);
-    double fetch = type->fetch_gb_per_s > 0 ? c->image_gb / type->fetch_gb_per_s : 0;
-    /* Nobody is promised anything for a class without aims: no machine stands idle for it. */
+    const struct ow_class *class = ow_class_of(leader->controller, class_index);
+    double fetch = type->fetch_gb_per_s > 0 ? class->image_gb / type->fetch_gb_per_s : 0;
+    /* A class without aims has no promise to keep: no machine is kept idle for it. */
     return ow_class_has_objective(leader->controller, class_index) &&
            ow_class_slack_s(leader->controller, class_index) < 2 * type->boot_s + fetch + 20;
 }
 
 /* Slots of the class on a machine, full and free ones. */
-static uint32_t class_slots(const struct ow_leader *leader, const struct ow_class *c,
-                            const struct ow_machine *m, bool proper)
+static uint32_t class_slots(const struct ow_leader *leader, const struct ow_class *class,
+                            const struct ow_machine *machine, bool proper)
 {
-    const struct ow_machine_type *type = ow_machine_spec(leader, m);
-    if (type == NULL || (proper && ow_rental_options_is_wasteful(leader, type, c, m->spot)) ||
-        (m->spot && !c->spot) || (c->types & (UINT64_C(1) << m->type)) == 0)
+    const struct ow_machine_type *type = ow_machine_spec(leader, machine);
+    if (type == NULL || (proper && ow_rental_options_is_wasteful(leader, type, class, machine->spot)) ||
+        (machine->spot && !class->spot) || (class->types & (UINT64_C(1) << machine->type)) == 0)
         return 0;
     /* What ordinary GPU machines have for it is what their GPUs leave over, as in placement. */
     struct ow_machine_type left = {.size = type->size};
-    if (ow_rental_options_is_wasteful(leader, type, c, m->spot) && !m->spot)
+    if (ow_rental_options_is_wasteful(leader, type, class, machine->spot) && !machine->spot)
         left.size.cpus = MAX(0, left.size.cpus - left.size.gpus * leader->pass.gpu_cpus);
-    return ow_placement_slots_on_empty(&left, &c->need);
+    return ow_placement_slots_on_empty(&left, &class->need);
 }
 
 /* `plan` may be NULL: machines that are up alone. */
-static uint32_t slots_there(const struct ow_leader *leader, const struct ow_class *c, bool proper,
+static uint32_t slots_there(const struct ow_leader *leader, const struct ow_class *class, bool proper,
                             const GArray *plan)
 {
     uint32_t slots = 0;
     for (guint i = 0; i < leader->machines->len; i++) {
-        const struct ow_machine *m = g_ptr_array_index(leader->machines, i);
-        if (ow_machine_is_usable(leader, m))
-            slots += class_slots(leader, c, m, proper);
+        const struct ow_machine *machine = g_ptr_array_index(leader->machines, i);
+        if (ow_machine_is_usable(leader, machine))
+            slots += class_slots(leader, class, machine, proper);
     }
     for (guint i = 0; plan != NULL && i < plan->len; i++)
-        slots += class_slots(leader, c, &g_array_index(plan, struct ow_expected_machine, i).machine, proper);
+        slots +=
+            class_slots(leader, class, &g_array_index(plan, struct ow_expected_machine, i).machine, proper);
     return slots;
 }
 
@@ -74,10 +75,11 @@
     for (guint i = 0; i < leader->controller->classes->len; i++) {
         const struct ow_run *sample = NULL;
         double peak = ow_class_peak(leader->controller, (int)i, class_tasks(leader, (int)i, &sample));
-        struct ow_expected_machine c;
-        if (sample == NULL || !ow_rental_options_best(leader, sample->job->spec, INFINITY, true, false, &c))
+        struct ow_expected_machine candidate;
+        if (sample == NULL ||
+            !ow_rental_options_best(leader, sample->job->spec, INFINITY, true, false, &candidate))
             continue;
-        const struct ow_machine_type *type = ow_machine_spec(leader, &c.machine);
+        const struct ow_machine_type *type = ow_machine_spec(leader, &candidate.machine);
         const struct ow_class *class = ow_class_of(leader->controller, (int)i);
         if (!is_tight(leader, (int)i, type))
             continue;
@@ -85,9 +87,9 @@
         double wanted = peak + MAX(class->largest, HEADROOM_SHARE * peak);
         uint32_t there = slots_there(leader, class, true, plan);
         while (*most > 0 && there < wanted &&
-               ow_rental_options_best(leader, sample->job->spec, INFINITY, true, false, &c)) {
-            there += class_slots(leader, class, &c.machine, true);
-            g_array_append_val(plan, c);
+               ow_rental_options_best(leader, sample->job->spec, INFINITY, true, false, &candidate)) {
+            there += class_slots(leader, class, &candidate.machine, true);
+            g_array_append_val(plan, candidate);
             (*most)--;
         }
     }
@@ -106,58 +108,61 @@
 {
     GArray *needs = g_array_new(FALSE, FALSE, sizeof(struct need));
     for (guint i = 0; i < leader->controller->classes->len; i++) {
-        const struct ow_class *c = ow_class_of(leader->controller, (int)i);
-        for (int proper = 0; c->seen && proper < 2; proper++) {
-            struct need n = {c, (int)i, proper != 0,
-                             proper ? c->peak * (1 + HEADROOM_SHARE) + c->largest : c->peak,
-                             slots_there(leader, c, proper, NULL)};
-            g_array_append_val(needs, n);
+        const struct ow_class *class = ow_class_of(leader->controller, (int)i);
+        for (int proper = 0; class->seen && proper < 2; proper++) {
+            struct need need = {class, (int)i, proper != 0,
+                                proper ? class->peak * (1 + HEADROOM_SHARE) + class->largest : class->peak,
+                                slots_there(leader, class, proper, NULL)};
+            g_array_append_val(needs, need);
         }
     }
     return needs;
 }
 
 /* Whether a class would miss the machine; if none would, it counts as gone from here on. */
-static bool spared(struct ow_leader *leader, GArray *needs, const struct ow_machine *m)
+static bool spared(struct ow_leader *leader, GArray *needs, const struct ow_machine *machine)
 {
-    const struct ow_machine_type *type = ow_machine_spec(leader, m);
+    const struct ow_machine_type *type = ow_machine_spec(leader, machine);
     for (guint i = 0; i < needs->len; i++) {
-        const struct need *n = &g_array_index(needs, struct need, i);
-        uint32_t slots = class_slots(leader, n->class, m, n->proper);
-        bool matters = slots > 0 &&
-                       n->proper == !ow_rental_options_is_wasteful(leader, type, n->class, m->spot) &&
-                       is_tight(leader, n->class_index, type);
-        if (matters && n->there < n->wanted + slots)
+        const struct need *need = &g_array_index(needs, struct need, i);
+        uint32_t slots = class_slots(leader, need->class, machine, need->proper);
+        bool matters =
+            slots > 0 &&
+            need->proper == !ow_rental_options_is_wasteful(leader, type, need->class, machine->spot) &&
+            is_tight(leader, need->class_index, type);
+        if (matters && need->there < need->wanted + slots)
             return false;
     }
     for (guint i = 0; i < needs->len; i++) {
-        struct need *n = &g_array_index(needs, struct need, i);
-        n->there -= class_slots(leader, n->class, m, n->proper);
+        struct need *need = &g_array_index(needs, struct need, i);
+        need->there -= class_slots(leader, need->class, machine, need->proper);
     }
     return true;
 }
 
-static double rent_of(const struct ow_leader *leader, const struct ow_machine *m)
+static double rent_of(const struct ow_leader *leader, const struct ow_machine *machine)
 {
-    const struct ow_machine_type *type = ow_machine_spec(leader, m);
-    return m->spot ? type->spot_price : type->price;
+    const struct ow_machine_type *type = ow_machine_spec(leader, machine);
+    return machine->spot ? type->spot_price : type->price;
 }
 
 static gint dearest_first(gconstpointer a, gconstpointer b, gpointer leader)
 {
-    const struct ow_machine *x = *(const struct ow_machine *const *)a,
-                            *y = *(const struct ow_machine *const *)b;
-    double left = rent_of(leader, x), right = rent_of(leader, y);
-    return left != right ? (left > right ? -1 : 1) : x->type - y->type;
+    const struct ow_machine *first = *(const struct ow_machine *const *)a,
+                            *second = *(const struct ow_machine *const *)b;
+    double left = rent_of(leader, first), right = rent_of(leader, second);
+    if (left != right)
+        return left > right ? -1 : 1;
+    return first->type - second->type;
 }
 
-GPtrArray *ow_headroom_unneeded(struct ow_leader *leader, bool (*idle)(const struct ow_machine *m))
+GPtrArray *ow_headroom_unneeded(struct ow_leader *leader, bool (*idle)(const struct ow_machine *machine))
 {
     GPtrArray *found = g_ptr_array_new(), *unneeded = g_ptr_array_new();
     for (guint i = 0; i < leader->machines->len; i++) {
-        struct ow_machine *m = g_ptr_array_index(leader->machines, i);
-        if (ow_machine_spec(leader, m) != NULL && idle(m))
-            g_ptr_array_add(found, m);
+        struct ow_machine *machine = g_ptr_array_index(leader->machines, i);
+        if (ow_machine_spec(leader, machine) != NULL && idle(machine))
+            g_ptr_array_add(found, machine);
     }
     g_ptr_array_sort_with_data(found, dearest_first, leader);
     GArray *needs = class_needs(leader);
--- a/src/core/machines/headroom.h
+++ b/src/core/machines/headroom.h
@@ -13,6 +13,6 @@
 void ow_headroom_plan(struct ow_leader *leader, GArray *plan, unsigned *most);
 /* The idle machines (struct ow_machine *) that no such class needs, most expensive first; the caller frees
    the array. */
-GPtrArray *ow_headroom_unneeded(struct ow_leader *leader, bool (*idle)(const struct ow_machine *m));
+GPtrArray *ow_headroom_unneeded(struct ow_leader *leader, bool (*idle)(const struct ow_machine *machine));
 
 #endif
--- a/src/core/machines/machine_health.h
+++ b/src/core/machines/machine_health.h
@@ -10,9 +10,9 @@
 /* Checks every machine; called about twice a second. */
 void ow_machine_health_tick(struct ow_leader *leader);
 /* The run is not placed on the machine for a while. */
-void ow_machine_health_avoid(struct ow_leader *leader, struct ow_machine *m, struct ow_run *run);
+void ow_machine_health_avoid(struct ow_leader *leader, struct ow_machine *machine, struct ow_run *run);
 /* Notes that a task of the run failed there: the run avoids the machine, and whichever of the two is found at
    fault is paused or quarantined. */
-void ow_machine_health_error(struct ow_leader *leader, struct ow_machine *m, struct ow_run *run);
+void ow_machine_health_error(struct ow_leader *leader, struct ow_machine *machine, struct ow_run *run);
 
 #endif
--- a/src/core/machines/machine_registry.h
+++ b/src/core/machines/machine_registry.h
@@ -8,9 +8,10 @@
 
 /* The machine's type, owned by the controller, or NULL while its type is unknown. */
 static inline const struct ow_machine_type *ow_machine_spec(const struct ow_leader *leader,
-                                                            const struct ow_machine *m)
+                                                            const struct ow_machine *machine)
 {
-    return m->type >= 0 && m->type < OW_MAX_TYPES ? leader->controller->types[m->type] : NULL;
+    return machine->type >= 0 && machine->type < OW_MAX_TYPES ? leader->controller->types[machine->type]
+                                                              : NULL;
 }
 
 /* The machine of this name, or NULL. */
@@ -18,28 +19,28 @@
 /* The machine of this name, which is registered without type, zone or address if it is new. */
 struct ow_machine *ow_machines_find_or_add(struct ow_leader *leader, const char *name);
 /* Records address, type and zone, all of which are copied. A NULL or empty `addr` keeps the known address. */
-void ow_machine_describe(struct ow_leader *leader, struct ow_machine *m, const char *addr, const char *type,
-                         const char *zone, bool spot);
+void ow_machine_describe(struct ow_leader *leader, struct ow_machine *machine, const char *addr,
+                         const char *type, const char *zone, bool spot);
 /* Unregisters and frees a machine that is gone for good. Every attempt on it ends; `proof` says in the log
    why it is known to be gone. */
-void ow_machines_remove(struct ow_leader *leader, struct ow_machine *m, const char *proof);
+void ow_machines_remove(struct ow_leader *leader, struct ow_machine *machine, const char *proof);
 /* Whether a message of any kind came within the last two and a half report intervals. */
-bool ow_machine_heard_recently(const struct ow_leader *leader, const struct ow_machine *m);
+bool ow_machine_heard_recently(const struct ow_leader *leader, const struct ow_machine *machine);
 /* Whether no report came for two and a half report intervals, even if it answers commands. */
-bool ow_machine_stopped_reporting(const struct ow_leader *leader, const struct ow_machine *m);
+bool ow_machine_stopped_reporting(const struct ow_leader *leader, const struct ow_machine *machine);
 /* Whether new tasks may be placed on it now. */
-bool ow_machine_is_usable(const struct ow_leader *leader, const struct ow_machine *m);
+bool ow_machine_is_usable(const struct ow_leader *leader, const struct ow_machine *machine);
 /* Whether a launch of this attempt was sent directly and never answered, so that it may still take effect. */
-bool ow_machine_has_unacknowledged_launch(const struct ow_machine *m, const struct ow_job *job, uint32_t task,
-                                          uint64_t number);
+bool ow_machine_has_unacknowledged_launch(const struct ow_machine *machine, const struct ow_job *job,
+                                          uint32_t task, uint64_t number);
 /* The machine's copy of an image, present or being fetched, or NULL. Valid until the next
    ow_machine_image_use(). */
-struct ow_image_copy *ow_machine_image(const struct ow_machine *m, int image);
+struct ow_image_copy *ow_machine_image(const struct ow_machine *machine, int image);
 /* Notes that a task uses its job's image there. `present`: the image is known to have been fetched. */
-void ow_machine_image_use(struct ow_leader *leader, struct ow_machine *m, const struct ow_spec *spec,
+void ow_machine_image_use(struct ow_leader *leader, struct ow_machine *machine, const struct ow_spec *spec,
                           bool present);
 /* Expected seconds until a task with the job's image could run there; 0 if the image is present. */
-double ow_machine_fetch_seconds(const struct ow_leader *leader, const struct ow_machine *m,
+double ow_machine_fetch_seconds(const struct ow_leader *leader, const struct ow_machine *machine,
                                 const struct ow_spec *spec);
 /* Frees a machine: the free function of the registry's array. */
 void ow_machine_free(void *machine);
--- a/src/core/machines/rent.c
+++ b/src/core/machines/rent.c
@@ -42,38 +42,39 @@
     if (g_strv_length(answer->cloud.rented) < call->count)
         ow_rental_options_refuse(leader, call->type, call->zone, call->spot); /* these were the last */
     for (char **name = answer->cloud.rented; *name != NULL; name++) {
-        struct ow_machine *m = ow_machines_find_or_add(leader, *name);
-        ow_machine_describe(leader, m, NULL, type, zone, call->spot);
-        if (m->listed == OW_LISTED_NOT)
-            m->listed = OW_LISTED_BOOTING;
+        struct ow_machine *machine = ow_machines_find_or_add(leader, *name);
+        ow_machine_describe(leader, machine, NULL, type, zone, call->spot);
+        if (machine->listed == OW_LISTED_NOT)
+            machine->listed = OW_LISTED_BOOTING;
         g_info("machine %s rented: %s %s in %s", *name, call->spot ? "spot" : "ordinary", type, zone);
     }
 }
 
 static GArray *coming_up(const struct ow_leader *leader)
 {
-    GArray *list_ = g_array_new(FALSE, TRUE, sizeof(struct ow_expected_machine));
+    GArray *expected_machines = g_array_new(FALSE, TRUE, sizeof(struct ow_expected_machine));
     for (guint i = 0; i < leader->machines->len; i++) {
-        const struct ow_machine *m = g_ptr_array_index(leader->machines, i);
-        if (m->last_message_at != 0 || m->listed != OW_LISTED_BOOTING || m->deleting)
+        const struct ow_machine *machine = g_ptr_array_index(leader->machines, i);
+        if (machine->last_message_at != 0 || machine->listed != OW_LISTED_BOOTING || machine->deleting)
             continue;
-        struct ow_expected_machine c = {.machine = {.type = m->type, .zone = m->zone, .spot = m->spot}};
-        g_array_append_val(list_, c);
+        struct ow_expected_machine expected = {
+            .machine = {.type = machine->type, .zone = machine->zone, .spot = machine->spot}};
+        g_array_append_val(expected_machines, expected);
     }
-    return list_;
+    return expected_machines;
 }
 
 static uint32_t take_room(const struct ow_leader *leader, const struct ow_spec *spec,
-                          struct ow_expected_machine *c, uint32_t wanted)
+                          struct ow_expected_machine *expected, uint32_t wanted)
 {
-    if (!ow_placement_is_allowed(leader, spec, &c->machine))
+    if (!ow_placement_is_allowed(leader, spec, &expected->machine))
         return 0;
-    uint32_t slots = MIN(wanted, ow_placement_slots(leader, spec, &c->machine));
-    ow_amounts_add(&c->machine.used, &spec->submission->need, slots);
+    uint32_t slots = MIN(wanted, ow_placement_slots(leader, spec, &expected->machine));
+    ow_amounts_add(&expected->machine.used, &spec->submission->need, slots);
     return slots;
 }
 
-/* What the machines that are up have for jobs with such demands: reckoned once a round of planning. */
+/* What the machines that are up have for jobs with such demands: computed once a round of planning. */
 struct supply {
     uint64_t types;
     int zone;
@@ -88,38 +89,42 @@
 };
 
 /* What a machine has for such work, in the same measure. */
-static double room_for(const struct ow_leader *leader, const struct ow_spec *spec, const struct ow_machine *m)
+static double room_for(const struct ow_leader *leader, const struct ow_spec *spec,
+                       const struct ow_machine *machine)
 {
-    const struct ow_machine_type *type = ow_machine_spec(leader, m);
-    if (type == NULL || !ow_placement_is_allowed(leader, spec, m))
+    const struct ow_machine_type *type = ow_machine_spec(leader, machine);
+    if (type == NULL || !ow_placement_is_allowed(leader, spec, machine))
         return 0;
     if (spec->submission->need.gpus <= 0)
         return MAX(0, type->size.cpus - type->size.gpus * leader->pass.gpu_cpus);
     double cpus = type->size.cpus;
-    for (guint i = 0; m->attempts != NULL && i < m->attempts->len; i++) {
-        const struct ow_attempt *at = g_ptr_array_index(m->attempts, i);
-        if (at->job->spec->submission->need.gpus <= 0)
-            cpus -= at->job->spec->submission->need.cpus;
+    for (guint i = 0; machine->attempts != NULL && i < machine->attempts->len; i++) {
+        const struct ow_attempt *attempt = g_ptr_array_index(machine->attempts, i);
+        if (attempt->job->spec->submission->need.gpus <= 0)
+            cpus -= attempt->job->spec->submission->need.cpus;
     }
-    return leader->pass.gpu_cpus > 0 ? MIN(type->size.gpus, MAX(0, cpus) / leader->pass.gpu_cpus)
-                                     : type->size.gpus;
+    if (leader->pass.gpu_cpus <= 0)
+        return type->size.gpus;
+    return MIN(type->size.gpus, MAX(0, cpus) / leader->pass.gpu_cpus);
 }
 
 static double supply_for(const struct ow_leader *leader, const struct ow_spec *spec, GArray *supplies)
 {
-    struct supply s = {spec->types, spec->zone, spec->submission->spot, spec->submission->need.gpus > 0, 0};
+    struct supply supply = {spec->types, spec->zone, spec->submission->spot, spec->submission->need.gpus > 0,
+                            0};
     for (guint i = 0; i < supplies->len; i++) {
         const struct supply *known = &g_array_index(supplies, struct supply, i);
-        if (known->types == s.types && known->zone == s.zone && known->spot == s.spot && known->gpu == s.gpu)
+        if (known->types == supply.types && known->zone == supply.zone && known->spot == supply.spot &&
+            known->gpu == supply.gpu)
             return known->there;
     }
     for (guint i = 0; i < leader->machines->len; i++) {
-        const struct ow_machine *m = g_ptr_array_index(leader->machines, i);
-        if (ow_machine_is_usable(leader, m))
-            s.there += room_for(leader, spec, m);
+        const struct ow_machine *machine = g_ptr_array_index(leader->machines, i);
+        if (ow_machine_is_usable(leader, machine))
+            supply.there += room_for(leader, spec, machine);
     }
-    g_array_append_val(supplies, s);
-    return s.there;
+    g_array_append_val(supplies, supply);
+    return supply.there;
 }
 
 static double capacity(const struct ow_leader *leader, const struct ow_spec *spec, const GArray *plan,
@@ -165,24 +170,25 @@
     bool cheap = ow_placement_waits_for_cheap(leader, run);
     for (guint i = 0; i < plan->len && wanted > 0; i++)
         wanted -= take_room(leader, spec, &g_array_index(plan, struct ow_expected_machine, i), wanted);
-    struct ow_expected_machine c;
-    while (wanted > 0 && *most > 0 && ow_rental_options_best(leader, spec, waits, false, cheap, &c)) {
-        uint32_t taken = take_room(leader, spec, &c, wanted);
+    struct ow_expected_machine expected;
+    while (wanted > 0 && *most > 0 && ow_rental_options_best(leader, spec, waits, false, cheap, &expected)) {
+        uint32_t taken = take_room(leader, spec, &expected, wanted);
         if (taken == 0)
             return;
         wanted -= taken;
         g_debug("a %s machine is planned for job %s, which would wait %.0f s",
-                ow_names_text(leader->controller->names.types, c.machine.type), run->job->id, waits);
-        g_array_append_val(plan, c);
+                ow_names_text(leader->controller->names.types, expected.machine.type), run->job->id, waits);
+        g_array_append_val(plan, expected);
         (*most)--;
     }
 }
 
-static void rent(struct ow_leader *leader, const struct ow_expected_machine *c, unsigned count)
+static void rent(struct ow_leader *leader, const struct ow_expected_machine *expected, unsigned count)
 {
     struct ow_cloud_request *request = g_new0(struct ow_cloud_request, 1);
     struct rental_call *call = g_new0(struct rental_call, 1);
-    *call = (struct rental_call){c->machine.type, c->machine.zone, c->machine.spot, count};
+    *call =
+        (struct rental_call){expected->machine.type, expected->machine.zone, expected->machine.spot, count};
     request->op = OW_CLOUD_RENT;
     /* The token is ours alone, so no other process ever uses the same name for another request. */
     request->name = g_strdup_printf("r-%" G_GUINT64_FORMAT "-%u", leader->token, ++leader->renting.count);
@@ -203,17 +209,17 @@
 static void rent_planned(struct ow_leader *leader, GArray *plan)
 {
     for (guint i = 0; i < plan->len; i++) {
-        struct ow_expected_machine *c = &g_array_index(plan, struct ow_expected_machine, i);
+        struct ow_expected_machine *expected = &g_array_index(plan, struct ow_expected_machine, i);
         unsigned count = 0;
-        if (!c->to_rent)
+        if (!expected->to_rent)
             continue;
         for (guint k = i; k < plan->len; k++)
-            count += same_kind(c, &g_array_index(plan, struct ow_expected_machine, k)) ? 1 : 0;
+            count += same_kind(expected, &g_array_index(plan, struct ow_expected_machine, k)) ? 1 : 0;
         if (!ow_rate_limiter_take(&leader->cloud.limiter, 1, leader->controller->now))
             return;
-        rent(leader, c, count);
+        rent(leader, expected, count);
         for (guint k = plan->len; k > i; k--)
-            if (k - 1 != i && same_kind(c, &g_array_index(plan, struct ow_expected_machine, k - 1)))
+            if (k - 1 != i && same_kind(expected, &g_array_index(plan, struct ow_expected_machine, k - 1)))
                 g_array_index(plan, struct ow_expected_machine, k - 1).to_rent = false;
     }
 }
@@ -221,8 +227,8 @@
 static bool all_heard(const struct ow_leader *leader)
 {
     for (guint i = 0; i < leader->machines->len; i++) {
-        const struct ow_machine *m = g_ptr_array_index(leader->machines, i);
-        if (m->listed == OW_LISTED_RUNNING && !m->fenced)
+        const struct ow_machine *machine = g_ptr_array_index(leader->machines, i);
+        if (machine->listed == OW_LISTED_RUNNING && !machine->fenced)
             return false;
     }
     return leader->cloud.listed_once;
--- a/src/core/machines/rental_options.c
+++ b/src/core/machines/rental_options.c
@@ -28,9 +28,9 @@
     return g_array_new(FALSE, FALSE, sizeof(struct ow_rental_refusal));
 }
 
-static bool is_kind(const struct ow_rental_refusal *r, int type, int zone, bool spot)
+static bool is_kind(const struct ow_rental_refusal *refusal, int type, int zone, bool spot)
 {
-    return r->type == type && r->zone == zone && r->spot == spot;
+    return refusal->type == type && refusal->zone == zone && refusal->spot == spot;
 }
 
 static bool refused(const struct ow_leader *leader, int type, int zone, bool spot)
@@ -41,11 +41,11 @@
     return false;
 }
 
-void ow_rental_options_forget_refusal(struct ow_leader *leader, const struct ow_machine *m)
+void ow_rental_options_forget_refusal(struct ow_leader *leader, const struct ow_machine *machine)
 {
     for (guint i = leader->renting.refusals->len; i > 0; i--)
-        if (is_kind(&g_array_index(leader->renting.refusals, struct ow_rental_refusal, i - 1), m->type,
-                    m->zone, m->spot))
+        if (is_kind(&g_array_index(leader->renting.refusals, struct ow_rental_refusal, i - 1), machine->type,
+                    machine->zone, machine->spot))
             g_array_remove_index_fast(leader->renting.refusals, i - 1);
 }
 
@@ -79,7 +79,8 @@
 static double price_of(const struct ow_machine_type *type, const struct ow_amounts *need, bool spot)
 {
     uint32_t slots = ow_placement_slots_on_empty(type, need);
-    return slots > 0 ? (spot ? type->spot_price : type->price) / slots : INFINITY;
+    double rent = spot ? type->spot_price : type->price;
+    return slots > 0 ? rent / slots : INFINITY;
 }
 
 /* The cheapest ordinary machine without GPUs, whether or not it is to be had. */
@@ -87,20 +88,21 @@
 {
     double best = INFINITY;
     for (int i = 0; i < OW_MAX_TYPES; i++) {
-        const struct ow_machine_type *t = leader->controller->types[i];
-        if (t != NULL && !improper(t, need) && (types & (UINT64_C(1) << i)) != 0)
-            best = MIN(best, price_of(t, need, false));
+        const struct ow_machine_type *type = leader->controller->types[i];
+        if (type != NULL && !improper(type, need) && (types & (UINT64_C(1) << i)) != 0)
+            best = MIN(best, price_of(type, need, false));
     }
     return best;
 }
 
 bool ow_rental_options_is_wasteful(const struct ow_leader *leader, const struct ow_machine_type *type,
-                                   const struct ow_class *c, bool spot)
+                                   const struct ow_class *class, bool spot)
 {
     /* Less urgent work gets only what the GPUs leave over. */
-    return improper(type, &c->need) &&
-           ((int)c->rank >= leader->pass.gpu_rank ||
-            price_of(type, &c->need, spot) > FAIR_PRICE * proper_price(leader, &c->need, c->types));
+    return improper(type, &class->need) &&
+           ((int)class->rank >= leader->pass.gpu_rank ||
+            price_of(type, &class->need, spot) >
+                FAIR_PRICE * proper_price(leader, &class->need, class->types));
 }
 
 /* How long a new machine takes until it can run the job. */
@@ -113,29 +115,30 @@
                             bool proper, bool cheap, struct ow_expected_machine *out)
 {
     double best = INFINITY;
-    for (int type = 0; type < OW_MAX_TYPES; type++) {
-        const struct ow_machine_type *t = leader->controller->types[type];
-        for (char **zone = leader->controller->settings->zones; t != NULL && *zone != NULL; zone++) {
+    for (int type_index = 0; type_index < OW_MAX_TYPES; type_index++) {
+        const struct ow_machine_type *type = leader->controller->types[type_index];
+        for (char **zone = leader->controller->settings->zones; type != NULL && *zone != NULL; zone++) {
             for (int spot = 0; spot < 2; spot++) {
-                int z = ow_names_add(leader->controller->names.zones, *zone);
-                struct ow_expected_machine c = {.machine = {.type = type, .zone = z, .spot = spot != 0},
-                                                .to_rent = true};
-                uint32_t slots = ow_placement_slots(leader, spec, &c.machine);
+                int zone_index = ow_names_add(leader->controller->names.zones, *zone);
+                struct ow_expected_machine candidate = {
+                    .machine = {.type = type_index, .zone = zone_index, .spot = spot != 0}, .to_rent = true};
+                uint32_t slots = ow_placement_slots(leader, spec, &candidate.machine);
                 bool wasteful = ow_rental_options_is_wasteful(
-                    leader, t, ow_class_of(leader->controller, spec->class_index), spot != 0);
+                    leader, type, ow_class_of(leader->controller, spec->class_index), spot != 0);
                 if (wasteful && proper)
                     continue;
                 if (cheap && spot == 0)
                     continue;
-                if (waits < HELP_PATIENCE * start_s(t, spec))
+                if (waits < HELP_PATIENCE * start_s(type, spec))
                     continue; /* it would come too late to help */
-                if (!offered_in(t, *zone) || slots == 0 ||
-                    !ow_placement_is_allowed(leader, spec, &c.machine) || refused(leader, type, z, spot != 0))
+                if (!offered_in(type, *zone) || slots == 0 ||
+                    !ow_placement_is_allowed(leader, spec, &candidate.machine) ||
+                    refused(leader, type_index, zone_index, spot != 0))
                     continue;
-                double price = (spot ? t->spot_price : t->price) / MIN(slots, spec->submission->tasks);
+                double price = (spot ? type->spot_price : type->price) / MIN(slots, spec->submission->tasks);
                 if (price < best) {
                     best = price;
-                    *out = c;
+                    *out = candidate;
                 }
             }
         }
--- a/src/core/machines/rental_options.h
+++ b/src/core/machines/rental_options.h
@@ -23,11 +23,11 @@
                             bool proper, bool cheap, struct ow_expected_machine *out);
 /* Whether a machine with GPUs would be too expensive for work that does not need them. */
 bool ow_rental_options_is_wasteful(const struct ow_leader *leader, const struct ow_machine_type *type,
-                                   const struct ow_class *c, bool spot);
+                                   const struct ow_class *job_class, bool spot);
 /* Notes that the cloud has refused to rent this kind of machine; it is not asked again for a while. */
 void ow_rental_options_refuse(struct ow_leader *leader, int type, int zone, bool spot);
 /* Forgets the refusal of the machine's kind: a machine of it has gone back to the cloud. */
-void ow_rental_options_forget_refusal(struct ow_leader *leader, const struct ow_machine *m);
+void ow_rental_options_forget_refusal(struct ow_leader *leader, const struct ow_machine *machine);
 /* Forgets refusals that have expired. */
 void ow_rental_options_forget_old(struct ow_leader *leader);
 
--- a/src/core/machines/reports.h
+++ b/src/core/machines/reports.h
@@ -8,7 +8,7 @@
 struct ow_leader;
 struct ow_machine;
 
-/* Takes a report in, unless it is a late copy. Commands that it calls for, such as clearing an ended task,
+/* Applies a report, unless it is a late copy. Commands that it calls for, such as clearing an ended task,
    are appended to `commands` (struct ow_worker_command), which may be NULL. Returns the machine, or NULL if
    it has been deleted. */
 struct ow_machine *ow_reports_receive(struct ow_leader *leader, const struct ow_report *report,
