--- a/src/core/api/cancellation_ack.c
+++ b/src/core/api/cancellation_ack.c
@@ -33,50 +33,50 @@
 
 static void entry_free(void *item)
 {
-    struct entry *e = item;
-    g_array_free(e->waiting_requests, TRUE);
-    g_free(e);
+    struct entry *entry = item;
+    g_array_free(entry->waiting_requests, TRUE);
+    g_free(entry);
 }
 
 struct ow_cancellation_ack *ow_cancellation_ack_new(struct ow_controller *controller)
 {
-    struct ow_cancellation_ack *c = g_new0(struct ow_cancellation_ack, 1);
-    c->controller = controller;
-    c->entries = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, entry_free);
-    return c;
+    struct ow_cancellation_ack *acks = g_new0(struct ow_cancellation_ack, 1);
+    acks->controller = controller;
+    acks->entries = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, entry_free);
+    return acks;
 }
 
-void ow_cancellation_ack_free(struct ow_cancellation_ack *c)
+void ow_cancellation_ack_free(struct ow_cancellation_ack *acks)
 {
-    g_hash_table_destroy(c->entries);
-    g_free(c);
+    g_hash_table_destroy(acks->entries);
+    g_free(acks);
 }
 
-static struct entry *entry_get(struct ow_cancellation_ack *c, const char *id)
+static struct entry *entry_get(struct ow_cancellation_ack *acks, const char *id)
 {
-    struct entry *e = g_hash_table_lookup(c->entries, id);
-    if (e != NULL)
-        return e;
-    e = g_new0(struct entry, 1);
-    g_strlcpy(e->id, id, sizeof e->id);
-    e->since = c->controller->now;
-    e->dropped_at = c->controller->now + FORGET_S;
-    e->pause_s = RESEND_S;
-    e->waiting_requests = g_array_new(FALSE, FALSE, sizeof(struct waiting_request));
-    g_hash_table_insert(c->entries, e->id, e);
+    struct entry *entry = g_hash_table_lookup(acks->entries, id);
+    if (entry != NULL)
+        return entry;
+    entry = g_new0(struct entry, 1);
+    g_strlcpy(entry->id, id, sizeof entry->id);
+    entry->since = acks->controller->now;
+    entry->dropped_at = acks->controller->now + FORGET_S;
+    entry->pause_s = RESEND_S;
+    entry->waiting_requests = g_array_new(FALSE, FALSE, sizeof(struct waiting_request));
+    g_hash_table_insert(acks->entries, entry->id, entry);
     /* The stops go out before anything else does. */
-    if (c->controller->leader != NULL)
-        ow_leader_cancel(c->controller->leader, ow_jobs_find(c->controller->jobs, id));
-    return e;
+    if (acks->controller->leader != NULL)
+        ow_leader_cancel(acks->controller->leader, ow_jobs_find(acks->controller->jobs, id));
+    return entry;
 }
 
-void ow_cancellation_ack_wait(struct ow_cancellation_ack *c, uint64_t request, int status,
+void ow_cancellation_ack_wait(struct ow_cancellation_ack *acks, uint64_t request, int status,
                               const struct ow_job *job)
 {
-    struct entry *e = entry_get(c, job->id);
-    struct waiting_request v = {request, status, c->controller->now + PATIENCE_S};
-    e->dropped_at = 0;
-    g_array_append_val(e->waiting_requests, v);
+    struct entry *entry = entry_get(acks, job->id);
+    struct waiting_request waiting = {request, status, acks->controller->now + PATIENCE_S};
+    entry->dropped_at = 0;
+    g_array_append_val(entry->waiting_requests, waiting);
 }
 
 static void send_to_peers(struct ow_controller *controller, enum ow_peer_kind kind, const struct ow_job *job,
@@ -89,30 +89,30 @@
     ow_controller_send_to_peers(controller, message);
 }
 
-void ow_cancellation_ack_requested(struct ow_cancellation_ack *c, const struct ow_peer_message *m)
+void ow_cancellation_ack_requested(struct ow_cancellation_ack *acks, const struct ow_peer_message *message)
 {
-    struct ow_controller *controller = c->controller;
+    struct ow_controller *controller = acks->controller;
     /* Committed is committed: it is acted on by whoever leads or thinks so, read or not. */
     if (controller->leader == NULL)
         return;
-    struct ow_job *job = ow_jobs_cancel(controller->jobs, m->job, m->revision, m->number);
+    struct ow_job *job = ow_jobs_cancel(controller->jobs, message->job, message->revision, message->number);
     if (job->state != OW_JOB_CANCELLED)
         return;
     if (job->cancellation_acked)
         send_to_peers(controller, OW_PEER_CANCELLATION_ACK, job, ow_election_token(controller->election));
     else
-        entry_get(c, m->job);
+        entry_get(acks, message->job);
 }
 
-void ow_cancellation_ack_received(struct ow_cancellation_ack *c, const struct ow_peer_message *m)
+void ow_cancellation_ack_received(struct ow_cancellation_ack *acks, const struct ow_peer_message *message)
 {
-    struct ow_job *job = ow_jobs_find(c->controller->jobs, m->job);
+    struct ow_job *job = ow_jobs_find(acks->controller->jobs, message->job);
     /* Whoever is asked about a job that we still take to be open reads it, and asks the leader then. */
     if (job == NULL)
         return;
     /* The acknowledgement of a leader that was deposed before the cancellation was recorded is worth nothing:
        the one that counts may not have it. A later one has read it before it became ready. */
-    if (job->state == OW_JOB_CANCELLED && m->number >= job->cancel_token)
+    if (job->state == OW_JOB_CANCELLED && message->number >= job->cancel_token)
         job->cancellation_acked = true;
 }
 
@@ -128,55 +128,57 @@
     return true;
 }
 
-static void answer_all(struct ow_controller *controller, struct entry *e, const struct ow_job *job)
+static void answer_all(struct ow_controller *controller, struct entry *entry, const struct ow_job *job)
 {
-    if (e->waiting_requests->len > 0)
-        g_info("cancellation of job %s acknowledged by the leader after %.3f s", e->id,
-               controller->now - e->since);
-    for (guint i = 0; i < e->waiting_requests->len; i++) {
-        const struct waiting_request *v = &g_array_index(e->waiting_requests, struct waiting_request, i);
-        ow_job_answer_acknowledged(controller, v->request, v->status, job);
+    if (entry->waiting_requests->len > 0)
+        g_info("cancellation of job %s acknowledged by the leader after %.3f s", entry->id,
+               controller->now - entry->since);
+    for (guint i = 0; i < entry->waiting_requests->len; i++) {
+        const struct waiting_request *waiting =
+            &g_array_index(entry->waiting_requests, struct waiting_request, i);
+        ow_job_answer_acknowledged(controller, waiting->request, waiting->status, job);
     }
 }
 
 /* Nobody is held back: who has waited long enough is asked to come again. */
-static void refuse_late(struct ow_controller *controller, struct entry *e)
+static void refuse_late(struct ow_controller *controller, struct entry *entry)
 {
-    for (guint i = e->waiting_requests->len; i > 0; i--) {
-        const struct waiting_request *v = &g_array_index(e->waiting_requests, struct waiting_request, i - 1);
-        if (controller->now < v->until)
+    for (guint i = entry->waiting_requests->len; i > 0; i--) {
+        const struct waiting_request *waiting =
+            &g_array_index(entry->waiting_requests, struct waiting_request, i - 1);
+        if (controller->now < waiting->until)
             continue;
-        ow_controller_refuse(controller, v->request, 503,
+        ow_controller_refuse(controller, waiting->request, 503,
                              "the leader has not acknowledged the cancellation yet", RETRY_S);
-        g_array_remove_index(e->waiting_requests, i - 1);
+        g_array_remove_index(entry->waiting_requests, i - 1);
     }
 }
 
 /* True when the entry is of no use any more. */
-static bool step(struct ow_controller *controller, struct entry *e)
+static bool step(struct ow_controller *controller, struct entry *entry)
 {
-    struct ow_job *job = ow_jobs_find(controller->jobs, e->id);
+    struct ow_job *job = ow_jobs_find(controller->jobs, entry->id);
     if (job->cancellation_acked || acknowledge(controller, job)) {
-        answer_all(controller, e, job);
+        answer_all(controller, entry, job);
         return true;
     }
-    refuse_late(controller, e);
-    if (e->dropped_at > 0)
-        return controller->now > e->dropped_at;
-    if (controller->leader == NULL && controller->now >= e->send_at) {
-        e->send_at = controller->now + e->pause_s;
-        e->pause_s = MIN(2 * e->pause_s, RESEND_MOST_S);
+    refuse_late(controller, entry);
+    if (entry->dropped_at > 0)
+        return controller->now > entry->dropped_at;
+    if (controller->leader == NULL && controller->now >= entry->send_at) {
+        entry->send_at = controller->now + entry->pause_s;
+        entry->pause_s = MIN(2 * entry->pause_s, RESEND_MOST_S);
         send_to_peers(controller, OW_PEER_CANCELLATION, job, job->cancel_token);
     }
     return false;
 }
 
-void ow_cancellation_ack_tick(struct ow_cancellation_ack *c)
+void ow_cancellation_ack_tick(struct ow_cancellation_ack *acks)
 {
     GHashTableIter iter;
     void *entry;
-    g_hash_table_iter_init(&iter, c->entries);
+    g_hash_table_iter_init(&iter, acks->entries);
     while (g_hash_table_iter_next(&iter, NULL, &entry))
-        if (step(c->controller, entry))
+        if (step(acks->controller, entry))
             g_hash_table_iter_remove(&iter);
 }
--- a/src/core/api/cancellation_ack.h
+++ b/src/core/api/cancellation_ack.h
@@ -1,4 +1,4 @@
-/* Cancellations on their way to the leader. A user hears "cancelled" only when a leader that can
+/* Cancellations on their way to the leader. A user is answered "cancelled" only when a leader that can
  * still end the tasks has acknowledged the cancellation: the record alone may be out of its reach. */
 #ifndef OW_CORE_API_CANCELLATION_ACK_H
 #define OW_CORE_API_CANCELLATION_ACK_H
@@ -10,9 +10,11 @@
 struct ow_controller;
 struct ow_peer_message;
 
+/* No cancellation waits yet. */
 struct ow_cancellation_ack *ow_cancellation_ack_new(struct ow_controller *controller);
+/* Frees it; requests that still wait get no answer. */
 void ow_cancellation_ack_free(struct ow_cancellation_ack *cancellation_ack);
-/* A user waits to hear of a job whose cancellation is committed; the answer comes with the next tick, or
+/* A user waits for the acknowledgement of a committed cancellation; the answer comes with the next tick, or
  * soon. */
 void ow_cancellation_ack_wait(struct ow_cancellation_ack *cancellation_ack, uint64_t request, int status,
                               const struct ow_job *job);
@@ -22,6 +24,7 @@
 /* A leader has acknowledged one. */
 void ow_cancellation_ack_received(struct ow_cancellation_ack *cancellation_ack,
                                   const struct ow_peer_message *message);
+/* Acknowledges, answers, refuses and sends again what is due. */
 void ow_cancellation_ack_tick(struct ow_cancellation_ack *cancellation_ack);
 
 #endif
--- a/src/core/api/job.c
+++ b/src/core/api/job.c
@@ -6,16 +6,16 @@
     GPtrArray *open;
 };
 
-struct ow_spec *ow_spec_new(struct ow_name_tables *names, struct ow_submission *s)
+struct ow_spec *ow_spec_new(struct ow_name_tables *names, struct ow_submission *submission)
 {
     struct ow_spec *spec = g_new0(struct ow_spec, 1);
-    spec->submission = s;
-    spec->class_index = ow_names_add(names->classes, s->class_name);
-    spec->team = ow_names_add(names->teams, s->team);
-    spec->image = ow_names_add(names->images, s->image);
-    spec->zone = s->zone != NULL ? ow_names_add(names->zones, s->zone) : OW_NO_NAME;
-    spec->types = s->types == NULL ? UINT64_MAX : 0;
-    for (char **type = s->types; type != NULL && *type != NULL; type++) {
+    spec->submission = submission;
+    spec->class_index = ow_names_add(names->classes, submission->class_name);
+    spec->team = ow_names_add(names->teams, submission->team);
+    spec->image = ow_names_add(names->images, submission->image);
+    spec->zone = submission->zone != NULL ? ow_names_add(names->zones, submission->zone) : OW_NO_NAME;
+    spec->types = submission->types == NULL ? UINT64_MAX : 0;
+    for (char **type = submission->types; type != NULL && *type != NULL; type++) {
         int index = ow_names_add(names->types, *type);
         /* Types past the bound are never rented, so a job loses nothing by not allowing them. */
         if (index < OW_MAX_TYPES)
--- a/src/core/api/job.h
+++ b/src/core/api/job.h
@@ -24,9 +24,9 @@
     struct ow_spec *spec;       /* NULL once it is over and no task is left */
     struct ow_run *run;         /* the leader's */
     uint64_t cancel_token;      /* of a cancelled one: who led when that was recorded */
-    bool cancellation_acked;    /* its cancellation has been acknowledged: users may hear of it */
+    bool cancellation_acked;    /* its cancellation has been acknowledged: users may be told of it */
     bool record_unread;         /* cancelled before its record has been read: nothing else is known of it */
-    /* For users' eyes only. */
+    /* Shown to users; nothing is decided by them. */
     int done, running;
     char *reason;
 };
@@ -37,23 +37,30 @@
     struct ow_names *classes, *teams, *images, *zones, *types;
 };
 
+/* An empty table; `names` must outlive it. */
 struct ow_jobs *ow_jobs_new(struct ow_name_tables *names);
+/* Frees the table and its jobs; NULL is allowed. */
 void ow_jobs_free(struct ow_jobs *jobs);
+/* The job with this id, or NULL. */
 struct ow_job *ow_jobs_find(const struct ow_jobs *jobs, const char *id);
 /* Takes over `submission`. An older version than the known one changes nothing and answers NULL. */
 struct ow_job *ow_jobs_apply(struct ow_jobs *jobs, const char *id, uint64_t version, enum ow_job_state state,
                              struct ow_submission *submission, double now, double age_s);
 /* A cancellation that is committed, here or elsewhere; its tasks may still have to be ended. A job that is
-   not known yet is noted down, so that no older record of it, read later, lets it start. */
+   not known yet is recorded in the table, so that no older record of it, read later, lets it start. */
 struct ow_job *ow_jobs_cancel(struct ow_jobs *jobs, const char *id, uint64_t version, uint64_t token);
 /* The jobs that are not over, or are cancelled and may still have tasks, in no order. */
 const GPtrArray *ow_jobs_open(const struct ow_jobs *jobs);
 /* To be called when a job is over and no task of it is left: it leaves the open ones. */
 void ow_jobs_close(struct ow_jobs *jobs, struct ow_job *job);
 
+/* Whether it is done or cancelled. */
 bool ow_job_over(const struct ow_job *job);
+/* Sets the reason shown to users, which is copied; NULL: none. */
 void ow_job_set_reason(struct ow_job *job, const char *reason);
+/* Takes over `submission` and adds its names to the tables. */
 struct ow_spec *ow_spec_new(struct ow_name_tables *names, struct ow_submission *submission);
+/* Frees it and its submission; NULL is allowed. */
 void ow_spec_free(struct ow_spec *spec);
 
 #endif
--- a/src/core/api/job_cache.c
+++ b/src/core/api/job_cache.c
@@ -30,11 +30,11 @@
 
 struct ow_job_cache *ow_job_cache_new(struct ow_controller *controller)
 {
-    struct ow_job_cache *r = g_new0(struct ow_job_cache, 1);
-    r->controller = controller;
-    r->waiting = g_array_new(FALSE, FALSE, sizeof(struct waiter));
-    r->asked = g_array_new(FALSE, FALSE, sizeof(struct waiter));
-    return r;
+    struct ow_job_cache *job_cache = g_new0(struct ow_job_cache, 1);
+    job_cache->controller = controller;
+    job_cache->waiting = g_array_new(FALSE, FALSE, sizeof(struct waiter));
+    job_cache->asked = g_array_new(FALSE, FALSE, sizeof(struct waiter));
+    return job_cache;
 }
 
 static void free_waiters(GArray *waiters)
@@ -44,17 +44,17 @@
     g_array_free(waiters, TRUE);
 }
 
-void ow_job_cache_free(struct ow_job_cache *r)
+void ow_job_cache_free(struct ow_job_cache *job_cache)
 {
-    free_waiters(r->waiting);
-    free_waiters(r->asked);
-    g_free(r->list_after);
-    g_free(r);
+    free_waiters(job_cache->waiting);
+    free_waiters(job_cache->asked);
+    g_free(job_cache->list_after);
+    g_free(job_cache);
 }
 
-bool ow_job_cache_loaded(const struct ow_job_cache *r)
+bool ow_job_cache_loaded(const struct ow_job_cache *job_cache)
 {
-    return r->loaded;
+    return job_cache->loaded;
 }
 
 /* A job keeps its age, and with it its place among those that have waited, when every controller begins anew.
@@ -64,7 +64,7 @@
     return accepted_at > 0 ? MAX(0, controller->time_of_day - accepted_at) : 0;
 }
 
-static void apply_items(struct ow_job_cache *r, const GArray *items)
+static void apply_items(struct ow_job_cache *job_cache, const GArray *items)
 {
     for (guint i = 0; i < items->len; i++) {
         const struct ow_store_item *item = &g_array_index(items, struct ow_store_item, i);
@@ -75,153 +75,154 @@
             g_warning("job record %s cannot be read", item->key);
             continue;
         }
-        struct ow_job *job =
-            ow_jobs_apply(r->controller->jobs, item->key + strlen(OW_KEY_JOBS), item->version, record.state,
-                          record.submission, r->controller->now, age_s(r->controller, record.accepted_at));
+        struct ow_job *job = ow_jobs_apply(
+            job_cache->controller->jobs, item->key + strlen(OW_KEY_JOBS), item->version, record.state,
+            record.submission, job_cache->controller->now, age_s(job_cache->controller, record.accepted_at));
         if (job != NULL)
             job->cancel_token = record.leader_token;
     }
 }
 
-static void answer_waiters(struct ow_job_cache *r, GArray *waiters, bool ok)
+static void answer_waiters(struct ow_job_cache *job_cache, GArray *waiters, bool ok)
 {
     /* Detached first: an answered waiter may ask again. */
     GArray *batch = g_array_new(FALSE, FALSE, sizeof(struct waiter));
     g_array_append_vals(batch, waiters->data, waiters->len);
     g_array_set_size(waiters, 0);
     for (guint i = 0; i < batch->len; i++) {
-        struct waiter *w = &g_array_index(batch, struct waiter, i);
-        w->fn(r->controller, w->data, ok);
+        struct waiter *waiter = &g_array_index(batch, struct waiter, i);
+        waiter->fn(job_cache->controller, waiter->data, ok);
     }
     free_waiters(batch);
 }
 
-static void lose_place(struct ow_job_cache *r)
+static void restart_load(struct ow_job_cache *job_cache)
 {
     /* The state service no longer holds the changes since our revision: read everything again. */
-    r->loaded = false;
-    g_clear_pointer(&r->list_after, g_free);
-    r->load_at = r->controller->now;
+    job_cache->loaded = false;
+    g_clear_pointer(&job_cache->list_after, g_free);
+    job_cache->load_at = job_cache->controller->now;
 }
 
-static void took_changes(struct ow_job_cache *r, const struct ow_store_reply *reply)
+static void apply_changes(struct ow_job_cache *job_cache, const struct ow_store_reply *reply)
 {
-    apply_items(r, reply->items);
-    if (r->controller->leader != NULL && reply->items->len > 0)
-        ow_leader_wake(r->controller->leader);
-    r->revision = MAX(r->revision, reply->revision);
+    apply_items(job_cache, reply->items);
+    if (job_cache->controller->leader != NULL && reply->items->len > 0)
+        ow_leader_wake(job_cache->controller->leader);
+    job_cache->revision = MAX(job_cache->revision, reply->revision);
 }
 
 static void on_fresh(void *owner, void *data, const struct ow_event *answer)
 {
-    struct ow_job_cache *r = owner;
+    struct ow_job_cache *job_cache = owner;
     (void)data;
-    r->reading = false;
+    job_cache->reading = false;
     bool ok = answer->store.status == 200;
     if (ok)
-        took_changes(r, &answer->store);
+        apply_changes(job_cache, &answer->store);
     else if (answer->store.status == 410)
-        lose_place(r);
-    answer_waiters(r, r->asked, ok);
+        restart_load(job_cache);
+    answer_waiters(job_cache, job_cache->asked, ok);
 }
 
 static void on_watch(void *owner, void *data, const struct ow_event *answer)
 {
-    struct ow_job_cache *r = owner;
+    struct ow_job_cache *job_cache = owner;
     (void)data;
-    r->watching = false;
-    double gap = r->controller->leader != NULL ? WATCH_GAP_LEADER_S : WATCH_GAP_S;
+    job_cache->watching = false;
+    double gap = job_cache->controller->leader != NULL ? WATCH_GAP_LEADER_S : WATCH_GAP_S;
     if (answer->store.status == 200)
-        took_changes(r, &answer->store);
+        apply_changes(job_cache, &answer->store);
     else if (answer->store.status == 410)
-        lose_place(r);
+        restart_load(job_cache);
     else
         gap = RETRY_S;
-    r->watch_at = r->controller->now + gap;
+    job_cache->watch_at = job_cache->controller->now + gap;
 }
 
-static void send_watch(struct ow_job_cache *r, double hold_s, ow_call_fn fn)
+static void send_watch(struct ow_job_cache *job_cache, double hold_s, ow_call_fn fn)
 {
     struct ow_store_request *request = ow_store_request_new(OW_STORE_WATCH, OW_KEY_JOBS);
-    request->number = r->revision;
+    request->number = job_cache->revision;
     request->seconds = hold_s;
-    ow_controller_store(r->controller, request, fn, r, NULL, NULL);
+    ow_controller_store(job_cache->controller, request, fn, job_cache, NULL, NULL);
 }
 
 static void on_page(void *owner, void *data, const struct ow_event *answer)
 {
-    struct ow_job_cache *r = owner;
+    struct ow_job_cache *job_cache = owner;
     const struct ow_store_reply *reply = &answer->store;
     (void)data;
-    r->loading = false;
+    job_cache->loading = false;
     if (reply->status != 200) {
-        r->load_at = r->controller->now + RETRY_S;
+        job_cache->load_at = job_cache->controller->now + RETRY_S;
         return;
     }
-    if (r->list_after == NULL)
-        r->list_revision = reply->revision;
-    apply_items(r, reply->items);
+    if (job_cache->list_after == NULL)
+        job_cache->list_revision = reply->revision;
+    apply_items(job_cache, reply->items);
     if (reply->more && reply->items->len > 0) {
         const struct ow_store_item *last =
             &g_array_index(reply->items, struct ow_store_item, reply->items->len - 1);
-        g_free(r->list_after);
-        r->list_after = g_strdup(last->key);
+        g_free(job_cache->list_after);
+        job_cache->list_after = g_strdup(last->key);
         return;
     }
-    g_clear_pointer(&r->list_after, g_free);
+    g_clear_pointer(&job_cache->list_after, g_free);
     /* A record may have changed behind a page already read: the watch begins at the first page. */
-    r->revision = r->list_revision;
-    r->loaded = true;
-    g_info("job table read up to revision %" G_GUINT64_FORMAT, r->revision);
+    job_cache->revision = job_cache->list_revision;
+    job_cache->loaded = true;
+    g_info("job table read up to revision %" G_GUINT64_FORMAT, job_cache->revision);
 }
 
-static void load(struct ow_job_cache *r)
+static void load(struct ow_job_cache *job_cache)
 {
     struct ow_store_request *request = ow_store_request_new(OW_STORE_LIST, OW_KEY_JOBS);
-    request->after = g_strdup(r->list_after);
-    r->loading = true;
-    ow_controller_store(r->controller, request, on_page, r, NULL, NULL);
+    request->after = g_strdup(job_cache->list_after);
+    job_cache->loading = true;
+    ow_controller_store(job_cache->controller, request, on_page, job_cache, NULL, NULL);
 }
 
-void ow_job_cache_refresh(struct ow_job_cache *r, ow_fresh_fn fn, void *data)
+void ow_job_cache_refresh(struct ow_job_cache *job_cache, ow_fresh_fn fn, void *data)
 {
-    struct waiter w = {fn, data};
-    g_array_append_val(r->waiting, w);
+    struct waiter waiter = {fn, data};
+    g_array_append_val(job_cache->waiting, waiter);
 }
 
-void ow_job_cache_hint(struct ow_job_cache *r, uint64_t revision)
+void ow_job_cache_hint(struct ow_job_cache *job_cache, uint64_t revision)
 {
-    r->hinted = r->hinted || revision > r->revision;
+    job_cache->hinted = job_cache->hinted || revision > job_cache->revision;
 }
 
-static void read_fresh(struct ow_job_cache *r)
+static void read_fresh(struct ow_job_cache *job_cache)
 {
-    GArray *waiters = r->waiting;
-    r->waiting = r->asked;
-    r->asked = waiters;
-    r->hinted = false;
-    r->reading = true;
+    GArray *waiters = job_cache->waiting;
+    job_cache->waiting = job_cache->asked;
+    job_cache->asked = waiters;
+    job_cache->hinted = false;
+    job_cache->reading = true;
     /* Reads for polls keep to a share of the state service's requests, whatever the number of controllers. */
-    double share =
-        READ_SHARE * r->controller->settings->state_rps / (r->controller->settings->peers->len + 1);
-    r->fresh_at = r->controller->now + MAX(FRESH_GAP_S, share > 0 ? 1 / share : 0);
-    send_watch(r, 0, on_fresh);
+    double share = READ_SHARE * job_cache->controller->settings->state_rps /
+                   (job_cache->controller->settings->peers->len + 1);
+    job_cache->fresh_at = job_cache->controller->now + MAX(FRESH_GAP_S, share > 0 ? 1 / share : 0);
+    send_watch(job_cache, 0, on_fresh);
 }
 
-void ow_job_cache_tick(struct ow_job_cache *r)
+void ow_job_cache_tick(struct ow_job_cache *job_cache)
 {
-    double now = r->controller->now;
-    if (!r->loaded) {
-        if (!r->loading && now >= r->load_at)
-            load(r);
-        if (r->waiting->len > 0)
-            answer_waiters(r, r->waiting, false);
+    double now = job_cache->controller->now;
+    if (!job_cache->loaded) {
+        if (!job_cache->loading && now >= job_cache->load_at)
+            load(job_cache);
+        if (job_cache->waiting->len > 0)
+            answer_waiters(job_cache, job_cache->waiting, false);
         return;
     }
-    if ((r->waiting->len > 0 || r->hinted) && !r->reading && now >= r->fresh_at)
-        read_fresh(r);
-    if (!r->watching && now >= r->watch_at) {
-        r->watching = true;
-        send_watch(r, WATCH_S, on_watch);
+    if ((job_cache->waiting->len > 0 || job_cache->hinted) && !job_cache->reading &&
+        now >= job_cache->fresh_at)
+        read_fresh(job_cache);
+    if (!job_cache->watching && now >= job_cache->watch_at) {
+        job_cache->watching = true;
+        send_watch(job_cache, WATCH_S, on_watch);
     }
 }
--- a/src/core/api/job_cache.h
+++ b/src/core/api/job_cache.h
@@ -11,13 +11,17 @@
 /* Called once the copy is at least as new as the call that asked for it, or with false if that failed. */
 typedef void (*ow_fresh_fn)(struct ow_controller *controller, void *data, bool ok);
 
+/* An empty copy; it is read from the state service by the ticks that follow. */
 struct ow_job_cache *ow_job_cache_new(struct ow_controller *controller);
+/* Frees it; calls that still wait are dropped. */
 void ow_job_cache_free(struct ow_job_cache *job_cache);
+/* Whether the whole table has been read and no change since has been missed. */
 bool ow_job_cache_loaded(const struct ow_job_cache *job_cache);
 /* `data` is freed with g_free after the call. Waiting calls share one read. */
 void ow_job_cache_refresh(struct ow_job_cache *job_cache, ow_fresh_fn fn, void *data);
-/* Something changed elsewhere: read soon. */
+/* The table has changed elsewhere, up to `revision`: it is read soon if the copy is older. */
 void ow_job_cache_hint(struct ow_job_cache *job_cache, uint64_t revision);
+/* Sends the reads that are due. */
 void ow_job_cache_tick(struct ow_job_cache *job_cache);
 
 #endif
