--- a/src/core/controller.c
+++ b/src/core/controller.c
@@ -1,15 +1,16 @@
-/* What the parts of a controller ask of it: answers to users, requests to the outside, words to its peers. */
+/* What the parts of a controller ask of it: answers to users, requests to the outside, messages to its peers.
+ */
 #include "core/controller.h"
 
 #include "core/leader.h"
 
 struct ow_effect *ow_effect_new(enum ow_effect_kind kind, uint64_t request)
 {
-    struct ow_effect *e = g_new0(struct ow_effect, 1);
-    e->kind = kind;
-    e->request = request;
-    e->done = e->running = OW_UNCOUNTED;
-    return e;
+    struct ow_effect *effect = g_new0(struct ow_effect, 1);
+    effect->kind = kind;
+    effect->request = request;
+    effect->done = effect->running = OW_UNCOUNTED;
+    return effect;
 }
 
 void ow_controller_emit(struct ow_controller *controller, struct ow_effect *effect)
@@ -20,11 +21,11 @@
 void ow_controller_refuse(struct ow_controller *controller, uint64_t request, int status, const char *text,
                           int retry_after_s)
 {
-    struct ow_effect *e = ow_effect_new(OW_EFFECT_REFUSE, request);
-    e->status = status;
-    e->text = g_strdup(text);
-    e->retry_after_s = retry_after_s;
-    ow_controller_emit(controller, e);
+    struct ow_effect *effect = ow_effect_new(OW_EFFECT_REFUSE, request);
+    effect->status = status;
+    effect->text = g_strdup(text);
+    effect->retry_after_s = retry_after_s;
+    ow_controller_emit(controller, effect);
 }
 
 static void ignore_answer(void *owner, void *data, const struct ow_event *answer)
@@ -34,30 +35,30 @@
     (void)answer;
 }
 
-void ow_controller_store(struct ow_controller *controller, struct ow_store_request *request, ow_call_fn fn,
-                         void *owner, void *data, void (*free_data)(void *))
+void ow_controller_store(struct ow_controller *controller, struct ow_store_request *request,
+                         ow_call_fn callback, void *owner, void *data, void (*free_data)(void *))
 {
-    request->tag = ow_pending_calls_add(controller->pending_calls, fn != NULL ? fn : ignore_answer, owner,
-                                        data, free_data);
-    struct ow_effect *e = ow_effect_new(OW_EFFECT_STORE, request->tag);
-    e->store = request;
-    ow_controller_emit(controller, e);
+    request->tag = ow_pending_calls_add(controller->pending_calls,
+                                        callback != NULL ? callback : ignore_answer, owner, data, free_data);
+    struct ow_effect *effect = ow_effect_new(OW_EFFECT_STORE, request->tag);
+    effect->store = request;
+    ow_controller_emit(controller, effect);
 }
 
-void ow_controller_cloud(struct ow_controller *controller, struct ow_cloud_request *request, ow_call_fn fn,
-                         void *owner, void *data, void (*free_data)(void *))
+void ow_controller_cloud(struct ow_controller *controller, struct ow_cloud_request *request,
+                         ow_call_fn callback, void *owner, void *data, void (*free_data)(void *))
 {
-    request->tag = ow_pending_calls_add(controller->pending_calls, fn, owner, data, free_data);
-    struct ow_effect *e = ow_effect_new(OW_EFFECT_CLOUD, request->tag);
-    e->cloud = request;
-    ow_controller_emit(controller, e);
+    request->tag = ow_pending_calls_add(controller->pending_calls, callback, owner, data, free_data);
+    struct ow_effect *effect = ow_effect_new(OW_EFFECT_CLOUD, request->tag);
+    effect->cloud = request;
+    ow_controller_emit(controller, effect);
 }
 
 void ow_controller_send_to_peers(struct ow_controller *controller, struct ow_peer_message *message)
 {
-    struct ow_effect *e = ow_effect_new(OW_EFFECT_PEER, 0);
-    e->peer = message;
-    ow_controller_emit(controller, e);
+    struct ow_effect *effect = ow_effect_new(OW_EFFECT_PEER, 0);
+    effect->peer = message;
+    ow_controller_emit(controller, effect);
 }
 
 void ow_controller_announce_job_change(struct ow_controller *controller, uint64_t revision)
--- a/src/core/controller.h
+++ b/src/core/controller.h
@@ -36,7 +36,7 @@
     struct ow_cancellation_ack *cancellation_ack;
     double state_ok_at;      /* the last answer of the state service that was no failure */
     double state_bad_since;  /* 0: the last answer was good */
-    double state_refused_at; /* its last refusal: it is in our reach, but may serve others */
+    double state_refused_at; /* its last refusal: it can be reached, but may serve others */
     bool state_silent;       /* the last failure was no answer, rather than a refusal */
     GHashTable *peers_ok;    /* peer name -> double *: when it last said that its state service answers */
     double last_worker_report_at;    /* the last report that came here; 0: none yet */
@@ -46,18 +46,27 @@
     double hello_at;
 };
 
+/* Queues an effect for the caller of the core, which it then belongs to. */
 void ow_controller_emit(struct ow_controller *controller, struct ow_effect *effect);
+/* A new effect that answers or carries `request` (0: none), without counts of tasks; owned by the caller. */
 struct ow_effect *ow_effect_new(enum ow_effect_kind kind, uint64_t request);
+/* Answers a user's request with an error; `text` is copied. */
 void ow_controller_refuse(struct ow_controller *controller, uint64_t request, int status, const char *text,
                           int retry_after_s);
-void ow_controller_store(struct ow_controller *controller, struct ow_store_request *request, ow_call_fn fn,
-                         void *owner, void *data, void (*free_data)(void *));
-void ow_controller_cloud(struct ow_controller *controller, struct ow_cloud_request *request, ow_call_fn fn,
-                         void *owner, void *data, void (*free_data)(void *));
+/* Sends a request to the state service, taking it over. `callback` (NULL: the answer is ignored) gets `owner`
+   and `data`; `free_data` may be NULL. */
+void ow_controller_store(struct ow_controller *controller, struct ow_store_request *request,
+                         ow_call_fn callback, void *owner, void *data, void (*free_data)(void *));
+/* The same to the cloud, where `callback` must not be NULL. */
+void ow_controller_cloud(struct ow_controller *controller, struct ow_cloud_request *request,
+                         ow_call_fn callback, void *owner, void *data, void (*free_data)(void *));
+/* Sends a message to all peers, taking it over. */
 void ow_controller_send_to_peers(struct ow_controller *controller, struct ow_peer_message *message);
 /* Tells the leader, here or elsewhere, that a job's record has changed. */
 void ow_controller_announce_job_change(struct ow_controller *controller, uint64_t revision);
+/* Copies the machine types into the table; types that it already has are replaced. */
 void ow_controller_set_types(struct ow_controller *controller, const GArray *types);
+/* Frees the machine types in the table. */
 void ow_controller_free_types(struct ow_controller *controller);
 
 #endif
--- a/src/core/leader.c
+++ b/src/core/leader.c
@@ -24,13 +24,17 @@
 #include <string.h>
 
 static const double PASS_GAP_S = 0.1, PASS_LEAST_S = 1, CARE_S = 0.5, SUMMARY_S = 1.5, HINTS_S = 5,
-                    TYPES_S = 60;
-/* So many reports missed by all machines, and a fresh message of a peer that they come to it. */
+                    TYPES_S = 60, TYPES_RETRY_S = 2;
+/* So many reports missed by all machines, and a recent message of a peer that it receives theirs. */
 static const double LOST_REPORTS = 2.5, LOST_MESSAGE_S = 3;
 /* After so long without an answer a worker reports to another controller. */
 static const double REPORT_TIMEOUT_S = 4;
 /* One machine alone may be at fault itself. */
 enum { LOST_LEAST = 2 };
+/* The most that one message to the peers names. */
+enum { SUMMARY_JOBS_MOST = 1500, HINTS_MACHINES_MOST = 3000 };
+/* The share of the permitted cloud requests that the leader uses. */
+static const double CLOUD_SHARE = 0.8;
 
 struct ow_leader *ow_leader_new(struct ow_controller *controller, uint64_t token)
 {
@@ -48,7 +52,7 @@
     leader->deletions.queued = g_ptr_array_new_with_free_func(g_free);
     leader->deletions.names = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     leader->recorder = ow_recorder_new(leader);
-    ow_rate_limiter_init(&leader->cloud.limiter, 0.8 * controller->settings->cloud_rps,
+    ow_rate_limiter_init(&leader->cloud.limiter, CLOUD_SHARE * controller->settings->cloud_rps,
                          controller->settings->cloud_rps, controller->now);
     return leader;
 }
@@ -96,30 +100,31 @@
 void ow_leader_report(struct ow_leader *leader, uint64_t request, const struct ow_report *report)
 {
     uint64_t session_before = session_of(leader, report);
-    struct ow_effect *e = ow_effect_new(OW_EFFECT_WORKER_COMMANDS, request);
+    struct ow_effect *effect = ow_effect_new(OW_EFFECT_WORKER_COMMANDS, request);
     GArray *clears = g_array_new(FALSE, FALSE, sizeof(struct ow_worker_command));
-    struct ow_machine *m = ow_reports_receive(leader, report, clears);
-    if (m != NULL && report->session == m->session && report->seq == m->seq) {
-        if (m->fenced && report->session == session_before)
-            note_answers_arrive(m, leader->controller->now);
-        m->last_report_at = leader->controller->now;
+    struct ow_machine *machine = ow_reports_receive(leader, report, clears);
+    if (machine != NULL && report->session == machine->session && report->seq == machine->seq) {
+        if (machine->fenced && report->session == session_before)
+            note_answers_arrive(machine, leader->controller->now);
+        machine->last_report_at = leader->controller->now;
     }
-    /* Until the job table has been read, an answer could keep tasks alive whose cancellation a user has heard
-       of. One without our token renews nothing, and the worker stays. */
-    e->token = leader->phase == OW_LEADER_REFRESH ? 0 : leader->token;
-    bool current = m != NULL && m->fenced && report->token == leader->token &&
-                   report->session == m->session && report->seq == m->seq && leader->phase == OW_LEADER_READY;
+    /* Until the job table has been read, an answer could keep tasks alive whose cancellation has been
+       acknowledged to a user. One without our token renews nothing, and the worker stays. */
+    effect->token = leader->phase == OW_LEADER_REFRESH ? 0 : leader->token;
+    bool current = machine != NULL && machine->fenced && report->token == leader->token &&
+                   report->session == machine->session && report->seq == machine->seq &&
+                   leader->phase == OW_LEADER_READY;
     /* Commands go only to the session that they are meant for, and not in answer to a late copy. */
     if (current)
-        e->commands = ow_worker_commands_for(leader, m, NULL);
+        effect->commands = ow_worker_commands_for(leader, machine, NULL);
     else if (leader->phase != OW_LEADER_REFRESH)
-        e->commands = ow_reports_cancelled(leader, report);
+        effect->commands = ow_reports_cancelled(leader, report);
     else
-        e->commands = g_array_new(FALSE, FALSE, sizeof(struct ow_worker_command));
+        effect->commands = g_array_new(FALSE, FALSE, sizeof(struct ow_worker_command));
     if (current)
-        g_array_append_vals(e->commands, clears->data, clears->len);
+        g_array_append_vals(effect->commands, clears->data, clears->len);
     g_array_free(clears, TRUE);
-    ow_controller_emit(leader->controller, e);
+    ow_controller_emit(leader->controller, effect);
 }
 
 static void count_for_users(struct ow_leader *leader)
@@ -135,7 +140,7 @@
 {
     struct ow_peer_message *message = ow_peer_message_new(OW_PEER_SUMMARY);
     message->number = leader->token;
-    for (guint i = 0; i < leader->runs->len && i < 1500; i++) {
+    for (guint i = 0; i < leader->runs->len && i < SUMMARY_JOBS_MOST; i++) {
         const struct ow_run *run = g_ptr_array_index(leader->runs, i);
         struct ow_peer_job job = {
             .done = run->job->done, .running = run->job->running, .reason = g_strdup(run->job->reason)};
@@ -149,14 +154,14 @@
 {
     struct ow_peer_message *message = ow_peer_message_new(OW_PEER_MACHINES);
     message->number = leader->token;
-    for (guint i = 0; i < leader->machines->len && i < 3000; i++) {
-        const struct ow_machine *m = g_ptr_array_index(leader->machines, i);
-        if (m->addr == NULL || m->type < 0 || m->deleting)
+    for (guint i = 0; i < leader->machines->len && i < HINTS_MACHINES_MOST; i++) {
+        const struct ow_machine *machine = g_ptr_array_index(leader->machines, i);
+        if (machine->addr == NULL || machine->type < 0 || machine->deleting)
             continue;
-        struct ow_peer_machine hint = {g_strdup(m->name), g_strdup(m->addr),
-                                       g_strdup(ow_names_text(leader->controller->names.types, m->type)),
-                                       g_strdup(ow_names_text(leader->controller->names.zones, m->zone)),
-                                       m->spot};
+        struct ow_peer_machine hint = {
+            g_strdup(machine->name), g_strdup(machine->addr),
+            g_strdup(ow_names_text(leader->controller->names.types, machine->type)),
+            g_strdup(ow_names_text(leader->controller->names.zones, machine->zone)), machine->spot};
         g_array_append_val(message->machines, hint);
     }
     ow_controller_send_to_peers(leader->controller, message);
@@ -168,7 +173,7 @@
     (void)data;
     leader->cloud.types_busy = false;
     if (answer->cloud.status != 200 || answer->cloud.types == NULL || answer->cloud.types->len == 0) {
-        leader->cloud.types_at = leader->controller->now + 2;
+        leader->cloud.types_at = leader->controller->now + TYPES_RETRY_S;
         return;
     }
     bool first = leader->cloud.types_at == 0;
@@ -176,7 +181,7 @@
     ow_controller_set_types(leader->controller, answer->cloud.types);
     if (!first)
         return;
-    /* For whoever starts while the cloud is down. */
+    /* For controllers that start while the cloud is down. */
     struct ow_store_request *txn = ow_store_request_new(OW_STORE_TXN, NULL);
     char *record = wire_types_record(answer->cloud.types);
     if (strlen(record) > leader->controller->limits.value_bytes)
@@ -200,27 +205,30 @@
     ow_controller_cloud(leader->controller, request, on_types, leader, NULL, NULL);
 }
 
-/* Whether every worker has fallen silent at once while they come to other controllers: it is we who are cut
-   off from them, well as we may stand with the state service. Where they come to nobody, they are gone. */
+/* Whether every worker has fallen silent at once while they report to other controllers: it is this
+   controller that is cut off from them, even if it reaches the state service. Where they report to none,
+   they are gone. */
 static bool workers_lost(const struct ow_leader *leader)
 {
-    double now = leader->controller->now, heard = leader->ready_at;
+    double now = leader->controller->now;
+    double last_message_at = leader->ready_at;
     unsigned expected = 0;
     for (guint i = 0; i < leader->machines->len; i++) {
-        const struct ow_machine *m = g_ptr_array_index(leader->machines, i);
-        heard = MAX(heard, m->last_message_at);
-        expected += m->listed == OW_LISTED_RUNNING && !m->deleting ? 1 : 0;
+        const struct ow_machine *machine = g_ptr_array_index(leader->machines, i);
+        last_message_at = MAX(last_message_at, machine->last_message_at);
+        expected += machine->listed == OW_LISTED_RUNNING && !machine->deleting ? 1 : 0;
     }
     return expected >= LOST_LEAST && now - leader->controller->peer_receives_reports_at < LOST_MESSAGE_S &&
-           now - heard > LOST_REPORTS * leader->controller->settings->report_s;
+           now - last_message_at > LOST_REPORTS * leader->controller->settings->report_s;
 }
 
-/* Whether an attempt of a cancelled job is where it can only end: running, on a machine that heeds us alone.
-   Whatever has yet to begin might do so after the user was told, for as long as its stop is on the way. */
-static bool only_ends(const struct ow_attempt *at)
+/* Whether an attempt of a cancelled job is where it can only end: running, on a machine that accepts commands
+   of this leader alone. Whatever has yet to begin might do so after the cancellation was acknowledged, for as
+   long as its stop is on the way. */
+static bool only_ends(const struct ow_attempt *attempt)
 {
-    return at->stop && at->state == OW_ATTEMPT_SEEN && at->machine->fenced &&
-           (at->phase == OW_PHASE_RUNNING || at->phase == OW_PHASE_SAVING);
+    return attempt->stop && attempt->state == OW_ATTEMPT_SEEN && attempt->machine->fenced &&
+           (attempt->phase == OW_PHASE_RUNNING || attempt->phase == OW_PHASE_SAVING);
 }
 
 bool ow_leader_cancel(struct ow_leader *leader, struct ow_job *job)
--- a/src/core/leader.h
+++ b/src/core/leader.h
@@ -8,15 +8,18 @@
 struct ow_job;
 struct ow_leader;
 
+/* A leader that holds the key under `token`; its phase is not ready before it has read the records. */
 struct ow_leader *ow_leader_new(struct ow_controller *controller, uint64_t token);
+/* Frees the leader, its machines and runs; answers still to come are ignored. */
 void ow_leader_free(struct ow_leader *leader);
-/* Takes a worker's report and answers it. */
+/* Applies a worker's report and answers it. */
 void ow_leader_report(struct ow_leader *leader, uint64_t request, const struct ow_report *report);
-/* Takes a committed cancellation in: its stops are queued. False while something of the job may still start,
-   or while its tasks are not all in our hands. */
+/* Applies a committed cancellation: its stops are queued. False while something of the job may still start,
+   or before the leader is ready and knows all its tasks. */
 bool ow_leader_cancel(struct ow_leader *leader, struct ow_job *job);
 /* Jobs have changed: a scheduling pass is due. */
 void ow_leader_wake(struct ow_leader *leader);
+/* Does all the work that is due. */
 void ow_leader_tick(struct ow_leader *leader);
 
 #endif
