--- a/src/core/leader.c
+++ b/src/core/leader.c
@@ -84,7 +84,7 @@
 
 /* A worker has one report under way at a time, and one that gets no answer turns to the next controller after
    4 s. So a report that comes sooner after the last one shows that our answer to that one arrived: the
-   machine hears us, whatever has become of the commands sent to its own address. */
+   machine receives our answers, whatever has become of the commands sent to its own address. */
 static void note_answers_arrive(struct ow_machine *machine, double now)
 {
     if (machine->last_report_at > 0 && now - machine->last_report_at < REPORT_TIMEOUT_S)
--- a/src/core/machines/headroom.c
+++ b/src/core/machines/headroom.c
@@ -12,6 +12,8 @@
 
 /* Room kept ready beyond what a class uses. */
 static const double HEADROOM_SHARE = 0.5;
+/* The time a machine rented at need is expected to take: so many boot times, the fetch and this margin. */
+static const double START_BOOTS = 2, START_MARGIN_S = 20;
 
 /* Whether the class has so little slack that a machine rented at need would come late for it. */
 static bool is_tight(struct ow_leader *leader, int class_index, const struct ow_machine_type *type)
@@ -20,7 +22,8 @@
     double fetch = type->fetch_gb_per_s > 0 ? class->image_gb / type->fetch_gb_per_s : 0;
     /* A class without aims has no promise to keep: no machine is kept idle for it. */
     return ow_class_has_objective(leader->controller, class_index) &&
-           ow_class_slack_s(leader->controller, class_index) < 2 * type->boot_s + fetch + 20;
+           ow_class_slack_s(leader->controller, class_index) <
+               START_BOOTS * type->boot_s + fetch + START_MARGIN_S;
 }
 
 /* Slots of the class on a machine, full and free ones. */
--- a/src/core/machines/machine_health.c
+++ b/src/core/machines/machine_health.c
@@ -20,6 +20,13 @@
 static const double BAD_S = 60, SUSPECT_S = 20;
 /* A replica that has run for so long shows that its job is sound. */
 static const double PROVEN_S = 20;
+/* A machine that has not reported after so many boot times and so long is overdue; the boot time of an
+   unknown type; and how long a new leader waits before it acts on that. */
+static const double OVERDUE_BOOTS = 3, OVERDUE_MARGIN_S = 20, UNKNOWN_BOOT_S = 60, OVERDUE_READY_S = 30;
+/* A machine whose reclaim time has passed is gone once it has been silent for so long. */
+static const double RECLAIMED_SILENT_S = 3;
+/* Beyond its save time: the least that must be left for a task to be stopped, and the most it is given. */
+static const double SAVE_MARGIN_S = 1, SAVE_GRACE_S = 2;
 enum { ERRORS_TO_QUARANTINE = 2, RUN_FAILURES = 3, UNRESPONSIVE_FEW = 2, SILENT_FEW = 3 };
 
 /* Proof by time: a worker ends its tasks when lease_s has passed since it sent the last report that was
@@ -43,8 +50,9 @@
 static bool overdue(const struct ow_leader *leader, const struct ow_machine *machine)
 {
     const struct ow_machine_type *type = ow_machine_spec(leader, machine);
-    double boot = type != NULL ? type->boot_s : 60;
-    return machine->last_message_at == 0 && leader->controller->now - machine->rented_at > 3 * boot + 20;
+    double boot_s = type != NULL ? type->boot_s : UNKNOWN_BOOT_S;
+    return machine->last_message_at == 0 &&
+           leader->controller->now - machine->rented_at > OVERDUE_BOOTS * boot_s + OVERDUE_MARGIN_S;
 }
 
 /* A machine that sends nothing: deleting it is proof at once, and ends the rent. */
@@ -54,12 +62,12 @@
     double since = MAX(machine->last_message_at, leader->ready_at);
     if (machine->listed == OW_LISTED_FAILED)
         ow_fleet_delete(leader, machine, "it has failed");
-    else if (machine->reclaimed_at > 0 && now > machine->reclaimed_at && now - since > 3)
+    else if (machine->reclaimed_at > 0 && now > machine->reclaimed_at && now - since > RECLAIMED_SILENT_S)
         ow_fleet_delete(leader, machine, "it was taken back");
     else if (machine->last_message_at == 0 && machine->listed == OW_LISTED_NOT &&
              machine->attempts->len > 0 && now - since > UNKNOWN_S)
         ow_fleet_delete(leader, machine, "its tasks are recorded, but nothing is heard or known of it");
-    else if (overdue(leader, machine) && now - leader->ready_at > 30)
+    else if (overdue(leader, machine) && now - leader->ready_at > OVERDUE_READY_S)
         ow_fleet_delete(leader, machine, "it does not come up");
     else if (machine->last_message_at != 0 &&
              now - MAX(MAX(machine->last_report_at, machine->met_at), leader->ready_at) >
@@ -150,16 +158,16 @@
 
 static void drain_noticed(struct ow_leader *leader, struct ow_machine *machine)
 {
-    double left = machine->reclaimed_at - leader->controller->now;
+    double left_s = machine->reclaimed_at - leader->controller->now;
     for (guint i = machine->attempts->len; i > 0; i--) {
         if (i > machine->attempts->len)
             continue;
         struct ow_attempt *attempt = g_ptr_array_index(machine->attempts, i - 1);
         const struct ow_submission *submission = attempt->job->spec->submission;
         if (submission->kind == OW_KIND_SERVICE || submission->checkpoint_s <= 0 ||
-            left < submission->save_s + 1 || attempt->stop)
+            left_s < submission->save_s + SAVE_MARGIN_S || attempt->stop)
             continue;
-        double grace = MIN(left, submission->save_s + 2);
+        double grace = MIN(left_s, submission->save_s + SAVE_GRACE_S);
         if (submission->gang)
             ow_run_stop(leader, attempt->job->run, grace, "its machine is taken back");
         else
--- a/src/core/machines/machine_registry.c
+++ b/src/core/machines/machine_registry.c
@@ -7,6 +7,11 @@
 
 #include <string.h>
 
+/* A machine without a message for so many report intervals is silent. */
+static const double MISSED_REPORTS = 2.5;
+/* A fetch that should be complete but was not reported so takes this long yet; and one at an unknown rate. */
+static const double FETCH_LEAST_S = 0.5, UNKNOWN_FETCH_S = 60;
+
 struct ow_machine *ow_machines_find(const struct ow_leader *leader, const char *name)
 {
     return g_hash_table_lookup(leader->machines_by_name, name);
@@ -71,14 +76,15 @@
 
 bool ow_machine_heard_recently(const struct ow_leader *leader, const struct ow_machine *machine)
 {
-    return leader->controller->now - machine->last_message_at < 2.5 * leader->controller->settings->report_s;
+    return leader->controller->now - machine->last_message_at <
+           MISSED_REPORTS * leader->controller->settings->report_s;
 }
 
 bool ow_machine_stopped_reporting(const struct ow_leader *leader, const struct ow_machine *machine)
 {
     /* Answers to commands fence a machine at a take-over before its next report comes. */
     double since = MAX(MAX(machine->last_report_at, machine->met_at), leader->ready_at);
-    return leader->controller->now - since > 2.5 * leader->controller->settings->report_s;
+    return leader->controller->now - since > MISSED_REPORTS * leader->controller->settings->report_s;
 }
 
 bool ow_machine_is_usable(const struct ow_leader *leader, const struct ow_machine *machine)
@@ -176,7 +182,7 @@
     if (copy != NULL && copy->present)
         return 0;
     if (copy != NULL)
-        return MAX(0.5, copy->ready_at - leader->controller->now);
+        return MAX(FETCH_LEAST_S, copy->ready_at - leader->controller->now);
     /* Fetches under way share the machine's rate. */
     double gb = spec->submission->image_gb;
     for (guint i = 0; i < machine->images->len; i++) {
@@ -185,5 +191,5 @@
             gb += MIN(other->gb, (other->ready_at - leader->controller->now) *
                                      (type != NULL ? type->fetch_gb_per_s : 0));
     }
-    return type != NULL && type->fetch_gb_per_s > 0 ? gb / type->fetch_gb_per_s : 60;
+    return type != NULL && type->fetch_gb_per_s > 0 ? gb / type->fetch_gb_per_s : UNKNOWN_FETCH_S;
 }
--- a/src/core/machines/rent.c
+++ b/src/core/machines/rent.c
@@ -18,6 +18,8 @@
 /* The share of a class's slack that may be spent on waiting for machines that are there. */
 static const double PATIENCE = 0.75;
 enum { RENT_MOST = 50 };
+/* How long a new leader waits before it rents: once every running machine has reported to it, and before. */
+static const double SETTLED_S = 1, UNSETTLED_S = 4;
 
 struct rental_call {
     int type, zone;
@@ -224,7 +226,7 @@
     }
 }
 
-static bool all_heard(const struct ow_leader *leader)
+static bool all_reported(const struct ow_leader *leader)
 {
     for (guint i = 0; i < leader->machines->len; i++) {
         const struct ow_machine *machine = g_ptr_array_index(leader->machines, i);
@@ -236,9 +238,10 @@
 
 static void rent_for_waiting(struct ow_leader *leader)
 {
+    double settling_s = all_reported(leader) ? SETTLED_S : UNSETTLED_S;
     /* One round at a time: a second plan must see what the first has brought. And none before the machines
        that are there had time to report. */
-    if (leader->renting.calls > 0 || leader->controller->now - leader->ready_at < (all_heard(leader) ? 1 : 4))
+    if (leader->renting.calls > 0 || leader->controller->now - leader->ready_at < settling_s)
         return;
     ow_rental_options_forget_old(leader);
     GArray *plan = coming_up(leader);
--- a/src/core/machines/rental_options.c
+++ b/src/core/machines/rental_options.c
@@ -111,31 +111,45 @@
     return type->boot_s + (type->fetch_gb_per_s > 0 ? spec->submission->image_gb / type->fetch_gb_per_s : 0);
 }
 
+/* Whether the kind of machine can be rented for the job, and would come in time to help. */
+static bool is_option(const struct ow_leader *leader, const struct ow_spec *spec,
+                      const struct ow_machine *kind, double waits)
+{
+    const struct ow_machine_type *type = leader->controller->types[kind->type];
+    if (waits < HELP_PATIENCE * start_s(type, spec))
+        return false;
+    if (!offered_in(type, ow_names_text(leader->controller->names.zones, kind->zone)))
+        return false;
+    return ow_placement_slots(leader, spec, kind) > 0 && ow_placement_is_allowed(leader, spec, kind) &&
+           !refused(leader, kind->type, kind->zone, kind->spot);
+}
+
+/* Hourly rent for each task of the job that would run on such a machine. */
+static double price_for_job(const struct ow_leader *leader, const struct ow_spec *spec,
+                            const struct ow_machine *kind)
+{
+    const struct ow_machine_type *type = leader->controller->types[kind->type];
+    uint32_t slots = ow_placement_slots(leader, spec, kind);
+    return (kind->spot ? type->spot_price : type->price) / MIN(slots, spec->submission->tasks);
+}
+
 bool ow_rental_options_best(const struct ow_leader *leader, const struct ow_spec *spec, double waits,
                             bool proper, bool cheap, struct ow_expected_machine *out)
 {
+    const struct ow_class *class = ow_class_of(leader->controller, spec->class_index);
     double best = INFINITY;
     for (int type_index = 0; type_index < OW_MAX_TYPES; type_index++) {
         const struct ow_machine_type *type = leader->controller->types[type_index];
         for (char **zone = leader->controller->settings->zones; type != NULL && *zone != NULL; zone++) {
-            for (int spot = 0; spot < 2; spot++) {
-                int zone_index = ow_names_add(leader->controller->names.zones, *zone);
+            int zone_index = ow_names_add(leader->controller->names.zones, *zone);
+            for (int spot = cheap ? 1 : 0; spot < 2; spot++) {
                 struct ow_expected_machine candidate = {
                     .machine = {.type = type_index, .zone = zone_index, .spot = spot != 0}, .to_rent = true};
-                uint32_t slots = ow_placement_slots(leader, spec, &candidate.machine);
-                bool wasteful = ow_rental_options_is_wasteful(
-                    leader, type, ow_class_of(leader->controller, spec->class_index), spot != 0);
-                if (wasteful && proper)
-                    continue;
-                if (cheap && spot == 0)
+                if (proper && ow_rental_options_is_wasteful(leader, type, class, spot != 0))
                     continue;
-                if (waits < HELP_PATIENCE * start_s(type, spec))
-                    continue; /* it would come too late to help */
-                if (!offered_in(type, *zone) || slots == 0 ||
-                    !ow_placement_is_allowed(leader, spec, &candidate.machine) ||
-                    refused(leader, type_index, zone_index, spot != 0))
+                if (!is_option(leader, spec, &candidate.machine, waits))
                     continue;
-                double price = (spot ? type->spot_price : type->price) / MIN(slots, spec->submission->tasks);
+                double price = price_for_job(leader, spec, &candidate.machine);
                 if (price < best) {
                     best = price;
                     *out = candidate;
