--- a/src/core/api/cancellation_ack.c
+++ b/src/core/api/cancellation_ack.c
@@ -5,9 +5,8 @@
 #include "core/election/election.h"
 #include "core/leader.h"
 
-/* How long a user waits for the leader's acknowledgement before being asked to come back, and how often it is
- * sent.
- */
+/* How long a user waits for the leader's acknowledgement before being asked to repeat the request, and how
+ * often the cancellation is sent. */
 static const double PATIENCE_S = 0.6, RESEND_S = 0.3, RESEND_MOST_S = 2;
 /* What another controller announced is sent again if it still matters. */
 static const double FORGET_S = 6;
@@ -140,7 +139,7 @@
     }
 }
 
-/* Nobody is held back: who has waited long enough is asked to come again. */
+/* No request waits without end: after its time it is answered that the user should ask again. */
 static void refuse_late(struct ow_controller *controller, struct entry *entry)
 {
     for (guint i = entry->waiting_requests->len; i > 0; i--) {
--- a/src/core/api/job.c
+++ b/src/core/api/job.c
@@ -84,9 +84,9 @@
 {
     struct ow_job *job = ow_jobs_find(jobs, id);
     bool fresh = job == NULL;
-    /* Watches and lists may answer out of order: what is over must never come back to life. */
     /* The record of a cancellation that was announced ahead of it brings the rest of what is to be known. */
     bool ahead = !fresh && job->record_unread && version >= job->version;
+    /* Watches and lists may answer out of order: a job that is over must never be reopened. */
     if (!fresh && !ahead && version <= job->version) {
         ow_submission_free(submission);
         return NULL;
--- a/src/core/leader.c
+++ b/src/core/leader.c
@@ -103,7 +103,8 @@
     struct ow_effect *effect = ow_effect_new(OW_EFFECT_WORKER_COMMANDS, request);
     GArray *clears = g_array_new(FALSE, FALSE, sizeof(struct ow_worker_command));
     struct ow_machine *machine = ow_reports_receive(leader, report, clears);
-    if (machine != NULL && report->session == machine->session && report->seq == machine->seq) {
+    bool is_newest = machine != NULL && report->session == machine->session && report->seq == machine->seq;
+    if (is_newest) {
         if (machine->fenced && report->session == session_before)
             note_answers_arrive(machine, leader->controller->now);
         machine->last_report_at = leader->controller->now;
@@ -111,9 +112,8 @@
     /* Until the job table has been read, an answer could keep tasks alive whose cancellation has been
        acknowledged to a user. One without our token renews nothing, and the worker stays. */
     effect->token = leader->phase == OW_LEADER_REFRESH ? 0 : leader->token;
-    bool current = machine != NULL && machine->fenced && report->token == leader->token &&
-                   report->session == machine->session && report->seq == machine->seq &&
-                   leader->phase == OW_LEADER_READY;
+    bool current =
+        is_newest && machine->fenced && report->token == leader->token && leader->phase == OW_LEADER_READY;
     /* Commands go only to the session that they are meant for, and not in answer to a late copy. */
     if (current)
         effect->commands = ow_worker_commands_for(leader, machine, NULL);
@@ -251,6 +251,35 @@
     leader->pass.due = true;
 }
 
+static bool pass_is_due(const struct ow_leader *leader)
+{
+    double now = leader->controller->now;
+    return (leader->pass.due && now >= leader->pass.last_at + PASS_GAP_S) ||
+           now >= leader->pass.last_at + PASS_LEAST_S;
+}
+
+static void run_pass(struct ow_leader *leader)
+{
+    leader->pass.due = false;
+    leader->pass.last_at = leader->controller->now;
+    ow_schedule_jobs(leader);
+    ow_schedule_pass(leader);
+    count_for_users(leader);
+}
+
+static void inform_peers(struct ow_leader *leader)
+{
+    double now = leader->controller->now;
+    if (now >= leader->periodic.summary_at) {
+        leader->periodic.summary_at = now + SUMMARY_S;
+        send_summary(leader);
+    }
+    if (now >= leader->periodic.hints_at) {
+        leader->periodic.hints_at = now + HINTS_S;
+        send_machines(leader);
+    }
+}
+
 void ow_leader_tick(struct ow_leader *leader)
 {
     double now = leader->controller->now;
@@ -259,14 +288,8 @@
     ask_types(leader);
     if (leader->phase != OW_LEADER_READY)
         return;
-    if ((leader->pass.due && now >= leader->pass.last_at + PASS_GAP_S) ||
-        now >= leader->pass.last_at + PASS_LEAST_S) {
-        leader->pass.due = false;
-        leader->pass.last_at = now;
-        ow_schedule_jobs(leader);
-        ow_schedule_pass(leader);
-        count_for_users(leader);
-    }
+    if (pass_is_due(leader))
+        run_pass(leader);
     if (now >= leader->periodic.health_check_at) {
         leader->periodic.health_check_at = now + CARE_S;
         if (workers_lost(leader)) {
@@ -279,12 +302,5 @@
     ow_fleet_send_deletions(leader);
     ow_recorder_tick(leader);
     ow_worker_commands_send(leader);
-    if (now >= leader->periodic.summary_at) {
-        leader->periodic.summary_at = now + SUMMARY_S;
-        send_summary(leader);
-    }
-    if (now >= leader->periodic.hints_at) {
-        leader->periodic.hints_at = now + HINTS_S;
-        send_machines(leader);
-    }
+    inform_peers(leader);
 }
--- a/src/core/machines/fleet.c
+++ b/src/core/machines/fleet.c
@@ -157,7 +157,8 @@
 static void count_alike(const struct ow_leader *leader, const GPtrArray *unneeded,
                         const struct ow_machine *machine, unsigned *idle_alike, unsigned *all_alike)
 {
-    *idle_alike = *all_alike = 0;
+    *idle_alike = 0;
+    *all_alike = 0;
     for (guint i = 0; i < unneeded->len; i++)
         *idle_alike += alike(g_ptr_array_index(unneeded, i), machine) ? 1 : 0;
     for (guint i = 0; i < leader->machines->len; i++)
--- a/src/core/machines/machine_health.c
+++ b/src/core/machines/machine_health.c
@@ -23,10 +23,14 @@
 /* A machine that has not reported after so many boot times and so long is overdue; the boot time of an
    unknown type; and how long a new leader waits before it acts on that. */
 static const double OVERDUE_BOOTS = 3, OVERDUE_MARGIN_S = 20, UNKNOWN_BOOT_S = 60, OVERDUE_READY_S = 30;
+/* How long past the lease a machine with tasks may be unresponsive, and one without, in leases. */
+static const double LEASE_MARGIN_S = 5, EMPTY_LEASES = 3;
 /* A machine whose reclaim time has passed is gone once it has been silent for so long. */
 static const double RECLAIMED_SILENT_S = 3;
 /* Beyond its save time: the least that must be left for a task to be stopped, and the most it is given. */
 static const double SAVE_MARGIN_S = 1, SAVE_GRACE_S = 2;
+/* Report intervals that a new leader waits before a silent machine counts as fallen silent. */
+static const double MISSED_REPORTS = 2.5;
 enum { ERRORS_TO_QUARANTINE = 2, RUN_FAILURES = 3, UNRESPONSIVE_FEW = 2, SILENT_FEW = 3 };
 
 /* Proof by time: a worker ends its tasks when lease_s has passed since it sent the last report that was
@@ -89,8 +93,10 @@
    have ended with its lease, unless an older leader renews it: waiting gains nothing. */
 static void delete_if_unresponsive(struct ow_leader *leader, struct ow_machine *machine)
 {
-    double unresponsive = unresponsive_s(leader, machine), lease = leader->controller->settings->lease_s;
-    if (unresponsive > (machine->attempts->len > 0 ? lease + 5 : 3 * lease))
+    double unresponsive = unresponsive_s(leader, machine);
+    double lease_s = leader->controller->settings->lease_s;
+    double limit_s = machine->attempts->len > 0 ? lease_s + LEASE_MARGIN_S : EMPTY_LEASES * lease_s;
+    if (unresponsive > limit_s)
         ow_fleet_delete(leader, machine, "it does not answer commands, and its tasks can't be accounted for");
     else if (machine->fenced && unresponsive > UNRESPONSIVE_S && ow_machine_heard_recently(leader, machine))
         ow_fleet_delete(leader, machine, "it reports but does not answer commands");
@@ -123,7 +129,7 @@
 static void delete_for_replicas(struct ow_leader *leader, struct ow_machine *machine)
 {
     if (fallen_silent(leader, machine) && machine->unanswered_since > 0 && has_replicas(machine) &&
-        leader->controller->now - leader->ready_at > 2.5 * leader->controller->settings->report_s)
+        leader->controller->now - leader->ready_at > MISSED_REPORTS * leader->controller->settings->report_s)
         ow_fleet_delete(leader, machine, "it is silent, and services miss their replicas");
 }
 
@@ -175,6 +181,16 @@
     }
 }
 
+/* Recorded tasks on a machine not yet fenced, or commands that went unanswered: its own address is tried. */
+static bool needs_direct_call(const struct ow_leader *leader, const struct ow_machine *machine)
+{
+    if (machine->addr == NULL || machine->listed == OW_LISTED_BOOTING)
+        return false;
+    if (!machine->fenced || machine->unanswered_since > 0)
+        return true;
+    return fallen_silent(leader, machine) && has_replicas(machine);
+}
+
 void ow_machine_health_tick(struct ow_leader *leader)
 {
     bool return_unresponsive = few_unresponsive(leader);
@@ -187,11 +203,7 @@
         prove_by_lease(leader, machine);
         if (machine->reclaimed_at > 0)
             drain_noticed(leader, machine);
-        /* Recorded tasks on a machine not yet fenced, or commands that went unanswered: try its own address.
-         */
-        if ((!machine->fenced || machine->unanswered_since > 0 ||
-             (fallen_silent(leader, machine) && has_replicas(machine))) &&
-            machine->addr != NULL && machine->listed != OW_LISTED_BOOTING)
+        if (needs_direct_call(leader, machine))
             machine->direct_wanted = true;
         /* A faulty machine is given back; a sound one is rented in its place if it is missed. */
         if (leader->controller->now < machine->quarantine_until && machine->attempts->len == 0)
--- a/src/core/machines/reports.c
+++ b/src/core/machines/reports.c
@@ -58,15 +58,23 @@
         add_command(commands, OW_WORKER_CLEAR, task_report);
 }
 
+/* Whether the task belongs to a batch job that goes on, is not done and has no attempt. */
+static bool awaits_result(const struct ow_job *job, uint32_t task)
+{
+    if (job == NULL || job->run == NULL || ow_job_over(job))
+        return false;
+    if (ow_run_is_service(job->run) || task >= job->run->count)
+        return false;
+    return !job->run->tasks[task].done && job->run->tasks[task].attempt == NULL;
+}
+
 /* A task that no record of ours accounts for: a copy of an old launch. */
 static void apply_unrecorded_task(struct ow_leader *leader, struct ow_machine *machine, struct ow_job *job,
                                   const struct ow_task_report *task_report, GArray *commands)
 {
     if (task_report->phase == OW_PHASE_EXITED) {
         /* A result counts even if its attempt had been ended as lost. */
-        if (task_report->cause == OW_CAUSE_DONE && job != NULL && job->run != NULL &&
-            !ow_run_is_service(job->run) && task_report->task < job->run->count && !ow_job_over(job) &&
-            !job->run->tasks[task_report->task].done && job->run->tasks[task_report->task].attempt == NULL) {
+        if (task_report->cause == OW_CAUSE_DONE && awaits_result(job, task_report->task)) {
             job->run->tasks[task_report->task].done = true;
             job->run->done++;
             ow_recorder_chunk(leader, job->run, task_report->task, false);
