--- a/src/core/scheduling/service_moves.c
+++ b/src/core/scheduling/service_moves.c
@@ -19,6 +19,9 @@
 /* ... and that is considered so often. */
 static const double SEPARATE_S = 5;
 
+/* A machine that has lost its lease is taken to report again within the time of so many reports. */
+static const double RETURN_REPORTS = 2;
+
 static bool is_serving(const struct ow_attempt *attempt)
 {
     return attempt->state == OW_ATTEMPT_SEEN && attempt->phase == OW_PHASE_RUNNING && !attempt->stop;
@@ -125,9 +128,23 @@
     return not_serving(run) < MOVES_MOST || leaving(leader, run) * MOVE_S > left_s - LAST_MOVE_S;
 }
 
+/* Whether a replica is stopped at the last moment although it has to wait for its image elsewhere. One whose
+   machine is taken back is, for the proof that it is gone would take far longer. A machine that only lost its
+   lease may soon report again, with the image: a long fetch would be the longer outage. */
+static bool is_worth_a_fetch(const struct ow_leader *leader, const struct ow_attempt *attempt)
+{
+    const struct ow_machine *machine = attempt->machine;
+    const struct ow_machine_type *type = ow_machine_spec(leader, machine);
+    if (machine->reclaimed_at > 0)
+        return true;
+    if (type == NULL || type->fetch_gb_per_s <= 0)
+        return false;
+    double fetch_s = attempt->job->spec->submission->image_gb / type->fetch_gb_per_s;
+    return fetch_s < RETURN_REPORTS * leader->controller->settings->report_s;
+}
+
 /* With its image elsewhere a replica is moved as soon as its service can do without it. Where no machine with
-   the image has capacity, it serves as long as it may: then it is stopped all the same, for it starts
-   elsewhere only once it is proven gone, and that takes far longer when its machine has been taken. */
+   the image has capacity, it serves as long as it may. */
 static void move_off_leaving(struct ow_leader *leader, struct ow_machine *machine)
 {
     double left = leaves_at(leader, machine) - leader->controller->now;
@@ -140,7 +157,7 @@
         struct ow_machine *place = find_place(leader, attempt->job->run, OW_NO_NAME);
         if (place != NULL && may_miss_one_more(leader, attempt->job->run, left))
             move_to(leader, attempt, place, "its machine is about to go; it moves");
-        else if (left < LAST_MOVE_S)
+        else if (left < LAST_MOVE_S && is_worth_a_fetch(leader, attempt))
             ow_attempt_stop(leader, attempt, 0, "its machine is about to go, and no other one has its image");
     }
 }
