--- a/tests/test_services.c
+++ b/tests/test_services.c
@@ -341,6 +341,32 @@
     world_finish(w);
 }
 
+/* The same where nobody else has the image, and it takes long to fetch: the machine may report again in time, so
+ * its replica is left alone. */
+static void test_a_replica_with_a_large_image_waits_for_its_machine(void **state)
+{
+    (void)state;
+    struct world *w = start_world(1);
+    w->capacity = 0;
+    struct ow_submission *service = world_service("run-1", 1, 1);
+    service->image_gb = 60;
+    world_submit(w, 0, service);
+    assert_true(world_until(w, 10, world_some_running, "run-1"));
+    struct world_machine *machine = world_where(w, "run-1");
+    world_add_machine(w, "n-0", "big", "west", false);
+    world_run(w, 4);
+    machine->report_at = w->now;
+    world_run(w, 0.5);
+    machine->stopped_reporting = true;
+    world_run(w, w->settings[0].lease_s - 2);
+    machine->stopped_reporting = false;
+    machine->report_at = w->now;
+    world_run(w, 10);
+    assert_int_equal(replicas_on(machine, "run-1"), 1);
+    assert_int_equal(machine->starts, 1);
+    world_finish(w);
+}
+
 /* Only commands to the machines' own addresses are held up; reports are answered as ever. Nothing is
  * returned, and new replicas start by the answers. */
 static void test_late_commands_alone_cost_no_machine(void **state)
@@ -531,6 +557,7 @@
         cmocka_unit_test(test_a_replica_moves_off_a_faulty_machine),
         cmocka_unit_test(test_replicas_part_when_there_is_room_again),
         cmocka_unit_test(test_a_replica_moves_before_its_machine_loses_its_lease),
+        cmocka_unit_test(test_a_replica_with_a_large_image_waits_for_its_machine),
         cmocka_unit_test(test_late_commands_alone_cost_no_machine),
         cmocka_unit_test(test_services_do_not_crowd_on_one_machine),
         cmocka_unit_test(test_an_old_service_gives_way_to_more_urgent_work),
