--- a/tests/test_chaos.c
+++ b/tests/test_chaos.c
@@ -1,4 +1,4 @@
-/* Random troubles on top of each other, from fixed seeds: no rule may break, and in the end all work is done.
+/* Random overlapping failures from fixed seeds: no safety rule may break, and in the end every job completes.
  */
 #include "check.h"
 #include "world.h"
@@ -7,7 +7,7 @@
 
 enum { MACHINES = 6, JOBS = 14 };
 
-struct trouble {
+struct failures {
     struct world *w;
     GRand *rand;
     double calm_at;
@@ -15,138 +15,141 @@
     GPtrArray *copies; /* struct ow_report, to be sent late */
 };
 
-static struct world_machine *any_machine(struct trouble *t)
+static struct world_machine *any_machine(struct failures *failures)
 {
-    return g_ptr_array_index(t->w->machines,
-                             (guint)g_rand_int_range(t->rand, 0, (gint32)t->w->machines->len));
+    return g_ptr_array_index(failures->w->machines,
+                             (guint)g_rand_int_range(failures->rand, 0, (gint32)failures->w->machines->len));
 }
 
-/* What a machine said is said again later, to whoever leads then or to anybody. */
-static void keep_copy(struct trouble *t, const struct world_machine *m)
+/* Keeps a duplicate of the machine's last report, to be sent later to any controller. */
+static void keep_copy(struct failures *failures, const struct world_machine *machine)
 {
-    g_ptr_array_add(t->copies, world_last_report(m));
+    g_ptr_array_add(failures->copies, world_last_report(machine));
 }
 
-static void send_copies(struct trouble *t)
+static void send_copies(struct failures *failures)
 {
-    while (t->copies->len > 0) {
-        int controller = g_rand_int_range(t->rand, 0, WORLD_CONTROLLERS);
-        world_send_copy(t->w, controller, g_ptr_array_index(t->copies, 0));
-        g_ptr_array_steal_index(t->copies, 0);
+    while (failures->copies->len > 0) {
+        int controller = g_rand_int_range(failures->rand, 0, WORLD_CONTROLLERS);
+        world_send_copy(failures->w, controller, g_ptr_array_index(failures->copies, 0));
+        g_ptr_array_steal_index(failures->copies, 0);
     }
 }
 
-static void strike_machine(struct trouble *t)
+static void disturb_machine(struct failures *failures)
 {
-    struct world_machine *m = any_machine(t);
-    switch (g_rand_int_range(t->rand, 0, 9)) {
+    struct world_machine *machine = any_machine(failures);
+    switch (g_rand_int_range(failures->rand, 0, 9)) {
     case 7:
-        m->stopped_reporting = !m->stopped_reporting;
+        machine->stopped_reporting = !machine->stopped_reporting;
         break;
     case 8:
-        m->only_controller = m->only_controller < 0 ? g_rand_int_range(t->rand, 0, WORLD_CONTROLLERS) : -1;
+        machine->only_controller =
+            machine->only_controller < 0 ? g_rand_int_range(failures->rand, 0, WORLD_CONTROLLERS) : -1;
         break;
     case 4:
-        m->unresponsive = !m->unresponsive;
+        machine->unresponsive = !machine->unresponsive;
         break;
     case 5:
-        keep_copy(t, m);
+        keep_copy(failures, machine);
         break;
     case 6:
-        send_copies(t);
+        send_copies(failures);
         break;
     case 0:
-        m->cut = !m->cut;
+        machine->cut = !machine->cut;
         break;
     case 1:
-        m->hangs = !m->hangs;
+        machine->hangs = !machine->hangs;
         break;
     case 2:
-        m->sick = !m->sick;
+        machine->sick = !machine->sick;
         break;
     default:
-        m->gone = true;
-        g_array_set_size(m->tasks, 0);
+        machine->gone = true;
+        g_array_set_size(machine->tasks, 0);
         break;
     }
 }
 
-static void strike_node(struct trouble *t)
+static void disturb_controller(struct failures *failures)
 {
-    int controller = g_rand_int_range(t->rand, 0, WORLD_CONTROLLERS);
+    int controller = g_rand_int_range(failures->rand, 0, WORLD_CONTROLLERS);
     int other = (controller + 1) % WORLD_CONTROLLERS;
     /* Links break with and without their process. */
-    if (g_rand_boolean(t->rand) && t->w->cores[other] != NULL)
-        world_lose_link(t->w, other, controller);
-    if (g_rand_int_range(t->rand, 0, 4) == 0)
+    if (g_rand_boolean(failures->rand) && failures->w->cores[other] != NULL)
+        world_lose_link(failures->w, other, controller);
+    if (g_rand_int_range(failures->rand, 0, 4) == 0)
         return;
-    if (t->w->cores[controller] != NULL)
-        world_kill_controller(t->w, controller);
+    if (failures->w->cores[controller] != NULL)
+        world_kill_controller(failures->w, controller);
     else
-        world_start_controller(t->w, controller);
-    /* Some are back at once. */
-    if (t->w->cores[controller] == NULL && g_rand_int_range(t->rand, 0, 3) == 0)
-        world_start_controller(t->w, controller);
+        world_start_controller(failures->w, controller);
+    /* Some restart at once. */
+    if (failures->w->cores[controller] == NULL && g_rand_int_range(failures->rand, 0, 3) == 0)
+        world_start_controller(failures->w, controller);
 }
 
-static void strike_service(struct trouble *t)
+static void disturb_service(struct failures *failures)
 {
-    switch (g_rand_int_range(t->rand, 0, 10)) {
+    switch (g_rand_int_range(failures->rand, 0, 10)) {
     case 7:
-        t->w->denied_controller = g_rand_int_range(t->rand, -1, WORLD_CONTROLLERS);
+        failures->w->denied_controller = g_rand_int_range(failures->rand, -1, WORLD_CONTROLLERS);
         break;
     case 8:
-        t->w->peers_cut = !t->w->peers_cut;
+        failures->w->peers_cut = !failures->w->peers_cut;
         break;
     case 9:
-        t->w->state_slow_s = t->w->state_slow_s > 0 ? 0 : g_rand_double_range(t->rand, 0.1, 1.2);
+        failures->w->state_slow_s =
+            failures->w->state_slow_s > 0 ? 0 : g_rand_double_range(failures->rand, 0.1, 1.2);
         break;
     case 5:
-        t->w->isolated_controller = g_rand_int_range(t->rand, -1, WORLD_CONTROLLERS);
+        failures->w->isolated_controller = g_rand_int_range(failures->rand, -1, WORLD_CONTROLLERS);
         break;
     case 6:
-        t->w->lonely_controller = g_rand_int_range(t->rand, -1, WORLD_CONTROLLERS);
+        failures->w->lonely_controller = g_rand_int_range(failures->rand, -1, WORLD_CONTROLLERS);
         break;
     case 0:
-        t->w->state_down = !t->w->state_down;
+        failures->w->state_down = !failures->w->state_down;
         break;
     case 1:
-        t->w->cloud_down = !t->w->cloud_down;
+        failures->w->cloud_down = !failures->w->cloud_down;
         break;
     case 2:
-        t->w->hold_txns = !t->w->hold_txns;
+        failures->w->hold_txns = !failures->w->hold_txns;
         break;
     case 3:
-        t->w->lose_txn_answers = !t->w->lose_txn_answers;
+        failures->w->lose_txn_answers = !failures->w->lose_txn_answers;
         break;
     default:
-        t->w->hold_directs = !t->w->hold_directs;
+        failures->w->hold_directs = !failures->w->hold_directs;
         break;
     }
 }
 
-static void strike(struct trouble *t)
+static void disturb(struct failures *failures)
 {
-    int kind = g_rand_int_range(t->rand, 0, 10);
+    int kind = g_rand_int_range(failures->rand, 0, 10);
     if (kind < 4)
-        strike_machine(t);
+        disturb_machine(failures);
     else if (kind < 7)
-        strike_node(t);
+        disturb_controller(failures);
     else
-        strike_service(t);
+        disturb_service(failures);
 }
 
-static void calm(struct trouble *t)
+static void end_failures(struct failures *failures)
 {
-    struct world *w = t->w;
+    struct world *w = failures->w;
     w->isolated_controller = w->lonely_controller = w->denied_controller = -1;
     w->peers_cut = false;
     w->state_slow_s = 0;
     w->state_down = w->cloud_down = w->hold_txns = w->lose_txn_answers = w->hold_directs = false;
     for (guint i = 0; i < w->machines->len; i++) {
-        struct world_machine *m = g_ptr_array_index(w->machines, i);
-        m->cut = m->hangs = m->sick = m->unresponsive = m->stopped_reporting = false;
-        m->only_controller = -1;
+        struct world_machine *machine = g_ptr_array_index(w->machines, i);
+        machine->cut = machine->hangs = machine->sick = machine->unresponsive = machine->stopped_reporting =
+            false;
+        machine->only_controller = -1;
     }
     for (int i = 0; i < WORLD_CONTROLLERS; i++)
         if (w->cores[i] == NULL)
@@ -158,38 +161,38 @@
     g_snprintf(id, size, "run-%d", i + 1);
 }
 
-/* Users are stubborn: they ask again until they have an answer. */
-static void submit_until_accepted(struct trouble *t, int i)
+/* Users retry until their submission is accepted. */
+static void submit_until_accepted(struct failures *failures, int i)
 {
-    struct world *w = t->w;
+    struct world *w = failures->w;
     char id[16];
     job_id(id, sizeof id, i);
     for (int attempt = 0; attempt < 200; attempt++) {
-        struct ow_submission *s = world_job(id, 1 + (uint32_t)i % 4, 2);
-        s->rank = (enum ow_rank)(i % 4);
-        s->gang = i % 3 == 0;
-        s->kind = s->gang ? OW_KIND_GANG : OW_KIND_ARRAY;
-        s->one_zone = i % 2 == 0;
-        uint64_t request = world_submit(w, attempt % WORLD_CONTROLLERS, s);
+        struct ow_submission *submission = world_job(id, 1 + (uint32_t)i % 4, 2);
+        submission->rank = (enum ow_rank)(i % 4);
+        submission->gang = i % 3 == 0;
+        submission->kind = submission->gang ? OW_KIND_GANG : OW_KIND_ARRAY;
+        submission->one_zone = i % 2 == 0;
+        uint64_t request = world_submit(w, attempt % WORLD_CONTROLLERS, submission);
         world_run(w, 1);
-        const struct world_answer *a = world_answer(w, request);
-        if (a != NULL && (a->status == 200 || a->status == 201))
+        const struct world_answer *answer = world_answer(w, request);
+        if (answer != NULL && (answer->status == 200 || answer->status == 201))
             return;
-        if (g_rand_int_range(t->rand, 0, 4) == 0)
-            strike(t);
+        if (g_rand_int_range(failures->rand, 0, 4) == 0)
+            disturb(failures);
         if (attempt > 60)
-            calm(t);
+            end_failures(failures);
     }
     fail_msg("%s was never accepted", id);
 }
 
-static void cancel_some(struct trouble *t)
+static void cancel_some(struct failures *failures)
 {
-    int i = g_rand_int_range(t->rand, 0, JOBS);
+    int i = g_rand_int_range(failures->rand, 0, JOBS);
     char id[16];
     job_id(id, sizeof id, i);
-    t->cancelled[i] = true;
-    world_cancel(t->w, g_rand_int_range(t->rand, 0, WORLD_CONTROLLERS), id);
+    failures->cancelled[i] = true;
+    world_cancel(failures->w, g_rand_int_range(failures->rand, 0, WORLD_CONTROLLERS), id);
 }
 
 static void free_report(void *report)
@@ -197,67 +200,68 @@
     ow_report_free(report);
 }
 
-/* Once troubles are over, nobody asks in vain: users give a controller no minute to think. */
-static void poll_all(struct trouble *t)
+/* Once the failures are over, every poll is answered. */
+static void poll_all(struct failures *failures)
 {
     for (int i = 0; i < JOBS; i++) {
         char id[16];
         job_id(id, sizeof id, i);
-        if (world_job_state(t->w, id) < 0)
-            fail_msg("nobody knows %s", id);
+        if (world_job_state(failures->w, id) < 0)
+            fail_msg("no controller knows %s", id);
     }
 }
 
-/* CPUs of a machine that tasks on it leave. */
-static double free_cpus(struct world *w, const struct world_machine *m)
+/* CPUs of a machine that its tasks leave free. */
+static double free_cpus(struct world *w, const struct world_machine *machine)
 {
-    double cpus = strcmp(m->type, "big") == 0 ? 16 : 8;
-    for (guint k = 0; k < m->tasks->len; k++) {
-        const struct world_task *task = &g_array_index(m->tasks, struct world_task, k);
+    double cpus = strcmp(machine->type, "big") == 0 ? 16 : 8;
+    for (guint k = 0; k < machine->tasks->len; k++) {
+        const struct world_task *task = &g_array_index(machine->tasks, struct world_task, k);
         const struct world_wish *wish = g_hash_table_lookup(w->wishes, task->job);
         cpus -= task->phase != OW_PHASE_EXITED ? wish->cpus : 0;
     }
     return cpus;
 }
 
-/* Whether one machine has had room for the whole job for so long. */
+/* Whether a machine that has been up for 10 s has room for the whole job. */
 static bool room_for(struct world *w, const struct world_wish *wish)
 {
     for (guint i = 0; i < w->machines->len; i++) {
-        const struct world_machine *m = g_ptr_array_index(w->machines, i);
-        if (!m->gone && w->now > m->up_at + 10 && free_cpus(w, m) >= wish->tasks * wish->cpus)
+        const struct world_machine *machine = g_ptr_array_index(w->machines, i);
+        if (!machine->gone && w->now > machine->up_at + 10 &&
+            free_cpus(w, machine) >= wish->tasks * wish->cpus)
             return true;
     }
     return false;
 }
 
-/* Once troubles are over, no job waits 90 s beside room that fits. */
-static void watch_waiting(struct trouble *t, guint32 seed, int seconds)
+/* Once the failures are over, no job waits for 90 s while a machine has room for it. */
+static void watch_waiting(struct failures *failures, guint32 seed, int seconds)
 {
     int waited[JOBS] = {0};
     for (int s = 0; s < seconds; s++) {
-        world_run(t->w, 1);
+        world_run(failures->w, 1);
         for (int i = 0; i < JOBS; i++) {
             char id[16];
             job_id(id, sizeof id, i);
-            const struct world_wish *wish = g_hash_table_lookup(t->w->wishes, id);
-            bool waits = !t->cancelled[i] && !world_all_done(t->w, id) && world_running(t->w, id) == 0 &&
-                         room_for(t->w, wish);
+            const struct world_wish *wish = g_hash_table_lookup(failures->w->wishes, id);
+            bool waits = !failures->cancelled[i] && !world_all_done(failures->w, id) &&
+                         world_running(failures->w, id) == 0 && room_for(failures->w, wish);
             waited[i] = waits ? waited[i] + 1 : 0;
             if (waited[i] >= 90)
-                fail_msg("seed %u: %s waits beside room", seed, id);
+                fail_msg("seed %u: %s waits although a machine has room", seed, id);
         }
     }
 }
 
-static void play(guint32 seed)
+static void run_seed(guint32 seed)
 {
-    struct trouble t = {.w = world_new(),
-                        .rand = g_rand_new_with_seed(seed),
-                        .copies = g_ptr_array_new_with_free_func(free_report)};
-    struct world *w = t.w;
+    struct failures failures = {.w = world_new(),
+                                .rand = g_rand_new_with_seed(seed),
+                                .copies = g_ptr_array_new_with_free_func(free_report)};
+    struct world *w = failures.w;
     w->capacity = 40;
-    /* Every other time records have to be spread over many values. */
+    /* With every other seed the records need many values. */
     for (int i = 0; i < WORLD_CONTROLLERS && seed % 2 == 0; i++)
         w->settings[i].value_kb = w->value_kb = 0.5;
     for (int i = 0; i < WORLD_CONTROLLERS; i++)
@@ -269,43 +273,43 @@
     }
     world_run(w, 5);
     for (int i = 0; i < JOBS; i++) {
-        submit_until_accepted(&t, i);
-        world_run(w, g_rand_double_range(t.rand, 0, 3));
-        strike(&t);
+        submit_until_accepted(&failures, i);
+        world_run(w, g_rand_double_range(failures.rand, 0, 3));
+        disturb(&failures);
     }
     for (int i = 0; i < 15; i++) {
-        world_run(w, g_rand_double_range(t.rand, 0, 6));
-        strike(&t);
+        world_run(w, g_rand_double_range(failures.rand, 0, 6));
+        disturb(&failures);
         if (i % 5 == 0)
-            cancel_some(&t);
+            cancel_some(&failures);
     }
-    calm(&t);
+    end_failures(&failures);
     world_run(w, 25);
-    poll_all(&t);
-    watch_waiting(&t, seed, 175);
+    poll_all(&failures);
+    watch_waiting(&failures, seed, 175);
     for (int i = 0; i < JOBS; i++) {
         char id[16];
         job_id(id, sizeof id, i);
         int state = world_job_state(w, id);
-        if (state != OW_JOB_DONE && !(state == OW_JOB_CANCELLED && t.cancelled[i]))
+        if (state != OW_JOB_DONE && !(state == OW_JOB_CANCELLED && failures.cancelled[i]))
             fail_msg("seed %u: %s ends as %d", seed, id, state);
     }
     if (w->broken->len > 0 || w->too_large > 0)
         fail_msg("seed %u: %s", seed, w->broken->str);
-    g_ptr_array_free(t.copies, TRUE);
-    g_rand_free(t.rand);
+    g_ptr_array_free(failures.copies, TRUE);
+    g_rand_free(failures.rand);
     world_free(w);
 }
 
-static void test_troubles_on_troubles(void **state)
+static void test_random_overlapping_failures(void **state)
 {
     (void)state;
     for (guint32 seed = 1; seed <= 30; seed++)
-        play(seed);
+        run_seed(seed);
 }
 
 int main(void)
 {
-    const struct CMUnitTest tests[] = {cmocka_unit_test(test_troubles_on_troubles)};
+    const struct CMUnitTest tests[] = {cmocka_unit_test(test_random_overlapping_failures)};
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/test_fleet.c
+++ b/tests/test_fleet.c
@@ -1,26 +1,26 @@
-/* A world as large as the largest deployment, and half as large again: every controller restarts at once and
-   a third of the machines is lost. No rule may break, all work is done, and what is asked of others is
-   bounded. */
+/* A cluster half as large again as the largest deployment: every controller restarts at once and a third of
+ * the machines is lost. No safety rule may break, all jobs complete, and the load on other services is
+ * bounded. */
 #include "check.h"
 #include "core/machines/machine_registry.h"
 #include "world.h"
 
 enum { MACHINES = 2000, GANGS = 40, SCANS = 40, BILLS = 30 };
-/* Looks at each machine in ten seconds: a hundred rounds, some lists for each of three classes in each. */
+/* Checks of each machine in ten seconds: a hundred rounds, with some lists for each of three classes. */
 enum { LOOKS_MOST = 2000 };
 
 static void set_rates(struct world *w)
 {
     for (int i = 0; i < WORLD_CONTROLLERS; i++) {
-        struct ow_settings *s = &w->settings[i];
-        s->report_s = 5;
-        s->lease_s = 26.5;
-        s->cancel_s = 46.5;
-        s->state_rps = 400;
-        s->state_write_rps = 150;
-        s->value_kb = w->value_kb = 16;
-        s->txn_ops = w->txn_ops = 48;
-        s->cloud_rps = 7;
+        struct ow_settings *settings = &w->settings[i];
+        settings->report_s = 5;
+        settings->lease_s = 26.5;
+        settings->cancel_s = 46.5;
+        settings->state_rps = 400;
+        settings->state_write_rps = 150;
+        settings->value_kb = w->value_kb = 16;
+        settings->txn_ops = w->txn_ops = 48;
+        settings->cloud_rps = 7;
     }
 }
 
@@ -51,25 +51,26 @@
     char id[16], image[16];
     name_job(id, sizeof id, n);
     g_snprintf(image, sizeof image, "img-%s-%d", class_name, n % 10);
-    struct ow_submission *s = world_job(id, tasks, cpus);
-    g_free(s->class_name);
-    g_free(s->image);
-    s->class_name = g_strdup(class_name);
-    s->image = g_strdup(image);
-    s->need.gpus = gpus;
-    s->rank = rank;
-    s->estimate_s = 30;
-    return s;
+    struct ow_submission *submission = world_job(id, tasks, cpus);
+    g_free(submission->class_name);
+    g_free(submission->image);
+    submission->class_name = g_strdup(class_name);
+    submission->image = g_strdup(image);
+    submission->need.gpus = gpus;
+    submission->rank = rank;
+    submission->estimate_s = 30;
+    return submission;
 }
 
 /* Hands in jobs with numbers from `n` on; returns the next. */
 static int hand_in(struct world *w, int n)
 {
     for (int i = 0; i < GANGS; i++, n++) {
-        struct ow_submission *s = job_of_class(n, "sync", 6 + 5 * ((uint32_t)i % 3), 8, 0, OW_RANK_URGENT);
-        s->kind = OW_KIND_GANG;
-        s->gang = s->one_zone = true;
-        world_submit(w, i % WORLD_CONTROLLERS, s);
+        struct ow_submission *submission =
+            job_of_class(n, "sync", 6 + 5 * ((uint32_t)i % 3), 8, 0, OW_RANK_URGENT);
+        submission->kind = OW_KIND_GANG;
+        submission->gang = submission->one_zone = true;
+        world_submit(w, i % WORLD_CONTROLLERS, submission);
     }
     for (int i = 0; i < SCANS; i++, n++)
         world_submit(w, i % WORLD_CONTROLLERS,
@@ -92,9 +93,9 @@
 static void lose_a_third(struct world *w)
 {
     for (guint i = 0; i < w->machines->len; i += 3) {
-        struct world_machine *m = g_ptr_array_index(w->machines, i);
-        m->gone = true;
-        g_array_set_size(m->tasks, 0);
+        struct world_machine *machine = g_ptr_array_index(w->machines, i);
+        machine->gone = true;
+        g_array_set_size(machine->tasks, 0);
     }
 }
 
@@ -125,7 +126,7 @@
 
 /* With every machine full, a decision costs a look at each machine for every class, not for every job that
    waits: rounds once took longer than the time between two of them. */
-static void test_waiting_jobs_cost_no_looks(void **state)
+static void test_waiting_jobs_trigger_no_machine_scans(void **state)
 {
     (void)state;
     struct world *w = fleet_world();
@@ -147,7 +148,7 @@
 
 /* ---- the fleet restarts ---- */
 
-static void test_the_whole_fleet_restarts(void **state)
+static void test_all_controllers_restart_in_the_largest_deployment(void **state)
 {
     (void)state;
     struct world *w = fleet_world();
@@ -171,8 +172,8 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_waiting_jobs_cost_no_looks),
-        cmocka_unit_test(test_the_whole_fleet_restarts),
+        cmocka_unit_test(test_waiting_jobs_trigger_no_machine_scans),
+        cmocka_unit_test(test_all_controllers_restart_in_the_largest_deployment),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/test_gangs.c
+++ b/tests/test_gangs.c
@@ -1,4 +1,4 @@
-/* The reservation path: holds, one starting round, the place in the queue, refusals, zones, preemption. */
+/* Scheduling of gangs and arrays: reservations, queue order, zones, preemption, limits and starvation. */
 #include "check.h"
 #include "world.h"
 
@@ -15,17 +15,19 @@
 {
     unsigned count = 0;
     for (guint i = 0; i < w->machines->len; i++) {
-        const struct world_machine *m = g_ptr_array_index(w->machines, i);
-        for (guint k = 0; k < m->tasks->len; k++) {
-            const struct world_task *t = &g_array_index(m->tasks, struct world_task, k);
-            count +=
-                strcmp(m->zone, zone) == 0 && t->phase != OW_PHASE_EXITED && strcmp(t->job, job) == 0 ? 1 : 0;
+        const struct world_machine *machine = g_ptr_array_index(w->machines, i);
+        for (guint k = 0; k < machine->tasks->len; k++) {
+            const struct world_task *task = &g_array_index(machine->tasks, struct world_task, k);
+            count += strcmp(machine->zone, zone) == 0 && task->phase != OW_PHASE_EXITED &&
+                             strcmp(task->job, job) == 0
+                         ? 1
+                         : 0;
         }
     }
     return count;
 }
 
-static void test_members_start_in_one_round_with_one_attempt(void **state)
+static void test_gang_members_start_together_with_one_attempt(void **state)
 {
     (void)state;
     struct world *w = start_world();
@@ -43,7 +45,7 @@
     world_finish(w);
 }
 
-static void test_a_short_gang_keeps_its_place_and_its_room(void **state)
+static void test_waiting_gang_keeps_its_reservation_and_queue_position(void **state)
 {
     (void)state;
     struct world *w = start_world();
@@ -59,7 +61,7 @@
     world_submit(w, 0, world_gang("run-2", 2, 16)); /* needs both */
     world_run(w, 1);
     w->run_s = 200;
-    world_submit(w, 0, world_job("run-3", 16, 1)); /* would fit the free one, but came later */
+    world_submit(w, 0, world_job("run-3", 16, 1)); /* fits the free machine, but was submitted later */
     world_run(w, 10);
     assert_int_equal(world_running(w, "run-2"), 0);
     assert_int_equal(world_running(w, "run-3"), 0);
@@ -69,7 +71,7 @@
     world_finish(w);
 }
 
-static void test_holds_drop_after_the_waiting_limit(void **state)
+static void test_reservation_expires_after_the_waiting_limit(void **state)
 {
     (void)state;
     struct world *w = start_world();
@@ -85,12 +87,12 @@
     world_submit(w, 0, world_job("run-3", 1, 4));
     world_run(w, 10);
     assert_int_equal(world_running(w, "run-3"), 0);
-    /* The window of 5 s, and then the limit. */
+    /* The window of 5 s, then the waiting limit. */
     assert_true(world_until(w, 10, world_some_running, "run-3"));
     world_finish(w);
 }
 
-static void test_one_zone(void **state)
+static void test_one_zone_gang_starts_in_one_zone(void **state)
 {
     (void)state;
     struct world *w = start_world();
@@ -99,26 +101,26 @@
     world_add_machine(w, "m-2", "big", "west", false);
     world_run(w, 6);
     w->run_s = 50;
-    struct ow_submission *s = world_gang("run-1", 2, 16);
-    s->one_zone = true;
-    world_submit(w, 0, s);
+    struct ow_submission *submission = world_gang("run-1", 2, 16);
+    submission->one_zone = true;
+    world_submit(w, 0, submission);
     assert_true(world_until(w, 10, world_some_running, "run-1"));
     world_run(w, 1);
     assert_int_equal(running_in(w, "run-1", "west"), 2);
     world_finish(w);
 }
 
-/* Rule 6: a task that comes later must join those that are there, even if only another zone has room. */
-static void test_an_array_stays_in_its_zone(void **state)
+/* Rule 6: a later task must join the zone of the running ones, even if only another zone has room. */
+static void test_one_zone_array_stays_in_its_zone(void **state)
 {
     (void)state;
     struct world *w = start_world();
     world_add_machine(w, "m-0", "big", "east", false);
     world_run(w, 6);
     w->run_s = 30;
-    struct ow_submission *s = world_job("run-1", 3, 8);
-    s->one_zone = true;
-    world_submit(w, 0, s);
+    struct ow_submission *submission = world_job("run-1", 3, 8);
+    submission->one_zone = true;
+    world_submit(w, 0, submission);
     assert_true(world_until(w, 10, world_some_running, "run-1"));
     world_add_machine(w, "m-1", "big", "west", false);
     world_run(w, 15);
@@ -127,7 +129,7 @@
     world_finish(w);
 }
 
-static void test_spread(void **state)
+static void test_spread_limits_tasks_per_zone(void **state)
 {
     (void)state;
     struct world *w = start_world();
@@ -138,10 +140,10 @@
     }
     world_run(w, 6);
     w->run_s = 50;
-    struct ow_submission *s = world_gang("run-1", 3, 4), *array = world_job("run-2", 4, 1);
-    s->spread = true;
+    struct ow_submission *submission = world_gang("run-1", 3, 4), *array = world_job("run-2", 4, 1);
+    submission->spread = true;
     array->spread = true;
-    world_submit(w, 0, s);
+    world_submit(w, 0, submission);
     world_submit(w, 0, array);
     assert_true(world_until(w, 10, world_some_running, "run-1"));
     world_run(w, 2);
@@ -152,7 +154,7 @@
     world_finish(w);
 }
 
-static void test_types_zones_and_spot_are_kept(void **state)
+static void test_placement_respects_type_zone_and_spot(void **state)
 {
     (void)state;
     struct world *w = start_world();
@@ -162,17 +164,17 @@
     world_add_machine(w, "m-3", "big", "east", false);
     world_run(w, 6);
     w->run_s = 50;
-    struct ow_submission *s = world_job("run-1", 1, 8);
-    s->spot = false;
-    s->zone = g_strdup("east");
-    s->types = g_strsplit("big", ",", 0);
-    world_submit(w, 0, s);
+    struct ow_submission *submission = world_job("run-1", 1, 8);
+    submission->spot = false;
+    submission->zone = g_strdup("east");
+    submission->types = g_strsplit("big", ",", 0);
+    world_submit(w, 0, submission);
     assert_true(world_until(w, 10, world_some_running, "run-1"));
     assert_int_equal(world_machine(w, "m-3")->starts, 1);
     world_finish(w);
 }
 
-static void test_urgent_gangs_stop_lower_work(void **state)
+static void test_urgent_gang_preempts_lower_rank(void **state)
 {
     (void)state;
     struct world *w = start_world();
@@ -201,8 +203,8 @@
         g_array_index(w->settings[i].teams, struct ow_team_settings, team).cpus = cpus;
 }
 
-/* What a team has borrowed goes back to one that stays within its guarantee, and no more than that. */
-static void test_a_guarantee_is_given_back(void **state)
+/* Capacity that a team has borrowed returns to a team within its guarantee, and no more than that. */
+static void test_guarantee_is_reclaimed_by_preemption(void **state)
 {
     (void)state;
     struct world *w = start_world();
@@ -213,9 +215,9 @@
     w->run_s = 300;
     world_submit(w, 0, world_job("run-1", 16, 1)); /* team open, 12 CPUs beyond its guarantee */
     assert_true(world_until(w, 10, world_some_running, "run-1"));
-    struct ow_submission *s = world_job("run-2", 8, 1);
-    world_set_team(s, "tight");
-    world_submit(w, 0, s);
+    struct ow_submission *submission = world_job("run-2", 8, 1);
+    world_set_team(submission, "tight");
+    world_submit(w, 0, submission);
     assert_true(world_until(w, 60, world_some_running, "run-2"));
     world_run(w, 5);
     assert_int_equal(world_running(w, "run-2"), 8);
@@ -223,7 +225,7 @@
     world_finish(w);
 }
 
-static void test_a_lost_member_ends_the_attempt(void **state)
+static void test_failed_member_ends_the_gang_attempt(void **state)
 {
     (void)state;
     struct world *w = start_world();
@@ -234,36 +236,36 @@
     world_submit(w, 0, world_gang("run-1", 2, 16));
     assert_true(world_until(w, 10, world_some_running, "run-1"));
     world_run(w, 2);
-    struct world_machine *m = world_machine(w, "m-0");
-    struct world_task *t = &g_array_index(m->tasks, struct world_task, 0);
-    uint64_t attempt = t->attempt;
-    t->phase = OW_PHASE_EXITED;
-    t->cause = OW_CAUSE_FULL; /* refused: the member that did start is stopped */
-    m->report_at = w->now;
+    struct world_machine *machine = world_machine(w, "m-0");
+    struct world_task *task = &g_array_index(machine->tasks, struct world_task, 0);
+    uint64_t attempt = task->attempt;
+    task->phase = OW_PHASE_EXITED;
+    task->cause = OW_CAUSE_FULL; /* rejected by the worker: the member that did start is stopped */
+    machine->report_at = w->now;
     world_run(w, 6);
     assert_int_equal(world_running(w, "run-1"), 2);
-    t = &g_array_index(m->tasks, struct world_task, m->tasks->len - 1);
-    assert_true(t->attempt > attempt);
+    task = &g_array_index(machine->tasks, struct world_task, machine->tasks->len - 1);
+    assert_true(task->attempt > attempt);
     world_finish(w);
 }
 
-static void test_limits_hold_for_arrays(void **state)
+static void test_team_limit_holds_for_arrays(void **state)
 {
     (void)state;
     struct world *w = start_world();
     world_add_machine(w, "m-0", "big", "east", false);
     world_run(w, 6);
     w->run_s = 50;
-    struct ow_submission *s = world_job("run-1", 12, 1);
-    world_set_team(s, "tight");
-    world_submit(w, 0, s);
+    struct ow_submission *submission = world_job("run-1", 12, 1);
+    world_set_team(submission, "tight");
+    world_submit(w, 0, submission);
     assert_true(world_until(w, 10, world_some_running, "run-1"));
     world_run(w, 5);
     assert_int_equal(world_running(w, "run-1"), 8);
     world_finish(w);
 }
 
-static void test_a_large_array_runs_to_its_end(void **state)
+static void test_large_array_completes(void **state)
 {
     (void)state;
     struct world *w = start_world();
@@ -272,16 +274,16 @@
     w->run_s = 0.5;
     world_submit(w, 0, world_job("run-1", 700, 0.1));
     assert_true(world_until(w, 120, world_all_done, "run-1"));
-    /* Progress is gone with the job. */
+    /* The progress records are deleted with the job. */
     world_run(w, 3);
     assert_null(world_progress(w, "run-1/0"));
     assert_null(world_progress(w, "run-1/2"));
     world_finish(w);
 }
 
-/* Hands in a job every `gap` seconds, more than there is room for, until the first of `id` runs or the time
-   is over. Jobs are numbered from `n` on. */
-static bool begins_within(struct world *w, const char *id, double seconds, double gap,
+/* Submits a job every `gap` seconds, more than there is capacity for, until a task of `id` runs or the time
+ * is over. The jobs are numbered from `n` on. */
+static bool starts_within(struct world *w, const char *id, double seconds, double gap,
                           struct ow_submission *(*next)(int n), int n)
 {
     for (double end = w->now + seconds; w->now < end && world_running(w, id) == 0; n++) {
@@ -291,22 +293,22 @@
     return world_running(w, id) > 0;
 }
 
-static bool begins_under_load(struct world *w, const char *id, double gap,
+static bool starts_under_load(struct world *w, const char *id, double gap,
                               struct ow_submission *(*next)(int n))
 {
-    return begins_within(w, id, 240, gap, next, 100);
+    return starts_within(w, id, 240, gap, next, 100);
 }
 
 static struct ow_submission *numbered(int n, uint32_t tasks, double cpus, bool is_gang, enum ow_rank rank)
 {
     char id[16];
     g_snprintf(id, sizeof id, "run-%d", n);
-    struct ow_submission *s = world_job(id, tasks, cpus);
-    s->gang = is_gang;
-    s->kind = is_gang ? OW_KIND_GANG : OW_KIND_ARRAY;
-    s->one_zone = is_gang;
-    s->rank = rank;
-    return s;
+    struct ow_submission *submission = world_job(id, tasks, cpus);
+    submission->gang = is_gang;
+    submission->kind = is_gang ? OW_KIND_GANG : OW_KIND_ARRAY;
+    submission->one_zone = is_gang;
+    submission->rank = rank;
+    return submission;
 }
 
 static struct ow_submission *small_gang(int n)
@@ -332,13 +334,13 @@
     return w;
 }
 
-static void outgrow(double kill_after_s)
+static void run_growing_records(double kill_after_s)
 {
     struct world *w = full_world(4);
     char id[16];
     for (int i = 0; i < WORLD_CONTROLLERS; i++) {
         w->settings[i].value_kb = 0.6;
-        w->settings[i].txn_ops = 1; /* so that a value and the one it overflows to are written one by one */
+        w->settings[i].txn_ops = 1; /* so that a value and its overflow are written one by one */
     }
     w->value_kb = 0.6;
     w->txn_ops = 1;
@@ -352,14 +354,14 @@
         world_run(w, 0.5);
     }
     world_run(w, 6);
-    /* Results come at odd times, so that the ranges break up. */
+    /* Results arrive at different times, so that the ranges split. */
     for (guint i = 0; i < w->machines->len; i++) {
-        const struct world_machine *m = g_ptr_array_index(w->machines, i);
-        for (guint k = 0; k < m->tasks->len; k += 2)
-            g_array_index(m->tasks, struct world_task, k).phase_at = w->now + 1 + 0.3 * (k % 5);
+        const struct world_machine *machine = g_ptr_array_index(w->machines, i);
+        for (guint k = 0; k < machine->tasks->len; k += 2)
+            g_array_index(machine->tasks, struct world_task, k).phase_at = w->now + 1 + 0.3 * (k % 5);
     }
     world_run(w, kill_after_s);
-    /* Whoever takes over knows every attempt: none is started twice, none is lost. */
+    /* The next leader knows every attempt: none is started twice, none is lost. */
     world_kill_controller(w, 0);
     world_start_controller(w, 0);
     for (int i = 0; i < 8; i++) {
@@ -373,39 +375,39 @@
     world_finish(w);
 }
 
-/* Records that share a value are moved to another before they outgrow it, and none is lost on the way,
-   whenever the leader ends. */
-static void test_records_outgrow_their_value(void **state)
+/* Records that share a value move to another one before it grows too large, and none is lost whenever the
+ * leader crashes. */
+static void test_growing_records_move_to_another_value(void **state)
 {
     (void)state;
     for (int step = 0; step < 40; step++)
-        outgrow(0.1 * step);
+        run_growing_records(0.1 * step);
 }
 
-/* Nobody starved: a gang that needs the whole zone, among small ones that would always find room before it.
+/* No starvation: a gang that needs the whole zone, among small ones that always fit before it.
  */
-static void test_the_largest_gang_begins_under_load(void **state)
+static void test_largest_gang_starts_under_load(void **state)
 {
     (void)state;
     struct world *w = full_world(4);
     w->run_s = 10;
-    /* Staggered: one machine comes free at a time, and there is always somebody to take it. */
+    /* Staggered: one machine becomes free at a time, and there is always a job that fits it. */
     for (int n = 50; n < 56; n++) {
         world_submit(w, 0, small_gang(n));
         world_run(w, 2.4);
     }
     world_submit(w, 0, numbered(1, 4, 16, true, OW_RANK_URGENT));
-    assert_true(begins_under_load(w, "run-1", 2.4, small_gang));
+    assert_true(starts_under_load(w, "run-1", 2.4, small_gang));
     world_finish(w);
 }
 
-/* Under so much load that all of them starve: what one of those holds is not passed on to the next. */
-static void test_the_largest_gang_begins_among_starving_ones(void **state)
+/* Under a load that starves all of them: the reservation of one does not pass to the next. */
+static void test_largest_gang_starts_among_starved_gangs(void **state)
 {
     (void)state;
     struct world *w = full_world(4);
     w->run_s = 10;
-    for (int n = 50; n < 56; n++) { /* staggered: one machine comes free at a time */
+    for (int n = 50; n < 56; n++) { /* staggered: one machine becomes free at a time */
         world_submit(w, 0, small_gang(n));
         world_run(w, 2.4);
     }
@@ -413,12 +415,12 @@
         world_submit(w, 0, small_gang(n));
     world_run(w, 1);
     world_submit(w, 0, numbered(1, 4, 16, true, OW_RANK_URGENT));
-    assert_true(begins_under_load(w, "run-1", 1, small_gang));
+    assert_true(starts_under_load(w, "run-1", 1, small_gang));
     world_finish(w);
 }
 
-/* However many starve, they take no more than every other place: who comes late need not come too late. */
-static void test_a_fresh_gang_begins_among_starving_ones(void **state)
+/* Starved jobs take at most every other slot, so that a new job still starts. */
+static void test_new_gang_starts_among_starved_gangs(void **state)
 {
     (void)state;
     struct world *w = full_world(4);
@@ -431,8 +433,8 @@
     world_finish(w);
 }
 
-/* An array is put off by its size, but not for ever. */
-static void test_a_large_array_is_served_under_load(void **state)
+/* A large array is delayed by its size, but completes. */
+static void test_large_array_completes_under_load(void **state)
 {
     (void)state;
     struct world *w = full_world(2);
@@ -441,7 +443,7 @@
         world_submit(w, 0, small_array(n));
     world_run(w, 1);
     world_submit(w, 0, numbered(1, 60, 8, false, OW_RANK_STANDARD));
-    assert_true(begins_under_load(w, "run-1", 1, small_array));
+    assert_true(starts_under_load(w, "run-1", 1, small_array));
     for (int n = 1000; n < 1250 && !world_all_done(w, "run-1"); n++) {
         world_submit(w, 0, small_array(n));
         world_run(w, 1);
@@ -450,7 +452,7 @@
     world_finish(w);
 }
 
-static void test_the_least_urgent_begins_under_load(void **state)
+static void test_lowest_rank_starts_under_load(void **state)
 {
     (void)state;
     struct world *w = full_world(2);
@@ -459,11 +461,11 @@
         world_submit(w, 0, urgent_array(n));
     world_run(w, 1);
     world_submit(w, 0, numbered(1, 4, 8, false, OW_RANK_LOW));
-    assert_true(begins_under_load(w, "run-1", 1, urgent_array));
+    assert_true(starts_under_load(w, "run-1", 1, urgent_array));
     world_finish(w);
 }
 
-/* Low work without aims waits for cheap machines; nothing more urgent does. */
+/* Only jobs of low rank without an objective wait for cheap machines. */
 static void test_only_low_work_waits_for_cheap_machines(void **state)
 {
     (void)state;
@@ -479,7 +481,7 @@
     uint64_t request = world_poll(w, 0, "run-1");
     world_run(w, 1);
     assert_non_null(strstr(world_answer(w, request)->reason, "cheap"));
-    /* Nor does anybody wait for ever, though the controller begins anew again and again. */
+    /* They don't wait for ever either, although the controller restarts repeatedly. */
     for (int i = 0; i < 4; i++) {
         world_run(w, 60);
         world_kill_controller(w, 0);
@@ -489,8 +491,8 @@
     world_finish(w);
 }
 
-/* Whoever waits keeps his age when every controller begins anew, twice. */
-static void test_age_survives_restarts(void **state)
+/* A waiting job keeps its age when every controller restarts, twice. */
+static void test_waiting_time_survives_restarts(void **state)
 {
     (void)state;
     struct world *w = full_world(2);
@@ -500,37 +502,37 @@
     world_run(w, 1);
     world_submit(w, 0, numbered(1, 4, 8, false, OW_RANK_LOW));
     for (int i = 0; i < 2; i++) {
-        assert_false(begins_within(w, "run-1", 55, 1, urgent_array, 100 + 100 * i));
-        world_kill_controller(w, 0); /* the only one in this world */
+        assert_false(starts_within(w, "run-1", 55, 1, urgent_array, 100 + 100 * i));
+        world_kill_controller(w, 0); /* the only controller in this test */
         world_start_controller(w, 0);
     }
-    assert_true(begins_within(w, "run-1", 90, 1, urgent_array, 300));
+    assert_true(starts_within(w, "run-1", 90, 1, urgent_array, 300));
     world_finish(w);
 }
 
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_members_start_in_one_round_with_one_attempt),
-        cmocka_unit_test(test_a_short_gang_keeps_its_place_and_its_room),
-        cmocka_unit_test(test_holds_drop_after_the_waiting_limit),
-        cmocka_unit_test(test_one_zone),
-        cmocka_unit_test(test_an_array_stays_in_its_zone),
-        cmocka_unit_test(test_spread),
-        cmocka_unit_test(test_types_zones_and_spot_are_kept),
-        cmocka_unit_test(test_urgent_gangs_stop_lower_work),
-        cmocka_unit_test(test_a_guarantee_is_given_back),
-        cmocka_unit_test(test_a_lost_member_ends_the_attempt),
-        cmocka_unit_test(test_limits_hold_for_arrays),
-        cmocka_unit_test(test_a_large_array_runs_to_its_end),
-        cmocka_unit_test(test_records_outgrow_their_value),
-        cmocka_unit_test(test_the_largest_gang_begins_under_load),
-        cmocka_unit_test(test_the_largest_gang_begins_among_starving_ones),
-        cmocka_unit_test(test_a_fresh_gang_begins_among_starving_ones),
-        cmocka_unit_test(test_a_large_array_is_served_under_load),
-        cmocka_unit_test(test_the_least_urgent_begins_under_load),
+        cmocka_unit_test(test_gang_members_start_together_with_one_attempt),
+        cmocka_unit_test(test_waiting_gang_keeps_its_reservation_and_queue_position),
+        cmocka_unit_test(test_reservation_expires_after_the_waiting_limit),
+        cmocka_unit_test(test_one_zone_gang_starts_in_one_zone),
+        cmocka_unit_test(test_one_zone_array_stays_in_its_zone),
+        cmocka_unit_test(test_spread_limits_tasks_per_zone),
+        cmocka_unit_test(test_placement_respects_type_zone_and_spot),
+        cmocka_unit_test(test_urgent_gang_preempts_lower_rank),
+        cmocka_unit_test(test_guarantee_is_reclaimed_by_preemption),
+        cmocka_unit_test(test_failed_member_ends_the_gang_attempt),
+        cmocka_unit_test(test_team_limit_holds_for_arrays),
+        cmocka_unit_test(test_large_array_completes),
+        cmocka_unit_test(test_growing_records_move_to_another_value),
+        cmocka_unit_test(test_largest_gang_starts_under_load),
+        cmocka_unit_test(test_largest_gang_starts_among_starved_gangs),
+        cmocka_unit_test(test_new_gang_starts_among_starved_gangs),
+        cmocka_unit_test(test_large_array_completes_under_load),
+        cmocka_unit_test(test_lowest_rank_starts_under_load),
         cmocka_unit_test(test_only_low_work_waits_for_cheap_machines),
-        cmocka_unit_test(test_age_survives_restarts),
+        cmocka_unit_test(test_waiting_time_survives_restarts),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/test_isolation.c
+++ b/tests/test_isolation.c
@@ -1,5 +1,5 @@
-/* Those that are half cut off, or back too soon, and messages that come too late: nothing of it may break a
- * rule, spoil other work for long or leave a job without an owner. */
+/* Partial partitions, immediate restarts and late messages: none may break a safety rule, delay other work
+ * for long or leave a job unanswered. */
 #include "check.h"
 #include "world.h"
 
@@ -23,13 +23,13 @@
 
 /* ---- a machine whose reports arrive, but which is unresponsive ---- */
 
-static void test_an_unresponsive_machine_is_given_nothing_and_returned(void **state)
+static void test_unresponsive_machine_is_avoided_and_deleted(void **state)
 {
     (void)state;
     struct world *w = start_world(3);
     struct world_machine *unresponsive = start_long_job(w);
     unresponsive->unresponsive = true;
-    /* A gang that needs a machine whole may pick it before anything shows: it must not wait for it. */
+    /* A gang that needs a whole machine may pick it before the fault shows: it must not wait for it. */
     w->run_s = 2;
     world_submit(w, 0, world_gang("run-2", 2, 16));
     assert_true(world_until(w, 40, world_is_gone, unresponsive));
@@ -38,15 +38,15 @@
     world_finish(w);
 }
 
-/* From the first command that finds no answer on, it gets nothing more, long before it is returned. */
-static void test_an_unresponsive_machine_gets_nothing_more(void **state)
+/* After the first command without a response it gets no new tasks, long before it is deleted. */
+static void test_unresponsive_machine_gets_no_new_tasks(void **state)
 {
     (void)state;
     struct world *w = start_world(2);
     struct world_machine *unresponsive = start_long_job(w);
     unresponsive->unresponsive = true;
     w->run_s = 1;
-    world_submit(w, 0, world_job("run-2", 1, 1)); /* fits best beside the other */
+    world_submit(w, 0, world_job("run-2", 1, 1)); /* fits best beside the other task */
     world_run(w, 5);
     assert_false(unresponsive->gone);
     world_submit(w, 0, world_job("run-3", 1, 1));
@@ -55,20 +55,20 @@
     world_finish(w);
 }
 
-static void test_an_unresponsive_machine_at_a_take_over(void **state)
+static void test_unresponsive_machine_is_replaced_after_a_takeover(void **state)
 {
     (void)state;
     struct world *w = start_world(3);
     struct world_machine *unresponsive = start_long_job(w);
     unresponsive->unresponsive = true;
     world_kill_controller(w, world_leader(w));
-    /* Its reports, under a token that is not ours, keep coming: they are no sign of health. */
+    /* Its reports under an old token keep arriving: they are no sign of health. */
     assert_true(world_until(w, 60, world_runs_on_another, unresponsive));
     assert_true(world_until(w, 90, world_is_gone, unresponsive));
     world_finish(w);
 }
 
-static void test_a_cancelled_task_on_an_unresponsive_machine(void **state)
+static void test_unresponsive_machine_with_a_cancelled_task_is_deleted(void **state)
 {
     (void)state;
     struct world *w = start_world(2);
@@ -82,66 +82,67 @@
     world_finish(w);
 }
 
-/* ---- copies of old reports ---- */
+/* ---- duplicates of old reports ---- */
 
-static void test_a_late_copy_renews_nothing(void **state)
+static void test_duplicate_report_renews_no_lease(void **state)
 {
     (void)state;
     struct world *w = start_world(2);
     w->cloud_down = true; /* no proof by deletion */
-    struct world_machine *m = start_long_job(w);
+    struct world_machine *machine = start_long_job(w);
     enum { COPIES = 26 };
     struct ow_report *copies[COPIES];
     for (int i = 0; i < COPIES; i++)
-        copies[i] = world_last_report(m);
-    m->cut = true;
+        copies[i] = world_last_report(machine);
+    machine->cut = true;
     for (int i = 0; i < COPIES; i++) {
         world_send_copy(w, world_leader(w), copies[i]);
         world_run(w, 1);
     }
-    assert_true(world_runs_on_another(w, m));
-    m->cut = false;
+    assert_true(world_runs_on_another(w, machine));
+    machine->cut = false;
     world_run(w, 20);
     world_finish(w);
 }
 
-static void test_a_late_copy_proves_nothing_after_a_take_over(void **state)
+static void test_duplicate_report_frees_no_task_after_a_takeover(void **state)
 {
     (void)state;
     struct world *w = start_world(2);
     w->cloud_down = true;
-    struct world_machine *m = world_machine(w, "m-0");
-    struct ow_report *before = world_last_report(m), *other = world_last_report(world_machine(w, "m-1"));
-    m = start_long_job(w);
-    ow_report_free(m == world_machine(w, "m-0") ? other : before);
-    struct ow_report *copy = m == world_machine(w, "m-0") ? before : other;
-    m->cut = true;
-    m->renewed_at = w->now + 1000;
+    struct world_machine *machine = world_machine(w, "m-0");
+    struct ow_report *before = world_last_report(machine),
+                     *other = world_last_report(world_machine(w, "m-1"));
+    machine = start_long_job(w);
+    ow_report_free(machine == world_machine(w, "m-0") ? other : before);
+    struct ow_report *copy = machine == world_machine(w, "m-0") ? before : other;
+    machine->cut = true;
+    machine->renewed_at = w->now + 1000;
     world_kill_controller(w, world_leader(w));
     world_run(w, 8);
-    /* It names no task, and it is the first that this leader hears of the machine. */
+    /* It lists no task, and it is the first report of the machine that this leader receives. */
     world_send_copy(w, world_leader(w), copy);
     world_run(w, 15);
-    assert_false(world_runs_on_another(w, m));
-    m->cut = false;
+    assert_false(world_runs_on_another(w, machine));
+    machine->cut = false;
     world_run(w, 10);
-    assert_true(world_where(w, "run-1") == m);
+    assert_true(world_where(w, "run-1") == machine);
     world_finish(w);
 }
 
-static void test_a_late_copy_brings_no_deleted_machine_back(void **state)
+static void test_duplicate_report_restores_no_deleted_machine(void **state)
 {
     (void)state;
     struct world *w = start_world(1);
-    struct world_machine *m = start_long_job(w);
-    struct ow_report *copy = world_last_report(m);
-    copy->seq += 100; /* newer than all that came of it */
+    struct world_machine *machine = start_long_job(w);
+    struct ow_report *copy = world_last_report(machine);
+    copy->seq += 100; /* newer than every report received from it */
     g_array_set_size(copy->tasks, 0);
-    m->notice_s = 1;
-    m->report_at = w->now;
+    machine->notice_s = 1;
+    machine->report_at = w->now;
     world_run(w, 1.5);
-    m->gone = true;
-    g_array_set_size(m->tasks, 0);
+    machine->gone = true;
+    g_array_set_size(machine->tasks, 0);
     w->run_s = 1;
     assert_true(world_until(w, 40, world_all_done, "run-1"));
     world_send_copy(w, world_leader(w), copy);
@@ -151,13 +152,13 @@
     world_finish(w);
 }
 
-/* ---- a leader without state service and peers, but with its workers ---- */
+/* ---- a controller without the state service and its peers ---- */
 
-static void test_an_isolated_leader_gives_way(void **state)
+static void test_isolated_leader_steps_down(void **state)
 {
     (void)state;
     struct world *w = start_world(2);
-    struct world_machine *m = start_long_job(w);
+    struct world_machine *machine = start_long_job(w);
     int old = world_leader(w);
     w->isolated_controller = old;
     world_run(w, 4);
@@ -165,14 +166,14 @@
     world_submit(w, old, world_job("run-2", 1, 1));
     world_run(w, 4);
     assert_false(ow_core_healthy(w->cores[old]));
-    const struct world_answer *a = world_answer(w, poll);
-    assert_true(a != NULL && a->status == 503);
+    const struct world_answer *answer = world_answer(w, poll);
+    assert_true(answer != NULL && answer->status == 503);
     assert_true(world_until(w, 20, world_some_running, "run-1"));
     world_run(w, 10);
     assert_true(world_leader(w) != old && ow_core_token(w->cores[old]) == 0);
-    /* The task has lived through it, where it was. */
-    assert_true(world_where(w, "run-1") == m);
-    assert_int_equal(m->starts, 1);
+    /* The task has survived on its machine. */
+    assert_true(world_where(w, "run-1") == machine);
+    assert_int_equal(machine->starts, 1);
     w->run_s = 1;
     world_submit(w, world_leader(w), world_job("run-3", 1, 1));
     assert_true(world_until(w, 20, world_all_done, "run-3"));
@@ -183,7 +184,7 @@
     world_finish(w);
 }
 
-static void test_an_isolated_follower_is_left_out(void **state)
+static void test_isolated_follower_is_unhealthy(void **state)
 {
     (void)state;
     struct world *w = start_world(1);
@@ -198,23 +199,23 @@
     world_finish(w);
 }
 
-/* One that workers can't reach is no leader, however well it stands with the state service. */
-static void test_a_leader_without_workers_gives_way(void **state)
+/* A leader that no worker can reach steps down even if the state service is available to it. */
+static void test_leader_without_workers_steps_down(void **state)
 {
     (void)state;
     struct world *w = start_world(2);
-    struct world_machine *m = start_long_job(w);
+    struct world_machine *machine = start_long_job(w);
     int old = world_leader(w);
     w->lonely_controller = old;
     world_run(w, 18);
     assert_true(world_leader(w) >= 0 && world_leader(w) != old);
-    assert_true(world_where(w, "run-1") == m);
+    assert_true(world_where(w, "run-1") == machine);
     world_finish(w);
 }
 
-/* ---- back within a fraction of a second ---- */
+/* ---- restarts within a fraction of a second ---- */
 
-static void test_back_at_once_at_any_moment(void **state)
+static void test_immediate_restarts_during_an_election(void **state)
 {
     (void)state;
     for (int step = 0; step < 30; step++) {
@@ -222,7 +223,7 @@
         w->run_s = 4;
         world_submit(w, 0, world_job("run-1", 3, 1));
         world_run(w, 0.1);
-        /* The leader ends, one that takes over ends in mid-election, and both are back at once. */
+        /* The leader crashes, its successor crashes during the election, and both restart at once. */
         int old = world_leader(w), next = (old + 1) % WORLD_CONTROLLERS;
         w->lose_txn_answers = step % 3 == 0;
         world_kill_controller(w, old);
@@ -242,27 +243,27 @@
     }
 }
 
-/* Numbers only grow, by the protocol. A worker whose numbers begin again can't be told from late copies: its
-   word proves nothing, and it is returned like one that is silent. */
-static void test_a_worker_whose_numbers_go_back(void **state)
+/* Sequence numbers only grow, by the protocol. Reports of a worker that restarts them can't be distinguished
+ * from late duplicates: they are ignored, and its machine is deleted like one that does not report. */
+static void test_worker_with_reset_sequence_numbers_is_replaced(void **state)
 {
     (void)state;
     struct world *w = start_world(1);
-    struct world_machine *m = start_long_job(w);
-    m->session = 3;
-    m->seq = 500;
+    struct world_machine *machine = start_long_job(w);
+    machine->session = 3;
+    machine->seq = 500;
     world_run(w, 10);
-    struct ow_report *copy = world_last_report(m);
+    struct ow_report *copy = world_last_report(machine);
     copy->seq += 100;
     w->run_s = 2;
-    world_reboot(w, m);
+    world_reboot(w, machine);
     assert_true(world_until(w, 60, world_all_done, "run-1"));
     world_send_copy(w, world_leader(w), copy);
-    assert_true(world_until(w, 60, world_is_gone, m));
+    assert_true(world_until(w, 60, world_is_gone, machine));
     world_finish(w);
 }
 
-/* ---- no job without an answer ---- */
+/* ---- every job is answered and finished ---- */
 
 static void test_every_poll_is_answered(void **state)
 {
@@ -292,19 +293,19 @@
     }
     world_run(w, 2);
     for (int i = 0; i < JOBS; i++) {
-        const struct world_answer *a = world_answer(w, polls[i]);
-        assert_true(a != NULL && a->status == 200 && a->state == OW_JOB_DONE);
+        const struct world_answer *answer = world_answer(w, polls[i]);
+        assert_true(answer != NULL && answer->status == 200 && answer->state == OW_JOB_DONE);
     }
     world_finish(w);
 }
 
-/* A job that has failed once on each of the few machines there are is tried on them again. */
-static void test_a_job_does_not_run_out_of_machines(void **state)
+/* A job that has failed on each of the few machines is retried on them. */
+static void test_job_is_retried_on_machines_that_failed_it(void **state)
 {
     (void)state;
     struct world *w = start_world(2);
     w->capacity = 0;
-    w->cloud_down = true; /* nobody is returned, nothing comes */
+    w->cloud_down = true; /* no machine is deleted or rented */
     for (guint i = 0; i < w->machines->len; i++)
         ((struct world_machine *)g_ptr_array_index(w->machines, i))->sick = true;
     w->run_s = 1;
@@ -316,8 +317,9 @@
     world_finish(w);
 }
 
-/* Without a socket to spare, commands go with the answers to reports, and no machine is blamed for that. */
-static void test_without_sockets_work_goes_on(void **state)
+/* Without free sockets, commands are sent with the responses to reports, and no machine counts as
+ * unresponsive. */
+static void test_work_continues_without_free_sockets(void **state)
 {
     (void)state;
     struct world *w = start_world(3);
@@ -335,21 +337,21 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_an_unresponsive_machine_is_given_nothing_and_returned),
-        cmocka_unit_test(test_an_unresponsive_machine_gets_nothing_more),
-        cmocka_unit_test(test_an_unresponsive_machine_at_a_take_over),
-        cmocka_unit_test(test_a_cancelled_task_on_an_unresponsive_machine),
-        cmocka_unit_test(test_a_late_copy_renews_nothing),
-        cmocka_unit_test(test_a_late_copy_proves_nothing_after_a_take_over),
-        cmocka_unit_test(test_a_late_copy_brings_no_deleted_machine_back),
-        cmocka_unit_test(test_an_isolated_leader_gives_way),
-        cmocka_unit_test(test_an_isolated_follower_is_left_out),
-        cmocka_unit_test(test_a_leader_without_workers_gives_way),
-        cmocka_unit_test(test_back_at_once_at_any_moment),
-        cmocka_unit_test(test_a_worker_whose_numbers_go_back),
+        cmocka_unit_test(test_unresponsive_machine_is_avoided_and_deleted),
+        cmocka_unit_test(test_unresponsive_machine_gets_no_new_tasks),
+        cmocka_unit_test(test_unresponsive_machine_is_replaced_after_a_takeover),
+        cmocka_unit_test(test_unresponsive_machine_with_a_cancelled_task_is_deleted),
+        cmocka_unit_test(test_duplicate_report_renews_no_lease),
+        cmocka_unit_test(test_duplicate_report_frees_no_task_after_a_takeover),
+        cmocka_unit_test(test_duplicate_report_restores_no_deleted_machine),
+        cmocka_unit_test(test_isolated_leader_steps_down),
+        cmocka_unit_test(test_isolated_follower_is_unhealthy),
+        cmocka_unit_test(test_leader_without_workers_steps_down),
+        cmocka_unit_test(test_immediate_restarts_during_an_election),
+        cmocka_unit_test(test_worker_with_reset_sequence_numbers_is_replaced),
         cmocka_unit_test(test_every_poll_is_answered),
-        cmocka_unit_test(test_a_job_does_not_run_out_of_machines),
-        cmocka_unit_test(test_without_sockets_work_goes_on),
+        cmocka_unit_test(test_job_is_retried_on_machines_that_failed_it),
+        cmocka_unit_test(test_work_continues_without_free_sockets),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/test_meetings.c
+++ b/tests/test_meetings.c
@@ -1,5 +1,6 @@
-/* Where two troubles meet (docs/meetings.md). The rules are checked from outside by the fake world: what
- * users are told and what is on the machines. Each test fails without the guard that docs/meetings.md names.
+/* Overlapping failures (docs/meetings.md). The fake world checks the safety rules from outside: the answers
+ * that users get and the tasks on the machines. Each test fails without the guard that docs/meetings.md
+ * names.
  */
 #include "check.h"
 #include "world.h"
@@ -15,7 +16,7 @@
     return w;
 }
 
-static int beside(const struct world *w)
+static int follower(const struct world *w)
 {
     return (world_leader(w) + 1) % WORLD_CONTROLLERS;
 }
@@ -24,99 +25,100 @@
 {
     char id[OW_ID_MAX + 1];
     g_strlcpy(id, job->id, sizeof id);
-    world_submit(w, beside(w), job);
+    world_submit(w, follower(w), job);
     assert_true(world_until(w, 10, world_some_running, id));
     world_run(w, 4);
     return world_where(w, id);
 }
 
-/* A user who asks every second until the cancellation is confirmed. */
+/* A user who repeats a cancellation every second until it is confirmed. */
 struct canceller {
     const char *id;
     int controller;
     uint64_t request;
-    double asked_at, told_at;
+    double asked_at, answered_at;
 };
 
-static void cancel_step(struct world *w, struct canceller *c)
+static void cancel_step(struct world *w, struct canceller *canceller)
 {
-    if (c->told_at > 0)
+    if (canceller->answered_at > 0)
         return;
-    if (c->request != 0 && world_status(w, c->request) == 200)
-        c->told_at = w->now;
-    else if (w->now >= c->asked_at + 1) {
-        c->asked_at = w->now;
-        c->request = world_cancel(w, c->controller, c->id);
+    if (canceller->request != 0 && world_status(w, canceller->request) == 200)
+        canceller->answered_at = w->now;
+    else if (w->now >= canceller->asked_at + 1) {
+        canceller->asked_at = w->now;
+        canceller->request = world_cancel(w, canceller->controller, canceller->id);
     }
 }
 
-static void run_cancelling(struct world *w, struct canceller *c, double seconds)
+static void run_cancelling(struct world *w, struct canceller *canceller, double seconds)
 {
     for (double end = w->now + seconds; w->now < end;) {
-        cancel_step(w, c);
+        cancel_step(w, canceller);
         world_run(w, 0.1);
     }
 }
 
-/* ---- the gap: the leader is refused alone, then everybody for longer than cancel_s ---- */
+/* ---- the state service denies the leader alone, then every controller for longer than cancel_s ---- */
 
-static void test_the_gap(void **state)
+static void test_acknowledged_cancellation_holds_through_an_outage(void **state)
 {
     (void)state;
     struct world *w = start_world(2);
     start_job(w, world_job("run-1", 3, 1));
     w->denied_controller = world_leader(w);
-    struct canceller c = {.id = "run-1", .controller = beside(w)};
-    run_cancelling(w, &c, 1);
-    assert_true(c.told_at > 0);
+    struct canceller canceller = {.id = "run-1", .controller = follower(w)};
+    run_cancelling(w, &canceller, 1);
+    assert_true(canceller.answered_at > 0);
     w->state_down = true;
     world_run(w, 60);
     assert_int_equal(world_running(w, "run-1"), 0);
     world_finish(w);
 }
 
-/* The same where the leader can't be told either: nobody may hear of it before somebody can end the tasks. */
-static void test_the_gap_without_peers(void **state)
+/* The same without a link to the leader: no user may get a confirmation before a leader can end the tasks. */
+static void test_unacknowledged_cancellation_is_not_answered_in_an_outage(void **state)
 {
     (void)state;
     struct world *w = start_world(2);
     start_job(w, world_job("run-1", 3, 1));
     w->denied_controller = world_leader(w);
     w->peers_cut = true;
-    struct canceller c = {.id = "run-1", .controller = beside(w)};
-    run_cancelling(w, &c, 1.2);
+    struct canceller canceller = {.id = "run-1", .controller = follower(w)};
+    run_cancelling(w, &canceller, 1.2);
     w->state_down = true;
-    run_cancelling(w, &c, 60);
-    assert_true(c.told_at == 0);
+    run_cancelling(w, &canceller, 60);
+    assert_true(canceller.answered_at == 0);
     world_run(w, 1);
-    assert_int_equal(world_status(w, c.request), 503);
-    assert_true(world_answer(w, c.request)->retry_after_s > 0);
-    uint64_t poll = world_poll(w, c.controller, "run-1");
+    assert_int_equal(world_status(w, canceller.request), 503);
+    assert_true(world_answer(w, canceller.request)->retry_after_s > 0);
+    uint64_t poll = world_poll(w, canceller.controller, "run-1");
     world_run(w, 1);
     assert_int_equal(world_status(w, poll), 503);
-    /* The commit is kept: what was asked for comes true, and is told, once a leader has it. */
+    /* The commit is kept: the cancellation takes effect and is confirmed once a leader has read it. */
     w->state_down = w->peers_cut = false;
     w->denied_controller = -1;
-    run_cancelling(w, &c, 12);
-    assert_true(c.told_at > 0);
+    run_cancelling(w, &canceller, 12);
+    assert_true(canceller.answered_at > 0);
     assert_int_equal(world_running(w, "run-1"), 0);
     world_finish(w);
 }
 
-static void say_taken(struct world *w, int controller, const char *job, uint64_t revision, uint64_t token)
+static void send_cancellation_ack(struct world *w, int controller, const char *job, uint64_t revision,
+                                  uint64_t token)
 {
-    struct ow_event *c = g_new0(struct ow_event, 1);
-    c->kind = OW_EVENT_PEER;
-    c->peer = ow_peer_message_new(OW_PEER_CANCELLATION_ACK);
-    g_strlcpy(c->peer->job, job, sizeof c->peer->job);
-    c->peer->revision = revision;
-    c->peer->number = token;
-    ow_core_push(w->cores[controller], c);
+    struct ow_event *event = g_new0(struct ow_event, 1);
+    event->kind = OW_EVENT_PEER;
+    event->peer = ow_peer_message_new(OW_PEER_CANCELLATION_ACK);
+    g_strlcpy(event->peer->job, job, sizeof event->peer->job);
+    event->peer->revision = revision;
+    event->peer->number = token;
+    ow_core_push(w->cores[controller], event);
 }
 
-/* What a leader says that was deposed before the cancellation was recorded counts for nothing: its
-   successor need not have it. */
-static void test_the_acknowledgement_of_a_deposed_leader(void **state)
+/* An acknowledgement by a leader that was deposed before the cancellation was recorded is ignored: its
+ * successor may not have read it. */
+static void test_acknowledgement_of_a_deposed_leader_is_ignored(void **state)
 {
     (void)state;
     struct world *w = start_world(2);
@@ -124,55 +126,55 @@
     uint64_t token = ow_core_token(w->cores[world_leader(w)]);
     w->denied_controller = world_leader(w);
     w->peers_cut = true;
-    int controller = beside(w);
+    int controller = follower(w);
     world_cancel(w, controller, "run-1");
     world_run(w, 1);
     w->state_down = true;
-    say_taken(w, controller, "run-1", w->revision, token - 1);
+    send_cancellation_ack(w, controller, "run-1", w->revision, token - 1);
     uint64_t poll = world_poll(w, controller, "run-1");
     world_run(w, 1);
     assert_int_equal(world_status(w, poll), 503);
-    say_taken(w, controller, "run-1", w->revision, token);
+    send_cancellation_ack(w, controller, "run-1", w->revision, token);
     poll = world_poll(w, controller, "run-1");
     world_run(w, 1);
     assert_int_equal(world_status(w, poll), 200);
-    world_free(w); /* that word was made up: the tasks go on */
+    world_free(w); /* the acknowledgement was forged: the tasks keep running */
 }
 
-/* A cancellation announced ahead of the job itself: an older record of the job, read later, must not let it
- * start.
+/* A cancellation reaches the leader before the job itself: an older record of the job, read later, must not
+ * start it.
  */
-static void test_a_cancellation_overtakes_its_job(void **state)
+static void test_cancellation_received_before_its_job_prevents_the_start(void **state)
 {
     (void)state;
     struct world *w = start_world(2);
     int leader = world_leader(w);
     w->slow_controller = leader;
-    w->state_slow_s = 1.2; /* what it reads is as old when it comes */
-    world_submit(w, beside(w), world_job("run-1", 1, 1));
+    w->state_slow_s = 1.2; /* each read is stale by this time when it arrives */
+    world_submit(w, follower(w), world_job("run-1", 1, 1));
     world_run(w, 0.3);
-    struct canceller c = {.id = "run-1", .controller = beside(w)};
-    run_cancelling(w, &c, 0.6);
-    assert_true(c.told_at > 0);
+    struct canceller canceller = {.id = "run-1", .controller = follower(w)};
+    run_cancelling(w, &canceller, 0.6);
+    assert_true(canceller.answered_at > 0);
     world_run(w, 4);
     w->state_slow_s = 0;
     world_run(w, 16);
     assert_int_equal(world_leader(w), leader);
     assert_int_equal(world_machine(w, "m-0")->starts + world_machine(w, "m-1")->starts, 0);
-    /* Its last record is written all the same. */
+    /* Its final record is written nevertheless. */
     assert_string_equal(world_value_text(w, OW_KEY_JOBS "run-1"), "{\"e\":3}");
     world_finish(w);
 }
 
-/* A record that reaches the state service only after a take-over would be unknown to who has read before: it
-   expects the leader that was known to its writer. */
-static void test_a_cancellation_that_comes_after_a_take_over(void **state)
+/* A record that commits only after a takeover would be missed by a leader that has already read the table:
+ * the transaction therefore expects the leader key that its writer knew. */
+static void test_cancellation_written_after_a_takeover_is_rejected(void **state)
 {
     (void)state;
     struct world *w = start_world(2);
     start_job(w, world_job("run-1", 1, 1));
     int old = world_leader(w);
-    w->hold_controller = beside(w);
+    w->hold_controller = follower(w);
     w->hold_next = 1;
     w->keep_held = true;
     uint64_t first = world_cancel(w, w->hold_controller, "run-1");
@@ -188,7 +190,7 @@
     world_finish(w);
 }
 
-/* Until another controller than `old` has taken the leader's key; its answer is still on the way. */
+/* Runs until another controller than `old` holds the leader key; the response to it is still in flight. */
 static void run_until_taken(struct world *w, int old)
 {
     for (int i = 0; i < 200; i++) {
@@ -197,41 +199,41 @@
             return;
         world_run(w, 0.05);
     }
-    fail_msg("nobody takes over");
+    fail_msg("no controller takes over");
 }
 
-/* A new leader that has read nothing yet, in an outage: it keeps no task alive that others told to be
- * cancelled. */
-static void test_a_leader_that_has_read_nothing_renews_nothing(void **state)
+/* A new leader in an outage, before its first read: it keeps no task alive whose cancellation was confirmed.
+ */
+static void test_leader_renews_no_lease_before_its_first_read(void **state)
 {
     (void)state;
     struct world *w = start_world(2);
-    struct world_machine *m = start_job(w, world_job("run-1", 1, 1));
+    struct world_machine *machine = start_job(w, world_job("run-1", 1, 1));
     int old = world_leader(w);
-    m->hangs = true; /* so that the stop does not get there */
-    struct canceller c = {.id = "run-1", .controller = beside(w)};
-    run_cancelling(w, &c, 0.5);
-    assert_true(c.told_at > 0);
+    machine->hangs = true; /* so that it does not receive the stop */
+    struct canceller canceller = {.id = "run-1", .controller = follower(w)};
+    run_cancelling(w, &canceller, 0.5);
+    assert_true(canceller.answered_at > 0);
     world_kill_controller(w, old);
     w->state_slow_s = 0.5;
     run_until_taken(w, old);
     w->state_down = true;
-    m->hangs = false;
+    machine->hangs = false;
     world_run(w, 60);
     assert_true(world_leader(w) >= 0);
     assert_int_equal(world_running(w, "run-1"), 0);
     world_finish(w);
 }
 
-/* One that learns of a cancellation before it knows what there is to end acknowledges nothing. */
-static void test_a_leader_that_is_not_ready_gives_no_word(void **state)
+/* A leader that receives a cancellation before it knows the running tasks acknowledges nothing. */
+static void test_leader_acknowledges_no_cancellation_before_it_is_ready(void **state)
 {
     (void)state;
     struct world *w = start_world(2);
-    struct world_machine *m = start_job(w, world_job("run-1", 1, 1));
+    struct world_machine *machine = start_job(w, world_job("run-1", 1, 1));
     w->cloud_down = true;
     int old = world_leader(w);
-    m->cut = true;
+    machine->cut = true;
     world_kill_controller(w, old);
     run_until_taken(w, old);
     while (world_leader(w) < 0)
@@ -239,57 +241,58 @@
     w->slow_controller = world_leader(w);
     w->state_slow_s = 3;
     world_run(w, 0.3); /* the others learn who leads */
-    struct canceller c = {.id = "run-1", .controller = 3 - old - world_leader(w)};
-    run_cancelling(w, &c, 2);
-    assert_true(c.told_at == 0);
+    struct canceller canceller = {.id = "run-1", .controller = 3 - old - world_leader(w)};
+    run_cancelling(w, &canceller, 2);
+    assert_true(canceller.answered_at == 0);
     w->state_slow_s = 0;
-    m->cut = false;
-    run_cancelling(w, &c, 15);
-    assert_true(c.told_at > 0);
+    machine->cut = false;
+    run_cancelling(w, &canceller, 15);
+    assert_true(canceller.answered_at > 0);
     assert_int_equal(world_running(w, "run-1"), 0);
     world_finish(w);
 }
 
-/* ---- a leader cut off together with its workers, while others cancel ---- */
+/* ---- a leader partitioned together with its workers, while jobs are cancelled elsewhere ---- */
 
-static void cut_off_with_its_leader(bool cloud_down)
+static void run_zone_partition(bool cloud_down)
 {
     struct world *w = start_world(2);
-    struct world_machine *m = start_job(w, world_job("run-1", 1, 1));
+    struct world_machine *machine = start_job(w, world_job("run-1", 1, 1));
     int old = world_leader(w);
-    w->isolated_controller = m->only_controller = old;
+    w->isolated_controller = machine->only_controller = old;
     w->cloud_down = cloud_down;
     world_run(w, 6);
     assert_true(world_leader(w) != old);
-    struct canceller c = {.id = "run-1", .controller = world_leader(w)};
-    run_cancelling(w, &c, 45);
-    /* The leader inside stops answering in time; outside, only proof lets the user hear. */
+    struct canceller canceller = {.id = "run-1", .controller = world_leader(w)};
+    run_cancelling(w, &canceller, 45);
+    /* The partitioned leader stops answering in time; outside, only proof of the end confirms the
+     * cancellation. */
     assert_int_equal(world_running(w, "run-1"), 0);
-    assert_true(m->gone == !cloud_down);
-    assert_true((c.told_at > 0) == !cloud_down);
-    w->isolated_controller = m->only_controller = -1;
+    assert_true(machine->gone == !cloud_down);
+    assert_true((canceller.answered_at > 0) == !cloud_down);
+    w->isolated_controller = machine->only_controller = -1;
     w->cloud_down = false;
-    run_cancelling(w, &c, 10);
-    assert_true(c.told_at > 0);
+    run_cancelling(w, &canceller, 10);
+    assert_true(canceller.answered_at > 0);
     world_finish(w);
 }
 
-static void test_a_zone_cut_off_with_its_leader(void **state)
+static void test_cancellation_while_a_zone_is_partitioned_with_the_leader(void **state)
 {
     (void)state;
-    cut_off_with_its_leader(false);
-    cut_off_with_its_leader(true);
+    run_zone_partition(false);
+    run_zone_partition(true);
 }
 
-/* A token that was given up is not taken up again: launches sent under it may be on their way. */
-static void test_a_leader_returns_with_a_new_token(void **state)
+/* A token that was released is never reused: launches sent under it may still be in flight. */
+static void test_returning_leader_takes_a_new_token(void **state)
 {
     (void)state;
     struct world *w = start_world(2);
     int old = world_leader(w);
     uint64_t before = ow_core_token(w->cores[old]);
     w->isolated_controller = old;
-    w->state_down = true; /* its key stays where it is: leases don't run out */
+    w->state_down = true; /* its key stays: leases don't expire in an outage */
     world_run(w, 30);
     assert_int_equal(ow_core_token(w->cores[old]), 0);
     w->isolated_controller = -1;
@@ -300,9 +303,9 @@
     world_finish(w);
 }
 
-/* ---- cancellations and what else ends a job ---- */
+/* ---- cancellations that race with other events ---- */
 
-static void test_a_cancellation_at_the_end_of_the_last_task(void **state)
+static void test_cancellation_races_with_the_last_task_exit(void **state)
 {
     (void)state;
     for (int offset = 0; offset < 40; offset++) {
@@ -328,44 +331,43 @@
     }
 }
 
-/* A machine hangs as the job is called off, and goes on before its lease is over. */
-static void test_a_cancelled_task_on_a_machine_that_hung(void **state)
+/* A machine hangs while the job is cancelled, and resumes before its lease expires. */
+static void test_cancelled_task_ends_on_a_machine_that_hung(void **state)
 {
     (void)state;
     struct world *w = start_world(2);
-    struct world_machine *m = start_job(w, world_job("run-1", 2, 1));
-    m->hangs = true;
-    struct canceller c = {.id = "run-1", .controller = beside(w)};
-    run_cancelling(w, &c, 16);
-    m->hangs = false;
-    run_cancelling(w, &c, 4);
-    assert_true(c.told_at > 0);
+    struct world_machine *machine = start_job(w, world_job("run-1", 2, 1));
+    machine->hangs = true;
+    struct canceller canceller = {.id = "run-1", .controller = follower(w)};
+    run_cancelling(w, &canceller, 16);
+    machine->hangs = false;
+    run_cancelling(w, &canceller, 4);
+    assert_true(canceller.answered_at > 0);
     assert_int_equal(world_running(w, "run-1"), 0);
     world_finish(w);
 }
 
-/* A launch is held up on its way to a machine that hangs; the job is called off, and then the machine goes
- * on. */
-static void test_a_held_launch_after_a_cancellation(void **state)
+/* A launch to a hanging machine is delayed; the job is cancelled, and then the machine resumes. */
+static void test_delayed_launch_does_not_outlive_a_cancellation(void **state)
 {
     (void)state;
     struct world *w = start_world(1);
-    struct world_machine *m = world_machine(w, "m-0");
+    struct world_machine *machine = world_machine(w, "m-0");
     w->hold_directs = true;
-    m->report_at = w->now + 10;
+    machine->report_at = w->now + 10;
     world_submit(w, 0, world_job("run-1", 1, 1));
     world_run(w, 1);
-    struct canceller c = {.id = "run-1", .controller = beside(w)};
-    run_cancelling(w, &c, 3);
+    struct canceller canceller = {.id = "run-1", .controller = follower(w)};
+    run_cancelling(w, &canceller, 3);
     w->hold_directs = false;
-    run_cancelling(w, &c, 15);
-    assert_true(c.told_at > 0);
+    run_cancelling(w, &canceller, 15);
+    assert_true(canceller.answered_at > 0);
     assert_int_equal(world_running(w, "run-1"), 0);
     world_finish(w);
 }
 
-/* A team at its limit, a change of leader, a machine that can't be asked, and a cancellation. */
-static void test_a_limit_across_a_change_of_leader(void **state)
+/* A team at its limit, a leader change, an unreachable machine, and a cancellation. */
+static void test_team_limit_holds_across_a_leader_change(void **state)
 {
     (void)state;
     struct world *w = start_world(2);
@@ -378,51 +380,50 @@
         world_run(w, 4);
     }
     assert_int_equal(world_running(w, "run-1"), 2);
-    struct world_machine *m = world_where(w, "run-1");
-    m->cut = true;
+    struct world_machine *machine = world_where(w, "run-1");
+    machine->cut = true;
     world_kill_controller(w, world_leader(w));
-    struct canceller c = {.id = "run-1", .controller = world_leader(w) == 0 ? 1 : 0};
+    struct canceller canceller = {.id = "run-1", .controller = world_leader(w) == 0 ? 1 : 0};
     for (int i = 0; i < WORLD_CONTROLLERS; i++)
-        c.controller = w->cores[i] != NULL ? i : c.controller;
-    run_cancelling(w, &c, 50);
-    m->cut = false;
-    run_cancelling(w, &c, 20);
-    assert_true(c.told_at > 0);
+        canceller.controller = w->cores[i] != NULL ? i : canceller.controller;
+    run_cancelling(w, &canceller, 50);
+    machine->cut = false;
+    run_cancelling(w, &canceller, 20);
+    assert_true(canceller.answered_at > 0);
     assert_true(world_until(w, 20, world_some_running, "run-2"));
     world_finish(w);
 }
 
-/* ---- machines that are half there ---- */
+/* ---- machines with partial connectivity ---- */
 
-/* Its reports reach nobody, so its lease runs out again and again, however well it answers commands. */
-static void test_a_mute_machine_gets_nothing_more(void **state)
+/* Its reports reach no controller, so its lease expires repeatedly although it answers commands. */
+static void test_machine_that_stopped_reporting_gets_no_new_tasks(void **state)
 {
     (void)state;
     struct world *w = start_world(2);
     w->run_s = 15;
-    struct world_machine *m = start_job(w, world_job("run-1", 1, 1));
-    m->stopped_reporting = true;
-    /* A new leader asks it at its own address, is answered, and goes on being answered whenever it sends
-     * commands. */
+    struct world_machine *machine = start_job(w, world_job("run-1", 1, 1));
+    machine->stopped_reporting = true;
+    /* A new leader queries it at its own address and gets responses to every command. */
     world_kill_controller(w, world_leader(w));
     world_run(w, 6);
-    unsigned before = m->starts;
+    unsigned before = machine->starts;
     for (int i = 2; i < 32; i++) {
         char id[16];
         g_snprintf(id, sizeof id, "run-%d", i);
         world_submit(w, world_leader(w), world_job(id, 1, 0.5));
         world_run(w, 1);
-        before = i == 10 ? m->starts : before;
+        before = i == 10 ? machine->starts : before;
     }
-    assert_int_equal(m->starts, before);
+    assert_int_equal(machine->starts, before);
     assert_true(world_until(w, 120, world_all_done, "run-31"));
     assert_true(world_until(w, 70, world_all_done, "run-1"));
     world_finish(w);
 }
 
-/* Tasks of one zone lose their machine while another controller takes over: no other zone before they are
- * gone. */
-static void test_a_zone_bound_array_loses_a_machine(void **state)
+/* Tasks bound to one zone lose their machine during a takeover: none starts in another zone before they have
+ * ended. */
+static void test_one_zone_array_survives_a_machine_loss(void **state)
 {
     (void)state;
     struct world *w = start_world(1);
@@ -431,18 +432,18 @@
     world_add_machine(w, "w-1", "big", "west", false);
     struct ow_submission *job = world_job("run-1", 4, 8);
     job->one_zone = true;
-    struct world_machine *m = start_job(w, job);
-    m->hangs = true;
+    struct world_machine *machine = start_job(w, job);
+    machine->hangs = true;
     world_kill_controller(w, world_leader(w));
     world_run(w, 15);
-    m->hangs = false;
+    machine->hangs = false;
     w->run_s = 3;
     world_run(w, 5);
     for (int i = 0; i < WORLD_CONTROLLERS; i++)
         if (w->cores[i] == NULL)
             world_start_controller(w, i);
-    m->gone = true;
-    g_array_set_size(m->tasks, 0);
+    machine->gone = true;
+    g_array_set_size(machine->tasks, 0);
     world_run(w, 60);
     w->run_s = 3;
     for (guint i = 0; i < w->machines->len; i++) {
@@ -454,9 +455,9 @@
     world_finish(w);
 }
 
-/* ---- leaders that change ---- */
+/* ---- leader changes ---- */
 
-static void test_all_away_for_longer_than_a_lease(void **state)
+static void test_all_controllers_down_for_longer_than_a_lease(void **state)
 {
     (void)state;
     struct world *w = start_world(2);
@@ -472,8 +473,9 @@
     world_finish(w);
 }
 
-/* Tasks that end far apart: what was recorded under one leader counts under the next, and nothing twice. */
-static void test_tasks_that_end_far_apart(void **state)
+/* Tasks that end far apart: a result recorded under one leader counts under the next, and no task runs twice.
+ */
+static void test_recorded_results_survive_leader_changes(void **state)
 {
     (void)state;
     struct world *w = start_world(3);
@@ -481,9 +483,9 @@
     struct world_task *tasks[3];
     guint count = 0;
     for (guint i = 0; i < w->machines->len; i++) {
-        struct world_machine *m = g_ptr_array_index(w->machines, i);
-        for (guint k = 0; k < m->tasks->len; k++)
-            tasks[count++] = &g_array_index(m->tasks, struct world_task, k);
+        struct world_machine *machine = g_ptr_array_index(w->machines, i);
+        for (guint k = 0; k < machine->tasks->len; k++)
+            tasks[count++] = &g_array_index(machine->tasks, struct world_task, k);
     }
     assert_int_equal(count, 3);
     for (guint i = 0; i < count; i++)
@@ -503,12 +505,12 @@
     world_finish(w);
 }
 
-static void test_ten_changes_of_leader(void **state)
+static void test_ten_leader_changes(void **state)
 {
     (void)state;
     struct world *w = start_world(3);
     w->run_s = 8;
-    struct canceller c = {.id = "run-3", .controller = 0};
+    struct canceller canceller = {.id = "run-3", .controller = 0};
     for (int i = 1; i <= 6; i++) {
         char id[16];
         g_snprintf(id, sizeof id, "run-%d", i);
@@ -519,15 +521,15 @@
         int old = world_leader(w);
         if (old >= 0)
             world_kill_controller(w, old);
-        run_cancelling(w, &c, 1);
+        run_cancelling(w, &canceller, 1);
         if (old >= 0)
             world_start_controller(w, old);
-        c.controller = change % WORLD_CONTROLLERS;
+        canceller.controller = change % WORLD_CONTROLLERS;
         w->state_down = change == 4 || change == 5;
-        run_cancelling(w, &c, 10);
+        run_cancelling(w, &canceller, 10);
     }
-    run_cancelling(w, &c, 5);
-    assert_true(c.told_at > 0);
+    run_cancelling(w, &canceller, 5);
+    assert_true(canceller.answered_at > 0);
     for (int i = 1; i <= 6; i++) {
         char id[16];
         g_snprintf(id, sizeof id, "run-%d", i);
@@ -540,24 +542,24 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_the_gap),
-        cmocka_unit_test(test_the_gap_without_peers),
-        cmocka_unit_test(test_the_acknowledgement_of_a_deposed_leader),
-        cmocka_unit_test(test_a_cancellation_overtakes_its_job),
-        cmocka_unit_test(test_a_cancellation_that_comes_after_a_take_over),
-        cmocka_unit_test(test_a_leader_that_has_read_nothing_renews_nothing),
-        cmocka_unit_test(test_a_leader_that_is_not_ready_gives_no_word),
-        cmocka_unit_test(test_a_zone_cut_off_with_its_leader),
-        cmocka_unit_test(test_a_leader_returns_with_a_new_token),
-        cmocka_unit_test(test_a_cancellation_at_the_end_of_the_last_task),
-        cmocka_unit_test(test_a_cancelled_task_on_a_machine_that_hung),
-        cmocka_unit_test(test_a_held_launch_after_a_cancellation),
-        cmocka_unit_test(test_a_limit_across_a_change_of_leader),
-        cmocka_unit_test(test_a_mute_machine_gets_nothing_more),
-        cmocka_unit_test(test_a_zone_bound_array_loses_a_machine),
-        cmocka_unit_test(test_all_away_for_longer_than_a_lease),
-        cmocka_unit_test(test_tasks_that_end_far_apart),
-        cmocka_unit_test(test_ten_changes_of_leader),
+        cmocka_unit_test(test_acknowledged_cancellation_holds_through_an_outage),
+        cmocka_unit_test(test_unacknowledged_cancellation_is_not_answered_in_an_outage),
+        cmocka_unit_test(test_acknowledgement_of_a_deposed_leader_is_ignored),
+        cmocka_unit_test(test_cancellation_received_before_its_job_prevents_the_start),
+        cmocka_unit_test(test_cancellation_written_after_a_takeover_is_rejected),
+        cmocka_unit_test(test_leader_renews_no_lease_before_its_first_read),
+        cmocka_unit_test(test_leader_acknowledges_no_cancellation_before_it_is_ready),
+        cmocka_unit_test(test_cancellation_while_a_zone_is_partitioned_with_the_leader),
+        cmocka_unit_test(test_returning_leader_takes_a_new_token),
+        cmocka_unit_test(test_cancellation_races_with_the_last_task_exit),
+        cmocka_unit_test(test_cancelled_task_ends_on_a_machine_that_hung),
+        cmocka_unit_test(test_delayed_launch_does_not_outlive_a_cancellation),
+        cmocka_unit_test(test_team_limit_holds_across_a_leader_change),
+        cmocka_unit_test(test_machine_that_stopped_reporting_gets_no_new_tasks),
+        cmocka_unit_test(test_one_zone_array_survives_a_machine_loss),
+        cmocka_unit_test(test_all_controllers_down_for_longer_than_a_lease),
+        cmocka_unit_test(test_recorded_results_survive_leader_changes),
+        cmocka_unit_test(test_ten_leader_changes),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/test_safety.c
+++ b/tests/test_safety.c
@@ -5,7 +5,7 @@
 #include <string.h>
 
 /* Rule 1: no launch before its record has committed. */
-static void test_no_launch_before_its_record(void **state)
+static void test_no_launch_before_its_record_commits(void **state)
 {
     (void)state;
     struct world *w = world_with_machines(2);
@@ -24,8 +24,8 @@
     world_finish(w);
 }
 
-/* Rule 2: silence alone proves nothing; the end of the lease does. */
-static void test_a_silent_machine_keeps_its_task_for_its_lease(void **state)
+/* Rule 2: missing reports do not prove that a task has ended; the expiry of the machine's lease does. */
+static void test_unreachable_machine_keeps_its_task_until_its_lease_expires(void **state)
 {
     (void)state;
     struct world *w = world_with_machines(2);
@@ -34,19 +34,19 @@
     world_submit(w, 0, world_job("run-1", 1, 1));
     assert_true(world_until(w, 10, world_some_running, "run-1"));
     world_run(w, 3);
-    struct world_machine *m = world_where(w, "run-1");
-    m->cut = true;
+    struct world_machine *machine = world_where(w, "run-1");
+    machine->cut = true;
     world_run(w, 15);
-    assert_false(world_runs_on_another(w, m));
-    assert_true(world_until(w, 20, world_runs_on_another, m));
-    /* When the cut ends, its packets arrive: nothing of them may count any more. */
-    m->cut = false;
+    assert_false(world_runs_on_another(w, machine));
+    assert_true(world_until(w, 20, world_runs_on_another, machine));
+    /* When the partition heals, delayed packets arrive: they must be ignored. */
+    machine->cut = false;
     world_run(w, 20);
     world_finish(w);
 }
 
-/* Rule 2: a deletion that was answered is proof at once. */
-static void test_a_deleted_machine_frees_its_tasks(void **state)
+/* Rule 2: an acknowledged deletion proves it at once. */
+static void test_deleted_machine_frees_its_tasks(void **state)
 {
     (void)state;
     struct world *w = world_with_machines(2);
@@ -54,13 +54,13 @@
     world_submit(w, 0, world_job("run-1", 1, 1));
     assert_true(world_until(w, 10, world_some_running, "run-1"));
     world_run(w, 3);
-    struct world_machine *m = world_where(w, "run-1");
-    m->notice_s = 1;
-    m->report_at = w->now;
+    struct world_machine *machine = world_where(w, "run-1");
+    machine->notice_s = 1;
+    machine->report_at = w->now;
     world_run(w, 1.5);
-    m->gone = true;
-    g_array_set_size(m->tasks, 0);
-    assert_true(world_until(w, 12, world_runs_on_another, m));
+    machine->gone = true;
+    g_array_set_size(machine->tasks, 0);
+    assert_true(world_until(w, 12, world_runs_on_another, machine));
     world_finish(w);
 }
 
@@ -69,27 +69,27 @@
     return world_where(w, job) != NULL;
 }
 
-/* Tasks recorded on a machine that is gone when another leader takes over. */
-static void test_a_machine_gone_before_a_take_over(void **state)
+/* Tasks recorded on a machine that is deleted before another leader takes over. */
+static void test_takeover_recovers_tasks_of_a_deleted_machine(void **state)
 {
     (void)state;
     struct world *w = world_with_machines(2);
     w->run_s = 100;
     world_submit(w, 0, world_job("run-1", 1, 1));
     assert_true(world_until(w, 10, world_some_running, "run-1"));
-    struct world_machine *m = world_where(w, "run-1");
+    struct world_machine *machine = world_where(w, "run-1");
     for (int i = 0; i < WORLD_CONTROLLERS; i++)
         world_kill_controller(w, i);
-    m->gone = true;
-    g_array_set_size(m->tasks, 0);
+    machine->gone = true;
+    g_array_set_size(machine->tasks, 0);
     for (int i = 0; i < WORLD_CONTROLLERS; i++)
         world_start_controller(w, i);
     assert_true(world_until(w, 22, job_runs, "run-1"));
     world_finish(w);
 }
 
-/* The same when the other controllers know the machine from the last leader. */
-static void test_a_machine_gone_with_its_leader(void **state)
+/* The same when the other controllers know the machine from the previous leader. */
+static void test_tasks_recover_when_machine_and_leader_fail_together(void **state)
 {
     (void)state;
     struct world *w = world_with_machines(2);
@@ -103,17 +103,17 @@
     world_submit(w, 0, other);
     world_run(w, 5);
     assert_int_equal(world_running(w, "run-2"), 1);
-    struct world_machine *m = world_where(w, "run-1");
+    struct world_machine *machine = world_where(w, "run-1");
     world_kill_controller(w, world_leader(w));
-    m->gone = true;
-    g_array_set_size(m->tasks, 0);
+    machine->gone = true;
+    g_array_set_size(machine->tasks, 0);
     assert_true(world_until(w, 33, job_runs, "run-1"));
     world_finish(w);
 }
 
-/* Rule 2, fencing: a machine that a deposed leader may still feed is no man's until it has seen the
-   new token. */
-static void test_a_machine_with_an_old_token_is_not_given_up(void **state)
+/* Rule 2, fencing: a deposed leader may still renew the machine's lease until the machine has seen the new
+ * token; its tasks count as running. */
+static void test_machine_with_a_stale_token_keeps_its_tasks(void **state)
 {
     (void)state;
     struct world *w = world_with_machines(2);
@@ -122,43 +122,44 @@
     world_submit(w, 0, world_job("run-1", 1, 1));
     assert_true(world_until(w, 10, world_some_running, "run-1"));
     world_run(w, 3);
-    struct world_machine *m = world_where(w, "run-1");
+    struct world_machine *machine = world_where(w, "run-1");
     int old = world_leader(w);
-    m->cut = true;
+    machine->cut = true;
     world_kill_controller(w, old);
-    /* The machine is fed by nobody here, but the new leader can't know that: a cut-off old one might. */
-    m->renewed_at = w->now + 1000;
+    /* No controller renews the machine's lease here, but the new leader can't know: an isolated old leader
+     * might. */
+    machine->renewed_at = w->now + 1000;
     world_run(w, 60);
     assert_true(world_leader(w) != old);
-    assert_false(world_runs_on_another(w, m));
-    m->cut = false;
+    assert_false(world_runs_on_another(w, machine));
+    machine->cut = false;
     world_run(w, 10);
-    assert_true(world_where(w, "run-1") == m);
+    assert_true(world_where(w, "run-1") == machine);
     world_finish(w);
 }
 
-/* Rule 3: a launch whose command got no answer may still be carried out: what it left is not cleared, so a
-   late copy finds it there. */
-static void test_a_floating_launch_is_not_cleared(void **state)
+/* Rule 3: a launch without a response may still be delivered: its result is not cleared, so that a late
+ * duplicate finds it. */
+static void test_unacknowledged_launch_is_not_cleared(void **state)
 {
     (void)state;
     struct world *w = world_with_machines(1);
-    struct world_machine *m = world_machine(w, "m-0");
-    w->hold_directs = true; /* direct commands hang; answers to reports get through */
+    struct world_machine *machine = world_machine(w, "m-0");
+    w->hold_directs = true; /* direct commands are delayed; responses to reports arrive */
     w->run_s = 1;
     world_submit(w, 0, world_job("run-1", 1, 1));
     assert_true(world_until(w, 30, world_all_done, "run-1"));
     world_run(w, 10);
-    assert_int_equal(m->starts, 1);
-    assert_int_equal(m->forgets, 0);
+    assert_int_equal(machine->starts, 1);
+    assert_int_equal(machine->forgets, 0);
     w->hold_directs = false;
     world_run(w, 5);
-    assert_int_equal(m->starts, 1);
+    assert_int_equal(machine->starts, 1);
     world_finish(w);
 }
 
 /* Rule 3: a result is cleared only after it has been recorded. */
-static void test_a_result_is_kept_until_recorded(void **state)
+static void test_result_is_kept_until_recorded(void **state)
 {
     (void)state;
     struct world *w = world_with_machines(1);
@@ -169,7 +170,7 @@
     world_run(w, 8);
     assert_true(world_none_running(w, "run-1"));
     assert_int_equal(world_machine(w, "m-0")->forgets, 0);
-    /* Everybody dies with the result unrecorded: it is still on the machine. */
+    /* All controllers crash with the result unrecorded: it is still on the machine. */
     for (int i = 0; i < WORLD_CONTROLLERS; i++)
         world_kill_controller(w, i);
     w->hold_txns = false;
@@ -182,9 +183,9 @@
     world_finish(w);
 }
 
-/* Rules 2 and 4: what a worker says before it has seen the new token, an older leader may still change.
-   It frees no task and invites none. */
-static void test_a_report_under_an_old_token_proves_nothing(void **state)
+/* Rules 2 and 4: after a report from before the new token an older leader may still change the machine. It
+ * frees no task and allows no launch. */
+static void test_report_with_a_stale_token_frees_no_task(void **state)
 {
     (void)state;
     struct world *w = world_with_machines(2);
@@ -193,27 +194,27 @@
     world_submit(w, 0, world_job("run-1", 1, 1));
     assert_true(world_until(w, 10, world_some_running, "run-1"));
     world_run(w, 3);
-    struct world_machine *m = world_where(w, "run-1");
-    uint64_t token = m->token;
+    struct world_machine *machine = world_where(w, "run-1");
+    uint64_t token = machine->token;
     for (guint i = 0; i < w->machines->len; i++)
         ((struct world_machine *)g_ptr_array_index(w->machines, i))->cut = true;
-    m->renewed_at = w->now + 1000;
+    machine->renewed_at = w->now + 1000;
     world_kill_controller(w, world_leader(w));
     world_run(w, 8);
     int controller = world_leader(w);
-    world_report(w, controller, m, m->seq + 1, token);
+    world_report(w, controller, machine, machine->seq + 1, token);
     world_submit(w, controller, world_job("run-2", 1, 1));
     world_run(w, 3);
     char *first = world_progress(w, "run-1/0");
     assert_non_null(first);
-    assert_non_null(strstr(first, m->name));
+    assert_non_null(strstr(first, machine->name));
     assert_null(world_progress(w, "run-2/0"));
     g_free(first);
     world_finish(w);
 }
 
-/* A transaction of a leader that has been deposed meanwhile decides nothing, however late it comes. */
-static void test_a_deposed_leader_writes_nothing(void **state)
+/* A delayed transaction of a leader that was deposed meanwhile is rejected. */
+static void test_write_of_a_deposed_leader_is_rejected(void **state)
 {
     (void)state;
     struct world *w = world_with_machines(1);
@@ -225,7 +226,7 @@
     world_run(w, 0.4);
     assert_int_equal(w->held->len, 1);
     w->denied_controller = old;
-    world_machine(w, "m-0")->cut = true; /* so that the new one has nothing to write */
+    world_machine(w, "m-0")->cut = true; /* so that the new leader has nothing to write */
     world_run(w, 12);
     assert_true(world_leader(w) != old);
     w->keep_held = false;
@@ -235,8 +236,8 @@
     world_finish(w);
 }
 
-/* Nor does one of its own that newer ones have overtaken. */
-static void test_an_overtaken_record_is_not_written(void **state)
+/* A delayed transaction of the current leader is rejected once a newer one has committed. */
+static void test_stale_record_write_is_rejected(void **state)
 {
     (void)state;
     struct world *w = world_with_machines(2);
@@ -249,10 +250,10 @@
     world_submit(w, (leader + 1) % WORLD_CONTROLLERS, world_job("run-1", 1, 1));
     assert_true(world_until(w, 10, world_some_running, "run-1"));
     assert_int_equal(w->held->len, 1);
-    struct world_machine *m = world_where(w, "run-1");
-    m->gone = true;
-    g_array_set_size(m->tasks, 0);
-    assert_true(world_until(w, 60, world_runs_on_another, m));
+    struct world_machine *machine = world_where(w, "run-1");
+    machine->gone = true;
+    g_array_set_size(machine->tasks, 0);
+    assert_true(world_until(w, 60, world_runs_on_another, machine));
     char *before = world_progress(w, "run-1/0");
     w->keep_held = false;
     world_run(w, 0.2);
@@ -265,23 +266,23 @@
 }
 
 /* Rule 4: a new leader starts nothing on a machine before it has its report under the new token. */
-static void test_nothing_starts_before_the_new_token_is_seen(void **state)
+static void test_no_launch_before_the_machine_reports_the_new_token(void **state)
 {
     (void)state;
     struct world *w = world_with_machines(1);
     w->cloud_down = true;
-    struct world_machine *m = world_machine(w, "m-0");
-    uint64_t before = m->token;
-    m->cut = true;
+    struct world_machine *machine = world_machine(w, "m-0");
+    uint64_t before = machine->token;
+    machine->cut = true;
     world_kill_controller(w, world_leader(w));
     world_run(w, 8);
     int controller = world_leader(w);
     world_submit(w, controller, world_job("run-1", 1, 1));
     world_run(w, 5);
-    assert_int_equal(m->starts, 0);
-    m->cut = false;
+    assert_int_equal(machine->starts, 0);
+    machine->cut = false;
     assert_true(world_until(w, 15, world_some_running, "run-1"));
-    assert_true(m->token > before);
+    assert_true(machine->token > before);
     world_finish(w);
 }
 
@@ -298,9 +299,9 @@
     world_submit(w, 0, first);
     assert_true(world_until(w, 10, world_some_running, "run-1"));
     world_run(w, 3);
-    struct world_machine *m = world_where(w, "run-1");
-    m->cut = true;
-    m->renewed_at = w->now + 1000;
+    struct world_machine *machine = world_where(w, "run-1");
+    machine->cut = true;
+    machine->renewed_at = w->now + 1000;
     world_kill_controller(w, world_leader(w));
     world_run(w, 8);
     world_submit(w, world_leader(w), second);
@@ -309,22 +310,22 @@
     world_finish(w);
 }
 
-/* Rule 7: a cancellation ends every attempt, those whose launch is still on its way included. */
-static void test_a_cancellation_ends_a_launch_in_flight(void **state)
+/* Rule 7: a cancellation ends every attempt, including those whose launch is still in flight. */
+static void test_cancellation_ends_a_launch_in_flight(void **state)
 {
     (void)state;
     struct world *w = world_with_machines(1);
-    struct world_machine *m = world_machine(w, "m-0");
+    struct world_machine *machine = world_machine(w, "m-0");
     w->run_s = 200;
-    m->cut = true;
+    machine->cut = true;
     world_submit(w, 0, world_job("run-1", 2, 1));
     world_run(w, 2);
     uint64_t cancellation = world_cancel(w, 1, "run-1");
     world_run(w, 4);
-    /* While the launch may still be carried out nobody is told that it won't. */
+    /* While the launch may still be delivered, the cancellation is not confirmed. */
     assert_int_equal(world_answer(w, cancellation)->status, 503);
     assert_true(world_answer(w, cancellation)->retry_after_s > 0);
-    m->cut = false; /* the held launch is carried out now */
+    machine->cut = false; /* the delayed launch is delivered now */
     world_run(w, 6);
     assert_int_equal(world_running(w, "run-1"), 0);
     cancellation = world_cancel(w, 1, "run-1");
@@ -335,29 +336,29 @@
     world_finish(w);
 }
 
-/* Rule 7: one that can't be reached is ended by returning its machine in time. */
-static void test_a_cancelled_task_out_of_reach_loses_its_machine(void **state)
+/* Rule 7: an unreachable task is ended by deleting its machine in time. */
+static void test_machine_with_an_unreachable_cancelled_task_is_deleted(void **state)
 {
     (void)state;
     struct world *w = world_with_machines(1);
     w->run_s = 200;
     world_submit(w, 0, world_job("run-1", 1, 1));
     assert_true(world_until(w, 10, world_some_running, "run-1"));
-    struct world_machine *m = world_machine(w, "m-0");
-    m->cut = true;
-    m->renewed_at = w->now + 1000; /* the leader that is cut off with it keeps it alive */
+    struct world_machine *machine = world_machine(w, "m-0");
+    machine->cut = true;
+    machine->renewed_at = w->now + 1000; /* the isolated leader keeps its lease alive */
     int old = world_leader(w);
     world_cancel(w, (old + 1) % WORLD_CONTROLLERS, "run-1");
     world_run(w, 0.2);
     world_kill_controller(w, old);
     world_run(w, 38);
-    assert_true(m->gone);
+    assert_true(machine->gone);
     world_run(w, 10);
     world_finish(w);
 }
 
-/* A leader that meets a higher token is none any more, and says so. */
-static void test_a_higher_token_deposes(void **state)
+/* A leader that sees a higher token steps down. */
+static void test_higher_token_deposes_the_leader(void **state)
 {
     (void)state;
     struct world *w = world_with_machines(1);
@@ -370,7 +371,7 @@
 }
 
 /* A transaction that is applied late must not undo what came after it. */
-static void test_a_late_transaction_changes_nothing(void **state)
+static void test_late_transaction_changes_nothing(void **state)
 {
     (void)state;
     struct world *w = world_with_machines(2);
@@ -378,7 +379,7 @@
     world_submit(w, 0, world_job("run-1", 4, 1));
     world_run(w, 0.1);
     w->hold_txns = true;
-    world_run(w, 3); /* given up by their askers, still on their way */
+    world_run(w, 3); /* timed out at the controller, still in flight */
     w->hold_txns = false;
     assert_true(world_until(w, 30, world_all_done, "run-1"));
     unsigned starts = world_machine(w, "m-0")->starts + world_machine(w, "m-1")->starts;
@@ -386,8 +387,8 @@
     world_finish(w);
 }
 
-/* Answers to writes that get lost: what was carried out is found out, not done twice. */
-static void test_lost_answers_to_writes(void **state)
+/* Responses to writes are lost: the outcome is read back, and nothing is done twice. */
+static void test_lost_write_responses_are_resolved_without_duplicates(void **state)
 {
     (void)state;
     struct world *w = world_with_machines(2);
@@ -413,8 +414,8 @@
     return ((const struct world_machine *)sick)->starts >= 1;
 }
 
-/* A machine that fails whatever it starts is left alone after a few. */
-static void test_a_sick_machine_is_left_alone(void **state)
+/* A machine on which every task fails is avoided after a few failures. */
+static void test_failing_machine_is_avoided(void **state)
 {
     (void)state;
     struct world *w = world_with_machines(2);
@@ -435,25 +436,25 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_no_launch_before_its_record),
-        cmocka_unit_test(test_a_silent_machine_keeps_its_task_for_its_lease),
-        cmocka_unit_test(test_a_deleted_machine_frees_its_tasks),
-        cmocka_unit_test(test_a_machine_gone_before_a_take_over),
-        cmocka_unit_test(test_a_machine_gone_with_its_leader),
-        cmocka_unit_test(test_a_machine_with_an_old_token_is_not_given_up),
-        cmocka_unit_test(test_a_floating_launch_is_not_cleared),
-        cmocka_unit_test(test_a_result_is_kept_until_recorded),
-        cmocka_unit_test(test_a_report_under_an_old_token_proves_nothing),
-        cmocka_unit_test(test_a_deposed_leader_writes_nothing),
-        cmocka_unit_test(test_an_overtaken_record_is_not_written),
-        cmocka_unit_test(test_nothing_starts_before_the_new_token_is_seen),
+        cmocka_unit_test(test_no_launch_before_its_record_commits),
+        cmocka_unit_test(test_unreachable_machine_keeps_its_task_until_its_lease_expires),
+        cmocka_unit_test(test_deleted_machine_frees_its_tasks),
+        cmocka_unit_test(test_takeover_recovers_tasks_of_a_deleted_machine),
+        cmocka_unit_test(test_tasks_recover_when_machine_and_leader_fail_together),
+        cmocka_unit_test(test_machine_with_a_stale_token_keeps_its_tasks),
+        cmocka_unit_test(test_unacknowledged_launch_is_not_cleared),
+        cmocka_unit_test(test_result_is_kept_until_recorded),
+        cmocka_unit_test(test_report_with_a_stale_token_frees_no_task),
+        cmocka_unit_test(test_write_of_a_deposed_leader_is_rejected),
+        cmocka_unit_test(test_stale_record_write_is_rejected),
+        cmocka_unit_test(test_no_launch_before_the_machine_reports_the_new_token),
         cmocka_unit_test(test_inherited_attempts_count_against_the_limit),
-        cmocka_unit_test(test_a_cancellation_ends_a_launch_in_flight),
-        cmocka_unit_test(test_a_cancelled_task_out_of_reach_loses_its_machine),
-        cmocka_unit_test(test_a_higher_token_deposes),
-        cmocka_unit_test(test_a_late_transaction_changes_nothing),
-        cmocka_unit_test(test_lost_answers_to_writes),
-        cmocka_unit_test(test_a_sick_machine_is_left_alone),
+        cmocka_unit_test(test_cancellation_ends_a_launch_in_flight),
+        cmocka_unit_test(test_machine_with_an_unreachable_cancelled_task_is_deleted),
+        cmocka_unit_test(test_higher_token_deposes_the_leader),
+        cmocka_unit_test(test_late_transaction_changes_nothing),
+        cmocka_unit_test(test_lost_write_responses_are_resolved_without_duplicates),
+        cmocka_unit_test(test_failing_machine_is_avoided),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/test_services.c
+++ b/tests/test_services.c
@@ -22,12 +22,12 @@
     return w;
 }
 
-static unsigned replicas_on(const struct world_machine *m, const char *job)
+static unsigned replicas_on(const struct world_machine *machine, const char *job)
 {
     unsigned count = 0;
-    for (guint k = 0; k < m->tasks->len; k++) {
-        const struct world_task *t = &g_array_index(m->tasks, struct world_task, k);
-        count += t->phase != OW_PHASE_EXITED && strcmp(t->job, job) == 0 ? 1 : 0;
+    for (guint k = 0; k < machine->tasks->len; k++) {
+        const struct world_task *task = &g_array_index(machine->tasks, struct world_task, k);
+        count += task->phase != OW_PHASE_EXITED && strcmp(task->job, job) == 0 ? 1 : 0;
     }
     return count;
 }
@@ -37,7 +37,7 @@
     return world_running(w, job) == 3;
 }
 
-static void test_replicas_stand_apart_and_are_never_done(void **state)
+static void test_replicas_run_on_separate_machines_and_never_complete(void **state)
 {
     (void)state;
     struct world *w = with_service(3, 3);
@@ -54,18 +54,18 @@
 }
 
 /* However a replica ends, it runs again, and not where its result would end it at once. */
-static void test_a_replica_that_ends_runs_again_elsewhere(void **state)
+static void test_exited_replica_restarts_on_another_machine(void **state)
 {
     (void)state;
     for (int cause = 0; cause < 2; cause++) {
         struct world *w = with_service(4, 3);
-        struct world_machine *m = world_where(w, "run-1");
-        m->sick = cause == 1;
-        unsigned before = m->starts;
-        g_array_index(m->tasks, struct world_task, 0).phase_at = w->now;
+        struct world_machine *machine = world_where(w, "run-1");
+        machine->sick = cause == 1;
+        unsigned before = machine->starts;
+        g_array_index(machine->tasks, struct world_task, 0).phase_at = w->now;
         world_run(w, 1);
         assert_true(world_until(w, 6, three_run, "run-1"));
-        assert_int_equal(m->starts, before);
+        assert_int_equal(machine->starts, before);
         assert_int_equal(world_job_state(w, "run-1"), OW_JOB_RUNNING);
         world_finish(w);
     }
@@ -73,19 +73,19 @@
 
 /* A machine that alone falls silent is returned for the sake of its replicas, long before its lease has run
  * out. */
-static void test_replicas_of_a_dead_machine_run_again_soon(void **state)
+static void test_replicas_of_a_dead_machine_restart_before_its_lease_expires(void **state)
 {
     (void)state;
     struct world *w = with_service(4, 3);
-    struct world_machine *m = world_where(w, "run-1");
-    m->hangs = true;
-    assert_true(world_until(w, 14, world_is_gone, m));
+    struct world_machine *machine = world_where(w, "run-1");
+    machine->hangs = true;
+    assert_true(world_until(w, 14, world_is_gone, machine));
     assert_true(world_until(w, 4, three_run, "run-1"));
     world_finish(w);
 }
 
 /* Many that are silent at once may be cut off: their replicas serve on, and nothing is returned. */
-static void test_replicas_behind_a_cut_serve_on(void **state)
+static void test_replicas_behind_a_partition_keep_running(void **state)
 {
     (void)state;
     struct world *w = with_service(8, 6);
@@ -104,7 +104,7 @@
 
 /* A machine that will be taken: its replica moves while it still could serve, once there is a place for it.
  */
-static void test_a_replica_moves_off_a_machine_that_goes(void **state)
+static void test_replica_moves_off_a_preempted_spot_machine(void **state)
 {
     (void)state;
     struct world *w = start_world(0);
@@ -128,7 +128,7 @@
 }
 
 /* All machines are full of low work: some of it makes room at once. */
-static void test_a_service_does_not_wait_behind_lower_work(void **state)
+static void test_service_preempts_lower_rank(void **state)
 {
     (void)state;
     struct world *w = world_with_machines(2);
@@ -164,7 +164,7 @@
 }
 
 /* Leaders come and go: replicas run on, none twice. */
-static void test_services_across_leaders(void **state)
+static void test_services_survive_leader_changes(void **state)
 {
     (void)state;
     struct world *w = with_service(4, 3);
@@ -187,8 +187,8 @@
 {
     unsigned count = 0;
     for (guint i = 0; i < w->machines->len; i++) {
-        const struct world_machine *m = g_ptr_array_index(w->machines, i);
-        count += m->spot && !m->gone ? replicas_on(m, job) : 0;
+        const struct world_machine *machine = g_ptr_array_index(w->machines, i);
+        count += machine->spot && !machine->gone ? replicas_on(machine, job) : 0;
     }
     return count;
 }
@@ -198,11 +198,11 @@
 {
     for (int left = notice_s; left > 0; left--) {
         for (guint i = 0; i < w->machines->len; i++) {
-            struct world_machine *m = g_ptr_array_index(w->machines, i);
-            if (!m->spot)
+            struct world_machine *machine = g_ptr_array_index(w->machines, i);
+            if (!machine->spot)
                 continue;
-            m->notice_s = left;
-            m->report_at = w->now;
+            machine->notice_s = left;
+            machine->report_at = w->now;
         }
         world_run(w, 1);
     }
@@ -229,7 +229,7 @@
 
 /* No other machine has the image. The replica is stopped before its machine goes all the same: proof that it
  * is gone would come long after. */
-static void test_a_replica_moves_to_a_machine_without_its_image(void **state)
+static void test_replica_moves_to_a_machine_without_its_image(void **state)
 {
     (void)state;
     struct world *w = with_replicas_on_spot_machines(1);
@@ -243,7 +243,7 @@
 }
 
 /* All machines of a service go at once, and soon: there is no time to move one replica after the other. */
-static void test_all_replicas_move_before_a_spot_wave(void **state)
+static void test_all_replicas_move_before_a_spot_reclaim(void **state)
 {
     (void)state;
     struct world *w = with_replicas_on_spot_machines(6);
@@ -264,15 +264,15 @@
 /* A job that may only run in the west, of a class of its own. */
 static struct ow_submission *western_job(const char *id)
 {
-    struct ow_submission *s = world_job(id, 1, 1);
-    g_free(s->class_name);
-    s->class_name = g_strdup(id);
-    s->zone = g_strdup("west");
-    return s;
+    struct ow_submission *submission = world_job(id, 1, 1);
+    g_free(submission->class_name);
+    submission->class_name = g_strdup(id);
+    submission->zone = g_strdup("west");
+    return submission;
 }
 
 /* A replica that happens to run on a machine which fails what starts there would keep it rented for ever. */
-static void test_a_replica_moves_off_a_faulty_machine(void **state)
+static void test_replica_moves_off_a_faulty_machine(void **state)
 {
     (void)state;
     struct world *w = start_world(3);
@@ -298,7 +298,7 @@
 }
 
 /* Room was short, and two replicas share a machine. Once there is another one they part. */
-static void test_replicas_part_when_there_is_room_again(void **state)
+static void test_replicas_separate_when_capacity_returns(void **state)
 {
     (void)state;
     struct world *w = start_world(1);
@@ -323,7 +323,7 @@
 
 /* A machine whose reports don't arrive loses its lease, although it answers commands: its replica moves
  * before that. */
-static void test_a_replica_moves_before_its_machine_loses_its_lease(void **state)
+static void test_replica_moves_before_its_machine_loses_its_lease(void **state)
 {
     (void)state;
     struct world *w = with_service(4, 3);
@@ -342,7 +342,7 @@
 }
 
 /* A service is never through: that must not count as having waited too long. */
-static void test_an_old_service_gives_way_to_more_urgent_work(void **state)
+static void test_old_service_is_preempted_by_more_urgent_work(void **state)
 {
     (void)state;
     struct world *w = start_world(1);
@@ -351,11 +351,11 @@
     low->rank = OW_RANK_LOW;
     world_submit(w, 0, low);
     world_run(w, 230);
-    struct world_machine *m = world_machine(w, "m-0");
-    m->sick = true;
-    g_array_index(m->tasks, struct world_task, 0).phase_at = w->now;
+    struct world_machine *machine = world_machine(w, "m-0");
+    machine->sick = true;
+    g_array_index(machine->tasks, struct world_task, 0).phase_at = w->now;
     world_run(w, 2);
-    m->sick = false;
+    machine->sick = false;
     assert_true(world_until(w, 90, world_some_running, "run-1"));
     world_submit(w, 0, world_service("run-2", 1, 16));
     assert_true(world_until(w, 10, world_some_running, "run-2"));
@@ -363,7 +363,7 @@
 }
 
 /* Lower work makes room for replicas that must stay in one zone, too, and all of it there. */
-static void test_room_is_made_in_one_zone(void **state)
+static void test_preemption_frees_capacity_in_one_zone(void **state)
 {
     (void)state;
     struct world *w = start_world(2);
@@ -384,7 +384,7 @@
 }
 
 /* Where only half of the replicas may stand in a zone, no more than that is stopped for them there. */
-static void test_no_more_room_is_made_than_a_zone_admits(void **state)
+static void test_preemption_respects_the_spread_limit(void **state)
 {
     (void)state;
     struct world *w = start_world(4);
@@ -412,15 +412,15 @@
 }
 
 /* Whatever is on the machine is through with its time at hand. */
-static void end_tasks(struct world *w, struct world_machine *m)
+static void end_tasks(struct world *w, struct world_machine *machine)
 {
-    for (guint i = 0; i < m->tasks->len; i++)
-        g_array_index(m->tasks, struct world_task, i).phase_at = w->now;
+    for (guint i = 0; i < machine->tasks->len; i++)
+        g_array_index(machine->tasks, struct world_task, i).phase_at = w->now;
 }
 
 /* Most machines fail whatever starts, for a while. A replica that serves all along shows that the service is
  * sound: the failures of the others don't add up to ever longer pauses. */
-static void test_failures_of_a_sound_service_do_not_add_up(void **state)
+static void test_failures_of_a_healthy_service_do_not_accumulate(void **state)
 {
     (void)state;
     enum { REPLICAS = 5 };
@@ -431,9 +431,9 @@
     assert_int_equal(world_running(w, "run-1"), REPLICAS);
     for (int i = 0; i < 180; i++) {
         for (guint k = 1; k < REPLICAS; k++) {
-            struct world_machine *m = g_ptr_array_index(w->machines, k);
-            m->sick = true;
-            end_tasks(w, m);
+            struct world_machine *machine = g_ptr_array_index(w->machines, k);
+            machine->sick = true;
+            end_tasks(w, machine);
         }
         world_run(w, 0.5);
     }
@@ -446,7 +446,7 @@
 }
 
 /* A job with a mistake fails wherever it goes; while it is paused its team is told so. */
-static void test_a_paused_service_says_why(void **state)
+static void test_paused_service_reports_its_reason(void **state)
 {
     (void)state;
     struct world *w = start_world(4);
@@ -454,14 +454,14 @@
     for (guint i = 0; i < 4; i++)
         ((struct world_machine *)g_ptr_array_index(w->machines, i))->sick = true;
     world_submit(w, 0, world_service("run-1", 2, 1));
-    bool said = false;
-    for (int i = 0; i < 60 && !said; i++) {
+    bool reported = false;
+    for (int i = 0; i < 60 && !reported; i++) {
         uint64_t request = world_poll(w, world_leader(w), "run-1");
         world_run(w, 1);
         const struct world_answer *answer = world_answer(w, request);
-        said = answer != NULL && answer->reason != NULL && strstr(answer->reason, "paused") != NULL;
+        reported = answer != NULL && answer->reason != NULL && strstr(answer->reason, "paused") != NULL;
     }
-    assert_true(said);
+    assert_true(reported);
     assert_int_not_equal(world_job_state(w, "run-1"), OW_JOB_DONE);
     world_finish(w);
 }
@@ -469,24 +469,24 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_replicas_stand_apart_and_are_never_done),
-        cmocka_unit_test(test_a_replica_that_ends_runs_again_elsewhere),
-        cmocka_unit_test(test_replicas_of_a_dead_machine_run_again_soon),
-        cmocka_unit_test(test_replicas_behind_a_cut_serve_on),
-        cmocka_unit_test(test_a_replica_moves_off_a_machine_that_goes),
-        cmocka_unit_test(test_a_service_does_not_wait_behind_lower_work),
+        cmocka_unit_test(test_replicas_run_on_separate_machines_and_never_complete),
+        cmocka_unit_test(test_exited_replica_restarts_on_another_machine),
+        cmocka_unit_test(test_replicas_of_a_dead_machine_restart_before_its_lease_expires),
+        cmocka_unit_test(test_replicas_behind_a_partition_keep_running),
+        cmocka_unit_test(test_replica_moves_off_a_preempted_spot_machine),
+        cmocka_unit_test(test_service_preempts_lower_rank),
         cmocka_unit_test(test_spread_and_limits),
-        cmocka_unit_test(test_services_across_leaders),
-        cmocka_unit_test(test_a_replica_moves_to_a_machine_without_its_image),
-        cmocka_unit_test(test_all_replicas_move_before_a_spot_wave),
-        cmocka_unit_test(test_a_replica_moves_off_a_faulty_machine),
-        cmocka_unit_test(test_replicas_part_when_there_is_room_again),
-        cmocka_unit_test(test_a_replica_moves_before_its_machine_loses_its_lease),
-        cmocka_unit_test(test_an_old_service_gives_way_to_more_urgent_work),
-        cmocka_unit_test(test_room_is_made_in_one_zone),
-        cmocka_unit_test(test_no_more_room_is_made_than_a_zone_admits),
-        cmocka_unit_test(test_failures_of_a_sound_service_do_not_add_up),
-        cmocka_unit_test(test_a_paused_service_says_why),
+        cmocka_unit_test(test_services_survive_leader_changes),
+        cmocka_unit_test(test_replica_moves_to_a_machine_without_its_image),
+        cmocka_unit_test(test_all_replicas_move_before_a_spot_reclaim),
+        cmocka_unit_test(test_replica_moves_off_a_faulty_machine),
+        cmocka_unit_test(test_replicas_separate_when_capacity_returns),
+        cmocka_unit_test(test_replica_moves_before_its_machine_loses_its_lease),
+        cmocka_unit_test(test_old_service_is_preempted_by_more_urgent_work),
+        cmocka_unit_test(test_preemption_frees_capacity_in_one_zone),
+        cmocka_unit_test(test_preemption_respects_the_spread_limit),
+        cmocka_unit_test(test_failures_of_a_healthy_service_do_not_accumulate),
+        cmocka_unit_test(test_paused_service_reports_its_reason),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/test_settings.c
+++ b/tests/test_settings.c
@@ -34,24 +34,24 @@
 static struct ow_settings *load(const char *text, char **fault)
 {
     char *path = write_file(text);
-    struct ow_settings *s = ow_settings_load(path, fault);
+    struct ow_settings *settings = ow_settings_load(path, fault);
     g_unlink(path);
     g_free(path);
-    return s;
+    return settings;
 }
 
 static void test_good_settings(void **state)
 {
     (void)state;
     char *fault = NULL;
-    struct ow_settings *s = load(good, &fault);
-    assert_non_null(s);
-    assert_string_equal(s->controller_name, "n-0");
-    assert_int_equal(s->peers->len, 1);
-    assert_int_equal(s->objectives->len, 1); /* the one it does not know is passed over */
-    assert_true(g_array_index(s->teams, struct ow_team_settings, 0).cpus_max == 4);
-    assert_int_equal(s->txn_ops, 8);
-    ow_settings_free(s);
+    struct ow_settings *settings = load(good, &fault);
+    assert_non_null(settings);
+    assert_string_equal(settings->controller_name, "n-0");
+    assert_int_equal(settings->peers->len, 1);
+    assert_int_equal(settings->objectives->len, 1); /* the one it does not know is passed over */
+    assert_true(g_array_index(settings->teams, struct ow_team_settings, 0).cpus_max == 4);
+    assert_int_equal(settings->txn_ops, 8);
+    ow_settings_free(settings);
 }
 
 struct change {
--- a/tests/test_sockets.c
+++ b/tests/test_sockets.c
@@ -116,7 +116,7 @@
     ow_http_client_send(b.client, endpoint, "GET", "/", NULL, 0.1, 7);
     run_until_reply(&b, 1);
     assert_int_equal(b.status, 0);
-    /* The answer comes after the asker has gone: it must reach nobody. */
+    /* The response is ready after the client has gone: it must be dropped. */
     for (int i = 0; i < 5; i++)
         ow_loop_once(b.loop, round_, &b);
     ow_http_server_answer(b.server, b.waiting, 200, NULL, "late", 4);
@@ -146,7 +146,7 @@
     close(fd);
 }
 
-static void test_malformed_requests_are_told_and_closed(void **state)
+static void test_malformed_requests_are_answered_and_closed(void **state)
 {
     (void)state;
     struct bench b;
@@ -181,7 +181,7 @@
 
 /* Where connections run out the one that is quiet for longest makes room: a worker's that reports is never
  * it. */
-static void test_quiet_connections_make_room(void **state)
+static void test_idle_connections_are_evicted(void **state)
 {
     (void)state;
     static const char request[] = "POST /echo HTTP/1.1\r\nContent-Length: 2\r\n\r\nhi";
@@ -267,9 +267,9 @@
     const struct CMUnitTest tests[] = {
         cmocka_unit_test(test_requests_and_keep_alive),
         cmocka_unit_test(test_time_out_and_refusal),
-        cmocka_unit_test(test_malformed_requests_are_told_and_closed),
+        cmocka_unit_test(test_malformed_requests_are_answered_and_closed),
         cmocka_unit_test(test_connections_are_bounded),
-        cmocka_unit_test(test_quiet_connections_make_room),
+        cmocka_unit_test(test_idle_connections_are_evicted),
         cmocka_unit_test(test_own_connections_are_bounded),
         cmocka_unit_test(test_the_command_line),
     };
--- a/tests/test_store_core.c
+++ b/tests/test_store_core.c
@@ -1,4 +1,4 @@
-/* Election, the copy of the job table, and what users are told while the state service has its troubles. */
+/* Election, the local copy of the job table, and the answers to users while the state service fails. */
 #include "check.h"
 #include "world.h"
 
@@ -18,7 +18,7 @@
     return w;
 }
 
-static void test_one_leads_and_another_takes_over(void **state)
+static void test_new_leader_is_elected_after_a_crash(void **state)
 {
     (void)state;
     struct world *w = start_world(3, 1);
@@ -35,7 +35,7 @@
     world_finish(w);
 }
 
-static void test_a_lost_link_to_the_leader_is_reason_enough(void **state)
+static void test_lost_link_to_the_leader_triggers_an_election(void **state)
 {
     (void)state;
     struct world *w = start_world(3, 1);
@@ -45,7 +45,7 @@
     world_lose_link(w, other, first);
     world_run(w, 0.5);
     assert_int_equal(world_leader(w), other);
-    /* Two that can't reach each other must not take turns. */
+    /* Two controllers without a link must not depose each other in turn. */
     world_start_controller(w, first);
     world_run(w, 2);
     uint64_t token = ow_core_token(w->cores[other]);
@@ -55,7 +55,7 @@
     world_finish(w);
 }
 
-static void test_a_quick_restart_leads_again_at_once(void **state)
+static void test_restarted_leader_is_elected_at_once(void **state)
 {
     (void)state;
     struct world *w = start_world(1, 1);
@@ -67,7 +67,7 @@
     world_finish(w);
 }
 
-static void test_a_lost_answer_to_the_election_is_read_back(void **state)
+static void test_lost_election_response_is_read_back(void **state)
 {
     (void)state;
     struct world *w = world_new();
@@ -80,7 +80,7 @@
     world_finish(w);
 }
 
-static void test_a_leader_keeps_its_turn_through_an_outage(void **state)
+static void test_leader_keeps_its_term_through_an_outage(void **state)
 {
     (void)state;
     struct world *w = start_world(3, 2);
@@ -113,7 +113,7 @@
     world_finish(w);
 }
 
-static void test_health_tells_an_outage_from_a_refusal_of_one(void **state)
+static void test_health_distinguishes_an_outage_from_a_denied_controller(void **state)
 {
     (void)state;
     struct world *w = start_world(3, 1);
@@ -133,14 +133,14 @@
     world_finish(w);
 }
 
-static void test_repeats_are_known_by_their_id(void **state)
+static void test_repeated_submission_is_recognized_by_id(void **state)
 {
     (void)state;
     struct world *w = start_world(3, 1);
     uint64_t first = world_submit(w, 0, world_job("run-1", 1, 1));
     world_run(w, 0.5);
     assert_int_equal(world_status(w, first), 201);
-    /* Elsewhere, and now impossible: still the same job. */
+    /* At another controller, and with a size that can never run: still the same job. */
     uint64_t repeat = world_submit(w, 1, world_job("run-1", 1, 1000));
     world_run(w, 0.5);
     assert_int_equal(world_status(w, repeat), 200);
@@ -150,13 +150,13 @@
     world_finish(w);
 }
 
-static void test_a_repeat_that_was_just_accepted_elsewhere_is_no_422(void **state)
+static void test_repeat_accepted_by_another_controller_is_not_rejected(void **state)
 {
     (void)state;
     struct world *w = start_world(3, 1);
     w->silent_watches = true;
     uint64_t first = world_submit(w, 0, world_job("run-1", 1, 1));
-    /* Node 1 has not read it yet, and by its text it can never run. */
+    /* Node 1 has not read the record yet, and the repeated submission can never run. */
     world_run(w, 0.1);
     uint64_t repeat = world_submit(w, 1, world_job("run-1", 1, 1000));
     world_run(w, 0.5);
@@ -165,8 +165,8 @@
     world_finish(w);
 }
 
-/* Nor is a repeat that can't even be read, as long as its id can. */
-static void test_a_malformed_repeat_is_known_by_its_id(void **state)
+/* A malformed repeat is recognized as long as its id can be parsed. */
+static void test_malformed_repeat_is_recognized_by_id(void **state)
 {
     (void)state;
     struct world *w = start_world(3, 1);
@@ -177,7 +177,7 @@
     world_run(w, 0.5);
     assert_int_equal(world_status(w, repeat), 200);
     assert_int_equal(world_status(w, other), 400);
-    w->state_down = true; /* can't tell */
+    w->state_down = true; /* the controller can't know whether the job exists */
     repeat = world_submit_malformed(w, 2, "run-1");
     other = world_submit_malformed(w, 2, "run-2");
     world_run(w, 0.5);
@@ -186,7 +186,7 @@
     world_finish(w);
 }
 
-static void test_a_gang_that_must_be_apart_and_together_is_refused(void **state)
+static void test_gang_with_contradictory_placement_is_rejected(void **state)
 {
     (void)state;
     struct world *w = start_world(1, 1);
@@ -205,7 +205,7 @@
     world_finish(w);
 }
 
-static void test_limits_of_teams_are_refused(void **state)
+static void test_submission_above_the_team_limit_is_rejected(void **state)
 {
     (void)state;
     struct world *w = start_world(1, 1);
@@ -224,7 +224,7 @@
     world_finish(w);
 }
 
-static void test_a_live_job_is_answered_only_from_a_fresh_read(void **state)
+static void test_live_job_is_answered_from_a_fresh_read(void **state)
 {
     (void)state;
     struct world *w = start_world(3, 1);
@@ -239,7 +239,7 @@
     uint64_t cancellation = world_cancel(w, other, "run-1");
     world_run(w, 0.3);
     assert_int_equal(world_status(w, cancellation), 200);
-    /* It learns of it only by asking: rule 5. */
+    /* Rule 5: the controller learns of it only by a read. */
     poll = world_poll(w, asked, "run-1");
     world_run(w, 0.3);
     assert_int_equal(world_status(w, poll), 200);
@@ -252,7 +252,7 @@
     world_finish(w);
 }
 
-static void test_done_is_told_only_once_it_is_recorded(void **state)
+static void test_done_is_answered_only_after_commit(void **state)
 {
     (void)state;
     struct world *w = start_world(3, 1);
@@ -273,7 +273,7 @@
     world_finish(w);
 }
 
-static void test_a_cancellation_and_a_finish_exclude_each_other(void **state)
+static void test_cancellation_and_completion_are_exclusive(void **state)
 {
     (void)state;
     struct world *w = start_world(3, 1);
@@ -290,7 +290,7 @@
     world_finish(w);
 }
 
-static void test_the_reason_for_waiting_is_told(void **state)
+static void test_poll_answers_the_waiting_reason(void **state)
 {
     (void)state;
     struct world *w = start_world(2, 1);
@@ -302,10 +302,10 @@
     for (int controller = 0; controller < 2; controller++) {
         uint64_t poll = world_poll(w, controller, "run-2");
         world_run(w, 0.3);
-        const struct world_answer *a = world_answer(w, poll);
-        assert_int_equal(a->status, 200);
-        assert_non_null(a->reason);
-        assert_non_null(strstr(a->reason, "wait"));
+        const struct world_answer *answer = world_answer(w, poll);
+        assert_int_equal(answer->status, 200);
+        assert_non_null(answer->reason);
+        assert_non_null(strstr(answer->reason, "wait"));
     }
     world_finish(w);
 }
@@ -313,22 +313,22 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_one_leads_and_another_takes_over),
-        cmocka_unit_test(test_a_lost_link_to_the_leader_is_reason_enough),
-        cmocka_unit_test(test_a_quick_restart_leads_again_at_once),
-        cmocka_unit_test(test_a_lost_answer_to_the_election_is_read_back),
-        cmocka_unit_test(test_a_leader_keeps_its_turn_through_an_outage),
+        cmocka_unit_test(test_new_leader_is_elected_after_a_crash),
+        cmocka_unit_test(test_lost_link_to_the_leader_triggers_an_election),
+        cmocka_unit_test(test_restarted_leader_is_elected_at_once),
+        cmocka_unit_test(test_lost_election_response_is_read_back),
+        cmocka_unit_test(test_leader_keeps_its_term_through_an_outage),
         cmocka_unit_test(test_submissions_in_an_outage_are_answered_at_once),
-        cmocka_unit_test(test_health_tells_an_outage_from_a_refusal_of_one),
-        cmocka_unit_test(test_repeats_are_known_by_their_id),
-        cmocka_unit_test(test_a_repeat_that_was_just_accepted_elsewhere_is_no_422),
-        cmocka_unit_test(test_a_malformed_repeat_is_known_by_its_id),
-        cmocka_unit_test(test_a_gang_that_must_be_apart_and_together_is_refused),
-        cmocka_unit_test(test_limits_of_teams_are_refused),
-        cmocka_unit_test(test_a_live_job_is_answered_only_from_a_fresh_read),
-        cmocka_unit_test(test_done_is_told_only_once_it_is_recorded),
-        cmocka_unit_test(test_a_cancellation_and_a_finish_exclude_each_other),
-        cmocka_unit_test(test_the_reason_for_waiting_is_told),
+        cmocka_unit_test(test_health_distinguishes_an_outage_from_a_denied_controller),
+        cmocka_unit_test(test_repeated_submission_is_recognized_by_id),
+        cmocka_unit_test(test_repeat_accepted_by_another_controller_is_not_rejected),
+        cmocka_unit_test(test_malformed_repeat_is_recognized_by_id),
+        cmocka_unit_test(test_gang_with_contradictory_placement_is_rejected),
+        cmocka_unit_test(test_submission_above_the_team_limit_is_rejected),
+        cmocka_unit_test(test_live_job_is_answered_from_a_fresh_read),
+        cmocka_unit_test(test_done_is_answered_only_after_commit),
+        cmocka_unit_test(test_cancellation_and_completion_are_exclusive),
+        cmocka_unit_test(test_poll_answers_the_waiting_reason),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/test_upgrade.c
+++ b/tests/test_upgrade.c
@@ -72,41 +72,42 @@
         g_byte_array_append(bytes, &byte, 1);
         p++;
     }
-    struct ow_peer_message *m = NULL;
-    assert_true(wire_peer_decode((const char *)bytes->data + 4, bytes->len - 4, &m));
-    assert_non_null(m);
-    assert_int_equal(m->version, OW_FORMAT_FIRST);
+    struct ow_peer_message *message = NULL;
+    assert_true(wire_peer_decode((const char *)bytes->data + 4, bytes->len - 4, &message));
+    assert_non_null(message);
+    assert_int_equal(message->version, OW_FORMAT_FIRST);
     g_byte_array_free(bytes, TRUE);
     g_free(text);
-    return m;
+    return message;
 }
 
 static void test_messages_of_production_are_read(void **state)
 {
     (void)state;
-    struct ow_peer_message *m = fixture_message("peer-hello.hex");
-    assert_true(m->kind == OW_PEER_HELLO && m->number == 77 && m->leads && m->state_ok &&
-                !m->receives_reports);
-    assert_string_equal(m->sender, "node-1");
-    ow_peer_message_free(m);
-    m = fixture_message("peer-summary.hex");
-    assert_true(m->kind == OW_PEER_SUMMARY && m->jobs->len == 1);
-    assert_string_equal(g_array_index(m->jobs, struct ow_peer_job, 0).reason, "because");
-    ow_peer_message_free(m);
-    m = fixture_message("peer-nudge.hex");
-    assert_true(m->kind == OW_PEER_JOB_CHANGED && m->number == 77);
-    ow_peer_message_free(m);
-    m = fixture_message("peer-machines.hex");
-    assert_true(m->kind == OW_PEER_MACHINES && m->machines->len == 1);
-    assert_string_equal(g_array_index(m->machines, struct ow_peer_machine, 0).addr, "m-0:9000");
-    ow_peer_message_free(m);
-    m = fixture_message("peer-cancellation.hex");
-    assert_true(m->kind == OW_PEER_CANCELLATION && m->number == 77 && m->revision == 99);
-    assert_string_equal(m->job, "run-2");
-    ow_peer_message_free(m);
-    m = fixture_message("peer-taken.hex");
-    assert_true(m->kind == OW_PEER_CANCELLATION_ACK && m->number == 77 && m->revision == 99);
-    ow_peer_message_free(m);
+    struct ow_peer_message *message = fixture_message("peer-hello.hex");
+    assert_true(message->kind == OW_PEER_HELLO && message->number == 77 && message->leads &&
+                message->state_ok && !message->receives_reports);
+    assert_string_equal(message->sender, "node-1");
+    ow_peer_message_free(message);
+    message = fixture_message("peer-summary.hex");
+    assert_true(message->kind == OW_PEER_SUMMARY && message->jobs->len == 1);
+    assert_string_equal(g_array_index(message->jobs, struct ow_peer_job, 0).reason, "because");
+    ow_peer_message_free(message);
+    message = fixture_message("peer-nudge.hex");
+    assert_true(message->kind == OW_PEER_JOB_CHANGED && message->number == 77);
+    ow_peer_message_free(message);
+    message = fixture_message("peer-machines.hex");
+    assert_true(message->kind == OW_PEER_MACHINES && message->machines->len == 1);
+    assert_string_equal(g_array_index(message->machines, struct ow_peer_machine, 0).addr, "m-0:9000");
+    ow_peer_message_free(message);
+    message = fixture_message("peer-cancellation.hex");
+    assert_true(message->kind == OW_PEER_CANCELLATION && message->number == 77 && message->revision == 99);
+    assert_string_equal(message->job, "run-2");
+    ow_peer_message_free(message);
+    message = fixture_message("peer-taken.hex");
+    assert_true(message->kind == OW_PEER_CANCELLATION_ACK && message->number == 77 &&
+                message->revision == 99);
+    ow_peer_message_free(message);
 }
 
 /* What is written while an old controller may be alive is, to the letter, what production writes. */
@@ -153,7 +154,7 @@
 
 /* ---- side by side ---- */
 
-static void all_old(struct world *w, bool old)
+static void set_all_old(struct world *w, bool old)
 {
     for (int i = 0; i < WORLD_CONTROLLERS; i++)
         w->old_controller[i] = old;
@@ -178,10 +179,10 @@
     world_start_controller(w, controller);
 }
 
-static struct world *old_world(int machines)
+static struct world *world_of_old_controllers(int machines)
 {
     struct world *w = world_new();
-    all_old(w, true);
+    set_all_old(w, true);
     for (int i = 0; i < WORLD_CONTROLLERS; i++)
         world_start_controller(w, i);
     world_add_machines(w, machines);
@@ -196,34 +197,34 @@
     world_run(w, 6);
     assert_int_equal(world_running(w, id), tasks);
     for (guint i = 0; i < w->machines->len; i++) {
-        struct world_machine *m = g_ptr_array_index(w->machines, i);
-        for (guint k = 0; k < m->tasks->len; k += 2)
-            g_array_index(m->tasks, struct world_task, k).phase_at = w->now + 1;
+        struct world_machine *machine = g_ptr_array_index(w->machines, i);
+        for (guint k = 0; k < machine->tasks->len; k += 2)
+            g_array_index(machine->tasks, struct world_task, k).phase_at = w->now + 1;
     }
     world_run(w, 4);
 }
 
 /* What runs now ends bit by bit, so that its progress has to be recorded again and again. */
-static void end_bit_by_bit(struct world *w, double within_s)
+static void end_tasks_gradually(struct world *w, double within_s)
 {
     int ended = 0;
     for (guint i = 0; i < w->machines->len; i++) {
-        struct world_machine *m = g_ptr_array_index(w->machines, i);
-        for (guint k = 0; k < m->tasks->len; k++) {
-            struct world_task *t = &g_array_index(m->tasks, struct world_task, k);
-            if (t->phase == OW_PHASE_RUNNING)
-                t->phase_at = w->now + 1 + 0.01 * within_s * (ended++ % 100);
+        struct world_machine *machine = g_ptr_array_index(w->machines, i);
+        for (guint k = 0; k < machine->tasks->len; k++) {
+            struct world_task *task = &g_array_index(machine->tasks, struct world_task, k);
+            if (task->phase == OW_PHASE_RUNNING)
+                task->phase_at = w->now + 1 + 0.01 * within_s * (ended++ % 100);
         }
     }
 }
 
-static bool marked(struct world *w, const void *what)
+static bool format_gate_is_open(struct world *w, const void *what)
 {
     (void)what;
     return world_value_text(w, OW_KEY_FORMAT) != NULL;
 }
 
-static unsigned starts_of(struct world *w)
+static unsigned total_starts(struct world *w)
 {
     unsigned starts = 0;
     for (guint i = 0; i < w->machines->len; i++)
@@ -233,9 +234,9 @@
 
 /* The whole way: three controllers, one after the other, then smaller values at a moment nobody announces.
    What runs runs on, and is not started twice; what ends is recorded in values that fit. */
-static void roll(double away_s, int crash)
+static void run_rolling_upgrade(double away_s, int crash)
 {
-    struct world *w = old_world(6);
+    struct world *w = world_of_old_controllers(6);
     w->run_s = 60;
     submit_spread(w, "run-1", 200);
     for (int i = 0; i < WORLD_CONTROLLERS; i++) {
@@ -256,7 +257,7 @@
     w->txn_ops = 4;
     world_run(w, 4);
     assert_int_equal(world_running(w, "run-1"), 100);
-    end_bit_by_bit(w, 30);
+    end_tasks_gradually(w, 30);
     uint64_t more = world_submit(w, 1, world_job("run-2", 150, 0.4)), cancel = 0;
     world_run(w, 6);
     assert_int_equal(world_answer(w, more)->status, 201);
@@ -264,24 +265,24 @@
     world_run(w, 3);
     assert_int_equal(world_answer(w, cancel)->state, OW_JOB_CANCELLED);
     assert_true(world_until(w, 90, world_all_done, "run-1"));
-    assert_true(starts_of(w) >= 200 && starts_of(w) <= 350);
+    assert_true(total_starts(w) >= 200 && total_starts(w) <= 350);
     world_finish(w);
 }
 
-static void test_a_roll(void **state)
+static void test_rolling_upgrade(void **state)
 {
     (void)state;
     for (int crash = -1; crash < 2; crash++) {
-        roll(0.3, crash);
-        roll(5, crash);
+        run_rolling_upgrade(0.3, crash);
+        run_rolling_upgrade(5, crash);
     }
 }
 
 /* Of two controllers that are up one has come back new: it leads before the other one's turn comes. */
-static void test_leadership_leaves_the_earlier_version_once(void **state)
+static void test_leadership_moves_to_the_new_version_once(void **state)
 {
     (void)state;
-    struct world *w = old_world(4);
+    struct world *w = world_of_old_controllers(4);
     int old = world_leader(w), first = (old + 1) % WORLD_CONTROLLERS, last = (old + 2) % WORLD_CONTROLLERS;
     upgrade(w, first, 0.3);
     world_run(w, 8);
@@ -295,10 +296,10 @@
 }
 
 /* A controller that comes back as the earlier version, or all of them, leave leadership where it is. */
-static void test_the_earlier_version_takes_no_leadership_back(void **state)
+static void test_old_version_does_not_regain_leadership(void **state)
 {
     (void)state;
-    struct world *w = old_world(4);
+    struct world *w = world_of_old_controllers(4);
     int first = (world_leader(w) + 1) % WORLD_CONTROLLERS, other = (first + 1) % WORLD_CONTROLLERS;
     upgrade(w, first, 0.3);
     world_run(w, 8);
@@ -313,17 +314,17 @@
 }
 
 /* Records in larger chunks than fit are divided in steps: whenever the leader ends, none is lost. */
-static void test_dividing_records_is_interrupted(void **state)
+static void test_interrupted_record_split_loses_nothing(void **state)
 {
     (void)state;
     for (int step = 0; step < 30; step++) {
-        struct world *w = old_world(6);
+        struct world *w = world_of_old_controllers(6);
         w->run_s = 60;
         submit_spread(w, "run-1", 200);
         for (int i = 0; i < WORLD_CONTROLLERS; i++)
             upgrade(w, i, 0.3);
-        assert_true(world_until(w, 20, marked, NULL));
-        end_bit_by_bit(w, 40);
+        assert_true(world_until(w, 20, format_gate_is_open, NULL));
+        end_tasks_gradually(w, 40);
         world_run(w, 1 + 0.1 * step);
         int leader = world_leader(w);
         if (leader >= 0) {
@@ -336,7 +337,7 @@
         w->txn_ops = 4;
         assert_true(world_running(w, "run-1") > 20);
         assert_true(world_until(w, 90, world_all_done, "run-1"));
-        assert_int_equal(starts_of(w), 200);
+        assert_int_equal(total_starts(w), 200);
         world_finish(w);
     }
 }
@@ -355,16 +356,16 @@
 
 /* What is stored larger than will be allowed is divided by whoever takes over, even if nothing of it changes.
  */
-static void test_large_values_are_written_anew(void **state)
+static void test_oversized_values_are_split_after_a_takeover(void **state)
 {
     (void)state;
-    struct world *w = old_world(6);
+    struct world *w = world_of_old_controllers(6);
     w->run_s = 200;
     submit_spread(w, "run-1", 200);
     assert_true(largest_progress(w) > 614);
     for (int i = 0; i < WORLD_CONTROLLERS; i++)
         upgrade(w, i, 0.3);
-    assert_true(world_until(w, 20, marked, NULL));
+    assert_true(world_until(w, 20, format_gate_is_open, NULL));
     int leader = world_leader(w);
     world_kill_controller(w, leader);
     world_run(w, 6);
@@ -376,10 +377,10 @@
 }
 
 /* While one controller is of the first format nothing is written that it would drop, whoever leads. */
-static void test_no_mark_beside_an_old_controller(void **state)
+static void test_format_gate_stays_closed_beside_an_old_controller(void **state)
 {
     (void)state;
-    struct world *w = old_world(4);
+    struct world *w = world_of_old_controllers(4);
     w->run_s = 20;
     upgrade(w, 0, 0.3);
     upgrade(w, 1, 0.3);
@@ -401,7 +402,7 @@
 {
     (void)state;
     for (int first = 0; first < WORLD_CONTROLLERS; first++) {
-        struct world *w = old_world(3);
+        struct world *w = world_of_old_controllers(3);
         w->run_s = 300;
         world_submit(w, 0, world_job("run-1", 6, 1));
         world_run(w, 6);
@@ -420,7 +421,7 @@
 
 /* ---- limits that nobody has announced ---- */
 
-static void test_limits_that_fall_unannounced(void **state)
+static void test_unannounced_lower_limits(void **state)
 {
     (void)state;
     struct world *w = world_with_machines(6);
@@ -440,7 +441,7 @@
 
 /* Transactions of many changes are refused for their number; what a single value may hold has not fallen so
  * far, and a job's own record still fits. */
-static void test_fewer_changes_do_not_make_values_smaller(void **state)
+static void test_lower_txn_ops_does_not_lower_the_value_size(void **state)
 {
     (void)state;
     struct world *w = world_new();
@@ -471,7 +472,7 @@
 /* The limit has fallen below a job's own record, without a word: its user hears at once that it can't be
  * taken.
  */
-static void test_a_submission_that_is_refused_for_its_size(void **state)
+static void test_submission_refused_by_the_state_service_is_rejected(void **state)
 {
     (void)state;
     struct world *w = world_with_machines(1);
@@ -482,18 +483,18 @@
     world_free(w);
 }
 
-static void test_a_submission_that_fits_no_value(void **state)
+static void test_oversized_submission_is_rejected(void **state)
 {
     (void)state;
     struct world *w = world_with_machines(1);
-    struct ow_submission *s = world_job("run-1", 1, 1);
+    struct ow_submission *submission = world_job("run-1", 1, 1);
     GPtrArray *types = g_ptr_array_new();
     for (int i = 0; i < 200; i++)
         g_ptr_array_add(types, g_strdup_printf("a-type-with-a-rather-long-name-and-a-number-%d", i));
     g_ptr_array_add(types, g_strdup("big"));
     g_ptr_array_add(types, NULL);
-    s->types = (char **)g_ptr_array_free(types, FALSE);
-    uint64_t asked = world_submit(w, 0, s);
+    submission->types = (char **)g_ptr_array_free(types, FALSE);
+    uint64_t asked = world_submit(w, 0, submission);
     world_run(w, 1);
     assert_int_equal(world_answer(w, asked)->status, 422);
     world_finish(w);
@@ -505,17 +506,17 @@
         cmocka_unit_test(test_records_of_production_are_read),
         cmocka_unit_test(test_messages_of_production_are_read),
         cmocka_unit_test(test_records_are_written_as_production_does),
-        cmocka_unit_test(test_a_roll),
-        cmocka_unit_test(test_leadership_leaves_the_earlier_version_once),
-        cmocka_unit_test(test_the_earlier_version_takes_no_leadership_back),
-        cmocka_unit_test(test_dividing_records_is_interrupted),
-        cmocka_unit_test(test_large_values_are_written_anew),
-        cmocka_unit_test(test_no_mark_beside_an_old_controller),
+        cmocka_unit_test(test_rolling_upgrade),
+        cmocka_unit_test(test_leadership_moves_to_the_new_version_once),
+        cmocka_unit_test(test_old_version_does_not_regain_leadership),
+        cmocka_unit_test(test_interrupted_record_split_loses_nothing),
+        cmocka_unit_test(test_oversized_values_are_split_after_a_takeover),
+        cmocka_unit_test(test_format_gate_stays_closed_beside_an_old_controller),
         cmocka_unit_test(test_cancellations_across_versions),
-        cmocka_unit_test(test_limits_that_fall_unannounced),
-        cmocka_unit_test(test_a_submission_that_fits_no_value),
-        cmocka_unit_test(test_fewer_changes_do_not_make_values_smaller),
-        cmocka_unit_test(test_a_submission_that_is_refused_for_its_size),
+        cmocka_unit_test(test_unannounced_lower_limits),
+        cmocka_unit_test(test_oversized_submission_is_rejected),
+        cmocka_unit_test(test_lower_txn_ops_does_not_lower_the_value_size),
+        cmocka_unit_test(test_submission_refused_by_the_state_service_is_rejected),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/test_wire.c
+++ b/tests/test_wire.c
@@ -20,19 +20,19 @@
 {
     const char *fault = NULL;
     char id[OW_ID_MAX + 1];
-    struct ow_submission *s = wire_submission_parse(text, strlen(text), id, &fault);
-    assert_true((s == NULL) == (fault != NULL));
-    assert_true(s == NULL || strcmp(id, s->id) == 0);
-    return s;
+    struct ow_submission *submission = wire_submission_parse(text, strlen(text), id, &fault);
+    assert_true((submission == NULL) == (fault != NULL));
+    assert_true(submission == NULL || strcmp(id, submission->id) == 0);
+    return submission;
 }
 
 static void test_a_job_survives_its_stored_form(void **state)
 {
     (void)state;
     const char *fault = NULL;
-    struct ow_submission *s = parse_job(JOB);
-    assert_non_null(s);
-    json_t *stored = wire_submission_json(s);
+    struct ow_submission *submission = parse_job(JOB);
+    assert_non_null(submission);
+    json_t *stored = wire_submission_json(submission);
     struct ow_submission *again = wire_submission_from(stored, &fault);
     assert_non_null(again);
     assert_true(again->gang && again->tasks == 16 && again->rank == OW_RANK_URGENT && again->zone == NULL);
@@ -40,7 +40,7 @@
     assert_string_equal(again->types[0], "g8");
     json_decref(stored);
     ow_submission_free(again);
-    ow_submission_free(s);
+    ow_submission_free(submission);
 }
 
 struct change {
@@ -125,13 +125,13 @@
     g_strfreev(parts);
 }
 
-static void test_orders(void **state)
+static void test_worker_commands(void **state)
 {
     (void)state;
     GArray *commands = g_array_new(FALSE, TRUE, sizeof(struct ow_worker_command));
-    struct ow_worker_command o = {
+    struct ow_worker_command command = {
         .kind = OW_WORKER_STOP, .job = "run-7", .task = 1, .attempt = 3, .grace_s = 2};
-    g_array_append_val(commands, o);
+    g_array_append_val(commands, command);
     char *text = wire_direct_commands(41, 2, commands);
     assert_string_equal(
         text, "{\"crest\":41,\"stint\":2,\"calls\":[{\"call\":\"stop\",\"talon\":\"run-7/1\",\"dive\":3,"
@@ -156,46 +156,46 @@
     assert_null(wire_types_parse("[]", 2));
 }
 
-static struct ow_peer_message *through_xdr(struct ow_peer_message *m)
+static struct ow_peer_message *through_xdr(struct ow_peer_message *message)
 {
     GString *frame = g_string_new(NULL);
-    assert_true(wire_peer_encode(m, frame));
+    assert_true(wire_peer_encode(message, frame));
     struct ow_peer_message *again = NULL;
     assert_true(wire_peer_decode(frame->str + 4, frame->len - 4, &again));
     g_string_free(frame, TRUE);
-    ow_peer_message_free(m);
+    ow_peer_message_free(message);
     return again;
 }
 
 static void test_peer_messages(void **state)
 {
     (void)state;
-    struct ow_peer_message *m = ow_peer_message_new(OW_PEER_SUMMARY);
+    struct ow_peer_message *message = ow_peer_message_new(OW_PEER_SUMMARY);
     struct ow_peer_job job = {.id = "run-1", .done = 2, .running = 3, .reason = g_strdup("because")};
-    m->number = UINT64_C(1) << 40;
-    g_array_append_val(m->jobs, job);
-    m = through_xdr(m);
-    assert_non_null(m);
-    assert_true(m->number == UINT64_C(1) << 40 && m->jobs->len == 1);
-    assert_string_equal(g_array_index(m->jobs, struct ow_peer_job, 0).reason, "because");
-    ow_peer_message_free(m);
+    message->number = UINT64_C(1) << 40;
+    g_array_append_val(message->jobs, job);
+    message = through_xdr(message);
+    assert_non_null(message);
+    assert_true(message->number == UINT64_C(1) << 40 && message->jobs->len == 1);
+    assert_string_equal(g_array_index(message->jobs, struct ow_peer_job, 0).reason, "because");
+    ow_peer_message_free(message);
 }
 
 static void test_a_cancellation_goes_to_the_leader_whole(void **state)
 {
     (void)state;
     for (enum ow_peer_kind kind = OW_PEER_CANCELLATION; kind <= OW_PEER_CANCELLATION_ACK; kind++) {
-        struct ow_peer_message *m = ow_peer_message_new(kind);
-        g_strlcpy(m->job, "run-000412", sizeof m->job);
-        m->revision = UINT64_C(1) << 41;
-        m->number = 77;
-        m = through_xdr(m);
-        assert_non_null(m);
-        assert_int_equal(m->kind, kind);
-        assert_int_equal(m->version, 2);
-        assert_string_equal(m->job, "run-000412");
-        assert_true(m->revision == UINT64_C(1) << 41 && m->number == 77);
-        ow_peer_message_free(m);
+        struct ow_peer_message *message = ow_peer_message_new(kind);
+        g_strlcpy(message->job, "run-000412", sizeof message->job);
+        message->revision = UINT64_C(1) << 41;
+        message->number = 77;
+        message = through_xdr(message);
+        assert_non_null(message);
+        assert_int_equal(message->kind, kind);
+        assert_int_equal(message->version, 2);
+        assert_string_equal(message->job, "run-000412");
+        assert_true(message->revision == UINT64_C(1) << 41 && message->number == 77);
+        ow_peer_message_free(message);
     }
 }
 
@@ -206,18 +206,18 @@
     (void)state;
     static const char unknown[] = "\0\0\0\2\0\0\0\143\0\0\0\4abcd";
     static const char longer[] = "\0\0\0\2\0\0\0\3\0\0\0\14\0\0\0\0\0\0\0\11more";
-    struct ow_peer_message *m = NULL;
-    assert_true(wire_peer_decode(unknown, sizeof unknown - 1, &m));
-    assert_null(m);
-    assert_true(wire_peer_decode(longer, sizeof longer - 1, &m));
-    assert_non_null(m);
-    assert_int_equal(m->kind, OW_PEER_JOB_CHANGED);
-    assert_int_equal(m->number, 9);
-    assert_int_equal(m->version, 2);
-    ow_peer_message_free(m);
+    struct ow_peer_message *message = NULL;
+    assert_true(wire_peer_decode(unknown, sizeof unknown - 1, &message));
+    assert_null(message);
+    assert_true(wire_peer_decode(longer, sizeof longer - 1, &message));
+    assert_non_null(message);
+    assert_int_equal(message->kind, OW_PEER_JOB_CHANGED);
+    assert_int_equal(message->number, 9);
+    assert_int_equal(message->version, 2);
+    ow_peer_message_free(message);
     /* A body that ends within the known fields is none. */
-    assert_false(wire_peer_decode("\0\0\0\1\0\0\0\3\0\0\0\4\0\0\0\0", 16, &m));
-    assert_null(m);
+    assert_false(wire_peer_decode("\0\0\0\1\0\0\0\3\0\0\0\4\0\0\0\0", 16, &message));
+    assert_null(message);
 }
 
 static void test_peer_noise(void **state)
@@ -229,10 +229,10 @@
         for (size_t i = 4; i < sizeof bytes; i++)
             bytes[i] = (char)(g_rand_int(rand) & (round % 3 == 0 ? 0xff : 0x07));
         bytes[3] = (char)(round % 6);
-        struct ow_peer_message *m = NULL;
-        assert_true(wire_peer_decode(bytes, (size_t)g_rand_int_range(rand, 0, sizeof bytes), &m) ||
-                    m == NULL);
-        ow_peer_message_free(m);
+        struct ow_peer_message *message = NULL;
+        assert_true(wire_peer_decode(bytes, (size_t)g_rand_int_range(rand, 0, sizeof bytes), &message) ||
+                    message == NULL);
+        ow_peer_message_free(message);
     }
     struct ow_peer_message *none = NULL;
     assert_false(wire_peer_decode("\0\0\0\11", 4, &none));
@@ -246,7 +246,7 @@
         cmocka_unit_test(test_a_job_survives_its_stored_form),
         cmocka_unit_test(test_bad_jobs_are_refused),
         cmocka_unit_test(test_reports),
-        cmocka_unit_test(test_orders),
+        cmocka_unit_test(test_worker_commands),
         cmocka_unit_test(test_cloud),
         cmocka_unit_test(test_peer_messages),
         cmocka_unit_test(test_a_cancellation_goes_to_the_leader_whole),
--- a/tests/world.c
+++ b/tests/world.c
@@ -1,4 +1,4 @@
-/* The fake world: its life, its users and its controllers. */
+/* The fake world: its users, its controllers and its clock. */
 #include "world_parts.h"
 
 #include "check.h"
@@ -10,10 +10,10 @@
 
 static const double STEP_S = 0.05, TIME_OF_DAY = 1.7e9;
 
-/* An event for a controller, and when it gets there. */
+/* An event for a controller, and the time of its delivery. */
 struct delivery {
     int controller;
-    uint64_t nonce; /* of the process that it is for; 0: any */
+    uint64_t nonce; /* identifies the process it is for; 0: any */
     double at;
     struct ow_event *event;
 };
@@ -26,46 +26,46 @@
 
 static void add_team(GArray *teams, char *name, double cpus_max, double gpus_max)
 {
-    struct ow_team_settings t = {name, 0, cpus_max, 0, gpus_max};
-    g_array_append_val(teams, t);
+    struct ow_team_settings team = {name, 0, cpus_max, 0, gpus_max};
+    g_array_append_val(teams, team);
 }
 
-static void init_settings(struct ow_settings *s, int controller)
+static void init_settings(struct ow_settings *settings, int controller)
 {
     static char *names[] = {"node-0", "node-1", "node-2"};
     static char *zones[] = {"east", "west", NULL};
     static char endpoint[] = "10.0.0.1:1";
-    s->controller_name = names[controller];
-    s->zone = zones[0];
-    s->front = s->peer_listen = s->cloud = s->state = endpoint;
-    s->peers = g_array_new(FALSE, TRUE, sizeof(struct ow_peer_settings));
+    settings->controller_name = names[controller];
+    settings->zone = zones[0];
+    settings->front = settings->peer_listen = settings->cloud = settings->state = endpoint;
+    settings->peers = g_array_new(FALSE, TRUE, sizeof(struct ow_peer_settings));
     for (int i = 0; i < WORLD_CONTROLLERS; i++) {
         struct ow_peer_settings peer = {.node = names[i], .endpoint = endpoint};
         if (i != controller)
-            g_array_append_val(s->peers, peer);
+            g_array_append_val(settings->peers, peer);
     }
-    s->teams = g_array_new(FALSE, TRUE, sizeof(struct ow_team_settings));
+    settings->teams = g_array_new(FALSE, TRUE, sizeof(struct ow_team_settings));
     static char open_team[] = "open", tight_team[] = "tight";
-    add_team(s->teams, open_team, 0, 0);
-    add_team(s->teams, tight_team, 8, 0);
-    s->objectives = g_array_new(FALSE, TRUE, sizeof(struct ow_objective));
-    s->zones = zones;
-    s->report_s = 3;
-    s->lease_s = 20;
-    s->gang_wait_s = 30;
-    s->gang_peer_s = 4;
-    s->cancel_s = 40;
-    s->state_rps = 200;
-    s->state_write_rps = 100;
-    s->value_kb = 8;
-    s->txn_ops = 8;
-    s->next_write_rps = s->next_value_kb = 1e6; /* nothing is to come */
-    s->next_txn_ops = 1000;
-    s->cloud_rps = 5;
-    s->list_lag_s = 5;
-    s->core_share = 1;
-    s->memory_mb = 64;
-    s->sockets = 100;
+    add_team(settings->teams, open_team, 0, 0);
+    add_team(settings->teams, tight_team, 8, 0);
+    settings->objectives = g_array_new(FALSE, TRUE, sizeof(struct ow_objective));
+    settings->zones = zones;
+    settings->report_s = 3;
+    settings->lease_s = 20;
+    settings->gang_wait_s = 30;
+    settings->gang_peer_s = 4;
+    settings->cancel_s = 40;
+    settings->state_rps = 200;
+    settings->state_write_rps = 100;
+    settings->value_kb = 8;
+    settings->txn_ops = 8;
+    settings->next_write_rps = settings->next_value_kb = 1e6; /* no change is announced */
+    settings->next_txn_ops = 1000;
+    settings->cloud_rps = 5;
+    settings->list_lag_s = 5;
+    settings->core_share = 1;
+    settings->memory_mb = 64;
+    settings->sockets = 100;
 }
 
 struct world *world_new(void)
@@ -99,9 +99,9 @@
         g_array_free(w->settings[i].objectives, TRUE);
     }
     for (guint i = 0; i < w->queue->len; i++) {
-        struct delivery *d = g_ptr_array_index(w->queue, i);
-        ow_event_free(d->event);
-        g_free(d);
+        struct delivery *delivery = g_ptr_array_index(w->queue, i);
+        ow_event_free(delivery->event);
+        g_free(delivery);
     }
     world_state_clear(w);
     world_workers_clear(w);
@@ -115,19 +115,19 @@
 
 /* ---- deliveries ---- */
 
-void world_deliver(struct world *w, int controller, uint64_t nonce, double after_s, struct ow_event *c)
+void world_deliver(struct world *w, int controller, uint64_t nonce, double after_s, struct ow_event *event)
 {
-    struct delivery *d = g_new0(struct delivery, 1);
-    *d = (struct delivery){controller, nonce, w->now + after_s, c};
-    g_ptr_array_add(w->queue, d);
+    struct delivery *delivery = g_new0(struct delivery, 1);
+    *delivery = (struct delivery){controller, nonce, w->now + after_s, event};
+    g_ptr_array_add(w->queue, delivery);
 }
 
 struct ow_event *world_command(enum ow_event_kind kind, uint64_t request)
 {
-    struct ow_event *c = g_new0(struct ow_event, 1);
-    c->kind = kind;
-    c->request = request;
-    return c;
+    struct ow_event *event = g_new0(struct ow_event, 1);
+    event->kind = kind;
+    event->request = request;
+    return event;
 }
 
 /* ---- users ---- */
@@ -144,63 +144,64 @@
     g_hash_table_replace(w->announced, g_strdup(id), announcement);
 }
 
-static void take_answer(struct world *w, const struct ow_effect *e)
+static void take_answer(struct world *w, const struct ow_effect *effect)
 {
     uint64_t *key = g_new(uint64_t, 1);
-    struct world_answer *a = g_new0(struct world_answer, 1);
-    *key = e->request;
-    *a = (struct world_answer){e->request, e->status, e->state, e->retry_after_s, g_strdup(e->text)};
-    if (e->kind == OW_EFFECT_JOB)
-        check_announcement(w, e->id, e->state);
-    g_hash_table_replace(w->answers, key, a);
+    struct world_answer *answer = g_new0(struct world_answer, 1);
+    *key = effect->request;
+    *answer = (struct world_answer){effect->request, effect->status, effect->state, effect->retry_after_s,
+                                    g_strdup(effect->text)};
+    if (effect->kind == OW_EFFECT_JOB)
+        check_announcement(w, effect->id, effect->state);
+    g_hash_table_replace(w->answers, key, answer);
 }
 
-static uint64_t ask(struct world *w, int controller, struct ow_event *c)
+static uint64_t ask(struct world *w, int controller, struct ow_event *event)
 {
-    c->request = ++w->last_request;
-    world_deliver(w, controller, w->controller_nonce[controller], 0, c);
+    event->request = ++w->last_request;
+    world_deliver(w, controller, w->controller_nonce[controller], 0, event);
     return w->last_request;
 }
 
-void world_report(struct world *w, int controller, const struct world_machine *m, uint64_t seq,
+void world_report(struct world *w, int controller, const struct world_machine *machine, uint64_t seq,
                   uint64_t token)
 {
-    struct world_machine copy = *m;
-    struct ow_event *c = world_command(OW_EVENT_REPORT, (uint64_t)1 << 60);
+    struct world_machine copy = *machine;
+    struct ow_event *event = world_command(OW_EVENT_REPORT, (uint64_t)1 << 60);
     copy.seq = seq - 1;
     copy.token = token;
-    c->report = world_make_report(&copy);
-    g_array_set_size(c->report->tasks, 0);
-    world_deliver(w, controller, w->controller_nonce[controller], 0, c);
+    event->report = world_make_report(&copy);
+    g_array_set_size(event->report->tasks, 0);
+    world_deliver(w, controller, w->controller_nonce[controller], 0, event);
 }
 
-struct ow_report *world_last_report(const struct world_machine *m)
+struct ow_report *world_last_report(const struct world_machine *machine)
 {
-    struct world_machine copy = *m;
+    struct world_machine copy = *machine;
     copy.seq--;
     return world_make_report(&copy);
 }
 
 void world_send_copy(struct world *w, int controller, struct ow_report *report)
 {
-    struct ow_event *c = world_command(OW_EVENT_REPORT, (uint64_t)1 << 60);
-    c->report = report;
-    world_deliver(w, controller, w->controller_nonce[controller], 0, c);
+    struct ow_event *event = world_command(OW_EVENT_REPORT, (uint64_t)1 << 60);
+    event->report = report;
+    world_deliver(w, controller, w->controller_nonce[controller], 0, event);
 }
 
-void world_reboot(struct world *w, struct world_machine *m)
+void world_reboot(struct world *w, struct world_machine *machine)
 {
-    g_array_set_size(m->tasks, 0);
-    m->session = 1;
-    m->seq = m->token = 0;
-    m->report_busy = false;
-    m->renewed_at = m->report_at = w->now;
+    g_array_set_size(machine->tasks, 0);
+    machine->session = 1;
+    machine->seq = machine->token = 0;
+    machine->report_busy = false;
+    machine->renewed_at = machine->report_at = w->now;
 }
 
 uint64_t world_submit(struct world *w, int controller, struct ow_submission *submission)
 {
-    struct ow_event *c = world_command(OW_EVENT_SUBMIT, 0);
-    c->submission = submission;
+    struct ow_event *event = world_command(OW_EVENT_SUBMIT, 0);
+    event->submission = submission;
     struct world_wish *wish = g_new0(struct world_wish, 1);
     *wish = (struct world_wish){.tasks = submission->tasks,
                                 .cpus = submission->need.cpus,
@@ -214,29 +215,29 @@
         g_hash_table_insert(w->wishes, g_strdup(submission->id), wish);
     else
         g_free(wish);
-    return ask(w, controller, c);
+    return ask(w, controller, event);
 }
 
 uint64_t world_submit_malformed(struct world *w, int controller, const char *id)
 {
-    struct ow_event *c = world_command(OW_EVENT_SUBMIT, 0);
-    g_strlcpy(c->id, id, sizeof c->id);
-    c->fault = "made up";
-    return ask(w, controller, c);
+    struct ow_event *event = world_command(OW_EVENT_SUBMIT, 0);
+    g_strlcpy(event->id, id, sizeof event->id);
+    event->fault = "made up";
+    return ask(w, controller, event);
 }
 
 uint64_t world_poll(struct world *w, int controller, const char *id)
 {
-    struct ow_event *c = world_command(OW_EVENT_POLL, 0);
-    g_strlcpy(c->id, id, sizeof c->id);
-    return ask(w, controller, c);
+    struct ow_event *event = world_command(OW_EVENT_POLL, 0);
+    g_strlcpy(event->id, id, sizeof event->id);
+    return ask(w, controller, event);
 }
 
 uint64_t world_cancel(struct world *w, int controller, const char *id)
 {
-    struct ow_event *c = world_command(OW_EVENT_CANCEL, 0);
-    g_strlcpy(c->id, id, sizeof c->id);
-    return ask(w, controller, c);
+    struct ow_event *event = world_command(OW_EVENT_CANCEL, 0);
+    g_strlcpy(event->id, id, sizeof event->id);
+    return ask(w, controller, event);
 }
 
 const struct world_answer *world_answer(struct world *w, uint64_t request)
@@ -246,8 +247,8 @@
 
 int world_status(struct world *w, uint64_t request)
 {
-    const struct world_answer *a = world_answer(w, request);
-    return a != NULL ? a->status : 0;
+    const struct world_answer *answer = world_answer(w, request);
+    return answer != NULL ? answer->status : 0;
 }
 
 int world_job_state(struct world *w, const char *id)
@@ -255,10 +256,10 @@
     for (int i = 0; i < 30; i++) {
         uint64_t request = world_poll(w, i % WORLD_CONTROLLERS, id);
         world_run(w, 1);
-        const struct world_answer *a = world_answer(w, request);
-        if (a != NULL && a->status == 200)
-            return (int)a->state;
-        if (a != NULL && a->status == 404)
+        const struct world_answer *answer = world_answer(w, request);
+        if (answer != NULL && answer->status == 200)
+            return (int)answer->state;
+        if (answer != NULL && answer->status == 404)
             return -404;
     }
     return -1;
@@ -266,42 +267,42 @@
 
 struct ow_submission *world_job(const char *id, uint32_t tasks, double cpus)
 {
-    struct ow_submission *s = g_new0(struct ow_submission, 1);
-    s->id = g_strdup(id);
-    s->class_name = g_strdup("class");
-    s->team = g_strdup("open");
-    s->rank = OW_RANK_STANDARD;
-    s->tasks = tasks;
-    s->need = (struct ow_amounts){cpus, 0, 1};
-    s->image = g_strdup("img");
-    s->image_gb = 1;
-    s->spot = true;
-    s->estimate_s = 5;
-    return s;
+    struct ow_submission *submission = g_new0(struct ow_submission, 1);
+    submission->id = g_strdup(id);
+    submission->class_name = g_strdup("class");
+    submission->team = g_strdup("open");
+    submission->rank = OW_RANK_STANDARD;
+    submission->tasks = tasks;
+    submission->need = (struct ow_amounts){cpus, 0, 1};
+    submission->image = g_strdup("img");
+    submission->image_gb = 1;
+    submission->spot = true;
+    submission->estimate_s = 5;
+    return submission;
 }
 
-void world_set_team(struct ow_submission *s, const char *team)
+void world_set_team(struct ow_submission *submission, const char *team)
 {
-    g_free(s->team);
-    s->team = g_strdup(team);
+    g_free(submission->team);
+    submission->team = g_strdup(team);
 }
 
 struct ow_submission *world_service(const char *id, uint32_t replicas, double cpus)
 {
-    struct ow_submission *s = world_job(id, replicas, cpus);
-    s->kind = OW_KIND_SERVICE;
-    s->rank = OW_RANK_CRITICAL;
-    s->estimate_s = 0;
-    s->spot = false;
-    return s;
+    struct ow_submission *submission = world_job(id, replicas, cpus);
+    submission->kind = OW_KIND_SERVICE;
+    submission->rank = OW_RANK_CRITICAL;
+    submission->estimate_s = 0;
+    submission->spot = false;
+    return submission;
 }
 
 struct ow_submission *world_gang(const char *id, uint32_t tasks, double cpus)
 {
-    struct ow_submission *s = world_job(id, tasks, cpus);
-    s->gang = true;
-    s->kind = OW_KIND_GANG;
-    return s;
+    struct ow_submission *submission = world_job(id, tasks, cpus);
+    submission->gang = true;
+    submission->kind = OW_KIND_GANG;
+    return submission;
 }
 
 /* ---- controllers ---- */
@@ -314,42 +315,42 @@
         if (i == from || w->cores[i] == NULL || w->peers_cut || i == w->isolated_controller ||
             from == w->isolated_controller)
             continue;
-        struct ow_event *c = world_command(OW_EVENT_PEER, 0);
-        assert_true(wire_peer_decode(frame->str + 4, frame->len - 4, &c->peer));
-        assert_non_null(c->peer);
-        /* An earlier version says its format, and has no notion of other versions. */
+        struct ow_event *event = world_command(OW_EVENT_PEER, 0);
+        assert_true(wire_peer_decode(frame->str + 4, frame->len - 4, &event->peer));
+        assert_non_null(event->peer);
+        /* An earlier version sends its format, and does not know of other versions. */
         if (w->old_controller[from])
-            c->peer->version = OW_FORMAT_FIRST;
+            event->peer->version = OW_FORMAT_FIRST;
         if (w->old_controller[i])
-            c->peer->version = 0;
-        world_deliver(w, i, w->controller_nonce[i], 0.01, c);
+            event->peer->version = 0;
+        world_deliver(w, i, w->controller_nonce[i], 0.01, event);
     }
     g_string_free(frame, TRUE);
 }
 
-static void carry_out(struct world *w, int controller, struct ow_effect *e)
+static void carry_out(struct world *w, int controller, struct ow_effect *effect)
 {
-    switch (e->kind) {
+    switch (effect->kind) {
     case OW_EFFECT_JOB:
     case OW_EFFECT_REFUSE:
     case OW_EFFECT_TEAMS:
-        take_answer(w, e);
+        take_answer(w, effect);
         break;
     case OW_EFFECT_WORKER_COMMANDS:
     case OW_EFFECT_MISDIRECT:
-        world_workers_take_answer(w, controller, e);
+        world_workers_take_answer(w, controller, effect);
         break;
     case OW_EFFECT_DIRECT:
-        world_workers_take_direct(w, controller, e);
+        world_workers_take_direct(w, controller, effect);
         break;
     case OW_EFFECT_STORE:
-        world_state_take(w, controller, e);
+        world_state_take(w, controller, effect);
         break;
     case OW_EFFECT_CLOUD:
-        world_cloud_take(w, controller, e->cloud);
+        world_cloud_take(w, controller, effect->cloud);
         break;
     case OW_EFFECT_PEER:
-        send_peers(w, controller, e->peer);
+        send_peers(w, controller, effect->peer);
         break;
     }
 }
@@ -362,10 +363,10 @@
 
 void world_lose_link(struct world *w, int controller, int lost)
 {
-    struct ow_event *c = world_command(OW_EVENT_PEER, 0);
-    c->peer = ow_peer_message_new(OW_PEER_LINK_LOST);
-    c->peer->sender = g_strdup(w->settings[lost].controller_name);
-    world_deliver(w, controller, w->controller_nonce[controller], 0.01, c);
+    struct ow_event *event = world_command(OW_EVENT_PEER, 0);
+    event->peer = ow_peer_message_new(OW_PEER_LINK_LOST);
+    event->peer->sender = g_strdup(w->settings[lost].controller_name);
+    world_deliver(w, controller, w->controller_nonce[controller], 0.01, event);
 }
 
 void world_kill_controller(struct world *w, int controller)
@@ -378,17 +379,17 @@
 {
     guint kept = 0;
     for (guint i = 0; i < w->queue->len; i++) {
-        struct delivery *d = g_ptr_array_index(w->queue, i);
-        if (d->at > w->now) {
-            g_ptr_array_index(w->queue, kept++) = d;
+        struct delivery *delivery = g_ptr_array_index(w->queue, i);
+        if (delivery->at > w->now) {
+            g_ptr_array_index(w->queue, kept++) = delivery;
             continue;
         }
-        if (w->cores[d->controller] != NULL &&
-            (d->nonce == 0 || d->nonce == w->controller_nonce[d->controller]))
-            ow_core_push(w->cores[d->controller], d->event);
+        if (w->cores[delivery->controller] != NULL &&
+            (delivery->nonce == 0 || delivery->nonce == w->controller_nonce[delivery->controller]))
+            ow_core_push(w->cores[delivery->controller], delivery->event);
         else
-            ow_event_free(d->event);
-        g_free(d);
+            ow_event_free(delivery->event);
+        g_free(delivery);
     }
     g_ptr_array_set_size(w->queue, (gint)kept);
 }
@@ -444,10 +445,10 @@
 {
     unsigned count = 0;
     for (guint i = 0; i < w->machines->len; i++) {
-        const struct world_machine *m = g_ptr_array_index(w->machines, i);
-        for (guint k = 0; !m->gone && k < m->tasks->len; k++) {
-            const struct world_task *t = &g_array_index(m->tasks, struct world_task, k);
-            count += t->phase != OW_PHASE_EXITED && strcmp(t->job, job) == 0 ? 1 : 0;
+        const struct world_machine *machine = g_ptr_array_index(w->machines, i);
+        for (guint k = 0; !machine->gone && k < machine->tasks->len; k++) {
+            const struct world_task *task = &g_array_index(machine->tasks, struct world_task, k);
+            count += task->phase != OW_PHASE_EXITED && strcmp(task->job, job) == 0 ? 1 : 0;
         }
     }
     return count;
@@ -500,11 +501,11 @@
 struct world_machine *world_where(struct world *w, const char *job)
 {
     for (guint i = 0; i < w->machines->len; i++) {
-        struct world_machine *m = g_ptr_array_index(w->machines, i);
-        for (guint k = 0; !m->gone && k < m->tasks->len; k++) {
-            const struct world_task *t = &g_array_index(m->tasks, struct world_task, k);
-            if (strcmp(t->job, job) == 0 && t->phase != OW_PHASE_EXITED)
-                return m;
+        struct world_machine *machine = g_ptr_array_index(w->machines, i);
+        for (guint k = 0; !machine->gone && k < machine->tasks->len; k++) {
+            const struct world_task *task = &g_array_index(machine->tasks, struct world_task, k);
+            if (strcmp(task->job, job) == 0 && task->phase != OW_PHASE_EXITED)
+                return machine;
         }
     }
     return NULL;
--- a/tests/world.h
+++ b/tests/world.h
@@ -131,13 +131,13 @@
 
 /* Requests of users to a controller; the answer comes while the world runs. */
 /* A report that comes late or is made up, to a controller. */
-void world_report(struct world *w, int controller, const struct world_machine *m, uint64_t seq,
+void world_report(struct world *w, int controller, const struct world_machine *machine, uint64_t seq,
                   uint64_t token);
 /* What the machine reported last, or would have: to be sent later as a copy, which takes it over. */
-struct ow_report *world_last_report(const struct world_machine *m);
+struct ow_report *world_last_report(const struct world_machine *machine);
 void world_send_copy(struct world *w, int controller, struct ow_report *report);
 /* The worker starts over with nothing: its numbers begin anew. */
-void world_reboot(struct world *w, struct world_machine *m);
+void world_reboot(struct world *w, struct world_machine *machine);
 uint64_t world_submit(struct world *w, int controller, struct ow_submission *submission);
 /* A submission of which nothing but the id can be read. */
 uint64_t world_submit_malformed(struct world *w, int controller, const char *id);
--- a/tests/world_cloud.c
+++ b/tests/world_cloud.c
@@ -7,14 +7,14 @@
 
 static void add_type(GArray *types, const char *name, double cpus, double gpus)
 {
-    struct ow_machine_type t = {.name = g_strdup(name),
-                                .size = {cpus, gpus, 64},
-                                .cache_gb = 100,
-                                .fetch_gb_per_s = 1,
-                                .price = 2,
-                                .spot_price = 1,
-                                .boot_s = 5};
-    g_array_append_val(types, t);
+    struct ow_machine_type type = {.name = g_strdup(name),
+                                   .size = {cpus, gpus, 64},
+                                   .cache_gb = 100,
+                                   .fetch_gb_per_s = 1,
+                                   .price = 2,
+                                   .spot_price = 1,
+                                   .boot_s = 5};
+    g_array_append_val(types, type);
 }
 
 static GArray *machine_types(void)
@@ -34,35 +34,36 @@
     bool begun = after == NULL;
     *more = false;
     for (guint i = 0; i < w->machines->len && !*more; i++) {
-        const struct world_machine *m = g_ptr_array_index(w->machines, i);
+        const struct world_machine *machine = g_ptr_array_index(w->machines, i);
         if (!begun) {
-            begun = strcmp(m->name, after) == 0;
+            begun = strcmp(machine->name, after) == 0;
             continue;
         }
         *more = list->len == PAGE_MACHINES;
-        struct ow_listed_machine l = {g_strdup(m->name),
-                                      g_strdup(m->addr),
-                                      g_strdup(m->type),
-                                      g_strdup(m->zone),
-                                      m->spot,
-                                      w->now < m->up_at ? OW_LISTED_BOOTING : OW_LISTED_RUNNING,
-                                      10};
-        if (m->gone || *more)
-            ow_listed_machine_clear(&l);
+        struct ow_listed_machine listed = {g_strdup(machine->name),
+                                           g_strdup(machine->addr),
+                                           g_strdup(machine->type),
+                                           g_strdup(machine->zone),
+                                           machine->spot,
+                                           w->now < machine->up_at ? OW_LISTED_BOOTING : OW_LISTED_RUNNING,
+                                           10};
+        if (machine->gone || *more)
+            ow_listed_machine_clear(&listed);
         else
-            g_array_append_val(list, l);
+            g_array_append_val(list, listed);
     }
     return list;
 }
 
-static void rent(struct world *w, const struct ow_cloud_request *r, struct ow_cloud_reply *reply)
+static void rent(struct world *w, const struct ow_cloud_request *request, struct ow_cloud_reply *reply)
 {
     GPtrArray *names = g_ptr_array_new();
-    for (unsigned i = 0; i < r->count && w->capacity > 0; i++, w->capacity--) {
+    for (unsigned i = 0; i < request->count && w->capacity > 0; i++, w->capacity--) {
         char name[32];
         g_snprintf(name, sizeof name, "r-%03u", ++w->rented);
-        struct world_machine *m = world_add_machine(w, name, r->type, r->zone, r->spot);
-        m->up_at = m->renewed_at = w->now + 5;
+        struct world_machine *machine =
+            world_add_machine(w, name, request->type, request->zone, request->spot);
+        machine->up_at = machine->renewed_at = w->now + 5;
         g_ptr_array_add(names, g_strdup(name));
     }
     reply->status = names->len > 0 ? 200 : 503;
@@ -73,30 +74,30 @@
 static void delete_machines(struct world *w, const GPtrArray *names)
 {
     for (guint i = 0; i < names->len; i++) {
-        struct world_machine *m = world_machine(w, g_ptr_array_index(names, i));
-        if (m == NULL)
+        struct world_machine *machine = world_machine(w, g_ptr_array_index(names, i));
+        if (machine == NULL)
             continue;
-        m->gone = true;
-        g_array_set_size(m->tasks, 0);
+        machine->gone = true;
+        g_array_set_size(machine->tasks, 0);
     }
 }
 
-void world_cloud_take(struct world *w, int controller, const struct ow_cloud_request *r)
+void world_cloud_take(struct world *w, int controller, const struct ow_cloud_request *request)
 {
-    struct ow_event *c = world_command(OW_EVENT_CLOUD, r->tag);
-    c->cloud.status = w->cloud_down ? 503 : 200;
+    struct ow_event *event = world_command(OW_EVENT_CLOUD, request->tag);
+    event->cloud.status = w->cloud_down ? 503 : 200;
     w->cloud_calls++;
     if (w->cloud_down) {
-        world_deliver(w, controller, w->controller_nonce[controller], 0.1, c);
+        world_deliver(w, controller, w->controller_nonce[controller], 0.1, event);
         return;
     }
-    if (r->op == OW_CLOUD_TYPES)
-        c->cloud.types = machine_types();
-    else if (r->op == OW_CLOUD_LIST)
-        c->cloud.listed = list_machines(w, r->after, &c->cloud.more);
-    else if (r->op == OW_CLOUD_RENT)
-        rent(w, r, &c->cloud);
+    if (request->op == OW_CLOUD_TYPES)
+        event->cloud.types = machine_types();
+    else if (request->op == OW_CLOUD_LIST)
+        event->cloud.listed = list_machines(w, request->after, &event->cloud.more);
+    else if (request->op == OW_CLOUD_RENT)
+        rent(w, request, &event->cloud);
     else
-        delete_machines(w, r->machines);
-    world_deliver(w, controller, w->controller_nonce[controller], 0.1, c);
+        delete_machines(w, request->machines);
+    world_deliver(w, controller, w->controller_nonce[controller], 0.1, event);
 }
--- a/tests/world_parts.h
+++ b/tests/world_parts.h
@@ -5,24 +5,24 @@
 #include "world.h"
 
 /* world.c */
-void world_deliver(struct world *w, int controller, uint64_t nonce, double after_s, struct ow_event *c);
+void world_deliver(struct world *w, int controller, uint64_t nonce, double after_s, struct ow_event *event);
 struct ow_event *world_command(enum ow_event_kind kind, uint64_t request);
 
 /* world_state.c */
 void world_state_init(struct world *w);
 void world_state_clear(struct world *w);
-void world_state_take(struct world *w, int controller, struct ow_effect *e);
+void world_state_take(struct world *w, int controller, struct ow_effect *effect);
 void world_state_step(struct world *w);
 
 /* world_workers.c */
 void world_workers_init(struct world *w);
 void world_workers_clear(struct world *w);
 void world_workers_step(struct world *w);
-struct ow_report *world_make_report(struct world_machine *m);
-void world_workers_take_direct(struct world *w, int controller, struct ow_effect *e);
-void world_workers_take_answer(struct world *w, int controller, const struct ow_effect *e);
+struct ow_report *world_make_report(struct world_machine *machine);
+void world_workers_take_direct(struct world *w, int controller, struct ow_effect *effect);
+void world_workers_take_answer(struct world *w, int controller, const struct ow_effect *effect);
 
 /* world_cloud.c */
-void world_cloud_take(struct world *w, int controller, const struct ow_cloud_request *r);
+void world_cloud_take(struct world *w, int controller, const struct ow_cloud_request *request);
 
 #endif
