--- a/tests/world_state.c
+++ b/tests/world_state.c
@@ -35,22 +35,22 @@
 
 static void value_free(void *item)
 {
-    struct world_value *v = item;
-    g_free(v->text);
-    g_free(v);
+    struct world_value *value = item;
+    g_free(value->text);
+    g_free(value);
 }
 
 static void event_clear(void *item)
 {
-    struct world_event *e = item;
-    g_free(e->key);
-    g_free(e->text);
+    struct world_event *change = item;
+    g_free(change->key);
+    g_free(change->text);
 }
 
-static void free_follow(struct follow *f)
+static void free_follow(struct follow *follow)
 {
-    g_free(f->prefix);
-    g_free(f);
+    g_free(follow->prefix);
+    g_free(follow);
 }
 
 void world_state_init(struct world *w)
@@ -67,9 +67,9 @@
 void world_state_clear(struct world *w)
 {
     for (guint i = 0; i < w->held->len; i++) {
-        struct held_txn *h = g_ptr_array_index(w->held, i);
-        ow_store_request_free(h->request);
-        g_free(h);
+        struct held_txn *held = g_ptr_array_index(w->held, i);
+        ow_store_request_free(held->request);
+        g_free(held);
     }
     for (guint i = 0; i < w->follows->len; i++)
         free_follow(g_ptr_array_index(w->follows, i));
@@ -82,8 +82,8 @@
 
 static void log_change(struct world *w, const char *key, const char *text)
 {
-    struct world_event e = {g_strdup(key), g_strdup(text), w->revision};
-    g_array_append_val(w->log, e);
+    struct world_event change = {g_strdup(key), g_strdup(text), w->revision};
+    g_array_append_val(w->log, change);
 }
 
 static void item_clear(void *item)
@@ -115,24 +115,24 @@
 static void answer_page(struct world *w, int controller, uint64_t nonce, uint64_t tag, GArray *items,
                         bool more)
 {
-    struct ow_event *c = world_command(OW_EVENT_STORE, tag);
-    c->store = (struct ow_store_reply){tag, 200, w->revision, 0, more, items, NULL};
-    world_deliver(w, controller, nonce, answer_time(w, controller), c);
+    struct ow_event *event = world_command(OW_EVENT_STORE, tag);
+    event->store = (struct ow_store_reply){tag, 200, w->revision, 0, more, items, NULL};
+    world_deliver(w, controller, nonce, answer_time(w, controller), event);
 }
 
 static void answer_store(struct world *w, int controller, uint64_t nonce, uint64_t tag, int status,
                          GArray *items, uint64_t lease, char **failed)
 {
-    struct ow_event *c = world_command(OW_EVENT_STORE, tag);
-    c->store = (struct ow_store_reply){
+    struct ow_event *event = world_command(OW_EVENT_STORE, tag);
+    event->store = (struct ow_store_reply){
         tag, status, w->revision, lease, false, items != NULL ? items : new_items(), failed};
-    world_deliver(w, controller, nonce, answer_time(w, controller), c);
+    world_deliver(w, controller, nonce, answer_time(w, controller), event);
 }
 
 static uint64_t version_of(struct world *w, const char *key)
 {
-    const struct world_value *v = g_hash_table_lookup(w->keys, key);
-    return v != NULL ? v->version : 0;
+    const struct world_value *value = g_hash_table_lookup(w->keys, key);
+    return value != NULL ? value->version : 0;
 }
 
 static bool lease_alive(struct world *w, uint64_t lease)
@@ -147,21 +147,20 @@
         g_hash_table_remove(w->keys, change->key);
         return;
     }
-    struct world_value *v = g_new0(struct world_value, 1);
-    *v = (struct world_value){g_strdup(change->value), w->revision, change->lease};
-    g_hash_table_replace(w->keys, g_strdup(change->key), v);
+    struct world_value *value = g_new0(struct world_value, 1);
+    *value = (struct world_value){g_strdup(change->value), w->revision, change->lease};
+    g_hash_table_replace(w->keys, g_strdup(change->key), value);
 }
 
-/* What a controller of the first format would drop when it rewrites the value: names of records in finer
- * chunks. */
-static void check_format(struct world *w, const struct ow_change *c)
+/* Records in finer chunks, which a controller of the first format would drop when it rewrites the value. */
+static void check_format(struct world *w, const struct ow_change *change)
 {
     bool old = false;
     for (int i = 0; i < WORLD_CONTROLLERS; i++)
         old = old || w->old_controller[i];
-    if (!old || c->value == NULL || !g_str_has_prefix(c->key, OW_KEY_PROGRESS))
+    if (!old || change->value == NULL || !g_str_has_prefix(change->key, OW_KEY_PROGRESS))
         return;
-    json_t *record_value = json_loads(c->value, 0, NULL);
+    json_t *record_value = json_loads(change->value, 0, NULL);
     const char *name;
     json_t *record;
     json_object_foreach(record_value, name, record)
@@ -173,17 +172,17 @@
 }
 
 /* The status of the transaction, carried out if it is 200. */
-static int apply_txn(struct world *w, const struct ow_store_request *r, char ***failed)
+static int apply_txn(struct world *w, const struct ow_store_request *request, char ***failed)
 {
     GPtrArray *bad = g_ptr_array_new();
-    bool large = r->changes->len > w->txn_ops || r->conditions->len > 4 * w->txn_ops;
-    for (guint i = 0; i < r->conditions->len; i++) {
-        const struct ow_condition *c = &g_array_index(r->conditions, struct ow_condition, i);
+    bool large = request->changes->len > w->txn_ops || request->conditions->len > 4 * w->txn_ops;
+    for (guint i = 0; i < request->conditions->len; i++) {
+        const struct ow_condition *c = &g_array_index(request->conditions, struct ow_condition, i);
         if (version_of(w, c->key) != c->version)
             g_ptr_array_add(bad, g_strdup(c->key));
     }
-    for (guint i = 0; i < r->changes->len; i++) {
-        const struct ow_change *c = &g_array_index(r->changes, struct ow_change, i);
+    for (guint i = 0; i < request->changes->len; i++) {
+        const struct ow_change *c = &g_array_index(request->changes, struct ow_change, i);
         large = large || (c->value != NULL && strlen(c->value) > 1024 * w->value_kb);
         check_format(w, c);
     }
@@ -193,29 +192,29 @@
     *failed = (char **)g_ptr_array_free(bad, FALSE);
     if (large)
         return 400;
-    for (guint i = 0; ok && i < r->changes->len; i++)
-        if (!lease_alive(w, g_array_index(r->changes, struct ow_change, i).lease))
+    for (guint i = 0; ok && i < request->changes->len; i++)
+        if (!lease_alive(w, g_array_index(request->changes, struct ow_change, i).lease))
             return 400;
     if (!ok)
         return 409;
     w->revision++;
-    for (guint i = 0; i < r->changes->len; i++)
-        put(w, &g_array_index(r->changes, struct ow_change, i));
+    for (guint i = 0; i < request->changes->len; i++)
+        put(w, &g_array_index(request->changes, struct ow_change, i));
     return 200;
 }
 
-static void do_txn(struct world *w, int controller, uint64_t nonce, const struct ow_store_request *r)
+static void do_txn(struct world *w, int controller, uint64_t nonce, const struct ow_store_request *request)
 {
     char **failed = NULL;
-    int status = apply_txn(w, r, &failed);
+    int status = apply_txn(w, request, &failed);
     w->txns++;
     if (status != 409)
         g_clear_pointer(&failed, g_strfreev);
     if (w->lose_txn_answers) {
         g_strfreev(failed);
-        answer_store(w, controller, nonce, r->tag, 0, NULL, 0, NULL);
+        answer_store(w, controller, nonce, request->tag, 0, NULL, 0, NULL);
     } else {
-        answer_store(w, controller, nonce, r->tag, status, NULL, 0, failed);
+        answer_store(w, controller, nonce, request->tag, status, NULL, 0, failed);
     }
 }
 
@@ -225,7 +224,7 @@
 }
 
 /* A page of the list: so many items, and so many bytes. */
-static void do_list(struct world *w, int controller, uint64_t nonce, const struct ow_store_request *r)
+static void do_list(struct world *w, int controller, uint64_t nonce, const struct ow_store_request *request)
 {
     GPtrArray *keys = g_ptr_array_new();
     GArray *items = new_items();
@@ -234,15 +233,16 @@
     size_t bytes = 0;
     g_hash_table_iter_init(&iter, w->keys);
     while (g_hash_table_iter_next(&iter, &key, NULL))
-        if (g_str_has_prefix(key, r->key) && (r->after == NULL || strcmp(key, r->after) > 0))
+        if (g_str_has_prefix(key, request->key) &&
+            (request->after == NULL || strcmp(key, request->after) > 0))
             g_ptr_array_add(keys, key);
     g_ptr_array_sort(keys, by_key);
     while (items->len < keys->len && items->len < PAGE_ITEMS && bytes < PAGE_BYTES) {
-        const struct world_value *v = g_hash_table_lookup(w->keys, g_ptr_array_index(keys, items->len));
-        bytes += strlen(v->text);
-        add_item(items, g_ptr_array_index(keys, items->len), v->text, v->version);
+        const struct world_value *value = g_hash_table_lookup(w->keys, g_ptr_array_index(keys, items->len));
+        bytes += strlen(value->text);
+        add_item(items, g_ptr_array_index(keys, items->len), value->text, value->version);
     }
-    answer_page(w, controller, nonce, r->tag, items, items->len < keys->len);
+    answer_page(w, controller, nonce, request->tag, items, items->len < keys->len);
     g_ptr_array_free(keys, TRUE);
 }
 
@@ -253,96 +253,97 @@
     while (first > 0 && g_array_index(w->log, struct world_event, first - 1).version > since)
         first--;
     for (guint i = first; i < w->log->len; i++) {
-        const struct world_event *e = &g_array_index(w->log, struct world_event, i);
-        if (g_str_has_prefix(e->key, prefix))
-            add_item(items, e->key, e->text, e->version);
+        const struct world_event *change = &g_array_index(w->log, struct world_event, i);
+        if (g_str_has_prefix(change->key, prefix))
+            add_item(items, change->key, change->text, change->version);
     }
     return items;
 }
 
-static void do_follow(struct world *w, int controller, uint64_t nonce, const struct ow_store_request *r)
+static void do_follow(struct world *w, int controller, uint64_t nonce, const struct ow_store_request *request)
 {
-    GArray *items = changes_since(w, r->key, r->number);
-    if (items->len > 0 || r->seconds <= 0) {
-        answer_store(w, controller, nonce, r->tag, 200, items, 0, NULL);
+    GArray *items = changes_since(w, request->key, request->number);
+    if (items->len > 0 || request->seconds <= 0) {
+        answer_store(w, controller, nonce, request->tag, 200, items, 0, NULL);
         return;
     }
     g_array_free(items, TRUE);
-    struct follow *f = g_new0(struct follow, 1);
-    *f = (struct follow){controller, nonce, r->tag, r->number, g_strdup(r->key), w->now + r->seconds};
-    g_ptr_array_add(w->follows, f);
+    struct follow *follow = g_new0(struct follow, 1);
+    *follow = (struct follow){
+        controller, nonce, request->tag, request->number, g_strdup(request->key), w->now + request->seconds};
+    g_ptr_array_add(w->follows, follow);
 }
 
-static void do_lease(struct world *w, int controller, uint64_t nonce, const struct ow_store_request *r)
+static void do_lease(struct world *w, int controller, uint64_t nonce, const struct ow_store_request *request)
 {
     uint64_t *id = g_new(uint64_t, 1);
     double *until = g_new(double, 1);
     *id = ++w->last_lease;
-    *until = w->now + r->seconds;
+    *until = w->now + request->seconds;
     g_hash_table_replace(w->leases, id, until);
-    answer_store(w, controller, nonce, r->tag, 200, NULL, *id, NULL);
+    answer_store(w, controller, nonce, request->tag, 200, NULL, *id, NULL);
 }
 
-static void do_renew(struct world *w, int controller, uint64_t nonce, const struct ow_store_request *r)
+static void do_renew(struct world *w, int controller, uint64_t nonce, const struct ow_store_request *request)
 {
-    double *until = g_hash_table_lookup(w->leases, &r->number);
+    double *until = g_hash_table_lookup(w->leases, &request->number);
     if (until != NULL)
         *until = w->now + w->rules.leader_lease_s;
-    answer_store(w, controller, nonce, r->tag, until != NULL ? 200 : 404, NULL, 0, NULL);
+    answer_store(w, controller, nonce, request->tag, until != NULL ? 200 : 404, NULL, 0, NULL);
 }
 
-static void do_get(struct world *w, int controller, uint64_t nonce, const struct ow_store_request *r)
+static void do_get(struct world *w, int controller, uint64_t nonce, const struct ow_store_request *request)
 {
-    const struct world_value *v = g_hash_table_lookup(w->keys, r->key);
+    const struct world_value *value = g_hash_table_lookup(w->keys, request->key);
     GArray *items = new_items();
-    if (v != NULL)
-        add_item(items, r->key, v->text, v->version);
-    answer_store(w, controller, nonce, r->tag, v != NULL ? 200 : 404, items, 0, NULL);
+    if (value != NULL)
+        add_item(items, request->key, value->text, value->version);
+    answer_store(w, controller, nonce, request->tag, value != NULL ? 200 : 404, items, 0, NULL);
 }
 
-void world_state_take(struct world *w, int controller, struct ow_effect *e)
+void world_state_take(struct world *w, int controller, struct ow_effect *effect)
 {
-    const struct ow_store_request *r = e->store;
+    const struct ow_store_request *request = effect->store;
     uint64_t nonce = w->controller_nonce[controller];
     w->state_requests++;
-    w->state_changes += r->changes != NULL ? r->changes->len : 0;
+    w->state_changes += request->changes != NULL ? request->changes->len : 0;
     if (controller == w->isolated_controller) {
-        struct ow_event *c = world_command(OW_EVENT_STORE, r->tag);
-        c->store = (struct ow_store_reply){.tag = r->tag, .items = new_items()};
-        world_deliver(w, controller, nonce, 1.5, c);
+        struct ow_event *event = world_command(OW_EVENT_STORE, request->tag);
+        event->store = (struct ow_store_reply){.tag = request->tag, .items = new_items()};
+        world_deliver(w, controller, nonce, 1.5, event);
         return;
     }
     if (w->state_down || controller == w->denied_controller) {
-        answer_store(w, controller, nonce, r->tag, 503, NULL, 0, NULL);
+        answer_store(w, controller, nonce, request->tag, 503, NULL, 0, NULL);
         return;
     }
-    switch (r->op) {
+    switch (request->op) {
     case OW_STORE_TXN: {
         bool next = w->hold_next > 0 && controller == w->hold_controller;
         if (w->hold_txns || next) {
             w->hold_next -= next ? 1 : 0;
-            struct held_txn *h = g_new0(struct held_txn, 1);
-            *h = (struct held_txn){controller, nonce, g_steal_pointer(&e->store), w->now + 1.5};
-            g_ptr_array_add(w->held, h);
+            struct held_txn *held = g_new0(struct held_txn, 1);
+            *held = (struct held_txn){controller, nonce, g_steal_pointer(&effect->store), w->now + 1.5};
+            g_ptr_array_add(w->held, held);
             return;
         }
-        do_txn(w, controller, nonce, r);
+        do_txn(w, controller, nonce, request);
         return;
     }
     case OW_STORE_LIST:
-        do_list(w, controller, nonce, r);
+        do_list(w, controller, nonce, request);
         return;
     case OW_STORE_WATCH:
-        do_follow(w, controller, nonce, r);
+        do_follow(w, controller, nonce, request);
         return;
     case OW_STORE_LEASE:
-        do_lease(w, controller, nonce, r);
+        do_lease(w, controller, nonce, request);
         return;
     case OW_STORE_RENEW:
-        do_renew(w, controller, nonce, r);
+        do_renew(w, controller, nonce, request);
         return;
     case OW_STORE_GET:
-        do_get(w, controller, nonce, r);
+        do_get(w, controller, nonce, request);
         return;
     }
 }
@@ -378,44 +379,44 @@
     while (w->state_down && g_hash_table_iter_next(&iter, &id, &until))
         *(double *)until = w->now + w->rules.leader_lease_s;
     for (guint i = w->held->len; i > 0; i--) {
-        struct held_txn *h = g_ptr_array_index(w->held, i - 1);
-        /* The asker has given up; the transaction stays on its way. */
-        if (h->nonce != 0 && w->now > h->deadline) {
-            answer_store(w, h->controller, h->nonce, h->request->tag, 0, NULL, 0, NULL);
-            h->nonce = 0;
+        struct held_txn *held = g_ptr_array_index(w->held, i - 1);
+        /* The controller's request has timed out; the transaction stays in flight. */
+        if (held->nonce != 0 && w->now > held->deadline) {
+            answer_store(w, held->controller, held->nonce, held->request->tag, 0, NULL, 0, NULL);
+            held->nonce = 0;
         }
         if (w->hold_txns || w->keep_held)
             continue;
-        if (h->nonce != 0) {
-            do_txn(w, h->controller, h->nonce, h->request);
+        if (held->nonce != 0) {
+            do_txn(w, held->controller, held->nonce, held->request);
         } else {
             char **failed = NULL;
-            apply_txn(w, h->request, &failed);
+            apply_txn(w, held->request, &failed);
             g_strfreev(failed);
         }
-        ow_store_request_free(h->request);
-        g_free(h);
+        ow_store_request_free(held->request);
+        g_free(held);
         g_ptr_array_remove_index(w->held, i - 1);
     }
     for (guint i = w->follows->len; i > 0 && !w->state_down; i--) {
-        struct follow *f = g_ptr_array_index(w->follows, i - 1);
-        if (f->controller == w->isolated_controller || f->controller == w->denied_controller)
+        struct follow *follow = g_ptr_array_index(w->follows, i - 1);
+        if (follow->controller == w->isolated_controller || follow->controller == w->denied_controller)
             continue;
-        GArray *items = changes_since(w, f->prefix, f->since);
-        if ((items->len == 0 || w->silent_watches) && w->now < f->until) {
+        GArray *items = changes_since(w, follow->prefix, follow->since);
+        if ((items->len == 0 || w->silent_watches) && w->now < follow->until) {
             g_array_free(items, TRUE);
             continue;
         }
-        answer_store(w, f->controller, f->nonce, f->tag, 200, items, 0, NULL);
-        free_follow(f);
+        answer_store(w, follow->controller, follow->nonce, follow->tag, 200, items, 0, NULL);
+        free_follow(follow);
         g_ptr_array_remove_index_fast(w->follows, i - 1);
     }
 }
 
 const char *world_value_text(struct world *w, const char *key)
 {
-    const struct world_value *v = g_hash_table_lookup(w->keys, key);
-    return v != NULL ? v->text : NULL;
+    const struct world_value *value = g_hash_table_lookup(w->keys, key);
+    return value != NULL ? value->text : NULL;
 }
 
 char *world_progress(struct world *w, const char *name)
