--- a/tests/test_chaos.c
+++ b/tests/test_chaos.c
@@ -7,10 +7,10 @@
 
 enum { MACHINES = 6, JOBS = 14 };
 
+/* The state of one random run. */
 struct failures {
     struct world *w;
     GRand *rand;
-    double calm_at;
     bool cancelled[JOBS];
     GPtrArray *copies; /* struct ow_report, to be sent late */
 };
--- a/tests/test_fleet.c
+++ b/tests/test_fleet.c
@@ -62,7 +62,7 @@
     return submission;
 }
 
-/* Hands in jobs with numbers from `n` on; returns the next. */
+/* Submits jobs with numbers from `n` on; returns the next number. */
 static int hand_in(struct world *w, int n)
 {
     for (int i = 0; i < GANGS; i++, n++) {
@@ -117,7 +117,7 @@
 bool __real_ow_machine_is_usable(const struct ow_leader *leader, const struct ow_machine *m);
 bool __wrap_ow_machine_is_usable(const struct ow_leader *leader, const struct ow_machine *m);
 
-/* Every look at a machine begins with this question. */
+/* Every check of a machine begins with this call. */
 bool __wrap_ow_machine_is_usable(const struct ow_leader *leader, const struct ow_machine *m)
 {
     looks++;
@@ -161,7 +161,7 @@
     double since = w->now;
     w->state_requests = w->state_changes = w->cloud_calls = 0;
     assert_true(world_until(w, 240, all_jobs_done, &jobs));
-    /* Within what the services allow, with room to spare for users. */
+    /* Within the rate limits of the services, with a reserve for users. */
     double took = w->now - since;
     assert_true(w->state_requests < 0.5 * w->settings[0].state_rps * took);
     assert_true(w->state_changes < 0.8 * w->settings[0].state_write_rps * took);
--- a/tests/test_gangs.c
+++ b/tests/test_gangs.c
@@ -39,9 +39,9 @@
     assert_true(world_until(w, 10, world_some_running, "run-1"));
     world_run(w, 0.2);
     assert_int_equal(world_running(w, "run-1"), 2);
-    const struct world_task *a = &g_array_index(world_machine(w, "m-0")->tasks, struct world_task, 0);
-    const struct world_task *b = &g_array_index(world_machine(w, "m-1")->tasks, struct world_task, 0);
-    assert_true(a->attempt == b->attempt);
+    const struct world_task *first = &g_array_index(world_machine(w, "m-0")->tasks, struct world_task, 0);
+    const struct world_task *second = &g_array_index(world_machine(w, "m-1")->tasks, struct world_task, 0);
+    assert_true(first->attempt == second->attempt);
     world_finish(w);
 }
 
--- a/tests/test_http.c
+++ b/tests/test_http.c
@@ -1,4 +1,5 @@
-/* The HTTP parser: a table of good and bad messages, each fed whole and byte by byte, and random noise. */
+/* The HTTP parser: a table of valid and invalid messages, each fed whole and byte by byte, and random input.
+ */
 #include "check.h"
 #include "io/http_parse.h"
 
@@ -109,7 +110,8 @@
     ow_http_parser_clear(&p);
 }
 
-/* Pieces of good messages in wild order: the parser may say what it likes, but must stay in its bounds. */
+/* Pieces of valid messages in random order: any result is accepted, but the parser must stay within its
+ * buffers. */
 static void test_noise(void **state)
 {
     (void)state;
--- a/tests/test_records.c
+++ b/tests/test_records.c
@@ -1,4 +1,4 @@
-/* Our own records: what is written is read back, in small room. */
+/* Records in the state service: they survive encoding and decoding, and stay small. */
 #include "check.h"
 #include "core/rate_limiter.h"
 #include "core/api/job.h"
@@ -10,7 +10,7 @@
 
 #include <string.h>
 
-/* Bytes: a chunk of tasks has to stay well within what a value may hold. */
+/* Bytes: a chunk of tasks must stay well below the size limit of a value. */
 enum { VALUE_LIMIT = 8 * 1024 };
 
 static void add_live(GArray *live, uint32_t task, uint64_t attempt, const char *machine, uint64_t session)
@@ -56,7 +56,7 @@
     (void)state;
     struct ow_progress_record r = {UINT64_C(1) << 40, g_array_new(FALSE, FALSE, sizeof(uint32_t)),
                                    g_array_new(FALSE, FALSE, sizeof(struct ow_live_record))};
-    /* Every task on a machine of its own. */
+    /* Every task runs on a different machine. */
     for (uint32_t task = 99000; task < 99000 + OW_CHUNK_TASKS; task++) {
         char name[16];
         g_snprintf(name, sizeof name, "n-%06u", task);
@@ -92,7 +92,7 @@
     assert_non_null(ow_jobs_apply(jobs, "run-1", 5, OW_JOB_QUEUED, world_job("run-1", 1, 1), 0, 0));
     assert_int_equal(ow_jobs_open(jobs)->len, 1);
     assert_non_null(ow_jobs_apply(jobs, "run-1", 9, OW_JOB_DONE, NULL, 0, 0));
-    /* A list page read earlier arrives late: what is over must not come back to life. */
+    /* A list page that was read earlier arrives late: a job that has ended must stay ended. */
     assert_null(ow_jobs_apply(jobs, "run-1", 5, OW_JOB_QUEUED, world_job("run-1", 1, 1), 0, 0));
     assert_int_equal(ow_jobs_find(jobs, "run-1")->state, OW_JOB_DONE);
     assert_int_equal(ow_jobs_open(jobs)->len, 0);
--- a/tests/test_services.c
+++ b/tests/test_services.c
@@ -1,5 +1,5 @@
-/* Services: replicas run until their job is cancelled, apart from one another, and again elsewhere when they
- * end. */
+/* Services: replicas run on separate machines until their job is cancelled, and restart elsewhere when they
+ * exit. */
 #include "check.h"
 #include "world.h"
 
@@ -53,7 +53,7 @@
     world_finish(w);
 }
 
-/* However a replica ends, it runs again, and not where its result would end it at once. */
+/* A replica restarts however it exits, on a machine without the result of its last attempt. */
 static void test_exited_replica_restarts_on_another_machine(void **state)
 {
     (void)state;
@@ -71,8 +71,7 @@
     }
 }
 
-/* A machine that alone falls silent is returned for the sake of its replicas, long before its lease has run
- * out. */
+/* A single machine that stops reporting is deleted for its replicas, long before its lease expires. */
 static void test_replicas_of_a_dead_machine_restart_before_its_lease_expires(void **state)
 {
     (void)state;
@@ -84,7 +83,8 @@
     world_finish(w);
 }
 
-/* Many that are silent at once may be cut off: their replicas serve on, and nothing is returned. */
+/* Many machines that stop reporting at once may be partitioned: their replicas keep running, and none is
+ * deleted. */
 static void test_replicas_behind_a_partition_keep_running(void **state)
 {
     (void)state;
@@ -102,7 +102,8 @@
     world_finish(w);
 }
 
-/* A machine that will be taken: its replica moves while it still could serve, once there is a place for it.
+/* A spot machine is about to be reclaimed: its replica moves while it is still running, once there is a place
+ * for it.
  */
 static void test_replica_moves_off_a_preempted_spot_machine(void **state)
 {
@@ -127,7 +128,7 @@
     world_finish(w);
 }
 
-/* All machines are full of low work: some of it makes room at once. */
+/* All machines are full of work of low rank: some of it is preempted at once. */
 static void test_service_preempts_lower_rank(void **state)
 {
     (void)state;
@@ -154,16 +155,16 @@
     struct ow_submission *service = world_service("run-1", 4, 1), *large = world_service("run-2", 9, 1);
     service->spread = true;
     world_set_team(large, "tight");
-    uint64_t a = world_submit(w, 0, service), b = world_submit(w, 0, large);
+    uint64_t service_request = world_submit(w, 0, service), large_request = world_submit(w, 0, large);
     world_run(w, 8);
-    assert_int_equal(world_answer(w, a)->status, 201);
-    assert_int_equal(world_answer(w, b)->status, 422);
+    assert_int_equal(world_answer(w, service_request)->status, 201);
+    assert_int_equal(world_answer(w, large_request)->status, 422);
     assert_int_equal(world_running(w, "run-1"), 4);
     assert_int_equal(replicas_on(world_machine(w, "w-0"), "run-1"), 2);
     world_finish(w);
 }
 
-/* Leaders come and go: replicas run on, none twice. */
+/* Across leader changes replicas keep running, none twice. */
 static void test_services_survive_leader_changes(void **state)
 {
     (void)state;
@@ -193,7 +194,7 @@
     return count;
 }
 
-/* Every spot machine says each second how long it has left, and goes. */
+/* Every spot machine reports its remaining time each second until it is reclaimed. */
 static void take_spot_machines(struct world *w, int notice_s)
 {
     for (int left = notice_s; left > 0; left--) {
@@ -208,7 +209,7 @@
     }
 }
 
-/* The service's replicas stand on spot machines, one on each. */
+/* A service whose replicas run on spot machines, one on each. */
 static struct world *with_replicas_on_spot_machines(uint32_t replicas)
 {
     struct world *w = start_world(0);
@@ -227,8 +228,8 @@
     return w;
 }
 
-/* No other machine has the image. The replica is stopped before its machine goes all the same: proof that it
- * is gone would come long after. */
+/* No other machine has the image. The replica is still stopped before its machine is reclaimed: proof that it
+ * has ended would come much later. */
 static void test_replica_moves_to_a_machine_without_its_image(void **state)
 {
     (void)state;
@@ -242,7 +243,8 @@
     world_finish(w);
 }
 
-/* All machines of a service go at once, and soon: there is no time to move one replica after the other. */
+/* All machines of a service are reclaimed at once, and soon: there is no time to move the replicas one by
+ * one. */
 static void test_all_replicas_move_before_a_spot_reclaim(void **state)
 {
     (void)state;
@@ -261,7 +263,7 @@
     world_finish(w);
 }
 
-/* A job that may only run in the west, of a class of its own. */
+/* A job with its own class that may only run in the west zone. */
 static struct ow_submission *western_job(const char *id)
 {
     struct ow_submission *submission = world_job(id, 1, 1);
@@ -271,7 +273,7 @@
     return submission;
 }
 
-/* A replica that happens to run on a machine which fails what starts there would keep it rented for ever. */
+/* A replica that keeps running on a machine where every new task fails would keep it rented for ever. */
 static void test_replica_moves_off_a_faulty_machine(void **state)
 {
     (void)state;
@@ -283,7 +285,7 @@
     world_submit(w, 0, world_service("run-1", 3, 1));
     world_run(w, 6);
     assert_int_equal(replicas_on(faulty, "run-1"), 1);
-    /* The machine without a replica has the image and stays. */
+    /* The machine without a replica has the image and is not idle. */
     struct ow_submission *other = world_job("run-9", 3, 15);
     other->zone = g_strdup("east");
     world_submit(w, 0, other);
@@ -297,7 +299,7 @@
     world_finish(w);
 }
 
-/* Room was short, and two replicas share a machine. Once there is another one they part. */
+/* Capacity was short, and two replicas share a machine. Once there is another machine one of them moves. */
 static void test_replicas_separate_when_capacity_returns(void **state)
 {
     (void)state;
@@ -341,7 +343,7 @@
     world_finish(w);
 }
 
-/* A service is never through: that must not count as having waited too long. */
+/* A service never completes: its age must not count as waiting time. */
 static void test_old_service_is_preempted_by_more_urgent_work(void **state)
 {
     (void)state;
@@ -362,7 +364,7 @@
     world_finish(w);
 }
 
-/* Lower work makes room for replicas that must stay in one zone, too, and all of it there. */
+/* Replicas that must stay in one zone preempt work of lower rank too, all of it in that zone. */
 static void test_preemption_frees_capacity_in_one_zone(void **state)
 {
     (void)state;
@@ -383,7 +385,7 @@
     world_finish(w);
 }
 
-/* Where only half of the replicas may stand in a zone, no more than that is stopped for them there. */
+/* Only half of the replicas may run in one zone: no more than their share is preempted there. */
 static void test_preemption_respects_the_spread_limit(void **state)
 {
     (void)state;
@@ -411,15 +413,15 @@
     world_finish(w);
 }
 
-/* Whatever is on the machine is through with its time at hand. */
+/* Every task on the machine reaches the end of its phase now. */
 static void end_tasks(struct world *w, struct world_machine *machine)
 {
     for (guint i = 0; i < machine->tasks->len; i++)
         g_array_index(machine->tasks, struct world_task, i).phase_at = w->now;
 }
 
-/* Most machines fail whatever starts, for a while. A replica that serves all along shows that the service is
- * sound: the failures of the others don't add up to ever longer pauses. */
+/* On most machines every task fails for a while. A replica that keeps running shows that the service is
+ * healthy: the failures of the others don't lengthen its back-off. */
 static void test_failures_of_a_healthy_service_do_not_accumulate(void **state)
 {
     (void)state;
@@ -440,12 +442,12 @@
     for (guint k = 1; k < REPLICAS; k++)
         ((struct world_machine *)g_ptr_array_index(w->machines, k))->sick = false;
     world_run(w, 25);
-    /* One machine may still be kept from the service: the last that failed it, for a minute. */
+    /* One machine may still be excluded for the service: the last on which it failed, for a minute. */
     assert_in_range(world_running(w, "run-1"), REPLICAS - 1, REPLICAS);
     world_finish(w);
 }
 
-/* A job with a mistake fails wherever it goes; while it is paused its team is told so. */
+/* A faulty job fails on every machine; while it is paused, polls answer the reason. */
 static void test_paused_service_reports_its_reason(void **state)
 {
     (void)state;
--- a/tests/test_settings.c
+++ b/tests/test_settings.c
@@ -1,4 +1,4 @@
-/* Settings and the operators' own file: what is wrong is named. */
+/* Settings and the operators' file: each error names the faulty entry. */
 #include "check.h"
 #include "config/operators_file.h"
 #include "config/settings_file.h"
@@ -48,7 +48,7 @@
     assert_non_null(settings);
     assert_string_equal(settings->controller_name, "n-0");
     assert_int_equal(settings->peers->len, 1);
-    assert_int_equal(settings->objectives->len, 1); /* the one it does not know is passed over */
+    assert_int_equal(settings->objectives->len, 1); /* the unknown one is ignored */
     assert_true(g_array_index(settings->teams, struct ow_team_settings, 0).cpus_max == 4);
     assert_int_equal(settings->txn_ops, 8);
     ow_settings_free(settings);
@@ -126,7 +126,7 @@
         assert_false(load_operators(operator_faults[i].from, &rules, &fault));
         if (strstr(fault, operator_faults[i].named) == NULL)
             fail_msg("expected \"%s\", got \"%s\"", operator_faults[i].named, fault);
-        /* A file with a fault changes nothing. */
+        /* A file with an error changes nothing. */
         assert_memory_equal(&rules, &before, sizeof rules);
         g_free(fault);
     }
--- a/tests/test_sockets.c
+++ b/tests/test_sockets.c
@@ -11,7 +11,7 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-/* Chosen for each test: a fixed port would make two runs on one machine fail each other. */
+/* Chosen for each test: with a fixed port two runs on one machine would conflict. */
 static char endpoint[32];
 
 struct bench {
@@ -126,7 +126,7 @@
     close_bench(&b);
 }
 
-/* Raw bytes to the server; what it says in return, until it closes or falls silent. */
+/* Sends raw bytes to the server; returns its response up to the end of the connection or a pause. */
 static void say(struct bench *b, const char *bytes, char *answer, size_t size)
 {
     int fd = ow_net_connect(endpoint);
--- a/tests/test_store_core.c
+++ b/tests/test_store_core.c
@@ -216,11 +216,12 @@
     world_set_team(stranger, "strangers");
     gang->gang = true;
     gang->kind = OW_KIND_GANG;
-    uint64_t a = world_submit(w, 0, gang), b = world_submit(w, 0, array), c = world_submit(w, 0, stranger);
+    uint64_t gang_request = world_submit(w, 0, gang), array_request = world_submit(w, 0, array),
+             stranger_request = world_submit(w, 0, stranger);
     world_run(w, 0.5);
-    assert_int_equal(world_status(w, a), 422);
-    assert_int_equal(world_status(w, b), 201);
-    assert_int_equal(world_status(w, c), 422);
+    assert_int_equal(world_status(w, gang_request), 422);
+    assert_int_equal(world_status(w, array_request), 201);
+    assert_int_equal(world_status(w, stranger_request), 422);
     world_finish(w);
 }
 
--- a/tests/test_upgrade.c
+++ b/tests/test_upgrade.c
@@ -1,5 +1,5 @@
-/* Two versions side by side, and limits of the state service that fall. What production writes is read from
- * files that its own code made (fixtures/production). */
+/* Rolling upgrades from the production version, and falling limits of the state service. Production's own
+ * code wrote the files in fixtures/production. */
 #include "check.h"
 #include "world.h"
 
@@ -110,7 +110,7 @@
     ow_peer_message_free(message);
 }
 
-/* What is written while an old controller may be alive is, to the letter, what production writes. */
+/* While an old controller may be alive, records are written byte for byte as production writes them. */
 static void test_records_are_written_as_production_does(void **state)
 {
     (void)state;
@@ -152,7 +152,7 @@
     }
 }
 
-/* ---- side by side ---- */
+/* ---- mixed versions ----  */
 
 static void set_all_old(struct world *w, bool old)
 {
@@ -160,7 +160,7 @@
         w->old_controller[i] = old;
 }
 
-/* Limits to come are known to the new version alone. */
+/* Announces lower limits, which only the new version can read. */
 static void announce(struct world *w, double value_kb, unsigned txn_ops)
 {
     for (int i = 0; i < WORLD_CONTROLLERS; i++) {
@@ -190,7 +190,7 @@
     return w;
 }
 
-/* A spread array: each of its tasks on another machine than the next, so that its ranges don't join. */
+/* Submits an array whose consecutive tasks run on different machines, so that its ranges can't merge. */
 static void submit_spread(struct world *w, const char *id, uint32_t tasks)
 {
     world_submit(w, 0, world_job(id, tasks, 0.4));
@@ -204,7 +204,7 @@
     world_run(w, 4);
 }
 
-/* What runs now ends bit by bit, so that its progress has to be recorded again and again. */
+/* Running tasks end one after the other, so that progress is recorded repeatedly. */
 static void end_tasks_gradually(struct world *w, double within_s)
 {
     int ended = 0;
@@ -232,8 +232,8 @@
     return starts;
 }
 
-/* The whole way: three controllers, one after the other, then smaller values at a moment nobody announces.
-   What runs runs on, and is not started twice; what ends is recorded in values that fit. */
+/* A complete rolling upgrade: three controllers, one after the other, then smaller values without notice.
+ * Running tasks keep running and are not started twice; results are recorded in values that fit. */
 static void run_rolling_upgrade(double away_s, int crash)
 {
     struct world *w = world_of_old_controllers(6);
@@ -243,7 +243,7 @@
         upgrade(w, i, away_s);
         world_run(w, 4);
         if (crash == i) {
-            /* One that has not had its turn comes back old, and may lead. */
+            /* A controller that is not upgraded yet restarts with the old version, and may lead. */
             int controller = (i + 1) % WORLD_CONTROLLERS;
             world_kill_controller(w, controller);
             world_run(w, 1);
@@ -278,7 +278,7 @@
     }
 }
 
-/* Of two controllers that are up one has come back new: it leads before the other one's turn comes. */
+/* Of two running controllers one is upgraded: it takes over before the other is upgraded. */
 static void test_leadership_moves_to_the_new_version_once(void **state)
 {
     (void)state;
@@ -295,7 +295,7 @@
     world_finish(w);
 }
 
-/* A controller that comes back as the earlier version, or all of them, leave leadership where it is. */
+/* A controller that restarts with the old version does not change the leader. */
 static void test_old_version_does_not_regain_leadership(void **state)
 {
     (void)state;
@@ -313,7 +313,7 @@
     world_finish(w);
 }
 
-/* Records in larger chunks than fit are divided in steps: whenever the leader ends, none is lost. */
+/* Records in chunks that are too large are split in steps: none is lost whenever the leader crashes. */
 static void test_interrupted_record_split_loses_nothing(void **state)
 {
     (void)state;
@@ -354,7 +354,7 @@
     return largest;
 }
 
-/* What is stored larger than will be allowed is divided by whoever takes over, even if nothing of it changes.
+/* A new leader splits stored values above the announced limit, even if their records don't change.
  */
 static void test_oversized_values_are_split_after_a_takeover(void **state)
 {
@@ -376,7 +376,7 @@
     world_finish(w);
 }
 
-/* While one controller is of the first format nothing is written that it would drop, whoever leads. */
+/* While one controller knows only the first format, no leader writes what it would drop. */
 static void test_format_gate_stays_closed_beside_an_old_controller(void **state)
 {
     (void)state;
@@ -388,7 +388,7 @@
     world_submit(w, 0, world_job("run-1", 100, 0.4));
     world_run(w, 8);
     assert_null(world_value_text(w, OW_KEY_FORMAT));
-    /* Nor when it is away: it would come back old. */
+    /* Nor while it is down: it would restart with the old version. */
     world_kill_controller(w, 2);
     world_run(w, 20);
     assert_null(world_value_text(w, OW_KEY_FORMAT));
@@ -397,7 +397,7 @@
     world_finish(w);
 }
 
-/* Cancellations confirmed while the versions are mixed hold, whichever leads. */
+/* Cancellations confirmed with mixed versions hold under either version's leader. */
 static void test_cancellations_across_versions(void **state)
 {
     (void)state;
@@ -419,7 +419,7 @@
     }
 }
 
-/* ---- limits that nobody has announced ---- */
+/* ---- limits that fall without notice ---- */
 
 static void test_unannounced_lower_limits(void **state)
 {
@@ -433,14 +433,14 @@
     assert_true(world_until(w, 10, world_some_running, "run-2"));
     assert_true(world_until(w, 90, world_all_done, "run-1"));
     assert_true(world_until(w, 60, world_all_done, "run-2"));
-    /* Each refusal halves what is tried next; the same is never tried for ever. */
+    /* Each refusal halves the size of the next attempt, so that retries are bounded. */
     assert_true(w->too_large > 0 && w->too_large < 20);
     assert_string_equal(w->broken->str, "");
     world_free(w);
 }
 
-/* Transactions of many changes are refused for their number; what a single value may hold has not fallen so
- * far, and a job's own record still fits. */
+/* Transactions are refused for their number of changes; the limit of a single value has fallen less, and a
+ * job's own record still fits. */
 static void test_lower_txn_ops_does_not_lower_the_value_size(void **state)
 {
     (void)state;
@@ -469,8 +469,7 @@
     world_free(w);
 }
 
-/* The limit has fallen below a job's own record, without a word: its user hears at once that it can't be
- * taken.
+/* The limit has fallen below the size of a job's record, without notice: the submission is rejected at once.
  */
 static void test_submission_refused_by_the_state_service_is_rejected(void **state)
 {
--- a/tests/test_wire.c
+++ b/tests/test_wire.c
@@ -1,4 +1,5 @@
-/* Bodies of users, workers, cloud and peers: what is good is read whole, what is not is refused. */
+/* Messages of users, workers, the cloud and peers: valid ones are parsed completely, invalid ones are
+ * rejected. */
 #include "check.h"
 #include "wire/cloud_json.h"
 #include "wire/peer_xdr.h"
@@ -117,7 +118,7 @@
     const struct ow_task_report *t = &g_array_index(r->tasks, struct ow_task_report, 1);
     assert_true(t->task == 0 && t->phase == OW_PHASE_EXITED && t->cause == OW_CAUSE_STOPPED && t->saved);
     ow_report_free(r);
-    /* A task that can't be read must not look like one that is gone. */
+    /* A task that can't be parsed must not look like one that has ended. */
     char **parts = g_strsplit(report, "run-000398/0", 2);
     char *text = g_strjoinv("run-000398", parts);
     assert_null(wire_report_parse(text, strlen(text)));
@@ -215,7 +216,7 @@
     assert_int_equal(message->number, 9);
     assert_int_equal(message->version, 2);
     ow_peer_message_free(message);
-    /* A body that ends within the known fields is none. */
+    /* A message that ends within the known fields is invalid. */
     assert_false(wire_peer_decode("\0\0\0\1\0\0\0\3\0\0\0\4\0\0\0\0", 16, &message));
     assert_null(message);
 }
