--- a/tests/test_chaos.c
+++ b/tests/test_chaos.c
@@ -63,11 +63,10 @@
         machine->hangs = !machine->hangs;
         break;
     case 2:
-        machine->sick = !machine->sick;
+        machine->faulty = !machine->faulty;
         break;
     default:
-        machine->gone = true;
-        g_array_set_size(machine->tasks, 0);
+        world_delete_machine(machine);
         break;
     }
 }
@@ -107,7 +106,7 @@
         failures->w->isolated_controller = g_rand_int_range(failures->rand, -1, WORLD_CONTROLLERS);
         break;
     case 6:
-        failures->w->lonely_controller = g_rand_int_range(failures->rand, -1, WORLD_CONTROLLERS);
+        failures->w->workerless_controller = g_rand_int_range(failures->rand, -1, WORLD_CONTROLLERS);
         break;
     case 0:
         failures->w->state_down = !failures->w->state_down;
@@ -141,19 +140,17 @@
 static void end_failures(struct failures *failures)
 {
     struct world *w = failures->w;
-    w->isolated_controller = w->lonely_controller = w->denied_controller = -1;
+    w->isolated_controller = w->workerless_controller = w->denied_controller = -1;
     w->peers_cut = false;
     w->state_slow_s = 0;
     w->state_down = w->cloud_down = w->hold_txns = w->lose_txn_answers = w->hold_directs = false;
     for (guint i = 0; i < w->machines->len; i++) {
-        struct world_machine *machine = g_ptr_array_index(w->machines, i);
-        machine->cut = machine->hangs = machine->sick = machine->unresponsive = machine->stopped_reporting =
+        struct world_machine *machine = world_machine_at(w, i);
+        machine->cut = machine->hangs = machine->faulty = machine->unresponsive = machine->stopped_reporting =
             false;
         machine->only_controller = -1;
     }
-    for (int i = 0; i < WORLD_CONTROLLERS; i++)
-        if (w->cores[i] == NULL)
-            world_start_controller(w, i);
+    world_start_controllers(w);
 }
 
 static void job_id(char *id, size_t size, int i)
@@ -217,19 +214,19 @@
     double cpus = strcmp(machine->type, "big") == 0 ? 16 : 8;
     for (guint k = 0; k < machine->tasks->len; k++) {
         const struct world_task *task = &g_array_index(machine->tasks, struct world_task, k);
-        const struct world_wish *wish = g_hash_table_lookup(w->wishes, task->job);
-        cpus -= task->phase != OW_PHASE_EXITED ? wish->cpus : 0;
+        const struct world_requirements *requirements = g_hash_table_lookup(w->requirements, task->job);
+        cpus -= task->phase != OW_PHASE_EXITED ? requirements->cpus : 0;
     }
     return cpus;
 }
 
 /* Whether a machine that has been up for 10 s has room for the whole job. */
-static bool room_for(struct world *w, const struct world_wish *wish)
+static bool room_for(struct world *w, const struct world_requirements *requirements)
 {
     for (guint i = 0; i < w->machines->len; i++) {
-        const struct world_machine *machine = g_ptr_array_index(w->machines, i);
+        const struct world_machine *machine = world_machine_at(w, i);
         if (!machine->gone && w->now > machine->up_at + 10 &&
-            free_cpus(w, machine) >= wish->tasks * wish->cpus)
+            free_cpus(w, machine) >= requirements->tasks * requirements->cpus)
             return true;
     }
     return false;
@@ -244,9 +241,10 @@
         for (int i = 0; i < JOBS; i++) {
             char id[16];
             job_id(id, sizeof id, i);
-            const struct world_wish *wish = g_hash_table_lookup(failures->w->wishes, id);
+            const struct world_requirements *requirements =
+                g_hash_table_lookup(failures->w->requirements, id);
             bool waits = !failures->cancelled[i] && !world_all_done(failures->w, id) &&
-                         world_running(failures->w, id) == 0 && room_for(failures->w, wish);
+                         world_running(failures->w, id) == 0 && room_for(failures->w, requirements);
             waited[i] = waits ? waited[i] + 1 : 0;
             if (waited[i] >= 90)
                 fail_msg("seed %u: %s waits although a machine has room", seed, id);
@@ -264,8 +262,7 @@
     /* With every other seed the records need many values. */
     for (int i = 0; i < WORLD_CONTROLLERS && seed % 2 == 0; i++)
         w->settings[i].value_kb = w->value_kb = 0.5;
-    for (int i = 0; i < WORLD_CONTROLLERS; i++)
-        world_start_controller(w, i);
+    world_start_controllers(w);
     for (int i = 0; i < MACHINES; i++) {
         char name[16];
         g_snprintf(name, sizeof name, "m-%d", i);
@@ -294,8 +291,8 @@
         if (state != OW_JOB_DONE && !(state == OW_JOB_CANCELLED && failures.cancelled[i]))
             fail_msg("seed %u: %s ends as %d", seed, id, state);
     }
-    if (w->broken->len > 0 || w->too_large > 0)
-        fail_msg("seed %u: %s", seed, w->broken->str);
+    if (w->violations->len > 0 || w->too_large > 0)
+        fail_msg("seed %u: %s", seed, w->violations->str);
     g_ptr_array_free(failures.copies, TRUE);
     g_rand_free(failures.rand);
     world_free(w);
--- a/tests/test_fleet.c
+++ b/tests/test_fleet.c
@@ -29,8 +29,7 @@
     struct world *w = world_new();
     set_rates(w);
     w->capacity = MACHINES;
-    for (int i = 0; i < WORLD_CONTROLLERS; i++)
-        world_start_controller(w, i);
+    world_start_controllers(w);
     for (int i = 0; i < MACHINES; i++) {
         char name[16];
         g_snprintf(name, sizeof name, "m-%05d", i);
@@ -83,19 +82,16 @@
 
 static void restart_all(struct world *w)
 {
-    for (int i = 0; i < WORLD_CONTROLLERS; i++)
-        world_kill_controller(w, i);
+    world_kill_controllers(w);
     world_run(w, 8);
-    for (int i = 0; i < WORLD_CONTROLLERS; i++)
-        world_start_controller(w, i);
+    world_start_controllers(w);
 }
 
 static void lose_a_third(struct world *w)
 {
     for (guint i = 0; i < w->machines->len; i += 3) {
-        struct world_machine *machine = g_ptr_array_index(w->machines, i);
-        machine->gone = true;
-        g_array_set_size(machine->tasks, 0);
+        struct world_machine *machine = world_machine_at(w, i);
+        world_delete_machine(machine);
     }
 }
 
@@ -140,7 +136,7 @@
     world_run(w, 10);
     double machines = 0;
     for (guint i = 0; i < w->machines->len; i++)
-        machines += !((struct world_machine *)g_ptr_array_index(w->machines, i))->gone;
+        machines += !world_machine_at(w, i)->gone;
     assert_true(2 * machines > MACHINES);
     assert_true((double)looks / machines < LOOKS_MOST);
     world_finish(w);
--- a/tests/test_gangs.c
+++ b/tests/test_gangs.c
@@ -11,18 +11,20 @@
     return w;
 }
 
+static struct world *world_of_machines(int machines)
+{
+    struct world *w = start_world();
+    world_add_machines(w, machines);
+    world_run(w, 6);
+    return w;
+}
+
 static unsigned running_in(struct world *w, const char *job, const char *zone)
 {
     unsigned count = 0;
     for (guint i = 0; i < w->machines->len; i++) {
-        const struct world_machine *machine = g_ptr_array_index(w->machines, i);
-        for (guint k = 0; k < machine->tasks->len; k++) {
-            const struct world_task *task = &g_array_index(machine->tasks, struct world_task, k);
-            count += strcmp(machine->zone, zone) == 0 && task->phase != OW_PHASE_EXITED &&
-                             strcmp(task->job, job) == 0
-                         ? 1
-                         : 0;
-        }
+        const struct world_machine *machine = world_machine_at(w, i);
+        count += strcmp(machine->zone, zone) == 0 ? world_tasks_on(machine, job) : 0;
     }
     return count;
 }
@@ -35,8 +37,7 @@
     world_add_machine(w, "m-1", "big", "east", false);
     world_run(w, 3);
     w->run_s = 50;
-    world_submit(w, 0, world_gang("run-1", 2, 10));
-    assert_true(world_until(w, 10, world_some_running, "run-1"));
+    world_start_job(w, world_gang("run-1", 2, 10));
     world_run(w, 0.2);
     assert_int_equal(world_running(w, "run-1"), 2);
     const struct world_task *first = &g_array_index(world_machine(w, "m-0")->tasks, struct world_task, 0);
@@ -56,8 +57,7 @@
     w->cloud_down = false;
     world_run(w, 4);
     w->run_s = 20;
-    world_submit(w, 0, world_job("run-1", 1, 16)); /* fills one machine */
-    assert_true(world_until(w, 10, world_some_running, "run-1"));
+    world_start_job(w, world_job("run-1", 1, 16));  /* fills one machine */
     world_submit(w, 0, world_gang("run-2", 2, 16)); /* needs both */
     world_run(w, 1);
     w->run_s = 200;
@@ -80,8 +80,7 @@
     world_add_machine(w, "m-1", "big", "east", false);
     world_run(w, 6);
     w->run_s = 300;
-    world_submit(w, 0, world_job("run-1", 1, 16));
-    assert_true(world_until(w, 10, world_some_running, "run-1"));
+    world_start_job(w, world_job("run-1", 1, 16));
     world_submit(w, 0, world_gang("run-2", 2, 16));
     world_run(w, 1);
     world_submit(w, 0, world_job("run-3", 1, 4));
@@ -103,8 +102,7 @@
     w->run_s = 50;
     struct ow_submission *submission = world_gang("run-1", 2, 16);
     submission->one_zone = true;
-    world_submit(w, 0, submission);
-    assert_true(world_until(w, 10, world_some_running, "run-1"));
+    world_start_job(w, submission);
     world_run(w, 1);
     assert_int_equal(running_in(w, "run-1", "west"), 2);
     world_finish(w);
@@ -114,14 +112,11 @@
 static void test_one_zone_array_stays_in_its_zone(void **state)
 {
     (void)state;
-    struct world *w = start_world();
-    world_add_machine(w, "m-0", "big", "east", false);
-    world_run(w, 6);
+    struct world *w = world_of_machines(1);
     w->run_s = 30;
     struct ow_submission *submission = world_job("run-1", 3, 8);
     submission->one_zone = true;
-    world_submit(w, 0, submission);
-    assert_true(world_until(w, 10, world_some_running, "run-1"));
+    world_start_job(w, submission);
     world_add_machine(w, "m-1", "big", "west", false);
     world_run(w, 15);
     assert_int_equal(world_machine(w, "m-1")->starts, 0);
@@ -168,8 +163,7 @@
     submission->spot = false;
     submission->zone = g_strdup("east");
     submission->types = g_strsplit("big", ",", 0);
-    world_submit(w, 0, submission);
-    assert_true(world_until(w, 10, world_some_running, "run-1"));
+    world_start_job(w, submission);
     assert_int_equal(world_machine(w, "m-3")->starts, 1);
     world_finish(w);
 }
@@ -177,22 +171,18 @@
 static void test_urgent_gang_preempts_lower_rank(void **state)
 {
     (void)state;
-    struct world *w = start_world();
-    world_add_machine(w, "m-0", "big", "east", false);
-    world_run(w, 6);
+    struct world *w = world_of_machines(1);
     w->run_s = 300;
     struct ow_submission *low = world_job("run-1", 16, 1), *peer = world_gang("run-2", 1, 12),
                          *urgent = world_gang("run-3", 1, 12);
     low->rank = OW_RANK_LOW;
     peer->rank = OW_RANK_LOW;
     urgent->rank = OW_RANK_URGENT;
-    world_submit(w, 0, low);
-    assert_true(world_until(w, 10, world_some_running, "run-1"));
+    world_start_job(w, low);
     world_submit(w, 0, peer); /* equal rank: must not preempt */
     world_run(w, 5);
     assert_int_equal(world_running(w, "run-1"), 16);
-    world_submit(w, 0, urgent);
-    assert_true(world_until(w, 10, world_some_running, "run-3"));
+    world_start_job(w, urgent);
     assert_int_equal(world_running(w, "run-1"), 4);
     world_finish(w);
 }
@@ -213,8 +203,7 @@
     world_add_machine(w, "m-0", "big", "east", false);
     world_run(w, 6);
     w->run_s = 300;
-    world_submit(w, 0, world_job("run-1", 16, 1)); /* team open, 12 CPUs beyond its guarantee */
-    assert_true(world_until(w, 10, world_some_running, "run-1"));
+    world_start_job(w, world_job("run-1", 16, 1)); /* team open, 12 CPUs beyond its guarantee */
     struct ow_submission *submission = world_job("run-2", 8, 1);
     world_set_team(submission, "tight");
     world_submit(w, 0, submission);
@@ -228,13 +217,9 @@
 static void test_failed_member_ends_the_gang_attempt(void **state)
 {
     (void)state;
-    struct world *w = start_world();
-    world_add_machine(w, "m-0", "big", "east", false);
-    world_add_machine(w, "m-1", "big", "east", false);
-    world_run(w, 6);
+    struct world *w = world_of_machines(2);
     w->run_s = 100;
-    world_submit(w, 0, world_gang("run-1", 2, 16));
-    assert_true(world_until(w, 10, world_some_running, "run-1"));
+    world_start_job(w, world_gang("run-1", 2, 16));
     world_run(w, 2);
     struct world_machine *machine = world_machine(w, "m-0");
     struct world_task *task = &g_array_index(machine->tasks, struct world_task, 0);
@@ -252,14 +237,11 @@
 static void test_team_limit_holds_for_arrays(void **state)
 {
     (void)state;
-    struct world *w = start_world();
-    world_add_machine(w, "m-0", "big", "east", false);
-    world_run(w, 6);
+    struct world *w = world_of_machines(1);
     w->run_s = 50;
     struct ow_submission *submission = world_job("run-1", 12, 1);
     world_set_team(submission, "tight");
-    world_submit(w, 0, submission);
-    assert_true(world_until(w, 10, world_some_running, "run-1"));
+    world_start_job(w, submission);
     world_run(w, 5);
     assert_int_equal(world_running(w, "run-1"), 8);
     world_finish(w);
@@ -268,9 +250,7 @@
 static void test_large_array_completes(void **state)
 {
     (void)state;
-    struct world *w = start_world();
-    world_add_machines(w, 4);
-    world_run(w, 6);
+    struct world *w = world_of_machines(4);
     w->run_s = 0.5;
     world_submit(w, 0, world_job("run-1", 700, 0.1));
     assert_true(world_until(w, 120, world_all_done, "run-1"));
@@ -326,17 +306,9 @@
     return numbered(n, 2, 8, false, OW_RANK_URGENT);
 }
 
-static struct world *full_world(int machines)
-{
-    struct world *w = start_world();
-    world_add_machines(w, machines);
-    world_run(w, 6);
-    return w;
-}
-
 static void run_growing_records(double kill_after_s)
 {
-    struct world *w = full_world(4);
+    struct world *w = world_of_machines(4);
     char id[16];
     for (int i = 0; i < WORLD_CONTROLLERS; i++) {
         w->settings[i].value_kb = 0.6;
@@ -356,7 +328,7 @@
     world_run(w, 6);
     /* Results arrive at different times, so that the ranges split. */
     for (guint i = 0; i < w->machines->len; i++) {
-        const struct world_machine *machine = g_ptr_array_index(w->machines, i);
+        const struct world_machine *machine = world_machine_at(w, i);
         for (guint k = 0; k < machine->tasks->len; k += 2)
             g_array_index(machine->tasks, struct world_task, k).phase_at = w->now + 1 + 0.3 * (k % 5);
     }
@@ -368,10 +340,7 @@
         g_snprintf(id, sizeof id, "run-%d", i);
         assert_true(world_until(w, 90, world_all_done, id));
     }
-    unsigned starts = 0;
-    for (guint i = 0; i < w->machines->len; i++)
-        starts += ((struct world_machine *)g_ptr_array_index(w->machines, i))->starts;
-    assert_int_equal(starts, 96);
+    assert_int_equal(world_total_starts(w), 96);
     world_finish(w);
 }
 
@@ -389,7 +358,7 @@
 static void test_largest_gang_starts_under_load(void **state)
 {
     (void)state;
-    struct world *w = full_world(4);
+    struct world *w = world_of_machines(4);
     w->run_s = 10;
     /* Staggered: one machine becomes free at a time, and there is always a job that fits it. */
     for (int n = 50; n < 56; n++) {
@@ -405,7 +374,7 @@
 static void test_largest_gang_starts_among_starved_gangs(void **state)
 {
     (void)state;
-    struct world *w = full_world(4);
+    struct world *w = world_of_machines(4);
     w->run_s = 10;
     for (int n = 50; n < 56; n++) { /* staggered: one machine becomes free at a time */
         world_submit(w, 0, small_gang(n));
@@ -423,7 +392,7 @@
 static void test_new_gang_starts_among_starved_gangs(void **state)
 {
     (void)state;
-    struct world *w = full_world(4);
+    struct world *w = world_of_machines(4);
     w->run_s = 10;
     for (int n = 100; n < 220; n++)
         world_submit(w, 0, small_gang(n));
@@ -437,7 +406,7 @@
 static void test_large_array_completes_under_load(void **state)
 {
     (void)state;
-    struct world *w = full_world(2);
+    struct world *w = world_of_machines(2);
     w->run_s = 5;
     for (int n = 50; n < 60; n++)
         world_submit(w, 0, small_array(n));
@@ -455,7 +424,7 @@
 static void test_lowest_rank_starts_under_load(void **state)
 {
     (void)state;
-    struct world *w = full_world(2);
+    struct world *w = world_of_machines(2);
     w->run_s = 5;
     for (int n = 50; n < 60; n++)
         world_submit(w, 0, urgent_array(n));
@@ -469,7 +438,7 @@
 static void test_only_low_work_waits_for_cheap_machines(void **state)
 {
     (void)state;
-    struct world *w = full_world(2);
+    struct world *w = world_of_machines(2);
     static char another[] = "another";
     struct ow_objective aim = {.kind = OW_OBJECTIVE_WAIT, .class_name = another, .within_s = 30, .share = 1};
     g_array_append_val(w->settings[0].objectives, aim);
@@ -495,7 +464,7 @@
 static void test_waiting_time_survives_restarts(void **state)
 {
     (void)state;
-    struct world *w = full_world(2);
+    struct world *w = world_of_machines(2);
     w->run_s = 5;
     for (int n = 50; n < 60; n++)
         world_submit(w, 0, urgent_array(n));
--- a/tests/test_isolation.c
+++ b/tests/test_isolation.c
@@ -15,8 +15,7 @@
 static struct world_machine *start_long_job(struct world *w)
 {
     w->run_s = 100;
-    world_submit(w, 0, world_job("run-1", 1, 1));
-    assert_true(world_until(w, 10, world_some_running, "run-1"));
+    world_start_job(w, world_job("run-1", 1, 1));
     world_run(w, 3);
     return world_where(w, "run-1");
 }
@@ -141,8 +140,7 @@
     machine->notice_s = 1;
     machine->report_at = w->now;
     world_run(w, 1.5);
-    machine->gone = true;
-    g_array_set_size(machine->tasks, 0);
+    world_delete_machine(machine);
     w->run_s = 1;
     assert_true(world_until(w, 40, world_all_done, "run-1"));
     world_send_copy(w, world_leader(w), copy);
@@ -206,7 +204,7 @@
     struct world *w = start_world(2);
     struct world_machine *machine = start_long_job(w);
     int old = world_leader(w);
-    w->lonely_controller = old;
+    w->workerless_controller = old;
     world_run(w, 18);
     assert_true(world_leader(w) >= 0 && world_leader(w) != old);
     assert_true(world_where(w, "run-1") == machine);
@@ -307,12 +305,12 @@
     w->capacity = 0;
     w->cloud_down = true; /* no machine is deleted or rented */
     for (guint i = 0; i < w->machines->len; i++)
-        ((struct world_machine *)g_ptr_array_index(w->machines, i))->sick = true;
+        world_machine_at(w, i)->faulty = true;
     w->run_s = 1;
     world_submit(w, 0, world_job("run-1", 1, 1));
     world_run(w, 20);
     for (guint i = 0; i < w->machines->len; i++)
-        ((struct world_machine *)g_ptr_array_index(w->machines, i))->sick = false;
+        world_machine_at(w, i)->faulty = false;
     assert_true(world_until(w, 75, world_all_done, "run-1"));
     world_finish(w);
 }
@@ -328,7 +326,7 @@
     assert_true(world_until(w, 40, world_all_done, "run-1"));
     world_run(w, 15);
     for (guint i = 0; i < w->machines->len; i++)
-        assert_int_equal(((struct world_machine *)g_ptr_array_index(w->machines, i))->session, 1);
+        assert_int_equal(world_machine_at(w, i)->session, 1);
     world_submit(w, 0, world_job("run-2", 4, 1));
     assert_true(world_until(w, 40, world_all_done, "run-2"));
     world_finish(w);
--- a/tests/test_meetings.c
+++ b/tests/test_meetings.c
@@ -439,15 +439,12 @@
     machine->hangs = false;
     w->run_s = 3;
     world_run(w, 5);
-    for (int i = 0; i < WORLD_CONTROLLERS; i++)
-        if (w->cores[i] == NULL)
-            world_start_controller(w, i);
-    machine->gone = true;
-    g_array_set_size(machine->tasks, 0);
+    world_start_controllers(w);
+    world_delete_machine(machine);
     world_run(w, 60);
     w->run_s = 3;
     for (guint i = 0; i < w->machines->len; i++) {
-        struct world_machine *other = g_ptr_array_index(w->machines, i);
+        struct world_machine *other = world_machine_at(w, i);
         for (guint k = 0; k < other->tasks->len; k++)
             g_array_index(other->tasks, struct world_task, k).phase_at = w->now;
     }
@@ -462,13 +459,11 @@
     (void)state;
     struct world *w = start_world(2);
     start_job(w, world_job("run-1", 3, 1));
-    for (int i = 0; i < WORLD_CONTROLLERS; i++)
-        world_kill_controller(w, i);
+    world_kill_controllers(w);
     world_run(w, 30);
     assert_int_equal(world_running(w, "run-1"), 0);
     w->run_s = 3;
-    for (int i = 0; i < WORLD_CONTROLLERS; i++)
-        world_start_controller(w, i);
+    world_start_controllers(w);
     assert_true(world_until(w, 30, world_all_done, "run-1"));
     world_finish(w);
 }
@@ -483,7 +478,7 @@
     struct world_task *tasks[3];
     guint count = 0;
     for (guint i = 0; i < w->machines->len; i++) {
-        struct world_machine *machine = g_ptr_array_index(w->machines, i);
+        struct world_machine *machine = world_machine_at(w, i);
         for (guint k = 0; k < machine->tasks->len; k++)
             tasks[count++] = &g_array_index(machine->tasks, struct world_task, k);
     }
@@ -498,10 +493,7 @@
         world_start_controller(w, old);
         assert_int_equal(world_job_state(w, "run-1") == OW_JOB_DONE, i == 2);
     }
-    unsigned starts = 0;
-    for (guint i = 0; i < w->machines->len; i++)
-        starts += ((struct world_machine *)g_ptr_array_index(w->machines, i))->starts;
-    assert_int_equal(starts, 3);
+    assert_int_equal(world_total_starts(w), 3);
     world_finish(w);
 }
 
--- a/tests/test_safety.c
+++ b/tests/test_safety.c
@@ -31,8 +31,7 @@
     struct world *w = world_with_machines(2);
     w->run_s = 100;
     w->cloud_down = true; /* no proof by deletion */
-    world_submit(w, 0, world_job("run-1", 1, 1));
-    assert_true(world_until(w, 10, world_some_running, "run-1"));
+    world_start_job(w, world_job("run-1", 1, 1));
     world_run(w, 3);
     struct world_machine *machine = world_where(w, "run-1");
     machine->cut = true;
@@ -51,15 +50,13 @@
     (void)state;
     struct world *w = world_with_machines(2);
     w->run_s = 100;
-    world_submit(w, 0, world_job("run-1", 1, 1));
-    assert_true(world_until(w, 10, world_some_running, "run-1"));
+    world_start_job(w, world_job("run-1", 1, 1));
     world_run(w, 3);
     struct world_machine *machine = world_where(w, "run-1");
     machine->notice_s = 1;
     machine->report_at = w->now;
     world_run(w, 1.5);
-    machine->gone = true;
-    g_array_set_size(machine->tasks, 0);
+    world_delete_machine(machine);
     assert_true(world_until(w, 12, world_runs_on_another, machine));
     world_finish(w);
 }
@@ -75,15 +72,11 @@
     (void)state;
     struct world *w = world_with_machines(2);
     w->run_s = 100;
-    world_submit(w, 0, world_job("run-1", 1, 1));
-    assert_true(world_until(w, 10, world_some_running, "run-1"));
+    world_start_job(w, world_job("run-1", 1, 1));
     struct world_machine *machine = world_where(w, "run-1");
-    for (int i = 0; i < WORLD_CONTROLLERS; i++)
-        world_kill_controller(w, i);
-    machine->gone = true;
-    g_array_set_size(machine->tasks, 0);
-    for (int i = 0; i < WORLD_CONTROLLERS; i++)
-        world_start_controller(w, i);
+    world_kill_controllers(w);
+    world_delete_machine(machine);
+    world_start_controllers(w);
     assert_true(world_until(w, 22, job_runs, "run-1"));
     world_finish(w);
 }
@@ -94,8 +87,7 @@
     (void)state;
     struct world *w = world_with_machines(2);
     w->run_s = 100;
-    world_submit(w, 0, world_job("run-1", 1, 1));
-    assert_true(world_until(w, 10, world_some_running, "run-1"));
+    world_start_job(w, world_job("run-1", 1, 1));
     /* Work elsewhere, so that the machine with room is not returned as idle. */
     struct ow_submission *other = world_job("run-2", 1, 1);
     other->zone = g_strdup("west");
@@ -105,8 +97,7 @@
     assert_int_equal(world_running(w, "run-2"), 1);
     struct world_machine *machine = world_where(w, "run-1");
     world_kill_controller(w, world_leader(w));
-    machine->gone = true;
-    g_array_set_size(machine->tasks, 0);
+    world_delete_machine(machine);
     assert_true(world_until(w, 33, job_runs, "run-1"));
     world_finish(w);
 }
@@ -119,8 +110,7 @@
     struct world *w = world_with_machines(2);
     w->run_s = 200;
     w->cloud_down = true;
-    world_submit(w, 0, world_job("run-1", 1, 1));
-    assert_true(world_until(w, 10, world_some_running, "run-1"));
+    world_start_job(w, world_job("run-1", 1, 1));
     world_run(w, 3);
     struct world_machine *machine = world_where(w, "run-1");
     int old = world_leader(w);
@@ -151,7 +141,7 @@
     assert_true(world_until(w, 30, world_all_done, "run-1"));
     world_run(w, 10);
     assert_int_equal(machine->starts, 1);
-    assert_int_equal(machine->forgets, 0);
+    assert_int_equal(machine->clears, 0);
     w->hold_directs = false;
     world_run(w, 5);
     assert_int_equal(machine->starts, 1);
@@ -164,22 +154,19 @@
     (void)state;
     struct world *w = world_with_machines(1);
     w->run_s = 1;
-    world_submit(w, 0, world_job("run-1", 1, 1));
-    assert_true(world_until(w, 10, world_some_running, "run-1"));
+    world_start_job(w, world_job("run-1", 1, 1));
     w->hold_txns = true;
     world_run(w, 8);
     assert_true(world_none_running(w, "run-1"));
-    assert_int_equal(world_machine(w, "m-0")->forgets, 0);
+    assert_int_equal(world_machine(w, "m-0")->clears, 0);
     /* All controllers crash with the result unrecorded: it is still on the machine. */
-    for (int i = 0; i < WORLD_CONTROLLERS; i++)
-        world_kill_controller(w, i);
+    world_kill_controllers(w);
     w->hold_txns = false;
-    for (int i = 0; i < WORLD_CONTROLLERS; i++)
-        world_start_controller(w, i);
+    world_start_controllers(w);
     assert_true(world_until(w, 20, world_all_done, "run-1"));
     assert_int_equal(world_machine(w, "m-0")->starts, 1);
     world_run(w, 10);
-    assert_int_equal(world_machine(w, "m-0")->forgets, 1);
+    assert_int_equal(world_machine(w, "m-0")->clears, 1);
     world_finish(w);
 }
 
@@ -191,13 +178,12 @@
     struct world *w = world_with_machines(2);
     w->run_s = 200;
     w->cloud_down = true;
-    world_submit(w, 0, world_job("run-1", 1, 1));
-    assert_true(world_until(w, 10, world_some_running, "run-1"));
+    world_start_job(w, world_job("run-1", 1, 1));
     world_run(w, 3);
     struct world_machine *machine = world_where(w, "run-1");
     uint64_t token = machine->token;
     for (guint i = 0; i < w->machines->len; i++)
-        ((struct world_machine *)g_ptr_array_index(w->machines, i))->cut = true;
+        world_machine_at(w, i)->cut = true;
     machine->renewed_at = w->now + 1000;
     world_kill_controller(w, world_leader(w));
     world_run(w, 8);
@@ -251,8 +237,7 @@
     assert_true(world_until(w, 10, world_some_running, "run-1"));
     assert_int_equal(w->held->len, 1);
     struct world_machine *machine = world_where(w, "run-1");
-    machine->gone = true;
-    g_array_set_size(machine->tasks, 0);
+    world_delete_machine(machine);
     assert_true(world_until(w, 60, world_runs_on_another, machine));
     char *before = world_progress(w, "run-1/0");
     w->keep_held = false;
@@ -296,8 +281,7 @@
     struct ow_submission *first = world_job("run-1", 2, 4), *second = world_job("run-2", 1, 4);
     world_set_team(first, "tight");
     world_set_team(second, "tight");
-    world_submit(w, 0, first);
-    assert_true(world_until(w, 10, world_some_running, "run-1"));
+    world_start_job(w, first);
     world_run(w, 3);
     struct world_machine *machine = world_where(w, "run-1");
     machine->cut = true;
@@ -342,8 +326,7 @@
     (void)state;
     struct world *w = world_with_machines(1);
     w->run_s = 200;
-    world_submit(w, 0, world_job("run-1", 1, 1));
-    assert_true(world_until(w, 10, world_some_running, "run-1"));
+    world_start_job(w, world_job("run-1", 1, 1));
     struct world_machine *machine = world_machine(w, "m-0");
     machine->cut = true;
     machine->renewed_at = w->now + 1000; /* the isolated leader keeps its lease alive */
@@ -408,10 +391,10 @@
     world_finish(w);
 }
 
-static bool one_machine_avoided(struct world *w, const void *sick)
+static bool one_task_started(struct world *w, const void *faulty)
 {
     (void)w;
-    return ((const struct world_machine *)sick)->starts >= 1;
+    return ((const struct world_machine *)faulty)->starts >= 1;
 }
 
 /* A machine on which every task fails is avoided after a few failures. */
@@ -419,17 +402,17 @@
 {
     (void)state;
     struct world *w = world_with_machines(2);
-    struct world_machine *sick = world_machine(w, "m-0");
-    sick->sick = true;
+    struct world_machine *faulty = world_machine(w, "m-0");
+    faulty->faulty = true;
     w->run_s = 1;
     for (int i = 1; i <= 6; i++) {
         char id[16];
         g_snprintf(id, sizeof id, "run-%d", i);
         world_submit(w, 0, world_job(id, 4, 2));
     }
-    assert_true(world_until(w, 20, one_machine_avoided, sick));
+    assert_true(world_until(w, 20, one_task_started, faulty));
     assert_true(world_until(w, 60, world_all_done, "run-6"));
-    assert_true(sick->starts < 24);
+    assert_true(faulty->starts < 24);
     world_finish(w);
 }
 
--- a/tests/test_services.c
+++ b/tests/test_services.c
@@ -22,16 +22,6 @@
     return w;
 }
 
-static unsigned replicas_on(const struct world_machine *machine, const char *job)
-{
-    unsigned count = 0;
-    for (guint k = 0; k < machine->tasks->len; k++) {
-        const struct world_task *task = &g_array_index(machine->tasks, struct world_task, k);
-        count += task->phase != OW_PHASE_EXITED && strcmp(task->job, job) == 0 ? 1 : 0;
-    }
-    return count;
-}
-
 static bool three_run(struct world *w, const void *job)
 {
     return world_running(w, job) == 3;
@@ -42,7 +32,7 @@
     (void)state;
     struct world *w = with_service(3, 3);
     for (guint i = 0; i < 3; i++)
-        assert_int_equal(replicas_on(g_ptr_array_index(w->machines, i), "run-1"), 1);
+        assert_int_equal(world_tasks_on(world_machine_at(w, i), "run-1"), 1);
     world_run(w, 60);
     assert_int_equal(world_running(w, "run-1"), 3);
     assert_int_equal(world_job_state(w, "run-1"), OW_JOB_RUNNING);
@@ -60,7 +50,7 @@
     for (int cause = 0; cause < 2; cause++) {
         struct world *w = with_service(4, 3);
         struct world_machine *machine = world_where(w, "run-1");
-        machine->sick = cause == 1;
+        machine->faulty = cause == 1;
         unsigned before = machine->starts;
         g_array_index(machine->tasks, struct world_task, 0).phase_at = w->now;
         world_run(w, 1);
@@ -90,13 +80,13 @@
     (void)state;
     struct world *w = with_service(8, 6);
     for (guint i = 0; i < 5; i++)
-        ((struct world_machine *)g_ptr_array_index(w->machines, i))->cut = true;
+        world_machine_at(w, i)->cut = true;
     world_run(w, 14);
     for (guint i = 0; i < 5; i++)
-        assert_false(((struct world_machine *)g_ptr_array_index(w->machines, i))->gone);
+        assert_false(world_machine_at(w, i)->gone);
     assert_int_equal(world_running(w, "run-1"), 6);
     for (guint i = 0; i < 5; i++)
-        ((struct world_machine *)g_ptr_array_index(w->machines, i))->cut = false;
+        world_machine_at(w, i)->cut = false;
     world_run(w, 20);
     assert_int_equal(world_running(w, "run-1"), 6);
     world_finish(w);
@@ -112,8 +102,7 @@
     world_add_machine(w, "s-0", "big", "east", true);
     struct ow_submission *service = world_service("run-1", 1, 1);
     service->spot = true;
-    world_submit(w, 0, service);
-    assert_true(world_until(w, 10, world_some_running, "run-1"));
+    world_start_job(w, service);
     struct world_machine *old = world_where(w, "run-1");
     /* Another machine that has the image. */
     world_add_machine(w, "m-0", "big", "east", false);
@@ -160,7 +149,7 @@
     assert_int_equal(world_answer(w, service_request)->status, 201);
     assert_int_equal(world_answer(w, large_request)->status, 422);
     assert_int_equal(world_running(w, "run-1"), 4);
-    assert_int_equal(replicas_on(world_machine(w, "w-0"), "run-1"), 2);
+    assert_int_equal(world_tasks_on(world_machine(w, "w-0"), "run-1"), 2);
     world_finish(w);
 }
 
@@ -169,7 +158,6 @@
 {
     (void)state;
     struct world *w = with_service(4, 3);
-    unsigned starts = 0;
     for (int i = 0; i < 4; i++) {
         int old = world_leader(w);
         world_kill_controller(w, old);
@@ -178,9 +166,7 @@
         world_run(w, 4);
         assert_int_equal(world_running(w, "run-1"), 3);
     }
-    for (guint i = 0; i < w->machines->len; i++)
-        starts += ((struct world_machine *)g_ptr_array_index(w->machines, i))->starts;
-    assert_int_equal(starts, 3);
+    assert_int_equal(world_total_starts(w), 3);
     world_finish(w);
 }
 
@@ -188,8 +174,8 @@
 {
     unsigned count = 0;
     for (guint i = 0; i < w->machines->len; i++) {
-        const struct world_machine *machine = g_ptr_array_index(w->machines, i);
-        count += machine->spot && !machine->gone ? replicas_on(machine, job) : 0;
+        const struct world_machine *machine = world_machine_at(w, i);
+        count += machine->spot && !machine->gone ? world_tasks_on(machine, job) : 0;
     }
     return count;
 }
@@ -199,7 +185,7 @@
 {
     for (int left = notice_s; left > 0; left--) {
         for (guint i = 0; i < w->machines->len; i++) {
-            struct world_machine *machine = g_ptr_array_index(w->machines, i);
+            struct world_machine *machine = world_machine_at(w, i);
             if (!machine->spot)
                 continue;
             machine->notice_s = left;
@@ -216,11 +202,7 @@
     struct ow_submission *service = world_service("run-1", replicas, 1);
     w->capacity = 0;
     service->spot = true;
-    for (uint32_t i = 0; i < replicas; i++) {
-        char name[32];
-        g_snprintf(name, sizeof name, "s-%u", i);
-        world_add_machine(w, name, "big", "east", true);
-    }
+    world_add_group(w, "s", (int)replicas, "east", true);
     world_run(w, 4);
     world_submit(w, 0, service);
     world_run(w, 6);
@@ -238,8 +220,8 @@
     world_add_machine(w, "m-0", "big", "east", false);
     world_run(w, 4);
     take_spot_machines(w, 7);
-    assert_int_equal(replicas_on(old, "run-1"), 0);
-    assert_int_equal(replicas_on(world_machine(w, "m-0"), "run-1"), 1);
+    assert_int_equal(world_tasks_on(old, "run-1"), 0);
+    assert_int_equal(world_tasks_on(world_machine(w, "m-0"), "run-1"), 1);
     world_finish(w);
 }
 
@@ -284,13 +266,13 @@
     world_run(w, 4);
     world_submit(w, 0, world_service("run-1", 3, 1));
     world_run(w, 6);
-    assert_int_equal(replicas_on(faulty, "run-1"), 1);
+    assert_int_equal(world_tasks_on(faulty, "run-1"), 1);
     /* The machine without a replica has the image and is not idle. */
     struct ow_submission *other = world_job("run-9", 3, 15);
     other->zone = g_strdup("east");
     world_submit(w, 0, other);
     world_run(w, 6);
-    faulty->sick = true;
+    faulty->faulty = true;
     world_submit(w, 0, western_job("run-2"));
     world_run(w, 26);
     world_submit(w, 0, western_job("run-3"));
@@ -308,19 +290,19 @@
     w->run_s = 200;
     world_submit(w, 0, world_service("run-1", 2, 1));
     world_run(w, 6);
-    assert_int_equal(replicas_on(world_machine(w, "m-0"), "run-1"), 2);
+    assert_int_equal(world_tasks_on(world_machine(w, "m-0"), "run-1"), 2);
     world_add_machine(w, "n-0", "big", "west", false);
     world_submit(w, 0, world_job("run-2", 20, 1));
     world_run(w, 90);
-    assert_int_equal(replicas_on(world_machine(w, "m-0"), "run-1"), 1);
-    assert_int_equal(replicas_on(world_machine(w, "n-0"), "run-1"), 1);
+    assert_int_equal(world_tasks_on(world_machine(w, "m-0"), "run-1"), 1);
+    assert_int_equal(world_tasks_on(world_machine(w, "n-0"), "run-1"), 1);
     world_finish(w);
 }
 
 static bool has_no_replica(struct world *w, const void *machine)
 {
     (void)w;
-    return replicas_on(machine, "run-1") == 0;
+    return world_tasks_on(machine, "run-1") == 0;
 }
 
 /* A machine whose reports don't arrive loses its lease, although it answers commands: its replica moves
@@ -354,13 +336,12 @@
     world_submit(w, 0, low);
     world_run(w, 230);
     struct world_machine *machine = world_machine(w, "m-0");
-    machine->sick = true;
+    machine->faulty = true;
     g_array_index(machine->tasks, struct world_task, 0).phase_at = w->now;
     world_run(w, 2);
-    machine->sick = false;
+    machine->faulty = false;
     assert_true(world_until(w, 90, world_some_running, "run-1"));
-    world_submit(w, 0, world_service("run-2", 1, 16));
-    assert_true(world_until(w, 10, world_some_running, "run-2"));
+    world_start_job(w, world_service("run-2", 1, 16));
     world_finish(w);
 }
 
@@ -381,7 +362,7 @@
     world_submit(w, 0, service);
     world_run(w, 6);
     assert_int_equal(world_running(w, "run-1"), 2);
-    assert_int_equal(replicas_on(world_machine(w, "w-0"), "run-9"), 16);
+    assert_int_equal(world_tasks_on(world_machine(w, "w-0"), "run-9"), 16);
     world_finish(w);
 }
 
@@ -392,11 +373,7 @@
     struct world *w = start_world(4);
     w->capacity = 0;
     w->run_s = 200;
-    for (int i = 0; i < 4; i++) {
-        char name[32];
-        g_snprintf(name, sizeof name, "w-%d", i);
-        world_add_machine(w, name, "big", "west", false);
-    }
+    world_add_group(w, "w", 4, "west", false);
     struct ow_submission *low = world_job("run-9", 128, 1);
     low->rank = OW_RANK_LOW;
     world_submit(w, 0, low);
@@ -406,10 +383,7 @@
     world_submit(w, 0, service);
     world_run(w, 8);
     assert_int_equal(world_running(w, "run-1"), 4);
-    unsigned starts = 0;
-    for (guint i = 0; i < w->machines->len; i++)
-        starts += ((struct world_machine *)g_ptr_array_index(w->machines, i))->starts;
-    assert_int_equal(starts, 128 + 4);
+    assert_int_equal(world_total_starts(w), 128 + 4);
     world_finish(w);
 }
 
@@ -433,14 +407,14 @@
     assert_int_equal(world_running(w, "run-1"), REPLICAS);
     for (int i = 0; i < 180; i++) {
         for (guint k = 1; k < REPLICAS; k++) {
-            struct world_machine *machine = g_ptr_array_index(w->machines, k);
-            machine->sick = true;
+            struct world_machine *machine = world_machine_at(w, k);
+            machine->faulty = true;
             end_tasks(w, machine);
         }
         world_run(w, 0.5);
     }
     for (guint k = 1; k < REPLICAS; k++)
-        ((struct world_machine *)g_ptr_array_index(w->machines, k))->sick = false;
+        world_machine_at(w, k)->faulty = false;
     world_run(w, 25);
     /* One machine may still be excluded for the service: the last on which it failed, for a minute. */
     assert_in_range(world_running(w, "run-1"), REPLICAS - 1, REPLICAS);
@@ -454,7 +428,7 @@
     struct world *w = start_world(4);
     w->capacity = 0;
     for (guint i = 0; i < 4; i++)
-        ((struct world_machine *)g_ptr_array_index(w->machines, i))->sick = true;
+        world_machine_at(w, i)->faulty = true;
     world_submit(w, 0, world_service("run-1", 2, 1));
     bool reported = false;
     for (int i = 0; i < 60 && !reported; i++) {
--- a/tests/test_store_core.c
+++ b/tests/test_store_core.c
@@ -258,8 +258,7 @@
     (void)state;
     struct world *w = start_world(3, 1);
     w->run_s = 2;
-    world_submit(w, 0, world_job("run-1", 1, 1));
-    assert_true(world_until(w, 10, world_some_running, "run-1"));
+    world_start_job(w, world_job("run-1", 1, 1));
     w->hold_txns = true;
     world_run(w, 4);
     assert_true(world_none_running(w, "run-1"));
@@ -279,8 +278,7 @@
     (void)state;
     struct world *w = start_world(3, 1);
     w->run_s = 2;
-    world_submit(w, 0, world_job("run-1", 1, 1));
-    assert_true(world_until(w, 10, world_some_running, "run-1"));
+    world_start_job(w, world_job("run-1", 1, 1));
     assert_true(world_until(w, 10, world_none_running, "run-1"));
     uint64_t late = world_cancel(w, 1, "run-1");
     world_run(w, 5);
--- a/tests/test_upgrade.c
+++ b/tests/test_upgrade.c
@@ -183,8 +183,7 @@
 {
     struct world *w = world_new();
     set_all_old(w, true);
-    for (int i = 0; i < WORLD_CONTROLLERS; i++)
-        world_start_controller(w, i);
+    world_start_controllers(w);
     world_add_machines(w, machines);
     world_run(w, 6);
     return w;
@@ -197,7 +196,7 @@
     world_run(w, 6);
     assert_int_equal(world_running(w, id), tasks);
     for (guint i = 0; i < w->machines->len; i++) {
-        struct world_machine *machine = g_ptr_array_index(w->machines, i);
+        struct world_machine *machine = world_machine_at(w, i);
         for (guint k = 0; k < machine->tasks->len; k += 2)
             g_array_index(machine->tasks, struct world_task, k).phase_at = w->now + 1;
     }
@@ -209,7 +208,7 @@
 {
     int ended = 0;
     for (guint i = 0; i < w->machines->len; i++) {
-        struct world_machine *machine = g_ptr_array_index(w->machines, i);
+        struct world_machine *machine = world_machine_at(w, i);
         for (guint k = 0; k < machine->tasks->len; k++) {
             struct world_task *task = &g_array_index(machine->tasks, struct world_task, k);
             if (task->phase == OW_PHASE_RUNNING)
@@ -224,14 +223,6 @@
     return world_value_text(w, OW_KEY_FORMAT) != NULL;
 }
 
-static unsigned total_starts(struct world *w)
-{
-    unsigned starts = 0;
-    for (guint i = 0; i < w->machines->len; i++)
-        starts += ((struct world_machine *)g_ptr_array_index(w->machines, i))->starts;
-    return starts;
-}
-
 /* A complete rolling upgrade: three controllers, one after the other, then smaller values without notice.
  * Running tasks keep running and are not started twice; results are recorded in values that fit. */
 static void run_rolling_upgrade(double away_s, int crash)
@@ -265,7 +256,7 @@
     world_run(w, 3);
     assert_int_equal(world_answer(w, cancel)->state, OW_JOB_CANCELLED);
     assert_true(world_until(w, 90, world_all_done, "run-1"));
-    assert_true(total_starts(w) >= 200 && total_starts(w) <= 350);
+    assert_true(world_total_starts(w) >= 200 && world_total_starts(w) <= 350);
     world_finish(w);
 }
 
@@ -337,7 +328,7 @@
         w->txn_ops = 4;
         assert_true(world_running(w, "run-1") > 20);
         assert_true(world_until(w, 90, world_all_done, "run-1"));
-        assert_int_equal(total_starts(w), 200);
+        assert_int_equal(world_total_starts(w), 200);
         world_finish(w);
     }
 }
@@ -435,7 +426,7 @@
     assert_true(world_until(w, 60, world_all_done, "run-2"));
     /* Each refusal halves the size of the next attempt, so that retries are bounded. */
     assert_true(w->too_large > 0 && w->too_large < 20);
-    assert_string_equal(w->broken->str, "");
+    assert_string_equal(w->violations->str, "");
     world_free(w);
 }
 
@@ -465,7 +456,7 @@
     world_run(w, 2);
     assert_int_equal(world_status(w, asked), 201);
     assert_true(world_until(w, 30, world_all_done, "run-1"));
-    assert_string_equal(w->broken->str, "");
+    assert_string_equal(w->violations->str, "");
     world_free(w);
 }
 
--- a/tests/world.c
+++ b/tests/world.c
@@ -75,13 +75,13 @@
     w->rules = ow_rules_default();
     world_state_init(w);
     world_workers_init(w);
-    w->denied_controller = w->isolated_controller = w->lonely_controller = w->slow_controller = -1;
+    w->denied_controller = w->isolated_controller = w->workerless_controller = w->slow_controller = -1;
     w->run_s = 5;
     w->queue = g_ptr_array_new();
     w->answers = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, answer_free);
-    w->wishes = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+    w->requirements = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     w->announced = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-    w->broken = g_string_new(NULL);
+    w->violations = g_string_new(NULL);
     for (int i = 0; i < WORLD_CONTROLLERS; i++)
         init_settings(&w->settings[i], i);
     w->value_kb = w->settings[0].value_kb;
@@ -107,9 +107,9 @@
     world_workers_clear(w);
     g_ptr_array_free(w->queue, TRUE);
     g_hash_table_destroy(w->answers);
-    g_hash_table_destroy(w->wishes);
+    g_hash_table_destroy(w->requirements);
     g_hash_table_destroy(w->announced);
-    g_string_free(w->broken, TRUE);
+    g_string_free(w->violations, TRUE);
     g_free(w);
 }
 
@@ -136,7 +136,7 @@
 {
     const struct world_announcement *before = g_hash_table_lookup(w->announced, id);
     if (before != NULL && before->state != state)
-        g_string_append_printf(w->broken, "%s went back from %d to %d; ", id, before->state, state);
+        g_string_append_printf(w->violations, "%s went back from %d to %d; ", id, before->state, state);
     if (before != NULL || (state != OW_JOB_DONE && state != OW_JOB_CANCELLED))
         return;
     struct world_announcement *announcement = g_new0(struct world_announcement, 1);
@@ -202,19 +202,20 @@
 {
     struct ow_event *event = world_command(OW_EVENT_SUBMIT, 0);
     event->submission = submission;
-    struct world_wish *wish = g_new0(struct world_wish, 1);
-    *wish = (struct world_wish){.tasks = submission->tasks,
-                                .cpus = submission->need.cpus,
-                                .one_zone = submission->one_zone,
-                                .spread = submission->spread,
-                                .spot = submission->spot,
-                                .service = submission->kind == OW_KIND_SERVICE};
-    g_strlcpy(wish->team, submission->team, sizeof wish->team);
-    g_strlcpy(wish->zone, submission->zone != NULL ? submission->zone : "", sizeof wish->zone);
-    if (!g_hash_table_contains(w->wishes, submission->id))
-        g_hash_table_insert(w->wishes, g_strdup(submission->id), wish);
+    struct world_requirements *requirements = g_new0(struct world_requirements, 1);
+    *requirements = (struct world_requirements){.tasks = submission->tasks,
+                                                .cpus = submission->need.cpus,
+                                                .one_zone = submission->one_zone,
+                                                .spread = submission->spread,
+                                                .spot = submission->spot,
+                                                .service = submission->kind == OW_KIND_SERVICE};
+    g_strlcpy(requirements->team, submission->team, sizeof requirements->team);
+    g_strlcpy(requirements->zone, submission->zone != NULL ? submission->zone : "",
+              sizeof requirements->zone);
+    if (!g_hash_table_contains(w->requirements, submission->id))
+        g_hash_table_insert(w->requirements, g_strdup(submission->id), requirements);
     else
-        g_free(wish);
+        g_free(requirements);
     return ask(w, controller, event);
 }
 
@@ -265,6 +266,15 @@
     return -1;
 }
 
+struct world_machine *world_start_job(struct world *w, struct ow_submission *job)
+{
+    char id[OW_ID_MAX + 1];
+    g_strlcpy(id, job->id, sizeof id);
+    world_submit(w, 0, job);
+    assert_true(world_until(w, 10, world_some_running, id));
+    return world_where(w, id);
+}
+
 struct ow_submission *world_job(const char *id, uint32_t tasks, double cpus)
 {
     struct ow_submission *submission = g_new0(struct ow_submission, 1);
@@ -361,6 +371,13 @@
     w->cores[controller] = ow_core_new(&w->settings[controller], &w->rules, w->nonce);
 }
 
+void world_start_controllers(struct world *w)
+{
+    for (int i = 0; i < WORLD_CONTROLLERS; i++)
+        if (w->cores[i] == NULL)
+            world_start_controller(w, i);
+}
+
 void world_lose_link(struct world *w, int controller, int lost)
 {
     struct ow_event *event = world_command(OW_EVENT_PEER, 0);
@@ -375,6 +392,13 @@
     w->cores[controller] = NULL;
 }
 
+void world_kill_controllers(struct world *w)
+{
+    for (int i = 0; i < WORLD_CONTROLLERS; i++)
+        if (w->cores[i] != NULL)
+            world_kill_controller(w, i);
+}
+
 static void deliver_due(struct world *w)
 {
     guint kept = 0;
@@ -441,19 +465,34 @@
     return leader;
 }
 
+unsigned world_tasks_on(const struct world_machine *machine, const char *job)
+{
+    unsigned count = 0;
+    for (guint k = 0; k < machine->tasks->len; k++) {
+        const struct world_task *task = &g_array_index(machine->tasks, struct world_task, k);
+        count += task->phase != OW_PHASE_EXITED && strcmp(task->job, job) == 0 ? 1 : 0;
+    }
+    return count;
+}
+
 unsigned world_running(struct world *w, const char *job)
 {
     unsigned count = 0;
     for (guint i = 0; i < w->machines->len; i++) {
-        const struct world_machine *machine = g_ptr_array_index(w->machines, i);
-        for (guint k = 0; !machine->gone && k < machine->tasks->len; k++) {
-            const struct world_task *task = &g_array_index(machine->tasks, struct world_task, k);
-            count += task->phase != OW_PHASE_EXITED && strcmp(task->job, job) == 0 ? 1 : 0;
-        }
+        const struct world_machine *machine = world_machine_at(w, i);
+        count += machine->gone ? 0 : world_tasks_on(machine, job);
     }
     return count;
 }
 
+unsigned world_total_starts(const struct world *w)
+{
+    unsigned starts = 0;
+    for (guint i = 0; i < w->machines->len; i++)
+        starts += world_machine_at(w, i)->starts;
+    return starts;
+}
+
 bool world_some_running(struct world *w, const void *job)
 {
     return world_running(w, job) > 0;
@@ -472,20 +511,10 @@
     return text != NULL && strcmp(text, "{\"e\":2}") == 0;
 }
 
-void world_add_machines(struct world *w, int machines)
-{
-    for (int i = 0; i < machines; i++) {
-        char name[16];
-        g_snprintf(name, sizeof name, "m-%d", i);
-        world_add_machine(w, name, "big", "east", false);
-    }
-}
-
 struct world *world_with_machines(int machines)
 {
     struct world *w = world_new();
-    for (int i = 0; i < WORLD_CONTROLLERS; i++)
-        world_start_controller(w, i);
+    world_start_controllers(w);
     world_add_machines(w, machines);
     world_run(w, 4);
     return w;
@@ -493,7 +522,7 @@
 
 void world_finish(struct world *w)
 {
-    assert_string_equal(w->broken->str, "");
+    assert_string_equal(w->violations->str, "");
     assert_int_equal(w->too_large, 0);
     world_free(w);
 }
@@ -501,12 +530,9 @@
 struct world_machine *world_where(struct world *w, const char *job)
 {
     for (guint i = 0; i < w->machines->len; i++) {
-        struct world_machine *machine = g_ptr_array_index(w->machines, i);
-        for (guint k = 0; !machine->gone && k < machine->tasks->len; k++) {
-            const struct world_task *task = &g_array_index(machine->tasks, struct world_task, k);
-            if (strcmp(task->job, job) == 0 && task->phase != OW_PHASE_EXITED)
-                return machine;
-        }
+        struct world_machine *machine = world_machine_at(w, i);
+        if (!machine->gone && world_tasks_on(machine, job) > 0)
+            return machine;
     }
     return NULL;
 }
--- a/tests/world.h
+++ b/tests/world.h
@@ -1,5 +1,8 @@
-/* A small world for the core: a fake clock, a state service, a cloud and workers, all scripted.
- * Whatever a worker does wrong in it is recorded as a broken rule. */
+/**
+ * A simulated cluster for tests of the core: a clock, a state service, a cloud, users and workers, all under
+ * the control of the test. The workers check the safety rules of docs/design.md from outside; whatever breaks
+ * one is recorded as a violation, which world_finish() turns into a failure of the test.
+ */
 #ifndef OW_TESTS_WORLD_H
 #define OW_TESTS_WORLD_H
 
@@ -7,8 +10,10 @@
 
 #include <stdbool.h>
 
+/** The number of controllers, named node-0, node-1 and so on. */
 enum { WORLD_CONTROLLERS = 3 };
 
+/** An attempt of a task on a machine. */
 struct world_task {
     char job[OW_ID_MAX + 1];
     uint32_t task;
@@ -16,39 +21,46 @@
     enum ow_phase phase;
     enum ow_cause cause;
     bool saved;
-    double phase_at; /* when it changes next */
+    double phase_at; /* the time of its next change of phase */
 };
 
+/** A machine and its worker. */
 struct world_machine {
     char name[32], addr[32], type[16], zone[16];
-    bool spot, gone, cut, hangs; /* cut: nothing gets through; hangs: it does nothing at all */
-    bool sick;
-    bool unresponsive;      /* its reports arrive; answers and commands do not reach it */
-    bool stopped_reporting; /* it reaches no controller; commands reach it */
-    int only_controller;    /* cut off from every other controller; -1: from none */
-    double up_at;
+    bool spot;
+    bool gone;              /* deleted */
+    bool cut;               /* partitioned: no message passes in either direction */
+    bool hangs;             /* its worker makes no progress at all */
+    bool faulty;            /* every task fails on it */
+    bool unresponsive;      /* its reports arrive; responses and commands do not reach it */
+    bool stopped_reporting; /* its reports reach no controller; commands reach it */
+    int only_controller;    /* partitioned from every other controller; -1: from none */
+    double up_at;           /* the end of its boot */
     uint64_t session, seq, token;
-    double notice_s;
+    double notice_s; /* the time until it is reclaimed, as it reports it; -1: none */
     double report_at, renewed_at, sent_at;
-    bool report_busy;
-    int controller; /* where it reports */
-    GArray *tasks;  /* struct world_task */
-    unsigned starts, forgets;
+    bool report_busy; /* it waits for the response to a report */
+    int controller;   /* the one that it reports to */
+    GArray *tasks;    /* struct world_task */
+    unsigned starts;  /* launches that it has carried out */
+    unsigned clears;  /* results that it was told to clear */
 };
 
-/* What a submission asks for, as the machines' side checks it. */
-struct world_wish {
+/** What a submission requires, for the checks on the machines. */
+struct world_requirements {
     char team[16], zone[16];
     uint32_t tasks;
     double cpus;
     bool one_zone, spread, spot, service;
 };
 
+/** The final state of a job as its user was first answered. */
 struct world_announcement {
     enum ow_job_state state;
     double at;
 };
 
+/** A response to a user's request. */
 struct world_answer {
     uint64_t request;
     int status;
@@ -57,117 +69,159 @@
     char *reason;
 };
 
+/** The cluster. Tests change its fields to bring failures about; a controller's number of -1 means none. */
 struct world {
     double now;
     struct ow_settings settings[WORLD_CONTROLLERS];
     struct ow_rules rules;
     struct ow_core *cores[WORLD_CONTROLLERS]; /* NULL: down */
     uint64_t controller_nonce[WORLD_CONTROLLERS], nonce;
-    /* the state service */
+
+    /* The state service. */
     GHashTable *keys;   /* key -> struct world_value */
     GArray *log;        /* struct world_event */
     GHashTable *leases; /* id -> double *: ends at */
     uint64_t revision, last_lease;
-    bool state_down, cloud_down, hold_txns, lose_txn_answers;
-    double state_slow_s; /* its answers take so much longer, those to `slow_controller` or, if that is -1, to
-                            all */
-    int slow_controller;
-    bool silent_watches; /* open watches tell nothing before their time is over */
-    bool peers_cut;      /* nothing gets from controller to controller */
-    bool keep_held;      /* what is held stays held */
-    unsigned hold_next;  /* so many of the next transactions of `hold_controller` are held */
+    bool state_down, cloud_down;
+    bool hold_txns;        /* transactions are delayed while it is set */
+    bool lose_txn_answers; /* transactions are applied, and their responses are lost */
+    double state_slow_s;   /* additional latency of the state service */
+    int slow_controller;   /* the only one with that latency; -1: all */
+    bool silent_watches;   /* open watches report nothing before they time out */
+    bool peers_cut;        /* no message passes between controllers */
+    bool keep_held;        /* delayed transactions stay delayed */
+    unsigned hold_next;    /* as many of the next transactions of `hold_controller` are delayed */
     int hold_controller;
-    bool old_controller[WORLD_CONTROLLERS]; /* of the first format: its messages say so, and it takes others'
-                                             * for no newer
-                                             */
-    double value_kb;                        /* what the state service takes now */
-    unsigned txn_ops;
-    unsigned too_large;      /* writes that it has refused for that */
-    int denied_controller;   /* the state service answers it 503; -1: none */
-    int isolated_controller; /* neither the state service nor other controllers are in its reach; -1: none */
-    int lonely_controller;   /* no worker is in its reach, nor it in theirs; -1: none */
-    GPtrArray *held;         /* transactions not yet carried out */
-    GPtrArray *follows;      /* open watches */
+    bool old_controller[WORLD_CONTROLLERS]; /* runs the earlier version: it sends the first format, and does
+                                             * not recognize newer ones */
+    double value_kb;                        /* the current limit of a value's size */
+    unsigned txn_ops;                       /* the current limit of a transaction's changes */
+    unsigned too_large;                     /* transactions refused for exceeding the limits */
+    int denied_controller;                  /* the state service answers it 503 */
+    int isolated_controller;                /* reaches neither the state service nor other controllers */
+    int workerless_controller;              /* no message passes between it and the workers */
+    GPtrArray *held;                        /* delayed transactions */
+    GPtrArray *follows;                     /* open watches */
     unsigned txns;
-    unsigned state_requests, state_changes, cloud_calls, directs; /* counted work */
+    unsigned state_requests, state_changes, cloud_calls, directs; /* the load on other services */
+
+    /* Machines. */
     GPtrArray *machines;
     GHashTable *machines_by_name; /* and by address */
-    GHashTable *started_on;       /* "<job>/<task>" -> where it was started last */
+    GHashTable *started_on;       /* "<job>/<task>" -> the machine of its last start */
     unsigned rented;
     unsigned capacity; /* machines that can still be rented */
-    GArray *late;      /* direct commands that a cut holds back */
-    bool hold_directs;
-    bool no_sockets; /* controllers have none left for commands of their own */
-    double run_s;
-    GPtrArray *queue;      /* events on their way to cores */
-    GHashTable *answers;   /* request -> struct world_answer */
-    GHashTable *wishes;    /* job -> struct world_wish */
-    GHashTable *announced; /* job -> struct world_announcement: how it ended, as its user heard */
+    GArray *late;      /* delayed direct commands */
+    bool hold_directs; /* direct commands are delayed while it is set */
+    bool no_sockets;   /* controllers have no free sockets for direct commands */
+    double run_s;      /* the run time of tasks */
+
+    GPtrArray *queue;         /* events to be delivered to controllers */
+    GHashTable *answers;      /* request -> struct world_answer */
+    GHashTable *requirements; /* job -> struct world_requirements */
+    GHashTable *announced;    /* job -> struct world_announcement */
     uint64_t last_request;
-    GString *broken; /* every rule broken, in words */
+    GString *violations; /* every violation of a safety rule, as text */
 };
 
+/* ---- life of the cluster ---- */
+
+/** A cluster without machines; no controller runs. */
 struct world *world_new(void);
-/* All controllers and so many large machines in one zone, some seconds after the start. */
+/** A cluster with all controllers and as many large machines in one zone, some seconds after the start. */
 struct world *world_with_machines(int machines);
 void world_free(struct world *w);
-/* Ends the test: no rule may have been broken. */
+/** Ends the test: fails if a safety rule was violated or a transaction was too large. */
 void world_finish(struct world *w);
-struct world_machine *world_add_machine(struct world *w, const char *name, const char *type, const char *zone,
-                                        bool spot);
-/* So many ordinary large ones in one zone, named m-0, m-1 and so on. */
-void world_add_machines(struct world *w, int machines);
-struct world_machine *world_machine(struct world *w, const char *name);
-void world_start_controller(struct world *w, int controller);
-void world_kill_controller(struct world *w, int controller);
-/* The link from one controller to another breaks, and nobody listens there. */
-void world_lose_link(struct world *w, int controller, int lost);
+/** Runs the cluster for this time. */
 void world_run(struct world *w, double seconds);
-/* Runs until the predicate holds; false if it does not within the time. */
+/** Runs until the predicate holds; false if it does not within the time. */
 bool world_until(struct world *w, double seconds, bool (*holds)(struct world *w, const void *what),
                  const void *what);
-/* The controller that leads, or -1. */
+
+/* ---- controllers ---- */
+
+void world_start_controller(struct world *w, int controller);
+/** Starts every controller that is down. */
+void world_start_controllers(struct world *w);
+void world_kill_controller(struct world *w, int controller);
+/** Kills every controller that is up. */
+void world_kill_controllers(struct world *w);
+/** The link from one controller to another breaks. */
+void world_lose_link(struct world *w, int controller, int lost);
+/** The controller that leads, or -1. */
 int world_leader(const struct world *w);
 
-/* Requests of users to a controller; the answer comes while the world runs. */
-/* A report that comes late or is made up, to a controller. */
+/* ---- machines ---- */
+
+struct world_machine *world_add_machine(struct world *w, const char *name, const char *type, const char *zone,
+                                        bool spot);
+/** Adds as many large machines in one zone, named "<prefix>-0", "<prefix>-1" and so on. */
+void world_add_group(struct world *w, const char *prefix, int machines, const char *zone, bool spot);
+/** Adds a group of the prefix "m" in the zone "east", without spot machines. */
+void world_add_machines(struct world *w, int machines);
+/** The machine of this name or address, or NULL. */
+struct world_machine *world_machine(struct world *w, const char *name);
+/** The machine of this index, in the order of creation. */
+struct world_machine *world_machine_at(const struct world *w, guint index);
+/** Deletes the machine with its tasks, as the cloud does. */
+void world_delete_machine(struct world_machine *machine);
+/** Restarts the worker without tasks: its sequence numbers start again. */
+void world_reboot(struct world *w, struct world_machine *machine);
+/** The launches that all machines have carried out. */
+unsigned world_total_starts(const struct world *w);
+/** The attempts of a job that have not exited on this machine. */
+unsigned world_tasks_on(const struct world_machine *machine, const char *job);
+
+/** Sends a controller a report without tasks, of this sequence number and token. */
 void world_report(struct world *w, int controller, const struct world_machine *machine, uint64_t seq,
                   uint64_t token);
-/* What the machine reported last, or would have: to be sent later as a copy, which takes it over. */
+/** A duplicate of the machine's last report. */
 struct ow_report *world_last_report(const struct world_machine *machine);
+/** Sends a controller the report, which it takes over. */
 void world_send_copy(struct world *w, int controller, struct ow_report *report);
-/* The worker starts over with nothing: its numbers begin anew. */
-void world_reboot(struct world *w, struct world_machine *machine);
+
+/* ---- users: each request returns its number; the response arrives while the cluster runs ---- */
+
+/** Takes the submission over. */
 uint64_t world_submit(struct world *w, int controller, struct ow_submission *submission);
-/* A submission of which nothing but the id can be read. */
+/** A submission of which only the id can be parsed. */
 uint64_t world_submit_malformed(struct world *w, int controller, const char *id);
 uint64_t world_poll(struct world *w, int controller, const char *id);
 uint64_t world_cancel(struct world *w, int controller, const char *id);
+/** The response to the request, or NULL. */
 const struct world_answer *world_answer(struct world *w, uint64_t request);
-/* The status of the answer; 0: there is none yet. */
+/** The status of the response; 0: there is none yet. */
 int world_status(struct world *w, uint64_t request);
-/* Asks every second until a controller says how the job stands, and tells it. */
+/** Polls every second until a controller answers the job's state, and returns that; -404: there is no such
+ * job; -1: no answer in 30 s. */
 int world_job_state(struct world *w, const char *id);
+/** Submits the job to the first controller and waits until one of its tasks runs; returns its machine. */
+struct world_machine *world_start_job(struct world *w, struct ow_submission *job);
 
+/** An array of the team "open", of standard rank, that may run on spot machines. */
 struct ow_submission *world_job(const char *id, uint32_t tasks, double cpus);
 struct ow_submission *world_service(const char *id, uint32_t replicas, double cpus);
 struct ow_submission *world_gang(const char *id, uint32_t tasks, double cpus);
-
 void world_set_team(struct ow_submission *submission, const char *team);
 
-/* The machine that runs the job, or NULL. */
+/* ---- the state of jobs and records ---- */
+
+/** A machine that runs a task of the job, or NULL. */
 struct world_machine *world_where(struct world *w, const char *job);
-/* What workers hold now. */
+/** The attempts of the job that have not exited on any machine. */
 unsigned world_running(struct world *w, const char *job);
+/** Predicates for world_until(), of a job's id. */
 bool world_all_done(struct world *w, const void *job);
 bool world_some_running(struct world *w, const void *job);
 bool world_none_running(struct world *w, const void *job);
-/* Of a struct world_machine. */
+/** Predicate: whether this struct world_machine is deleted. */
 bool world_is_gone(struct world *w, const void *machine);
-/* Whether "run-1" runs, and not there. */
+/** Predicate: whether "run-1" runs on another machine than this struct world_machine. */
 bool world_runs_on_another(struct world *w, const void *machine);
-/* The progress record "<job>/<chunk>" wherever it stands, to be freed; NULL: there is none. */
+/** The progress record "<job>/<chunk>", to be freed, or NULL. */
 char *world_progress(struct world *w, const char *name);
+/** The value of the key in the state service, or NULL. */
 const char *world_value_text(struct world *w, const char *key);
 
 #endif
--- a/tests/world_cloud.c
+++ b/tests/world_cloud.c
@@ -34,7 +34,7 @@
     bool begun = after == NULL;
     *more = false;
     for (guint i = 0; i < w->machines->len && !*more; i++) {
-        const struct world_machine *machine = g_ptr_array_index(w->machines, i);
+        const struct world_machine *machine = world_machine_at(w, i);
         if (!begun) {
             begun = strcmp(machine->name, after) == 0;
             continue;
@@ -77,8 +77,7 @@
         struct world_machine *machine = world_machine(w, g_ptr_array_index(names, i));
         if (machine == NULL)
             continue;
-        machine->gone = true;
-        g_array_set_size(machine->tasks, 0);
+        world_delete_machine(machine);
     }
 }
 
--- a/tests/world_state.c
+++ b/tests/world_state.c
@@ -166,7 +166,7 @@
     json_object_foreach(record_value, name, record)
     {
         if (strchr(name, '.') != NULL)
-            g_string_append_printf(w->broken, "%s is written beside an old controller; ", name);
+            g_string_append_printf(w->violations, "%s is written beside an old controller; ", name);
     }
     json_decref(record_value);
 }
--- a/tests/world_workers.c
+++ b/tests/world_workers.c
@@ -24,7 +24,7 @@
 void world_workers_clear(struct world *w)
 {
     for (guint i = 0; i < w->machines->len; i++) {
-        struct world_machine *machine = g_ptr_array_index(w->machines, i);
+        struct world_machine *machine = world_machine_at(w, i);
         g_array_free(machine->tasks, TRUE);
         g_free(machine);
     }
@@ -41,6 +41,11 @@
     return g_hash_table_lookup(w->machines_by_name, name);
 }
 
+struct world_machine *world_machine_at(const struct world *w, guint index)
+{
+    return g_ptr_array_index(w->machines, index);
+}
+
 struct world_machine *world_add_machine(struct world *w, const char *name, const char *type, const char *zone,
                                         bool spot)
 {
@@ -61,6 +66,26 @@
     return machine;
 }
 
+void world_add_group(struct world *w, const char *prefix, int machines, const char *zone, bool spot)
+{
+    for (int i = 0; i < machines; i++) {
+        char name[16];
+        g_snprintf(name, sizeof name, "%s-%d", prefix, i);
+        world_add_machine(w, name, "big", zone, spot);
+    }
+}
+
+void world_add_machines(struct world *w, int machines)
+{
+    world_add_group(w, "m", machines, "east", false);
+}
+
+void world_delete_machine(struct world_machine *machine)
+{
+    machine->gone = true;
+    g_array_set_size(machine->tasks, 0);
+}
+
 struct ow_report *world_make_report(struct world_machine *machine)
 {
     struct ow_report *report = g_new0(struct ow_report, 1);
@@ -107,7 +132,7 @@
         const struct world_task *task = &g_array_index(machine->tasks, struct world_task, k);
         if (task->phase != OW_PHASE_EXITED && task->task == command->task &&
             strcmp(task->job, command->job) == 0)
-            g_string_append_printf(w->broken, "%s runs twice, on %s and %s; ", name, machine->name,
+            g_string_append_printf(w->violations, "%s runs twice, on %s and %s; ", name, machine->name,
                                    here->name);
     }
     g_hash_table_replace(w->started_on, name, here);
@@ -118,20 +143,20 @@
 {
     const struct world_announcement *announcement = g_hash_table_lookup(w->announced, job);
     if (announcement != NULL)
-        g_string_append_printf(w->broken, "%s was told %s and is started; ", job,
+        g_string_append_printf(w->violations, "%s was told %s and is started; ", job,
                                announcement->state == OW_JOB_DONE ? "done" : "cancelled");
 }
 
 /* Whether no message passes between the two, in either direction. */
 static bool apart(const struct world *w, const struct world_machine *machine, int controller)
 {
-    return machine->cut || controller == w->lonely_controller ||
+    return machine->cut || controller == w->workerless_controller ||
            (machine->only_controller >= 0 && controller != machine->only_controller);
 }
 
-static const struct world_wish *wish_of(struct world *w, const char *job)
+static const struct world_requirements *requirements_of(struct world *w, const char *job)
 {
-    return g_hash_table_lookup(w->wishes, job);
+    return g_hash_table_lookup(w->requirements, job);
 }
 
 /* Calls `take` for every task that is on a machine. */
@@ -141,7 +166,7 @@
                       void *sum)
 {
     for (guint i = 0; i < w->machines->len; i++) {
-        const struct world_machine *machine = g_ptr_array_index(w->machines, i);
+        const struct world_machine *machine = world_machine_at(w, i);
         for (guint k = 0; !machine->gone && k < machine->tasks->len; k++) {
             const struct world_task *task = &g_array_index(machine->tasks, struct world_task, k);
             if (task->phase != OW_PHASE_EXITED)
@@ -158,26 +183,26 @@
 static void add_use(struct world *w, const struct world_machine *machine, const struct world_task *task,
                     void *sum)
 {
-    const struct world_wish *wish = wish_of(w, task->job);
+    const struct world_requirements *requirements = requirements_of(w, task->job);
     struct use *use = sum;
     (void)machine;
-    if (wish != NULL && strcmp(wish->team, use->team) == 0)
-        use->cpus += wish->cpus;
+    if (requirements != NULL && strcmp(requirements->team, use->team) == 0)
+        use->cpus += requirements->cpus;
 }
 
 /* Checks the team's limit against the tasks that are really on machines. */
 static void check_limit(struct world *w, const char *job)
 {
-    const struct world_wish *wish = wish_of(w, job);
-    for (guint i = 0; wish != NULL && i < w->settings[0].teams->len; i++) {
+    const struct world_requirements *requirements = requirements_of(w, job);
+    for (guint i = 0; requirements != NULL && i < w->settings[0].teams->len; i++) {
         const struct ow_team_settings *team =
             &g_array_index(w->settings[0].teams, struct ow_team_settings, i);
-        struct use use = {wish->team, 0};
-        if (strcmp(team->name, wish->team) != 0 || team->cpus_max <= 0)
+        struct use use = {requirements->team, 0};
+        if (strcmp(team->name, requirements->team) != 0 || team->cpus_max <= 0)
             continue;
         each_task(w, add_use, &use);
         if (use.cpus > team->cpus_max + 1e-6)
-            g_string_append_printf(w->broken, "team %s uses %g of %g with %s; ", use.team, use.cpus,
+            g_string_append_printf(w->violations, "team %s uses %g of %g with %s; ", use.team, use.cpus,
                                    team->cpus_max, job);
     }
 }
@@ -203,15 +228,16 @@
 
 static void check_place(struct world *w, const struct world_machine *machine, const char *job)
 {
-    const struct world_wish *wish = wish_of(w, job);
+    const struct world_requirements *requirements = requirements_of(w, job);
     struct place place = {job, machine, 0, 0};
-    if (wish == NULL)
+    if (requirements == NULL)
         return;
-    if (wish->one_zone || wish->spread)
+    if (requirements->one_zone || requirements->spread)
         each_task(w, add_place, &place);
-    if ((wish->zone[0] != '\0' && strcmp(wish->zone, machine->zone) != 0) || (machine->spot && !wish->spot) ||
-        (wish->one_zone && place.elsewhere > 0) || (wish->spread && place.in_zone > (wish->tasks + 1) / 2))
-        g_string_append_printf(w->broken, "%s is at a wrong place on %s; ", job, machine->name);
+    if ((requirements->zone[0] != '\0' && strcmp(requirements->zone, machine->zone) != 0) ||
+        (machine->spot && !requirements->spot) || (requirements->one_zone && place.elsewhere > 0) ||
+        (requirements->spread && place.in_zone > (requirements->tasks + 1) / 2))
+        g_string_append_printf(w->violations, "%s is at a wrong place on %s; ", job, machine->name);
 }
 
 static void start_task(struct world *w, struct world_machine *machine,
@@ -255,7 +281,7 @@
             task->phase = OW_PHASE_EXITED;
             task->cause = OW_CAUSE_STOPPED;
         } else if (command->kind == OW_WORKER_CLEAR && task != NULL && task->phase == OW_PHASE_EXITED) {
-            machine->forgets++;
+            machine->clears++;
             g_array_remove_index(machine->tasks, (guint)(task - (struct world_task *)machine->tasks->data));
         }
     }
@@ -318,7 +344,7 @@
     guint index = (guint)(effect->request >> 32) - 1;
     if (index >= w->machines->len)
         return; /* no worker waits for it */
-    struct world_machine *machine = g_ptr_array_index(w->machines, index);
+    struct world_machine *machine = world_machine_at(w, index);
     if (!machine->report_busy || (uint32_t)effect->request != (uint32_t)machine->seq || machine->hangs ||
         machine->unresponsive || apart(w, machine, controller))
         return;
@@ -349,13 +375,13 @@
     if (task->phase == OW_PHASE_FETCHING) {
         check_over(w, task->job);
         task->phase = OW_PHASE_RUNNING;
-        const struct world_wish *wish = wish_of(w, task->job);
-        task->phase_at = wish != NULL && wish->service ? INFINITY : w->now + w->run_s;
+        const struct world_requirements *requirements = requirements_of(w, task->job);
+        task->phase_at = requirements != NULL && requirements->service ? INFINITY : w->now + w->run_s;
     } else {
         task->phase = OW_PHASE_EXITED;
-        task->cause = machine->sick ? OW_CAUSE_ERROR : OW_CAUSE_DONE;
+        task->cause = machine->faulty ? OW_CAUSE_ERROR : OW_CAUSE_DONE;
     }
-    if (machine->sick && task->phase == OW_PHASE_RUNNING)
+    if (machine->faulty && task->phase == OW_PHASE_RUNNING)
         task->phase_at = w->now;
     machine->report_at = MIN(machine->report_at, w->now + 0.5);
 }
@@ -367,7 +393,7 @@
         const struct world_announcement *announcement = g_hash_table_lookup(w->announced, task->job);
         if (task->phase != OW_PHASE_EXITED && announcement != NULL &&
             announcement->state == OW_JOB_CANCELLED && w->now > announcement->at + w->settings[0].cancel_s)
-            g_string_append_printf(w->broken, "%s/%u is on %s long after it was cancelled; ", task->job,
+            g_string_append_printf(w->violations, "%s/%u is on %s long after it was cancelled; ", task->job,
                                    task->task, machine->name);
     }
 }
@@ -413,5 +439,5 @@
 {
     release_late(w);
     for (guint i = 0; i < w->machines->len; i++)
-        step_machine(w, g_ptr_array_index(w->machines, i), i);
+        step_machine(w, world_machine_at(w, i), i);
 }
