--- a/src/core/api/cancellation_ack.c
+++ b/src/core/api/cancellation_ack.c
@@ -1,7 +1,8 @@
 #include "core/api/cancellation_ack.h"
 
-#include "core/api/user_api.h"
+#include "core/api/job_answer.h"
 #include "core/controller.h"
+#include "core/election/election.h"
 #include "core/leader.h"
 
 /* How long a user waits for the leader's acknowledgement before being asked to come back, and how often it is
@@ -98,7 +99,7 @@
     if (job->state != OW_JOB_CANCELLED)
         return;
     if (job->cancellation_acked)
-        send_to_peers(controller, OW_PEER_CANCELLATION_ACK, job, controller->leader_token);
+        send_to_peers(controller, OW_PEER_CANCELLATION_ACK, job, ow_election_token(controller->election));
     else
         entry_get(c, m->job);
 }
@@ -119,11 +120,11 @@
  */
 static bool acknowledge(struct ow_controller *controller, struct ow_job *job)
 {
-    if (controller->leader == NULL || controller->leader_token < job->cancel_token ||
+    if (controller->leader == NULL || ow_election_token(controller->election) < job->cancel_token ||
         !ow_leader_cancel(controller->leader, job))
         return false;
     job->cancellation_acked = true;
-    send_to_peers(controller, OW_PEER_CANCELLATION_ACK, job, controller->leader_token);
+    send_to_peers(controller, OW_PEER_CANCELLATION_ACK, job, ow_election_token(controller->election));
     return true;
 }
 
@@ -134,7 +135,7 @@
                controller->now - e->since);
     for (guint i = 0; i < e->waiting_requests->len; i++) {
         const struct waiting_request *v = &g_array_index(e->waiting_requests, struct waiting_request, i);
-        ow_user_api_answer_job(controller, v->request, v->status, job);
+        ow_job_answer_acknowledged(controller, v->request, v->status, job);
     }
 }
 
--- a/src/core/records/limits.c
+++ b/src/core/records/limits.c
@@ -1,8 +1,10 @@
 #include "core/records/limits.h"
 
+#include "core/records/records.h"
+
 /* What one task takes in a progress record at most: a machine with its session, the task and its attempt, or
    a mark among those that are done. Beside them a record has its name and its frame. */
-enum { TASK_BYTES = 30, FRAME_BYTES = 150, LEAST_TASKS = 8, LEAST_BYTES = 256 };
+enum { TASK_BYTES = 30, FRAME_BYTES = 150, LEAST_BYTES = 256 };
 
 struct ow_limits ow_limits_of(const struct ow_settings *s)
 {
@@ -23,6 +25,11 @@
         return true;
     }
     limits->refused_bytes = MIN(limits->refused_bytes, largest);
+    /* A value that could not be made smaller: it tells nothing of those that are. */
+    if (largest > limits->value_bytes) {
+        limits->value_bytes_now = limits->value_bytes;
+        return false;
+    }
     if (limits->value_bytes <= LEAST_BYTES)
         return false;
     limits->value_bytes = MAX(MIN(limits->value_bytes, largest) / 2, LEAST_BYTES);
@@ -32,8 +39,8 @@
 
 unsigned ow_limits_tasks(const struct ow_limits *limits)
 {
-    unsigned tasks = LEAST_TASKS;
-    while (tasks < 256 && FRAME_BYTES + 2 * tasks * TASK_BYTES <= limits->value_bytes)
+    unsigned tasks = OW_LEAST_CHUNK_TASKS;
+    while (tasks < OW_CHUNK_TASKS && FRAME_BYTES + 2 * tasks * TASK_BYTES <= limits->value_bytes)
         tasks *= 2;
     return tasks;
 }
--- a/tests/test_upgrade.c
+++ b/tests/test_upgrade.c
@@ -460,6 +460,64 @@
     world_free(w);
 }
 
+/* Limits fall before every controller is known to read smaller records: values that can't be split yet
+ * wait, and all other writes go on. */
+static void test_oversized_value_delays_no_other_write(void **state)
+{
+    (void)state;
+    struct world *w = world_of_old_controllers(6);
+    w->run_s = 60;
+    submit_spread(w, "run-1", 200);
+    for (int i = 0; i < WORLD_CONTROLLERS; i++)
+        upgrade(w, i, 0.3);
+    w->peers_cut = true;
+    world_run(w, 3);
+    assert_false(format_gate_is_open(w, NULL));
+    w->value_kb = 0.6;
+    w->txn_ops = 4;
+    end_tasks_gradually(w, 40);
+    w->run_s = 10;
+    for (int i = 0; i < 10; i++) {
+        char id[OW_ID_MAX + 1];
+        g_snprintf(id, sizeof id, "run-%d", 100 + i);
+        struct ow_submission *job = world_job(id, 2, 0.4);
+        g_free(job->class_name);
+        job->class_name = g_strdup("other");
+        world_submit(w, world_leader(w), job);
+        world_run(w, 2.5);
+        assert_int_equal(world_running(w, id), 2);
+    }
+    assert_true(w->too_large > 0);
+    w->peers_cut = false;
+    assert_true(world_until(w, 90, world_all_done, "run-1"));
+    assert_string_equal(w->violations->str, "");
+    world_free(w);
+}
+
+/* A repeat of a job that another controller has accepted is recognized by its id, whatever the limit of this
+ * controller. */
+static void test_known_job_is_not_rejected_for_its_size(void **state)
+{
+    (void)state;
+    struct world *w = world_with_machines(2);
+    int here = (world_leader(w) + 1) % WORLD_CONTROLLERS;
+    double value_kb = w->value_kb;
+    w->value_kb = 0.1;
+    world_submit(w, here, world_job("run-1", 1, 1));
+    world_run(w, 2);
+    w->value_kb = value_kb;
+    w->silent_watches = true;
+    w->peers_cut = true;
+    uint64_t accepted = world_submit(w, world_leader(w), world_job("run-2", 1, 1));
+    world_run(w, 1);
+    assert_int_equal(world_status(w, accepted), 201);
+    uint64_t repeated = world_submit(w, here, world_job("run-2", 1, 1));
+    world_run(w, 2);
+    assert_int_equal(world_status(w, repeated), 200);
+    assert_string_equal(w->violations->str, "");
+    world_free(w);
+}
+
 /* The limit has fallen below the size of a job's record, without notice: the submission is rejected at once.
  */
 static void test_submission_refused_by_the_state_service_is_rejected(void **state)
@@ -507,6 +565,8 @@
         cmocka_unit_test(test_oversized_submission_is_rejected),
         cmocka_unit_test(test_lower_txn_ops_does_not_lower_the_value_size),
         cmocka_unit_test(test_submission_refused_by_the_state_service_is_rejected),
+        cmocka_unit_test(test_oversized_value_delays_no_other_write),
+        cmocka_unit_test(test_known_job_is_not_rejected_for_its_size),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
