--- a/src/core/scheduling/reason.c
+++ b/src/core/scheduling/reason.c
@@ -5,7 +5,9 @@
 #include "core/machines/machine_registry.h"
 #include "core/run.h"
 #include "core/scheduling/placement.h"
+#include "core/scheduling/placement_cost.h"
 #include "core/scheduling/reservation.h"
+#include "core/teams.h"
 
 /* The machines that jobs with such demands allow: counted once a pass. */
 struct allowance {
--- a/tests/test_placement.c
+++ b/tests/test_placement.c
@@ -1,7 +1,10 @@
-/* Placement of arrays: zones, machine types, team limits and guarantees, and the records of large arrays. */
+/* Placement of arrays and services: zones, machine types, team limits and guarantees, and the records of
+ * large arrays. */
 #include "check.h"
 #include "world.h"
 
+#include <string.h>
+
 /* Rule 6: a later task must join the zone of the running ones, even if only another zone has room. */
 static void test_one_zone_array_stays_in_its_zone(void **state)
 {
@@ -163,6 +166,33 @@
         run_growing_records(0.1 * step);
 }
 
+/* Services are submitted one after the other, and several machines have their image: no machine gets all of
+ * them. */
+static void test_services_spread_over_machines(void **state)
+{
+    (void)state;
+    struct world *w = world_with_capacity(2, 0);
+    w->run_s = 300;
+    world_submit(w, 0, world_job("run-9", 2, 11));
+    world_run(w, 6);
+    for (int i = 0; i < 6; i++) {
+        char id[OW_ID_MAX + 1];
+        g_snprintf(id, sizeof id, "run-%d", 10 + i);
+        world_submit(w, 0, world_service(id, 1, 1));
+        world_run(w, 4);
+    }
+    unsigned most = 0;
+    for (guint i = 0; i < w->machines->len; i++) {
+        const struct world_machine *machine = world_machine_at(w, i);
+        unsigned services = 0;
+        for (guint k = 0; k < machine->tasks->len; k++)
+            services += strcmp(g_array_index(machine->tasks, struct world_task, k).job, "run-9") != 0 ? 1 : 0;
+        most = MAX(most, services);
+    }
+    assert_int_equal(most, 3);
+    world_finish(w);
+}
+
 int main(void)
 {
     const struct CMUnitTest tests[] = {
@@ -173,6 +203,7 @@
         cmocka_unit_test(test_team_limit_holds_for_arrays),
         cmocka_unit_test(test_large_array_completes),
         cmocka_unit_test(test_growing_records_move_to_another_value),
+        cmocka_unit_test(test_services_spread_over_machines),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/test_services.c
+++ b/tests/test_services.c
@@ -123,6 +123,27 @@
     world_finish(w);
 }
 
+/* Only commands to the machines' own addresses are delayed; responses to reports arrive. No machine is
+ * deleted, and new replicas start by the responses. */
+static void test_delayed_direct_commands_delete_no_machine(void **state)
+{
+    (void)state;
+    struct world *w = world_with_service(4, 3);
+    w->run_s = 200;
+    world_submit(w, 0, world_job("run-9", 4, 12));
+    world_run(w, 6);
+    w->hold_directs = true;
+    world_submit(w, 0, world_service("run-2", 2, 1));
+    world_run(w, 25);
+    for (guint i = 0; i < 4; i++)
+        assert_false(world_machine_at(w, i)->gone);
+    assert_int_equal(world_running(w, "run-1"), 3);
+    assert_int_equal(world_running(w, "run-2"), 2);
+    w->hold_directs = false;
+    world_run(w, 10);
+    world_finish(w);
+}
+
 /* A service never completes: its age must not count as waiting time. */
 static void test_old_service_is_preempted_by_more_urgent_work(void **state)
 {
@@ -250,6 +271,7 @@
         cmocka_unit_test(test_service_preempts_lower_rank),
         cmocka_unit_test(test_spread_and_limits),
         cmocka_unit_test(test_services_survive_leader_changes),
+        cmocka_unit_test(test_delayed_direct_commands_delete_no_machine),
         cmocka_unit_test(test_old_service_is_preempted_by_more_urgent_work),
         cmocka_unit_test(test_preemption_frees_capacity_in_one_zone),
         cmocka_unit_test(test_preemption_respects_the_spread_limit),
