--- a/tests/test_safety.c
+++ b/tests/test_safety.c
@@ -30,9 +30,7 @@
     struct world *w = world_with_machines(2);
     w->run_s = 100;
     w->cloud_down = true; /* no proof by deletion */
-    world_start_job(w, world_job("run-1", 1, 1));
-    world_run(w, 3);
-    struct world_machine *machine = world_where(w, "run-1");
+    struct world_machine *machine = world_start_settled_job(w, world_job("run-1", 1, 1));
     machine->cut = true;
     world_run(w, 15);
     assert_false(world_runs_on_another(w, machine));
@@ -49,9 +47,7 @@
     (void)state;
     struct world *w = world_with_machines(2);
     w->run_s = 100;
-    world_start_job(w, world_job("run-1", 1, 1));
-    world_run(w, 3);
-    struct world_machine *machine = world_where(w, "run-1");
+    struct world_machine *machine = world_start_settled_job(w, world_job("run-1", 1, 1));
     machine->notice_s = 1;
     machine->report_at = w->now;
     world_run(w, 1.5);
--- a/tests/test_starvation.c
+++ b/tests/test_starvation.c
@@ -49,18 +49,35 @@
     return numbered(n, 2, 8, false, OW_RANK_URGENT);
 }
 
-/* No starvation: a gang that needs the whole zone, among small ones that always fit before it.
- */
-static void test_largest_gang_starts_under_load(void **state)
+/* Small gangs that end one after the other: one machine becomes free at a time, and there is always a job
+ * that fits it. */
+static struct world *world_with_staggered_gangs(void)
 {
-    (void)state;
     struct world *w = world_with_one_controller_and_machines(4);
     w->run_s = 10;
-    /* Staggered: one machine becomes free at a time, and there is always a job that fits it. */
     for (int n = 50; n < 56; n++) {
         world_submit(w, 0, small_gang(n));
         world_run(w, 2.4);
     }
+    return w;
+}
+
+/* More of these arrays than two machines have room for. */
+static struct world *world_with_waiting_arrays(struct ow_submission *(*next)(int n))
+{
+    struct world *w = world_with_one_controller_and_machines(2);
+    w->run_s = 5;
+    for (int n = 50; n < 60; n++)
+        world_submit(w, 0, next(n));
+    world_run(w, 1);
+    return w;
+}
+
+/* No starvation: a gang that needs the whole zone, among small ones that always fit before it. */
+static void test_largest_gang_starts_under_load(void **state)
+{
+    (void)state;
+    struct world *w = world_with_staggered_gangs();
     world_submit(w, 0, numbered(1, 4, 16, true, OW_RANK_URGENT));
     assert_true(starts_under_load(w, "run-1", 2.4, small_gang));
     world_finish(w);
@@ -70,12 +87,7 @@
 static void test_largest_gang_starts_among_starved_gangs(void **state)
 {
     (void)state;
-    struct world *w = world_with_one_controller_and_machines(4);
-    w->run_s = 10;
-    for (int n = 50; n < 56; n++) { /* staggered: one machine becomes free at a time */
-        world_submit(w, 0, small_gang(n));
-        world_run(w, 2.4);
-    }
+    struct world *w = world_with_staggered_gangs();
     for (int n = 56; n < 90; n++)
         world_submit(w, 0, small_gang(n));
     world_run(w, 1);
@@ -102,11 +114,7 @@
 static void test_large_array_completes_under_load(void **state)
 {
     (void)state;
-    struct world *w = world_with_one_controller_and_machines(2);
-    w->run_s = 5;
-    for (int n = 50; n < 60; n++)
-        world_submit(w, 0, small_array(n));
-    world_run(w, 1);
+    struct world *w = world_with_waiting_arrays(small_array);
     world_submit(w, 0, numbered(1, 60, 8, false, OW_RANK_STANDARD));
     assert_true(starts_under_load(w, "run-1", 1, small_array));
     for (int n = 1000; n < 1250 && !world_all_done(w, "run-1"); n++) {
@@ -120,11 +128,7 @@
 static void test_lowest_rank_starts_under_load(void **state)
 {
     (void)state;
-    struct world *w = world_with_one_controller_and_machines(2);
-    w->run_s = 5;
-    for (int n = 50; n < 60; n++)
-        world_submit(w, 0, urgent_array(n));
-    world_run(w, 1);
+    struct world *w = world_with_waiting_arrays(urgent_array);
     world_submit(w, 0, numbered(1, 4, 8, false, OW_RANK_LOW));
     assert_true(starts_under_load(w, "run-1", 1, urgent_array));
     world_finish(w);
@@ -160,11 +164,7 @@
 static void test_waiting_time_survives_restarts(void **state)
 {
     (void)state;
-    struct world *w = world_with_one_controller_and_machines(2);
-    w->run_s = 5;
-    for (int n = 50; n < 60; n++)
-        world_submit(w, 0, urgent_array(n));
-    world_run(w, 1);
+    struct world *w = world_with_waiting_arrays(urgent_array);
     world_submit(w, 0, numbered(1, 4, 8, false, OW_RANK_LOW));
     for (int i = 0; i < 2; i++) {
         assert_false(starts_within(w, "run-1", 55, 1, urgent_array, 100 + 100 * i));
--- a/tests/test_takeover.c
+++ b/tests/test_takeover.c
@@ -54,9 +54,7 @@
     struct world *w = world_with_machines(2);
     w->run_s = 200;
     w->cloud_down = true;
-    world_start_job(w, world_job("run-1", 1, 1));
-    world_run(w, 3);
-    struct world_machine *machine = world_where(w, "run-1");
+    struct world_machine *machine = world_start_settled_job(w, world_job("run-1", 1, 1));
     int old = world_leader(w);
     machine->cut = true;
     world_kill_controller(w, old);
@@ -80,9 +78,7 @@
     struct world *w = world_with_machines(2);
     w->run_s = 200;
     w->cloud_down = true;
-    world_start_job(w, world_job("run-1", 1, 1));
-    world_run(w, 3);
-    struct world_machine *machine = world_where(w, "run-1");
+    struct world_machine *machine = world_start_settled_job(w, world_job("run-1", 1, 1));
     uint64_t token = machine->token;
     for (guint i = 0; i < w->machines->len; i++)
         world_machine_at(w, i)->cut = true;
@@ -155,9 +151,7 @@
     struct ow_submission *first = world_job("run-1", 2, 4), *second = world_job("run-2", 1, 4);
     world_set_team(first, "tight");
     world_set_team(second, "tight");
-    world_start_job(w, first);
-    world_run(w, 3);
-    struct world_machine *machine = world_where(w, "run-1");
+    struct world_machine *machine = world_start_settled_job(w, first);
     machine->cut = true;
     machine->renewed_at = w->now + 1000;
     world_kill_controller(w, world_leader(w));
--- a/tests/world.h
+++ b/tests/world.h
@@ -210,6 +210,8 @@
 int world_job_state(struct world *w, const char *id);
 /** Submits the job to the first controller and waits until one of its tasks runs; returns its machine. */
 struct world_machine *world_start_job(struct world *w, struct ow_submission *job);
+/** The same; returns once the job has run for 3 s. */
+struct world_machine *world_start_settled_job(struct world *w, struct ow_submission *job);
 /** Starts the job "run-1" of one task that runs for 100 s; returns its machine. */
 struct world_machine *world_start_long_job(struct world *w);
 /** Submits an array of which every other task on each machine ends soon, so that the ranges of its progress
--- a/tests/world_setup.c
+++ b/tests/world_setup.c
@@ -61,9 +61,7 @@
 struct world_machine *world_start_long_job(struct world *w)
 {
     w->run_s = 100;
-    world_start_job(w, world_job("run-1", 1, 1));
-    world_run(w, 3);
-    return world_where(w, "run-1");
+    return world_start_settled_job(w, world_job("run-1", 1, 1));
 }
 
 void world_submit_interleaved(struct world *w, const char *id, uint32_t tasks)
--- a/tests/world_users.c
+++ b/tests/world_users.c
@@ -131,6 +131,15 @@
     return world_where(w, id);
 }
 
+struct world_machine *world_start_settled_job(struct world *w, struct ow_submission *job)
+{
+    char id[OW_ID_MAX + 1];
+    g_strlcpy(id, job->id, sizeof id);
+    world_start_job(w, job);
+    world_run(w, 3);
+    return world_where(w, id);
+}
+
 struct ow_submission *world_job(const char *id, uint32_t tasks, double cpus)
 {
     struct ow_submission *submission = g_new0(struct ow_submission, 1);
