--- a/tests/test_http.c
+++ b/tests/test_http.c
@@ -50,12 +50,12 @@
     {OW_HTTP_RESPONSE, "nonsense\r\n", OW_HTTP_MALFORMED, NULL},
 };
 
-static enum ow_http_result feed(struct ow_http_parser *p, const char *text, size_t size, size_t step)
+static enum ow_http_result feed(struct ow_http_parser *parser, const char *text, size_t size, size_t step)
 {
     enum ow_http_result result = OW_HTTP_MORE;
     for (size_t at = 0; at < size && result == OW_HTTP_MORE; at += step) {
         size_t used = 0;
-        result = ow_http_parse(p, text + at, MIN(step, size - at), &used);
+        result = ow_http_parse(parser, text + at, MIN(step, size - at), &used);
         assert_true(used <= MIN(step, size - at));
     }
     return result;
@@ -68,51 +68,51 @@
         const struct sample *s = &samples[i];
         size_t size = strlen(s->text);
         for (size_t step = 1; step <= size; step += size - 1) {
-            struct ow_http_parser p;
-            ow_http_parser_init(&p, s->side, 100);
-            if (feed(&p, s->text, size, step) != s->result)
+            struct ow_http_parser parser;
+            ow_http_parser_init(&parser, s->side, 100);
+            if (feed(&parser, s->text, size, step) != s->result)
                 fail_msg("sample %zu in steps of %zu: %s", i, step, s->text);
             if (s->body != NULL)
-                assert_string_equal(p.body->str, s->body);
-            ow_http_parser_clear(&p);
+                assert_string_equal(parser.body->str, s->body);
+            ow_http_parser_clear(&parser);
         }
     }
 }
 
-static void test_a_head_without_end_is_cut_off(void **state)
+static void test_endless_head_is_rejected(void **state)
 {
     (void)state;
-    struct ow_http_parser p;
-    ow_http_parser_init(&p, OW_HTTP_REQUEST, 100);
-    enum ow_http_result result = feed(&p, "GET / HTTP/1.1\r\n", 16, 16);
+    struct ow_http_parser parser;
+    ow_http_parser_init(&parser, OW_HTTP_REQUEST, 100);
+    enum ow_http_result result = feed(&parser, "GET / HTTP/1.1\r\n", 16, 16);
     for (int i = 0; i < 100000 && result == OW_HTTP_MORE; i++)
-        result = feed(&p, "a: b\r\n", 6, 6);
+        result = feed(&parser, "a: b\r\n", 6, 6);
     assert_int_equal(result, OW_HTTP_MALFORMED);
-    ow_http_parser_clear(&p);
+    ow_http_parser_clear(&parser);
 }
 
 static void test_two_messages_on_one_connection(void **state)
 {
     (void)state;
-    struct ow_http_parser p;
+    struct ow_http_parser parser;
     const char *text =
         "POST /a HTTP/1.1\r\nContent-Length: 1\r\n\r\nxGET /b HTTP/1.1\r\nConnection: close\r\n\r\n";
     size_t used = 0;
-    ow_http_parser_init(&p, OW_HTTP_REQUEST, 100);
-    assert_int_equal(ow_http_parse(&p, text, strlen(text), &used), OW_HTTP_DONE);
-    assert_string_equal(p.body->str, "x");
-    assert_false(p.close);
-    ow_http_parser_reset(&p);
+    ow_http_parser_init(&parser, OW_HTTP_REQUEST, 100);
+    assert_int_equal(ow_http_parse(&parser, text, strlen(text), &used), OW_HTTP_DONE);
+    assert_string_equal(parser.body->str, "x");
+    assert_false(parser.close);
+    ow_http_parser_reset(&parser);
     text += used;
-    assert_int_equal(ow_http_parse(&p, text, strlen(text), &used), OW_HTTP_DONE);
-    assert_string_equal(p.target->str, "/b");
-    assert_true(p.close);
-    ow_http_parser_clear(&p);
+    assert_int_equal(ow_http_parse(&parser, text, strlen(text), &used), OW_HTTP_DONE);
+    assert_string_equal(parser.target->str, "/b");
+    assert_true(parser.close);
+    ow_http_parser_clear(&parser);
 }
 
 /* Pieces of valid messages in random order: any result is accepted, but the parser must stay within its
  * buffers. */
-static void test_noise(void **state)
+static void test_random_input(void **state)
 {
     (void)state;
     static const char *pieces[] = {"GET ",      "/x",
@@ -125,15 +125,15 @@
                                    ";",         "POST / HTTP/1.1\r\n"};
     GRand *rand = g_rand_new_with_seed(7);
     for (int round = 0; round < 3000; round++) {
-        struct ow_http_parser p;
+        struct ow_http_parser parser;
         enum ow_http_result result = OW_HTTP_MORE;
-        ow_http_parser_init(&p, round % 2 == 0 ? OW_HTTP_REQUEST : OW_HTTP_RESPONSE, 100);
+        ow_http_parser_init(&parser, round % 2 == 0 ? OW_HTTP_REQUEST : OW_HTTP_RESPONSE, 100);
         for (int i = 0; i < 60 && result == OW_HTTP_MORE; i++) {
             const char *piece = pieces[g_rand_int_range(rand, 0, G_N_ELEMENTS(pieces))];
-            result = feed(&p, piece, strlen(piece), 1);
-            assert_true(p.body->len <= 100);
+            result = feed(&parser, piece, strlen(piece), 1);
+            assert_true(parser.body->len <= 100);
         }
-        ow_http_parser_clear(&p);
+        ow_http_parser_clear(&parser);
     }
     g_rand_free(rand);
 }
@@ -142,9 +142,9 @@
 {
     const struct CMUnitTest tests[] = {
         cmocka_unit_test(test_samples),
-        cmocka_unit_test(test_a_head_without_end_is_cut_off),
+        cmocka_unit_test(test_endless_head_is_rejected),
         cmocka_unit_test(test_two_messages_on_one_connection),
-        cmocka_unit_test(test_noise),
+        cmocka_unit_test(test_random_input),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/test_records.c
+++ b/tests/test_records.c
@@ -15,57 +15,58 @@
 
 static void add_live(GArray *live, uint32_t task, uint64_t attempt, const char *machine, uint64_t session)
 {
-    struct ow_live_record l = {task, attempt, machine, session};
-    g_array_append_val(live, l);
+    struct ow_live_record record = {task, attempt, machine, session};
+    g_array_append_val(live, record);
 }
 
 static void test_progress(void **state)
 {
     (void)state;
-    struct ow_progress_record r = {9, g_array_new(FALSE, FALSE, sizeof(uint32_t)),
-                                   g_array_new(FALSE, FALSE, sizeof(struct ow_live_record))};
+    struct ow_progress_record record = {9, g_array_new(FALSE, FALSE, sizeof(uint32_t)),
+                                        g_array_new(FALSE, FALSE, sizeof(struct ow_live_record))};
     for (uint32_t task = 0; task < 40; task += task == 5 ? 10 : 1)
-        g_array_append_val(r.done, task);
-    add_live(r.live, 6, 9, "n-1", 1);
-    add_live(r.live, 7, 9, "n-1", 1);
-    add_live(r.live, 8, 4, "n-1", 1);
-    add_live(r.live, 9, 9, "n-1", 2);
-    add_live(r.live, 10, 9, "n-2", 1);
-    char *text = wire_progress_record(&r);
+        g_array_append_val(record.done, task);
+    add_live(record.live, 6, 9, "n-1", 1);
+    add_live(record.live, 7, 9, "n-1", 1);
+    add_live(record.live, 8, 4, "n-1", 1);
+    add_live(record.live, 9, 9, "n-1", 2);
+    add_live(record.live, 10, 9, "n-2", 1);
+    char *text = wire_progress_record(&record);
     assert_string_equal(
         text,
         "{\"a\":9,\"d\":\"0-5,15-39\",\"l\":{\"n-1 1\":\"6-7@9,8@4\",\"n-1 2\":\"9@9\",\"n-2 1\":\"10@9\"}}");
     json_t *value = wj_object(text, strlen(text));
     struct ow_progress_record again;
     assert_true(wire_progress_record_parse(value, &again));
-    assert_true(again.last_attempt == 9 && again.done->len == r.done->len && again.live->len == 5);
+    assert_true(again.last_attempt == 9 && again.done->len == record.done->len && again.live->len == 5);
     for (guint i = 0; i < 5; i++) {
-        const struct ow_live_record *a = &g_array_index(r.live, struct ow_live_record, i);
-        const struct ow_live_record *b = &g_array_index(again.live, struct ow_live_record, i);
-        assert_true(a->task == b->task && a->attempt == b->attempt && a->session == b->session);
-        assert_string_equal(a->machine, b->machine);
+        const struct ow_live_record *written = &g_array_index(record.live, struct ow_live_record, i);
+        const struct ow_live_record *read = &g_array_index(again.live, struct ow_live_record, i);
+        assert_true(written->task == read->task && written->attempt == read->attempt &&
+                    written->session == read->session);
+        assert_string_equal(written->machine, read->machine);
     }
     json_decref(value);
     g_free(text);
-    wire_progress_record_clear(&r);
+    wire_progress_record_clear(&record);
     wire_progress_record_clear(&again);
 }
 
-static void test_the_worst_chunk_fits_a_value(void **state)
+static void test_largest_chunk_fits_a_value(void **state)
 {
     (void)state;
-    struct ow_progress_record r = {UINT64_C(1) << 40, g_array_new(FALSE, FALSE, sizeof(uint32_t)),
-                                   g_array_new(FALSE, FALSE, sizeof(struct ow_live_record))};
+    struct ow_progress_record record = {UINT64_C(1) << 40, g_array_new(FALSE, FALSE, sizeof(uint32_t)),
+                                        g_array_new(FALSE, FALSE, sizeof(struct ow_live_record))};
     /* Every task runs on a different machine. */
     for (uint32_t task = 99000; task < 99000 + OW_CHUNK_TASKS; task++) {
         char name[16];
         g_snprintf(name, sizeof name, "n-%06u", task);
-        add_live(r.live, task, 1000 + task % 7, g_intern_string(name), 1);
+        add_live(record.live, task, 1000 + task % 7, g_intern_string(name), 1);
     }
-    char *text = wire_progress_record(&r);
+    char *text = wire_progress_record(&record);
     assert_true(strlen(text) < VALUE_LIMIT);
     g_free(text);
-    wire_progress_record_clear(&r);
+    wire_progress_record_clear(&record);
 }
 
 static void test_job_records(void **state)
@@ -83,7 +84,7 @@
     json_decref(value);
 }
 
-static void test_an_older_record_changes_nothing(void **state)
+static void test_older_record_is_ignored(void **state)
 {
     (void)state;
     struct ow_name_tables names = {ow_names_new(), ow_names_new(), ow_names_new(), ow_names_new(),
@@ -116,27 +117,27 @@
     ow_names_free(names);
 }
 
-static void test_bucket(void **state)
+static void test_rate_limiter(void **state)
 {
     (void)state;
-    struct ow_rate_limiter b;
-    ow_rate_limiter_init(&b, 2, 4, 100);
-    assert_true(ow_rate_limiter_take(&b, 4, 100));
-    assert_false(ow_rate_limiter_take(&b, 1, 100.4));
-    assert_true(ow_rate_limiter_take(&b, 1, 100.5));
-    assert_true(ow_rate_limiter_level(&b, 200) == 4);
-    ow_rate_limiter_spend(&b, 6, 200);
-    assert_false(ow_rate_limiter_take(&b, 1, 201));
-    ow_rate_limiter_empty(&b, 300);
-    assert_true(ow_rate_limiter_level(&b, 300) == 0);
+    struct ow_rate_limiter limiter;
+    ow_rate_limiter_init(&limiter, 2, 4, 100);
+    assert_true(ow_rate_limiter_take(&limiter, 4, 100));
+    assert_false(ow_rate_limiter_take(&limiter, 1, 100.4));
+    assert_true(ow_rate_limiter_take(&limiter, 1, 100.5));
+    assert_true(ow_rate_limiter_level(&limiter, 200) == 4);
+    ow_rate_limiter_spend(&limiter, 6, 200);
+    assert_false(ow_rate_limiter_take(&limiter, 1, 201));
+    ow_rate_limiter_empty(&limiter, 300);
+    assert_true(ow_rate_limiter_level(&limiter, 300) == 0);
 }
 
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_progress),    cmocka_unit_test(test_the_worst_chunk_fits_a_value),
-        cmocka_unit_test(test_job_records), cmocka_unit_test(test_an_older_record_changes_nothing),
-        cmocka_unit_test(test_names),       cmocka_unit_test(test_bucket),
+        cmocka_unit_test(test_progress),    cmocka_unit_test(test_largest_chunk_fits_a_value),
+        cmocka_unit_test(test_job_records), cmocka_unit_test(test_older_record_is_ignored),
+        cmocka_unit_test(test_names),       cmocka_unit_test(test_rate_limiter),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/test_sockets.c
+++ b/tests/test_sockets.c
@@ -24,28 +24,28 @@
     bool silent;
 };
 
-static void handle(void *owner, const struct ow_http_request *r)
+static void handle(void *owner, const struct ow_http_request *request)
 {
-    struct bench *b = owner;
-    b->waiting = r->id;
-    if (!b->silent)
-        ow_http_server_answer(b->server, r->id, 200, NULL, r->body, r->body_size);
+    struct bench *bench = owner;
+    bench->waiting = request->id;
+    if (!bench->silent)
+        ow_http_server_answer(bench->server, request->id, 200, NULL, request->body, request->body_size);
 }
 
 static void take(void *owner, uint64_t tag, int status, const char *body, size_t size)
 {
-    struct bench *b = owner;
+    struct bench *bench = owner;
     (void)tag;
-    b->status = status;
-    b->replies++;
-    g_string_truncate(b->body, 0);
-    g_string_append_len(b->body, body, (gssize)size);
+    bench->status = status;
+    bench->replies++;
+    g_string_truncate(bench->body, 0);
+    g_string_append_len(bench->body, body, (gssize)size);
 }
 
-static double round_(void *owner, double now)
+static double sweep_idle(void *owner, double now)
 {
-    struct bench *b = owner;
-    ow_http_client_sweep(b->client, now);
+    struct bench *bench = owner;
+    ow_http_client_sweep(bench->client, now);
     return 0.01;
 }
 
@@ -60,83 +60,83 @@
     g_snprintf(endpoint, sizeof endpoint, "127.0.0.1:%u", (unsigned)ntohs(address.sin_port));
 }
 
-static void open_bench(struct bench *b)
+static void open_bench(struct bench *bench)
 {
     choose_free_port();
     struct ow_http_server_options options = {endpoint, 1000, 4, 60};
-    memset(b, 0, sizeof *b);
-    b->loop = ow_loop_new();
-    b->body = g_string_new(NULL);
-    b->server = ow_http_server_new(b->loop, &options, handle, b);
-    assert_non_null(b->server);
-    b->client = ow_http_client_new(b->loop, 64, take, b);
+    memset(bench, 0, sizeof *bench);
+    bench->loop = ow_loop_new();
+    bench->body = g_string_new(NULL);
+    bench->server = ow_http_server_new(bench->loop, &options, handle, bench);
+    assert_non_null(bench->server);
+    bench->client = ow_http_client_new(bench->loop, 64, take, bench);
 }
 
-static void close_bench(struct bench *b)
+static void close_bench(struct bench *bench)
 {
-    ow_http_client_free(b->client);
-    ow_http_server_free(b->server);
-    ow_loop_free(b->loop);
-    g_string_free(b->body, TRUE);
+    ow_http_client_free(bench->client);
+    ow_http_server_free(bench->server);
+    ow_loop_free(bench->loop);
+    g_string_free(bench->body, TRUE);
 }
 
-static void run_until_reply(struct bench *b, int replies)
+static void run_until_reply(struct bench *bench, int replies)
 {
-    for (int i = 0; i < 1000 && b->replies < replies; i++)
-        ow_loop_once(b->loop, round_, b);
-    assert_int_equal(b->replies, replies);
+    for (int i = 0; i < 1000 && bench->replies < replies; i++)
+        ow_loop_once(bench->loop, sweep_idle, bench);
+    assert_int_equal(bench->replies, replies);
 }
 
 static void test_requests_and_keep_alive(void **state)
 {
     (void)state;
-    struct bench b;
-    open_bench(&b);
+    struct bench bench;
+    open_bench(&bench);
     for (int i = 1; i <= 5; i++) {
-        ow_http_client_send(b.client, endpoint, "POST", "/echo", "hello", 3, 7);
-        run_until_reply(&b, i);
-        assert_int_equal(b.status, 200);
-        assert_string_equal(b.body->str, "hello");
+        ow_http_client_send(bench.client, endpoint, "POST", "/echo", "hello", 3, 7);
+        run_until_reply(&bench, i);
+        assert_int_equal(bench.status, 200);
+        assert_string_equal(bench.body->str, "hello");
     }
     char big[1201];
     memset(big, 'x', sizeof big - 1);
     big[sizeof big - 1] = '\0';
-    ow_http_client_send(b.client, endpoint, "POST", "/echo", big, 3, 7);
-    run_until_reply(&b, 6);
-    assert_int_equal(b.status, 413);
-    close_bench(&b);
+    ow_http_client_send(bench.client, endpoint, "POST", "/echo", big, 3, 7);
+    run_until_reply(&bench, 6);
+    assert_int_equal(bench.status, 413);
+    close_bench(&bench);
 }
 
 static void test_time_out_and_refusal(void **state)
 {
     (void)state;
-    struct bench b;
-    open_bench(&b);
-    b.silent = true;
-    ow_http_client_send(b.client, endpoint, "GET", "/", NULL, 0.1, 7);
-    run_until_reply(&b, 1);
-    assert_int_equal(b.status, 0);
+    struct bench bench;
+    open_bench(&bench);
+    bench.silent = true;
+    ow_http_client_send(bench.client, endpoint, "GET", "/", NULL, 0.1, 7);
+    run_until_reply(&bench, 1);
+    assert_int_equal(bench.status, 0);
     /* The response is ready after the client has gone: it must be dropped. */
     for (int i = 0; i < 5; i++)
-        ow_loop_once(b.loop, round_, &b);
-    ow_http_server_answer(b.server, b.waiting, 200, NULL, "late", 4);
-    ow_http_client_send(b.client, "127.0.0.1:1", "GET", "/", NULL, 3, 8);
-    run_until_reply(&b, 2);
-    assert_int_equal(b.status, 0);
-    close_bench(&b);
+        ow_loop_once(bench.loop, sweep_idle, &bench);
+    ow_http_server_answer(bench.server, bench.waiting, 200, NULL, "late", 4);
+    ow_http_client_send(bench.client, "127.0.0.1:1", "GET", "/", NULL, 3, 8);
+    run_until_reply(&bench, 2);
+    assert_int_equal(bench.status, 0);
+    close_bench(&bench);
 }
 
 /* Sends raw bytes to the server; returns its response up to the end of the connection or a pause. */
-static void say(struct bench *b, const char *bytes, char *answer, size_t size)
+static void exchange_bytes(struct bench *bench, const char *bytes, char *answer, size_t size)
 {
     int fd = ow_net_connect(endpoint);
     size_t got = 0;
     assert_true(fd >= 0);
     for (int i = 0; i < 20; i++)
-        ow_loop_once(b->loop, round_, b);
+        ow_loop_once(bench->loop, sweep_idle, bench);
     assert_int_equal(send(fd, bytes, strlen(bytes), MSG_NOSIGNAL), strlen(bytes));
     for (int i = 0; i < 50 && got < size - 1; i++) {
-        ow_loop_once(b->loop, round_, b);
+        ow_loop_once(bench->loop, sweep_idle, bench);
         ssize_t n = recv(fd, answer + got, size - 1 - got, 0);
         if (n == 0)
             break;
@@ -149,34 +149,34 @@
 static void test_malformed_requests_are_answered_and_closed(void **state)
 {
     (void)state;
-    struct bench b;
+    struct bench bench;
     char answer[1024];
-    open_bench(&b);
-    say(&b, "nonsense\r\n\r\n", answer, sizeof answer);
+    open_bench(&bench);
+    exchange_bytes(&bench, "nonsense\r\n\r\n", answer, sizeof answer);
     assert_non_null(strstr(answer, "HTTP/1.1 400"));
     assert_non_null(strstr(answer, "Connection: close"));
-    say(&b, "GET / HTTP/1.1\r\nConnection: close\r\n\r\n", answer, sizeof answer);
+    exchange_bytes(&bench, "GET / HTTP/1.1\r\nConnection: close\r\n\r\n", answer, sizeof answer);
     assert_non_null(strstr(answer, "HTTP/1.1 200"));
     assert_non_null(strstr(answer, "Connection: close"));
-    close_bench(&b);
+    close_bench(&bench);
 }
 
 static void test_connections_are_bounded(void **state)
 {
     (void)state;
-    struct bench b;
+    struct bench bench;
     int fds[6];
     char byte;
-    open_bench(&b);
+    open_bench(&bench);
     for (int i = 0; i < 6; i++)
         fds[i] = ow_net_connect(endpoint);
     for (int i = 0; i < 30; i++)
-        ow_loop_once(b.loop, round_, &b);
+        ow_loop_once(bench.loop, sweep_idle, &bench);
     assert_true(recv(fds[3], &byte, 1, 0) < 0 && errno == EAGAIN);
     assert_int_equal(recv(fds[5], &byte, 1, 0), 0);
     for (int i = 0; i < 6; i++)
         close(fds[i]);
-    close_bench(&b);
+    close_bench(&bench);
 }
 
 /* Where connections run out the one that is quiet for longest makes room: a worker's that reports is never
@@ -185,47 +185,47 @@
 {
     (void)state;
     static const char request[] = "POST /echo HTTP/1.1\r\nContent-Length: 2\r\n\r\nhi";
-    struct bench b;
+    struct bench bench;
     int fds[4];
     char bytes[256];
-    open_bench(&b);
+    open_bench(&bench);
     for (int i = 0; i < 4; i++)
         fds[i] = ow_net_connect(endpoint);
     for (int i = 0; i < 120; i++)
-        ow_loop_once(b.loop, round_, &b);
+        ow_loop_once(bench.loop, sweep_idle, &bench);
     /* The first reports; the others have been silent for more than a second. */
     assert_true(send(fds[0], request, strlen(request), 0) > 0);
     for (int i = 0; i < 5; i++)
-        ow_loop_once(b.loop, round_, &b);
-    ow_http_client_send(b.client, endpoint, "POST", "/echo", "new", 3, 7);
-    run_until_reply(&b, 1);
-    assert_int_equal(b.status, 200);
+        ow_loop_once(bench.loop, sweep_idle, &bench);
+    ow_http_client_send(bench.client, endpoint, "POST", "/echo", "new", 3, 7);
+    run_until_reply(&bench, 1);
+    assert_int_equal(bench.status, 200);
     assert_true(recv(fds[0], bytes, sizeof bytes, 0) > 0);
     assert_true(recv(fds[0], bytes, sizeof bytes, 0) < 0 && errno == EAGAIN);
     for (int i = 0; i < 4; i++)
         close(fds[i]);
-    close_bench(&b);
+    close_bench(&bench);
 }
 
 /* Commands to many machines at once leave the sockets to reports: past the bound there is no room, and the
    connection that has been idle for longest makes some. */
-static void test_own_connections_are_bounded(void **state)
+static void test_client_connections_are_bounded(void **state)
 {
     (void)state;
-    struct bench b;
-    open_bench(&b);
-    ow_http_client_bound(b.client, 1);
-    assert_true(ow_http_client_has_room(b.client, endpoint));
-    ow_http_client_send(b.client, endpoint, "POST", "/echo", "one", 3, 1);
-    assert_false(ow_http_client_has_room(b.client, endpoint));
-    run_until_reply(&b, 1);
-    assert_true(ow_http_client_has_room(b.client, endpoint));
-    assert_int_equal(ow_http_server_count(b.server), 1);
-    assert_true(ow_http_client_has_room(b.client, "127.0.0.1:1"));
+    struct bench bench;
+    open_bench(&bench);
+    ow_http_client_bound(bench.client, 1);
+    assert_true(ow_http_client_has_room(bench.client, endpoint));
+    ow_http_client_send(bench.client, endpoint, "POST", "/echo", "one", 3, 1);
+    assert_false(ow_http_client_has_room(bench.client, endpoint));
+    run_until_reply(&bench, 1);
+    assert_true(ow_http_client_has_room(bench.client, endpoint));
+    assert_int_equal(ow_http_server_count(bench.server), 1);
+    assert_true(ow_http_client_has_room(bench.client, "127.0.0.1:1"));
     for (int i = 0; i < 20; i++)
-        ow_loop_once(b.loop, round_, &b);
-    assert_int_equal(ow_http_server_count(b.server), 0);
-    close_bench(&b);
+        ow_loop_once(bench.loop, sweep_idle, &bench);
+    assert_int_equal(ow_http_server_count(bench.server), 0);
+    close_bench(&bench);
 }
 
 static int run_program(const char *arguments, char **out, char **err)
@@ -270,7 +270,7 @@
         cmocka_unit_test(test_malformed_requests_are_answered_and_closed),
         cmocka_unit_test(test_connections_are_bounded),
         cmocka_unit_test(test_idle_connections_are_evicted),
-        cmocka_unit_test(test_own_connections_are_bounded),
+        cmocka_unit_test(test_client_connections_are_bounded),
         cmocka_unit_test(test_the_command_line),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test_wire.c
+++ b/tests/test_wire.c
@@ -27,7 +27,7 @@
     return submission;
 }
 
-static void test_a_job_survives_its_stored_form(void **state)
+static void test_job_survives_its_stored_form(void **state)
 {
     (void)state;
     const char *fault = NULL;
@@ -111,13 +111,14 @@
 static void test_reports(void **state)
 {
     (void)state;
-    struct ow_report *r = wire_report_parse(report, strlen(report));
-    assert_non_null(r);
-    assert_true(r->session == 1 && r->seq == 88 && r->token == 41 && r->notice_s == 7.5 &&
-                r->tasks->len == 2);
-    const struct ow_task_report *t = &g_array_index(r->tasks, struct ow_task_report, 1);
-    assert_true(t->task == 0 && t->phase == OW_PHASE_EXITED && t->cause == OW_CAUSE_STOPPED && t->saved);
-    ow_report_free(r);
+    struct ow_report *parsed = wire_report_parse(report, strlen(report));
+    assert_non_null(parsed);
+    assert_true(parsed->session == 1 && parsed->seq == 88 && parsed->token == 41 && parsed->notice_s == 7.5 &&
+                parsed->tasks->len == 2);
+    const struct ow_task_report *task = &g_array_index(parsed->tasks, struct ow_task_report, 1);
+    assert_true(task->task == 0 && task->phase == OW_PHASE_EXITED && task->cause == OW_CAUSE_STOPPED &&
+                task->saved);
+    ow_report_free(parsed);
     /* A task that can't be parsed must not look like one that has ended. */
     char **parts = g_strsplit(report, "run-000398/0", 2);
     char *text = g_strjoinv("run-000398", parts);
@@ -182,7 +183,7 @@
     ow_peer_message_free(message);
 }
 
-static void test_a_cancellation_goes_to_the_leader_whole(void **state)
+static void test_cancellation_message_is_complete(void **state)
 {
     (void)state;
     for (enum ow_peer_kind kind = OW_PEER_CANCELLATION; kind <= OW_PEER_CANCELLATION_ACK; kind++) {
@@ -221,7 +222,7 @@
     assert_null(message);
 }
 
-static void test_peer_noise(void **state)
+static void test_random_peer_messages(void **state)
 {
     (void)state;
     GRand *rand = g_rand_new_with_seed(3);
@@ -244,15 +245,15 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_a_job_survives_its_stored_form),
+        cmocka_unit_test(test_job_survives_its_stored_form),
         cmocka_unit_test(test_bad_jobs_are_refused),
         cmocka_unit_test(test_reports),
         cmocka_unit_test(test_worker_commands),
         cmocka_unit_test(test_cloud),
         cmocka_unit_test(test_peer_messages),
-        cmocka_unit_test(test_a_cancellation_goes_to_the_leader_whole),
+        cmocka_unit_test(test_cancellation_message_is_complete),
         cmocka_unit_test(test_messages_of_later_versions),
-        cmocka_unit_test(test_peer_noise),
+        cmocka_unit_test(test_random_peer_messages),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/world_values.c
+++ b/tests/world_values.c
@@ -64,22 +64,22 @@
 /* The status of the transaction, carried out if it is 200. */
 int world_apply_txn(struct world *w, const struct ow_store_request *request, char ***failed)
 {
-    GPtrArray *bad = g_ptr_array_new();
+    GPtrArray *failed_keys = g_ptr_array_new();
     bool large = request->changes->len > w->txn_ops || request->conditions->len > 4 * w->txn_ops;
     for (guint i = 0; i < request->conditions->len; i++) {
-        const struct ow_condition *c = &g_array_index(request->conditions, struct ow_condition, i);
-        if (version_of(w, c->key) != c->version)
-            g_ptr_array_add(bad, g_strdup(c->key));
+        const struct ow_condition *condition = &g_array_index(request->conditions, struct ow_condition, i);
+        if (version_of(w, condition->key) != condition->version)
+            g_ptr_array_add(failed_keys, g_strdup(condition->key));
     }
     for (guint i = 0; i < request->changes->len; i++) {
-        const struct ow_change *c = &g_array_index(request->changes, struct ow_change, i);
-        large = large || (c->value != NULL && strlen(c->value) > 1024 * w->value_kb);
-        check_format(w, c);
+        const struct ow_change *change = &g_array_index(request->changes, struct ow_change, i);
+        large = large || (change->value != NULL && strlen(change->value) > 1024 * w->value_kb);
+        check_format(w, change);
     }
     w->too_large += large ? 1 : 0;
-    bool ok = bad->len == 0;
-    g_ptr_array_add(bad, NULL);
-    *failed = (char **)g_ptr_array_free(bad, FALSE);
+    bool ok = failed_keys->len == 0;
+    g_ptr_array_add(failed_keys, NULL);
+    *failed = (char **)g_ptr_array_free(failed_keys, FALSE);
     if (large)
         return 400;
     for (guint i = 0; ok && i < request->changes->len; i++)
