--- /dev/null
+++ b/src/core/scheduling/service_moves.c
@@ -0,0 +1,237 @@
+/* Moving replicas of services. */
+#include "core/scheduling/service_moves.h"
+
+#include "core/leader_state.h"
+#include "core/machines/machine.h"
+#include "core/machines/machine_registry.h"
+#include "core/run.h"
+#include "core/scheduling/placement.h"
+#include "core/scheduling/replica_spread.h"
+
+/* Replicas of one service that are moved at a time. */
+enum { MOVES_MOST = 1 };
+/* How long a move takes: a stop, its report, a launch. */
+static const double MOVE_S = 2;
+/* A replica is stopped at the latest so long before its machine goes. */
+static const double LAST_MOVE_S = 4;
+/* Replicas are separated only in a service that has lost none for so long, ... */
+static const double CALM_S = 60;
+/* ... and that is considered so often. */
+static const double SEPARATE_S = 5;
+
+static bool is_serving(const struct ow_attempt *attempt)
+{
+    return attempt->state == OW_ATTEMPT_SEEN && attempt->phase == OW_PHASE_RUNNING && !attempt->stop;
+}
+
+/* How many of the service's replicas are missed now. */
+static uint32_t not_serving(const struct ow_run *run)
+{
+    uint32_t serving = 0;
+    for (guint i = 0; i < run->attempts->len; i++) {
+        if (is_serving(g_ptr_array_index(run->attempts, i)))
+            serving++;
+    }
+    return run->count - serving;
+}
+
+static bool has_attempt_on(const struct ow_run *run, const struct ow_machine *machine)
+{
+    for (guint i = 0; i < machine->attempts->len; i++) {
+        const struct ow_attempt *attempt = g_ptr_array_index(machine->attempts, i);
+        if (attempt->job == run->job)
+            return true;
+    }
+    return false;
+}
+
+/* Whether the machine has the image, and not only a fetch of it under way. */
+static bool has_image(const struct ow_machine *machine, int image)
+{
+    const struct ow_image_copy *copy = ow_machine_image(machine, image);
+    return copy != NULL && copy->present;
+}
+
+/* Whether a replica of the service could start on the machine at once, apart from the others. */
+static bool is_place_for(struct ow_leader *leader, const struct ow_run *run, const struct ow_machine *machine)
+{
+    const struct ow_spec *spec = run->job->spec;
+    return has_image(machine, spec->image) && ow_placement_is_permitted(leader, run, machine) &&
+           ow_placement_slots(leader, spec, machine) > 0 && !has_attempt_on(run, machine);
+}
+
+/* A machine where a replica could start at once, apart from the others of its service and outside a zone
+   (OW_NO_NAME: in any); NULL: none has capacity and the image. */
+static struct ow_machine *find_place(struct ow_leader *leader, const struct ow_run *run, int not_in_zone)
+{
+    for (guint i = 0; i < leader->machines->len; i++) {
+        struct ow_machine *machine = g_ptr_array_index(leader->machines, i);
+        if (machine->zone != not_in_zone && is_place_for(leader, run, machine))
+            return machine;
+    }
+    return NULL;
+}
+
+/* The capacity is held for the rest of the tick: two replicas must not count on the same place. */
+static void move_to(struct ow_leader *leader, struct ow_attempt *attempt, struct ow_machine *place,
+                    const char *why)
+{
+    ow_amounts_add(&place->held, &attempt->job->spec->submission->need, 1);
+    ow_attempt_stop(leader, attempt, 0, why);
+}
+
+static bool is_movable(const struct ow_attempt *attempt)
+{
+    return ow_run_is_service(attempt->job->run) && !attempt->stop && !ow_job_over(attempt->job);
+}
+
+/* A machine whose reports no longer arrive although it answers commands: its lease is not renewed, so its
+   worker is about to end all tasks. One that answers nothing is none of these, for no stop would reach it. */
+static bool loses_its_lease(const struct ow_leader *leader, const struct ow_machine *machine)
+{
+    return machine->fenced && machine->unanswered_since == 0 && ow_machine_heard_recently(leader, machine) &&
+           ow_machine_stopped_reporting(leader, machine);
+}
+
+/* When tasks on the machine will be gone: the cloud takes it back, or its lease runs out. 0: not as far as is
+   known. */
+static double leaves_at(const struct ow_leader *leader, const struct ow_machine *machine)
+{
+    if (machine->reclaimed_at > 0)
+        return machine->reclaimed_at;
+    if (!loses_its_lease(leader, machine))
+        return 0;
+    /* This leader may never have had a report of it: then there is no time that could be counted on. */
+    double since = machine->last_report_at;
+    return since > 0 ? since + leader->controller->settings->lease_s : leader->controller->now;
+}
+
+/* The service's replicas on machines that are about to go. */
+static uint32_t leaving(const struct ow_leader *leader, const struct ow_run *run)
+{
+    uint32_t count = 0;
+    for (guint i = 0; i < run->attempts->len; i++) {
+        const struct ow_attempt *attempt = g_ptr_array_index(run->attempts, i);
+        if (!attempt->stop && leaves_at(leader, attempt->machine) > 0)
+            count++;
+    }
+    return count;
+}
+
+/* Whether the service can do without one more replica for a moment: one at a time is missed, unless the
+   machines that are about to go leave no time for that. */
+static bool may_miss_one_more(const struct ow_leader *leader, const struct ow_run *run, double left_s)
+{
+    return not_serving(run) < MOVES_MOST || leaving(leader, run) * MOVE_S > left_s - LAST_MOVE_S;
+}
+
+/* With its image elsewhere a replica is moved as soon as its service can do without it. Where no machine with
+   the image has capacity, it serves as long as it may: then it is stopped all the same, for it starts
+   elsewhere only once it is proven gone, and that takes far longer when its machine has been taken. */
+static void move_off_leaving(struct ow_leader *leader, struct ow_machine *machine)
+{
+    double left = leaves_at(leader, machine) - leader->controller->now;
+    for (guint i = machine->attempts->len; i > 0; i--) {
+        if (i > machine->attempts->len)
+            continue;
+        struct ow_attempt *attempt = g_ptr_array_index(machine->attempts, i - 1);
+        if (!is_movable(attempt))
+            continue;
+        struct ow_machine *place = find_place(leader, attempt->job->run, OW_NO_NAME);
+        if (place != NULL && may_miss_one_more(leader, attempt->job->run, left))
+            move_to(leader, attempt, place, "its machine is about to go; it moves");
+        else if (left < LAST_MOVE_S)
+            ow_attempt_stop(leader, attempt, 0, "its machine is about to go, and no other one has its image");
+    }
+}
+
+static bool has_only_replicas(const struct ow_machine *machine)
+{
+    for (guint i = 0; i < machine->attempts->len; i++) {
+        const struct ow_attempt *attempt = g_ptr_array_index(machine->attempts, i);
+        if (!ow_run_is_service(attempt->job->run))
+            return false;
+    }
+    return true;
+}
+
+/* A machine that fails tasks is returned once it is empty, which replicas that happen to run on it would put
+   off for ever. They serve, so they move only where they are hardly missed. */
+static void move_off_faulty(struct ow_leader *leader, struct ow_machine *machine)
+{
+    if (!has_only_replicas(machine) || !ow_machine_heard_recently(leader, machine))
+        return;
+    for (guint i = machine->attempts->len; i > 0; i--) {
+        if (i > machine->attempts->len)
+            continue;
+        struct ow_attempt *attempt = g_ptr_array_index(machine->attempts, i - 1);
+        if (!is_movable(attempt) || not_serving(attempt->job->run) >= MOVES_MOST)
+            continue;
+        struct ow_machine *place = find_place(leader, attempt->job->run, OW_NO_NAME);
+        if (place != NULL)
+            move_to(leader, attempt, place, "its machine is faulty; it moves");
+    }
+}
+
+/* A replica whose loss would come together with another one's: on one machine with it, or in the only zone
+   that the service has left; that zone is returned, too. NULL: there is none. */
+static struct ow_attempt *crowded(const struct ow_run *run, int *not_in_zone)
+{
+    const struct ow_spec *spec = run->job->spec;
+    struct ow_replica_spread spread = ow_replica_spread_of(run);
+    struct ow_attempt *found = NULL;
+    *not_in_zone = OW_NO_NAME;
+    for (guint i = 0; i < run->attempts->len && found == NULL; i++) {
+        struct ow_attempt *attempt = g_ptr_array_index(run->attempts, i);
+        if (ow_replica_spread_on_machine(&spread, attempt->machine) > 1)
+            found = attempt;
+    }
+    bool one_zone = run->attempts->len > 1 && ow_replica_spread_zones(&spread) == 1;
+    if (found == NULL && one_zone && !spec->submission->one_zone && spec->zone == OW_NO_NAME) {
+        found = g_ptr_array_index(run->attempts, 0);
+        *not_in_zone = found->machine->zone;
+    }
+    ow_replica_spread_clear(&spread);
+    return found;
+}
+
+static bool has_been_calm(const struct ow_leader *leader, const struct ow_run *run)
+{
+    for (guint i = 0; i < run->attempts->len; i++) {
+        const struct ow_attempt *attempt = g_ptr_array_index(run->attempts, i);
+        if (leader->controller->now - attempt->placed_at < CALM_S)
+            return false;
+    }
+    return leader->controller->now - leader->ready_at >= CALM_S && not_serving(run) == 0;
+}
+
+/* Where capacity was short, replicas may have been placed together: one at a time they are separated again.
+ */
+static void separate(struct ow_leader *leader, struct ow_run *run)
+{
+    int not_in_zone;
+    if (!ow_run_is_service(run) || ow_job_over(run->job) || leader->controller->now < run->separate_at)
+        return;
+    run->separate_at = leader->controller->now + SEPARATE_S;
+    if (!has_been_calm(leader, run))
+        return;
+    struct ow_attempt *attempt = crowded(run, &not_in_zone);
+    if (attempt == NULL)
+        return;
+    struct ow_machine *place = find_place(leader, run, not_in_zone);
+    if (place != NULL)
+        move_to(leader, attempt, place, "it stands together with others of its service; it moves");
+}
+
+void ow_service_moves_tick(struct ow_leader *leader)
+{
+    for (guint i = 0; i < leader->machines->len; i++) {
+        struct ow_machine *machine = g_ptr_array_index(leader->machines, i);
+        if (leaves_at(leader, machine) > 0)
+            move_off_leaving(leader, machine);
+        else if (leader->controller->now < machine->quarantine_until)
+            move_off_faulty(leader, machine);
+    }
+    for (guint i = 0; i < leader->runs->len; i++)
+        separate(leader, g_ptr_array_index(leader->runs, i));
+}
