--- /dev/null
+++ b/tests/effect_line.c
@@ -0,0 +1,117 @@
+/* The effects of controllers as text, encoded as for the wire. */
+#include "effect_line.h"
+
+#include "wire/cloud_json.h"
+#include "wire/peer_xdr.h"
+#include "wire/state_json.h"
+#include "wire/user_json.h"
+#include "wire/words.h"
+#include "wire/worker_json.h"
+
+/* Appends a body, and frees it; NULL: there is none. */
+static void append_body(GString *line, char *body)
+{
+    if (body != NULL)
+        g_string_append_printf(line, " %s", body);
+    g_free(body);
+}
+
+static void append_answer(GString *line, const struct ow_effect *effect, const char *kind, char *body)
+{
+    g_string_append_printf(line, "%s %" G_GUINT64_FORMAT " %d", kind, effect->request, effect->status);
+    append_body(line, body);
+}
+
+static char *job_body(const struct ow_effect *effect)
+{
+    struct ow_job_view view = {effect->id, effect->state, effect->done, effect->running, effect->text};
+    return wire_job_view(&view);
+}
+
+static void append_refusal(GString *line, const struct ow_effect *effect)
+{
+    append_answer(line, effect, "refusal", wire_error(effect->text));
+    if (effect->retry_after_s > 0)
+        g_string_append_printf(line, " retry-after %d", effect->retry_after_s);
+}
+
+static void append_direct(GString *line, const struct ow_effect *effect)
+{
+    g_string_append_printf(line, "direct %s", effect->text);
+    append_body(line, wire_direct_commands(effect->token, effect->session, effect->commands));
+}
+
+static void append_store_request(GString *line, const struct ow_store_request *request)
+{
+    struct wire_http http = wire_store_request(request);
+    g_string_append_printf(line, "state %s %s", http.method, http.path);
+    append_body(line, g_strdup(http.body));
+    wire_http_clear(&http);
+}
+
+static void append_cloud_request(GString *line, const struct ow_cloud_request *request)
+{
+    struct ow_rental rental = {request->name, request->type, request->zone, request->spot, request->count};
+    g_string_append(line, "cloud");
+    switch (request->op) {
+    case OW_CLOUD_TYPES:
+        append_body(line, g_strdup("GET " W_PATH_TYPES));
+        break;
+    case OW_CLOUD_LIST:
+        g_string_append(line, " GET");
+        append_body(line, wire_list_path(request->after));
+        break;
+    case OW_CLOUD_RENT:
+        g_string_append(line, " POST " W_PATH_MACHINES);
+        append_body(line, wire_rental(&rental));
+        break;
+    case OW_CLOUD_DELETE:
+        g_string_append(line, " POST " W_PATH_DELETE);
+        append_body(line, wire_delete(request->machines));
+        break;
+    }
+}
+
+static void append_peer_message(GString *line, struct ow_peer_message *message)
+{
+    GString *frame = g_string_new(NULL);
+    bool encoded = wire_peer_encode(message, frame);
+    g_string_append_printf(line, "peer %s %s ", message->addressee != NULL ? message->addressee : "all",
+                           encoded ? "sent" : "too-large");
+    for (gsize i = 0; i < frame->len; i++)
+        g_string_append_printf(line, "%02x", (guint)(guchar)frame->str[i]);
+    g_string_free(frame, TRUE);
+}
+
+void effect_line_append(GString *line, const struct ow_effect *effect)
+{
+    switch (effect->kind) {
+    case OW_EFFECT_JOB:
+        append_answer(line, effect, "job", job_body(effect));
+        break;
+    case OW_EFFECT_TEAMS:
+        append_answer(line, effect, "teams", wire_teams(effect->teams));
+        break;
+    case OW_EFFECT_REFUSE:
+        append_refusal(line, effect);
+        break;
+    case OW_EFFECT_WORKER_COMMANDS:
+        append_answer(line, effect, "commands", wire_worker_commands(effect->token, effect->commands));
+        break;
+    case OW_EFFECT_MISDIRECT:
+        append_answer(line, effect, "misdirected", wire_misdirected(effect->text));
+        break;
+    case OW_EFFECT_DIRECT:
+        append_direct(line, effect);
+        break;
+    case OW_EFFECT_STORE:
+        append_store_request(line, effect->store);
+        break;
+    case OW_EFFECT_CLOUD:
+        append_cloud_request(line, effect->cloud);
+        break;
+    case OW_EFFECT_PEER:
+        append_peer_message(line, effect->peer);
+        break;
+    }
+}
--- a/tests/world.c
+++ b/tests/world.c
@@ -141,6 +141,8 @@
 
 static void carry_out(struct world *w, int controller, struct ow_effect *effect)
 {
+    if (w->observer.see != NULL)
+        w->observer.see(w->observer.data, w, controller, effect);
     switch (effect->kind) {
     case OW_EFFECT_JOB:
     case OW_EFFECT_REFUSE:
--- a/tests/world.h
+++ b/tests/world.h
@@ -69,6 +69,14 @@
     char *reason;
 };
 
+struct world;
+
+/** Is told of every effect of a controller, before it is carried out. */
+struct world_observer {
+    void (*see)(void *data, const struct world *w, int controller, const struct ow_effect *effect);
+    void *data;
+};
+
 /** The cluster. Tests change its fields to bring failures about; a controller's number of -1 means none. */
 struct world {
     double now;
@@ -125,7 +133,8 @@
     GHashTable *requirements; /* job -> struct world_requirements */
     GHashTable *announced;    /* job -> struct world_announcement */
     uint64_t last_request;
-    GString *violations; /* every violation of a safety rule, as text */
+    struct world_observer observer; /* `see` is NULL: there is none */
+    GString *violations;            /* every violation of a safety rule, as text */
 };
 
 /* ---- life of the cluster ---- */
