--- a/src/agent/session.c
+++ b/src/agent/session.c
@@ -13,7 +13,7 @@
 
 enum { DIRECTORY_MODE = 0755, FILE_MODE = 0644, STATUS_FAILED = 1 };
 
-static bool complain(const char *what, const char *path)
+static bool print_error(const char *what, const char *path)
 {
     fprintf(stderr, "ospreywell-agent: %s %s: %s\n", what, path, strerror(errno));
     return false;
@@ -54,7 +54,7 @@
 {
     if (store(session))
         return;
-    complain("the session can't be stored in", session->directory);
+    print_error("the session can't be stored in", session->directory);
     exit(STATUS_FAILED);
 }
 
@@ -82,7 +82,7 @@
     session->lock_fd = open(path, O_RDWR | O_CREAT | O_CLOEXEC, FILE_MODE);
     bool ok = session->lock_fd >= 0 && flock(session->lock_fd, LOCK_EX) == 0;
     if (!ok)
-        complain("can't lock", path);
+        print_error("can't lock", path);
     g_free(path);
     return ok;
 }
@@ -91,7 +91,7 @@
 {
     *session = (struct agent_session){.directory = g_strdup(directory), .lock_fd = -1};
     if (g_mkdir_with_parents(directory, DIRECTORY_MODE) != 0)
-        return complain("can't make", directory);
+        return print_error("can't make", directory);
     if (!take_lock(session) || !load(session))
         return false;
     agent_session_begin_next(session);
--- a/src/config/operators_file.c
+++ b/src/config/operators_file.c
@@ -1,6 +1,6 @@
 #include "config/operators_file.h"
 
-#include "config/control_file.h"
+#include "config/sharding_file.h"
 
 #include <expat.h>
 #include <math.h>
@@ -27,7 +27,7 @@
 struct reader {
     XML_Parser parser;
     struct ow_rules *rules;
-    struct ow_control_settings *control;
+    struct ow_sharding_settings *sharding;
     int depth;
     char *fault;
 };
@@ -40,10 +40,10 @@
     XML_StopParser(reader->parser, XML_FALSE);
 }
 
-static void take_control(struct reader *reader, const char *element, const char **attributes)
+static void take_sharding(struct reader *reader, const char *element, const char **attributes)
 {
     unsigned long line = (unsigned long)XML_GetCurrentLineNumber(reader->parser);
-    char *fault = ow_control_file_take(reader->control, element, attributes, line);
+    char *fault = ow_sharding_file_take(reader->sharding, element, attributes, line);
     if (fault != NULL && reader->fault == NULL) {
         reader->fault = g_strdup_printf("line %lu: %s", line, fault);
         XML_StopParser(reader->parser, XML_FALSE);
@@ -88,8 +88,8 @@
             fail(reader, name, "the root must be ospreywell");
         return;
     }
-    if (ow_control_file_knows(name)) {
-        take_control(reader, name, attributes);
+    if (ow_sharding_file_knows(name)) {
+        take_sharding(reader, name, attributes);
         return;
     }
     for (; *attributes != NULL && reader->fault == NULL; attributes += 2)
@@ -113,7 +113,7 @@
     fail(owner, name, "a document type is not accepted");
 }
 
-bool ow_operators_load(const char *path, struct ow_rules *rules, struct ow_control_settings *control,
+bool ow_operators_load(const char *path, struct ow_rules *rules, struct ow_sharding_settings *sharding,
                        char **fault)
 {
     char *text = NULL;
@@ -125,7 +125,7 @@
         return false;
     }
     struct ow_rules changed = *rules;
-    struct reader reader = {XML_ParserCreate(NULL), &changed, control, 0, NULL};
+    struct reader reader = {XML_ParserCreate(NULL), &changed, sharding, 0, NULL};
     XML_SetUserData(reader.parser, &reader);
     XML_SetElementHandler(reader.parser, on_start, on_end);
     XML_SetStartDoctypeDeclHandler(reader.parser, on_doctype);
--- a/src/config/operators_file.h
+++ b/src/config/operators_file.h
@@ -2,13 +2,13 @@
 #ifndef OW_CONFIG_OPERATORS_FILE_H
 #define OW_CONFIG_OPERATORS_FILE_H
 
-#include "control/control_settings.h"
+#include "sharding/sharding_settings.h"
 #include "core/settings.h"
 
 #include <stdbool.h>
 
 /* Changes what the file names; on a fault answers false and says the line and the name (g_free). */
-bool ow_operators_load(const char *path, struct ow_rules *rules, struct ow_control_settings *control,
+bool ow_operators_load(const char *path, struct ow_rules *rules, struct ow_sharding_settings *sharding,
                        char **fault);
 
 #endif
--- a/src/config/control_file.c
+++ b/src/config/sharding_file.c
@@ -1,4 +1,4 @@
-#include "config/control_file.h"
+#include "config/sharding_file.h"
 
 #include "core/types.h"
 
@@ -15,11 +15,11 @@
 };
 
 static const struct value values[] = {
-    {"heartbeat_s", offsetof(struct ow_control_settings, heartbeat_s), false, 0.05, 60},
-    {"suspicion_phi", offsetof(struct ow_control_settings, suspicion_phi), false, 1, 100},
-    {"probe_timeout_s", offsetof(struct ow_control_settings, probe_timeout_s), false, 0.05, 60},
-    {"relays", offsetof(struct ow_control_settings, relays), true, 0, 100},
-    {"candidacy_step_s", offsetof(struct ow_control_settings, candidacy_step_s), false, 0, 60},
+    {"heartbeat_s", offsetof(struct ow_sharding_settings, heartbeat_s), false, 0.05, 60},
+    {"suspicion_phi", offsetof(struct ow_sharding_settings, suspicion_phi), false, 1, 100},
+    {"probe_timeout_s", offsetof(struct ow_sharding_settings, probe_timeout_s), false, 0.05, 60},
+    {"relays", offsetof(struct ow_sharding_settings, relays), true, 0, 100},
+    {"candidacy_step_s", offsetof(struct ow_sharding_settings, candidacy_step_s), false, 0, 60},
 };
 
 /* A textual attribute that is read into `text` or, split at blanks, into `words`. */
@@ -30,7 +30,7 @@
     bool required;
 };
 
-bool ow_control_file_knows(const char *element)
+bool ow_sharding_file_knows(const char *element)
 {
     static const char *const elements[] = {"control", "shard", "allotment", "route", NULL};
     return g_strv_contains(elements, element);
@@ -47,7 +47,7 @@
     return NULL;
 }
 
-static char *take_value(struct ow_control_settings *control, const struct value *value, const char *text)
+static char *take_value(struct ow_sharding_settings *sharding, const struct value *value, const char *text)
 {
     double number = 0;
     char *fault = read_number(value->attribute, text, value->least, value->most, &number);
@@ -56,18 +56,18 @@
     if (value->whole && number != floor(number))
         return g_strdup_printf("%s: must be a whole number", value->attribute);
     if (value->whole)
-        *(unsigned *)((char *)control + value->offset) = (unsigned)number;
+        *(unsigned *)((char *)sharding + value->offset) = (unsigned)number;
     else
-        *(double *)((char *)control + value->offset) = number;
+        *(double *)((char *)sharding + value->offset) = number;
     return NULL;
 }
 
-static char *take_control(struct ow_control_settings *control, const char **attributes, unsigned long line)
+static char *take_sharding(struct ow_sharding_settings *sharding, const char **attributes, unsigned long line)
 {
-    if (control->enabled)
+    if (sharding->enabled)
         return g_strdup("control: is there twice");
-    control->enabled = true;
-    control->line = line;
+    sharding->enabled = true;
+    sharding->line = line;
     for (; *attributes != NULL; attributes += 2) {
         const struct value *value = NULL;
         for (size_t i = 0; i < G_N_ELEMENTS(values); i++)
@@ -75,7 +75,7 @@
                 value = &values[i];
         if (value == NULL)
             return g_strdup_printf("%s: is not known in control", attributes[0]);
-        char *fault = take_value(control, value, attributes[1]);
+        char *fault = take_value(sharding, value, attributes[1]);
         if (fault != NULL)
             return fault;
     }
@@ -160,7 +160,7 @@
     return NULL;
 }
 
-static char *take_shard(struct ow_control_settings *control, const char **attributes, unsigned long line)
+static char *take_shard(struct ow_sharding_settings *sharding, const char **attributes, unsigned long line)
 {
     struct ow_shard_settings *shard = g_new0(struct ow_shard_settings, 1);
     const struct field fields[] = {{"name", &shard->name, NULL, true},
@@ -168,22 +168,23 @@
                                    {"types", NULL, &shard->types, false},
                                    {0}};
     shard->line = line;
-    g_ptr_array_add(control->shards, shard);
+    g_ptr_array_add(sharding->shards, shard);
     char *fault = take_fields("shard", fields, &shard->share, attributes);
     return fault != NULL ? fault : check_name(shard->name);
 }
 
-static char *take_allotment(struct ow_control_settings *control, const char **attributes, unsigned long line)
+static char *take_allotment(struct ow_sharding_settings *sharding, const char **attributes,
+                            unsigned long line)
 {
     struct ow_allotment *allotment = g_new0(struct ow_allotment, 1);
     const struct field fields[] = {
         {"team", &allotment->team, NULL, true}, {"shard", &allotment->shard, NULL, true}, {0}};
     allotment->line = line;
-    g_ptr_array_add(control->allotments, allotment);
+    g_ptr_array_add(sharding->allotments, allotment);
     return take_fields("allotment", fields, &allotment->share, attributes);
 }
 
-static char *take_route(struct ow_control_settings *control, const char **attributes, unsigned long line)
+static char *take_route(struct ow_sharding_settings *sharding, const char **attributes, unsigned long line)
 {
     struct ow_route *route = g_new0(struct ow_route, 1);
     const struct field fields[] = {{"class", &route->class_name, NULL, false},
@@ -192,20 +193,20 @@
                                    {"shards", NULL, &route->shards, true},
                                    {0}};
     route->line = line;
-    g_ptr_array_add(control->routes, route);
+    g_ptr_array_add(sharding->routes, route);
     return take_fields("route", fields, NULL, attributes);
 }
 
-char *ow_control_file_take(struct ow_control_settings *control, const char *element, const char **attributes,
-                           unsigned long line)
+char *ow_sharding_file_take(struct ow_sharding_settings *sharding, const char *element,
+                            const char **attributes, unsigned long line)
 {
     if (strcmp(element, "control") == 0)
-        return take_control(control, attributes, line);
-    if (!control->enabled)
+        return take_sharding(sharding, attributes, line);
+    if (!sharding->enabled)
         return g_strdup_printf("%s: belongs inside control", element);
     if (strcmp(element, "shard") == 0)
-        return take_shard(control, attributes, line);
+        return take_shard(sharding, attributes, line);
     if (strcmp(element, "allotment") == 0)
-        return take_allotment(control, attributes, line);
-    return take_route(control, attributes, line);
+        return take_allotment(sharding, attributes, line);
+    return take_route(sharding, attributes, line);
 }
--- a/src/core/api/cancel.h
+++ b/src/core/api/cancel.h
@@ -4,9 +4,9 @@
 
 #include <stdint.h>
 
-struct ow_controller;
+struct ow_core;
 
 /* Records that the job is cancelled, unless it is over, and answers once a leader has acknowledged that. */
-void ow_cancel_job(struct ow_controller *controller, uint64_t request, const char *id);
+void ow_cancel_job(struct ow_core *core, uint64_t request, const char *id);
 
 #endif
--- a/src/core/api/cancellation_ack.c
+++ b/src/core/api/cancellation_ack.c
@@ -1,7 +1,7 @@
 #include "core/api/cancellation_ack.h"
 
 #include "core/api/job_answer.h"
-#include "core/controller.h"
+#include "core/core_state.h"
 #include "core/election/election.h"
 #include "core/leader.h"
 
@@ -26,7 +26,7 @@
 };
 
 struct ow_cancellation_ack {
-    struct ow_controller *controller;
+    struct ow_core *core;
     GHashTable *entries; /* id -> struct entry */
 };
 
@@ -37,10 +37,10 @@
     g_free(entry);
 }
 
-struct ow_cancellation_ack *ow_cancellation_ack_new(struct ow_controller *controller)
+struct ow_cancellation_ack *ow_cancellation_ack_new(struct ow_core *core)
 {
     struct ow_cancellation_ack *acks = g_new0(struct ow_cancellation_ack, 1);
-    acks->controller = controller;
+    acks->core = core;
     acks->entries = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, entry_free);
     return acks;
 }
@@ -58,14 +58,14 @@
         return entry;
     entry = g_new0(struct entry, 1);
     g_strlcpy(entry->id, id, sizeof entry->id);
-    entry->since = acks->controller->now;
-    entry->dropped_at = acks->controller->now + FORGET_S;
+    entry->since = acks->core->now;
+    entry->dropped_at = acks->core->now + FORGET_S;
     entry->pause_s = RESEND_S;
     entry->waiting_requests = g_array_new(FALSE, FALSE, sizeof(struct waiting_request));
     g_hash_table_insert(acks->entries, entry->id, entry);
     /* The stops go out before anything else does. */
-    if (acks->controller->leader != NULL)
-        ow_leader_cancel(acks->controller->leader, ow_jobs_find(acks->controller->jobs, id));
+    if (acks->core->leader != NULL)
+        ow_leader_cancel(acks->core->leader, ow_jobs_find(acks->core->jobs, id));
     return entry;
 }
 
@@ -73,39 +73,39 @@
                               const struct ow_job *job)
 {
     struct entry *entry = entry_get(acks, job->id);
-    struct waiting_request waiting = {request, status, acks->controller->now + PATIENCE_S};
+    struct waiting_request waiting = {request, status, acks->core->now + PATIENCE_S};
     entry->dropped_at = 0;
     g_array_append_val(entry->waiting_requests, waiting);
 }
 
-static void send_to_peers(struct ow_controller *controller, enum ow_peer_kind kind, const struct ow_job *job,
+static void send_to_peers(struct ow_core *core, enum ow_peer_kind kind, const struct ow_job *job,
                           uint64_t token)
 {
     struct ow_peer_message *message = ow_peer_message_new(kind);
     g_strlcpy(message->job, job->id, sizeof message->job);
     message->revision = job->version;
     message->number = token;
-    ow_controller_send_to_peers(controller, message);
+    ow_core_send_to_peers(core, message);
 }
 
 void ow_cancellation_ack_requested(struct ow_cancellation_ack *acks, const struct ow_peer_message *message)
 {
-    struct ow_controller *controller = acks->controller;
+    struct ow_core *core = acks->core;
     /* Committed is committed: it is acted on by whoever leads or thinks so, read or not. */
-    if (controller->leader == NULL)
+    if (core->leader == NULL)
         return;
-    struct ow_job *job = ow_jobs_cancel(controller->jobs, message->job, message->revision, message->number);
+    struct ow_job *job = ow_jobs_cancel(core->jobs, message->job, message->revision, message->number);
     if (job->state != OW_JOB_CANCELLED)
         return;
     if (job->cancellation_acked)
-        send_to_peers(controller, OW_PEER_CANCELLATION_ACK, job, ow_election_token(controller->election));
+        send_to_peers(core, OW_PEER_CANCELLATION_ACK, job, ow_election_token(core->election));
     else
         entry_get(acks, message->job);
 }
 
 void ow_cancellation_ack_received(struct ow_cancellation_ack *acks, const struct ow_peer_message *message)
 {
-    struct ow_job *job = ow_jobs_find(acks->controller->jobs, message->job);
+    struct ow_job *job = ow_jobs_find(acks->core->jobs, message->job);
     /* Whoever is asked about a job that we still take to be open reads it, and asks the leader then. */
     if (job == NULL)
         return;
@@ -117,57 +117,57 @@
 
 /* Whether we lead, rightly as far as this cancellation goes, and nothing of the job can start any more.
  */
-static bool acknowledge(struct ow_controller *controller, struct ow_job *job)
+static bool acknowledge(struct ow_core *core, struct ow_job *job)
 {
-    if (controller->leader == NULL || ow_election_token(controller->election) < job->cancel_token ||
-        !ow_leader_cancel(controller->leader, job))
+    if (core->leader == NULL || ow_election_token(core->election) < job->cancel_token ||
+        !ow_leader_cancel(core->leader, job))
         return false;
     job->cancellation_acked = true;
-    send_to_peers(controller, OW_PEER_CANCELLATION_ACK, job, ow_election_token(controller->election));
+    send_to_peers(core, OW_PEER_CANCELLATION_ACK, job, ow_election_token(core->election));
     return true;
 }
 
-static void answer_all(struct ow_controller *controller, struct entry *entry, const struct ow_job *job)
+static void answer_all(struct ow_core *core, struct entry *entry, const struct ow_job *job)
 {
     if (entry->waiting_requests->len > 0)
         g_info("cancellation of job %s acknowledged by the leader after %.3f s", entry->id,
-               controller->now - entry->since);
+               core->now - entry->since);
     for (guint i = 0; i < entry->waiting_requests->len; i++) {
         const struct waiting_request *waiting =
             &g_array_index(entry->waiting_requests, struct waiting_request, i);
-        ow_job_answer_acknowledged(controller, waiting->request, waiting->status, job);
+        ow_job_answer_acknowledged(core, waiting->request, waiting->status, job);
     }
 }
 
 /* No request waits without end: after its time it is answered that the user should ask again. */
-static void refuse_late(struct ow_controller *controller, struct entry *entry)
+static void refuse_late(struct ow_core *core, struct entry *entry)
 {
     for (guint i = entry->waiting_requests->len; i > 0; i--) {
         const struct waiting_request *waiting =
             &g_array_index(entry->waiting_requests, struct waiting_request, i - 1);
-        if (controller->now < waiting->until)
+        if (core->now < waiting->until)
             continue;
-        ow_controller_refuse(controller, waiting->request, 503,
-                             "the leader has not acknowledged the cancellation yet", RETRY_S);
+        ow_core_reject_request(core, waiting->request, 503,
+                               "the leader has not acknowledged the cancellation yet", RETRY_S);
         g_array_remove_index(entry->waiting_requests, i - 1);
     }
 }
 
 /* True when the entry is of no use any more. */
-static bool step(struct ow_controller *controller, struct entry *entry)
+static bool step(struct ow_core *core, struct entry *entry)
 {
-    struct ow_job *job = ow_jobs_find(controller->jobs, entry->id);
-    if (job->cancellation_acked || acknowledge(controller, job)) {
-        answer_all(controller, entry, job);
+    struct ow_job *job = ow_jobs_find(core->jobs, entry->id);
+    if (job->cancellation_acked || acknowledge(core, job)) {
+        answer_all(core, entry, job);
         return true;
     }
-    refuse_late(controller, entry);
+    refuse_late(core, entry);
     if (entry->dropped_at > 0)
-        return controller->now > entry->dropped_at;
-    if (controller->leader == NULL && controller->now >= entry->send_at) {
-        entry->send_at = controller->now + entry->pause_s;
+        return core->now > entry->dropped_at;
+    if (core->leader == NULL && core->now >= entry->send_at) {
+        entry->send_at = core->now + entry->pause_s;
         entry->pause_s = MIN(2 * entry->pause_s, RESEND_MOST_S);
-        send_to_peers(controller, OW_PEER_CANCELLATION, job, job->cancel_token);
+        send_to_peers(core, OW_PEER_CANCELLATION, job, job->cancel_token);
     }
     return false;
 }
@@ -178,6 +178,6 @@
     void *entry;
     g_hash_table_iter_init(&iter, acks->entries);
     while (g_hash_table_iter_next(&iter, NULL, &entry))
-        if (step(acks->controller, entry))
+        if (step(acks->core, entry))
             g_hash_table_iter_remove(&iter);
 }
--- a/src/core/api/cancellation_ack.h
+++ b/src/core/api/cancellation_ack.h
@@ -7,11 +7,11 @@
 
 struct ow_cancellation_ack;
 struct ow_job;
-struct ow_controller;
+struct ow_core;
 struct ow_peer_message;
 
 /* No cancellation waits yet. */
-struct ow_cancellation_ack *ow_cancellation_ack_new(struct ow_controller *controller);
+struct ow_cancellation_ack *ow_cancellation_ack_new(struct ow_core *core);
 /* Frees it; requests that still wait get no answer. */
 void ow_cancellation_ack_free(struct ow_cancellation_ack *cancellation_ack);
 /* A user waits for the acknowledgement of a committed cancellation; the answer comes with the next tick, or
--- a/src/core/api/feasibility.c
+++ b/src/core/api/feasibility.c
@@ -1,6 +1,6 @@
 #include "core/api/feasibility.h"
 
-#include "core/controller.h"
+#include "core/core_state.h"
 
 #include <string.h>
 
@@ -23,10 +23,10 @@
     return fits(&submission->need, &type->size);
 }
 
-static bool fits_some_type(const struct ow_controller *controller, const struct ow_submission *submission)
+static bool fits_some_type(const struct ow_core *core, const struct ow_submission *submission)
 {
     for (int i = 0; i < OW_MAX_TYPES; i++) {
-        const struct ow_machine_type *type = controller->types[i];
+        const struct ow_machine_type *type = core->types[i];
         if (type != NULL && type_allowed(submission, type))
             return true;
     }
@@ -41,9 +41,9 @@
     return submission->one_zone || submission->zone != NULL;
 }
 
-static const struct ow_team_settings *find_team(const struct ow_controller *controller, const char *name)
+static const struct ow_team_settings *find_team(const struct ow_core *core, const char *name)
 {
-    const GArray *teams = controller->settings->teams;
+    const GArray *teams = core->settings->teams;
     for (guint i = 0; i < teams->len; i++) {
         const struct ow_team_settings *team = &g_array_index(teams, struct ow_team_settings, i);
         if (strcmp(team->name, name) == 0)
@@ -62,13 +62,12 @@
     return team->gpus_max > 0 && submission->need.gpus * at_once > team->gpus_max;
 }
 
-const char *ow_infeasible_reason(const struct ow_controller *controller,
-                                 const struct ow_submission *submission)
+const char *ow_infeasible_reason(const struct ow_core *core, const struct ow_submission *submission)
 {
-    const struct ow_team_settings *team = find_team(controller, submission->team);
+    const struct ow_team_settings *team = find_team(core, submission->team);
     if (team == NULL)
         return "unknown team";
-    if (!fits_some_type(controller, submission))
+    if (!fits_some_type(core, submission))
         return "a task fits no allowed machine type";
     if (zones_contradict(submission))
         return "its tasks must be in several zones, and in one";
--- a/src/core/api/feasibility.h
+++ b/src/core/api/feasibility.h
@@ -2,12 +2,11 @@
 #ifndef OW_CORE_API_FEASIBILITY_H
 #define OW_CORE_API_FEASIBILITY_H
 
-struct ow_controller;
+struct ow_core;
 struct ow_submission;
 
 /* Why the job can never run, a text that stays valid; NULL if it can run some day. The machine types must be
    known. */
-const char *ow_infeasible_reason(const struct ow_controller *controller,
-                                 const struct ow_submission *submission);
+const char *ow_infeasible_reason(const struct ow_core *core, const struct ow_submission *submission);
 
 #endif
--- a/src/core/api/job_answer.c
+++ b/src/core/api/job_answer.c
@@ -1,7 +1,7 @@
 #include "core/api/job_answer.h"
 
 #include "core/api/cancellation_ack.h"
-#include "core/controller.h"
+#include "core/core_state.h"
 
 /* When a user whose request could not be handled is to come again. */
 enum { RETRY_AFTER_S = 1 };
@@ -14,18 +14,17 @@
     return pending;
 }
 
-void ow_job_answer_retry(struct ow_controller *controller, uint64_t request, const char *text)
+void ow_job_answer_retry(struct ow_core *core, uint64_t request, const char *text)
 {
-    ow_controller_refuse(controller, request, 503, text, RETRY_AFTER_S);
+    ow_core_reject_request(core, request, 503, text, RETRY_AFTER_S);
 }
 
-void ow_job_answer_no_state_service(struct ow_controller *controller, uint64_t request)
+void ow_job_answer_no_state_service(struct ow_core *core, uint64_t request)
 {
-    ow_job_answer_retry(controller, request, "the state service does not answer");
+    ow_job_answer_retry(core, request, "the state service does not answer");
 }
 
-void ow_job_answer_acknowledged(struct ow_controller *controller, uint64_t request, int status,
-                                const struct ow_job *job)
+void ow_job_answer_acknowledged(struct ow_core *core, uint64_t request, int status, const struct ow_job *job)
 {
     struct ow_effect *effect = ow_effect_new(OW_EFFECT_JOB, request);
     bool over = ow_job_over(job);
@@ -35,34 +34,34 @@
     effect->done = over ? OW_UNCOUNTED : job->done;
     effect->running = over ? OW_UNCOUNTED : job->running;
     effect->text = g_strdup(job->reason);
-    ow_controller_emit(controller, effect);
+    ow_core_emit(core, effect);
 }
 
-void ow_job_answer(struct ow_controller *controller, uint64_t request, int status, const struct ow_job *job)
+void ow_job_answer(struct ow_core *core, uint64_t request, int status, const struct ow_job *job)
 {
     if (job->state == OW_JOB_CANCELLED && !job->cancellation_acked)
-        ow_cancellation_ack_wait(controller->cancellation_ack, request, status, job);
+        ow_cancellation_ack_wait(core->cancellation_ack, request, status, job);
     else
-        ow_job_answer_acknowledged(controller, request, status, job);
+        ow_job_answer_acknowledged(core, request, status, job);
 }
 
-const struct ow_job *ow_job_answer_find(struct ow_controller *controller,
-                                        const struct ow_pending_request *pending, bool ok)
+const struct ow_job *ow_job_answer_find(struct ow_core *core, const struct ow_pending_request *pending,
+                                        bool ok)
 {
     if (!ok) {
-        ow_job_answer_no_state_service(controller, pending->request);
+        ow_job_answer_no_state_service(core, pending->request);
         return NULL;
     }
-    const struct ow_job *job = ow_jobs_find(controller->jobs, pending->id);
+    const struct ow_job *job = ow_jobs_find(core->jobs, pending->id);
     if (job == NULL)
-        ow_controller_refuse(controller, pending->request, 404, "no such job", 0);
+        ow_core_reject_request(core, pending->request, 404, "no such job", 0);
     return job;
 }
 
-void ow_job_answer_fresh(struct ow_controller *controller, void *data, bool ok)
+void ow_job_answer_fresh(struct ow_core *core, void *data, bool ok)
 {
     const struct ow_pending_request *pending = data;
-    const struct ow_job *job = ow_job_answer_find(controller, pending, ok);
+    const struct ow_job *job = ow_job_answer_find(core, pending, ok);
     if (job != NULL)
-        ow_job_answer(controller, pending->request, 200, job);
+        ow_job_answer(core, pending->request, 200, job);
 }
--- a/src/core/api/job_answer.h
+++ b/src/core/api/job_answer.h
@@ -5,7 +5,7 @@
 
 #include "core/types.h"
 
-struct ow_controller;
+struct ow_core;
 struct ow_job;
 
 /* One request of a user that waits for the state service. */
@@ -18,21 +18,20 @@
 struct ow_pending_request *ow_pending_request_new(uint64_t request, const char *id);
 
 /* Tells the user to come again soon. */
-void ow_job_answer_retry(struct ow_controller *controller, uint64_t request, const char *text);
+void ow_job_answer_retry(struct ow_core *core, uint64_t request, const char *text);
 /* The same because the state service does not answer. */
-void ow_job_answer_no_state_service(struct ow_controller *controller, uint64_t request);
+void ow_job_answer_no_state_service(struct ow_core *core, uint64_t request);
 /* Answers with the state of the job. If it is cancelled, the answer waits until a leader has acknowledged
    that: until then the user may not learn of it, however they ask. */
-void ow_job_answer(struct ow_controller *controller, uint64_t request, int status, const struct ow_job *job);
+void ow_job_answer(struct ow_core *core, uint64_t request, int status, const struct ow_job *job);
 /* The answer itself, once a leader has acknowledged a cancellation. */
-void ow_job_answer_acknowledged(struct ow_controller *controller, uint64_t request, int status,
-                                const struct ow_job *job);
+void ow_job_answer_acknowledged(struct ow_core *core, uint64_t request, int status, const struct ow_job *job);
 /* The job that a pending request asks for, after a read for it. If there is none or the read failed (`ok` is
    false), the request is answered, and the result is NULL. */
-const struct ow_job *ow_job_answer_find(struct ow_controller *controller,
-                                        const struct ow_pending_request *pending, bool ok);
+const struct ow_job *ow_job_answer_find(struct ow_core *core, const struct ow_pending_request *pending,
+                                        bool ok);
 /* Answers the pending request from what a read for it showed: a callback of ow_job_cache_refresh(), `data`
    is a struct ow_pending_request. */
-void ow_job_answer_fresh(struct ow_controller *controller, void *data, bool ok);
+void ow_job_answer_fresh(struct ow_core *core, void *data, bool ok);
 
 #endif
--- a/src/core/api/job_cache.c
+++ b/src/core/api/job_cache.c
@@ -1,6 +1,6 @@
 #include "core/api/job_cache.h"
 
-#include "core/controller.h"
+#include "core/core_state.h"
 #include "core/leader.h"
 #include "core/records/records.h"
 #include "wire/records_json.h"
@@ -19,7 +19,7 @@
 };
 
 struct ow_job_cache {
-    struct ow_controller *controller;
+    struct ow_core *core;
     bool loaded, loading, watching, reading;
     uint64_t revision;
     char *list_after;                   /* the last key of the pages read so far */
@@ -30,10 +30,10 @@
     GArray *asked;   /* struct waiter: for the read under way */
 };
 
-struct ow_job_cache *ow_job_cache_new(struct ow_controller *controller)
+struct ow_job_cache *ow_job_cache_new(struct ow_core *core)
 {
     struct ow_job_cache *job_cache = g_new0(struct ow_job_cache, 1);
-    job_cache->controller = controller;
+    job_cache->core = core;
     job_cache->waiting = g_array_new(FALSE, FALSE, sizeof(struct waiter));
     job_cache->asked = g_array_new(FALSE, FALSE, sizeof(struct waiter));
     return job_cache;
@@ -61,9 +61,9 @@
 
 /* A job keeps its age, and with it its place among those that have waited, when every controller begins anew.
  */
-static double age_s(const struct ow_controller *controller, double accepted_at)
+static double age_s(const struct ow_core *core, double accepted_at)
 {
-    return accepted_at > 0 ? MAX(0, controller->time_of_day - accepted_at) : 0;
+    return accepted_at > 0 ? MAX(0, core->time_of_day - accepted_at) : 0;
 }
 
 static void apply_items(struct ow_job_cache *job_cache, const GArray *items)
@@ -77,9 +77,9 @@
             g_warning("job record %s cannot be read", item->key);
             continue;
         }
-        struct ow_job *job = ow_jobs_apply(
-            job_cache->controller->jobs, item->key + strlen(OW_KEY_JOBS), item->version, record.state,
-            record.submission, job_cache->controller->now, age_s(job_cache->controller, record.accepted_at));
+        struct ow_job *job = ow_jobs_apply(job_cache->core->jobs, item->key + strlen(OW_KEY_JOBS),
+                                           item->version, record.state, record.submission,
+                                           job_cache->core->now, age_s(job_cache->core, record.accepted_at));
         if (job != NULL)
             job->cancel_token = record.leader_token;
     }
@@ -93,7 +93,7 @@
     g_array_set_size(waiters, 0);
     for (guint i = 0; i < batch->len; i++) {
         struct waiter *waiter = &g_array_index(batch, struct waiter, i);
-        waiter->fn(job_cache->controller, waiter->data, ok);
+        waiter->fn(job_cache->core, waiter->data, ok);
     }
     free_waiters(batch);
 }
@@ -110,14 +110,14 @@
 {
     job_cache->loaded = false;
     g_clear_pointer(&job_cache->list_after, g_free);
-    job_cache->load_at = job_cache->controller->now;
+    job_cache->load_at = job_cache->core->now;
 }
 
 static void apply_changes(struct ow_job_cache *job_cache, const struct ow_store_reply *reply)
 {
     apply_items(job_cache, reply->items);
-    if (job_cache->controller->leader != NULL && reply->items->len > 0)
-        ow_leader_wake(job_cache->controller->leader);
+    if (job_cache->core->leader != NULL && reply->items->len > 0)
+        ow_leader_wake(job_cache->core->leader);
     job_cache->revision = MAX(job_cache->revision, reply->revision);
 }
 
@@ -139,14 +139,14 @@
     struct ow_job_cache *job_cache = owner;
     (void)data;
     job_cache->watching = false;
-    double gap = job_cache->controller->leader != NULL ? WATCH_GAP_LEADER_S : WATCH_GAP_S;
+    double gap = job_cache->core->leader != NULL ? WATCH_GAP_LEADER_S : WATCH_GAP_S;
     if (answer->store.status == 200)
         apply_changes(job_cache, &answer->store);
     else if (is_beyond_reach(answer->store.status))
         restart_load(job_cache);
     else
         gap = RETRY_S;
-    job_cache->watch_at = job_cache->controller->now + gap;
+    job_cache->watch_at = job_cache->core->now + gap;
 }
 
 static void send_watch(struct ow_job_cache *job_cache, double hold_s, ow_call_fn fn)
@@ -154,7 +154,7 @@
     struct ow_store_request *request = ow_store_request_new(OW_STORE_WATCH, OW_KEY_JOBS);
     request->number = job_cache->revision;
     request->seconds = hold_s;
-    ow_controller_store(job_cache->controller, request, fn, job_cache, NULL, NULL);
+    ow_core_call_store(job_cache->core, request, fn, job_cache, NULL, NULL);
 }
 
 static void on_page(void *owner, void *data, const struct ow_event *answer)
@@ -164,7 +164,7 @@
     (void)data;
     job_cache->loading = false;
     if (reply->status != 200) {
-        job_cache->load_at = job_cache->controller->now + RETRY_S;
+        job_cache->load_at = job_cache->core->now + RETRY_S;
         return;
     }
     if (job_cache->list_after == NULL)
@@ -189,7 +189,7 @@
     struct ow_store_request *request = ow_store_request_new(OW_STORE_LIST, OW_KEY_JOBS);
     request->after = g_strdup(job_cache->list_after);
     job_cache->loading = true;
-    ow_controller_store(job_cache->controller, request, on_page, job_cache, NULL, NULL);
+    ow_core_call_store(job_cache->core, request, on_page, job_cache, NULL, NULL);
 }
 
 void ow_job_cache_refresh(struct ow_job_cache *job_cache, ow_fresh_fn fn, void *data)
@@ -211,15 +211,15 @@
     job_cache->hinted = false;
     job_cache->reading = true;
     /* Reads for polls keep to a share of the state service's requests, whatever the number of controllers. */
-    double share = READ_SHARE * job_cache->controller->settings->state_rps /
-                   (job_cache->controller->settings->peers->len + 1);
-    job_cache->fresh_at = job_cache->controller->now + MAX(FRESH_GAP_S, share > 0 ? 1 / share : 0);
+    double share =
+        READ_SHARE * job_cache->core->settings->state_rps / (job_cache->core->settings->peers->len + 1);
+    job_cache->fresh_at = job_cache->core->now + MAX(FRESH_GAP_S, share > 0 ? 1 / share : 0);
     send_watch(job_cache, 0, on_fresh);
 }
 
 void ow_job_cache_tick(struct ow_job_cache *job_cache)
 {
-    double now = job_cache->controller->now;
+    double now = job_cache->core->now;
     if (!job_cache->loaded) {
         if (!job_cache->loading && now >= job_cache->load_at)
             load(job_cache);
--- a/src/core/api/job_cache.h
+++ b/src/core/api/job_cache.h
@@ -5,14 +5,14 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-struct ow_controller;
+struct ow_core;
 struct ow_job_cache;
 
 /* Called once the copy is at least as new as the call that asked for it, or with false if that failed. */
-typedef void (*ow_fresh_fn)(struct ow_controller *controller, void *data, bool ok);
+typedef void (*ow_fresh_fn)(struct ow_core *core, void *data, bool ok);
 
 /* An empty copy; it is read from the state service by the ticks that follow. */
-struct ow_job_cache *ow_job_cache_new(struct ow_controller *controller);
+struct ow_job_cache *ow_job_cache_new(struct ow_core *core);
 /* Frees it; calls that still wait are dropped. */
 void ow_job_cache_free(struct ow_job_cache *job_cache);
 /* Whether the whole table has been read and no change since has been missed. */
--- a/src/core/api/poll.c
+++ b/src/core/api/poll.c
@@ -2,16 +2,16 @@
 
 #include "core/api/job_answer.h"
 #include "core/api/job_cache.h"
-#include "core/controller.h"
+#include "core/core_state.h"
 
-void ow_poll_job(struct ow_controller *controller, uint64_t request, const char *id)
+void ow_poll_job(struct ow_core *core, uint64_t request, const char *id)
 {
-    const struct ow_job *job = ow_jobs_find(controller->jobs, id);
+    const struct ow_job *job = ow_jobs_find(core->jobs, id);
     if (job != NULL && ow_job_over(job)) {
-        ow_job_answer(controller, request, 200, job);
+        ow_job_answer(core, request, 200, job);
         return;
     }
     /* What is over stays over. Anything else, 404 too, may be out of date because of another controller, and
        is answered only from a read that began after the request came. */
-    ow_job_cache_refresh(controller->job_cache, ow_job_answer_fresh, ow_pending_request_new(request, id));
+    ow_job_cache_refresh(core->job_cache, ow_job_answer_fresh, ow_pending_request_new(request, id));
 }
--- a/src/core/api/poll.h
+++ b/src/core/api/poll.h
@@ -4,9 +4,9 @@
 
 #include <stdint.h>
 
-struct ow_controller;
+struct ow_core;
 
 /* Answers with the state of the job of this id, after a read of the state service if need be. */
-void ow_poll_job(struct ow_controller *controller, uint64_t request, const char *id);
+void ow_poll_job(struct ow_core *core, uint64_t request, const char *id);
 
 #endif
--- a/src/core/api/submit.c
+++ b/src/core/api/submit.c
@@ -4,7 +4,7 @@
 #include "core/api/job_answer.h"
 #include "core/api/job_cache.h"
 #include "core/api/poll.h"
-#include "core/controller.h"
+#include "core/core_state.h"
 #include "core/records/records.h"
 #include "wire/records_json.h"
 
@@ -21,27 +21,27 @@
     const char *reason;
 };
 
-static void refuse_if_new(struct ow_controller *controller, void *data, bool ok)
+static void refuse_if_new(struct ow_core *core, void *data, bool ok)
 {
     struct refusal *refusal = data;
     const struct ow_pending_request *pending = &refusal->pending;
-    if (ok && ow_jobs_find(controller->jobs, pending->id) == NULL)
-        ow_controller_refuse(controller, pending->request, refusal->status, refusal->reason, 0);
+    if (ok && ow_jobs_find(core->jobs, pending->id) == NULL)
+        ow_core_reject_request(core, pending->request, refusal->status, refusal->reason, 0);
     else
-        ow_job_answer_fresh(controller, &refusal->pending, ok);
+        ow_job_answer_fresh(core, &refusal->pending, ok);
 }
 
 /* What can't run now, or can't be read, may have been accepted by another controller before: such a repeat
    is no 422 or 400. */
-static void refuse_unless_known(struct ow_controller *controller, uint64_t request, const char *id,
-                                int status, const char *reason)
+static void refuse_unless_known(struct ow_core *core, uint64_t request, const char *id, int status,
+                                const char *reason)
 {
     struct refusal *refusal = g_new0(struct refusal, 1);
     refusal->pending.request = request;
     g_strlcpy(refusal->pending.id, id, sizeof refusal->pending.id);
     refusal->status = status;
     refusal->reason = reason;
-    ow_job_cache_refresh(controller->job_cache, refuse_if_new, refusal);
+    ow_job_cache_refresh(core->job_cache, refuse_if_new, refusal);
 }
 
 /* ---- the record of a new job ---- */
@@ -60,7 +60,7 @@
     g_free(call);
 }
 
-static void accept_job(struct ow_controller *controller, uint64_t request, uint64_t revision,
+static void accept_job(struct ow_core *core, uint64_t request, uint64_t revision,
                        struct ow_submission *submission)
 {
     char id[OW_ID_MAX + 1];
@@ -68,64 +68,63 @@
     g_info("job %s accepted: class %s, team %s, %u tasks, estimate %.0f s, deadline %.0f s", id,
            submission->class_name, submission->team, submission->tasks, submission->estimate_s,
            submission->deadline_s);
-    ow_jobs_apply(controller->jobs, id, revision, OW_JOB_QUEUED, submission, controller->now, 0);
-    ow_job_answer(controller, request, 201, ow_jobs_find(controller->jobs, id));
-    ow_controller_announce_job_change(controller, revision);
+    ow_jobs_apply(core->jobs, id, revision, OW_JOB_QUEUED, submission, core->now, 0);
+    ow_job_answer(core, request, 201, ow_jobs_find(core->jobs, id));
+    ow_core_announce_job_change(core, revision);
 }
 
 /* A value that is refused on its own is refused for ever: its user is told so instead of being asked to come
    again, unless an earlier try was carried out after all. */
-static void refuse_too_large(struct ow_controller *controller, const struct submit_call *call)
+static void refuse_too_large(struct ow_core *core, const struct submit_call *call)
 {
-    ow_limits_refused(&controller->limits, 1, call->record_bytes);
-    refuse_unless_known(controller, call->request, call->submission->id, 422, TOO_LARGE);
+    ow_limits_refused(&core->limits, 1, call->record_bytes);
+    refuse_unless_known(core, call->request, call->submission->id, 422, TOO_LARGE);
 }
 
-static void answer_existing(struct ow_controller *controller, const struct submit_call *call)
+static void answer_existing(struct ow_core *core, const struct submit_call *call)
 {
     struct ow_pending_request *pending = ow_pending_request_new(call->request, call->submission->id);
-    ow_job_cache_refresh(controller->job_cache, ow_job_answer_fresh, pending);
+    ow_job_cache_refresh(core->job_cache, ow_job_answer_fresh, pending);
 }
 
 static void on_submit_reply(void *owner, void *data, const struct ow_event *answer)
 {
-    struct ow_controller *controller = owner;
+    struct ow_core *core = owner;
     struct submit_call *call = data;
     switch (answer->store.status) {
     case 200:
-        accept_job(controller, call->request, answer->store.revision, g_steal_pointer(&call->submission));
+        accept_job(core, call->request, answer->store.revision, g_steal_pointer(&call->submission));
         break;
     case 409: /* another controller was first */
-        answer_existing(controller, call);
+        answer_existing(core, call);
         break;
     case 400:
-        refuse_too_large(controller, call);
+        refuse_too_large(core, call);
         break;
     default:
-        ow_job_answer_no_state_service(controller, call->request);
+        ow_job_answer_no_state_service(core, call->request);
         break;
     }
 }
 
 /* NULL and an answer if the record doesn't fit a value of the state service. Another controller, which has
    not met the limit, may have accepted the job before. */
-static char *record_that_fits(struct ow_controller *controller, uint64_t request,
-                              const struct ow_job_record *record)
+static char *record_that_fits(struct ow_core *core, uint64_t request, const struct ow_job_record *record)
 {
     char *text = wire_job_record(record);
-    if (strlen(text) < controller->limits.refused_bytes)
+    if (strlen(text) < core->limits.refused_bytes)
         return text;
     g_free(text);
-    refuse_unless_known(controller, request, record->submission->id, 422, TOO_LARGE);
+    refuse_unless_known(core, request, record->submission->id, 422, TOO_LARGE);
     return NULL;
 }
 
 /* Takes over `submission`. */
-static void create_job(struct ow_controller *controller, uint64_t request, struct ow_submission *submission)
+static void create_job(struct ow_core *core, uint64_t request, struct ow_submission *submission)
 {
     struct ow_job_record record = {
-        .state = OW_JOB_QUEUED, .accepted_at = controller->time_of_day, .submission = submission};
-    char *text = record_that_fits(controller, request, &record);
+        .state = OW_JOB_QUEUED, .accepted_at = core->time_of_day, .submission = submission};
+    char *text = record_that_fits(core, request, &record);
     if (text == NULL) {
         ow_submission_free(submission);
         return;
@@ -139,44 +138,42 @@
     call->submission = submission;
     call->request = request;
     call->record_bytes = ow_store_largest_value(transaction);
-    ow_controller_store(controller, transaction, on_submit_reply, controller, call, submit_call_free);
+    ow_core_call_store(core, transaction, on_submit_reply, core, call, submit_call_free);
 }
 
 /* ---- submissions ---- */
 
 /* Answers a submission that is not recorded; false if it is new and can run some day. */
-static bool answer_unrecorded(struct ow_controller *controller, uint64_t request,
-                              const struct ow_submission *submission)
+static bool answer_unrecorded(struct ow_core *core, uint64_t request, const struct ow_submission *submission)
 {
-    if (ow_jobs_find(controller->jobs, submission->id) != NULL) {
+    if (ow_jobs_find(core->jobs, submission->id) != NULL) {
         /* A repeat is known by its id alone and never refused, whatever it says now. */
-        ow_poll_job(controller, request, submission->id);
+        ow_poll_job(core, request, submission->id);
         return true;
     }
-    if (!ow_job_cache_loaded(controller->job_cache) || !controller->types_known) {
-        ow_job_answer_retry(controller, request, "still starting");
+    if (!ow_job_cache_loaded(core->job_cache) || !core->types_known) {
+        ow_job_answer_retry(core, request, "still starting");
         return true;
     }
-    const char *reason = ow_infeasible_reason(controller, submission);
+    const char *reason = ow_infeasible_reason(core, submission);
     if (reason == NULL)
         return false;
-    refuse_unless_known(controller, request, submission->id, 422, reason);
+    refuse_unless_known(core, request, submission->id, 422, reason);
     return true;
 }
 
-void ow_submit_job(struct ow_controller *controller, uint64_t request, struct ow_submission *submission)
+void ow_submit_job(struct ow_core *core, uint64_t request, struct ow_submission *submission)
 {
-    if (answer_unrecorded(controller, request, submission))
+    if (answer_unrecorded(core, request, submission))
         ow_submission_free(submission);
     else
-        create_job(controller, request, submission);
+        create_job(core, request, submission);
 }
 
-void ow_submit_malformed(struct ow_controller *controller, uint64_t request, const char *id,
-                         const char *fault)
+void ow_submit_malformed(struct ow_core *core, uint64_t request, const char *id, const char *fault)
 {
-    if (ow_jobs_find(controller->jobs, id) != NULL)
-        ow_poll_job(controller, request, id);
+    if (ow_jobs_find(core->jobs, id) != NULL)
+        ow_poll_job(core, request, id);
     else
-        refuse_unless_known(controller, request, id, 400, fault);
+        refuse_unless_known(core, request, id, 400, fault);
 }
--- a/src/core/api/submit.h
+++ b/src/core/api/submit.h
@@ -4,12 +4,11 @@
 
 #include "core/types.h"
 
-struct ow_controller;
+struct ow_core;
 
 /* Records the job if it is new and can run some day, and answers. Takes over `submission`. */
-void ow_submit_job(struct ow_controller *controller, uint64_t request, struct ow_submission *submission);
+void ow_submit_job(struct ow_core *core, uint64_t request, struct ow_submission *submission);
 /* Handles a submission of which only the id can be read; `fault` must stay valid. */
-void ow_submit_malformed(struct ow_controller *controller, uint64_t request, const char *id,
-                         const char *fault);
+void ow_submit_malformed(struct ow_core *core, uint64_t request, const char *id, const char *fault);
 
 #endif
--- a/src/core/api/team_usage.c
+++ b/src/core/api/team_usage.c
@@ -1,6 +1,6 @@
 #include "core/api/team_usage.h"
 
-#include "core/controller.h"
+#include "core/core_state.h"
 
 #include <string.h>
 
@@ -19,10 +19,10 @@
     ow_amounts_add(&view->waiting, &submission->need, waiting);
 }
 
-void ow_team_usage_answer(struct ow_controller *controller, uint64_t request)
+void ow_team_usage_answer(struct ow_core *core, uint64_t request)
 {
-    const GArray *teams = controller->settings->teams;
-    const GPtrArray *open_jobs = ow_jobs_open(controller->jobs);
+    const GArray *teams = core->settings->teams;
+    const GPtrArray *open_jobs = ow_jobs_open(core->jobs);
     struct ow_effect *effect = ow_effect_new(OW_EFFECT_TEAMS, request);
     effect->status = 200;
     effect->teams = g_array_new(FALSE, TRUE, sizeof(struct ow_team_view));
@@ -32,5 +32,5 @@
             add_job(&view, g_ptr_array_index(open_jobs, k));
         g_array_append_val(effect->teams, view);
     }
-    ow_controller_emit(controller, effect);
+    ow_core_emit(core, effect);
 }
--- a/src/core/api/team_usage.h
+++ b/src/core/api/team_usage.h
@@ -4,9 +4,9 @@
 
 #include <stdint.h>
 
-struct ow_controller;
+struct ow_core;
 
 /* Answers with the usage of every team in the settings. */
-void ow_team_usage_answer(struct ow_controller *controller, uint64_t request);
+void ow_team_usage_answer(struct ow_core *core, uint64_t request);
 
 #endif
--- a/src/core/attempt.c
+++ b/src/core/attempt.c
@@ -28,7 +28,7 @@
     attempt->number = number;
     attempt->machine = machine;
     attempt->session = session;
-    attempt->placed_at = leader->controller->now;
+    attempt->placed_at = leader->core->now;
     run->tasks[task].attempt = attempt;
     g_ptr_array_add(run->attempts, attempt);
     g_ptr_array_add(machine->attempts, attempt);
@@ -54,7 +54,7 @@
     machine->used = (struct ow_amounts){0};
     machine->stopping = (struct ow_amounts){0};
     memset(machine->used_by, 0, sizeof machine->used_by);
-    machine->idle_since = leader->controller->now;
+    machine->idle_since = leader->core->now;
 }
 
 static void detach(struct ow_leader *leader, struct ow_attempt *attempt)
@@ -102,14 +102,14 @@
 {
     const struct ow_spec *spec = attempt->job->spec;
     struct ow_machine *machine = attempt->machine;
-    double ran_s = leader->controller->now - attempt->running_at;
-    double expected_s = ow_class_run_s(leader->controller, spec);
+    double ran_s = leader->core->now - attempt->running_at;
+    double expected_s = ow_class_run_s(leader->core, spec);
     /* A gang is as fast as its slowest machine, which need not be this one. */
     if (expected_s > 0 && !spec->submission->gang) {
         double slowness = MIN(ran_s / expected_s, SLOWNESS_MOST);
         machine->slowness += SLOWNESS_WEIGHT * (slowness - machine->slowness);
     }
-    ow_class_observe_run(leader->controller, spec, ran_s);
+    ow_class_observe_run(leader->core, spec, ran_s);
 }
 
 /* The attempt at the task has ended with a result. */
@@ -134,7 +134,7 @@
     if (cause == OW_CAUSE_ERROR)
         ow_machine_health_error(leader, machine, run);
     if (cause == OW_CAUSE_UNKNOWN || cause == OW_CAUSE_FULL || cause == OW_CAUSE_BUSY)
-        run->ready_at = MAX(run->ready_at, leader->controller->now + RETRY_PAUSE_S);
+        run->ready_at = MAX(run->ready_at, leader->core->now + RETRY_PAUSE_S);
     /* One that is gone, or refused, ends the gang's attempt: the others would wait or fail, too. */
     if (run->job->spec->submission->gang && !stopped && !run->tasks[task].done)
         ow_run_stop(leader, run, 0, "another task of the gang is gone");
@@ -173,7 +173,7 @@
     }
     attempt->stop = true;
     attempt->stop_grace_s = grace_s;
-    attempt->stop_at = leader->controller->now;
+    attempt->stop_at = leader->core->now;
     if (attempt->state == OW_ATTEMPT_PLANNED || attempt->state == OW_ATTEMPT_COMMITTED)
         ow_attempt_end(leader, attempt, OW_CAUSE_STOPPED, "no launch has left");
     else
--- a/src/core/core.c
+++ b/src/core/core.c
@@ -7,7 +7,7 @@
 #include "core/api/poll.h"
 #include "core/api/submit.h"
 #include "core/api/team_usage.h"
-#include "core/controller.h"
+#include "core/core_state.h"
 #include "core/election/election.h"
 #include "core/health.h"
 #include "core/machine_hints.h"
@@ -22,68 +22,56 @@
 static const double IDLE_S = 0.05;
 /* Workers report every interval, give or take a quarter. */
 static const double SETTLING_REPORTS = 1.25;
-/* One queue for each kind of event, worked off in the order of the kinds. */
-enum { QUEUES = OW_EVENT_SUBMIT + 1 };
-
-struct ow_core {
-    struct ow_controller controller;
-    GQueue queues[QUEUES]; /* struct ow_event */
-    struct ow_type_discovery type_discovery;
-    struct ow_health_probe health_probe;
-};
-
 /* ---- life ---- */
 
 struct ow_core *ow_core_new(const struct ow_settings *settings, const struct ow_rules *rules, uint64_t nonce)
 {
     struct ow_core *core = g_new0(struct ow_core, 1);
-    struct ow_controller *controller = &core->controller;
-    controller->settings = settings;
-    controller->rules = rules;
-    controller->nonce = nonce;
-    controller->may_lead = true;
-    controller->limits = ow_limits_of(settings);
-    controller->peer_formats = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-    controller->pending_calls = ow_pending_calls_new();
-    controller->names = (struct ow_name_tables){ow_names_new(), ow_names_new(), ow_names_new(),
-                                                ow_names_new(), ow_names_new()};
-    controller->classes = g_array_new(FALSE, FALSE, sizeof(struct ow_class));
-    controller->jobs = ow_jobs_new(&controller->names);
-    controller->job_cache = ow_job_cache_new(controller);
-    controller->election = ow_election_new(controller);
-    controller->cancellation_ack = ow_cancellation_ack_new(controller);
-    controller->peers_ok = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-    controller->machine_hints = ow_machine_hints_new();
-    controller->effects = g_ptr_array_new_with_free_func(ow_effect_free);
-    core->type_discovery.controller = controller;
-    for (int i = 0; i < QUEUES; i++)
+    core->settings = settings;
+    core->rules = rules;
+    core->nonce = nonce;
+    core->may_lead = true;
+    core->limits = ow_limits_of(settings);
+    core->peer_formats = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+    core->pending_calls = ow_pending_calls_new();
+    core->names = (struct ow_name_tables){ow_names_new(), ow_names_new(), ow_names_new(), ow_names_new(),
+                                          ow_names_new()};
+    core->classes = g_array_new(FALSE, FALSE, sizeof(struct ow_class));
+    core->jobs = ow_jobs_new(&core->names);
+    core->job_cache = ow_job_cache_new(core);
+    core->election = ow_election_new(core);
+    core->cancellation_ack = ow_cancellation_ack_new(core);
+    core->peers_ok = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+    core->machine_hints = ow_machine_hints_new();
+    core->effects = g_ptr_array_new_with_free_func(ow_effect_free);
+    core->type_discovery.core = core;
+    for (int i = 0; i < OW_EVENT_QUEUES; i++)
         g_queue_init(&core->queues[i]);
     return core;
 }
 
 void ow_core_free(struct ow_core *core)
 {
-    struct ow_controller *controller = &core->controller;
-    if (controller->leader != NULL)
-        ow_leader_free(controller->leader);
-    for (int i = 0; i < QUEUES; i++)
+    if (core->leader != NULL)
+        ow_leader_free(core->leader);
+    for (int i = 0; i < OW_EVENT_QUEUES; i++)
         g_queue_clear_full(&core->queues[i], ow_event_free);
-    ow_pending_calls_free(controller->pending_calls);
-    ow_job_cache_free(controller->job_cache);
-    ow_election_free(controller->election);
-    ow_cancellation_ack_free(controller->cancellation_ack);
-    ow_jobs_free(controller->jobs);
-    ow_controller_free_types(controller);
-    ow_names_free(controller->names.classes);
-    ow_names_free(controller->names.teams);
-    ow_names_free(controller->names.images);
-    ow_names_free(controller->names.zones);
-    ow_names_free(controller->names.types);
-    g_array_free(controller->classes, TRUE);
-    g_hash_table_destroy(controller->peers_ok);
-    g_hash_table_destroy(controller->peer_formats);
-    ow_machine_hints_free(controller->machine_hints);
-    g_ptr_array_free(controller->effects, TRUE);
+    ow_pending_calls_free(core->pending_calls);
+    ow_job_cache_free(core->job_cache);
+    ow_election_free(core->election);
+    ow_cancellation_ack_free(core->cancellation_ack);
+    ow_jobs_free(core->jobs);
+    ow_core_free_machine_types(core);
+    ow_names_free(core->names.classes);
+    ow_names_free(core->names.teams);
+    ow_names_free(core->names.images);
+    ow_names_free(core->names.zones);
+    ow_names_free(core->names.types);
+    g_array_free(core->classes, TRUE);
+    g_hash_table_destroy(core->peers_ok);
+    g_hash_table_destroy(core->peer_formats);
+    ow_machine_hints_free(core->machine_hints);
+    g_ptr_array_free(core->effects, TRUE);
     g_free(core);
 }
 
@@ -94,65 +82,65 @@
 
 /* ---- events ---- */
 
-static void handle_report(struct ow_controller *controller, const struct ow_event *event)
+static void handle_report(struct ow_core *core, const struct ow_event *event)
 {
-    controller->last_worker_report_at = controller->now;
+    core->last_worker_report_at = core->now;
     /* A worker that has seen a higher token obeys another leader: we must not act for it. */
-    ow_election_observe_token(controller->election, event->report->token, NULL);
-    if (controller->leader != NULL) {
-        ow_leader_report(controller->leader, event->request, event->report);
+    ow_election_observe_token(core->election, event->report->token, NULL);
+    if (core->leader != NULL) {
+        ow_leader_report(core->leader, event->request, event->report);
         return;
     }
     struct ow_effect *effect = ow_effect_new(OW_EFFECT_MISDIRECT, event->request);
-    effect->text = g_strdup(ow_election_leader_name(controller->election));
-    ow_controller_emit(controller, effect);
+    effect->text = g_strdup(ow_election_leader_name(core->election));
+    ow_core_emit(core, effect);
 }
 
-static void handle_submission(struct ow_controller *controller, struct ow_event *event)
+static void handle_submission(struct ow_core *core, struct ow_event *event)
 {
     if (event->submission != NULL)
-        ow_submit_job(controller, event->request, g_steal_pointer(&event->submission));
+        ow_submit_job(core, event->request, g_steal_pointer(&event->submission));
     else
-        ow_submit_malformed(controller, event->request, event->id, event->fault);
+        ow_submit_malformed(core, event->request, event->id, event->fault);
 }
 
-static void handle_event(struct ow_controller *controller, struct ow_event *event)
+static void handle_event(struct ow_core *core, struct ow_event *event)
 {
     switch (event->kind) {
     case OW_EVENT_REPORT:
-        handle_report(controller, event);
+        handle_report(core, event);
         break;
     case OW_EVENT_DIRECT_REPLY:
     case OW_EVENT_CLOUD:
-        ow_pending_calls_answer(controller->pending_calls, event->request, event);
+        ow_pending_calls_answer(core->pending_calls, event->request, event);
         break;
     case OW_EVENT_STORE:
-        ow_health_note_state_answer(controller, event->store.status);
-        ow_pending_calls_answer(controller->pending_calls, event->request, event);
+        ow_health_note_state_answer(core, event->store.status);
+        ow_pending_calls_answer(core->pending_calls, event->request, event);
         break;
     case OW_EVENT_PEER:
-        ow_peer_messages_handle(controller, event->peer);
+        ow_peer_messages_handle(core, event->peer);
         break;
     case OW_EVENT_CANCEL:
-        ow_cancel_job(controller, event->request, event->id);
+        ow_cancel_job(core, event->request, event->id);
         break;
     case OW_EVENT_POLL:
-        ow_poll_job(controller, event->request, event->id);
+        ow_poll_job(core, event->request, event->id);
         break;
     case OW_EVENT_TEAMS:
-        ow_team_usage_answer(controller, event->request);
+        ow_team_usage_answer(core, event->request);
         break;
     case OW_EVENT_SUBMIT:
-        handle_submission(controller, event);
+        handle_submission(core, event);
         break;
     }
 }
 
-static void handle_queue(struct ow_controller *controller, GQueue *queue)
+static void handle_queue(struct ow_core *core, GQueue *queue)
 {
     struct ow_event *event;
     while ((event = g_queue_pop_head(queue)) != NULL) {
-        handle_event(controller, event);
+        handle_event(core, event);
         ow_event_free(event);
     }
 }
@@ -161,27 +149,25 @@
 
 static void tick(struct ow_core *core)
 {
-    struct ow_controller *controller = &core->controller;
-    ow_election_tick(controller->election);
-    if (controller->leader != NULL)
-        ow_leader_tick(controller->leader);
-    ow_job_cache_tick(controller->job_cache);
-    ow_cancellation_ack_tick(controller->cancellation_ack);
+    ow_election_tick(core->election);
+    if (core->leader != NULL)
+        ow_leader_tick(core->leader);
+    ow_job_cache_tick(core->job_cache);
+    ow_cancellation_ack_tick(core->cancellation_ack);
     ow_type_discovery_tick(&core->type_discovery);
-    ow_health_probe_state(controller, &core->health_probe);
-    ow_peer_messages_send_hello(controller);
+    ow_health_probe_state(core, &core->health_probe);
+    ow_peer_messages_send_hello(core);
 }
 
 GPtrArray *ow_core_run(struct ow_core *core, double now, double time_of_day)
 {
-    struct ow_controller *controller = &core->controller;
-    controller->now = now;
-    controller->time_of_day = time_of_day;
-    for (int i = 0; i < QUEUES; i++)
-        handle_queue(controller, &core->queues[i]);
+    core->now = now;
+    core->time_of_day = time_of_day;
+    for (int i = 0; i < OW_EVENT_QUEUES; i++)
+        handle_queue(core, &core->queues[i]);
     tick(core);
-    GPtrArray *effects = controller->effects;
-    controller->effects = g_ptr_array_new_with_free_func(ow_effect_free);
+    GPtrArray *effects = core->effects;
+    core->effects = g_ptr_array_new_with_free_func(ow_effect_free);
     return effects;
 }
 
@@ -193,14 +179,14 @@
     return IDLE_S;
 }
 
-bool ow_core_healthy(const struct ow_core *core)
+bool ow_core_is_ready(const struct ow_core *core)
 {
-    return ow_health_is_good(&core->controller);
+    return ow_health_is_good(core);
 }
 
 uint64_t ow_core_token(const struct ow_core *core)
 {
-    return ow_election_token(core->controller.election);
+    return ow_election_token(core->election);
 }
 
 static void count_fenced(const struct ow_leader *leader, struct ow_core_status *status)
@@ -216,40 +202,39 @@
 
 void ow_core_status(const struct ow_core *core, struct ow_core_status *status)
 {
-    const struct ow_controller *controller = &core->controller;
-    const struct ow_leader *leader = controller->leader;
+    const struct ow_leader *leader = core->leader;
     *status = (struct ow_core_status){
-        .leader_name = ow_election_leader_name(controller->election),
-        .token = ow_election_token(controller->election),
-        .key_missing = ow_election_key_is_missing(controller->election),
+        .leader_name = ow_election_leader_name(core->election),
+        .token = ow_election_token(core->election),
+        .key_missing = ow_election_key_is_missing(core->election),
     };
     if (leader == NULL)
         return;
     status->records_read = leader->phase == OW_LEADER_READY;
-    status->settled = status->records_read &&
-                      controller->now - leader->ready_at >= SETTLING_REPORTS * controller->settings->report_s;
+    status->settled =
+        status->records_read && core->now - leader->ready_at >= SETTLING_REPORTS * core->settings->report_s;
     count_fenced(leader, status);
 }
 
 void ow_core_set_candidacy(struct ow_core *core, bool may_lead, double delay_s)
 {
-    core->controller.may_lead = may_lead;
-    core->controller.election_delay_s = delay_s;
+    core->may_lead = may_lead;
+    core->election_delay_s = delay_s;
 }
 
 bool ow_core_knows_job(const struct ow_core *core, const char *id)
 {
-    return ow_jobs_find(core->controller.jobs, id) != NULL;
+    return ow_jobs_find(core->jobs, id) != NULL;
 }
 
 const char *ow_core_infeasible_reason(const struct ow_core *core, const struct ow_submission *submission)
 {
-    return core->controller.types_known ? ow_infeasible_reason(&core->controller, submission) : NULL;
+    return core->types_known ? ow_infeasible_reason(core, submission) : NULL;
 }
 
 double ow_core_waiting_cpus(const struct ow_core *core)
 {
-    const GPtrArray *open_jobs = ow_jobs_open(core->controller.jobs);
+    const GPtrArray *open_jobs = ow_jobs_open(core->jobs);
     double cpus = 0;
     for (guint i = 0; i < open_jobs->len; i++) {
         const struct ow_job *job = g_ptr_array_index(open_jobs, i);
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -18,7 +18,7 @@
 /* How long until the core wants to run again, if nothing comes in. */
 double ow_core_idle_seconds(const struct ow_core *core);
 /* Whether users should be sent here. */
-bool ow_core_healthy(const struct ow_core *core);
+bool ow_core_is_ready(const struct ow_core *core);
 /* Who leads, and how far this controller is with it if it is the one; texts are valid until the next event.
  */
 struct ow_core_status {
--- a/src/core/controller.h
+++ b/src/core/core_state.h
@@ -1,6 +1,6 @@
 /* One controller: what its parts share. Owned by core.c; nothing outside core/ sees it. */
-#ifndef OW_CORE_CONTROLLER_H
-#define OW_CORE_CONTROLLER_H
+#ifndef OW_CORE_CORE_STATE_H
+#define OW_CORE_CORE_STATE_H
 
 #include "core/api/job.h"
 #include "core/effects.h"
@@ -8,6 +8,8 @@
 #include "core/rate_limiter.h"
 #include "core/records/limits.h"
 #include "core/settings.h"
+#include "core/health.h"
+#include "core/type_discovery.h"
 
 struct ow_cancellation_ack;
 struct ow_job_cache;
@@ -15,7 +17,10 @@
 struct ow_leader;
 struct ow_machine_hints;
 
-struct ow_controller {
+/* One queue for each kind of event, worked off in the order of the kinds. */
+enum { OW_EVENT_QUEUES = OW_EVENT_SUBMIT + 1 };
+
+struct ow_core {
     const struct ow_settings *settings;
     const struct ow_rules *rules;
     struct ow_limits limits;
@@ -45,31 +50,34 @@
     double last_peer_message_at;            /* the last message of any peer; 0: none yet */
     struct ow_machine_hints *machine_hints; /* from the leader's last message */
     double hello_at;
-    bool may_lead;           /* false: this controller never takes the leader's key */
-    double election_delay_s; /* how long it leaves a missing key to others before it takes it */
+    bool may_lead;                  /* false: this controller never takes the leader's key */
+    double election_delay_s;        /* how long it leaves a missing key to others before it takes it */
+    GQueue queues[OW_EVENT_QUEUES]; /* struct ow_event, one queue for each kind */
+    struct ow_type_discovery type_discovery;
+    struct ow_health_probe health_probe;
 };
 
 /* Queues an effect for the caller of the core, which it then belongs to. */
-void ow_controller_emit(struct ow_controller *controller, struct ow_effect *effect);
+void ow_core_emit(struct ow_core *core, struct ow_effect *effect);
 /* A new effect that answers or carries `request` (0: none), without counts of tasks; owned by the caller. */
 struct ow_effect *ow_effect_new(enum ow_effect_kind kind, uint64_t request);
 /* Answers a user's request with an error; `text` is copied. */
-void ow_controller_refuse(struct ow_controller *controller, uint64_t request, int status, const char *text,
-                          int retry_after_s);
+void ow_core_reject_request(struct ow_core *core, uint64_t request, int status, const char *text,
+                            int retry_after_s);
 /* Sends a request to the state service, taking it over. `callback` (NULL: the answer is ignored) gets `owner`
    and `data`; `free_data` may be NULL. */
-void ow_controller_store(struct ow_controller *controller, struct ow_store_request *request,
-                         ow_call_fn callback, void *owner, void *data, void (*free_data)(void *));
+void ow_core_call_store(struct ow_core *core, struct ow_store_request *request, ow_call_fn callback,
+                        void *owner, void *data, void (*free_data)(void *));
 /* The same to the cloud, where `callback` must not be NULL. */
-void ow_controller_cloud(struct ow_controller *controller, struct ow_cloud_request *request,
-                         ow_call_fn callback, void *owner, void *data, void (*free_data)(void *));
+void ow_core_call_cloud(struct ow_core *core, struct ow_cloud_request *request, ow_call_fn callback,
+                        void *owner, void *data, void (*free_data)(void *));
 /* Sends a message to all peers, taking it over. */
-void ow_controller_send_to_peers(struct ow_controller *controller, struct ow_peer_message *message);
+void ow_core_send_to_peers(struct ow_core *core, struct ow_peer_message *message);
 /* Tells the leader, here or elsewhere, that a job's record has changed. */
-void ow_controller_announce_job_change(struct ow_controller *controller, uint64_t revision);
+void ow_core_announce_job_change(struct ow_core *core, uint64_t revision);
 /* Copies the machine types into the table; types that it already has are replaced. */
-void ow_controller_set_types(struct ow_controller *controller, const GArray *types);
+void ow_core_set_machine_types(struct ow_core *core, const GArray *types);
 /* Frees the machine types in the table. */
-void ow_controller_free_types(struct ow_controller *controller);
+void ow_core_free_machine_types(struct ow_core *core);
 
 #endif
--- a/src/core/election/election.c
+++ b/src/core/election/election.c
@@ -1,6 +1,6 @@
 #include "core/election/election.h"
 
-#include "core/controller.h"
+#include "core/core_state.h"
 #include "core/election/election_state.h"
 #include "core/election/leader_key.h"
 #include "core/election/leader_lease.h"
@@ -9,10 +9,10 @@
 /* How long a leader that has stepped down for the workers' sake leaves the key to others. */
 static const double YIELD_S = 15;
 
-struct ow_election *ow_election_new(struct ow_controller *controller)
+struct ow_election *ow_election_new(struct ow_core *core)
 {
     struct ow_election *election = g_new0(struct ow_election, 1);
-    election->controller = controller;
+    election->core = core;
     return election;
 }
 
@@ -37,7 +37,7 @@
 const char *ow_election_leader_name(const struct ow_election *election)
 {
     if (election->stage == OW_ELECTION_LEADING)
-        return election->controller->settings->controller_name;
+        return election->core->settings->controller_name;
     return election->leader_name;
 }
 
@@ -52,7 +52,7 @@
         return;
     /* Safe even if the hint is wrong: the token and the conditions of every write depose the old one. */
     g_info("leader %s seems to have ended", controller_name);
-    election->act_at = election->controller->now;
+    election->act_at = election->core->now;
     ow_election_run_for_leader(election);
 }
 
@@ -93,13 +93,13 @@
 {
     g_info("leader %s is of an earlier version: its place is taken before its process is replaced",
            election->leader_name);
-    election->led_since = election->controller->now; /* should it fail, it is not tried again at once */
+    election->led_since = election->core->now; /* should it fail, it is not tried again at once */
     ow_election_run_for_leader(election);
 }
 
 static void tick_leading(struct ow_election *election)
 {
-    if (!election->renewing && election->controller->now >= election->renew_at)
+    if (!election->renewing && election->core->now >= election->renew_at)
         ow_leader_lease_renew(election);
 }
 
@@ -107,9 +107,9 @@
 {
     if (!election->key_known)
         ow_leader_key_read(election);
-    else if (election->controller->may_lead && ow_succession_leader_is_outdated(election))
+    else if (election->core->may_lead && ow_succession_leader_is_outdated(election))
         replace_outdated_leader(election);
-    else if (!election->watching && election->controller->now >= election->watch_at)
+    else if (!election->watching && election->core->now >= election->watch_at)
         ow_leader_key_watch(election);
 }
 
@@ -121,7 +121,7 @@
         tick_leading(election);
         return;
     }
-    if (election->busy || election->controller->now < election->act_at)
+    if (election->busy || election->core->now < election->act_at)
         return;
     if (election->stage == OW_ELECTION_LEASING)
         ow_leader_lease_obtain(election);
--- a/src/core/election/election.h
+++ b/src/core/election/election.h
@@ -6,11 +6,11 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-struct ow_controller;
+struct ow_core;
 struct ow_election;
 
 /* An election in which this controller has not taken part yet; freed by ow_election_free(). */
-struct ow_election *ow_election_new(struct ow_controller *controller);
+struct ow_election *ow_election_new(struct ow_core *core);
 void ow_election_free(struct ow_election *election);
 /* Sends what is due: reads, watches and writes of the key, and renewals of its lease. */
 void ow_election_tick(struct ow_election *election);
--- a/src/core/election/election_state.c
+++ b/src/core/election/election_state.c
@@ -1,6 +1,6 @@
 #include "core/election/election_state.h"
 
-#include "core/controller.h"
+#include "core/core_state.h"
 #include "core/leader.h"
 
 #include <glib.h>
@@ -17,7 +17,7 @@
 {
     election->stage = OW_ELECTION_LOOKING;
     election->key_known = false;
-    election->act_at = election->controller->now + after_s;
+    election->act_at = election->core->now + after_s;
 }
 
 void ow_election_run_for_leader(struct ow_election *election)
@@ -28,25 +28,25 @@
 
 void ow_election_begin_to_lead(struct ow_election *election, uint64_t token)
 {
-    struct ow_controller *controller = election->controller;
+    struct ow_core *core = election->core;
     election->stage = OW_ELECTION_LEADING;
     election->token = token;
     election->key_missing = false;
-    election->began_at = controller->now;
+    election->began_at = core->now;
     election->seen_token = MAX(election->seen_token, token);
-    election->renew_at = controller->now + controller->rules->leader_lease_s / 4;
+    election->renew_at = core->now + core->rules->leader_lease_s / 4;
     election->revision = token;
     ow_election_set_leader_name(election, NULL);
     g_info("leader with token %" G_GUINT64_FORMAT, token);
-    controller->leader = ow_leader_new(controller, token);
+    core->leader = ow_leader_new(core, token);
 }
 
 void ow_election_step_down(struct ow_election *election, const char *why)
 {
     if (election->stage == OW_ELECTION_LEADING) {
         g_info("no longer leader: %s", why);
-        ow_leader_free(election->controller->leader);
-        election->controller->leader = NULL;
+        ow_leader_free(election->core->leader);
+        election->core->leader = NULL;
     }
     ow_election_set_leader_name(election, NULL);
     ow_election_look_again(election, 0);
--- a/src/core/election/election_state.h
+++ b/src/core/election/election_state.h
@@ -6,7 +6,7 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-struct ow_controller;
+struct ow_core;
 
 enum ow_election_stage {
     OW_ELECTION_LOOKING, /* another controller may lead: its key is read and watched */
@@ -16,7 +16,7 @@
 };
 
 struct ow_election {
-    struct ow_controller *controller;
+    struct ow_core *core;
     enum ow_election_stage stage;
     bool busy;     /* a request of the present stage is under way */
     double act_at; /* no request of the stage before this time */
--- a/src/core/election/leader_key.c
+++ b/src/core/election/leader_key.c
@@ -1,6 +1,6 @@
 #include "core/election/leader_key.h"
 
-#include "core/controller.h"
+#include "core/core_state.h"
 #include "core/election/election_state.h"
 #include "core/records/records.h"
 #include "wire/records_json.h"
@@ -10,12 +10,12 @@
 
 bool ow_leader_key_is_own_name(const struct ow_election *election, const char *name)
 {
-    return g_strcmp0(name, election->controller->settings->controller_name) == 0;
+    return g_strcmp0(name, election->core->settings->controller_name) == 0;
 }
 
 char *ow_leader_key_nonce(const struct ow_election *election)
 {
-    return g_strdup_printf("%016" G_GINT64_MODIFIER "x", election->controller->nonce);
+    return g_strdup_printf("%016" G_GINT64_MODIFIER "x", election->core->nonce);
 }
 
 /* Whether this process has written the key with the lease that it still holds, and has not led with it yet.
@@ -39,7 +39,7 @@
     const char *leader_name = NULL, *nonce = NULL;
     wire_leader_record_parse(item->value, &leader_name, &nonce);
     if (item->version != election->key_version)
-        election->led_since = election->controller->now;
+        election->led_since = election->core->now;
     election->key_version = item->version;
     election->key_known = true;
     election->key_missing = false;
@@ -52,7 +52,7 @@
     if (ow_leader_key_is_own_name(election, leader_name)) {
         /* An earlier process of this name, which has ended: its key need not run out first. */
         ow_election_set_leader_name(election, NULL);
-        if (election->controller->may_lead)
+        if (election->core->may_lead)
             ow_election_run_for_leader(election);
         return;
     }
@@ -65,17 +65,17 @@
 
 static void handle_missing_key(struct ow_election *election)
 {
-    const struct ow_controller *controller = election->controller;
+    const struct ow_core *core = election->core;
     election->key_version = 0;
     election->key_known = true;
     election->key_missing = true;
     ow_election_set_leader_name(election, NULL);
-    if (!controller->may_lead) {
+    if (!core->may_lead) {
         ow_election_look_again(election, ONLOOKER_S);
-    } else if (controller->election_delay_s > 0 && !election->has_waited) {
+    } else if (core->election_delay_s > 0 && !election->has_waited) {
         /* Others go first: the key is read once more when their time is over. */
         election->has_waited = true;
-        ow_election_look_again(election, controller->election_delay_s);
+        ow_election_look_again(election, core->election_delay_s);
     } else {
         election->has_waited = false;
         ow_election_run_for_leader(election);
@@ -98,7 +98,7 @@
         election->revision = MAX(election->revision, reply->revision);
         handle_missing_key(election);
     } else {
-        election->act_at = election->controller->now + OW_ELECTION_RETRY_S;
+        election->act_at = election->core->now + OW_ELECTION_RETRY_S;
     }
 }
 
@@ -106,7 +106,7 @@
 {
     struct ow_store_request *request = ow_store_request_new(OW_STORE_GET, OW_KEY_LEADER);
     election->busy = true;
-    ow_controller_store(election->controller, request, on_read, election, NULL, NULL);
+    ow_core_call_store(election->core, request, on_read, election, NULL, NULL);
 }
 
 static void handle_failed_watch(struct ow_election *election, int status)
@@ -135,11 +135,11 @@
     (void)data;
     election->watching = false;
     if (reply->status != 200) {
-        election->watch_at = election->controller->now + OW_ELECTION_RETRY_S;
+        election->watch_at = election->core->now + OW_ELECTION_RETRY_S;
         handle_failed_watch(election, reply->status);
         return;
     }
-    election->watch_at = election->controller->now + WATCH_GAP_S;
+    election->watch_at = election->core->now + WATCH_GAP_S;
     election->revision = MAX(election->revision, reply->revision);
     for (guint i = 0; i < reply->items->len && election->stage == OW_ELECTION_LOOKING; i++)
         handle_change(election, &g_array_index(reply->items, struct ow_store_item, i));
@@ -151,5 +151,5 @@
     request->number = election->revision;
     request->seconds = WATCH_S;
     election->watching = true;
-    ow_controller_store(election->controller, request, on_watch, election, NULL, NULL);
+    ow_core_call_store(election->core, request, on_watch, election, NULL, NULL);
 }
--- a/src/core/election/leader_lease.c
+++ b/src/core/election/leader_lease.c
@@ -1,6 +1,6 @@
 #include "core/election/leader_lease.h"
 
-#include "core/controller.h"
+#include "core/core_state.h"
 #include "core/election/election_state.h"
 #include "core/election/leader_key.h"
 #include "core/records/records.h"
@@ -24,9 +24,9 @@
 void ow_leader_lease_obtain(struct ow_election *election)
 {
     struct ow_store_request *request = ow_store_request_new(OW_STORE_LEASE, NULL);
-    request->seconds = election->controller->rules->leader_lease_s;
+    request->seconds = election->core->rules->leader_lease_s;
     election->busy = true;
-    ow_controller_store(election->controller, request, on_lease, election, NULL, NULL);
+    ow_core_call_store(election->core, request, on_lease, election, NULL, NULL);
 }
 
 static void on_key_taken(void *owner, void *data, const struct ow_event *answer)
@@ -52,13 +52,13 @@
 {
     struct ow_store_request *transaction = ow_store_request_new(OW_STORE_TXN, NULL);
     char *nonce = ow_leader_key_nonce(election);
-    char *record = wire_leader_record(election->controller->settings->controller_name, nonce);
+    char *record = wire_leader_record(election->core->settings->controller_name, nonce);
     ow_store_expect(transaction, OW_KEY_LEADER, election->key_version);
     ow_store_write(transaction, OW_KEY_LEADER, record, election->lease);
     g_free(nonce);
     election->taken_from = election->key_version;
     election->busy = true;
-    ow_controller_store(election->controller, transaction, on_key_taken, election, NULL, NULL);
+    ow_core_call_store(election->core, transaction, on_key_taken, election, NULL, NULL);
 }
 
 static void on_renewed(void *owner, void *data, const struct ow_event *answer)
@@ -76,8 +76,8 @@
     }
     double pause_s = OW_ELECTION_RETRY_S;
     if (status == 200)
-        pause_s = election->controller->rules->leader_lease_s / 4;
-    election->renew_at = election->controller->now + pause_s;
+        pause_s = election->core->rules->leader_lease_s / 4;
+    election->renew_at = election->core->now + pause_s;
 }
 
 void ow_leader_lease_renew(struct ow_election *election)
@@ -87,7 +87,7 @@
     *lease = election->lease;
     request->number = election->lease;
     election->renewing = true;
-    ow_controller_store(election->controller, request, on_renewed, election, lease, g_free);
+    ow_core_call_store(election->core, request, on_renewed, election, lease, g_free);
 }
 
 void ow_leader_lease_release_key(struct ow_election *election)
@@ -95,5 +95,5 @@
     struct ow_store_request *transaction = ow_store_request_new(OW_STORE_TXN, NULL);
     ow_store_expect(transaction, OW_KEY_LEADER, election->token);
     ow_store_write(transaction, OW_KEY_LEADER, NULL, 0);
-    ow_controller_store(election->controller, transaction, NULL, election, NULL, NULL);
+    ow_core_call_store(election->core, transaction, NULL, election, NULL, NULL);
 }
--- a/src/core/election/succession.c
+++ b/src/core/election/succession.c
@@ -1,7 +1,7 @@
 #include "core/election/succession.h"
 
 #include "core/api/job_cache.h"
-#include "core/controller.h"
+#include "core/core_state.h"
 #include "core/election/election_state.h"
 #include "core/records/records.h"
 
@@ -21,7 +21,7 @@
         return false;
     if (g_strcmp0(election->leader_name, controller_name) != 0)
         return false;
-    return election->controller->now - election->led_since >= HINT_AGE_S;
+    return election->core->now - election->led_since >= HINT_AGE_S;
 }
 
 /* A leader that gets no answer at all from the state service, not even a refusal, may be cut off, alone
@@ -31,35 +31,35 @@
  */
 bool ow_succession_is_cut_off(const struct ow_election *election)
 {
-    const struct ow_controller *controller = election->controller;
-    const struct ow_settings *settings = controller->settings;
+    const struct ow_core *core = election->core;
+    const struct ow_settings *settings = core->settings;
     if (settings->peers->len == 0)
         return false;
     double patience_s = settings->cancel_s - settings->lease_s * (1 + CLOCK_DRIFT) - MARGIN_S;
-    double answered_at = MAX(controller->state_ok_at, controller->state_refused_at);
+    double answered_at = MAX(core->state_ok_at, core->state_refused_at);
     double heard_at = MAX(election->began_at, answered_at);
-    return controller->now - heard_at > MAX(patience_s, 2 * controller->rules->leader_lease_s);
+    return core->now - heard_at > MAX(patience_s, 2 * core->rules->leader_lease_s);
 }
 
 static bool leader_format_is_outdated(const struct ow_election *election)
 {
-    const struct ow_controller *controller = election->controller;
-    void *stored = g_hash_table_lookup(controller->peer_formats, election->leader_name);
+    const struct ow_core *core = election->core;
+    void *stored = g_hash_table_lookup(core->peer_formats, election->leader_name);
     guint format = GPOINTER_TO_UINT(stored);
     return format != 0 && format < OW_FORMAT_FINE;
 }
 
 bool ow_succession_leader_is_outdated(const struct ow_election *election)
 {
-    const struct ow_controller *controller = election->controller;
-    double now = controller->now;
+    const struct ow_core *core = election->core;
+    double now = core->now;
     if (election->leader_name == NULL || election->key_version == 0)
         return false;
-    if (!ow_job_cache_loaded(controller->job_cache) || !leader_format_is_outdated(election))
+    if (!ow_job_cache_loaded(core->job_cache) || !leader_format_is_outdated(election))
         return false;
-    const double *heard_at = g_hash_table_lookup(controller->peers_ok, election->leader_name);
+    const double *heard_at = g_hash_table_lookup(core->peers_ok, election->leader_name);
     if (heard_at == NULL || now - *heard_at >= PEER_FRESH_S)
         return false;
-    bool state_is_well = controller->state_bad_since == 0 && now - controller->state_ok_at < PEER_FRESH_S;
+    bool state_is_well = core->state_bad_since == 0 && now - core->state_ok_at < PEER_FRESH_S;
     return state_is_well && now - election->led_since > OUTDATED_LEADER_S;
 }
--- a/src/core/health.h
+++ b/src/core/health.h
@@ -5,7 +5,7 @@
 
 #include <stdbool.h>
 
-struct ow_controller;
+struct ow_core;
 
 /* Reads of the state service that only show whether it answers. */
 struct ow_health_probe {
@@ -14,13 +14,13 @@
 };
 
 /* Notes the status of an answer from the state service; 0 is that there was none. */
-void ow_health_note_state_answer(struct ow_controller *controller, int status);
+void ow_health_note_state_answer(struct ow_core *core, int status);
 /* Probes the state service if it has not been heard of for some time. A controller without requests of its
    own has open watches alone, and those give no answer when it is cut off. */
-void ow_health_probe_state(struct ow_controller *controller, struct ow_health_probe *probe);
+void ow_health_probe_state(struct ow_core *core, struct ow_health_probe *probe);
 /* Whether the state service has answered recently. */
-bool ow_health_state_is_ok(const struct ow_controller *controller);
+bool ow_health_state_is_ok(const struct ow_core *core);
 /* Whether users should be sent here. */
-bool ow_health_is_good(const struct ow_controller *controller);
+bool ow_health_is_good(const struct ow_core *core);
 
 #endif
--- a/src/core/leader.c
+++ b/src/core/leader.c
@@ -36,10 +36,10 @@
 /* The share of the permitted cloud requests that the leader uses. */
 static const double CLOUD_SHARE = 0.8;
 
-struct ow_leader *ow_leader_new(struct ow_controller *controller, uint64_t token)
+struct ow_leader *ow_leader_new(struct ow_core *core, uint64_t token)
 {
     struct ow_leader *leader = g_new0(struct ow_leader, 1);
-    leader->controller = controller;
+    leader->core = core;
     leader->token = token;
     leader->machines_by_name = g_hash_table_new(g_str_hash, g_str_equal);
     leader->machines = g_ptr_array_new_with_free_func(ow_machine_free);
@@ -53,14 +53,14 @@
     leader->deletions.queued = g_ptr_array_new_with_free_func(g_free);
     leader->deletions.names = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     leader->recorder = ow_recorder_new(leader);
-    ow_rate_limiter_init(&leader->cloud.limiter, CLOUD_SHARE * controller->settings->cloud_rps,
-                         controller->settings->cloud_rps, controller->now);
+    ow_rate_limiter_init(&leader->cloud.limiter, CLOUD_SHARE * core->settings->cloud_rps,
+                         core->settings->cloud_rps, core->now);
     return leader;
 }
 
 void ow_leader_free(struct ow_leader *leader)
 {
-    ow_pending_calls_forget(leader->controller->pending_calls, leader);
+    ow_pending_calls_forget(leader->core->pending_calls, leader);
     ow_takeover_free(leader);
     while (leader->runs->len > 0)
         ow_run_drop(leader, g_ptr_array_index(leader->runs, 0));
@@ -108,8 +108,8 @@
     bool is_newest = machine != NULL && report->session == machine->session && report->seq == machine->seq;
     if (is_newest) {
         if (machine->fenced && report->session == session_before)
-            note_answers_arrive(machine, leader->controller->now);
-        machine->last_report_at = leader->controller->now;
+            note_answers_arrive(machine, leader->core->now);
+        machine->last_report_at = leader->core->now;
     }
     /* Until the job table has been read, an answer could keep tasks alive whose cancellation has been
        acknowledged to a user. One without our token renews nothing, and the worker stays. */
@@ -126,7 +126,7 @@
     if (current)
         g_array_append_vals(effect->commands, clears->data, clears->len);
     g_array_free(clears, TRUE);
-    ow_controller_emit(leader->controller, effect);
+    ow_core_emit(leader->core, effect);
 }
 
 static void count_for_users(struct ow_leader *leader)
@@ -144,36 +144,36 @@
     (void)data;
     leader->cloud.types_busy = false;
     if (answer->cloud.status != 200 || answer->cloud.types == NULL || answer->cloud.types->len == 0) {
-        leader->cloud.types_at = leader->controller->now + TYPES_RETRY_S;
+        leader->cloud.types_at = leader->core->now + TYPES_RETRY_S;
         return;
     }
     bool first = leader->cloud.types_at == 0;
-    leader->cloud.types_at = leader->controller->now + TYPES_S;
-    ow_controller_set_types(leader->controller, answer->cloud.types);
+    leader->cloud.types_at = leader->core->now + TYPES_S;
+    ow_core_set_machine_types(leader->core, answer->cloud.types);
     if (!first)
         return;
     /* For controllers that start while the cloud is down. */
     struct ow_store_request *txn = ow_store_request_new(OW_STORE_TXN, NULL);
     char *record = wire_types_record(answer->cloud.types);
-    if (strlen(record) > leader->controller->limits.value_bytes)
+    if (strlen(record) > leader->core->limits.value_bytes)
         g_warning(
             "the machine types don't fit a value: who starts while the cloud is down can't accept jobs");
     ow_store_expect(txn, OW_KEY_LEADER, leader->token);
-    if (strlen(record) <= leader->controller->limits.value_bytes)
+    if (strlen(record) <= leader->core->limits.value_bytes)
         ow_store_write(txn, OW_KEY_TYPES, g_steal_pointer(&record), 0);
     g_free(record);
-    ow_controller_store(leader->controller, txn, NULL, leader, NULL, NULL);
+    ow_core_call_store(leader->core, txn, NULL, leader, NULL, NULL);
 }
 
 static void ask_types(struct ow_leader *leader)
 {
-    if (leader->cloud.types_busy || leader->controller->now < leader->cloud.types_at ||
-        !ow_rate_limiter_take(&leader->cloud.limiter, 1, leader->controller->now))
+    if (leader->cloud.types_busy || leader->core->now < leader->cloud.types_at ||
+        !ow_rate_limiter_take(&leader->cloud.limiter, 1, leader->core->now))
         return;
     struct ow_cloud_request *request = g_new0(struct ow_cloud_request, 1);
     request->op = OW_CLOUD_TYPES;
     leader->cloud.types_busy = true;
-    ow_controller_cloud(leader->controller, request, on_types, leader, NULL, NULL);
+    ow_core_call_cloud(leader->core, request, on_types, leader, NULL, NULL);
 }
 
 /* Whether every worker has fallen silent at once while they report to other controllers: it is this
@@ -181,7 +181,7 @@
    they are gone. */
 static bool workers_lost(const struct ow_leader *leader)
 {
-    double now = leader->controller->now;
+    double now = leader->core->now;
     double last_message_at = leader->ready_at;
     unsigned expected = 0;
     for (guint i = 0; i < leader->machines->len; i++) {
@@ -190,9 +190,9 @@
         expected += machine->listed == OW_LISTED_RUNNING && !machine->deleting ? 1 : 0;
     }
     /* Workers of a leader that stands still wait for its answer before they turn to its successor. */
-    double report_s = leader->controller->settings->report_s;
+    double report_s = leader->core->settings->report_s;
     double patience_s = MAX(LOST_REPORTS * report_s, REPORT_TIMEOUT_S + report_s);
-    return expected >= LOST_LEAST && now - leader->controller->peer_receives_reports_at < LOST_MESSAGE_S &&
+    return expected >= LOST_LEAST && now - leader->core->peer_receives_reports_at < LOST_MESSAGE_S &&
            now - last_message_at > patience_s;
 }
 
@@ -227,7 +227,7 @@
 
 static bool pass_is_due(const struct ow_leader *leader)
 {
-    double now = leader->controller->now;
+    double now = leader->core->now;
     /* A pass looks at every machine: in a large fleet passes are as much rarer as there are more machines. */
     double gap_s = PASS_GAP_S * MAX(1, (double)leader->machines->len / PASS_MACHINES);
     return (leader->pass.due && now >= leader->pass.last_at + gap_s) ||
@@ -237,7 +237,7 @@
 static void run_pass(struct ow_leader *leader)
 {
     leader->pass.due = false;
-    leader->pass.last_at = leader->controller->now;
+    leader->pass.last_at = leader->core->now;
     ow_schedule_jobs(leader);
     ow_schedule_pass(leader);
     count_for_users(leader);
@@ -245,7 +245,7 @@
 
 void ow_leader_tick(struct ow_leader *leader)
 {
-    double now = leader->controller->now;
+    double now = leader->core->now;
     ow_record_format_tick(leader);
     ow_takeover_tick(leader);
     ask_types(leader);
@@ -256,7 +256,7 @@
     if (now >= leader->periodic.health_check_at) {
         leader->periodic.health_check_at = now + CARE_S;
         if (workers_lost(leader)) {
-            ow_election_yield(leader->controller->election, "no worker is heard any more");
+            ow_election_yield(leader->core->election, "no worker is heard any more");
             return;
         }
         ow_machine_health_tick(leader);
--- a/src/core/leader_broadcast.c
+++ b/src/core/leader_broadcast.c
@@ -37,7 +37,7 @@
     for (guint i = 0; i < leader->runs->len; i++) {
         const struct ow_job *job = ((const struct ow_run *)g_ptr_array_index(leader->runs, i))->job;
         if (message->jobs->len >= PART_ENTRIES || bytes + job_bytes(job) > PART_BYTES) {
-            ow_controller_send_to_peers(leader->controller, message);
+            ow_core_send_to_peers(leader->core, message);
             message = new_summary(leader);
             bytes = 0;
         }
@@ -47,7 +47,7 @@
         g_array_append_val(message->jobs, entry);
         bytes += job_bytes(job);
     }
-    ow_controller_send_to_peers(leader->controller, message);
+    ow_core_send_to_peers(leader->core, message);
 }
 
 /* ---- where machines listen ---- */
@@ -61,10 +61,10 @@
         bool listens = machine->last_message_at > 0;
         if (!listens || machine->addr == NULL || machine->type < 0 || machine->deleting)
             continue;
-        struct ow_peer_machine hint = {
-            g_strdup(machine->name), g_strdup(machine->addr),
-            g_strdup(ow_names_text(leader->controller->names.types, machine->type)),
-            g_strdup(ow_names_text(leader->controller->names.zones, machine->zone)), machine->spot};
+        struct ow_peer_machine hint = {g_strdup(machine->name), g_strdup(machine->addr),
+                                       g_strdup(ow_names_text(leader->core->names.types, machine->type)),
+                                       g_strdup(ow_names_text(leader->core->names.zones, machine->zone)),
+                                       machine->spot};
         g_array_append_val(machines, hint);
     }
     return machines;
@@ -90,7 +90,7 @@
     message->number = leader->token;
     g_array_free(message->machines, TRUE);
     message->machines = machines;
-    ow_controller_send_to_peers(leader->controller, message);
+    ow_core_send_to_peers(leader->core, message);
 }
 
 /* The parts of the list, as struct ow_peer_message; the machines are moved into them. */
@@ -123,7 +123,7 @@
     for (guint i = 0; i < parts->len; i++) {
         struct ow_peer_message *part = g_ptr_array_index(parts, i);
         part->part_count = parts->len;
-        ow_controller_send_to_peers(leader->controller, part);
+        ow_core_send_to_peers(leader->core, part);
     }
     g_ptr_array_free(parts, TRUE);
     g_array_free(machines, TRUE);
@@ -140,7 +140,7 @@
 
 void ow_leader_broadcast_tick(struct ow_leader *leader)
 {
-    double now = leader->controller->now;
+    double now = leader->core->now;
     if (now >= leader->periodic.summary_at) {
         leader->periodic.summary_at = now + SUMMARY_S;
         send_summary(leader);
--- a/src/core/leader_state.h
+++ b/src/core/leader_state.h
@@ -3,7 +3,7 @@
 #ifndef OW_CORE_LEADER_STATE_H
 #define OW_CORE_LEADER_STATE_H
 
-#include "core/controller.h"
+#include "core/core_state.h"
 #include "core/leader.h"
 
 struct ow_recorder;
@@ -82,7 +82,7 @@
 };
 
 struct ow_leader {
-    struct ow_controller *controller;
+    struct ow_core *core;
     uint64_t token;                                                       /* of its lease */
     enum { OW_LEADER_REFRESH, OW_LEADER_LOADING, OW_LEADER_READY } phase; /* takeover.c */
     double ready_at;                                                      /* when it became ready */
--- a/src/core/machines/fleet.c
+++ b/src/core/machines/fleet.c
@@ -31,7 +31,7 @@
         /* Refused, it was not carried out and the machine stays of use. Without an answer it may be carried
            out yet, so nothing new goes there. */
         machine->deleting = status == 0;
-        machine->delete_at = leader->controller->now + DELETE_RETRY_S;
+        machine->delete_at = leader->core->now + DELETE_RETRY_S;
     }
 }
 
@@ -48,7 +48,7 @@
 
 void ow_fleet_delete(struct ow_leader *leader, struct ow_machine *machine, const char *why)
 {
-    double now = leader->controller->now;
+    double now = leader->core->now;
     if (now < machine->delete_at || ow_rate_limiter_level(&leader->cloud.limiter, now) < 1)
         return;
     if (!machine->deleting)
@@ -66,7 +66,7 @@
 void ow_fleet_send_deletions(struct ow_leader *leader)
 {
     if (leader->deletions.queued->len == 0 ||
-        !ow_rate_limiter_take(&leader->cloud.limiter, 1, leader->controller->now))
+        !ow_rate_limiter_take(&leader->cloud.limiter, 1, leader->core->now))
         return;
     struct ow_cloud_request *request = g_new0(struct ow_cloud_request, 1);
     GPtrArray *names = g_ptr_array_new_with_free_func(g_free);
@@ -77,7 +77,7 @@
         g_ptr_array_add(request->machines, g_strdup(g_ptr_array_index(leader->deletions.queued, i)));
     }
     g_ptr_array_remove_range(leader->deletions.queued, 0, names->len);
-    ow_controller_cloud(leader->controller, request, on_deleted, leader, names, free_names);
+    ow_core_call_cloud(leader->core, request, on_deleted, leader, names, free_names);
 }
 
 /* ---- the list ---- */
@@ -88,7 +88,7 @@
     (void)data;
     leader->cloud.list_busy = false;
     if (answer->cloud.status != 200 || answer->cloud.listed == NULL) {
-        leader->cloud.list_at = leader->controller->now + LIST_RETRY_S;
+        leader->cloud.list_at = leader->core->now + LIST_RETRY_S;
         return;
     }
     const GArray *listed = answer->cloud.listed;
@@ -106,8 +106,8 @@
         if (machine->last_message_at == 0 || listed_machine->state == OW_LISTED_FAILED)
             machine->listed = listed_machine->state;
         /* One that reported first was older than it seemed. */
-        machine->rented_at = fresh ? leader->controller->now - listed_machine->age_s
-                                   : MIN(machine->rented_at, leader->controller->now - listed_machine->age_s);
+        machine->rented_at = fresh ? leader->core->now - listed_machine->age_s
+                                   : MIN(machine->rented_at, leader->core->now - listed_machine->age_s);
     }
     g_clear_pointer(&leader->cloud.list_after, g_free);
     if (answer->cloud.more && listed->len > 0) {
@@ -116,20 +116,20 @@
     } else {
         /* Not before the last page: what is not known yet would be rented a second time. */
         leader->cloud.listed_once = true;
-        leader->cloud.list_at = leader->controller->now + LIST_S;
+        leader->cloud.list_at = leader->core->now + LIST_S;
     }
 }
 
 void ow_fleet_list(struct ow_leader *leader)
 {
-    if (leader->cloud.list_busy || leader->controller->now < leader->cloud.list_at ||
-        !ow_rate_limiter_take(&leader->cloud.limiter, 1, leader->controller->now))
+    if (leader->cloud.list_busy || leader->core->now < leader->cloud.list_at ||
+        !ow_rate_limiter_take(&leader->cloud.limiter, 1, leader->core->now))
         return;
     struct ow_cloud_request *request = g_new0(struct ow_cloud_request, 1);
     request->op = OW_CLOUD_LIST;
     request->after = g_strdup(leader->cloud.list_after);
     leader->cloud.list_busy = true;
-    ow_controller_cloud(leader->controller, request, on_listed, leader, NULL, NULL);
+    ow_core_call_cloud(leader->core, request, on_listed, leader, NULL, NULL);
 }
 
 /* ---- returning ---- */
@@ -167,7 +167,7 @@
 
 void ow_fleet_return_idle(struct ow_leader *leader)
 {
-    double now = leader->controller->now;
+    double now = leader->core->now;
     GPtrArray *unneeded = ow_headroom_unneeded(leader, idle);
     const struct ow_machine *last = NULL;
     unsigned idle_alike = 0, all_alike = 0;
--- a/src/core/machines/headroom.c
+++ b/src/core/machines/headroom.c
@@ -18,12 +18,11 @@
 /* Whether the class has so little slack that a machine rented at need would come late for it. */
 static bool is_tight(struct ow_leader *leader, int class_index, const struct ow_machine_type *type)
 {
-    const struct ow_class *class = ow_class_of(leader->controller, class_index);
+    const struct ow_class *class = ow_class_of(leader->core, class_index);
     double fetch = type->fetch_gb_per_s > 0 ? class->image_gb / type->fetch_gb_per_s : 0;
     /* A class without aims has no promise to keep: no machine is kept idle for it. */
-    return ow_class_has_objective(leader->controller, class_index) &&
-           ow_class_slack_s(leader->controller, class_index) <
-               START_BOOTS * type->boot_s + fetch + START_MARGIN_S;
+    return ow_class_has_objective(leader->core, class_index) &&
+           ow_class_slack_s(leader->core, class_index) < START_BOOTS * type->boot_s + fetch + START_MARGIN_S;
 }
 
 /* Slots of the class on a machine, full and free ones. */
@@ -75,16 +74,16 @@
 
 void ow_headroom_plan(struct ow_leader *leader, GArray *plan, unsigned *most)
 {
-    for (guint i = 0; i < leader->controller->classes->len; i++) {
+    for (guint i = 0; i < leader->core->classes->len; i++) {
         const struct ow_run *sample = NULL;
-        double peak = ow_class_peak(leader->controller, (int)i, class_tasks(leader, (int)i, &sample));
+        double peak = ow_class_peak(leader->core, (int)i, class_tasks(leader, (int)i, &sample));
         struct ow_expected_machine candidate;
         if (sample == NULL ||
             !ow_rental_options_best(leader, sample->job->spec, INFINITY, true, false, &candidate))
             continue;
         const struct ow_machine_type *type = ow_machine_spec(leader, &candidate.machine);
-        const struct ow_class *class = ow_class_of(leader->controller, (int)i);
-        if (!is_tight(leader, (int)i, type) || ow_class_is_quiet(leader->controller, (int)i))
+        const struct ow_class *class = ow_class_of(leader->core, (int)i);
+        if (!is_tight(leader, (int)i, type) || ow_class_is_quiet(leader->core, (int)i))
             continue;
         /* What it used lately and some more. */
         double wanted = peak + MAX(class->largest, HEADROOM_SHARE * peak);
@@ -111,9 +110,9 @@
    be kept idle for long after its last job. */
 static double slots_wanted(struct ow_leader *leader, int class_index, bool proper)
 {
-    const struct ow_class *class = ow_class_of(leader->controller, class_index);
+    const struct ow_class *class = ow_class_of(leader->core, class_index);
     const struct ow_run *sample = NULL;
-    if (ow_class_is_quiet(leader->controller, class_index))
+    if (ow_class_is_quiet(leader->core, class_index))
         return class_tasks(leader, class_index, &sample);
     return proper ? class->peak * (1 + HEADROOM_SHARE) + class->largest : class->peak;
 }
@@ -121,8 +120,8 @@
 static GArray *class_needs(struct ow_leader *leader)
 {
     GArray *needs = g_array_new(FALSE, FALSE, sizeof(struct need));
-    for (guint i = 0; i < leader->controller->classes->len; i++) {
-        const struct ow_class *class = ow_class_of(leader->controller, (int)i);
+    for (guint i = 0; i < leader->core->classes->len; i++) {
+        const struct ow_class *class = ow_class_of(leader->core, (int)i);
         for (int proper = 0; class->seen && proper < 2; proper++) {
             struct need need = {class, (int)i, proper != 0, slots_wanted(leader, (int)i, proper != 0),
                                 slots_there(leader, class, proper, NULL)};
--- a/src/core/machines/machine_health.c
+++ b/src/core/machines/machine_health.c
@@ -40,10 +40,9 @@
    was sent before the newest message came that we have of the session: late copies renew nothing. */
 static void prove_by_lease(struct ow_leader *leader, struct ow_machine *machine)
 {
-    double lease = leader->controller->settings->lease_s * (1 + DRIFT) + MARGIN_S;
+    double lease = leader->core->settings->lease_s * (1 + DRIFT) + MARGIN_S;
     double last = MAX(machine->last_message_at, machine->fenced_at);
-    if (!machine->fenced || machine->session <= machine->dead_session ||
-        leader->controller->now < last + lease)
+    if (!machine->fenced || machine->session <= machine->dead_session || leader->core->now < last + lease)
         return;
     g_info("machine %s: session %" G_GUINT64_FORMAT " has run out unanswered", machine->name,
            machine->session);
@@ -58,13 +57,13 @@
     const struct ow_machine_type *type = ow_machine_spec(leader, machine);
     double boot_s = type != NULL ? type->boot_s : UNKNOWN_BOOT_S;
     return machine->last_message_at == 0 &&
-           leader->controller->now - machine->rented_at > OVERDUE_BOOTS * boot_s + OVERDUE_MARGIN_S;
+           leader->core->now - machine->rented_at > OVERDUE_BOOTS * boot_s + OVERDUE_MARGIN_S;
 }
 
 /* A machine that sends nothing: deleting it is proof at once, and ends the rent. */
 static void delete_if_silent(struct ow_leader *leader, struct ow_machine *machine)
 {
-    double now = leader->controller->now;
+    double now = leader->core->now;
     double since = MAX(machine->last_message_at, leader->ready_at);
     if (machine->listed == OW_LISTED_FAILED)
         ow_fleet_delete(leader, machine, "it has failed");
@@ -77,14 +76,14 @@
         ow_fleet_delete(leader, machine, "it does not come up");
     else if (machine->last_message_at != 0 &&
              now - MAX(MAX(machine->last_report_at, machine->met_at), leader->ready_at) >
-                 3 * leader->controller->settings->lease_s)
+                 3 * leader->core->settings->lease_s)
         ow_fleet_delete(leader, machine, "it has been silent for too long");
 }
 
 /* Seconds since the machine should have answered. */
 static double unresponsive_s(const struct ow_leader *leader, const struct ow_machine *machine)
 {
-    double now = leader->controller->now;
+    double now = leader->core->now;
     if (machine->fenced)
         return machine->unanswered_since > 0 ? now - machine->unanswered_since : 0;
     bool expected = machine->last_message_at > 0 || machine->attempts->len > 0;
@@ -98,7 +97,7 @@
 static void delete_if_unresponsive(struct ow_leader *leader, struct ow_machine *machine)
 {
     double unresponsive = unresponsive_s(leader, machine);
-    double lease_s = leader->controller->settings->lease_s;
+    double lease_s = leader->core->settings->lease_s;
     double limit_s = machine->attempts->len > 0 ? lease_s + LEASE_MARGIN_S : EMPTY_LEASES * lease_s;
     if (unresponsive > limit_s)
         ow_fleet_delete(leader, machine, "it does not answer commands, and its tasks can't be accounted for");
@@ -133,7 +132,7 @@
 static void delete_for_replicas(struct ow_leader *leader, struct ow_machine *machine)
 {
     if (fallen_silent(leader, machine) && machine->unanswered_since > 0 && has_replicas(machine) &&
-        leader->controller->now - leader->ready_at > MISSED_REPORTS * leader->controller->settings->report_s)
+        leader->core->now - leader->ready_at > MISSED_REPORTS * leader->core->settings->report_s)
         ow_fleet_delete(leader, machine, "it is silent, and services miss their replicas");
 }
 
@@ -151,7 +150,7 @@
  */
 static void enforce_cancellations(struct ow_leader *leader, struct ow_machine *machine)
 {
-    double now = leader->controller->now;
+    double now = leader->core->now;
     for (guint i = 0; i < machine->attempts->len; i++) {
         const struct ow_attempt *attempt = g_ptr_array_index(machine->attempts, i);
         if (!attempt->stop || attempt->job->state != OW_JOB_CANCELLED)
@@ -159,7 +158,7 @@
         double waited = now - attempt->stop_at;
         if (waited > 1 && !machine->direct_busy)
             ow_worker_commands_want(leader, machine);
-        if (waited > 0.5 * leader->controller->settings->cancel_s) {
+        if (waited > 0.5 * leader->core->settings->cancel_s) {
             ow_fleet_delete(leader, machine, "a cancelled task can't be ended otherwise");
             return;
         }
@@ -168,7 +167,7 @@
 
 static void drain_noticed(struct ow_leader *leader, struct ow_machine *machine)
 {
-    double left_s = machine->reclaimed_at - leader->controller->now;
+    double left_s = machine->reclaimed_at - leader->core->now;
     for (guint i = machine->attempts->len; i > 0; i--) {
         if (i > machine->attempts->len)
             continue;
@@ -211,7 +210,7 @@
         if (needs_direct_call(leader, machine))
             ow_worker_commands_want(leader, machine);
         /* A faulty machine is given back; a sound one is rented in its place if it is missed. */
-        if (leader->controller->now < machine->quarantine_until && machine->attempts->len == 0)
+        if (leader->core->now < machine->quarantine_until && machine->attempts->len == 0)
             ow_fleet_delete(leader, machine, "it is faulty");
         enforce_cancellations(leader, machine);
         delete_if_silent(leader, machine);
@@ -234,9 +233,9 @@
 void ow_machine_health_avoid(struct ow_leader *leader, struct ow_machine *machine, struct ow_run *run)
 {
     /* For a while only: a job must not run out of machines because each of them failed it once. */
-    if (leader->controller->now > run->bad_until)
+    if (leader->core->now > run->bad_until)
         g_hash_table_remove_all(run->bad_machines);
-    run->bad_until = leader->controller->now + BAD_S;
+    run->bad_until = leader->core->now + BAD_S;
     g_hash_table_add(run->bad_machines, machine);
 }
 
@@ -246,7 +245,7 @@
 {
     for (guint i = 0; ow_run_is_service(run) && i < run->attempts->len; i++) {
         const struct ow_attempt *attempt = g_ptr_array_index(run->attempts, i);
-        if (attempt->running_at > 0 && leader->controller->now - attempt->running_at > PROVEN_S)
+        if (attempt->running_at > 0 && leader->core->now - attempt->running_at > PROVEN_S)
             return true;
     }
     return false;
@@ -254,7 +253,7 @@
 
 void ow_machine_health_error(struct ow_leader *leader, struct ow_machine *machine, struct ow_run *run)
 {
-    double now = leader->controller->now;
+    double now = leader->core->now;
     ow_machine_health_avoid(leader, machine, run);
     /* A service that otherwise serves has no result that would forgive its failures: without this they would
        add up as long as it lives, and its replicas wait ever longer. */
--- a/src/core/machines/machine_registry.c
+++ b/src/core/machines/machine_registry.c
@@ -27,7 +27,7 @@
     machine->name = g_strdup(name);
     machine->type = machine->zone = OW_NO_NAME;
     machine->slowness = 1;
-    machine->rented_at = machine->idle_since = machine->met_at = leader->controller->now;
+    machine->rented_at = machine->idle_since = machine->met_at = leader->core->now;
     machine->attempts = g_ptr_array_new();
     machine->direct_launches = g_array_new(FALSE, FALSE, sizeof(struct ow_unacknowledged_launch));
     machine->unacknowledged_launches = g_array_new(FALSE, FALSE, sizeof(struct ow_unacknowledged_launch));
@@ -56,8 +56,8 @@
         g_free(machine->addr);
         machine->addr = g_strdup(addr);
     }
-    machine->type = ow_names_add(leader->controller->names.types, type);
-    machine->zone = ow_names_add(leader->controller->names.zones, zone);
+    machine->type = ow_names_add(leader->core->names.types, type);
+    machine->zone = ow_names_add(leader->core->names.zones, zone);
     machine->spot = spot;
 }
 
@@ -78,20 +78,19 @@
 
 bool ow_machine_heard_recently(const struct ow_leader *leader, const struct ow_machine *machine)
 {
-    return leader->controller->now - machine->last_message_at <
-           MISSED_REPORTS * leader->controller->settings->report_s;
+    return leader->core->now - machine->last_message_at < MISSED_REPORTS * leader->core->settings->report_s;
 }
 
 bool ow_machine_stopped_reporting(const struct ow_leader *leader, const struct ow_machine *machine)
 {
     /* Answers to commands fence a machine at a take-over before its next report comes. */
     double since = MAX(MAX(machine->last_report_at, machine->met_at), leader->ready_at);
-    return leader->controller->now - since > MISSED_REPORTS * leader->controller->settings->report_s;
+    return leader->core->now - since > MISSED_REPORTS * leader->core->settings->report_s;
 }
 
 bool ow_machine_is_usable(const struct ow_leader *leader, const struct ow_machine *machine)
 {
-    double now = leader->controller->now;
+    double now = leader->core->now;
     /* No launch before its report under our own token, nor on one that has fallen silent, answers commands
        but does not report (its lease runs out), or is unresponsive, is about to be reclaimed, or is being
        returned. */
@@ -165,14 +164,14 @@
 {
     struct ow_image_copy *copy = ow_machine_image(machine, spec->image);
     if (copy == NULL) {
-        double ready_at = leader->controller->now + ow_machine_fetch_seconds(leader, machine, spec);
-        struct ow_image_copy fresh = {spec->image, spec->submission->image_gb, leader->controller->now,
-                                      present, ready_at};
+        double ready_at = leader->core->now + ow_machine_fetch_seconds(leader, machine, spec);
+        struct ow_image_copy fresh = {spec->image, spec->submission->image_gb, leader->core->now, present,
+                                      ready_at};
         g_array_append_val(machine->images, fresh);
         forget_old_images(leader, machine);
         return;
     }
-    copy->used_at = leader->controller->now;
+    copy->used_at = leader->core->now;
     copy->present = copy->present || present;
 }
 
@@ -184,14 +183,14 @@
     if (copy != NULL && copy->present)
         return 0;
     if (copy != NULL)
-        return MAX(FETCH_LEAST_S, copy->ready_at - leader->controller->now);
+        return MAX(FETCH_LEAST_S, copy->ready_at - leader->core->now);
     /* Fetches under way share the machine's rate. */
     double gb = spec->submission->image_gb;
     for (guint i = 0; i < machine->images->len; i++) {
         const struct ow_image_copy *other = &g_array_index(machine->images, struct ow_image_copy, i);
-        if (!other->present && other->ready_at > leader->controller->now)
-            gb += MIN(other->gb, (other->ready_at - leader->controller->now) *
-                                     (type != NULL ? type->fetch_gb_per_s : 0));
+        if (!other->present && other->ready_at > leader->core->now)
+            gb += MIN(other->gb,
+                      (other->ready_at - leader->core->now) * (type != NULL ? type->fetch_gb_per_s : 0));
     }
     return type != NULL && type->fetch_gb_per_s > 0 ? gb / type->fetch_gb_per_s : UNKNOWN_FETCH_S;
 }
--- a/src/core/machines/machine_registry.h
+++ b/src/core/machines/machine_registry.h
@@ -10,8 +10,7 @@
 static inline const struct ow_machine_type *ow_machine_spec(const struct ow_leader *leader,
                                                             const struct ow_machine *machine)
 {
-    return machine->type >= 0 && machine->type < OW_MAX_TYPES ? leader->controller->types[machine->type]
-                                                              : NULL;
+    return machine->type >= 0 && machine->type < OW_MAX_TYPES ? leader->core->types[machine->type] : NULL;
 }
 
 /* The machine of this name, or NULL. */
--- a/src/core/machines/rent.c
+++ b/src/core/machines/rent.c
@@ -32,10 +32,10 @@
 {
     struct ow_leader *leader = owner;
     const struct rental_call *call = data;
-    const char *type = ow_names_text(leader->controller->names.types, call->type);
-    const char *zone = ow_names_text(leader->controller->names.zones, call->zone);
+    const char *type = ow_names_text(leader->core->names.types, call->type);
+    const char *zone = ow_names_text(leader->core->names.zones, call->zone);
     leader->renting.calls--;
-    leader->renting.next_at = leader->controller->now; /* plan again with what this one has shown */
+    leader->renting.next_at = leader->core->now; /* plan again with what this one has shown */
     if (answer->cloud.status != 200 || answer->cloud.rented == NULL || answer->cloud.rented[0] == NULL) {
         ow_rental_options_refuse(leader, call->type, call->zone, call->spot);
         g_info("no %s machine of type %s in %s: status %d", call->spot ? "spot" : "ordinary", type, zone,
@@ -146,7 +146,7 @@
     const struct ow_spec *spec = run->job->spec;
     const struct ow_amounts *need = &spec->submission->need;
     bool gpu = need->gpus > 0;
-    double run_s = ow_class_run_s(leader->controller, spec);
+    double run_s = ow_class_run_s(leader->core, spec);
     double *work = gpu ? &ahead->gpu_s : &ahead->cpu_s;
     *work += ow_run_pending(run) * (gpu ? need->gpus : need->cpus) * run_s;
     double there = capacity(leader, spec, plan, ahead->supplies);
@@ -157,7 +157,7 @@
     /* Until the first of the places there is free, and then the work ahead. */
     double waits = (*work + run_s * (gpu ? need->gpus : need->cpus)) / there;
     *waits_out = waits;
-    double slack = ow_deadline_slack_s(leader, run) - (leader->controller->now - run->accepted_at);
+    double slack = ow_deadline_slack_s(leader, run) - (leader->core->now - run->accepted_at);
     return waits < PATIENCE * slack;
 }
 
@@ -179,7 +179,7 @@
             return;
         wanted -= taken;
         g_debug("a %s machine is planned for job %s, which would wait %.0f s",
-                ow_names_text(leader->controller->names.types, expected.machine.type), run->job->id, waits);
+                ow_names_text(leader->core->names.types, expected.machine.type), run->job->id, waits);
         g_array_append_val(plan, expected);
         (*most)--;
     }
@@ -194,12 +194,12 @@
     request->op = OW_CLOUD_RENT;
     /* The token is ours alone, so no other process ever uses the same name for another request. */
     request->name = g_strdup_printf("r-%" G_GUINT64_FORMAT "-%u", leader->token, ++leader->renting.count);
-    request->type = g_strdup(ow_names_text(leader->controller->names.types, call->type));
-    request->zone = g_strdup(ow_names_text(leader->controller->names.zones, call->zone));
+    request->type = g_strdup(ow_names_text(leader->core->names.types, call->type));
+    request->zone = g_strdup(ow_names_text(leader->core->names.zones, call->zone));
     request->spot = call->spot;
     request->count = count;
     leader->renting.calls++;
-    ow_controller_cloud(leader->controller, request, on_rented, leader, call, g_free);
+    ow_core_call_cloud(leader->core, request, on_rented, leader, call, g_free);
 }
 
 static bool same_kind(const struct ow_expected_machine *a, const struct ow_expected_machine *b)
@@ -217,7 +217,7 @@
             continue;
         for (guint k = i; k < plan->len; k++)
             count += same_kind(expected, &g_array_index(plan, struct ow_expected_machine, k)) ? 1 : 0;
-        if (!ow_rate_limiter_take(&leader->cloud.limiter, 1, leader->controller->now))
+        if (!ow_rate_limiter_take(&leader->cloud.limiter, 1, leader->core->now))
             return;
         rent(leader, expected, count);
         for (guint k = plan->len; k > i; k--)
@@ -241,7 +241,7 @@
     double settling_s = all_reported(leader) ? SETTLED_S : UNSETTLED_S;
     /* One round at a time: a second plan must see what the first has brought. And none before the machines
        that are there had time to report. */
-    if (leader->renting.calls > 0 || leader->controller->now - leader->ready_at < settling_s)
+    if (leader->renting.calls > 0 || leader->core->now - leader->ready_at < settling_s)
         return;
     ow_rental_options_forget_old(leader);
     GArray *plan = coming_up(leader);
@@ -259,7 +259,7 @@
 
 void ow_rent_tick(struct ow_leader *leader)
 {
-    double now = leader->controller->now;
+    double now = leader->core->now;
     ow_fleet_list(leader);
     if (now < leader->renting.next_at)
         return;
--- a/src/core/machines/rental_options.c
+++ b/src/core/machines/rental_options.c
@@ -53,13 +53,13 @@
 {
     for (guint i = leader->renting.refusals->len; i > 0; i--)
         if (g_array_index(leader->renting.refusals, struct ow_rental_refusal, i - 1).until <
-            leader->controller->now)
+            leader->core->now)
             g_array_remove_index_fast(leader->renting.refusals, i - 1);
 }
 
 void ow_rental_options_refuse(struct ow_leader *leader, int type, int zone, bool spot)
 {
-    struct ow_rental_refusal refusal = {type, zone, spot, leader->controller->now + REFUSAL_S};
+    struct ow_rental_refusal refusal = {type, zone, spot, leader->core->now + REFUSAL_S};
     g_array_append_val(leader->renting.refusals, refusal);
 }
 
@@ -88,7 +88,7 @@
 {
     double best = INFINITY;
     for (int i = 0; i < OW_MAX_TYPES; i++) {
-        const struct ow_machine_type *type = leader->controller->types[i];
+        const struct ow_machine_type *type = leader->core->types[i];
         if (type != NULL && !improper(type, need) && (types & (UINT64_C(1) << i)) != 0)
             best = MIN(best, price_of(type, need, false));
     }
@@ -115,10 +115,10 @@
 static bool is_option(const struct ow_leader *leader, const struct ow_spec *spec,
                       const struct ow_machine *kind, double waits)
 {
-    const struct ow_machine_type *type = leader->controller->types[kind->type];
+    const struct ow_machine_type *type = leader->core->types[kind->type];
     if (waits < HELP_PATIENCE * start_s(type, spec))
         return false;
-    if (!offered_in(type, ow_names_text(leader->controller->names.zones, kind->zone)))
+    if (!offered_in(type, ow_names_text(leader->core->names.zones, kind->zone)))
         return false;
     return ow_placement_slots(leader, spec, kind) > 0 && ow_placement_is_allowed(leader, spec, kind) &&
            !refused(leader, kind->type, kind->zone, kind->spot);
@@ -128,7 +128,7 @@
 static double price_for_job(const struct ow_leader *leader, const struct ow_spec *spec,
                             const struct ow_machine *kind)
 {
-    const struct ow_machine_type *type = leader->controller->types[kind->type];
+    const struct ow_machine_type *type = leader->core->types[kind->type];
     uint32_t slots = ow_placement_slots(leader, spec, kind);
     return (kind->spot ? type->spot_price : type->price) / MIN(slots, spec->submission->tasks);
 }
@@ -136,12 +136,12 @@
 bool ow_rental_options_best(const struct ow_leader *leader, const struct ow_spec *spec, double waits,
                             bool proper, bool cheap, struct ow_expected_machine *out)
 {
-    const struct ow_class *class = ow_class_of(leader->controller, spec->class_index);
+    const struct ow_class *class = ow_class_of(leader->core, spec->class_index);
     double best = INFINITY;
     for (int type_index = 0; type_index < OW_MAX_TYPES; type_index++) {
-        const struct ow_machine_type *type = leader->controller->types[type_index];
-        for (char **zone = leader->controller->settings->zones; type != NULL && *zone != NULL; zone++) {
-            int zone_index = ow_names_add(leader->controller->names.zones, *zone);
+        const struct ow_machine_type *type = leader->core->types[type_index];
+        for (char **zone = leader->core->settings->zones; type != NULL && *zone != NULL; zone++) {
+            int zone_index = ow_names_add(leader->core->names.zones, *zone);
             for (int spot = cheap ? 1 : 0; spot < 2; spot++) {
                 struct ow_expected_machine candidate = {
                     .machine = {.type = type_index, .zone = zone_index, .spot = spot != 0}, .to_rent = true};
--- a/src/core/machines/reports.c
+++ b/src/core/machines/reports.c
@@ -108,14 +108,14 @@
     attempt->phase = phase;
     run->running += (phase == OW_PHASE_RUNNING ? 1 : 0) - (was_running ? 1 : 0);
     if (phase == OW_PHASE_RUNNING && attempt->running_at == 0)
-        attempt->running_at = leader->controller->now;
+        attempt->running_at = leader->core->now;
     ow_machine_image_use(leader, attempt->machine, attempt->job->spec, phase != OW_PHASE_FETCHING);
 }
 
 static void apply_task_report(struct ow_leader *leader, struct ow_machine *machine,
                               const struct ow_task_report *task_report, GArray *commands)
 {
-    struct ow_job *job = ow_jobs_find(leader->controller->jobs, task_report->job);
+    struct ow_job *job = ow_jobs_find(leader->core->jobs, task_report->job);
     struct ow_attempt *attempt = find_attempt(machine, job, task_report);
     if (attempt == NULL) {
         apply_unrecorded_task(leader, machine, job, task_report, commands);
@@ -189,7 +189,7 @@
     }
     if (machine->reclaimed_at == 0)
         note_notice(leader, machine, notice_s);
-    machine->reclaimed_at = leader->controller->now + notice_s;
+    machine->reclaimed_at = leader->core->now + notice_s;
 }
 
 /* What a report says of its machine whichever leader's commands it accepts. A session that has ended took its
@@ -203,16 +203,16 @@
     /* Also in a session that records have named before: others may name older ones. */
     end_older_sessions(leader, machine);
     machine->listed = OW_LISTED_RUNNING;
-    machine->last_message_at = leader->controller->now;
+    machine->last_message_at = leader->core->now;
     if (machine->first_message_at == 0)
-        machine->first_message_at = leader->controller->now;
+        machine->first_message_at = leader->core->now;
     machine->seq = report->seq;
 }
 
 static void note_fenced(struct ow_leader *leader, struct ow_machine *machine)
 {
     machine->fenced = true;
-    machine->fenced_at = machine->idle_since = leader->controller->now;
+    machine->fenced_at = machine->idle_since = leader->core->now;
     machine->unanswered_since = 0;
     leader->pass.due = true;
     g_info("machine %s reports, session %" G_GUINT64_FORMAT, machine->name, machine->session);
@@ -223,7 +223,7 @@
     GArray *commands = g_array_new(FALSE, FALSE, sizeof(struct ow_worker_command));
     for (guint i = 0; i < report->tasks->len; i++) {
         const struct ow_task_report *task_report = &g_array_index(report->tasks, struct ow_task_report, i);
-        const struct ow_job *job = ow_jobs_find(leader->controller->jobs, task_report->job);
+        const struct ow_job *job = ow_jobs_find(leader->core->jobs, task_report->job);
         if (job != NULL && job->state == OW_JOB_CANCELLED && task_report->phase != OW_PHASE_EXITED)
             add_command(commands, OW_WORKER_STOP, task_report);
     }
--- a/src/core/machines/spot_risk.c
+++ b/src/core/machines/spot_risk.c
@@ -19,7 +19,7 @@
 void ow_spot_risk_tick(struct ow_leader *leader)
 {
     struct ow_spot_risk *risk = &leader->spot_risk;
-    double now = leader->controller->now;
+    double now = leader->core->now;
     double passed_s = risk->updated_at > 0 ? now - risk->updated_at : 0;
     double weight = exp(-passed_s / MEMORY_S);
     unsigned machines = 0;
--- a/src/core/machines/worker_commands.c
+++ b/src/core/machines/worker_commands.c
@@ -81,7 +81,7 @@
    again: with thousands of them that went on for ever. */
 static unsigned probes_most(const struct ow_leader *leader)
 {
-    return MAX(PROBES_LEAST, (unsigned)(PROBES_PER_CORE * leader->controller->settings->core_share));
+    return MAX(PROBES_LEAST, (unsigned)(PROBES_PER_CORE * leader->core->settings->core_share));
 }
 
 static void direct_call_free(void *data)
@@ -99,7 +99,7 @@
     if (answer->report != NULL)
         ow_reports_receive(leader, answer->report, NULL);
     if (answer->status == 409)
-        machine->direct_at = leader->controller->now + REFUSED_PAUSE_S;
+        machine->direct_at = leader->core->now + REFUSED_PAUSE_S;
 }
 
 static void on_direct(void *owner, void *data, const struct ow_event *answer)
@@ -111,7 +111,7 @@
     if (machine == NULL)
         return;
     if (answer->report != NULL && answer->report->token > leader->token) {
-        ow_election_observe_token(leader->controller->election, answer->report->token, NULL);
+        ow_election_observe_token(leader->core->election, answer->report->token, NULL);
         return; /* and with that the leader is gone */
     }
     machine->direct_busy = false;
@@ -119,7 +119,7 @@
         /* Nothing left us, so no launch is unacknowledged, and the machine's connection was not tried. */
         g_array_set_size(machine->direct_launches, 0);
         ow_worker_commands_want(leader, machine);
-        machine->direct_at = leader->controller->now + UNSENT_PAUSE_S;
+        machine->direct_at = leader->core->now + UNSENT_PAUSE_S;
         return;
     }
     if (answer->status == 200 || answer->status == 409) {
@@ -130,7 +130,7 @@
     g_array_append_vals(machine->unacknowledged_launches, machine->direct_launches->data,
                         machine->direct_launches->len);
     g_array_set_size(machine->direct_launches, 0);
-    machine->direct_at = leader->controller->now + DIRECT_PAUSE_S;
+    machine->direct_at = leader->core->now + DIRECT_PAUSE_S;
     if (machine->unanswered_since == 0) {
         g_info("machine %s does not answer", machine->name);
         machine->unanswered_since = call->sent_at;
@@ -141,7 +141,7 @@
 {
     struct ow_effect *effect = ow_effect_new(OW_EFFECT_DIRECT, 0);
     struct direct_call *call = g_new0(struct direct_call, 1);
-    *call = (struct direct_call){g_strdup(machine->name), leader->controller->now, is_unheard(machine)};
+    *call = (struct direct_call){g_strdup(machine->name), leader->core->now, is_unheard(machine)};
     leader->probes += call->is_probe ? 1 : 0;
     machine->direct_busy = true;
     effect->commands = ow_worker_commands_for(leader, machine, machine->direct_launches);
@@ -149,8 +149,8 @@
     effect->token = leader->token;
     effect->session = MAX(machine->session, 1);
     effect->request =
-        ow_pending_calls_add(leader->controller->pending_calls, on_direct, leader, call, direct_call_free);
-    ow_controller_emit(leader->controller, effect);
+        ow_pending_calls_add(leader->core->pending_calls, on_direct, leader, call, direct_call_free);
+    ow_core_emit(leader->core, effect);
 }
 
 void ow_worker_commands_want(struct ow_leader *leader, struct ow_machine *machine)
@@ -164,16 +164,16 @@
 void ow_worker_commands_want_fenced(struct ow_leader *leader, struct ow_machine *machine)
 {
     if (!machine->direct_wanted)
-        machine->direct_at = MAX(machine->direct_at, leader->controller->now + FENCE_BY_REPORT_S);
+        machine->direct_at = MAX(machine->direct_at, leader->core->now + FENCE_BY_REPORT_S);
     ow_worker_commands_want(leader, machine);
 }
 
 void ow_worker_commands_want_all(struct ow_leader *leader)
 {
-    double interval_s = DIRECT_COST_S / (WANT_ALL_SHARE * leader->controller->settings->core_share);
+    double interval_s = DIRECT_COST_S / (WANT_ALL_SHARE * leader->core->settings->core_share);
     for (guint i = 0; i < leader->machines->len; i++) {
         struct ow_machine *machine = g_ptr_array_index(leader->machines, i);
-        machine->direct_at = leader->controller->now + i * interval_s;
+        machine->direct_at = leader->core->now + i * interval_s;
         ow_worker_commands_want(leader, machine);
     }
 }
@@ -188,7 +188,7 @@
 /* Whether the machine can be sent a direct command now. */
 static bool is_direct_possible(const struct ow_leader *leader, const struct ow_machine *machine)
 {
-    if (machine->direct_busy || machine->addr == NULL || leader->controller->now < machine->direct_at)
+    if (machine->direct_busy || machine->addr == NULL || leader->core->now < machine->direct_at)
         return false;
     return !is_unheard(machine) || leader->probes < probes_most(leader);
 }
--- a/src/core/records/record_format.c
+++ b/src/core/records/record_format.c
@@ -9,12 +9,12 @@
 
 static const double LOOK_S = 1;
 
-static bool all_peers_support(const struct ow_controller *controller, unsigned format)
+static bool all_peers_support(const struct ow_core *core, unsigned format)
 {
-    for (guint i = 0; i < controller->settings->peers->len; i++) {
+    for (guint i = 0; i < core->settings->peers->len; i++) {
         const struct ow_peer_settings *peer =
-            &g_array_index(controller->settings->peers, struct ow_peer_settings, i);
-        if (GPOINTER_TO_UINT(g_hash_table_lookup(controller->peer_formats, peer->node)) < format)
+            &g_array_index(core->settings->peers, struct ow_peer_settings, i);
+        if (GPOINTER_TO_UINT(g_hash_table_lookup(core->peer_formats, peer->node)) < format)
             return false;
     }
     return true;
@@ -25,7 +25,7 @@
     struct ow_leader *leader = owner;
     (void)data;
     leader->format.busy = false;
-    leader->format.next_at = leader->controller->now + LOOK_S;
+    leader->format.next_at = leader->core->now + LOOK_S;
     if (answer->store.status == 200) {
         g_info("every controller reads records of format %d: it is written from now on", OW_FORMAT_FINE);
         leader->format.current = OW_FORMAT_FINE;
@@ -41,7 +41,7 @@
     ow_store_expect(txn, OW_KEY_FORMAT, 0);
     ow_store_write(txn, OW_KEY_FORMAT, wire_format_record(OW_FORMAT_FINE), 0);
     leader->format.busy = true;
-    ow_controller_store(leader->controller, txn, on_gate_written, leader, NULL, NULL);
+    ow_core_call_store(leader->core, txn, on_gate_written, leader, NULL, NULL);
 }
 
 static void on_read(void *owner, void *data, const struct ow_event *answer)
@@ -50,7 +50,7 @@
     const struct ow_store_reply *reply = &answer->store;
     (void)data;
     leader->format.busy = false;
-    leader->format.next_at = leader->controller->now + 0.3;
+    leader->format.next_at = leader->core->now + 0.3;
     if (reply->status == 404)
         leader->format.current = OW_FORMAT_FIRST;
     else if (reply->status == 200 && reply->items->len == 1)
@@ -60,14 +60,14 @@
 
 void ow_record_format_tick(struct ow_leader *leader)
 {
-    if (leader->format.busy || leader->controller->now < leader->format.next_at)
+    if (leader->format.busy || leader->core->now < leader->format.next_at)
         return;
     if (leader->format.current == 0) {
         leader->format.busy = true;
-        ow_controller_store(leader->controller, ow_store_request_new(OW_STORE_GET, OW_KEY_FORMAT), on_read,
-                            leader, NULL, NULL);
+        ow_core_call_store(leader->core, ow_store_request_new(OW_STORE_GET, OW_KEY_FORMAT), on_read, leader,
+                           NULL, NULL);
     } else if (leader->format.current < OW_FORMAT_FINE && leader->phase == OW_LEADER_READY &&
-               all_peers_support(leader->controller, OW_FORMAT_FINE)) {
+               all_peers_support(leader->core, OW_FORMAT_FINE)) {
         write_format_gate(leader);
     }
 }
--- a/src/core/records/record_values.c
+++ b/src/core/records/record_values.c
@@ -24,7 +24,7 @@
 
 static size_t value_limit(const struct ow_leader *leader)
 {
-    return leader->controller->limits.value_bytes;
+    return leader->core->limits.value_bytes;
 }
 
 struct ow_task_range ow_chunk_task_range(uint32_t index, uint32_t chunk_tasks, uint32_t task_count)
@@ -41,8 +41,7 @@
 
 uint32_t ow_record_values_chunk_tasks(const struct ow_leader *leader)
 {
-    return leader->format.current >= OW_FORMAT_FINE ? ow_limits_tasks(&leader->controller->limits)
-                                                    : OW_CHUNK_TASKS;
+    return leader->format.current >= OW_FORMAT_FINE ? ow_limits_tasks(&leader->core->limits) : OW_CHUNK_TASKS;
 }
 
 static struct ow_record_value *record_value_new(struct ow_leader *leader, uint32_t number)
--- a/src/core/records/recorder.c
+++ b/src/core/records/recorder.c
@@ -22,10 +22,10 @@
 struct ow_recorder *ow_recorder_new(struct ow_leader *leader)
 {
     struct ow_recorder *recorder = g_new0(struct ow_recorder, 1);
-    double rate = leader->controller->limits.write_rps;
+    double rate = leader->core->limits.write_rps;
     recorder->queue = ow_write_queue_new();
     recorder->sent = g_ptr_array_new_with_free_func(g_free);
-    ow_rate_limiter_init(&recorder->changes, RATE_SHARE * rate, BURST_S * rate, leader->controller->now);
+    ow_rate_limiter_init(&recorder->changes, RATE_SHARE * rate, BURST_S * rate, leader->core->now);
     return recorder;
 }
 
@@ -44,7 +44,7 @@
 void ow_recorder_chunk(struct ow_leader *leader, struct ow_run *run, uint32_t task, bool launching)
 {
     struct ow_chunk *chunk = ow_run_chunk(run, task);
-    double now = leader->controller->now;
+    double now = leader->core->now;
     if (ow_job_over(run->job) || run->finishing)
         return;
     if (chunk->record_value == NULL)
@@ -61,12 +61,12 @@
         return;
     run->finishing = true;
     int order = run->job->state == OW_JOB_CANCELLED ? OW_ORDER_TIDY : OW_ORDER_FINISH;
-    ow_write_queue_add_finish(leader->recorder->queue, run, order, leader->controller->now);
+    ow_write_queue_add_finish(leader->recorder->queue, run, order, leader->core->now);
 }
 
 void ow_recorder_compact(struct ow_leader *leader, struct ow_record_value *record_value)
 {
-    double due_at = leader->controller->now + TIDY_S;
+    double due_at = leader->core->now + TIDY_S;
     ow_write_queue_add_record_value(leader->recorder->queue, record_value, OW_ORDER_TIDY, due_at);
 }
 
@@ -117,7 +117,7 @@
 void ow_recorder_tick(struct ow_leader *leader)
 {
     struct ow_recorder *recorder = leader->recorder;
-    double now = leader->controller->now;
+    double now = leader->core->now;
     if (!may_write(recorder, now))
         return;
     refine_record_values(leader);
@@ -133,5 +133,5 @@
     recorder->sent_changes = transaction->changes->len;
     recorder->sent_largest = ow_store_largest_value(transaction);
     recorder->busy = true;
-    ow_controller_store(leader->controller, transaction, on_transaction, leader, NULL, NULL);
+    ow_core_call_store(leader->core, transaction, on_transaction, leader, NULL, NULL);
 }
--- a/src/core/records/takeover.c
+++ b/src/core/records/takeover.c
@@ -20,10 +20,10 @@
 /* Whether the value could not be written any more once the limits to come are there. */
 static bool is_too_large(const struct ow_leader *leader, const json_t *value)
 {
-    if (leader->controller->limits.value_bytes >= leader->controller->limits.value_bytes_now)
+    if (leader->core->limits.value_bytes >= leader->core->limits.value_bytes_now)
         return false;
     char *text = wj_text(value);
-    bool large = strlen(text) > leader->controller->limits.value_bytes;
+    bool large = strlen(text) > leader->core->limits.value_bytes;
     g_free(text);
     return large;
 }
@@ -145,7 +145,7 @@
 {
     struct loaded_record loaded = {.record_value = record_value, .version = record_value->version};
     char *id = wire_progress_name_parse(name, &loaded.index, &loaded.chunk_tasks);
-    loaded.job = id != NULL ? ow_jobs_find(leader->controller->jobs, id) : NULL;
+    loaded.job = id != NULL ? ow_jobs_find(leader->core->jobs, id) : NULL;
     g_free(id);
     if (loaded.job == NULL || loaded.job->spec == NULL)
         return false;
@@ -175,7 +175,7 @@
 /* Machines that the last leader told us of can be reached before any list names them. */
 static void use_hints(struct ow_leader *leader)
 {
-    const GArray *hints = ow_machine_hints_list(leader->controller->machine_hints);
+    const GArray *hints = ow_machine_hints_list(leader->core->machine_hints);
     for (guint i = 0; i < hints->len; i++) {
         const struct ow_peer_machine *hint = &g_array_index(hints, struct ow_peer_machine, i);
         struct ow_machine *machine = ow_machines_find_or_add(leader, hint->name);
@@ -188,7 +188,7 @@
 {
     take_loaded(leader);
     leader->phase = OW_LEADER_READY;
-    leader->ready_at = leader->controller->now;
+    leader->ready_at = leader->core->now;
     leader->pass.due = true;
     use_hints(leader);
     /* Fencing: a worker that has seen our token heeds no older leader any more. */
@@ -203,7 +203,7 @@
     (void)data;
     leader->takeover.busy = false;
     if (reply->status != 200) {
-        leader->takeover.next_at = leader->controller->now + RETRY_S;
+        leader->takeover.next_at = leader->core->now + RETRY_S;
         return;
     }
     for (guint i = 0; i < reply->items->len; i++)
@@ -218,9 +218,9 @@
     become_ready(leader);
 }
 
-static void on_jobs_fresh(struct ow_controller *controller, void *data, bool ok)
+static void on_jobs_fresh(struct ow_core *core, void *data, bool ok)
 {
-    struct ow_leader *leader = controller->leader;
+    struct ow_leader *leader = core->leader;
     const uint64_t *token = data;
     if (leader == NULL || leader->token != *token)
         return;
@@ -230,20 +230,20 @@
         leader->takeover.loaded = g_array_new(FALSE, FALSE, sizeof(struct loaded_record));
         g_array_set_clear_func(leader->takeover.loaded, loaded_clear);
     } else
-        leader->takeover.next_at = controller->now + RETRY_S;
+        leader->takeover.next_at = core->now + RETRY_S;
 }
 
 void ow_takeover_tick(struct ow_leader *leader)
 {
     if (leader->phase == OW_LEADER_READY || leader->takeover.busy ||
-        leader->controller->now < leader->takeover.next_at)
+        leader->core->now < leader->takeover.next_at)
         return;
     leader->takeover.busy = true;
     if (leader->phase == OW_LEADER_REFRESH) {
         /* Progress of a job that the copy does not show yet would read as a leftover. */
         uint64_t *token = g_new(uint64_t, 1);
         *token = leader->token;
-        ow_job_cache_refresh(leader->controller->job_cache, on_jobs_fresh, token);
+        ow_job_cache_refresh(leader->core->job_cache, on_jobs_fresh, token);
         return;
     }
     if (leader->format.current == 0) {
@@ -253,5 +253,5 @@
     }
     struct ow_store_request *request = ow_store_request_new(OW_STORE_LIST, OW_KEY_PROGRESS);
     request->after = g_strdup(leader->takeover.after);
-    ow_controller_store(leader->controller, request, on_page, leader, NULL, NULL);
+    ow_core_call_store(leader->core, request, on_page, leader, NULL, NULL);
 }
--- a/src/core/records/transaction.c
+++ b/src/core/records/transaction.c
@@ -40,7 +40,7 @@
 static bool needs_refining(const struct ow_leader *leader, const struct ow_record_value *record_value,
                            const char *value)
 {
-    if (strlen(value) <= leader->controller->limits.value_bytes)
+    if (strlen(value) <= leader->core->limits.value_bytes)
         return false;
     if (record_value->chunks->len != 1)
         return false;
@@ -84,7 +84,7 @@
         ow_write_queue_add_record_value(queue, record_value, write->order, write->due_at);
         return;
     }
-    record_value->oversized = strlen(value) > leader->controller->limits.value_bytes;
+    record_value->oversized = strlen(value) > leader->core->limits.value_bytes;
     if (record_value->oversized && transaction->changes->len > 0) {
         g_free(value);
         ow_write_queue_add_record_value(queue, record_value, write->order, write->due_at);
@@ -157,9 +157,9 @@
         return false;
     if (transaction->changes->len == 0)
         return true;
-    if (ow_store_largest_value(transaction) > leader->controller->limits.value_bytes)
+    if (ow_store_largest_value(transaction) > leader->core->limits.value_bytes)
         return false;
-    return transaction_bytes(transaction) + leader->controller->limits.value_bytes_now < TRANSACTION_BYTES;
+    return transaction_bytes(transaction) + leader->core->limits.value_bytes_now < TRANSACTION_BYTES;
 }
 
 static void put(struct ow_leader *leader, const struct ow_write *write, struct ow_store_request *transaction)
@@ -173,9 +173,9 @@
 void ow_transaction_fill(struct ow_leader *leader, struct ow_store_request *transaction)
 {
     struct ow_recorder *recorder = leader->recorder;
-    double now = leader->controller->now;
+    double now = leader->core->now;
     double permitted_changes = ow_rate_limiter_level(&recorder->changes, now);
-    guint most_changes = (guint)MIN((double)leader->controller->limits.txn_ops, permitted_changes);
+    guint most_changes = (guint)MIN((double)leader->core->limits.txn_ops, permitted_changes);
     bool spare = permitted_changes > SPARE_SHARE * recorder->changes.depth;
     guint position = 0;
     ow_write_queue_sort(recorder->queue);
--- a/src/core/records/transaction_reply.c
+++ b/src/core/records/transaction_reply.c
@@ -68,7 +68,7 @@
         g_info("job %s done", job->id);
     ow_run_drop(leader, run);
     enum ow_job_state state = job->state == OW_JOB_CANCELLED ? OW_JOB_CANCELLED : OW_JOB_DONE;
-    ow_jobs_apply(leader->controller->jobs, job->id, revision, state, NULL, leader->controller->now, 0);
+    ow_jobs_apply(leader->core->jobs, job->id, revision, state, NULL, leader->core->now, 0);
 }
 
 static void commit(struct ow_leader *leader, uint64_t revision)
@@ -118,12 +118,12 @@
 static void read_version(struct ow_leader *leader, const char *key)
 {
     struct ow_store_request *request = ow_store_request_new(OW_STORE_GET, key);
-    ow_controller_store(leader->controller, request, on_version, leader, g_strdup(key), g_free);
+    ow_core_call_store(leader->core, request, on_version, leader, g_strdup(key), g_free);
 }
 
-static void on_job_fresh(struct ow_controller *controller, void *data, bool ok)
+static void on_job_fresh(struct ow_core *core, void *data, bool ok)
 {
-    struct ow_leader *leader = controller->leader;
+    struct ow_leader *leader = core->leader;
     const uint64_t *token = data;
     (void)ok; /* if the read failed, the write fails again and the job is read again */
     if (leader == NULL || leader->token != *token)
@@ -142,7 +142,7 @@
     }
     uint64_t *token = g_new(uint64_t, 1);
     *token = leader->token;
-    ow_job_cache_refresh(leader->controller->job_cache, on_job_fresh, token);
+    ow_job_cache_refresh(leader->core->job_cache, on_job_fresh, token);
 }
 
 /* ---- failure ---- */
@@ -191,10 +191,9 @@
 /* Too large: the limits have changed otherwise than the settings say. The same again would fail for ever. */
 static void shrink_limits(struct ow_leader *leader)
 {
-    double now = leader->controller->now;
+    double now = leader->core->now;
     struct ow_recorder *recorder = leader->recorder;
-    bool smaller =
-        ow_limits_refused(&leader->controller->limits, recorder->sent_changes, recorder->sent_largest);
+    bool smaller = ow_limits_refused(&leader->core->limits, recorder->sent_changes, recorder->sent_largest);
     g_warning("the state service refuses a write of %u changes, the largest of %zu bytes; %s",
               recorder->sent_changes, recorder->sent_largest,
               smaller ? "the next ones are smaller" : "it can't be made smaller");
@@ -226,17 +225,17 @@
         return;
     }
     if (leader_key_has_changed(reply)) {
-        ow_election_deposed(leader->controller->election);
+        ow_election_deposed(leader->core->election);
         return;
     }
     /* Without a response it may have been carried out, or may still be: the versions it expects make a
        second time harmless, and if it was, the next try fails on them and learns the new ones. */
-    recorder->next_at = leader->controller->now + RETRY_S;
+    recorder->next_at = leader->core->now + RETRY_S;
     if (reply->status == 400)
         shrink_limits(leader);
     requeue(leader);
     if (reply->status == 429)
-        ow_rate_limiter_empty(&recorder->changes, leader->controller->now);
+        ow_rate_limiter_empty(&recorder->changes, leader->core->now);
     if (reply->status == 409)
         check_failed_versions(leader, reply);
 }
--- a/src/core/run.c
+++ b/src/core/run.c
@@ -20,7 +20,7 @@
         return false;
     if (!ow_team_covers(leader, spec->team, &spec->submission->need))
         return false;
-    return leader->controller->now - run->accepted_at > patience_s;
+    return leader->core->now - run->accepted_at > patience_s;
 }
 
 void ow_run_divide(struct ow_run *run, uint32_t chunk_tasks)
@@ -45,7 +45,7 @@
     run->attempts = g_ptr_array_new();
     ow_run_divide(run, ow_record_values_chunk_tasks(leader));
     run->bad_machines = g_hash_table_new(NULL, NULL);
-    ow_class_observe_job(leader->controller, job->spec, job->accepted_at);
+    ow_class_observe_job(leader->core, job->spec, job->accepted_at);
     job->run = run;
     g_ptr_array_add(leader->runs, run);
     leader->pass.due = true;
--- a/src/core/scheduling/array_start.c
+++ b/src/core/scheduling/array_start.c
@@ -63,12 +63,12 @@
     /* However late it is, a fetch that takes twice as long as the work that is left helps nobody. */
     if (CLEARLY_LONGER * wait_s < fetch_s)
         return true;
-    double waited_s = leader->controller->now - run->accepted_at + wait_s;
+    double waited_s = leader->core->now - run->accepted_at + wait_s;
     double slack_s = ow_deadline_slack_s(leader, run);
     if (wait_s < fetch_s && waited_s < slack_s)
         return true;
     /* A fetch that costs more than the work it serves is made only when the objectives need it, ... */
-    if (fetch_s <= ow_class_run_s(leader->controller, spec))
+    if (fetch_s <= ow_class_run_s(leader->core, spec))
         return false;
     if (waited_s < IMAGE_PATIENCE * slack_s)
         return true;
--- a/src/core/scheduling/classes.c
+++ b/src/core/scheduling/classes.c
@@ -1,7 +1,7 @@
 /* What has been observed of each class of jobs, and how long its objectives let it wait. */
 #include "core/scheduling/classes.h"
 
-#include "core/controller.h"
+#include "core/core_state.h"
 #include "core/health.h"
 
 #include <math.h>
@@ -27,13 +27,13 @@
 /* The longer runs of a class take so many times its expected run time. */
 static const double LONGER_RUN = 1.5;
 
-struct ow_class *ow_class_of(struct ow_controller *controller, int class_index)
+struct ow_class *ow_class_of(struct ow_core *core, int class_index)
 {
-    while (controller->classes->len <= (guint)class_index) {
+    while (core->classes->len <= (guint)class_index) {
         struct ow_class fresh = {.ratio = 1};
-        g_array_append_val(controller->classes, fresh);
+        g_array_append_val(core->classes, fresh);
     }
-    return &g_array_index(controller->classes, struct ow_class, class_index);
+    return &g_array_index(core->classes, struct ow_class, class_index);
 }
 
 /* At a take-over jobs come in any order: only a job newer than all before shows an interval. */
@@ -51,9 +51,9 @@
     class->last_arrival_at = accepted_at;
 }
 
-void ow_class_observe_job(struct ow_controller *controller, const struct ow_spec *spec, double accepted_at)
+void ow_class_observe_job(struct ow_core *core, const struct ow_spec *spec, double accepted_at)
 {
-    struct ow_class *class = ow_class_of(controller, spec->class_index);
+    struct ow_class *class = ow_class_of(core, spec->class_index);
     const struct ow_submission *submission = spec->submission;
     observe_arrival(class, accepted_at);
     if (class->seen)
@@ -72,49 +72,49 @@
     class->seen = true;
 }
 
-void ow_class_observe_run(struct ow_controller *controller, const struct ow_spec *spec, double ran_s)
+void ow_class_observe_run(struct ow_core *core, const struct ow_spec *spec, double ran_s)
 {
-    struct ow_class *class = ow_class_of(controller, spec->class_index);
+    struct ow_class *class = ow_class_of(core, spec->class_index);
     if (spec->submission->estimate_s <= 0)
         return;
     double ratio = CLAMP(ran_s / spec->submission->estimate_s, RATIO_LEAST, RATIO_MOST);
     class->ratio += RATIO_WEIGHT * (ratio - class->ratio);
 }
 
-double ow_class_peak(struct ow_controller *controller, int class_index, double tasks)
+double ow_class_peak(struct ow_core *core, int class_index, double tasks)
 {
-    struct ow_class *class = ow_class_of(controller, class_index);
-    class->peak = MAX(tasks, class->peak * exp(-(controller->now - class->peak_at) / PEAK_DECAY_S));
-    class->peak_at = controller->now;
+    struct ow_class *class = ow_class_of(core, class_index);
+    class->peak = MAX(tasks, class->peak * exp(-(core->now - class->peak_at) / PEAK_DECAY_S));
+    class->peak_at = core->now;
     return class->peak;
 }
 
-bool ow_class_is_quiet(struct ow_controller *controller, int class_index)
+bool ow_class_is_quiet(struct ow_core *core, int class_index)
 {
-    const struct ow_class *class = ow_class_of(controller, class_index);
+    const struct ow_class *class = ow_class_of(core, class_index);
     /* While the state service is away nothing can be accepted: that shows nothing of the class. */
-    if (class->service || !class->seen || !ow_health_state_is_ok(controller))
+    if (class->service || !class->seen || !ow_health_state_is_ok(core))
         return false;
     double limit_s = MAX(QUIET_LEAST_S, QUIET_INTERVALS * class->arrival_interval_s);
-    return controller->now - class->last_arrival_at > limit_s;
+    return core->now - class->last_arrival_at > limit_s;
 }
 
-double ow_class_run_s(struct ow_controller *controller, const struct ow_spec *spec)
+double ow_class_run_s(struct ow_core *core, const struct ow_spec *spec)
 {
-    return spec->submission->estimate_s * ow_class_of(controller, spec->class_index)->ratio;
+    return spec->submission->estimate_s * ow_class_of(core, spec->class_index)->ratio;
 }
 
-double ow_class_slack_s(struct ow_controller *controller, int class_index)
+double ow_class_slack_s(struct ow_core *core, int class_index)
 {
-    const struct ow_class *class = ow_class_of(controller, class_index);
+    const struct ow_class *class = ow_class_of(core, class_index);
     /* A replica that does not run is an outage, whatever objectives are stated. */
     if (class->service)
         return 0;
-    const char *name = ow_names_text(controller->names.classes, class_index);
+    const char *name = ow_names_text(core->names.classes, class_index);
     double slack = INFINITY;
-    for (guint i = 0; i < controller->settings->objectives->len; i++) {
+    for (guint i = 0; i < core->settings->objectives->len; i++) {
         const struct ow_objective *objective =
-            &g_array_index(controller->settings->objectives, struct ow_objective, i);
+            &g_array_index(core->settings->objectives, struct ow_objective, i);
         if (strcmp(objective->class_name, name) != 0)
             continue;
         /* The longer runs are the ones that decide whether the objective is met. */
@@ -131,40 +131,40 @@
     return objective->kind == OW_OBJECTIVE_WAIT && strcmp(objective->class_name, class_name) == 0;
 }
 
-unsigned ow_class_missed(struct ow_controller *controller, int class_index, double age_s)
+unsigned ow_class_missed(struct ow_core *core, int class_index, double age_s)
 {
-    const char *name = ow_names_text(controller->names.classes, class_index);
+    const char *name = ow_names_text(core->names.classes, class_index);
     unsigned missed = 0;
-    for (guint i = 0; i < controller->settings->objectives->len; i++) {
+    for (guint i = 0; i < core->settings->objectives->len; i++) {
         const struct ow_objective *objective =
-            &g_array_index(controller->settings->objectives, struct ow_objective, i);
+            &g_array_index(core->settings->objectives, struct ow_objective, i);
         if (is_start_objective(objective, name) && age_s > objective->within_s)
             missed++;
     }
     return missed;
 }
 
-double ow_class_next_start_objective_s(struct ow_controller *controller, int class_index, double age_s)
+double ow_class_next_start_objective_s(struct ow_core *core, int class_index, double age_s)
 {
-    const char *name = ow_names_text(controller->names.classes, class_index);
+    const char *name = ow_names_text(core->names.classes, class_index);
     double next_s = INFINITY;
-    for (guint i = 0; i < controller->settings->objectives->len; i++) {
+    for (guint i = 0; i < core->settings->objectives->len; i++) {
         const struct ow_objective *objective =
-            &g_array_index(controller->settings->objectives, struct ow_objective, i);
+            &g_array_index(core->settings->objectives, struct ow_objective, i);
         if (is_start_objective(objective, name) && objective->within_s > age_s)
             next_s = MIN(next_s, objective->within_s);
     }
     return next_s;
 }
 
-bool ow_class_has_objective(struct ow_controller *controller, int class_index)
+bool ow_class_has_objective(struct ow_core *core, int class_index)
 {
-    if (ow_class_of(controller, class_index)->service)
+    if (ow_class_of(core, class_index)->service)
         return true;
-    const char *name = ow_names_text(controller->names.classes, class_index);
-    for (guint i = 0; i < controller->settings->objectives->len; i++) {
+    const char *name = ow_names_text(core->names.classes, class_index);
+    for (guint i = 0; i < core->settings->objectives->len; i++) {
         const struct ow_objective *objective =
-            &g_array_index(controller->settings->objectives, struct ow_objective, i);
+            &g_array_index(core->settings->objectives, struct ow_objective, i);
         if (strcmp(objective->class_name, name) == 0)
             return true;
     }
--- a/src/core/scheduling/deadline.c
+++ b/src/core/scheduling/deadline.c
@@ -19,7 +19,7 @@
 /* Seconds until the deadline; negative once it has passed. */
 static double seconds_left(const struct ow_leader *leader, const struct ow_run *run)
 {
-    double age_s = leader->controller->now - run->accepted_at;
+    double age_s = leader->core->now - run->accepted_at;
     return run->job->spec->submission->deadline_s - age_s;
 }
 
@@ -27,7 +27,7 @@
 {
     if (!ow_deadline_is_set(run))
         return false;
-    double run_s = ow_class_run_s(leader->controller, run->job->spec);
+    double run_s = ow_class_run_s(leader->core, run->job->spec);
     return seconds_left(leader, run) < HOPEFUL_RUN * run_s;
 }
 
@@ -35,8 +35,8 @@
                               double delay_s)
 {
     const struct ow_run *run = attempt->job->run;
-    double ran_s = attempt->running_at > 0 ? leader->controller->now - attempt->running_at : 0;
-    double remaining_s = MAX(0, ow_class_run_s(leader->controller, run->job->spec) - ran_s);
+    double ran_s = attempt->running_at > 0 ? leader->core->now - attempt->running_at : 0;
+    double remaining_s = MAX(0, ow_class_run_s(leader->core, run->job->spec) - ran_s);
     return seconds_left(leader, run) >= HOPEFUL_RUN * remaining_s + delay_s;
 }
 
@@ -50,11 +50,11 @@
     const struct ow_spec *spec = run->job->spec;
     if (!ow_deadline_is_set(run))
         return INFINITY;
-    return MAX(0, spec->submission->deadline_s - CAUTIOUS_RUN * ow_class_run_s(leader->controller, spec));
+    return MAX(0, spec->submission->deadline_s - CAUTIOUS_RUN * ow_class_run_s(leader->core, spec));
 }
 
 double ow_deadline_slack_s(const struct ow_leader *leader, const struct ow_run *run)
 {
-    double class_slack_s = ow_class_slack_s(leader->controller, run->job->spec->class_index);
+    double class_slack_s = ow_class_slack_s(leader->core, run->job->spec->class_index);
     return MIN(ow_deadline_latest_start_s(leader, run), class_slack_s);
 }
--- a/src/core/scheduling/gang_turn.c
+++ b/src/core/scheduling/gang_turn.c
@@ -33,7 +33,7 @@
 {
     const struct ow_spec *spec = run->job->spec;
     struct class_members members = count_members(leader, spec->class_index);
-    double run_s = ow_class_run_s(leader->controller, spec);
+    double run_s = ow_class_run_s(leader->core, spec);
     return members.placed > 0 && members.waiting * run_s / members.placed < left_s;
 }
 
@@ -43,8 +43,8 @@
 bool ow_gang_turn_take(struct ow_leader *leader, const struct ow_run *run)
 {
     const struct ow_spec *spec = run->job->spec;
-    double age_s = leader->controller->now - run->accepted_at;
-    double objective_s = ow_class_next_start_objective_s(leader->controller, spec->class_index, age_s);
+    double age_s = leader->core->now - run->accepted_at;
+    double objective_s = ow_class_next_start_objective_s(leader->core, spec->class_index, age_s);
     if (leader->pass.turn_taken || objective_s == INFINITY || age_s < TURN_SHARE * objective_s)
         return false;
     double left_s = objective_s - age_s - ow_image_slowest_fetch_seconds(leader, spec);
--- a/src/core/scheduling/gpu_reserve.c
+++ b/src/core/scheduling/gpu_reserve.c
@@ -30,7 +30,7 @@
         return 0;
     double slack_s = MAX(ow_deadline_slack_s(leader, run), 1);
     double fetch_s = FETCH_SHARE * ow_image_slowest_fetch_seconds(leader, spec);
-    double task_s = ow_class_run_s(leader->controller, spec) + fetch_s;
+    double task_s = ow_class_run_s(leader->core, spec) + fetch_s;
     return gpus * MIN(1, task_s / slack_s);
 }
 
--- a/src/core/scheduling/image_demand.c
+++ b/src/core/scheduling/image_demand.c
@@ -16,7 +16,7 @@
 {
     double slowest = 0;
     for (int i = 0; i < OW_MAX_TYPES; i++) {
-        const struct ow_machine_type *type = leader->controller->types[i];
+        const struct ow_machine_type *type = leader->core->types[i];
         if (type == NULL || type->fetch_gb_per_s <= 0 || !fits_type(spec, i, type))
             continue;
         slowest = MAX(slowest, spec->submission->image_gb / type->fetch_gb_per_s);
@@ -51,7 +51,7 @@
         return;
     struct ow_image_demand *demand = find_or_add(leader, spec->image);
     demand->spec = spec;
-    demand->work_s += pending * ow_class_run_s(leader->controller, spec);
+    demand->work_s += pending * ow_class_run_s(leader->core, spec);
 }
 
 static void add_slots(struct ow_leader *leader, const struct ow_machine *machine)
--- a/src/core/scheduling/placement.c
+++ b/src/core/scheduling/placement.c
@@ -31,7 +31,7 @@
         return false;
     if (!ow_placement_is_allowed(leader, run->job->spec, machine))
         return false;
-    return leader->controller->now > run->bad_until || !g_hash_table_contains(run->bad_machines, machine);
+    return leader->core->now > run->bad_until || !g_hash_table_contains(run->bad_machines, machine);
 }
 
 /* How often `need` fits in `free`. */
--- a/src/core/scheduling/placement_cost.c
+++ b/src/core/scheduling/placement_cost.c
@@ -41,7 +41,7 @@
 static bool is_wanted_by_gangs(const struct ow_leader *leader, const struct ow_spec *spec,
                                const struct ow_machine *machine, const struct ow_machine_type *type)
 {
-    const GArray *classes = leader->controller->classes;
+    const GArray *classes = leader->core->classes;
     for (guint i = 0; i < classes->len; i++) {
         const struct ow_class *class = &g_array_index(classes, struct ow_class, i);
         if (!class->seen || !class->gang || class->rank >= spec->submission->rank)
@@ -59,8 +59,8 @@
 {
     if (!machine->spot || !ow_deadline_is_set(run) || ow_deadline_is_missed(leader, run))
         return 0;
-    double run_s = ow_class_run_s(leader->controller, run->job->spec);
-    double age_s = leader->controller->now - run->accepted_at;
+    double run_s = ow_class_run_s(leader->core, run->job->spec);
+    double age_s = leader->core->now - run->accepted_at;
     bool has_time_for_another = age_s + run_s <= ow_deadline_latest_start_s(leader, run);
     double loss_s = run_s + (has_time_for_another ? 0 : DEADLINE_LOSS_S);
     return ow_spot_risk_within(leader, run_s) * loss_s;
@@ -92,26 +92,26 @@
     /* More urgent work waits for no rent, whether or not anybody has set an objective for it. */
     if (!spec->submission->spot || spec->submission->rank != OW_RANK_LOW)
         return false;
-    if (ow_class_has_objective(leader->controller, spec->class_index) || run->starves || run->aged)
+    if (ow_class_has_objective(leader->core, spec->class_index) || run->starves || run->aged)
         return false;
     /* The age of the job does not count: when every controller has restarted all jobs may be old, and would
        go on expensive machines at once; but what has waited too long goes there however often they restart.
      */
-    return leader->controller->now - run->job->first_seen_at < CHEAP_WAIT_S;
+    return leader->core->now - run->job->first_seen_at < CHEAP_WAIT_S;
 }
 
 /* Whether the class has an objective and makes proper use of machines of the type. */
 static bool is_of_use_to_class(const struct ow_leader *leader, int class_index, int type_index,
                                const struct ow_machine_type *type)
 {
-    const struct ow_class *class = &g_array_index(leader->controller->classes, struct ow_class, class_index);
+    const struct ow_class *class = &g_array_index(leader->core->classes, struct ow_class, class_index);
     if (!class->seen || !class_allows_type(class, type_index))
         return false;
     if (ow_placement_slots_on_empty(type, &class->need) == 0)
         return false;
     if (type->size.gpus > 0 && class->need.gpus <= 0)
         return false;
-    return ow_class_has_objective(leader->controller, class_index);
+    return ow_class_has_objective(leader->core, class_index);
 }
 
 bool ow_placement_is_expensive(const struct ow_leader *leader, const struct ow_machine *machine)
@@ -119,9 +119,9 @@
     const struct ow_machine_type *type = ow_machine_spec(leader, machine);
     if (machine->spot || type->spot_price <= 0 || type->spot_price >= type->price)
         return false;
-    if (leader->controller->settings->objectives->len == 0)
+    if (leader->core->settings->objectives->len == 0)
         return false;
-    for (guint i = 0; i < leader->controller->classes->len; i++) {
+    for (guint i = 0; i < leader->core->classes->len; i++) {
         if (is_of_use_to_class(leader, (int)i, machine->type, type))
             return false;
     }
--- a/src/core/scheduling/preempt.c
+++ b/src/core/scheduling/preempt.c
@@ -42,8 +42,8 @@
     const struct ow_submission *submission = attempt->job->spec->submission;
     /* A fetch given up has to begin anew. */
     if (attempt->running_at == 0)
-        return leader->controller->now - attempt->placed_at;
-    double ran = leader->controller->now - attempt->running_at;
+        return leader->core->now - attempt->placed_at;
+    double ran = leader->core->now - attempt->running_at;
     return submission->checkpoint_s > 0 ? MIN(ran, submission->save_s) : ran;
 }
 
--- a/src/core/scheduling/queue.c
+++ b/src/core/scheduling/queue.c
@@ -118,7 +118,7 @@
     if (spec->submission->gang)
         return run->accepted_at;
     double share = fleet_share(&spec->submission->need, capacity);
-    double delay = SIZE_WEIGHT * ow_run_pending(run) * ow_class_run_s(leader->controller, spec) * share;
+    double delay = SIZE_WEIGHT * ow_run_pending(run) * ow_class_run_s(leader->core, spec) * share;
     if (ow_deadline_is_set(run)) {
         double limit_s = MIN(ow_deadline_latest_start_s(leader, run), DEADLINE_DELAY_LIMIT_S);
         return run->accepted_at + MIN(DEADLINE_SIZE_WEIGHT * delay, limit_s);
@@ -130,7 +130,7 @@
 static void update_age(const struct ow_leader *leader, struct ow_run *run)
 {
     bool service = ow_run_is_service(run);
-    double age = leader->controller->now - (service ? run->missing_since : run->accepted_at);
+    double age = leader->core->now - (service ? run->missing_since : run->accepted_at);
     double promotion_s = run->job->spec->submission->gang ? PROMOTION_GANG_S : PROMOTION_S;
     double begin_s = BEGIN_S - ow_image_slowest_fetch_seconds(leader, run->job->spec);
     double patience = CLAMP(begin_s, PROMOTION_LEAST_S, promotion_s);
@@ -148,14 +148,14 @@
 
 static unsigned missed_objectives(struct ow_leader *leader, const struct ow_run *run)
 {
-    double age = leader->controller->now - run->accepted_at;
+    double age = leader->core->now - run->accepted_at;
     /* A service's age says nothing of how long its replica has been missed. */
     if (ow_run_is_service(run))
         return 0;
     /* Of those that starve, who can still begin in time goes first: where all wait too long, nobody would. */
     if (run->starves)
         return age < BEGIN_S ? 0 : 1;
-    unsigned missed = ow_class_missed(leader->controller, run->job->spec->class_index, age);
+    unsigned missed = ow_class_missed(leader->core, run->job->spec->class_index, age);
     return missed + (ow_deadline_is_missed(leader, run) ? 1 : 0);
 }
 
@@ -167,8 +167,8 @@
         return false;
     }
     if (run->missing_since == 0)
-        run->missing_since = leader->controller->now;
-    return run->ready_at <= leader->controller->now;
+        run->missing_since = leader->core->now;
+    return run->ready_at <= leader->core->now;
 }
 
 /* The waiting runs as sorted struct queue_entry; the caller frees the array. */
--- a/src/core/scheduling/reason.c
+++ b/src/core/scheduling/reason.c
@@ -63,7 +63,7 @@
     const struct ow_spec *spec = run->job->spec;
     bool gang = spec->submission->gang;
     uint32_t wanted = gang ? run->count : 1;
-    if (run->ready_at > leader->controller->now)
+    if (run->ready_at > leader->core->now)
         return g_strdup("paused after failures; it is tried again soon");
     if (gang && run->attempts->len > 0)
         return g_strdup("waits until every task of its last attempt is proven gone");
--- a/src/core/scheduling/reservation.c
+++ b/src/core/scheduling/reservation.c
@@ -33,8 +33,8 @@
     if (run->reservation != NULL)
         return run->reservation;
     struct ow_reservation *reservation = g_new0(struct ow_reservation, 1);
-    reservation->opened_at = leader->controller->now;
-    reservation->short_since = leader->controller->now;
+    reservation->opened_at = leader->core->now;
+    reservation->short_since = leader->core->now;
     reservation->holds = g_array_new(FALSE, FALSE, sizeof(struct ow_hold));
     run->reservation = reservation;
     return reservation;
@@ -99,7 +99,7 @@
 {
     for (guint i = reservation->holds->len; i > 0; i--) {
         double made_at = g_array_index(reservation->holds, struct ow_hold, i - 1).made_at;
-        if (leader->controller->now - made_at >= leader->controller->rules->hold_life_s)
+        if (leader->core->now - made_at >= leader->core->rules->hold_life_s)
             drop_hold(reservation, i - 1);
     }
 }
@@ -133,7 +133,7 @@
     for (guint i = 0; i < picks->len; i++) {
         const struct ow_gang_pick *pick = &g_array_index(picks, struct ow_gang_pick, i);
         for (uint32_t n = 0; n < pick->members; n++) {
-            add_hold(reservation, pick->machine, member, true, leader->controller->now);
+            add_hold(reservation, pick->machine, member, true, leader->core->now);
             member++;
         }
     }
@@ -143,11 +143,11 @@
 static void collect_candidates(const struct ow_leader *leader, struct ow_run *run, const GArray *candidates)
 {
     guint members = MIN(run->count, candidates->len);
-    guint limit = MIN(candidates->len, leader->controller->rules->candidates);
+    guint limit = MIN(candidates->len, leader->core->rules->candidates);
     for (guint member = 0; member < members; member++) {
         for (guint i = 0; i < limit; i++) {
             struct ow_machine *machine = g_array_index(candidates, struct ow_candidate, i).machine;
-            add_hold(run->reservation, machine, member, false, leader->controller->now);
+            add_hold(run->reservation, machine, member, false, leader->core->now);
         }
     }
 }
@@ -193,8 +193,8 @@
 static void give_up_after_limit(const struct ow_leader *leader, struct ow_run *run)
 {
     struct ow_reservation *reservation = run->reservation;
-    double now = leader->controller->now;
-    double limit_s = leader->controller->rules->waiting_limit_s;
+    double now = leader->core->now;
+    double limit_s = leader->core->rules->waiting_limit_s;
     if (reservation->given_up || now - reservation->short_since <= limit_s)
         return;
     reservation->given_up = true;
@@ -208,8 +208,8 @@
                              const GArray *picks)
 {
     struct ow_reservation *reservation = run->reservation;
-    double now = leader->controller->now;
-    if (now < reservation->opened_at + leader->controller->rules->window_s) {
+    double now = leader->core->now;
+    if (now < reservation->opened_at + leader->core->rules->window_s) {
         hold_picks(leader, reservation, picks);
         collect_candidates(leader, run, candidates);
         return;
@@ -233,7 +233,7 @@
                               const GArray *picks)
 {
     struct ow_reservation *reservation = run->reservation;
-    double now = leader->controller->now;
+    double now = leader->core->now;
     /* Stopping work is considered again only after a while; until then what was picked stays held. */
     bool considered_lately = now < reservation->stops_at + STOPS_INTERVAL_S;
     if (considered_lately && reservation->stops)
--- a/src/core/scheduling/schedule.c
+++ b/src/core/scheduling/schedule.c
@@ -24,7 +24,7 @@
     if (run->attempts->len > 0)
         return;
     ow_run_drop(leader, run);
-    ow_jobs_close(leader->controller->jobs, job);
+    ow_jobs_close(leader->core->jobs, job);
 }
 
 /* Creates the job's run if it has none, and ends what is over. */
@@ -55,7 +55,7 @@
 
 void ow_schedule_jobs(struct ow_leader *leader)
 {
-    const GPtrArray *open_jobs = ow_jobs_open(leader->controller->jobs);
+    const GPtrArray *open_jobs = ow_jobs_open(leader->core->jobs);
     leader->pass.gpu_cpus = 0;
     leader->pass.gpu_rank = OW_RANK_LOW;
     /* From the end: a job that is closed leaves the array. */
@@ -69,7 +69,7 @@
 /* Which teams may claim their guarantee and which have to give back, for the whole pass. */
 static void update_teams(struct ow_leader *leader)
 {
-    int count = ow_names_count(leader->controller->names.teams);
+    int count = ow_names_count(leader->core->names.teams);
     leader->teams.entitled = g_renew(bool, leader->teams.entitled, count);
     leader->teams.borrows = g_renew(bool, leader->teams.borrows, count);
     for (int team = 0; team < count; team++) {
@@ -129,7 +129,7 @@
 {
     for (guint i = 0; i < leader->runs->len; i++) {
         struct ow_run *run = g_ptr_array_index(leader->runs, i);
-        if (run->ready_at > leader->controller->now)
+        if (run->ready_at > leader->core->now)
             ow_reason_waits(leader, run);
     }
 }
--- a/src/core/scheduling/service_moves.c
+++ b/src/core/scheduling/service_moves.c
@@ -106,7 +106,7 @@
         return 0;
     /* This leader may never have had a report of it: then there is no time that could be counted on. */
     double since = machine->last_report_at;
-    return since > 0 ? since + leader->controller->settings->lease_s : leader->controller->now;
+    return since > 0 ? since + leader->core->settings->lease_s : leader->core->now;
 }
 
 /* The service's replicas on machines that are about to go. */
@@ -140,14 +140,14 @@
     if (type == NULL || type->fetch_gb_per_s <= 0)
         return false;
     double fetch_s = attempt->job->spec->submission->image_gb / type->fetch_gb_per_s;
-    return fetch_s < RETURN_REPORTS * leader->controller->settings->report_s;
+    return fetch_s < RETURN_REPORTS * leader->core->settings->report_s;
 }
 
 /* With its image elsewhere a replica is moved as soon as its service can do without it. Where no machine with
    the image has capacity, it serves as long as it may. */
 static void move_off_leaving(struct ow_leader *leader, struct ow_machine *machine)
 {
-    double left = leaves_at(leader, machine) - leader->controller->now;
+    double left = leaves_at(leader, machine) - leader->core->now;
     for (guint i = machine->attempts->len; i > 0; i--) {
         if (i > machine->attempts->len)
             continue;
@@ -216,10 +216,10 @@
 {
     for (guint i = 0; i < run->attempts->len; i++) {
         const struct ow_attempt *attempt = g_ptr_array_index(run->attempts, i);
-        if (leader->controller->now - attempt->placed_at < CALM_S)
+        if (leader->core->now - attempt->placed_at < CALM_S)
             return false;
     }
-    return leader->controller->now - leader->ready_at >= CALM_S && not_serving(run) == 0;
+    return leader->core->now - leader->ready_at >= CALM_S && not_serving(run) == 0;
 }
 
 /* Where capacity was short, replicas may have been placed together: one at a time they are separated again.
@@ -227,9 +227,9 @@
 static void separate(struct ow_leader *leader, struct ow_run *run)
 {
     int not_in_zone;
-    if (!ow_run_is_service(run) || ow_job_over(run->job) || leader->controller->now < run->separate_at)
+    if (!ow_run_is_service(run) || ow_job_over(run->job) || leader->core->now < run->separate_at)
         return;
-    run->separate_at = leader->controller->now + SEPARATE_S;
+    run->separate_at = leader->core->now + SEPARATE_S;
     if (!has_been_calm(leader, run))
         return;
     struct ow_attempt *attempt = crowded(run, &not_in_zone);
@@ -246,7 +246,7 @@
         struct ow_machine *machine = g_ptr_array_index(leader->machines, i);
         if (leaves_at(leader, machine) > 0)
             move_off_leaving(leader, machine);
-        else if (leader->controller->now < machine->quarantine_until)
+        else if (leader->core->now < machine->quarantine_until)
             move_off_faulty(leader, machine);
     }
     for (guint i = 0; i < leader->runs->len; i++)
--- a/src/core/scheduling/service_replicas.c
+++ b/src/core/scheduling/service_replicas.c
@@ -24,7 +24,7 @@
 static GArray *zones_admit(const struct ow_leader *leader, const struct ow_run *run)
 {
     GArray *admitted = g_array_new(FALSE, FALSE, sizeof(uint32_t));
-    for (int zone = 0; zone < ow_names_count(leader->controller->names.zones); zone++) {
+    for (int zone = 0; zone < ow_names_count(leader->core->names.zones); zone++) {
         uint32_t count = ow_placement_zone_admits(run, zone);
         g_array_append_val(admitted, count);
     }
--- a/src/core/teams.c
+++ b/src/core/teams.c
@@ -22,8 +22,8 @@
 
 const struct ow_team_settings *ow_team_settings_of(const struct ow_leader *leader, int team)
 {
-    const char *name = ow_names_text(leader->controller->names.teams, team);
-    const GArray *teams = leader->controller->settings->teams;
+    const char *name = ow_names_text(leader->core->names.teams, team);
+    const GArray *teams = leader->core->settings->teams;
     for (guint i = 0; i < teams->len; i++) {
         const struct ow_team_settings *settings = &g_array_index(teams, struct ow_team_settings, i);
         if (strcmp(settings->name, name) == 0)
--- a/src/core/type_discovery.c
+++ b/src/core/type_discovery.c
@@ -1,6 +1,6 @@
 #include "core/type_discovery.h"
 
-#include "core/controller.h"
+#include "core/core_state.h"
 #include "core/records/records.h"
 #include "wire/cloud_json.h"
 
@@ -12,35 +12,35 @@
     (void)data;
     discovery->busy = false;
     if (answer->cloud.status == 200 && answer->cloud.types != NULL)
-        ow_controller_set_types(discovery->controller, answer->cloud.types);
+        ow_core_set_machine_types(discovery->core, answer->cloud.types);
 }
 
 static void on_stored_types(void *owner, void *data, const struct ow_event *answer)
 {
     struct ow_type_discovery *discovery = owner;
     (void)data;
-    if (answer->store.status != 200 || discovery->controller->types_known)
+    if (answer->store.status != 200 || discovery->core->types_known)
         return;
     const struct ow_store_item *item = &g_array_index(answer->store.items, struct ow_store_item, 0);
     GArray *types = wire_types_from(item->value);
     if (types == NULL)
         return;
-    ow_controller_set_types(discovery->controller, types);
+    ow_core_set_machine_types(discovery->core, types);
     g_array_free(types, TRUE);
 }
 
 void ow_type_discovery_tick(struct ow_type_discovery *discovery)
 {
-    struct ow_controller *controller = discovery->controller;
-    if (controller->types_known || controller->leader != NULL || discovery->busy)
+    struct ow_core *core = discovery->core;
+    if (core->types_known || core->leader != NULL || discovery->busy)
         return;
-    if (controller->now < discovery->asked_at + RETRY_S)
+    if (core->now < discovery->asked_at + RETRY_S)
         return;
     struct ow_cloud_request *cloud_request = g_new0(struct ow_cloud_request, 1);
     cloud_request->op = OW_CLOUD_TYPES;
-    discovery->asked_at = controller->now;
+    discovery->asked_at = core->now;
     discovery->busy = true;
-    ow_controller_cloud(controller, cloud_request, on_cloud_types, discovery, NULL, NULL);
+    ow_core_call_cloud(core, cloud_request, on_cloud_types, discovery, NULL, NULL);
     struct ow_store_request *store_request = ow_store_request_new(OW_STORE_GET, OW_KEY_TYPES);
-    ow_controller_store(controller, store_request, on_stored_types, discovery, NULL, NULL);
+    ow_core_call_store(core, store_request, on_stored_types, discovery, NULL, NULL);
 }
--- a/src/core/type_discovery.h
+++ b/src/core/type_discovery.h
@@ -5,10 +5,10 @@
 
 #include <stdbool.h>
 
-struct ow_controller;
+struct ow_core;
 
 struct ow_type_discovery {
-    struct ow_controller *controller;
+    struct ow_core *core;
     bool busy;       /* a call to the cloud is under way */
     double asked_at; /* when the last one was sent */
 };
--- /dev/null
+++ b/src/io/daemon.h
@@ -0,0 +1,19 @@
+/* The serving process: turns requests into events for the core, and its effects into requests. */
+#ifndef OW_IO_DAEMON_H
+#define OW_IO_DAEMON_H
+
+#include "sharding/sharding_settings.h"
+#include "io/loop.h"
+
+struct ow_daemon;
+
+/* NULL if an address can't be listened on; *fault then says which (g_free). */
+struct ow_daemon *ow_daemon_new(struct ow_loop *loop, const struct ow_settings *settings,
+                                const struct ow_rules *rules, const struct ow_sharding_settings *sharding,
+                                char **fault);
+void ow_daemon_free(struct ow_daemon *daemon);
+/* The round of the event loop (ow_round_fn): lets the core run and carries out its effects. `owner` is the
+   service. */
+double ow_daemon_round(void *owner, double now);
+
+#endif
--- a/src/io/service_state.h
+++ b/src/io/daemon_state.h
@@ -1,8 +1,8 @@
 /* The state of the serving process, shared by the files that make it up. Private to src/io. */
-#ifndef OW_IO_SERVICE_STATE_H
-#define OW_IO_SERVICE_STATE_H
+#ifndef OW_IO_DAEMON_STATE_H
+#define OW_IO_DAEMON_STATE_H
 
-#include "control/control.h"
+#include "sharding/shard_manager.h"
 #include "core/settings.h"
 #include "io/http_client.h"
 #include "io/http_server.h"
@@ -10,10 +10,10 @@
 #include "io/loop.h"
 #include "io/peer_link.h"
 
-struct ow_service {
+struct ow_daemon {
     struct ow_loop *loop;
     const struct ow_settings *settings;
-    struct ow_control *control;
+    struct ow_shard_manager *manager;
     struct ow_http_server *server;
     struct ow_http_client *client;
     struct ow_peer_links *peers;
@@ -29,16 +29,16 @@
 /* The HTTP server's handler: turns a request into an event, or answers it. `owner` is the service. */
 void ow_incoming_handle(void *owner, const struct ow_http_request *request);
 /* Answers a user or a worker as the core says. */
-void ow_incoming_answer(struct ow_service *service, const struct ow_effect *effect);
+void ow_incoming_answer(struct ow_daemon *daemon, const struct ow_effect *effect);
 
 /* outgoing.c: requests to the state service, the cloud and workers. */
 
 /* Sends a request of the core to the state service, the cloud or a worker. */
-void ow_outgoing_send(struct ow_service *service, const struct ow_effect *effect);
+void ow_outgoing_send(struct ow_daemon *daemon, const struct ow_effect *effect);
 /* The HTTP client's reply function: turns a response into an event. `owner` is the service. */
 void ow_outgoing_take_reply(void *owner, uint64_t tag, int status, const char *body, size_t size);
 /* Leaves the HTTP client the sockets that incoming connections don't use. */
-void ow_outgoing_bound_sockets(struct ow_service *service);
+void ow_outgoing_bound_sockets(struct ow_daemon *daemon);
 /* An empty table of pending requests. */
 GHashTable *ow_outgoing_pending_new(void);
 
--- a/src/io/outgoing.c
+++ b/src/io/outgoing.c
@@ -1,5 +1,5 @@
 /* Requests to the state service, the cloud and workers, and what becomes of their responses. */
-#include "io/service_state.h"
+#include "io/daemon_state.h"
 
 #include "wire/cloud_json.h"
 #include "wire/state_json.h"
@@ -27,15 +27,15 @@
 }
 
 /* The tag under which the HTTP client is to send the request. */
-static uint64_t add_pending(struct ow_service *service, enum target target, int operation, uint64_t core_tag)
+static uint64_t add_pending(struct ow_daemon *daemon, enum target target, int operation, uint64_t core_tag)
 {
     uint64_t *key = g_new(uint64_t, 1);
     struct pending_request *pending = g_new0(struct pending_request, 1);
-    *key = ++service->last_tag;
+    *key = ++daemon->last_tag;
     pending->target = target;
     pending->operation = operation;
     pending->core_tag = core_tag;
-    g_hash_table_insert(service->pending_requests, key, pending);
+    g_hash_table_insert(daemon->pending_requests, key, pending);
     return *key;
 }
 
@@ -91,30 +91,30 @@
 
 void ow_outgoing_take_reply(void *owner, uint64_t tag, int status, const char *body, size_t size)
 {
-    struct ow_service *service = owner;
-    const struct pending_request *pending = g_hash_table_lookup(service->pending_requests, &tag);
-    ow_control_push(service->control, reply_event(pending, status, body, size));
-    g_hash_table_remove(service->pending_requests, &tag);
+    struct ow_daemon *daemon = owner;
+    const struct pending_request *pending = g_hash_table_lookup(daemon->pending_requests, &tag);
+    ow_shard_manager_push(daemon->manager, reply_event(pending, status, body, size));
+    g_hash_table_remove(daemon->pending_requests, &tag);
 }
 
 /* ---- requests ---- */
 
-static void send_store(struct ow_service *service, const struct ow_effect *effect)
+static void send_store(struct ow_daemon *daemon, const struct ow_effect *effect)
 {
     struct wire_http http = wire_store_request(effect->store);
     double timeout = STATE_TIMEOUT_S;
     if (effect->store->op == OW_STORE_WATCH)
         timeout += effect->store->seconds * WATCH_DRIFT + WATCH_MARGIN_S;
-    uint64_t tag = add_pending(service, TARGET_STATE_SERVICE, (int)effect->store->op, effect->store->tag);
-    ow_http_client_send(service->client, service->settings->state, http.method, http.path, http.body, timeout,
+    uint64_t tag = add_pending(daemon, TARGET_STATE_SERVICE, (int)effect->store->op, effect->store->tag);
+    ow_http_client_send(daemon->client, daemon->settings->state, http.method, http.path, http.body, timeout,
                         tag);
     wire_http_clear(&http);
 }
 
-static void send_cloud(struct ow_service *service, const struct ow_effect *effect)
+static void send_cloud(struct ow_daemon *daemon, const struct ow_effect *effect)
 {
     const struct ow_cloud_request *request = effect->cloud;
-    uint64_t tag = add_pending(service, TARGET_CLOUD, (int)request->op, request->tag);
+    uint64_t tag = add_pending(daemon, TARGET_CLOUD, (int)request->op, request->tag);
     const char *method = "GET";
     char *path = NULL, *body = NULL;
     if (request->op == OW_CLOUD_TYPES) {
@@ -132,50 +132,50 @@
         path = g_strdup(W_PATH_DELETE);
         body = wire_delete(request->machines);
     }
-    ow_http_client_send(service->client, service->settings->cloud, method, path, body, CLOUD_TIMEOUT_S, tag);
+    ow_http_client_send(daemon->client, daemon->settings->cloud, method, path, body, CLOUD_TIMEOUT_S, tag);
     g_free(path);
     g_free(body);
 }
 
 /* Without a socket to spare the command goes with the answer to the machine's next report. */
-static void give_up_direct(struct ow_service *service, const struct ow_effect *effect)
+static void give_up_direct(struct ow_daemon *daemon, const struct ow_effect *effect)
 {
     struct ow_event *event = ow_event_new(OW_EVENT_DIRECT_REPLY, effect->request);
     event->status = OW_STATUS_UNSENT;
-    ow_control_push(service->control, event);
+    ow_shard_manager_push(daemon->manager, event);
 }
 
-void ow_outgoing_bound_sockets(struct ow_service *service)
+void ow_outgoing_bound_sockets(struct ow_daemon *daemon)
 {
-    unsigned taken = ow_http_server_count(service->server);
-    ow_http_client_bound(service->client,
-                         MAX(service->client_sockets_least, service->sockets - MIN(service->sockets, taken)));
+    unsigned taken = ow_http_server_count(daemon->server);
+    ow_http_client_bound(daemon->client,
+                         MAX(daemon->client_sockets_least, daemon->sockets - MIN(daemon->sockets, taken)));
 }
 
-static void send_direct(struct ow_service *service, const struct ow_effect *effect)
+static void send_direct(struct ow_daemon *daemon, const struct ow_effect *effect)
 {
-    ow_outgoing_bound_sockets(service);
-    if (!ow_http_client_has_room(service->client, effect->text)) {
-        give_up_direct(service, effect);
+    ow_outgoing_bound_sockets(daemon);
+    if (!ow_http_client_has_room(daemon->client, effect->text)) {
+        give_up_direct(daemon, effect);
         return;
     }
     char *body = wire_direct_commands(effect->token, effect->session, effect->commands);
-    uint64_t tag = add_pending(service, TARGET_WORKER, NO_OPERATION, effect->request);
-    ow_http_client_send(service->client, effect->text, "POST", W_PATH_COMMANDS, body, DIRECT_TIMEOUT_S, tag);
+    uint64_t tag = add_pending(daemon, TARGET_WORKER, NO_OPERATION, effect->request);
+    ow_http_client_send(daemon->client, effect->text, "POST", W_PATH_COMMANDS, body, DIRECT_TIMEOUT_S, tag);
     g_free(body);
 }
 
-void ow_outgoing_send(struct ow_service *service, const struct ow_effect *effect)
+void ow_outgoing_send(struct ow_daemon *daemon, const struct ow_effect *effect)
 {
     switch (effect->kind) {
     case OW_EFFECT_DIRECT:
-        send_direct(service, effect);
+        send_direct(daemon, effect);
         break;
     case OW_EFFECT_STORE:
-        send_store(service, effect);
+        send_store(daemon, effect);
         break;
     case OW_EFFECT_CLOUD:
-        send_cloud(service, effect);
+        send_cloud(daemon, effect);
         break;
     default:
         break;
--- a/src/main.c
+++ b/src/main.c
@@ -2,11 +2,11 @@
 #include "config/cmdline.h"
 #include "config/operators_file.h"
 #include "config/settings_file.h"
-#include "control/control_settings.h"
+#include "sharding/sharding_settings.h"
 #include "io/client.h"
 #include "io/log.h"
 #include "io/net.h"
-#include "io/service.h"
+#include "io/daemon.h"
 
 #include <stdio.h>
 #include <stdlib.h>
@@ -14,7 +14,7 @@
 enum { STATUS_DONE = 0, STATUS_FAILED = 1 };
 
 /* Says what is wrong with the file, and frees the fault. */
-static int complain(const char *file, char *fault)
+static int print_error(const char *file, char *fault)
 {
     fprintf(stderr, "ospreywell: %s: %s\n", file, fault);
     g_free(fault);
@@ -25,21 +25,21 @@
 struct configuration {
     struct ow_settings *settings;
     struct ow_rules rules;
-    struct ow_control_settings *control;
+    struct ow_sharding_settings *sharding;
 };
 
 /* Serves as a controller; returns only if it can't begin. */
 static int serve(const struct ow_cmdline *cmdline, const struct configuration *configuration)
 {
     char *fault = NULL;
-    if (configuration->control->enabled)
+    if (configuration->sharding->enabled)
         ow_net_set_source(configuration->settings->front);
     struct ow_loop *loop = ow_loop_new();
-    struct ow_service *service =
-        ow_service_new(loop, configuration->settings, &configuration->rules, configuration->control, &fault);
-    if (service == NULL)
-        return complain(cmdline->config, fault);
-    ow_loop_run(loop, ow_service_round, service);
+    struct ow_daemon *daemon =
+        ow_daemon_new(loop, configuration->settings, &configuration->rules, configuration->sharding, &fault);
+    if (daemon == NULL)
+        return print_error(cmdline->config, fault);
+    ow_loop_run(loop, ow_daemon_round, daemon);
     return STATUS_DONE;
 }
 
@@ -47,9 +47,10 @@
 static char *load_operators(const char *path, struct configuration *configuration)
 {
     char *fault = NULL;
-    if (!ow_operators_load(path, &configuration->rules, configuration->control, &fault))
+    if (!ow_operators_load(path, &configuration->rules, configuration->sharding, &fault))
         return fault;
-    return ow_control_settings_check(configuration->control, configuration->settings, &configuration->rules);
+    return ow_sharding_settings_check(configuration->sharding, configuration->settings,
+                                      &configuration->rules);
 }
 
 /* Checks the files, and serves unless only that is wanted. */
@@ -57,7 +58,7 @@
 {
     char *fault = cmdline->operators != NULL ? load_operators(cmdline->operators, configuration) : NULL;
     if (fault != NULL)
-        return complain(cmdline->operators, fault);
+        return print_error(cmdline->operators, fault);
     if (cmdline->action != OW_ACTION_CHECK)
         return serve(cmdline, configuration);
     printf("the settings are in order\n");
@@ -71,10 +72,10 @@
     struct configuration configuration = {.settings = ow_settings_load(cmdline->config, &fault),
                                           .rules = ow_rules_default()};
     if (configuration.settings == NULL)
-        return complain(cmdline->config, fault);
-    configuration.control = ow_control_settings_new();
+        return print_error(cmdline->config, fault);
+    configuration.sharding = ow_sharding_settings_new();
     int status = run_configuration(cmdline, &configuration);
-    ow_control_settings_free(configuration.control);
+    ow_sharding_settings_free(configuration.sharding);
     ow_settings_free(configuration.settings);
     return status;
 }
--- a/src/control/candidacy.c
+++ b/src/sharding/candidacy.c
@@ -1,4 +1,4 @@
-#include "control/candidacy.h"
+#include "sharding/candidacy.h"
 
 /* Rendezvous hashing: among equals, each shard has an order of its own. */
 static guint weight(const char *controller, const char *shard)
--- a/src/control/candidacy.h
+++ b/src/sharding/candidacy.h
@@ -1,9 +1,9 @@
 /* In which order controllers run for a shard that nobody leads: the one that leads fewest shards first. The
  * order only spares them a race; which of them leads is decided by the state service. */
-#ifndef OW_CONTROL_CANDIDACY_H
-#define OW_CONTROL_CANDIDACY_H
+#ifndef OW_SHARDING_CANDIDACY_H
+#define OW_SHARDING_CANDIDACY_H
 
-#include "control/membership.h"
+#include "sharding/membership.h"
 
 /* How many live controllers come before this one, which leads `own_count` shards. */
 unsigned ow_candidacy_rank(const struct ow_membership *membership, const char *self, unsigned own_count,
--- a/src/control/effect_guard.c
+++ b/src/sharding/effect_guard.c
@@ -1,4 +1,4 @@
-#include "control/effect_guard.h"
+#include "sharding/effect_guard.h"
 
 enum { STATUS_UNAVAILABLE = 503, RETRY_S = 1 };
 
--- a/src/control/effect_guard.h
+++ b/src/sharding/effect_guard.h
@@ -1,8 +1,8 @@
 /* Takes out of an effect what the lease does not cover. */
-#ifndef OW_CONTROL_EFFECT_GUARD_H
-#define OW_CONTROL_EFFECT_GUARD_H
+#ifndef OW_SHARDING_EFFECT_GUARD_H
+#define OW_SHARDING_EFFECT_GUARD_H
 
-#include "control/lease_guard.h"
+#include "sharding/lease_guard.h"
 #include "core/effects.h"
 
 /* Whether something was taken out. *refusal becomes the answer that the core gets instead of the effect,
--- a/src/control/handover.c
+++ b/src/sharding/handover.c
@@ -1,4 +1,4 @@
-#include "control/handover.h"
+#include "sharding/handover.h"
 
 /* Steps that are kept. */
 enum { STEPS_MAX = 16 };
--- a/src/control/handover.h
+++ b/src/sharding/handover.h
@@ -1,9 +1,9 @@
 /* How far a shard is on its way from one leader to the next, as this controller sees it, with the time and
  * the cause of each step. Nothing is decided here: it is for operators, users and measurements. */
-#ifndef OW_CONTROL_HANDOVER_H
-#define OW_CONTROL_HANDOVER_H
+#ifndef OW_SHARDING_HANDOVER_H
+#define OW_SHARDING_HANDOVER_H
 
-#include "control/membership.h"
+#include "sharding/membership.h"
 
 #include <glib.h>
 #include <stdint.h>
--- a/src/control/indirect_probe.c
+++ b/src/sharding/indirect_probe.c
@@ -1,4 +1,4 @@
-#include "control/membership_state.h"
+#include "sharding/membership_state.h"
 
 static void send_step(struct ow_membership *membership, enum ow_probe_step step, const char *addressee,
                       const struct ow_peer_message *of, GPtrArray *out)
@@ -20,7 +20,7 @@
     target->probe = ++membership->last_probe;
     target->probe_at = now;
     target->relays = 0;
-    for (guint i = 0; i < membership->members->len && target->relays < membership->control->relays; i++) {
+    for (guint i = 0; i < membership->members->len && target->relays < membership->sharding->relays; i++) {
         /* Beginning behind the target, so that not the same relays are asked about everybody. */
         const struct ow_member *relay =
             g_ptr_array_index(membership->members, (i + target->probe) % membership->members->len);
--- a/src/control/lease_guard.c
+++ b/src/sharding/lease_guard.c
@@ -1,4 +1,4 @@
-#include "control/lease_guard.h"
+#include "sharding/lease_guard.h"
 
 enum { STATUS_NONE = 0, STATUS_OK = 200 };
 /* The state service's clock may run faster than ours by as much, and some more. */
