--- a/src/control/lease_guard.h
+++ b/src/sharding/lease_guard.h
@@ -1,7 +1,7 @@
 /* What a leader may still send, by its own clock: it checks its lease before every effect, and after a pause
  * of the process nothing leaves before the state service has answered anew. No clock and no I/O. */
-#ifndef OW_CONTROL_LEASE_GUARD_H
-#define OW_CONTROL_LEASE_GUARD_H
+#ifndef OW_SHARDING_LEASE_GUARD_H
+#define OW_SHARDING_LEASE_GUARD_H
 
 #include <stdbool.h>
 #include <stdint.h>
--- a/src/control/map_agreement.c
+++ b/src/sharding/map_agreement.c
@@ -1,8 +1,8 @@
-#include "control/map_agreement.h"
+#include "sharding/map_agreement.h"
 
-#include "control/shard_map.h"
+#include "sharding/shard_map.h"
 #include "core/records/records.h"
-#include "wire/control_json.h"
+#include "wire/sharding_json.h"
 #include "wire/records_json.h"
 
 #include <string.h>
--- a/src/control/map_agreement.h
+++ b/src/sharding/map_agreement.h
@@ -2,8 +2,8 @@
  * controller leads only while its own are the same. A map is never changed: a machine or job that moved
  * between shards with a lease still running could be started twice. No I/O: requests are added to an array.
  */
-#ifndef OW_CONTROL_MAP_AGREEMENT_H
-#define OW_CONTROL_MAP_AGREEMENT_H
+#ifndef OW_SHARDING_MAP_AGREEMENT_H
+#define OW_SHARDING_MAP_AGREEMENT_H
 
 #include "core/effects.h"
 
--- a/src/control/membership.c
+++ b/src/sharding/membership.c
@@ -1,4 +1,4 @@
-#include "control/membership_state.h"
+#include "sharding/membership_state.h"
 
 #include <string.h>
 
@@ -30,18 +30,18 @@
     return member;
 }
 
-struct ow_membership *ow_membership_new(const struct ow_control_settings *control, const char *self,
+struct ow_membership *ow_membership_new(const struct ow_sharding_settings *sharding, const char *self,
                                         const GArray *peers, uint64_t incarnation, uint64_t digest)
 {
     struct ow_membership *membership = g_new0(struct ow_membership, 1);
-    membership->control = control;
+    membership->sharding = sharding;
     membership->self = self;
     membership->incarnation = incarnation;
     membership->digest = digest;
     membership->members = g_ptr_array_new_with_free_func(member_free);
     for (guint i = 0; i < peers->len; i++)
         g_ptr_array_add(membership->members, member_new(g_array_index(peers, struct ow_peer_settings, i).node,
-                                                        control->heartbeat_s));
+                                                        sharding->heartbeat_s));
     return membership;
 }
 
@@ -138,7 +138,7 @@
     membership->ticked_at = now;
     if (membership->started_at <= 0)
         membership->started_at = now;
-    if (pause_s <= PAUSE_HEARTBEATS * membership->control->heartbeat_s)
+    if (pause_s <= PAUSE_HEARTBEATS * membership->sharding->heartbeat_s)
         return;
     for (guint i = 0; i < membership->members->len; i++) {
         struct ow_member *member = g_ptr_array_index(membership->members, i);
@@ -149,15 +149,15 @@
 
 static void judge(struct ow_membership *membership, struct ow_member *member, double now, GPtrArray *out)
 {
-    const struct ow_control_settings *control = membership->control;
+    const struct ow_sharding_settings *sharding = membership->sharding;
     double phi = ow_phi(&member->detector, now);
-    bool timed_out = now - member->probe_at > control->probe_timeout_s;
-    bool again = now - member->probe_at > PROBE_AGAIN_TIMEOUTS * control->probe_timeout_s;
+    bool timed_out = now - member->probe_at > sharding->probe_timeout_s;
+    bool again = now - member->probe_at > PROBE_AGAIN_TIMEOUTS * sharding->probe_timeout_s;
     switch (member->state) {
     case OW_MEMBER_UNHEARD:
         break;
     case OW_MEMBER_ALIVE:
-        if (phi < control->suspicion_phi)
+        if (phi < sharding->suspicion_phi)
             break;
         ow_indirect_probe_begin(membership, member, now, out);
         ow_member_set_state(member, OW_MEMBER_PROBED, now,
@@ -188,7 +188,7 @@
 {
     forgive_own_pause(membership, now);
     if (now >= membership->heartbeat_at) {
-        membership->heartbeat_at = now + membership->control->heartbeat_s;
+        membership->heartbeat_at = now + membership->sharding->heartbeat_s;
         g_ptr_array_add(out, ow_heartbeat_new(membership, own_shards));
     }
     for (guint i = 0; i < membership->members->len; i++)
--- a/src/control/membership.h
+++ b/src/sharding/membership.h
@@ -1,11 +1,11 @@
 /* Which controllers are alive, as this one sees it: heartbeats judged by a failure detector, and indirect
  * probes through other controllers before one is suspected. A suspicion is a hint: nothing that can't be
  * undone may rest on it. No clock and no I/O: messages to be sent are added to an array. */
-#ifndef OW_CONTROL_MEMBERSHIP_H
-#define OW_CONTROL_MEMBERSHIP_H
+#ifndef OW_SHARDING_MEMBERSHIP_H
+#define OW_SHARDING_MEMBERSHIP_H
 
-#include "control/control_settings.h"
-#include "control/phi_detector.h"
+#include "sharding/sharding_settings.h"
+#include "sharding/phi_detector.h"
 #include "core/effects.h"
 
 enum ow_member_state {
@@ -40,7 +40,7 @@
 struct ow_membership;
 
 /* `self` and the names of `peers` (struct ow_peer_settings) must outlive it. */
-struct ow_membership *ow_membership_new(const struct ow_control_settings *control, const char *self,
+struct ow_membership *ow_membership_new(const struct ow_sharding_settings *sharding, const char *self,
                                         const GArray *peers, uint64_t incarnation, uint64_t digest);
 void ow_membership_free(struct ow_membership *membership);
 /* Sends what is due and judges every controller. `own_shards`: struct ow_peer_shard, what this one leads. */
--- a/src/control/membership_state.h
+++ b/src/sharding/membership_state.h
@@ -1,11 +1,11 @@
 /* The state of the membership, and its parts. Private to control/; everybody else uses membership.h. */
-#ifndef OW_CONTROL_MEMBERSHIP_STATE_H
-#define OW_CONTROL_MEMBERSHIP_STATE_H
+#ifndef OW_SHARDING_MEMBERSHIP_STATE_H
+#define OW_SHARDING_MEMBERSHIP_STATE_H
 
-#include "control/membership.h"
+#include "sharding/membership.h"
 
 struct ow_membership {
-    const struct ow_control_settings *control;
+    const struct ow_sharding_settings *sharding;
     const char *self;
     uint64_t incarnation, digest, sequence, last_probe;
     GPtrArray *members; /* struct ow_member, owned */
@@ -21,7 +21,7 @@
 /* Counts a message that can't be right, and logs it now and then. */
 void ow_membership_drop(struct ow_membership *membership, double now, const char *sender, const char *why);
 
-/* heartbeats.c: this controller's next heartbeat, and one of another. */
+/* peer_heartbeats.c: this controller's next heartbeat, and one of another. */
 struct ow_peer_message *ow_heartbeat_new(struct ow_membership *membership, const GArray *own_shards);
 void ow_heartbeat_receive(struct ow_membership *membership, double now, struct ow_member *member,
                           const struct ow_peer_message *message);
--- a/src/control/heartbeats.c
+++ b/src/sharding/peer_heartbeats.c
@@ -1,4 +1,4 @@
-#include "control/membership_state.h"
+#include "sharding/membership_state.h"
 
 struct ow_peer_message *ow_heartbeat_new(struct ow_membership *membership, const GArray *own_shards)
 {
--- a/src/control/phi_detector.c
+++ b/src/sharding/phi_detector.c
@@ -1,4 +1,4 @@
-#include "control/phi_detector.h"
+#include "sharding/phi_detector.h"
 
 #include <math.h>
 
--- a/src/control/phi_detector.h
+++ b/src/sharding/phi_detector.h
@@ -1,7 +1,7 @@
 /* An accrual failure detector for one peer: from the intervals between its heartbeats it tells how unusual
  * the present silence is, as phi = -log10(probability that a heartbeat still comes). No clock and no I/O. */
-#ifndef OW_CONTROL_PHI_DETECTOR_H
-#define OW_CONTROL_PHI_DETECTOR_H
+#ifndef OW_SHARDING_PHI_DETECTOR_H
+#define OW_SHARDING_PHI_DETECTOR_H
 
 enum { OW_PHI_HISTORY = 100 };
 
--- a/src/control/request_router.c
+++ b/src/sharding/request_router.c
@@ -1,7 +1,7 @@
-#include "control/request_router.h"
+#include "sharding/request_router.h"
 
-#include "control/shard_map.h"
-#include "control/shard_question.h"
+#include "sharding/shard_map.h"
+#include "sharding/shard_question.h"
 
 #include <string.h>
 
@@ -18,18 +18,18 @@
 };
 
 struct ow_request_router {
-    const struct ow_control_settings *control;
+    const struct ow_sharding_settings *sharding;
     const GPtrArray *shards;
     GHashTable *questions;   /* number -> struct ow_shard_question */
     GHashTable *submissions; /* request -> struct submission */
     uint64_t last_question;
 };
 
-struct ow_request_router *ow_request_router_new(const struct ow_control_settings *control,
+struct ow_request_router *ow_request_router_new(const struct ow_sharding_settings *sharding,
                                                 const GPtrArray *shards)
 {
     struct ow_request_router *router = g_new0(struct ow_request_router, 1);
-    router->control = control;
+    router->sharding = sharding;
     router->shards = shards;
     router->questions = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, ow_shard_question_free);
     router->submissions = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, g_free);
@@ -113,7 +113,7 @@
 static struct ow_shard *choose_shard(const struct ow_request_router *router,
                                      const struct ow_submission *submission)
 {
-    char **route = ow_shard_map_route(router->control, submission);
+    char **route = ow_shard_map_route(router->sharding, submission);
     struct ow_shard *best = NULL;
     struct ow_shard *first = NULL;
     double least = 0;
--- a/src/control/request_router.h
+++ b/src/sharding/request_router.h
@@ -1,15 +1,15 @@
 /* Users' requests in a fleet of several shards: a job that a shard knows is asked of that one; about any
  * other all shards are asked, and their answers are combined. A new job goes to the shard with the least
  * waiting work among those that the routes allow and that can run it. */
-#ifndef OW_CONTROL_REQUEST_ROUTER_H
-#define OW_CONTROL_REQUEST_ROUTER_H
+#ifndef OW_SHARDING_REQUEST_ROUTER_H
+#define OW_SHARDING_REQUEST_ROUTER_H
 
-#include "control/shard.h"
+#include "sharding/shard.h"
 
 struct ow_request_router;
 
 /* `shards` (struct ow_shard) must outlive it. */
-struct ow_request_router *ow_request_router_new(const struct ow_control_settings *control,
+struct ow_request_router *ow_request_router_new(const struct ow_sharding_settings *sharding,
                                                 const GPtrArray *shards);
 void ow_request_router_free(struct ow_request_router *router);
 /* Hands on a submission, poll, cancellation or question about teams, which is taken over. */
--- a/src/control/shard.c
+++ b/src/sharding/shard.c
@@ -1,21 +1,21 @@
-#include "control/shard.h"
+#include "sharding/shard.h"
 
-#include "control/effect_guard.h"
-#include "control/shard_keys.h"
-#include "control/shard_map.h"
-#include "control/shard_settings.h"
+#include "sharding/effect_guard.h"
+#include "sharding/shard_keys.h"
+#include "sharding/shard_map.h"
+#include "sharding/shard_settings.h"
 
-struct ow_shard *ow_shard_new(const struct ow_control_settings *control, unsigned index,
+struct ow_shard *ow_shard_new(const struct ow_sharding_settings *sharding, unsigned index,
                               const struct ow_settings *platform, const struct ow_rules *rules,
                               uint64_t nonce, const GPtrArray *prefixes, double now)
 {
     struct ow_shard *shard = g_new0(struct ow_shard, 1);
     shard->index = index;
-    shard->control = control;
+    shard->sharding = sharding;
     shard->prefixes = prefixes;
-    shard->name = ((const struct ow_shard_settings *)g_ptr_array_index(control->shards, index))->name;
+    shard->name = ((const struct ow_shard_settings *)g_ptr_array_index(sharding->shards, index))->name;
     shard->prefix = ow_shard_prefix(shard->name);
-    shard->settings = ow_shard_settings_new(control, index, platform);
+    shard->settings = ow_shard_settings_new(sharding, index, platform);
     shard->core = ow_core_new(shard->settings, rules, nonce);
     ow_lease_guard_init(&shard->guard, rules->leader_lease_s);
     ow_handover_init(&shard->handover, now);
@@ -35,7 +35,7 @@
 
 static bool is_own_machine(const struct ow_shard *shard, const char *zone, const char *type)
 {
-    return ow_shard_map_machine(shard->control, zone, type) == (int)shard->index;
+    return ow_shard_map_machine(shard->sharding, zone, type) == (int)shard->index;
 }
 
 /* Machines of other shards are none of this one's business. */
--- a/src/control/shard.h
+++ b/src/sharding/shard.h
@@ -1,17 +1,17 @@
 /* One shard in this process: an instance of the core with a name space of its own, between which and the
  * outside this module translates. Every effect passes the shard's lease guard. */
-#ifndef OW_CONTROL_SHARD_H
-#define OW_CONTROL_SHARD_H
+#ifndef OW_SHARDING_SHARD_H
+#define OW_SHARDING_SHARD_H
 
-#include "control/handover.h"
-#include "control/lease_guard.h"
+#include "sharding/handover.h"
+#include "sharding/lease_guard.h"
 #include "core/core.h"
 
 struct ow_shard {
     unsigned index;
     const char *name; /* the settings' */
     char *prefix;     /* of its keys; NULL: the default shard */
-    const struct ow_control_settings *control;
+    const struct ow_sharding_settings *sharding;
     const GPtrArray *prefixes; /* of all shards */
     struct ow_settings *settings;
     struct ow_core *core;
@@ -24,7 +24,7 @@
 /* Tags of requests to the outside carry the shard's index in their upper bits. */
 enum { OW_SHARD_TAG_BITS = 48 };
 
-struct ow_shard *ow_shard_new(const struct ow_control_settings *control, unsigned index,
+struct ow_shard *ow_shard_new(const struct ow_sharding_settings *sharding, unsigned index,
                               const struct ow_settings *platform, const struct ow_rules *rules,
                               uint64_t nonce, const GPtrArray *prefixes, double now);
 void ow_shard_free(struct ow_shard *shard);
--- a/src/control/control_dispatch.c
+++ b/src/sharding/shard_dispatch.c
@@ -1,5 +1,5 @@
-#include "control/control_state.h"
-#include "control/shard_map.h"
+#include "sharding/shard_manager_state.h"
+#include "sharding/shard_map.h"
 
 enum { STATUS_UNAVAILABLE = 503, RETRY_S = 1 };
 
@@ -11,7 +11,7 @@
     g_ptr_array_add(out, effect);
 }
 
-void ow_control_send_messages(GPtrArray *messages, GPtrArray *out)
+void ow_shard_manager_send_messages(GPtrArray *messages, GPtrArray *out)
 {
     for (guint i = 0; i < messages->len; i++)
         add_peer_message(out, g_ptr_array_index(messages, i));
@@ -29,11 +29,11 @@
     g_ptr_array_add(out, effect);
 }
 
-static void dispatch_report(struct ow_control *control, struct ow_event *event, GPtrArray *out)
+static void dispatch_report(struct ow_shard_manager *manager, struct ow_event *event, GPtrArray *out)
 {
-    int index = ow_shard_map_machine(control->control_settings, event->report->zone, event->report->type);
+    int index = ow_shard_map_machine(manager->sharding_settings, event->report->zone, event->report->type);
     if (index >= 0) {
-        ow_shard_push(ow_control_shard(control, (guint)index), event);
+        ow_shard_push(ow_managed_shard(manager, (guint)index), event);
         return;
     }
     refuse_report(event->request, out);
@@ -41,24 +41,24 @@
 }
 
 /* An answer to a request of a shard, or of ours. */
-static void dispatch_answer(struct ow_control *control, struct ow_event *event)
+static void dispatch_answer(struct ow_shard_manager *manager, struct ow_event *event)
 {
     uint64_t index = event->request >> OW_SHARD_TAG_BITS;
-    if (index < control->shards->len) {
+    if (index < manager->shards->len) {
         event->request &= ((uint64_t)1 << OW_SHARD_TAG_BITS) - 1;
-        ow_shard_push(ow_control_shard(control, (guint)index), event);
+        ow_shard_push(ow_managed_shard(manager, (guint)index), event);
         return;
     }
     if (index == OW_OWN_INDEX)
-        ow_map_agreement_answered(&control->agreement, &event->store, control->now);
+        ow_map_agreement_answered(&manager->agreement, &event->store, manager->now);
     ow_event_free(event);
 }
 
-static struct ow_shard *shard_of_message(const struct ow_control *control,
+static struct ow_shard *shard_of_message(const struct ow_shard_manager *manager,
                                          const struct ow_peer_message *message)
 {
-    for (guint i = 0; i < control->shards->len; i++) {
-        struct ow_shard *shard = ow_control_shard(control, i);
+    for (guint i = 0; i < manager->shards->len; i++) {
+        struct ow_shard *shard = ow_managed_shard(manager, i);
         const char *name = shard->prefix != NULL ? shard->name : NULL;
         if (g_strcmp0(name, message->shard) == 0)
             return shard;
@@ -66,14 +66,14 @@
     return NULL;
 }
 
-static void dispatch_peer(struct ow_control *control, struct ow_event *event, GPtrArray *out)
+static void dispatch_peer(struct ow_shard_manager *manager, struct ow_event *event, GPtrArray *out)
 {
     const struct ow_peer_message *message = event->peer;
-    struct ow_shard *shard = shard_of_message(control, message);
+    struct ow_shard *shard = shard_of_message(manager, message);
     if (message->kind == OW_PEER_HEARTBEAT || message->kind == OW_PEER_PROBE) {
         GPtrArray *messages = g_ptr_array_new();
-        ow_membership_receive(control->membership, control->now, message, messages);
-        ow_control_send_messages(messages, out);
+        ow_membership_receive(manager->membership, manager->now, message, messages);
+        ow_shard_manager_send_messages(messages, out);
         /* A lost link is no evidence: in a divided fleet nobody is replaced before its lease has ended. */
     } else if (message->kind != OW_PEER_LINK_LOST && shard != NULL) {
         ow_shard_push(shard, event);
@@ -82,25 +82,25 @@
     ow_event_free(event);
 }
 
-void ow_control_dispatch(struct ow_control *control, struct ow_event *event, GPtrArray *out)
+void ow_shard_manager_dispatch(struct ow_shard_manager *manager, struct ow_event *event, GPtrArray *out)
 {
     switch (event->kind) {
     case OW_EVENT_REPORT:
-        dispatch_report(control, event, out);
+        dispatch_report(manager, event, out);
         break;
     case OW_EVENT_DIRECT_REPLY:
     case OW_EVENT_STORE:
     case OW_EVENT_CLOUD:
-        dispatch_answer(control, event);
+        dispatch_answer(manager, event);
         break;
     case OW_EVENT_PEER:
-        dispatch_peer(control, event, out);
+        dispatch_peer(manager, event, out);
         break;
     case OW_EVENT_CANCEL:
     case OW_EVENT_POLL:
     case OW_EVENT_TEAMS:
     case OW_EVENT_SUBMIT:
-        ow_request_router_push(control->router, event, control->now);
+        ow_request_router_push(manager->router, event, manager->now);
         break;
     }
 }
--- a/src/control/shard_keys.c
+++ b/src/sharding/shard_keys.c
@@ -1,4 +1,4 @@
-#include "control/shard_keys.h"
+#include "sharding/shard_keys.h"
 
 #include "core/records/records.h"
 
--- a/src/control/shard_keys.h
+++ b/src/sharding/shard_keys.h
@@ -1,6 +1,6 @@
 /* The name space of one shard in the state service: its keys stand behind a prefix of their own. */
-#ifndef OW_CONTROL_SHARD_KEYS_H
-#define OW_CONTROL_SHARD_KEYS_H
+#ifndef OW_SHARDING_SHARD_KEYS_H
+#define OW_SHARDING_SHARD_KEYS_H
 
 #include "core/store.h"
 
--- a/src/control/shard_map.c
+++ b/src/sharding/shard_map.c
@@ -1,4 +1,4 @@
-#include "control/shard_map.h"
+#include "sharding/shard_map.h"
 
 #include <string.h>
 
@@ -7,11 +7,11 @@
     return name != NULL && g_strv_contains((const char *const *)list, name);
 }
 
-int ow_shard_map_machine(const struct ow_control_settings *control, const char *zone, const char *type)
+int ow_shard_map_machine(const struct ow_sharding_settings *sharding, const char *zone, const char *type)
 {
     int rest = -1;
-    for (guint i = 0; i < control->shards->len; i++) {
-        const struct ow_shard_settings *shard = g_ptr_array_index(control->shards, i);
+    for (guint i = 0; i < sharding->shards->len; i++) {
+        const struct ow_shard_settings *shard = g_ptr_array_index(sharding->shards, i);
         if (!contains(shard->zones, zone))
             continue;
         if (shard->types == NULL)
@@ -31,10 +31,10 @@
     return route->zone == NULL || g_strcmp0(route->zone, submission->zone) == 0;
 }
 
-char **ow_shard_map_route(const struct ow_control_settings *control, const struct ow_submission *submission)
+char **ow_shard_map_route(const struct ow_sharding_settings *sharding, const struct ow_submission *submission)
 {
-    for (guint i = 0; i < control->routes->len; i++) {
-        const struct ow_route *route = g_ptr_array_index(control->routes, i);
+    for (guint i = 0; i < sharding->routes->len; i++) {
+        const struct ow_route *route = g_ptr_array_index(sharding->routes, i);
         if (route_matches(route, submission))
             return route->shards;
     }
@@ -54,14 +54,14 @@
     return list != NULL ? g_strjoinv(" ", list) : g_strdup("(all others)");
 }
 
-static void add_shard(GHashTable *values, const struct ow_control_settings *control,
+static void add_shard(GHashTable *values, const struct ow_sharding_settings *sharding,
                       const struct ow_shard_settings *shard, const struct ow_settings *platform)
 {
     add_value(values, g_strdup_printf("shard %s: zones", shard->name), words(shard->zones));
     add_value(values, g_strdup_printf("shard %s: types", shard->name), words(shard->types));
     for (guint i = 0; i < platform->teams->len; i++) {
         const struct ow_team_settings *team = &g_array_index(platform->teams, struct ow_team_settings, i);
-        double share = ow_control_settings_share(control, team->name, shard);
+        double share = ow_sharding_settings_share(sharding, team->name, shard);
         add_value(values, g_strdup_printf("shard %s: share of team %s", shard->name, team->name),
                   g_strdup_printf("%.9g", share));
     }
@@ -74,15 +74,15 @@
                               team->gpus_max));
 }
 
-GHashTable *ow_shard_map_values(const struct ow_control_settings *control, const struct ow_settings *platform,
-                                const struct ow_rules *rules)
+GHashTable *ow_shard_map_values(const struct ow_sharding_settings *sharding,
+                                const struct ow_settings *platform, const struct ow_rules *rules)
 {
     GHashTable *values = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     GString *names = g_string_new(NULL);
-    for (guint i = 0; i < control->shards->len; i++) {
-        const struct ow_shard_settings *shard = g_ptr_array_index(control->shards, i);
+    for (guint i = 0; i < sharding->shards->len; i++) {
+        const struct ow_shard_settings *shard = g_ptr_array_index(sharding->shards, i);
         g_string_append_printf(names, "%s%s", i > 0 ? " " : "", shard->name);
-        add_shard(values, control, shard, platform);
+        add_shard(values, sharding, shard, platform);
     }
     add_value(values, g_strdup("shards"), g_string_free(names, FALSE));
     for (guint i = 0; i < platform->teams->len; i++)
--- a/src/control/shard_question.c
+++ b/src/sharding/shard_question.c
@@ -1,4 +1,4 @@
-#include "control/shard_question.h"
+#include "sharding/shard_question.h"
 
 enum { STATUS_NOT_FOUND = 404, STATUS_UNAVAILABLE = 503, RETRY_S = 1 };
 
--- a/src/control/shard_question.h
+++ b/src/sharding/shard_question.h
@@ -1,7 +1,7 @@
 /* A question to all shards about one job, or about what teams use: it collects the answers and combines them.
  */
-#ifndef OW_CONTROL_SHARD_QUESTION_H
-#define OW_CONTROL_SHARD_QUESTION_H
+#ifndef OW_SHARDING_SHARD_QUESTION_H
+#define OW_SHARDING_SHARD_QUESTION_H
 
 #include "core/effects.h"
 
--- a/src/control/control_settings.c
+++ b/src/sharding/sharding_settings.c
@@ -1,6 +1,6 @@
-#include "control/control_settings.h"
+#include "sharding/sharding_settings.h"
 
-#include "control/shard_keys.h"
+#include "sharding/shard_keys.h"
 
 #include <string.h>
 
@@ -38,45 +38,45 @@
     g_free(route);
 }
 
-struct ow_control_settings *ow_control_settings_new(void)
+struct ow_sharding_settings *ow_sharding_settings_new(void)
 {
-    struct ow_control_settings *control = g_new0(struct ow_control_settings, 1);
-    control->heartbeat_s = 0.5;
-    control->suspicion_phi = 8;
-    control->probe_timeout_s = 1;
-    control->relays = 3;
-    control->candidacy_step_s = 0.5;
-    control->shards = g_ptr_array_new_with_free_func(shard_free);
-    control->allotments = g_ptr_array_new_with_free_func(allotment_free);
-    control->routes = g_ptr_array_new_with_free_func(route_free);
-    return control;
+    struct ow_sharding_settings *sharding = g_new0(struct ow_sharding_settings, 1);
+    sharding->heartbeat_s = 0.5;
+    sharding->suspicion_phi = 8;
+    sharding->probe_timeout_s = 1;
+    sharding->relays = 3;
+    sharding->candidacy_step_s = 0.5;
+    sharding->shards = g_ptr_array_new_with_free_func(shard_free);
+    sharding->allotments = g_ptr_array_new_with_free_func(allotment_free);
+    sharding->routes = g_ptr_array_new_with_free_func(route_free);
+    return sharding;
 }
 
-void ow_control_settings_free(struct ow_control_settings *control)
+void ow_sharding_settings_free(struct ow_sharding_settings *sharding)
 {
-    if (control == NULL)
+    if (sharding == NULL)
         return;
-    g_ptr_array_free(control->shards, TRUE);
-    g_ptr_array_free(control->allotments, TRUE);
-    g_ptr_array_free(control->routes, TRUE);
-    g_free(control);
+    g_ptr_array_free(sharding->shards, TRUE);
+    g_ptr_array_free(sharding->allotments, TRUE);
+    g_ptr_array_free(sharding->routes, TRUE);
+    g_free(sharding);
 }
 
-int ow_control_settings_shard(const struct ow_control_settings *control, const char *name)
+int ow_sharding_settings_shard(const struct ow_sharding_settings *sharding, const char *name)
 {
-    for (guint i = 0; i < control->shards->len; i++) {
-        const struct ow_shard_settings *shard = g_ptr_array_index(control->shards, i);
+    for (guint i = 0; i < sharding->shards->len; i++) {
+        const struct ow_shard_settings *shard = g_ptr_array_index(sharding->shards, i);
         if (strcmp(shard->name, name) == 0)
             return (int)i;
     }
     return -1;
 }
 
-double ow_control_settings_share(const struct ow_control_settings *control, const char *team,
-                                 const struct ow_shard_settings *shard)
+double ow_sharding_settings_share(const struct ow_sharding_settings *sharding, const char *team,
+                                  const struct ow_shard_settings *shard)
 {
-    for (guint i = 0; i < control->allotments->len; i++) {
-        const struct ow_allotment *allotment = g_ptr_array_index(control->allotments, i);
+    for (guint i = 0; i < sharding->allotments->len; i++) {
+        const struct ow_allotment *allotment = g_ptr_array_index(sharding->allotments, i);
         if (strcmp(allotment->team, team) == 0 && strcmp(allotment->shard, shard->name) == 0)
             return allotment->share;
     }
@@ -119,18 +119,18 @@
     return NULL;
 }
 
-static char *check_shard(const struct ow_control_settings *control, guint index,
+static char *check_shard(const struct ow_sharding_settings *sharding, guint index,
                          const struct ow_settings *platform)
 {
-    const struct ow_shard_settings *shard = g_ptr_array_index(control->shards, index);
-    if (control->shards->len > 1 && strcmp(shard->name, OW_DEFAULT_SHARD) == 0)
+    const struct ow_shard_settings *shard = g_ptr_array_index(sharding->shards, index);
+    if (sharding->shards->len > 1 && strcmp(shard->name, OW_DEFAULT_SHARD) == 0)
         return g_strdup_printf("line %lu: shard %s: this name is for the only shard of a fleet", shard->line,
                                shard->name);
     for (char **zone = shard->zones; *zone != NULL; zone++)
         if (!contains(platform->zones, *zone))
             return g_strdup_printf("line %lu: shard %s: zone %s is unknown", shard->line, shard->name, *zone);
     for (guint i = 0; i < index; i++) {
-        const struct ow_shard_settings *earlier = g_ptr_array_index(control->shards, i);
+        const struct ow_shard_settings *earlier = g_ptr_array_index(sharding->shards, i);
         if (strcmp(earlier->name, shard->name) == 0)
             return g_strdup_printf("line %lu: shard %s: is there twice", shard->line, shard->name);
         char *fault = check_overlap(earlier, shard);
@@ -141,43 +141,43 @@
 }
 
 /* Every machine must belong to a shard, whatever its type. */
-static char *check_zone(const struct ow_control_settings *control, const char *zone)
+static char *check_zone(const struct ow_sharding_settings *sharding, const char *zone)
 {
-    for (guint i = 0; i < control->shards->len; i++) {
-        const struct ow_shard_settings *shard = g_ptr_array_index(control->shards, i);
+    for (guint i = 0; i < sharding->shards->len; i++) {
+        const struct ow_shard_settings *shard = g_ptr_array_index(sharding->shards, i);
         if (shard->types == NULL && contains(shard->zones, zone))
             return NULL;
     }
     return g_strdup_printf("line %lu: control: no shard takes the types of zone %s that no shard names",
-                           control->line, zone);
+                           sharding->line, zone);
 }
 
-static char *check_team_shares(const struct ow_control_settings *control, const char *team)
+static char *check_team_shares(const struct ow_sharding_settings *sharding, const char *team)
 {
     double sum = 0;
-    for (guint i = 0; i < control->shards->len; i++)
-        sum += ow_control_settings_share(control, team, g_ptr_array_index(control->shards, i));
+    for (guint i = 0; i < sharding->shards->len; i++)
+        sum += ow_sharding_settings_share(sharding, team, g_ptr_array_index(sharding->shards, i));
     if (sum <= 1 + SHARE_SLACK)
         return NULL;
-    return g_strdup_printf("line %lu: control: the shards' shares of team %s add up to %g", control->line,
+    return g_strdup_printf("line %lu: control: the shards' shares of team %s add up to %g", sharding->line,
                            team, sum);
 }
 
-static char *check_allotment(const struct ow_control_settings *control, const struct ow_allotment *allotment,
-                             const struct ow_settings *platform)
+static char *check_allotment(const struct ow_sharding_settings *sharding,
+                             const struct ow_allotment *allotment, const struct ow_settings *platform)
 {
     if (!is_team(platform, allotment->team))
         return g_strdup_printf("line %lu: allotment: team %s is unknown", allotment->line, allotment->team);
-    if (ow_control_settings_shard(control, allotment->shard) < 0)
+    if (ow_sharding_settings_shard(sharding, allotment->shard) < 0)
         return g_strdup_printf("line %lu: allotment: shard %s is unknown", allotment->line, allotment->shard);
     return NULL;
 }
 
-static char *check_route(const struct ow_control_settings *control, const struct ow_route *route,
+static char *check_route(const struct ow_sharding_settings *sharding, const struct ow_route *route,
                          const struct ow_settings *platform)
 {
     for (char **shard = route->shards; *shard != NULL; shard++)
-        if (ow_control_settings_shard(control, *shard) < 0)
+        if (ow_sharding_settings_shard(sharding, *shard) < 0)
             return g_strdup_printf("line %lu: route: shard %s is unknown", route->line, *shard);
     if (route->team != NULL && !is_team(platform, route->team))
         return g_strdup_printf("line %lu: route: team %s is unknown", route->line, route->team);
@@ -186,42 +186,42 @@
     return NULL;
 }
 
-static char *check_whole(const struct ow_control_settings *control, const struct ow_settings *platform,
+static char *check_whole(const struct ow_sharding_settings *sharding, const struct ow_settings *platform,
                          const struct ow_rules *rules)
 {
     unsigned conditions = CONDITIONS_PER_CHANGE * MIN(platform->txn_ops, platform->next_txn_ops);
     guint most = MIN(OW_SHARDS_MAX, conditions);
-    if (control->shards->len == 0)
-        return g_strdup_printf("line %lu: control: has no shard", control->line);
-    if (control->shards->len > most)
-        return g_strdup_printf("line %lu: control: has %u shards, and at most %u are possible", control->line,
-                               control->shards->len, most);
+    if (sharding->shards->len == 0)
+        return g_strdup_printf("line %lu: control: has no shard", sharding->line);
+    if (sharding->shards->len > most)
+        return g_strdup_printf("line %lu: control: has %u shards, and at most %u are possible",
+                               sharding->line, sharding->shards->len, most);
     if (rules->leader_lease_s > LEASE_SHARE_MAX * platform->lease_s)
         return g_strdup_printf("line %lu: control: the election's lease_s of %g is more than half of the "
                                "workers' lease of %g s",
-                               control->line, rules->leader_lease_s, platform->lease_s);
-    if (control->heartbeat_s >= rules->leader_lease_s)
+                               sharding->line, rules->leader_lease_s, platform->lease_s);
+    if (sharding->heartbeat_s >= rules->leader_lease_s)
         return g_strdup_printf(
-            "line %lu: control: heartbeat_s of %g is not below the election's lease_s of %g", control->line,
-            control->heartbeat_s, rules->leader_lease_s);
+            "line %lu: control: heartbeat_s of %g is not below the election's lease_s of %g", sharding->line,
+            sharding->heartbeat_s, rules->leader_lease_s);
     return NULL;
 }
 
-char *ow_control_settings_check(const struct ow_control_settings *control, const struct ow_settings *platform,
-                                const struct ow_rules *rules)
+char *ow_sharding_settings_check(const struct ow_sharding_settings *sharding,
+                                 const struct ow_settings *platform, const struct ow_rules *rules)
 {
-    if (!control->enabled)
+    if (!sharding->enabled)
         return NULL;
-    char *fault = check_whole(control, platform, rules);
-    for (guint i = 0; fault == NULL && i < control->shards->len; i++)
-        fault = check_shard(control, i, platform);
+    char *fault = check_whole(sharding, platform, rules);
+    for (guint i = 0; fault == NULL && i < sharding->shards->len; i++)
+        fault = check_shard(sharding, i, platform);
     for (char **zone = platform->zones; fault == NULL && *zone != NULL; zone++)
-        fault = check_zone(control, *zone);
-    for (guint i = 0; fault == NULL && i < control->allotments->len; i++)
-        fault = check_allotment(control, g_ptr_array_index(control->allotments, i), platform);
+        fault = check_zone(sharding, *zone);
+    for (guint i = 0; fault == NULL && i < sharding->allotments->len; i++)
+        fault = check_allotment(sharding, g_ptr_array_index(sharding->allotments, i), platform);
     for (guint i = 0; fault == NULL && i < platform->teams->len; i++)
-        fault = check_team_shares(control, g_array_index(platform->teams, struct ow_team_settings, i).name);
-    for (guint i = 0; fault == NULL && i < control->routes->len; i++)
-        fault = check_route(control, g_ptr_array_index(control->routes, i), platform);
+        fault = check_team_shares(sharding, g_array_index(platform->teams, struct ow_team_settings, i).name);
+    for (guint i = 0; fault == NULL && i < sharding->routes->len; i++)
+        fault = check_route(sharding, g_ptr_array_index(sharding->routes, i), platform);
     return fault;
 }
--- a/src/control/control_settings.h
+++ b/src/sharding/sharding_settings.h
@@ -1,7 +1,7 @@
 /* The <control> element of the operators' settings: how the fleet is divided into shards, which jobs go
  * where, and when a controller is suspected. Plain data, checked against the platform's settings. */
-#ifndef OW_CONTROL_CONTROL_SETTINGS_H
-#define OW_CONTROL_CONTROL_SETTINGS_H
+#ifndef OW_SHARDING_SHARDING_SETTINGS_H
+#define OW_SHARDING_SHARDING_SETTINGS_H
 
 #include "core/settings.h"
 
@@ -32,7 +32,7 @@
     unsigned long line;
 };
 
-struct ow_control_settings {
+struct ow_sharding_settings {
     bool enabled;            /* a <control> element is there */
     unsigned long line;      /* of that element */
     double heartbeat_s;      /* from one heartbeat to the next */
@@ -46,18 +46,18 @@
     GPtrArray *routes;       /* struct ow_route, owned */
 };
 
-/* Switched off, with the default values; freed by ow_control_settings_free(). */
-struct ow_control_settings *ow_control_settings_new(void);
+/* Switched off, with the default values; freed by ow_sharding_settings_free(). */
+struct ow_sharding_settings *ow_sharding_settings_new(void);
 /* NULL is allowed. */
-void ow_control_settings_free(struct ow_control_settings *control);
+void ow_sharding_settings_free(struct ow_sharding_settings *sharding);
 /* The shard of this name, or -1. */
-int ow_control_settings_shard(const struct ow_control_settings *control, const char *name);
+int ow_sharding_settings_shard(const struct ow_sharding_settings *sharding, const char *name);
 /* What the shard has of the team's guarantee and limit, from 0 to 1. */
-double ow_control_settings_share(const struct ow_control_settings *control, const char *team,
-                                 const struct ow_shard_settings *shard);
+double ow_sharding_settings_share(const struct ow_sharding_settings *sharding, const char *team,
+                                  const struct ow_shard_settings *shard);
 /* NULL if the settings are consistent with those of the platform and the rules; otherwise what is wrong and
    in which line (g_free). */
-char *ow_control_settings_check(const struct ow_control_settings *control, const struct ow_settings *platform,
-                                const struct ow_rules *rules);
+char *ow_sharding_settings_check(const struct ow_sharding_settings *sharding,
+                                 const struct ow_settings *platform, const struct ow_rules *rules);
 
 #endif
--- a/src/wire/control_json.c
+++ b/src/wire/sharding_json.c
@@ -1,6 +1,6 @@
-#include "wire/control_json.h"
+#include "wire/sharding_json.h"
 
-#include "control/control.h"
+#include "sharding/shard_manager.h"
 #include "wire/json.h"
 
 /* Field names of the stored map, and of what operators are told. */
@@ -66,10 +66,10 @@
     return list;
 }
 
-char *wire_controllers(const struct ow_control *control)
+char *wire_controllers(const struct ow_shard_manager *manager)
 {
-    const GPtrArray *members = ow_control_members(control);
-    double now = ow_control_now(control);
+    const GPtrArray *members = ow_shard_manager_members(manager);
+    double now = ow_shard_manager_now(manager);
     json_t *list = json_array();
     for (guint i = 0; i < members->len; i++) {
         const struct ow_member *member = g_ptr_array_index(members, i);
@@ -79,10 +79,10 @@
                                               ow_phi(&member->detector, now), F_SUSPICIONS,
                                               (int)member->suspicions, F_LEADS, led_shards(member)));
     }
-    const char *difference = ow_control_difference(control);
+    const char *difference = ow_shard_manager_difference(manager);
     return wj_take_text(json_pack("{s:o,s:s,s:i}", F_CONTROLLERS, list, F_AGREEMENT,
                                   difference != NULL ? difference : "agreed", F_DROPPED,
-                                  (int)ow_control_dropped(control)));
+                                  (int)ow_shard_manager_dropped(manager)));
 }
 
 static json_t *steps_json(const struct ow_handover *handover, double now)
@@ -96,10 +96,10 @@
     return list;
 }
 
-static json_t *shard_json(const struct ow_control *control, const struct ow_shard *shard)
+static json_t *shard_json(const struct ow_shard_manager *manager, const struct ow_shard *shard)
 {
     const struct ow_handover *handover = &shard->handover;
-    double now = ow_control_now(control);
+    double now = ow_shard_manager_now(manager);
     json_t *object = json_pack("{s:s,s:s,s:I,s:i,s:i,s:i,s:o}", F_NAME, shard->name, F_STATE,
                                ow_handover_phase_name(ow_handover_last(handover)->phase), F_TOKEN,
                                (json_int_t)shard->status.token, F_MACHINES, (int)shard->status.machines,
@@ -107,15 +107,15 @@
                                steps_json(handover, now));
     if (handover->leader != NULL)
         json_object_set_new(object, F_LEADER, json_string(handover->leader));
-    json_object_set_new(object, F_SUCCESSOR, json_string(ow_control_successor(control, shard)));
+    json_object_set_new(object, F_SUCCESSOR, json_string(ow_shard_manager_successor(manager, shard)));
     return object;
 }
 
-char *wire_shards(const struct ow_control *control)
+char *wire_shards(const struct ow_shard_manager *manager)
 {
-    const GPtrArray *shards = ow_control_shards(control);
+    const GPtrArray *shards = ow_shard_manager_shards(manager);
     json_t *list = json_array();
     for (guint i = 0; i < shards->len; i++)
-        json_array_append_new(list, shard_json(control, g_ptr_array_index(shards, i)));
+        json_array_append_new(list, shard_json(manager, g_ptr_array_index(shards, i)));
     return wj_take_text(json_pack("{s:o}", F_SHARDS, list));
 }
--- a/tests/chaos_day.c
+++ b/tests/chaos_day.c
@@ -138,7 +138,7 @@
 
 static void disturb(struct failures *failures)
 {
-    bool divided = failures->w->control != NULL;
+    bool divided = failures->w->sharding != NULL;
     if (divided && g_rand_int_range(failures->rand, 0, 4) == 0) {
         freeze_or_thaw(failures);
         return;
--- a/tests/test_cancellation.c
+++ b/tests/test_cancellation.c
@@ -60,7 +60,7 @@
     g_strlcpy(event->peer->job, job, sizeof event->peer->job);
     event->peer->revision = revision;
     event->peer->number = token;
-    ow_control_push(w->controllers[controller], event);
+    ow_shard_manager_push(w->controllers[controller], event);
 }
 
 /* An acknowledgement by a leader that was deposed before the cancellation was recorded is ignored: its
--- a/tests/test_candidacy.c
+++ b/tests/test_candidacy.c
@@ -1,6 +1,6 @@
 /* Who runs for a shard that nobody leads. */
 #include "check.h"
-#include "control/candidacy.h"
+#include "sharding/candidacy.h"
 
 #include <string.h>
 
@@ -9,28 +9,28 @@
 
 /* The membership as one controller sees it. */
 struct bench {
-    struct ow_control_settings *control;
+    struct ow_sharding_settings *sharding;
     GArray *peers;
     struct ow_membership *membership;
 };
 
 static void open_bench(struct bench *bench, int self)
 {
-    bench->control = ow_control_settings_new();
+    bench->sharding = ow_sharding_settings_new();
     bench->peers = g_array_new(FALSE, TRUE, sizeof(struct ow_peer_settings));
     for (int i = 0; i < CONTROLLERS; i++) {
         struct ow_peer_settings peer = {.node = names[i]};
         if (i != self)
             g_array_append_val(bench->peers, peer);
     }
-    bench->membership = ow_membership_new(bench->control, names[self], bench->peers, 1, 1);
+    bench->membership = ow_membership_new(bench->sharding, names[self], bench->peers, 1, 1);
 }
 
 static void close_bench(struct bench *bench)
 {
     ow_membership_free(bench->membership);
     g_array_free(bench->peers, TRUE);
-    ow_control_settings_free(bench->control);
+    ow_sharding_settings_free(bench->sharding);
 }
 
 /* A heartbeat of a controller that leads so many shards. */
--- a/tests/test_election.c
+++ b/tests/test_election.c
@@ -90,8 +90,8 @@
     w->denied_controller = 2;
     world_poll(w, 2, "run-1"); /* so that it notices */
     world_run(w, 5);
-    assert_false(ow_control_healthy(w->controllers[2]));
-    assert_true(ow_control_healthy(w->controllers[0]) && ow_control_healthy(w->controllers[1]));
+    assert_false(ow_shard_manager_is_ready(w->controllers[2]));
+    assert_true(ow_shard_manager_is_ready(w->controllers[0]) && ow_shard_manager_is_ready(w->controllers[1]));
     w->denied_controller = -1;
     w->state_down = true;
     world_run(w, 18);
@@ -99,7 +99,7 @@
     world_start_controller(w, 0);
     world_run(w, 2);
     for (int i = 0; i < WORLD_CONTROLLERS; i++)
-        assert_true(ow_control_healthy(w->controllers[i]));
+        assert_true(ow_shard_manager_is_ready(w->controllers[i]));
     world_finish(w);
 }
 
--- a/tests/test_isolation.c
+++ b/tests/test_isolation.c
@@ -14,7 +14,7 @@
     uint64_t poll = world_poll(w, old, "run-1");
     world_submit(w, old, world_job("run-2", 1, 1));
     world_run(w, 4);
-    assert_false(ow_control_healthy(w->controllers[old]));
+    assert_false(ow_shard_manager_is_ready(w->controllers[old]));
     const struct world_answer *answer = world_answer(w, poll);
     assert_true(answer != NULL && answer->status == 503);
     assert_true(world_until(w, 20, world_some_running, "run-1"));
@@ -29,7 +29,7 @@
     assert_int_equal(world_running(w, "run-2"), 0);
     w->isolated_controller = -1;
     world_run(w, 10);
-    assert_true(ow_control_healthy(w->controllers[old]));
+    assert_true(ow_shard_manager_is_ready(w->controllers[old]));
     world_finish(w);
 }
 
@@ -40,11 +40,11 @@
     int other = (world_leader(w) + 1) % WORLD_CONTROLLERS;
     w->isolated_controller = other;
     world_run(w, 8);
-    assert_false(ow_control_healthy(w->controllers[other]));
-    assert_true(ow_control_healthy(w->controllers[world_leader(w)]));
+    assert_false(ow_shard_manager_is_ready(w->controllers[other]));
+    assert_true(ow_shard_manager_is_ready(w->controllers[world_leader(w)]));
     w->isolated_controller = -1;
     world_run(w, 8);
-    assert_true(ow_control_healthy(w->controllers[other]));
+    assert_true(ow_shard_manager_is_ready(w->controllers[other]));
     world_finish(w);
 }
 
--- a/tests/test_lease_guard.c
+++ b/tests/test_lease_guard.c
@@ -1,8 +1,8 @@
 /* What a leader may send by its own clock, and what is taken out of its effects when its lease does not cover
  * them. */
 #include "check.h"
-#include "control/effect_guard.h"
-#include "control/lease_guard.h"
+#include "sharding/effect_guard.h"
+#include "sharding/lease_guard.h"
 
 #include <glib.h>
 
--- a/tests/test_settings.c
+++ b/tests/test_settings.c
@@ -90,9 +90,9 @@
 static bool load_operators(const char *text, struct ow_rules *rules, char **fault)
 {
     char *path = write_file(text);
-    struct ow_control_settings *control = ow_control_settings_new();
-    bool ok = ow_operators_load(path, rules, control, fault);
-    ow_control_settings_free(control);
+    struct ow_sharding_settings *sharding = ow_sharding_settings_new();
+    bool ok = ow_operators_load(path, rules, sharding, fault);
+    ow_sharding_settings_free(sharding);
     g_unlink(path);
     g_free(path);
     return ok;
@@ -140,10 +140,10 @@
     char *fault = NULL;
     struct ow_rules rules, expected = ow_rules_default();
     memset(&rules, 0, sizeof rules);
-    struct ow_control_settings *control = ow_control_settings_new();
-    assert_true(ow_operators_load("deploy/operators.xml", &rules, control, &fault));
-    assert_false(control->enabled);
-    ow_control_settings_free(control);
+    struct ow_sharding_settings *sharding = ow_sharding_settings_new();
+    assert_true(ow_operators_load("deploy/operators.xml", &rules, sharding, &fault));
+    assert_false(sharding->enabled);
+    ow_sharding_settings_free(sharding);
     assert_true(rules.window_s == expected.window_s && rules.hold_life_s == expected.hold_life_s);
     assert_true(rules.waiting_limit_s == expected.waiting_limit_s && rules.candidates == expected.candidates);
     assert_true(rules.leader_lease_s == expected.leader_lease_s);
--- a/tests/test_shard_settings.c
+++ b/tests/test_shard_settings.c
@@ -1,7 +1,7 @@
 /* What a shard has of the fleet, and controllers whose settings do not fit those of the others. */
 #include "check.h"
-#include "control/shard_map.h"
-#include "control/shard_settings.h"
+#include "sharding/shard_map.h"
+#include "sharding/shard_settings.h"
 #include "world.h"
 
 #include <string.h>
@@ -13,11 +13,11 @@
     (void)state;
     struct world *w = world_with_shards(1);
     world_kill_controllers(w);
-    ((struct ow_shard_settings *)g_ptr_array_index(w->control->shards, EAST))->share = 0.4;
+    ((struct ow_shard_settings *)g_ptr_array_index(w->sharding->shards, EAST))->share = 0.4;
     world_start_controller(w, 0);
     world_run(w, 30);
     assert_int_equal(world_token(w, 0), 0);
-    const char *difference = ow_control_difference(w->controllers[0]);
+    const char *difference = ow_shard_manager_difference(w->controllers[0]);
     assert_non_null(difference);
     assert_non_null(
         strstr(difference, "shard east: share of team open: \"0.4\" here, \"0.5\" in the stored map"));
@@ -31,13 +31,13 @@
     struct world *w = world_with_controllers(WORLD_CONTROLLERS, 1);
     struct world *divided = world_with_shards(0);
     world_kill_controllers(w);
-    w->control = g_steal_pointer(&divided->control);
+    w->sharding = g_steal_pointer(&divided->sharding);
     world_kill_controllers(divided);
     world_start_controllers(w);
     world_run(w, 10);
     for (int i = 0; i < WORLD_CONTROLLERS; i++) {
         assert_int_equal(world_token(w, i), 0);
-        assert_non_null(strstr(ow_control_difference(w->controllers[i]), "in use without shards"));
+        assert_non_null(strstr(ow_shard_manager_difference(w->controllers[i]), "in use without shards"));
     }
     world_finish(w);
     world_free(divided);
@@ -48,20 +48,20 @@
 {
     (void)state;
     struct world *w = world_with_shards(1);
-    struct ow_control_settings *control = g_steal_pointer(&w->control);
+    struct ow_sharding_settings *sharding = g_steal_pointer(&w->sharding);
     world_kill_controller(w, 0);
     world_start_controller(w, 0);
     world_run(w, 30);
     assert_int_equal(world_token(w, 0), 0);
     world_kill_controllers(w);
-    w->control = control;
+    w->sharding = sharding;
     world_finish(w);
 }
 
 static void test_machines_belong_to_one_shard(void **state)
 {
     (void)state;
-    struct ow_control_settings *control = ow_control_settings_new();
+    struct ow_sharding_settings *sharding = ow_sharding_settings_new();
     static const struct {
         const char *name, *zones, *types;
     } shards[] = {{"rest", "a b", NULL}, {"gpu", "a", "g4 g8"}, {"far", "c", NULL}};
@@ -70,14 +70,14 @@
         shard->name = g_strdup(shards[i].name);
         shard->zones = g_strsplit(shards[i].zones, " ", 0);
         shard->types = shards[i].types != NULL ? g_strsplit(shards[i].types, " ", 0) : NULL;
-        g_ptr_array_add(control->shards, shard);
+        g_ptr_array_add(sharding->shards, shard);
     }
-    assert_int_equal(ow_shard_map_machine(control, "a", "m8"), 0);
-    assert_int_equal(ow_shard_map_machine(control, "a", "g8"), 1);
-    assert_int_equal(ow_shard_map_machine(control, "b", "g8"), 0);
-    assert_int_equal(ow_shard_map_machine(control, "c", "g8"), 2);
-    assert_int_equal(ow_shard_map_machine(control, "d", "m8"), -1);
-    ow_control_settings_free(control);
+    assert_int_equal(ow_shard_map_machine(sharding, "a", "m8"), 0);
+    assert_int_equal(ow_shard_map_machine(sharding, "a", "g8"), 1);
+    assert_int_equal(ow_shard_map_machine(sharding, "b", "g8"), 0);
+    assert_int_equal(ow_shard_map_machine(sharding, "c", "g8"), 2);
+    assert_int_equal(ow_shard_map_machine(sharding, "d", "m8"), -1);
+    ow_sharding_settings_free(sharding);
 }
 
 /* Parts of limits and budgets never add up to more than the whole, and a part of nothing is no missing limit.
@@ -87,11 +87,11 @@
     (void)state;
     struct world *w = world_with_shards(0);
     const struct ow_settings *whole = &w->settings[0];
-    ((struct ow_shard_settings *)g_ptr_array_index(w->control->shards, EAST))->share = 1;
-    ((struct ow_shard_settings *)g_ptr_array_index(w->control->shards, WEST))->share = 0;
+    ((struct ow_shard_settings *)g_ptr_array_index(w->sharding->shards, EAST))->share = 1;
+    ((struct ow_shard_settings *)g_ptr_array_index(w->sharding->shards, WEST))->share = 0;
     double state_rps = 0, write_rps = 0, cloud_rps = 0, limit = 0;
     for (guint shard = 0; shard < SHARDS; shard++) {
-        struct ow_settings *part = ow_shard_settings_new(w->control, shard, whole);
+        struct ow_settings *part = ow_shard_settings_new(w->sharding, shard, whole);
         const struct ow_team_settings *tight = &g_array_index(part->teams, struct ow_team_settings, 1);
         assert_true(tight->cpus_max > 0);
         assert_true(tight->gpus_max == 0);
--- a/tests/test_control_settings.c
+++ b/tests/test_sharding_settings.c
@@ -8,14 +8,14 @@
 #include <unistd.h>
 
 /* Reads the text as an operators' file; NULL or what is wrong (g_free). */
-static char *load(const char *text, struct ow_rules *rules, struct ow_control_settings *control)
+static char *load(const char *text, struct ow_rules *rules, struct ow_sharding_settings *sharding)
 {
     char *path = NULL, *fault = NULL;
     int fd = g_file_open_tmp("ospreywell-XXXXXX", &path, NULL);
     assert_true(fd >= 0);
     close(fd);
     assert_true(g_file_set_contents(path, text, -1, NULL));
-    bool ok = ow_operators_load(path, rules, control, &fault);
+    bool ok = ow_operators_load(path, rules, sharding, &fault);
     assert_int_equal(ok, fault == NULL);
     g_unlink(path);
     g_free(path);
@@ -50,12 +50,12 @@
 static char *find_fault(const char *text)
 {
     struct platform platform;
-    struct ow_control_settings *control = ow_control_settings_new();
+    struct ow_sharding_settings *sharding = ow_sharding_settings_new();
     open_platform(&platform);
-    char *fault = load(text, &platform.rules, control);
+    char *fault = load(text, &platform.rules, sharding);
     if (fault == NULL)
-        fault = ow_control_settings_check(control, &platform.settings, &platform.rules);
-    ow_control_settings_free(control);
+        fault = ow_sharding_settings_check(sharding, &platform.settings, &platform.rules);
+    ow_sharding_settings_free(sharding);
     close_platform(&platform);
     return fault;
 }
@@ -68,27 +68,27 @@
 static void test_values_are_read(void **state)
 {
     (void)state;
-    struct ow_control_settings *control = ow_control_settings_new();
+    struct ow_sharding_settings *sharding = ow_sharding_settings_new();
     struct ow_rules rules = ow_rules_default();
     char *fault = load(HEAD "<control heartbeat_s='0.25' suspicion_phi='5' relays='2'>\n" NORTH
                             "<shard name='gpu' zones='a  b' types='g4 g8' share='0.25'/>\n"
                             "<allotment team='vision' shard='gpu' share='0'/>\n"
                             "<route class='train' zone='a' shards='gpu north'/></control>" TAIL,
-                       &rules, control);
+                       &rules, sharding);
     assert_null(fault);
-    assert_true(control->enabled);
-    assert_true(control->heartbeat_s == 0.25 && control->suspicion_phi == 5 && control->relays == 2);
-    assert_int_equal(control->shards->len, 2);
-    const struct ow_shard_settings *gpu = g_ptr_array_index(control->shards, 1);
+    assert_true(sharding->enabled);
+    assert_true(sharding->heartbeat_s == 0.25 && sharding->suspicion_phi == 5 && sharding->relays == 2);
+    assert_int_equal(sharding->shards->len, 2);
+    const struct ow_shard_settings *gpu = g_ptr_array_index(sharding->shards, 1);
     assert_string_equal(gpu->zones[1], "b");
     assert_string_equal(gpu->types[1], "g8");
     assert_int_equal(gpu->line, 4);
-    assert_true(ow_control_settings_share(control, "vision", gpu) == 0);
-    assert_true(ow_control_settings_share(control, "speech", gpu) == 0.25);
-    const struct ow_route *route = g_ptr_array_index(control->routes, 0);
+    assert_true(ow_sharding_settings_share(sharding, "vision", gpu) == 0);
+    assert_true(ow_sharding_settings_share(sharding, "speech", gpu) == 0.25);
+    const struct ow_route *route = g_ptr_array_index(sharding->routes, 0);
     assert_string_equal(route->shards[0], "gpu");
     assert_null(route->team);
-    ow_control_settings_free(control);
+    ow_sharding_settings_free(sharding);
 }
 
 static void test_consistent_settings_are_accepted(void **state)
@@ -180,17 +180,17 @@
 static void test_the_sample_is_accepted(void **state)
 {
     (void)state;
-    struct ow_control_settings *control = ow_control_settings_new();
+    struct ow_sharding_settings *sharding = ow_sharding_settings_new();
     struct ow_rules rules = ow_rules_default();
     char *fault = NULL;
-    assert_true(ow_operators_load("deploy/control.xml", &rules, control, &fault));
-    struct ow_control_settings *expected = ow_control_settings_new();
-    assert_true(control->heartbeat_s == expected->heartbeat_s && control->relays == expected->relays);
-    assert_true(control->suspicion_phi == expected->suspicion_phi);
-    assert_true(control->probe_timeout_s == expected->probe_timeout_s);
-    assert_true(control->candidacy_step_s == expected->candidacy_step_s);
-    ow_control_settings_free(expected);
-    ow_control_settings_free(control);
+    assert_true(ow_operators_load("deploy/control.xml", &rules, sharding, &fault));
+    struct ow_sharding_settings *expected = ow_sharding_settings_new();
+    assert_true(sharding->heartbeat_s == expected->heartbeat_s && sharding->relays == expected->relays);
+    assert_true(sharding->suspicion_phi == expected->suspicion_phi);
+    assert_true(sharding->probe_timeout_s == expected->probe_timeout_s);
+    assert_true(sharding->candidacy_step_s == expected->candidacy_step_s);
+    ow_sharding_settings_free(expected);
+    ow_sharding_settings_free(sharding);
 }
 
 int main(void)
--- a/tests/test_control_wire.c
+++ b/tests/test_sharding_wire.c
@@ -1,6 +1,6 @@
 /* Messages between the controllers of a divided fleet, and its stored map. */
 #include "check.h"
-#include "wire/control_json.h"
+#include "wire/sharding_json.h"
 #include "wire/json.h"
 #include "wire/peer_xdr.h"
 
--- a/tests/test_shards.c
+++ b/tests/test_shards.c
@@ -6,7 +6,7 @@
 
 static const struct ow_shard *shard_view(const struct world *w, int controller, guint shard)
 {
-    return g_ptr_array_index(ow_control_shards(w->controllers[controller]), shard);
+    return g_ptr_array_index(ow_shard_manager_shards(w->controllers[controller]), shard);
 }
 
 static uint64_t shard_token(const struct world *w, guint shard)
@@ -84,7 +84,7 @@
     world_run(w, 30);
     assert_int_equal(shard_token(w, EAST), token);
     int other = (old + 1) % WORLD_CONTROLLERS;
-    const struct ow_member *member = g_ptr_array_index(ow_control_members(w->controllers[other]), 0);
+    const struct ow_member *member = g_ptr_array_index(ow_shard_manager_members(w->controllers[other]), 0);
     assert_int_equal(member->state, OW_MEMBER_SUSPECTED);
     world_finish(w);
 }
@@ -96,8 +96,8 @@
     (void)state;
     struct world *w = world_new();
     world_divide(w);
-    g_ptr_array_set_size(w->control->shards, 1);
-    struct ow_shard_settings *only = g_ptr_array_index(w->control->shards, 0);
+    g_ptr_array_set_size(w->sharding->shards, 1);
+    struct ow_shard_settings *only = g_ptr_array_index(w->sharding->shards, 0);
     g_free(only->name);
     only->name = g_strdup("default");
     only->share = 1;
--- a/tests/test_suspicion.c
+++ b/tests/test_suspicion.c
@@ -1,7 +1,7 @@
 /* Failure detection between controllers: heartbeats, probes through others, suspicion; and who runs for a
  * shard. */
 #include "check.h"
-#include "control/membership.h"
+#include "sharding/membership.h"
 
 #include <string.h>
 
@@ -11,7 +11,7 @@
 
 /* A controller "self" with three peers, and what it has sent. */
 struct bench {
-    struct ow_control_settings *control;
+    struct ow_sharding_settings *sharding;
     GArray *peers, *own_shards;
     struct ow_membership *membership;
     GPtrArray *sent; /* struct ow_peer_message, owned */
@@ -29,8 +29,8 @@
 
 static void open_bench(struct bench *bench)
 {
-    *bench = (struct bench){.control = ow_control_settings_new(), .now = 100};
-    bench->control->heartbeat_s = HEARTBEAT_S;
+    *bench = (struct bench){.sharding = ow_sharding_settings_new(), .now = 100};
+    bench->sharding->heartbeat_s = HEARTBEAT_S;
     bench->peers = g_array_new(FALSE, TRUE, sizeof(struct ow_peer_settings));
     for (guint i = 0; i < G_N_ELEMENTS(names); i++) {
         struct ow_peer_settings peer = {.node = names[i]};
@@ -38,7 +38,7 @@
     }
     bench->own_shards = ow_peer_shards_new();
     bench->sent = g_ptr_array_new_with_free_func(free_message);
-    bench->membership = ow_membership_new(bench->control, "self", bench->peers, SELF_NUMBER, DIGEST);
+    bench->membership = ow_membership_new(bench->sharding, "self", bench->peers, SELF_NUMBER, DIGEST);
 }
 
 static void close_bench(struct bench *bench)
@@ -47,7 +47,7 @@
     g_ptr_array_free(bench->sent, TRUE);
     g_array_free(bench->own_shards, TRUE);
     g_array_free(bench->peers, TRUE);
-    ow_control_settings_free(bench->control);
+    ow_sharding_settings_free(bench->sharding);
 }
 
 static struct ow_peer_message *heartbeat(const char *sender, uint64_t incarnation, uint64_t sequence)
@@ -188,7 +188,7 @@
     assert_int_equal(state_of(&bench, "one"), OW_MEMBER_PROBED);
     /* The two others are asked; nobody answers for them here. */
     assert_int_equal(count_sent(&bench, OW_PROBE_REQUEST, "one"), 2);
-    run(&bench, bench.control->probe_timeout_s + 1);
+    run(&bench, bench.sharding->probe_timeout_s + 1);
     assert_int_equal(state_of(&bench, "one"), OW_MEMBER_SUSPECTED);
     assert_int_equal(state_of(&bench, "two"), OW_MEMBER_ALIVE);
     bench.silent[0] = false;
--- a/tests/world.c
+++ b/tests/world.c
@@ -85,7 +85,7 @@
 {
     for (int i = 0; i < WORLD_CONTROLLERS; i++) {
         if (w->controllers[i] != NULL)
-            ow_control_free(w->controllers[i]);
+            ow_shard_manager_free(w->controllers[i]);
         g_array_free(w->settings[i].peers, TRUE);
         g_array_free(w->settings[i].teams, TRUE);
         g_array_free(w->settings[i].objectives, TRUE);
@@ -95,7 +95,7 @@
         ow_event_free(delivery->event);
         g_free(delivery);
     }
-    ow_control_settings_free(w->control);
+    ow_sharding_settings_free(w->sharding);
     world_state_clear(w);
     world_workers_clear(w);
     g_ptr_array_free(w->queue, TRUE);
@@ -171,7 +171,8 @@
 void world_start_controller(struct world *w, int controller)
 {
     w->controller_nonce[controller] = ++w->nonce;
-    w->controllers[controller] = ow_control_new(&w->settings[controller], &w->rules, w->control, w->nonce);
+    w->controllers[controller] =
+        ow_shard_manager_new(&w->settings[controller], &w->rules, w->sharding, w->nonce);
 }
 
 void world_start_controllers(struct world *w)
@@ -191,7 +192,7 @@
 
 void world_kill_controller(struct world *w, int controller)
 {
-    ow_control_free(w->controllers[controller]);
+    ow_shard_manager_free(w->controllers[controller]);
     w->controllers[controller] = NULL;
     w->frozen[controller] = false;
 }
@@ -214,7 +215,7 @@
         }
         if (w->controllers[delivery->controller] != NULL &&
             (delivery->nonce == 0 || delivery->nonce == w->controller_nonce[delivery->controller]))
-            ow_control_push(w->controllers[delivery->controller], delivery->event);
+            ow_shard_manager_push(w->controllers[delivery->controller], delivery->event);
         else
             ow_event_free(delivery->event);
         g_free(delivery);
--- a/tests/world.h
+++ b/tests/world.h
@@ -1,12 +1,12 @@
 /**
  * A simulated cluster for tests of the core: a clock, a state service, a cloud, users and workers, all under
- * the control of the test. The workers check the safety rules of docs/design.md from outside; whatever breaks
- * one is recorded as a violation, which world_finish() turns into a failure of the test.
+ * the sharding of the test. The workers check the safety rules of docs/design.md from outside; whatever
+ * breaks one is recorded as a violation, which world_finish() turns into a failure of the test.
  */
 #ifndef OW_TESTS_WORLD_H
 #define OW_TESTS_WORLD_H
 
-#include "control/control.h"
+#include "sharding/shard_manager.h"
 
 #include <stdbool.h>
 
@@ -82,8 +82,8 @@
     double now;
     struct ow_settings settings[WORLD_CONTROLLERS];
     struct ow_rules rules;
-    struct ow_control_settings *control;               /* NULL: the fleet is not divided into shards */
-    struct ow_control *controllers[WORLD_CONTROLLERS]; /* NULL: down */
+    struct ow_sharding_settings *sharding;                   /* NULL: the fleet is not divided into shards */
+    struct ow_shard_manager *controllers[WORLD_CONTROLLERS]; /* NULL: down */
     bool frozen[WORLD_CONTROLLERS]; /* the process stands still; what is sent to it waits */
     double frozen_at[WORLD_CONTROLLERS];
     uint64_t controller_nonce[WORLD_CONTROLLERS], nonce;
--- a/tests/world_shards.c
+++ b/tests/world_shards.c
@@ -3,21 +3,21 @@
 
 #include "check.h"
 
-static void add_shard(struct ow_control_settings *control, const char *zone)
+static void add_shard(struct ow_sharding_settings *sharding, const char *zone)
 {
     struct ow_shard_settings *shard = g_new0(struct ow_shard_settings, 1);
     shard->name = g_strdup(zone);
     shard->zones = g_strsplit(zone, " ", 0);
     shard->share = 0.5;
-    g_ptr_array_add(control->shards, shard);
+    g_ptr_array_add(sharding->shards, shard);
 }
 
 void world_divide(struct world *w)
 {
-    w->control = ow_control_settings_new();
-    w->control->enabled = true;
-    add_shard(w->control, "east");
-    add_shard(w->control, "west");
+    w->sharding = ow_sharding_settings_new();
+    w->sharding->enabled = true;
+    add_shard(w->sharding, "east");
+    add_shard(w->sharding, "west");
 }
 
 struct world *world_with_shards(int machines)
@@ -40,13 +40,13 @@
 void world_thaw(struct world *w, int controller)
 {
     if (w->frozen[controller] && w->controllers[controller] != NULL)
-        ow_control_resumed(w->controllers[controller], w->now - w->frozen_at[controller], w->now);
+        ow_shard_manager_resume(w->controllers[controller], w->now - w->frozen_at[controller], w->now);
     w->frozen[controller] = false;
 }
 
 uint64_t world_token(const struct world *w, int controller)
 {
-    return ow_control_token(w->controllers[controller]);
+    return ow_shard_manager_fencing_token(w->controllers[controller]);
 }
 
 int world_shard_leader(const struct world *w, guint shard)
@@ -56,7 +56,7 @@
     for (int i = 0; i < WORLD_CONTROLLERS; i++) {
         if (w->controllers[i] == NULL)
             continue;
-        const struct ow_shard *view = g_ptr_array_index(ow_control_shards(w->controllers[i]), shard);
+        const struct ow_shard *view = g_ptr_array_index(ow_shard_manager_shards(w->controllers[i]), shard);
         if (view->status.token > highest) {
             highest = view->status.token;
             leader = i;
