--- a/src/agent/agent.c
+++ b/src/agent/agent.c
@@ -1,6 +1,6 @@
 #include "agent/agent.h"
 
-#include "agent/reporter.h"
+#include "agent/heartbeat.h"
 #include "agent/tasks.h"
 #include "io/http_client.h"
 #include "io/http_server.h"
@@ -15,8 +15,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* How long a report may take; how often idle connections and tasks are looked at. */
-static const double REPORT_TIMEOUT_S = 4, ROUND_S = 0.05;
+/* How long a heartbeat may take; how often idle connections and tasks are looked at. */
+static const double HEARTBEAT_TIMEOUT_S = 4, ROUND_S = 0.05;
 enum { BODY_LIMIT_BYTES = 256 * 1024, SERVER_CONNECTIONS = 32, CLIENT_CONNECTIONS = 4 };
 static const double IDLE_S = 60;
 
@@ -29,19 +29,19 @@
     struct agent_session session;
     struct agent_lease *lease;
     struct agent_tasks *tasks;
-    struct agent_reporter reporter;
-    uint64_t sequence;       /* of the last message that tells the state of this machine */
-    uint64_t report_session; /* of the report under way */
-    double report_clock;     /* when it left, by the lease's clock */
+    struct agent_heartbeat heartbeat_timer;
+    uint64_t sequence;          /* of the last message that tells the state of this machine */
+    uint64_t heartbeat_session; /* of the heartbeat under way */
+    double heartbeat_clock;     /* when it left, by the lease's clock */
 };
 
 /* ---- what this machine says ---- */
 
-/* The text of a report (g_free). Each has a number of its own. */
-static char *make_report(struct agent *agent)
+/* The text of a heartbeat (g_free). Each has a number of its own. */
+static char *make_heartbeat(struct agent *agent)
 {
     const struct agent_options *options = agent->options;
-    struct ow_report report = {
+    struct ow_heartbeat heartbeat = {
         .machine = options->machine,
         .addr = options->advertise,
         .type = options->type,
@@ -51,11 +51,11 @@
         .seq = ++agent->sequence,
         .token = agent->session.token,
         .notice_s = -1,
-        .tasks = g_array_new(FALSE, FALSE, sizeof(struct ow_task_report)),
+        .tasks = g_array_new(FALSE, FALSE, sizeof(struct ow_task_status)),
     };
-    agent_tasks_report(agent->tasks, report.tasks);
-    char *text = wire_report(&report);
-    g_array_free(report.tasks, TRUE);
+    agent_tasks_status(agent->tasks, heartbeat.tasks);
+    char *text = wire_heartbeat(&heartbeat);
+    g_array_free(heartbeat.tasks, TRUE);
     return text;
 }
 
@@ -77,7 +77,7 @@
         return;
     agent_session_set_token(&agent->session, token);
     agent_history_add(&agent->history, "token", ",\"token\":%" PRIu64, token);
-    agent_reporter_token_changed(&agent->reporter, ow_loop_now(agent->loop));
+    agent_heartbeat_token_changed(&agent->heartbeat_timer, ow_loop_now(agent->loop));
 }
 
 static void obey(struct agent *agent, const struct ow_worker_orders *orders)
@@ -86,7 +86,7 @@
     if (orders->commands->len == 0)
         return;
     agent_tasks_obey(agent->tasks, orders->commands);
-    agent_reporter_changed(&agent->reporter);
+    agent_heartbeat_changed(&agent->heartbeat_timer);
 }
 
 /* Who is cut off from every controller kills its tasks and begins anew. */
@@ -99,14 +99,14 @@
     agent_session_begin_next(&agent->session);
     agent_lease_restart(agent->lease);
     agent_history_add(&agent->history, "session", ",\"session\":%" PRIu64, agent->session.number);
-    agent_reporter_changed(&agent->reporter);
+    agent_heartbeat_changed(&agent->heartbeat_timer);
 }
 
 /* ---- direct commands ---- */
 
-static void answer_report(struct agent *agent, const struct ow_http_request *request, int status)
+static void answer_heartbeat(struct agent *agent, const struct ow_http_request *request, int status)
 {
-    char *body = make_report(agent);
+    char *body = make_heartbeat(agent);
     ow_http_server_answer(agent->server, request->id, status, NULL, body, strlen(body));
     g_free(body);
 }
@@ -131,7 +131,7 @@
     record_orders(agent, orders, "direct", accepted);
     if (accepted)
         obey(agent, orders);
-    answer_report(agent, request, accepted ? OW_HTTP_STATUS_OK : OW_HTTP_STATUS_CONFLICT);
+    answer_heartbeat(agent, request, accepted ? OW_HTTP_STATUS_OK : OW_HTTP_STATUS_CONFLICT);
     wire_worker_orders_free(orders);
 }
 
@@ -143,22 +143,22 @@
     if (strcmp(request->target, W_PATH_COMMANDS) == 0 && strcmp(request->method, "POST") == 0)
         take_direct(agent, request);
     else if (strcmp(request->target, W_PATH_STATUS) == 0 && strcmp(request->method, "GET") == 0)
-        answer_report(agent, request, OW_HTTP_STATUS_OK);
+        answer_heartbeat(agent, request, OW_HTTP_STATUS_OK);
     else
         answer_error(agent, request, OW_HTTP_STATUS_NOT_FOUND, "no such path");
 }
 
 /* ---- reports ---- */
 
-static void send_report(struct agent *agent)
+static void send_heartbeat(struct agent *agent)
 {
     double now = ow_loop_now(agent->loop);
-    char *body = make_report(agent);
-    agent->report_session = agent->session.number;
-    agent->report_clock = agent_clock();
-    agent_reporter_sent(&agent->reporter, now, g_random_double_range(-1, 1));
-    ow_http_client_send(agent->client, agent_reporter_controller(&agent->reporter)->endpoint, "POST",
-                        W_PATH_REPORT, body, REPORT_TIMEOUT_S, 1);
+    char *body = make_heartbeat(agent);
+    agent->heartbeat_session = agent->session.number;
+    agent->heartbeat_clock = agent_clock();
+    agent_heartbeat_sent(&agent->heartbeat_timer, now, g_random_double_range(-1, 1));
+    ow_http_client_send(agent->client, agent_heartbeat_controller(&agent->heartbeat_timer)->endpoint, "POST",
+                        W_PATH_HEARTBEAT, body, HEARTBEAT_TIMEOUT_S, 1);
     g_free(body);
 }
 
@@ -166,17 +166,17 @@
 static void take_orders(struct agent *agent, const char *body, size_t size)
 {
     struct ow_worker_orders *orders = wire_worker_orders_parse(body, size);
-    agent_reporter_taken(&agent->reporter);
+    agent_heartbeat_accepted(&agent->heartbeat_timer);
     if (orders == NULL || !orders->has_token) {
         wire_worker_orders_free(orders);
         return;
     }
-    bool in_time = agent_clock() - agent->report_clock <= REPORT_TIMEOUT_S;
+    bool in_time = agent_clock() - agent->heartbeat_clock <= HEARTBEAT_TIMEOUT_S;
     bool accepted =
-        in_time && orders->token >= agent->session.token && agent->report_session == agent->session.number;
+        in_time && orders->token >= agent->session.token && agent->heartbeat_session == agent->session.number;
     record_orders(agent, orders, "answer", accepted);
     if (accepted) {
-        agent_lease_renew(agent->lease, agent->report_clock);
+        agent_lease_renew(agent->lease, agent->heartbeat_clock);
         obey(agent, orders);
     }
     wire_worker_orders_free(orders);
@@ -192,10 +192,10 @@
         take_orders(agent, body, size);
     } else if (status == OW_HTTP_STATUS_MISDIRECTED) {
         char *name = wire_misdirected_parse(body, size);
-        agent_reporter_misdirected(&agent->reporter, name, now, g_random_double_range(0, 0.5));
+        agent_heartbeat_misdirected(&agent->heartbeat_timer, name, now, g_random_double_range(0, 0.5));
         g_free(name);
     } else {
-        agent_reporter_failed(&agent->reporter, now);
+        agent_heartbeat_failed(&agent->heartbeat_timer, now);
     }
 }
 
@@ -206,11 +206,11 @@
     struct agent *agent = owner;
     check_lease(agent);
     if (agent_tasks_poll(agent->tasks))
-        agent_reporter_changed(&agent->reporter);
+        agent_heartbeat_changed(&agent->heartbeat_timer);
     ow_http_client_sweep(agent->client, now);
     ow_http_server_sweep(agent->server, now);
-    if (agent_reporter_is_due(&agent->reporter, now))
-        send_report(agent);
+    if (agent_heartbeat_is_due(&agent->heartbeat_timer, now))
+        send_heartbeat(agent);
     return ROUND_S;
 }
 
@@ -236,7 +236,7 @@
         return;
     agent.lease = agent_lease_new(options->lease_s);
     agent.tasks = agent_tasks_new(options, &agent.session, agent.lease, &agent.history);
-    agent_reporter_init(&agent.reporter, options, ow_loop_now(agent.loop));
+    agent_heartbeat_init(&agent.heartbeat_timer, options, ow_loop_now(agent.loop));
     agent_history_add(&agent.history, "session", ",\"session\":%" PRIu64, agent.session.number);
     ow_loop_run(agent.loop, serve_round, &agent);
 }
--- a/src/agent/options.c
+++ b/src/agent/options.c
@@ -41,7 +41,7 @@
         return "--listen and --advertise must be ADDRESS:PORT";
     if (options->state_dir == NULL || options->jobs_dir == NULL)
         return "--state and --jobs are needed";
-    if (options->report_s <= 0 || options->lease_s <= options->report_s)
+    if (options->heartbeat_interval_s <= 0 || options->lease_s <= options->heartbeat_interval_s)
         return "--lease must be longer than --report, and that longer than 0";
     if (options->size.cpus <= 0 || options->size.gpus < 0 || options->size.memory_gb <= 0)
         return "--cpus and --memory must be above 0";
@@ -64,7 +64,7 @@
 {
     gboolean spot = FALSE;
     char **controllers = NULL;
-    *options = (struct agent_options){.report_s = 3, .lease_s = 20};
+    *options = (struct agent_options){.heartbeat_interval_s = 3, .lease_s = 20};
     options->controllers = g_array_new(FALSE, FALSE, sizeof(struct agent_controller));
     g_array_set_clear_func(options->controllers, controller_clear);
     GOptionEntry entries[] = {
@@ -80,7 +80,8 @@
          "ADDRESS:PORT"},
         {"controller", 0, 0, G_OPTION_ARG_STRING_ARRAY, &controllers, "A controller; may be repeated",
          "NAME=ADDRESS:PORT"},
-        {"report", 0, 0, G_OPTION_ARG_DOUBLE, &options->report_s, "Seconds from report to report (3)", "S"},
+        {"report", 0, 0, G_OPTION_ARG_DOUBLE, &options->heartbeat_interval_s,
+         "Seconds from report to report (3)", "S"},
         {"lease", 0, 0, G_OPTION_ARG_DOUBLE, &options->lease_s, "Seconds that tasks outlive an answer (20)",
          "S"},
         {"state", 0, 0, G_OPTION_ARG_FILENAME, &options->state_dir, "A directory for this agent alone",
--- a/src/agent/options.h
+++ b/src/agent/options.h
@@ -14,7 +14,7 @@
     char *advertise; /* how controllers reach that; the same unless there is something in between */
     bool spot;
     struct ow_amounts size;
-    double report_s, lease_s;
+    double heartbeat_interval_s, lease_s;
     GArray *controllers; /* struct agent_controller */
     char *state_dir;     /* the agent's own: session, lock */
     char *jobs_dir;      /* job descriptions, <id>.json */
--- a/src/agent/tasks.c
+++ b/src/agent/tasks.c
@@ -10,7 +10,7 @@
 
 /* A task that the agent knows, until it is told to clear it. */
 struct task {
-    struct ow_task_report report;
+    struct ow_task_status heartbeat;
     struct agent_supervisor *supervisor;    /* NULL: it has ended, or never began */
     struct ow_job_description *description; /* while there is a supervisor */
     bool told_to_stop, may_save;
@@ -53,14 +53,14 @@
 
 static bool is_task(const struct task *task, const struct ow_worker_command *command)
 {
-    return task->report.task == command->task && strcmp(task->report.job, command->job) == 0;
+    return task->heartbeat.task == command->task && strcmp(task->heartbeat.job, command->job) == 0;
 }
 
 static struct task *find(const struct agent_tasks *tasks, const struct ow_worker_command *command)
 {
     for (guint i = 0; i < tasks->list->len; i++) {
         struct task *task = g_ptr_array_index(tasks->list, i);
-        if (is_task(task, command) && task->report.attempt == command->attempt)
+        if (is_task(task, command) && task->heartbeat.attempt == command->attempt)
             return task;
     }
     return NULL;
@@ -72,7 +72,7 @@
 {
     for (guint i = 0; i < tasks->list->len; i++) {
         const struct task *task = g_ptr_array_index(tasks->list, i);
-        if (is_task(task, command) && task->report.phase != OW_PHASE_EXITED)
+        if (is_task(task, command) && task->heartbeat.phase != OW_PHASE_EXITED)
             return true;
     }
     return false;
@@ -119,19 +119,19 @@
 
 static void end_task(const struct agent_tasks *tasks, struct task *task, enum ow_cause cause)
 {
-    task->report.phase = OW_PHASE_EXITED;
-    task->report.cause = cause;
+    task->heartbeat.phase = OW_PHASE_EXITED;
+    task->heartbeat.cause = cause;
     agent_history_add(tasks->history, "exited",
-                      ",\"task\":\"%s/%" PRIu32 "\",\"attempt\":%" PRIu64 ",\"cause\":%d", task->report.job,
-                      task->report.task, task->report.attempt, (int)cause);
+                      ",\"task\":\"%s/%" PRIu32 "\",\"attempt\":%" PRIu64 ",\"cause\":%d",
+                      task->heartbeat.job, task->heartbeat.task, task->heartbeat.attempt, (int)cause);
 }
 
 static void start(const struct agent_tasks *tasks, struct task *task, struct ow_job_description *description)
 {
     struct agent_task_command run = {
-        .job = task->report.job,
-        .task = task->report.task,
-        .attempt = task->report.attempt,
+        .job = task->heartbeat.job,
+        .task = task->heartbeat.task,
+        .attempt = task->heartbeat.attempt,
         .words = description->command,
         .lease = tasks->lease,
         .history = tasks->history,
@@ -140,7 +140,7 @@
     agent_history_add(tasks->history, "launched",
                       ",\"task\":\"%s/%" PRIu32 "\",\"attempt\":%" PRIu64 ",\"token\":%" PRIu64, run.job,
                       run.task, run.attempt, tasks->session->token);
-    task->report.phase = OW_PHASE_RUNNING;
+    task->heartbeat.phase = OW_PHASE_RUNNING;
     task->may_save = description->submission->checkpoint_s > 0;
     task->description = description;
     task->supervisor = agent_supervisor_start(&run);
@@ -153,9 +153,9 @@
     if (find(tasks, command) != NULL)
         return;
     struct task *task = g_new0(struct task, 1);
-    g_strlcpy(task->report.job, command->job, sizeof task->report.job);
-    task->report.task = command->task;
-    task->report.attempt = command->attempt;
+    g_strlcpy(task->heartbeat.job, command->job, sizeof task->heartbeat.job);
+    task->heartbeat.task = command->task;
+    task->heartbeat.attempt = command->attempt;
     struct ow_job_description *description = read_description(tasks, command->job);
     enum ow_cause cause = refusal(tasks, command, description);
     g_ptr_array_add(tasks->list, task);
@@ -176,7 +176,7 @@
     double save_s = task->description->submission->save_s;
     bool saves = task->may_save && grace_s >= save_s && grace_s > 0;
     if (saves)
-        task->report.phase = OW_PHASE_SAVING;
+        task->heartbeat.phase = OW_PHASE_SAVING;
     task->may_save = task->may_save && saves;
     task->told_to_stop = true;
     agent_supervisor_stop(task->supervisor, saves ? grace_s : 0);
@@ -184,7 +184,7 @@
 
 static void clear(struct agent_tasks *tasks, struct task *task)
 {
-    if (task != NULL && task->report.phase == OW_PHASE_EXITED)
+    if (task != NULL && task->heartbeat.phase == OW_PHASE_EXITED)
         g_ptr_array_remove(tasks->list, task);
 }
 
@@ -223,7 +223,7 @@
         if (end == AGENT_END_NONE)
             continue;
         any = true;
-        task->report.saved = end == AGENT_END_STOPPED && task->may_save && status == STATUS_DONE;
+        task->heartbeat.saved = end == AGENT_END_STOPPED && task->may_save && status == STATUS_DONE;
         end_task(tasks, task, cause_of(task, end, status));
         agent_supervisor_free(g_steal_pointer(&task->supervisor));
         wire_job_description_free(g_steal_pointer(&task->description));
@@ -250,8 +250,8 @@
     return false;
 }
 
-void agent_tasks_report(const struct agent_tasks *tasks, GArray *out)
+void agent_tasks_status(const struct agent_tasks *tasks, GArray *out)
 {
     for (guint i = 0; i < tasks->list->len; i++)
-        g_array_append_val(out, ((const struct task *)g_ptr_array_index(tasks->list, i))->report);
+        g_array_append_val(out, ((const struct task *)g_ptr_array_index(tasks->list, i))->heartbeat);
 }
--- a/src/agent/tasks.h
+++ b/src/agent/tasks.h
@@ -22,7 +22,7 @@
 void agent_tasks_forget_all(struct agent_tasks *tasks);
 /* Whether any task runs. */
 bool agent_tasks_any_running(const struct agent_tasks *tasks);
-/* Appends what a report says of them to `out` (struct ow_task_report). */
-void agent_tasks_report(const struct agent_tasks *tasks, GArray *out);
+/* Appends what a heartbeat says of them to `out` (struct ow_task_status). */
+void agent_tasks_status(const struct agent_tasks *tasks, GArray *out);
 
 #endif
--- a/src/config/settings_file.c
+++ b/src/config/settings_file.c
@@ -189,7 +189,7 @@
 
 static void read_bounds(struct reader *reader, struct ow_settings *settings)
 {
-    settings->report_s = number(reader, "params.workers.report_s", 0.1, HOUR_S);
+    settings->heartbeat_interval_s = number(reader, "params.workers.report_s", 0.1, HOUR_S);
     settings->lease_s = number(reader, "params.workers.lease_s", 1, HOUR_S);
     settings->gang_wait_s = number(reader, "params.workers.gang_wait_s", 1, HOUR_S);
     settings->gang_peer_s = number(reader, "params.workers.gang_peer_s", 0.1, HOUR_S);
--- a/src/core/attempt.h
+++ b/src/core/attempt.h
@@ -27,13 +27,13 @@
     uint64_t session; /* the worker's session that it belongs to */
     enum ow_attempt_state state;
     enum ow_phase phase;
-    uint64_t in_write;            /* serial of the write that carries its record */
-    uint32_t report_generation;   /* of the last report that lists it */
-    double placed_at, running_at; /* running_at 0: not yet seen running */
-    bool not_preemptible;         /* its job starved: it is not stopped again for others */
-    bool stop;                    /* it is to be stopped */
-    double stop_grace_s;          /* time to save its work */
-    double stop_at;               /* when the stop was decided */
+    uint64_t in_write;             /* serial of the write that carries its record */
+    uint32_t heartbeat_generation; /* of the last heartbeat that lists it */
+    double placed_at, running_at;  /* running_at 0: not yet seen running */
+    bool not_preemptible;          /* its job starved: it is not stopped again for others */
+    bool stop;                     /* it is to be stopped */
+    double stop_grace_s;           /* time to save its work */
+    double stop_at;                /* when the stop was decided */
 };
 
 /* Creates an attempt in state OW_ATTEMPT_PLANNED and adds its needs to the sums of machine and team. */
--- a/src/core/core.c
+++ b/src/core/core.c
@@ -21,7 +21,7 @@
 /* How long the core may rest when nothing comes in. */
 static const double IDLE_S = 0.05;
 /* Workers report every interval, give or take a quarter. */
-static const double SETTLING_REPORTS = 1.25;
+static const double SETTLING_HEARTBEATS = 1.25;
 /* ---- life ---- */
 
 struct ow_core *ow_core_new(const struct ow_settings *settings, const struct ow_rules *rules, uint64_t nonce)
@@ -82,13 +82,13 @@
 
 /* ---- events ---- */
 
-static void handle_report(struct ow_core *core, const struct ow_event *event)
+static void handle_heartbeat(struct ow_core *core, const struct ow_event *event)
 {
-    core->last_worker_report_at = core->now;
+    core->last_worker_heartbeat_at = core->now;
     /* A worker that has seen a higher token obeys another leader: we must not act for it. */
-    ow_election_observe_token(core->election, event->report->token, NULL);
+    ow_election_observe_token(core->election, event->heartbeat->token, NULL);
     if (core->leader != NULL) {
-        ow_leader_report(core->leader, event->request, event->report);
+        ow_leader_receive_heartbeat(core->leader, event->request, event->heartbeat);
         return;
     }
     struct ow_effect *effect = ow_effect_new(OW_EFFECT_MISDIRECT, event->request);
@@ -107,8 +107,8 @@
 static void handle_event(struct ow_core *core, struct ow_event *event)
 {
     switch (event->kind) {
-    case OW_EVENT_REPORT:
-        handle_report(core, event);
+    case OW_EVENT_HEARTBEAT:
+        handle_heartbeat(core, event);
         break;
     case OW_EVENT_DIRECT_REPLY:
     case OW_EVENT_CLOUD:
@@ -211,8 +211,8 @@
     if (leader == NULL)
         return;
     status->records_read = leader->phase == OW_LEADER_READY;
-    status->settled =
-        status->records_read && core->now - leader->ready_at >= SETTLING_REPORTS * core->settings->report_s;
+    status->settled = status->records_read && core->now - leader->ready_at >=
+                                                  SETTLING_HEARTBEATS * core->settings->heartbeat_interval_s;
     count_fenced(leader, status);
 }
 
--- a/src/core/core_state.h
+++ b/src/core/core_state.h
@@ -45,8 +45,8 @@
     double state_refused_at; /* its last refusal: it can be reached, but may serve others */
     bool state_silent;       /* the last failure was no answer, rather than a refusal */
     GHashTable *peers_ok;    /* peer name -> double *: when it last said that its state service answers */
-    double last_worker_report_at;           /* the last report that came here; 0: none yet */
-    double peer_receives_reports_at;        /* when a peer last said that workers come to it */
+    double last_worker_heartbeat_at;        /* the last heartbeat that came here; 0: none yet */
+    double peer_receives_heartbeats_at;     /* when a peer last said that workers come to it */
     double last_peer_message_at;            /* the last message of any peer; 0: none yet */
     struct ow_machine_hints *machine_hints; /* from the leader's last message */
     double hello_at;
--- a/src/core/effects.c
+++ b/src/core/effects.c
@@ -121,7 +121,7 @@
 void ow_event_free(void *item)
 {
     struct ow_event *event = item;
-    ow_report_free(event->report);
+    ow_heartbeat_free(event->heartbeat);
     ow_submission_free(event->submission);
     ow_store_reply_clear(&event->store);
     ow_cloud_reply_clear(&event->cloud);
--- a/src/core/effects.h
+++ b/src/core/effects.h
@@ -67,7 +67,7 @@
     uint64_t number;         /* token, or revision of a changed job */
     char job[OW_ID_MAX + 1]; /* of a cancellation, committed or acknowledged */
     uint64_t revision;       /* of its record */
-    bool leads, state_ok, receives_reports;
+    bool leads, state_ok, receives_heartbeats;
     GArray *jobs;        /* struct ow_peer_job */
     GArray *machines;    /* struct ow_peer_machine */
     uint32_t part;       /* of a list in parts: which this is, from 0 */
@@ -103,7 +103,7 @@
     OW_EFFECT_JOB,             /* answer a user with the state of a job */
     OW_EFFECT_TEAMS,           /* answer a user with what teams use and wait for */
     OW_EFFECT_REFUSE,          /* answer a user with an error */
-    OW_EFFECT_WORKER_COMMANDS, /* answer a report with commands */
+    OW_EFFECT_WORKER_COMMANDS, /* answer a heartbeat with commands */
     OW_EFFECT_MISDIRECT,       /* tell a worker where to report */
     OW_EFFECT_DIRECT,          /* give a worker commands at its own address */
     OW_EFFECT_STORE,
@@ -136,7 +136,7 @@
 
 enum ow_event_kind {
     /* In the order in which a crowded queue is worked off: reports, decisions, submissions. */
-    OW_EVENT_REPORT,
+    OW_EVENT_HEARTBEAT,
     OW_EVENT_DIRECT_REPLY,
     OW_EVENT_STORE,
     OW_EVENT_CLOUD,
@@ -155,7 +155,7 @@
     uint64_t request; /* whom to answer, or the tag that is answered */
     int status;
     char id[OW_ID_MAX + 1];
-    struct ow_report *report;
+    struct ow_heartbeat *heartbeat;
     struct ow_submission *submission; /* NULL: malformed, `id` and `fault` tell the rest */
     const char *fault;
     struct ow_store_reply store;
--- a/src/core/election/succession.c
+++ b/src/core/election/succession.c
@@ -5,7 +5,7 @@
 #include "core/election/election_state.h"
 #include "core/records/records.h"
 
-/* Slack for clocks that drift, for messages under way, and for a worker's last report. */
+/* Slack for clocks that drift, for messages under way, and for a worker's last heartbeat. */
 static const double CLOCK_DRIFT = 0.002, MARGIN_S = 3;
 /* A leader so young is not taken over on a hint: two that can't reach each other would take turns. */
 static const double HINT_AGE_S = 8;
--- a/src/core/leader.c
+++ b/src/core/leader.c
@@ -8,7 +8,7 @@
 #include "core/machines/machine_registry.h"
 #include "core/machines/rent.h"
 #include "core/machines/rental_options.h"
-#include "core/machines/reports.h"
+#include "core/machines/reconciliation.h"
 #include "core/machines/worker_commands.h"
 #include "core/records/record_format.h"
 #include "core/records/record_values.h"
@@ -26,11 +26,11 @@
 
 static const double PASS_GAP_S = 0.1, PASS_LEAST_S = 1, CARE_S = 0.5, TYPES_S = 60, TYPES_RETRY_S = 2;
 /* So many reports missed by all machines, and a recent message of a peer that it receives theirs. */
-static const double LOST_REPORTS = 2.5, LOST_MESSAGE_S = 3;
+static const double LOST_HEARTBEATS = 2.5, LOST_MESSAGE_S = 3;
 /* Up to so many machines passes follow each other as soon as PASS_GAP_S allows. */
 static const double PASS_MACHINES = 1500;
 /* After so long without an answer a worker reports to another controller. */
-static const double REPORT_TIMEOUT_S = 4;
+static const double HEARTBEAT_TIMEOUT_S = 4;
 /* One machine alone may be at fault itself. */
 enum { LOST_LEAST = 2 };
 /* The share of the permitted cloud requests that the leader uses. */
@@ -85,42 +85,44 @@
 }
 
 /* A worker has one report under way at a time, and one that gets no answer turns to the next controller after
-   4 s. So a report that comes sooner after the last one shows that our answer to that one arrived: the
+   4 s. So a heartbeat that comes sooner after the last one shows that our answer to that one arrived: the
    machine receives our answers, whatever has become of the commands sent to its own address. */
 static void note_answers_arrive(struct ow_machine *machine, double now)
 {
-    if (machine->last_report_at > 0 && now - machine->last_report_at < REPORT_TIMEOUT_S)
+    if (machine->last_heartbeat_at > 0 && now - machine->last_heartbeat_at < HEARTBEAT_TIMEOUT_S)
         machine->unanswered_since = 0;
 }
 
-static uint64_t session_of(const struct ow_leader *leader, const struct ow_report *report)
+static uint64_t session_of(const struct ow_leader *leader, const struct ow_heartbeat *heartbeat)
 {
-    const struct ow_machine *machine = ow_machines_find(leader, report->machine);
+    const struct ow_machine *machine = ow_machines_find(leader, heartbeat->machine);
     return machine != NULL ? machine->session : 0;
 }
 
-void ow_leader_report(struct ow_leader *leader, uint64_t request, const struct ow_report *report)
+void ow_leader_receive_heartbeat(struct ow_leader *leader, uint64_t request,
+                                 const struct ow_heartbeat *heartbeat)
 {
-    uint64_t session_before = session_of(leader, report);
+    uint64_t session_before = session_of(leader, heartbeat);
     struct ow_effect *effect = ow_effect_new(OW_EFFECT_WORKER_COMMANDS, request);
     GArray *clears = g_array_new(FALSE, FALSE, sizeof(struct ow_worker_command));
-    struct ow_machine *machine = ow_reports_receive(leader, report, clears);
-    bool is_newest = machine != NULL && report->session == machine->session && report->seq == machine->seq;
+    struct ow_machine *machine = ow_reconcile_heartbeat(leader, heartbeat, clears);
+    bool is_newest =
+        machine != NULL && heartbeat->session == machine->session && heartbeat->seq == machine->seq;
     if (is_newest) {
-        if (machine->fenced && report->session == session_before)
+        if (machine->fenced && heartbeat->session == session_before)
             note_answers_arrive(machine, leader->core->now);
-        machine->last_report_at = leader->core->now;
+        machine->last_heartbeat_at = leader->core->now;
     }
     /* Until the job table has been read, an answer could keep tasks alive whose cancellation has been
        acknowledged to a user. One without our token renews nothing, and the worker stays. */
     effect->token = leader->phase == OW_LEADER_REFRESH ? 0 : leader->token;
     bool current =
-        is_newest && machine->fenced && report->token == leader->token && leader->phase == OW_LEADER_READY;
+        is_newest && machine->fenced && heartbeat->token == leader->token && leader->phase == OW_LEADER_READY;
     /* Commands go only to the session that they are meant for, and not in answer to a late copy. */
     if (current)
         effect->commands = ow_worker_commands_for(leader, machine, NULL);
     else if (leader->phase != OW_LEADER_REFRESH)
-        effect->commands = ow_reports_cancelled(leader, report);
+        effect->commands = ow_reconcile_cancelled(leader, heartbeat);
     else
         effect->commands = g_array_new(FALSE, FALSE, sizeof(struct ow_worker_command));
     if (current)
@@ -190,9 +192,10 @@
         expected += machine->listed == OW_LISTED_RUNNING && !machine->deleting ? 1 : 0;
     }
     /* Workers of a leader that stands still wait for its answer before they turn to its successor. */
-    double report_s = leader->core->settings->report_s;
-    double patience_s = MAX(LOST_REPORTS * report_s, REPORT_TIMEOUT_S + report_s);
-    return expected >= LOST_LEAST && now - leader->core->peer_receives_reports_at < LOST_MESSAGE_S &&
+    double heartbeat_interval_s = leader->core->settings->heartbeat_interval_s;
+    double patience_s =
+        MAX(LOST_HEARTBEATS * heartbeat_interval_s, HEARTBEAT_TIMEOUT_S + heartbeat_interval_s);
+    return expected >= LOST_LEAST && now - leader->core->peer_receives_heartbeats_at < LOST_MESSAGE_S &&
            now - last_message_at > patience_s;
 }
 
--- a/src/core/leader.h
+++ b/src/core/leader.h
@@ -13,7 +13,8 @@
 /* Frees the leader, its machines and runs; answers still to come are ignored. */
 void ow_leader_free(struct ow_leader *leader);
 /* Applies a worker's report and answers it. */
-void ow_leader_report(struct ow_leader *leader, uint64_t request, const struct ow_report *report);
+void ow_leader_receive_heartbeat(struct ow_leader *leader, uint64_t request,
+                                 const struct ow_heartbeat *heartbeat);
 /* Applies a committed cancellation: its stops are queued. False while something of the job may still start,
    or before the leader is ready and knows all its tasks. */
 bool ow_leader_cancel(struct ow_leader *leader, struct ow_job *job);
--- a/src/core/leader_state.h
+++ b/src/core/leader_state.h
@@ -89,10 +89,10 @@
     struct ow_takeover_progress takeover;
 
     /* Machines: machine_registry.c. */
-    GHashTable *machines_by_name; /* name -> struct ow_machine */
-    GPtrArray *machines;          /* struct ow_machine, owned */
-    uint32_t report_generation;   /* reports.c: reports taken in so far */
-    GPtrArray *direct_due;        /* struct ow_machine, not owned: worker_commands.c */
+    GHashTable *machines_by_name;  /* name -> struct ow_machine */
+    GPtrArray *machines;           /* struct ow_machine, owned */
+    uint32_t heartbeat_generation; /* reconciliation.c: reports taken in so far */
+    GPtrArray *direct_due;         /* struct ow_machine, not owned: worker_commands.c */
     unsigned probes; /* direct commands under way to machines that may not answer: worker_commands.c */
 
     GPtrArray *runs; /* struct ow_run, owned: run.c */
--- a/src/core/machines/machine.h
+++ b/src/core/machines/machine.h
@@ -34,20 +34,20 @@
     bool deleting;    /* it is being returned to the cloud */
     double delete_at; /* the next try to delete it */
 
-    /* Liveness: reports.c, worker_commands.c and machine_health.c. */
-    double met_at;           /* when this leader first learnt of it */
-    double first_message_at; /* arrival of the first message of any kind; 0: none has come */
-    double last_message_at;  /* arrival of its newest message of any kind; 0: none has come */
-    double last_report_at;   /* arrival of its newest report; an answer to a command renews no lease */
-    double unanswered_since; /* commands find no answer since then; 0: it answers */
-    uint64_t session, seq;   /* of its newest message */
-    uint64_t dead_session;   /* every session up to this one is proven over */
-    bool fenced;             /* it has seen this leader's token and accepts no older leader's commands */
+    /* Liveness: reconciliation.c, worker_commands.c and machine_health.c. */
+    double met_at;            /* when this leader first learnt of it */
+    double first_message_at;  /* arrival of the first message of any kind; 0: none has come */
+    double last_message_at;   /* arrival of its newest message of any kind; 0: none has come */
+    double last_heartbeat_at; /* arrival of its newest heartbeat; an answer to a command renews no lease */
+    double unanswered_since;  /* commands find no answer since then; 0: it answers */
+    uint64_t session, seq;    /* of its newest message */
+    uint64_t dead_session;    /* every session up to this one is proven over */
+    bool fenced;              /* it has seen this leader's token and accepts no older leader's commands */
     double fenced_at;
-    double reclaimed_at;        /* when the cloud takes it back, after a notice; 0: no notice */
-    uint32_t report_generation; /* the leader's count of reports at its newest one */
+    double reclaimed_at;           /* when the cloud takes it back, after a notice; 0: no notice */
+    uint32_t heartbeat_generation; /* the leader's count of heartbeats at its newest one */
 
-    /* Load: attempt.c, reports.c and machine_registry.c. */
+    /* Load: attempt.c, reconciliation.c and machine_registry.c. */
     GPtrArray *attempts;                        /* struct ow_attempt, not owned */
     struct ow_amounts used;                     /* by attempts that may exist */
     struct ow_amounts used_by[OW_RANK_LOW + 1]; /* the same by rank */
--- a/src/core/machines/machine_health.c
+++ b/src/core/machines/machine_health.c
@@ -32,10 +32,10 @@
 /* Beyond its save time: the least that must be left for a task to be stopped, and the most it is given. */
 static const double SAVE_MARGIN_S = 1, SAVE_GRACE_S = 2;
 /* Report intervals that a new leader waits before a silent machine counts as fallen silent. */
-static const double MISSED_REPORTS = 2.5;
+static const double MISSED_HEARTBEATS = 2.5;
 enum { ERRORS_TO_QUARANTINE = 2, RUN_FAILURES = 3, UNRESPONSIVE_FEW = 2, SILENT_FEW = 3 };
 
-/* Proof by time: a worker ends its tasks when lease_s has passed since it sent the last report that was
+/* Proof by time: a worker ends its tasks when lease_s has passed since it sent the last heartbeat that was
    answered. Only answers of ours count once it has seen our token: no older one is accepted. And that report
    was sent before the newest message came that we have of the session: late copies renew nothing. */
 static void prove_by_lease(struct ow_leader *leader, struct ow_machine *machine)
@@ -75,7 +75,7 @@
     else if (overdue(leader, machine) && now - leader->ready_at > OVERDUE_READY_S)
         ow_fleet_delete(leader, machine, "it does not come up");
     else if (machine->last_message_at != 0 &&
-             now - MAX(MAX(machine->last_report_at, machine->met_at), leader->ready_at) >
+             now - MAX(MAX(machine->last_heartbeat_at, machine->met_at), leader->ready_at) >
                  3 * leader->core->settings->lease_s)
         ow_fleet_delete(leader, machine, "it has been silent for too long");
 }
@@ -132,7 +132,8 @@
 static void delete_for_replicas(struct ow_leader *leader, struct ow_machine *machine)
 {
     if (fallen_silent(leader, machine) && machine->unanswered_since > 0 && has_replicas(machine) &&
-        leader->core->now - leader->ready_at > MISSED_REPORTS * leader->core->settings->report_s)
+        leader->core->now - leader->ready_at >
+            MISSED_HEARTBEATS * leader->core->settings->heartbeat_interval_s)
         ow_fleet_delete(leader, machine, "it is silent, and services miss their replicas");
 }
 
--- a/src/core/machines/machine_registry.c
+++ b/src/core/machines/machine_registry.c
@@ -9,7 +9,7 @@
 #include <string.h>
 
 /* A machine without a message for so many report intervals is silent. */
-static const double MISSED_REPORTS = 2.5;
+static const double MISSED_HEARTBEATS = 2.5;
 /* A fetch that should be complete but was not reported so takes this long yet; and one at an unknown rate. */
 static const double FETCH_LEAST_S = 0.5, UNKNOWN_FETCH_S = 60;
 
@@ -78,14 +78,15 @@
 
 bool ow_machine_heard_recently(const struct ow_leader *leader, const struct ow_machine *machine)
 {
-    return leader->core->now - machine->last_message_at < MISSED_REPORTS * leader->core->settings->report_s;
+    return leader->core->now - machine->last_message_at <
+           MISSED_HEARTBEATS * leader->core->settings->heartbeat_interval_s;
 }
 
-bool ow_machine_stopped_reporting(const struct ow_leader *leader, const struct ow_machine *machine)
+bool ow_machine_is_silent(const struct ow_leader *leader, const struct ow_machine *machine)
 {
-    /* Answers to commands fence a machine at a take-over before its next report comes. */
-    double since = MAX(MAX(machine->last_report_at, machine->met_at), leader->ready_at);
-    return leader->core->now - since > MISSED_REPORTS * leader->core->settings->report_s;
+    /* Answers to commands fence a machine at a take-over before its next heartbeat comes. */
+    double since = MAX(MAX(machine->last_heartbeat_at, machine->met_at), leader->ready_at);
+    return leader->core->now - since > MISSED_HEARTBEATS * leader->core->settings->heartbeat_interval_s;
 }
 
 bool ow_machine_is_usable(const struct ow_leader *leader, const struct ow_machine *machine)
@@ -96,7 +97,7 @@
        returned. */
     return machine->fenced && machine->session > machine->dead_session &&
            ow_machine_spec(leader, machine) != NULL && machine->addr != NULL &&
-           ow_machine_heard_recently(leader, machine) && !ow_machine_stopped_reporting(leader, machine) &&
+           ow_machine_heard_recently(leader, machine) && !ow_machine_is_silent(leader, machine) &&
            machine->unanswered_since == 0 && machine->reclaimed_at == 0 && !machine->deleting &&
            now >= MAX(machine->quarantine_until, machine->suspect_until);
 }
--- a/src/core/machines/machine_registry.h
+++ b/src/core/machines/machine_registry.h
@@ -25,8 +25,8 @@
 void ow_machines_remove(struct ow_leader *leader, struct ow_machine *machine, const char *proof);
 /* Whether a message of any kind came within the last two and a half report intervals. */
 bool ow_machine_heard_recently(const struct ow_leader *leader, const struct ow_machine *machine);
-/* Whether no report came for two and a half report intervals, even if it answers commands. */
-bool ow_machine_stopped_reporting(const struct ow_leader *leader, const struct ow_machine *machine);
+/* Whether no heartbeat came for two and a half report intervals, even if it answers commands. */
+bool ow_machine_is_silent(const struct ow_leader *leader, const struct ow_machine *machine);
 /* Whether new tasks may be placed on it now. */
 bool ow_machine_is_usable(const struct ow_leader *leader, const struct ow_machine *machine);
 /* Whether a launch of this attempt was sent directly and never answered, so that it may still take effect. */
--- a/src/core/machines/reports.c
+++ b/src/core/machines/reconciliation.c
@@ -1,5 +1,5 @@
 /* What workers report, and what it proves. */
-#include "core/machines/reports.h"
+#include "core/machines/reconciliation.h"
 #include "core/leader_state.h"
 #include "core/machines/machine.h"
 #include "core/machines/machine_registry.h"
@@ -11,26 +11,26 @@
 #include <string.h>
 
 static struct ow_attempt *find_attempt(struct ow_machine *machine, const struct ow_job *job,
-                                       const struct ow_task_report *task_report)
+                                       const struct ow_task_status *task_status)
 {
-    if (job == NULL || job->run == NULL || task_report->task >= job->run->count)
+    if (job == NULL || job->run == NULL || task_status->task >= job->run->count)
         return NULL;
-    struct ow_attempt *attempt = job->run->tasks[task_report->task].attempt;
+    struct ow_attempt *attempt = job->run->tasks[task_status->task].attempt;
     if (attempt == NULL || attempt->machine != machine)
         return NULL;
-    if (attempt->number != task_report->attempt || attempt->session != machine->session)
+    if (attempt->number != task_status->attempt || attempt->session != machine->session)
         return NULL;
     return attempt;
 }
 
 static void add_command(GArray *commands, enum ow_worker_command_kind kind,
-                        const struct ow_task_report *task_report)
+                        const struct ow_task_status *task_status)
 {
     if (commands == NULL)
         return;
     struct ow_worker_command command = {
-        .kind = kind, .task = task_report->task, .attempt = task_report->attempt, .grace_s = 0};
-    g_strlcpy(command.job, task_report->job, sizeof command.job);
+        .kind = kind, .task = task_status->task, .attempt = task_status->attempt, .grace_s = 0};
+    g_strlcpy(command.job, task_status->job, sizeof command.job);
     g_array_append_val(commands, command);
 }
 
@@ -49,15 +49,15 @@
    after it has been recorded. While the job goes on, an attempt that ended in any other way stays known
    to the worker: a late copy of its launch then finds it there and does nothing. */
 static void clear_ended(struct ow_machine *machine, const struct ow_job *job,
-                        const struct ow_task_report *task_report, GArray *commands)
+                        const struct ow_task_status *task_status, GArray *commands)
 {
     if (job == NULL ||
-        ow_machine_has_unacknowledged_launch(machine, job, task_report->task, task_report->attempt))
+        ow_machine_has_unacknowledged_launch(machine, job, task_status->task, task_status->attempt))
         return;
-    bool known = job->run != NULL && task_report->task < job->run->count;
+    bool known = job->run != NULL && task_status->task < job->run->count;
     if (ow_job_over(job) ||
-        (known && task_report->cause == OW_CAUSE_DONE && result_recorded(job, task_report->task)))
-        add_command(commands, OW_WORKER_CLEAR, task_report);
+        (known && task_status->cause == OW_CAUSE_DONE && result_recorded(job, task_status->task)))
+        add_command(commands, OW_WORKER_CLEAR, task_status);
 }
 
 /* Whether the task belongs to a batch job that goes on, is not done and has no attempt. */
@@ -72,16 +72,16 @@
 
 /* A task that no record of ours accounts for: a copy of an old launch. */
 static void apply_unrecorded_task(struct ow_leader *leader, struct ow_machine *machine, struct ow_job *job,
-                                  const struct ow_task_report *task_report, GArray *commands)
+                                  const struct ow_task_status *task_status, GArray *commands)
 {
-    if (task_report->phase == OW_PHASE_EXITED) {
+    if (task_status->phase == OW_PHASE_EXITED) {
         /* A result counts even if its attempt had been ended as lost. */
-        if (task_report->cause == OW_CAUSE_DONE && awaits_result(job, task_report->task)) {
-            job->run->tasks[task_report->task].done = true;
+        if (task_status->cause == OW_CAUSE_DONE && awaits_result(job, task_status->task)) {
+            job->run->tasks[task_status->task].done = true;
             job->run->done++;
-            ow_recorder_chunk(leader, job->run, task_report->task, false);
+            ow_recorder_chunk(leader, job->run, task_status->task, false);
         }
-        clear_ended(machine, job, task_report, commands);
+        clear_ended(machine, job, task_status, commands);
         return;
     }
     const struct ow_spec *spec = job != NULL ? job->spec : NULL;
@@ -94,8 +94,8 @@
     if (need != NULL)
         ow_amounts_add(&machine->unknown_tasks_use, need, 1);
     g_info("task %s/%u attempt %" G_GUINT64_FORMAT " on %s is unaccounted for and is stopped",
-           task_report->job, task_report->task, task_report->attempt, machine->name);
-    add_command(commands, OW_WORKER_STOP, task_report);
+           task_status->job, task_status->task, task_status->attempt, machine->name);
+    add_command(commands, OW_WORKER_STOP, task_status);
 }
 
 static void apply_phase(struct ow_leader *leader, struct ow_attempt *attempt, enum ow_phase phase)
@@ -112,27 +112,27 @@
     ow_machine_image_use(leader, attempt->machine, attempt->job->spec, phase != OW_PHASE_FETCHING);
 }
 
-static void apply_task_report(struct ow_leader *leader, struct ow_machine *machine,
-                              const struct ow_task_report *task_report, GArray *commands)
+static void apply_task_status(struct ow_leader *leader, struct ow_machine *machine,
+                              const struct ow_task_status *task_status, GArray *commands)
 {
-    struct ow_job *job = ow_jobs_find(leader->core->jobs, task_report->job);
-    struct ow_attempt *attempt = find_attempt(machine, job, task_report);
+    struct ow_job *job = ow_jobs_find(leader->core->jobs, task_status->job);
+    struct ow_attempt *attempt = find_attempt(machine, job, task_status);
     if (attempt == NULL) {
-        apply_unrecorded_task(leader, machine, job, task_report, commands);
+        apply_unrecorded_task(leader, machine, job, task_status, commands);
         return;
     }
-    attempt->report_generation = machine->report_generation;
-    if (task_report->phase != OW_PHASE_EXITED) {
-        apply_phase(leader, attempt, task_report->phase);
+    attempt->heartbeat_generation = machine->heartbeat_generation;
+    if (task_status->phase != OW_PHASE_EXITED) {
+        apply_phase(leader, attempt, task_status->phase);
         return;
     }
-    if (task_report->cause == OW_CAUSE_DONE)
+    if (task_status->cause == OW_CAUSE_DONE)
         ow_machine_image_use(leader, machine, job->spec, true);
     else
-        g_info("task %s/%u on %s ended: cause %d%s", task_report->job, task_report->task, machine->name,
-               task_report->cause, task_report->saved ? ", saved" : "");
-    ow_attempt_end(leader, attempt, task_report->cause, "reported as ended");
-    clear_ended(machine, job, task_report, commands);
+        g_info("task %s/%u on %s ended: cause %d%s", task_status->job, task_status->task, machine->name,
+               task_status->cause, task_status->saved ? ", saved" : "");
+    ow_attempt_end(leader, attempt, task_status->cause, "reported as ended");
+    clear_ended(machine, job, task_status, commands);
 }
 
 static void apply_absent_tasks(struct ow_leader *leader, struct ow_machine *machine)
@@ -141,7 +141,8 @@
         if (i > machine->attempts->len)
             continue;
         struct ow_attempt *attempt = g_ptr_array_index(machine->attempts, i - 1);
-        if (attempt->report_generation == machine->report_generation || attempt->session != machine->session)
+        if (attempt->heartbeat_generation == machine->heartbeat_generation ||
+            attempt->session != machine->session)
             continue;
         /* An older leader's launch can't come true any more: the worker has seen our token.
            Our own may still be on its way; it is sent again until it shows. */
@@ -192,21 +193,21 @@
     machine->reclaimed_at = leader->core->now + notice_s;
 }
 
-/* What a report says of its machine whichever leader's commands it accepts. A session that has ended took its
-   tasks along, whichever token the worker has seen: attempts are recorded with the session that they were
+/* What a heartbeat says of its machine whichever leader's commands it accepts. A session that has ended took
+   its tasks along, whichever token the worker has seen: attempts are recorded with the session that they were
    meant for. */
 static void apply_session(struct ow_leader *leader, struct ow_machine *machine,
-                          const struct ow_report *report)
+                          const struct ow_heartbeat *heartbeat)
 {
-    if (report->session > machine->session)
-        begin_session(machine, report->session);
+    if (heartbeat->session > machine->session)
+        begin_session(machine, heartbeat->session);
     /* Also in a session that records have named before: others may name older ones. */
     end_older_sessions(leader, machine);
     machine->listed = OW_LISTED_RUNNING;
     machine->last_message_at = leader->core->now;
     if (machine->first_message_at == 0)
         machine->first_message_at = leader->core->now;
-    machine->seq = report->seq;
+    machine->seq = heartbeat->seq;
 }
 
 static void note_fenced(struct ow_leader *leader, struct ow_machine *machine)
@@ -218,33 +219,33 @@
     g_info("machine %s reports, session %" G_GUINT64_FORMAT, machine->name, machine->session);
 }
 
-GArray *ow_reports_cancelled(const struct ow_leader *leader, const struct ow_report *report)
+GArray *ow_reconcile_cancelled(const struct ow_leader *leader, const struct ow_heartbeat *heartbeat)
 {
     GArray *commands = g_array_new(FALSE, FALSE, sizeof(struct ow_worker_command));
-    for (guint i = 0; i < report->tasks->len; i++) {
-        const struct ow_task_report *task_report = &g_array_index(report->tasks, struct ow_task_report, i);
-        const struct ow_job *job = ow_jobs_find(leader->core->jobs, task_report->job);
-        if (job != NULL && job->state == OW_JOB_CANCELLED && task_report->phase != OW_PHASE_EXITED)
-            add_command(commands, OW_WORKER_STOP, task_report);
+    for (guint i = 0; i < heartbeat->tasks->len; i++) {
+        const struct ow_task_status *task_status = &g_array_index(heartbeat->tasks, struct ow_task_status, i);
+        const struct ow_job *job = ow_jobs_find(leader->core->jobs, task_status->job);
+        if (job != NULL && job->state == OW_JOB_CANCELLED && task_status->phase != OW_PHASE_EXITED)
+            add_command(commands, OW_WORKER_STOP, task_status);
     }
     return commands;
 }
 
-struct ow_machine *ow_reports_receive(struct ow_leader *leader, const struct ow_report *report,
-                                      GArray *commands)
+struct ow_machine *ow_reconcile_heartbeat(struct ow_leader *leader, const struct ow_heartbeat *heartbeat,
+                                          GArray *commands)
 {
-    /* A copy of an old report must not bring a deleted machine back. */
-    if (g_hash_table_contains(leader->deletions.names, report->machine))
+    /* A copy of an old heartbeat must not bring a deleted machine back. */
+    if (g_hash_table_contains(leader->deletions.names, heartbeat->machine))
         return NULL;
-    struct ow_machine *machine = ow_machines_find_or_add(leader, report->machine);
+    struct ow_machine *machine = ow_machines_find_or_add(leader, heartbeat->machine);
     /* A late copy says nothing about now, renews nothing, and a session proven over is over. */
-    if (report->session < machine->session ||
-        (report->session == machine->session && report->seq <= machine->seq) ||
-        report->session <= machine->dead_session)
+    if (heartbeat->session < machine->session ||
+        (heartbeat->session == machine->session && heartbeat->seq <= machine->seq) ||
+        heartbeat->session <= machine->dead_session)
         return machine;
-    ow_machine_describe(leader, machine, report->addr, report->type, report->zone, report->spot);
-    apply_session(leader, machine, report);
-    if (report->token != leader->token || leader->phase != OW_LEADER_READY) {
+    ow_machine_describe(leader, machine, heartbeat->addr, heartbeat->type, heartbeat->zone, heartbeat->spot);
+    apply_session(leader, machine, heartbeat);
+    if (heartbeat->token != leader->token || leader->phase != OW_LEADER_READY) {
         /* Until it has seen our token an older leader may still change what it says. */
         if (leader->phase == OW_LEADER_READY)
             ow_worker_commands_want_fenced(leader, machine);
@@ -252,11 +253,12 @@
     }
     if (!machine->fenced)
         note_fenced(leader, machine);
-    machine->report_generation = ++leader->report_generation;
+    machine->heartbeat_generation = ++leader->heartbeat_generation;
     machine->unknown_tasks_use = (struct ow_amounts){0};
-    apply_reclaim_notice(leader, machine, report->notice_s);
-    for (guint i = 0; i < report->tasks->len; i++)
-        apply_task_report(leader, machine, &g_array_index(report->tasks, struct ow_task_report, i), commands);
+    apply_reclaim_notice(leader, machine, heartbeat->notice_s);
+    for (guint i = 0; i < heartbeat->tasks->len; i++)
+        apply_task_status(leader, machine, &g_array_index(heartbeat->tasks, struct ow_task_status, i),
+                          commands);
     apply_absent_tasks(leader, machine);
     return machine;
 }
--- a/src/core/machines/rent.c
+++ b/src/core/machines/rent.c
@@ -226,7 +226,7 @@
     }
 }
 
-static bool all_reported(const struct ow_leader *leader)
+static bool all_sent_heartbeats(const struct ow_leader *leader)
 {
     for (guint i = 0; i < leader->machines->len; i++) {
         const struct ow_machine *machine = g_ptr_array_index(leader->machines, i);
@@ -238,7 +238,7 @@
 
 static void rent_for_waiting(struct ow_leader *leader)
 {
-    double settling_s = all_reported(leader) ? SETTLED_S : UNSETTLED_S;
+    double settling_s = all_sent_heartbeats(leader) ? SETTLED_S : UNSETTLED_S;
     /* One round at a time: a second plan must see what the first has brought. And none before the machines
        that are there had time to report. */
     if (leader->renting.calls > 0 || leader->core->now - leader->ready_at < settling_s)
--- a/src/core/machines/worker_commands.c
+++ b/src/core/machines/worker_commands.c
@@ -4,7 +4,7 @@
 #include "core/leader_state.h"
 #include "core/machines/machine.h"
 #include "core/machines/machine_registry.h"
-#include "core/machines/reports.h"
+#include "core/machines/reconciliation.h"
 #include "core/run.h"
 
 enum { COMMANDS_MAX = 400 };
@@ -13,7 +13,7 @@
 enum { PROBES_LEAST = 64, PROBES_PER_CORE = 1000 };
 /* A worker that learns of our token by an answer reports again at once: only if it does not within this time
    is it sent a direct command. */
-static const double FENCE_BY_REPORT_S = 1;
+static const double FENCE_BY_HEARTBEAT_S = 1;
 static const double DIRECT_PAUSE_S = 3, REFUSED_PAUSE_S = 0.5, UNSENT_PAUSE_S = 0.5;
 /* Processor time of a direct command with its answer, in seconds of a core, and the part of our share of a
    core that those to all machines may take: at a take-over every worker reports as well, and the lease has to
@@ -96,8 +96,8 @@
 {
     g_array_set_size(machine->direct_launches, 0);
     machine->unanswered_since = 0;
-    if (answer->report != NULL)
-        ow_reports_receive(leader, answer->report, NULL);
+    if (answer->heartbeat != NULL)
+        ow_reconcile_heartbeat(leader, answer->heartbeat, NULL);
     if (answer->status == 409)
         machine->direct_at = leader->core->now + REFUSED_PAUSE_S;
 }
@@ -110,8 +110,8 @@
     leader->probes -= call->is_probe ? 1 : 0;
     if (machine == NULL)
         return;
-    if (answer->report != NULL && answer->report->token > leader->token) {
-        ow_election_observe_token(leader->core->election, answer->report->token, NULL);
+    if (answer->heartbeat != NULL && answer->heartbeat->token > leader->token) {
+        ow_election_observe_token(leader->core->election, answer->heartbeat->token, NULL);
         return; /* and with that the leader is gone */
     }
     machine->direct_busy = false;
@@ -164,7 +164,7 @@
 void ow_worker_commands_want_fenced(struct ow_leader *leader, struct ow_machine *machine)
 {
     if (!machine->direct_wanted)
-        machine->direct_at = MAX(machine->direct_at, leader->core->now + FENCE_BY_REPORT_S);
+        machine->direct_at = MAX(machine->direct_at, leader->core->now + FENCE_BY_HEARTBEAT_S);
     ow_worker_commands_want(leader, machine);
 }
 
@@ -211,7 +211,7 @@
 }
 
 /* Only the machines on the list are visited: in a large fleet a look at each of them in every round would
-   cost as much as their reports. */
+   cost as much as their heartbeats. */
 void ow_worker_commands_send(struct ow_leader *leader)
 {
     for (guint i = leader->direct_due->len; i > 0; i--) {
--- a/src/core/machines/worker_commands.h
+++ b/src/core/machines/worker_commands.h
@@ -18,7 +18,7 @@
    only if it does not report again of itself. */
 void ow_worker_commands_want_fenced(struct ow_leader *leader, struct ow_machine *machine);
 /* The same for every machine, as a new leader does to show them its token; in a large fleet one after the
-   other, for most of them come with a report meanwhile. */
+   other, for most of them come with a heartbeat meanwhile. */
 void ow_worker_commands_want_all(struct ow_leader *leader);
 /* Sends a direct command to every machine that is due one. */
 void ow_worker_commands_send(struct ow_leader *leader);
--- a/src/core/peer_messages.c
+++ b/src/core/peer_messages.c
@@ -20,8 +20,8 @@
         const char *leader_name = message->leads ? message->sender : NULL;
         ow_election_observe_token(core->election, message->number, leader_name);
     }
-    if (message->receives_reports)
-        core->peer_receives_reports_at = core->now;
+    if (message->receives_heartbeats)
+        core->peer_receives_heartbeats_at = core->now;
     if (message->state_ok && message->sender != NULL) {
         double *heard_at = g_new(double, 1);
         *heard_at = core->now;
@@ -92,7 +92,7 @@
     message->number = ow_election_token(core->election);
     message->leads = message->number > 0;
     message->state_ok = ow_health_state_is_ok(core);
-    message->receives_reports =
-        core->last_worker_report_at > 0 && core->now - core->last_worker_report_at < WORKER_RECENT_S;
+    message->receives_heartbeats =
+        core->last_worker_heartbeat_at > 0 && core->now - core->last_worker_heartbeat_at < WORKER_RECENT_S;
     ow_core_send_to_peers(core, message);
 }
--- a/src/core/records/takeover.h
+++ b/src/core/records/takeover.h
@@ -1,5 +1,6 @@
-/* The takeover by a new leader: it rebuilds runs and attempts from the records, and the workers' reports then
- * account for what still runs. It owns the records read so far and moves the leader from phase to phase. */
+/* The takeover by a new leader: it rebuilds runs and attempts from the records, and the workers' heartbeats
+ * then account for what still runs. It owns the records read so far and moves the leader from phase to phase.
+ */
 #ifndef OW_CORE_RECORDS_TAKEOVER_H
 #define OW_CORE_RECORDS_TAKEOVER_H
 
--- a/src/core/scheduling/service_moves.c
+++ b/src/core/scheduling/service_moves.c
@@ -20,7 +20,7 @@
 static const double SEPARATE_S = 5;
 
 /* A machine that has lost its lease is taken to report again within the time of so many reports. */
-static const double RETURN_REPORTS = 2;
+static const double RETURN_HEARTBEATS = 2;
 
 static bool is_serving(const struct ow_attempt *attempt)
 {
@@ -93,7 +93,7 @@
 static bool loses_its_lease(const struct ow_leader *leader, const struct ow_machine *machine)
 {
     return machine->fenced && machine->unanswered_since == 0 && ow_machine_heard_recently(leader, machine) &&
-           ow_machine_stopped_reporting(leader, machine);
+           ow_machine_is_silent(leader, machine);
 }
 
 /* When tasks on the machine will be gone: the cloud takes it back, or its lease runs out. 0: not as far as is
@@ -104,8 +104,8 @@
         return machine->reclaimed_at;
     if (!loses_its_lease(leader, machine))
         return 0;
-    /* This leader may never have had a report of it: then there is no time that could be counted on. */
-    double since = machine->last_report_at;
+    /* This leader may never have had a heartbeat of it: then there is no time that could be counted on. */
+    double since = machine->last_heartbeat_at;
     return since > 0 ? since + leader->core->settings->lease_s : leader->core->now;
 }
 
@@ -140,7 +140,7 @@
     if (type == NULL || type->fetch_gb_per_s <= 0)
         return false;
     double fetch_s = attempt->job->spec->submission->image_gb / type->fetch_gb_per_s;
-    return fetch_s < RETURN_REPORTS * leader->core->settings->report_s;
+    return fetch_s < RETURN_HEARTBEATS * leader->core->settings->heartbeat_interval_s;
 }
 
 /* With its image elsewhere a replica is moved as soon as its service can do without it. Where no machine with
--- a/src/core/settings.h
+++ b/src/core/settings.h
@@ -27,7 +27,7 @@
     GArray *teams;      /* struct ow_team_settings */
     GArray *objectives; /* struct ow_objective */
     char **zones;
-    double report_s, lease_s, gang_wait_s, gang_peer_s, cancel_s;
+    double heartbeat_interval_s, lease_s, gang_wait_s, gang_peer_s, cancel_s;
     double state_rps, state_write_rps, value_kb;
     unsigned txn_ops;
     /* What the state service will allow from some moment on, without notice; the same where nothing is said.
--- a/src/core/types.c
+++ b/src/core/types.c
@@ -20,17 +20,17 @@
     g_free(submission);
 }
 
-void ow_report_free(struct ow_report *report)
+void ow_heartbeat_free(struct ow_heartbeat *heartbeat)
 {
-    if (report == NULL)
+    if (heartbeat == NULL)
         return;
-    g_free(report->machine);
-    g_free(report->addr);
-    g_free(report->type);
-    g_free(report->zone);
-    if (report->tasks != NULL)
-        g_array_free(report->tasks, TRUE);
-    g_free(report);
+    g_free(heartbeat->machine);
+    g_free(heartbeat->addr);
+    g_free(heartbeat->type);
+    g_free(heartbeat->zone);
+    if (heartbeat->tasks != NULL)
+        g_array_free(heartbeat->tasks, TRUE);
+    g_free(heartbeat);
 }
 
 void ow_machine_type_clear(void *type)
--- a/src/core/types.h
+++ b/src/core/types.h
@@ -57,7 +57,7 @@
     OW_CAUSE_UNKNOWN,
 };
 
-struct ow_task_report {
+struct ow_task_status {
     char job[OW_ID_MAX + 1];
     uint32_t task;
     uint64_t attempt;
@@ -66,15 +66,15 @@
     bool saved;
 };
 
-struct ow_report {
+struct ow_heartbeat {
     char *machine, *addr, *type, *zone;
     bool spot;
     uint64_t session, seq, token;
     double notice_s; /* negative: none */
-    GArray *tasks;   /* struct ow_task_report */
+    GArray *tasks;   /* struct ow_task_status */
 };
 
-void ow_report_free(struct ow_report *report);
+void ow_heartbeat_free(struct ow_heartbeat *heartbeat);
 
 enum ow_worker_command_kind { OW_WORKER_LAUNCH, OW_WORKER_STOP, OW_WORKER_CLEAR };
 
--- a/src/io/daemon.c
+++ b/src/io/daemon.c
@@ -145,7 +145,8 @@
         ow_http_server_sweep(daemon->server, now);
         ow_peer_links_sweep(daemon->peers, now);
     }
-    /* Under load the answer to the renewal of the leader's lease must not wait behind thousands of reports.
+    /* Under load the answer to the renewal of the leader's lease must not wait behind thousands of
+     * heartbeats.
      */
     if (ow_loop_is_saturated(daemon->loop))
         ow_http_client_read_from(daemon->client, daemon->settings->state);
--- a/src/io/incoming.c
+++ b/src/io/incoming.c
@@ -40,15 +40,15 @@
     ow_shard_manager_push(daemon->manager, event);
 }
 
-static void take_report(struct ow_daemon *daemon, const struct ow_http_request *request)
+static void take_heartbeat(struct ow_daemon *daemon, const struct ow_http_request *request)
 {
-    struct ow_report *report = wire_report_parse(request->body, request->body_size);
-    if (report == NULL) {
+    struct ow_heartbeat *heartbeat = wire_heartbeat_parse(request->body, request->body_size);
+    if (heartbeat == NULL) {
         answer_error(daemon, request->id, OW_HTTP_STATUS_BAD_REQUEST, "not a report");
         return;
     }
-    struct ow_event *event = ow_event_new(OW_EVENT_REPORT, request->id);
-    event->report = report;
+    struct ow_event *event = ow_event_new(OW_EVENT_HEARTBEAT, request->id);
+    event->heartbeat = heartbeat;
     ow_shard_manager_push(daemon->manager, event);
 }
 
@@ -96,9 +96,9 @@
 {
     struct ow_daemon *daemon = owner;
     char *path = g_strndup(request->target, strcspn(request->target, "?"));
-    if (strcmp(path, W_PATH_REPORT) == 0) {
+    if (strcmp(path, W_PATH_HEARTBEAT) == 0) {
         if (method_is(daemon, request, "POST"))
-            take_report(daemon, request);
+            take_heartbeat(daemon, request);
     } else if (strcmp(path, W_PATH_JOBS) == 0) {
         if (method_is(daemon, request, "POST"))
             take_submission(daemon, request);
--- a/src/io/outgoing.c
+++ b/src/io/outgoing.c
@@ -71,7 +71,7 @@
     struct ow_event *event = ow_event_new(OW_EVENT_DIRECT_REPLY, pending->core_tag);
     event->status = status;
     if (status == OW_HTTP_STATUS_OK || status == OW_HTTP_STATUS_CONFLICT)
-        event->report = wire_report_parse(body, size);
+        event->heartbeat = wire_heartbeat_parse(body, size);
     return event;
 }
 
@@ -137,7 +137,7 @@
     g_free(body);
 }
 
-/* Without a socket to spare the command goes with the answer to the machine's next report. */
+/* Without a socket to spare the command goes with the answer to the machine's next heartbeat. */
 static void give_up_direct(struct ow_daemon *daemon, const struct ow_effect *effect)
 {
     struct ow_event *event = ow_event_new(OW_EVENT_DIRECT_REPLY, effect->request);
--- a/src/sharding/membership.c
+++ b/src/sharding/membership.c
@@ -124,7 +124,7 @@
     if (sender == NULL)
         ow_membership_drop(membership, now, message->sender, "its sender is not in the settings");
     else if (message->kind == OW_PEER_HEARTBEAT)
-        ow_heartbeat_receive(membership, now, sender, message);
+        ow_peer_heartbeat_receive(membership, now, sender, message);
     else if (message->kind == OW_PEER_PROBE)
         ow_indirect_probe_receive(membership, now, message, out);
 }
@@ -189,7 +189,7 @@
     forgive_own_pause(membership, now);
     if (now >= membership->heartbeat_at) {
         membership->heartbeat_at = now + membership->sharding->heartbeat_s;
-        g_ptr_array_add(out, ow_heartbeat_new(membership, own_shards));
+        g_ptr_array_add(out, ow_peer_heartbeat_new(membership, own_shards));
     }
     for (guint i = 0; i < membership->members->len; i++)
         judge(membership, g_ptr_array_index(membership->members, i), now, out);
--- a/src/sharding/membership_state.h
+++ b/src/sharding/membership_state.h
@@ -22,9 +22,9 @@
 void ow_membership_drop(struct ow_membership *membership, double now, const char *sender, const char *why);
 
 /* peer_heartbeats.c: this controller's next heartbeat, and one of another. */
-struct ow_peer_message *ow_heartbeat_new(struct ow_membership *membership, const GArray *own_shards);
-void ow_heartbeat_receive(struct ow_membership *membership, double now, struct ow_member *member,
-                          const struct ow_peer_message *message);
+struct ow_peer_message *ow_peer_heartbeat_new(struct ow_membership *membership, const GArray *own_shards);
+void ow_peer_heartbeat_receive(struct ow_membership *membership, double now, struct ow_member *member,
+                               const struct ow_peer_message *message);
 
 /* indirect_probe.c: origin -> relay (request) -> target (ping) -> relay (ack) -> origin (relayed). */
 void ow_indirect_probe_begin(struct ow_membership *membership, struct ow_member *target, double now,
--- a/src/sharding/peer_heartbeats.c
+++ b/src/sharding/peer_heartbeats.c
@@ -1,6 +1,6 @@
 #include "sharding/membership_state.h"
 
-struct ow_peer_message *ow_heartbeat_new(struct ow_membership *membership, const GArray *own_shards)
+struct ow_peer_message *ow_peer_heartbeat_new(struct ow_membership *membership, const GArray *own_shards)
 {
     struct ow_peer_message *message = ow_peer_message_new(OW_PEER_HEARTBEAT);
     message->sender = g_strdup(membership->self);
@@ -44,8 +44,8 @@
     return NULL;
 }
 
-void ow_heartbeat_receive(struct ow_membership *membership, double now, struct ow_member *member,
-                          const struct ow_peer_message *message)
+void ow_peer_heartbeat_receive(struct ow_membership *membership, double now, struct ow_member *member,
+                               const struct ow_peer_message *message)
 {
     const char *fault = heartbeat_fault(member, message);
     if (fault != NULL) {
--- a/src/sharding/shard_dispatch.c
+++ b/src/sharding/shard_dispatch.c
@@ -18,7 +18,7 @@
     g_ptr_array_free(messages, TRUE);
 }
 
-static void refuse_report(uint64_t request, GPtrArray *out)
+static void refuse_heartbeat(uint64_t request, GPtrArray *out)
 {
     struct ow_effect *effect = g_new0(struct ow_effect, 1);
     effect->kind = OW_EFFECT_REFUSE;
@@ -29,14 +29,15 @@
     g_ptr_array_add(out, effect);
 }
 
-static void dispatch_report(struct ow_shard_manager *manager, struct ow_event *event, GPtrArray *out)
+static void dispatch_heartbeat(struct ow_shard_manager *manager, struct ow_event *event, GPtrArray *out)
 {
-    int index = ow_shard_map_machine(manager->sharding_settings, event->report->zone, event->report->type);
+    int index =
+        ow_shard_map_machine(manager->sharding_settings, event->heartbeat->zone, event->heartbeat->type);
     if (index >= 0) {
         ow_shard_push(ow_managed_shard(manager, (guint)index), event);
         return;
     }
-    refuse_report(event->request, out);
+    refuse_heartbeat(event->request, out);
     ow_event_free(event);
 }
 
@@ -85,8 +86,8 @@
 void ow_shard_manager_dispatch(struct ow_shard_manager *manager, struct ow_event *event, GPtrArray *out)
 {
     switch (event->kind) {
-    case OW_EVENT_REPORT:
-        dispatch_report(manager, event, out);
+    case OW_EVENT_HEARTBEAT:
+        dispatch_heartbeat(manager, event, out);
         break;
     case OW_EVENT_DIRECT_REPLY:
     case OW_EVENT_STORE:
--- a/src/wire/agent_json.c
+++ b/src/wire/agent_json.c
@@ -10,7 +10,7 @@
 /* The one field of a job's description that a submission has not. */
 #define F_COMMAND "command"
 
-static json_t *task_json(const struct ow_task_report *task)
+static json_t *task_json(const struct ow_task_status *task)
 {
     char name[OW_ID_MAX + 16];
     g_snprintf(name, sizeof name, "%s/%u", task->job, task->task);
@@ -23,17 +23,17 @@
     return object;
 }
 
-char *wire_report(const struct ow_report *report)
+char *wire_heartbeat(const struct ow_heartbeat *heartbeat)
 {
     json_t *tasks = json_array();
-    for (guint i = 0; i < report->tasks->len; i++)
-        json_array_append_new(tasks, task_json(&g_array_index(report->tasks, struct ow_task_report, i)));
-    json_t *notice = report->notice_s >= 0 ? json_real(report->notice_s) : json_null();
-    return wj_take_text(json_pack("{s:s,s:s,s:s,s:s,s:b,s:I,s:I,s:I,s:o,s:o}", W_MACHINE, report->machine,
-                                  W_ADDR, report->addr, W_TYPE, report->type, W_ZONE, report->zone, W_SPOT,
-                                  (int)report->spot, W_SESSION, (json_int_t)report->session, W_SEQ,
-                                  (json_int_t)report->seq, W_TOKEN, (json_int_t)report->token, W_NOTICE,
-                                  notice, W_TASKS, tasks));
+    for (guint i = 0; i < heartbeat->tasks->len; i++)
+        json_array_append_new(tasks, task_json(&g_array_index(heartbeat->tasks, struct ow_task_status, i)));
+    json_t *notice = heartbeat->notice_s >= 0 ? json_real(heartbeat->notice_s) : json_null();
+    return wj_take_text(json_pack("{s:s,s:s,s:s,s:s,s:b,s:I,s:I,s:I,s:o,s:o}", W_MACHINE, heartbeat->machine,
+                                  W_ADDR, heartbeat->addr, W_TYPE, heartbeat->type, W_ZONE, heartbeat->zone,
+                                  W_SPOT, (int)heartbeat->spot, W_SESSION, (json_int_t)heartbeat->session,
+                                  W_SEQ, (json_int_t)heartbeat->seq, W_TOKEN, (json_int_t)heartbeat->token,
+                                  W_NOTICE, notice, W_TASKS, tasks));
 }
 
 static bool parse_command(const json_t *object, struct ow_worker_command *command)
@@ -97,7 +97,7 @@
     json_t *object = wj_object(text, size);
     const char *name = NULL;
     if (object != NULL)
-        wj_string(object, W_REPORT_TO, &name);
+        wj_string(object, W_REDIRECT_TO, &name);
     char *copy = g_strdup(name);
     json_decref(object);
     return copy;
--- a/src/wire/agent_json.h
+++ b/src/wire/agent_json.h
@@ -6,7 +6,7 @@
 
 #include <stddef.h>
 
-/* Commands for a worker, from the answer to a report or from a request to its own address. */
+/* Commands for a worker, from the answer to a heartbeat or from a request to its own address. */
 struct ow_worker_orders {
     bool has_token, has_session;
     uint64_t token, session;
@@ -14,7 +14,7 @@
 };
 
 /* A worker's report (g_free). */
-char *wire_report(const struct ow_report *report);
+char *wire_heartbeat(const struct ow_heartbeat *heartbeat);
 /* NULL when malformed; a command that is not known makes it so. */
 struct ow_worker_orders *wire_worker_orders_parse(const char *text, size_t size);
 void wire_worker_orders_free(struct ow_worker_orders *orders);
--- a/src/wire/peer.x
+++ b/src/wire/peer.x
@@ -15,7 +15,7 @@
     unsigned hyper token;     /* the highest token known; the sender's own if it leads */
     bool leads;
     bool state_ok;            /* the state service answered the sender lately */
-    bool receives_reports;       /* workers came to the sender lately */
+    bool receives_heartbeats;       /* workers came to the sender lately */
 };
 
 struct peer_job {
--- a/src/wire/peer_body.c
+++ b/src/wire/peer_body.c
@@ -65,7 +65,7 @@
     switch (message->kind) {
     case OW_PEER_HELLO:
         body->hello = (peer_hello){message->sender, message->number, message->leads, message->state_ok,
-                                   message->receives_reports};
+                                   message->receives_heartbeats};
         return NULL;
     case OW_PEER_SUMMARY:
         body->summary = (peer_summary){message->number, {message->jobs->len, fill_jobs(message->jobs)}};
@@ -171,7 +171,7 @@
         message->number = body->hello.token;
         message->leads = body->hello.leads;
         message->state_ok = body->hello.state_ok;
-        message->receives_reports = body->hello.receives_reports;
+        message->receives_heartbeats = body->hello.receives_heartbeats;
         break;
     case OW_PEER_SUMMARY:
         read_summary(&body->summary, message);
--- a/src/wire/worker_json.c
+++ b/src/wire/worker_json.c
@@ -20,7 +20,7 @@
     return true;
 }
 
-static bool parse_task(const json_t *object, struct ow_task_report *out)
+static bool parse_task(const json_t *object, struct ow_task_status *out)
 {
     const char *name = NULL, *phase = NULL, *cause = "";
     memset(out, 0, sizeof *out);
@@ -48,8 +48,8 @@
     json_t *item;
     json_array_foreach(list, i, item)
     {
-        struct ow_task_report task;
-        /* A task left out would read as a task that is gone: better no report at all. */
+        struct ow_task_status task;
+        /* A task left out would read as a task that is gone: better no heartbeat at all. */
         if (!parse_task(item, &task))
             return false;
         g_array_append_val(out, task);
@@ -57,32 +57,32 @@
     return true;
 }
 
-struct ow_report *wire_report_parse(const char *text, size_t size)
+struct ow_heartbeat *wire_heartbeat_parse(const char *text, size_t size)
 {
     json_t *object = wj_object(text, size);
     if (object == NULL)
         return NULL;
-    struct ow_report *report = g_new0(struct ow_report, 1);
+    struct ow_heartbeat *heartbeat = g_new0(struct ow_heartbeat, 1);
     const char *machine = NULL, *addr = NULL, *type = NULL, *zone = NULL;
-    report->tasks = g_array_new(FALSE, FALSE, sizeof(struct ow_task_report));
-    report->notice_s = -1;
+    heartbeat->tasks = g_array_new(FALSE, FALSE, sizeof(struct ow_task_status));
+    heartbeat->notice_s = -1;
     bool ok = wj_string(object, W_MACHINE, &machine) && wj_string(object, W_ADDR, &addr) &&
               wj_string(object, W_TYPE, &type) && wj_string(object, W_ZONE, &zone) &&
-              wj_count(object, W_SESSION, &report->session) && wj_count(object, W_SEQ, &report->seq) &&
-              parse_tasks(object, report->tasks);
+              wj_count(object, W_SESSION, &heartbeat->session) && wj_count(object, W_SEQ, &heartbeat->seq) &&
+              parse_tasks(object, heartbeat->tasks);
     if (ok) {
-        wj_bool(object, W_SPOT, &report->spot);
-        wj_count(object, W_TOKEN, &report->token);
-        wj_number(object, W_NOTICE, &report->notice_s);
-        report->machine = g_strdup(machine);
-        report->addr = g_strdup(addr);
-        report->type = g_strdup(type);
-        report->zone = g_strdup(zone);
+        wj_bool(object, W_SPOT, &heartbeat->spot);
+        wj_count(object, W_TOKEN, &heartbeat->token);
+        wj_number(object, W_NOTICE, &heartbeat->notice_s);
+        heartbeat->machine = g_strdup(machine);
+        heartbeat->addr = g_strdup(addr);
+        heartbeat->type = g_strdup(type);
+        heartbeat->zone = g_strdup(zone);
     }
     json_decref(object);
     if (ok)
-        return report;
-    ow_report_free(report);
+        return heartbeat;
+    ow_heartbeat_free(heartbeat);
     return NULL;
 }
 
@@ -116,5 +116,5 @@
 
 char *wire_misdirected(const char *controller)
 {
-    return wj_take_text(controller != NULL ? json_pack("{s:s}", W_REPORT_TO, controller) : json_object());
+    return wj_take_text(controller != NULL ? json_pack("{s:s}", W_REDIRECT_TO, controller) : json_object());
 }
--- a/tests/agent_setup.c
+++ b/tests/agent_setup.c
@@ -11,7 +11,7 @@
                                     .listen = address,
                                     .advertise = address,
                                     .size = {4, 0, 16},
-                                    .report_s = 3,
+                                    .heartbeat_interval_s = 3,
                                     .lease_s = 20};
     static char *names[] = {"one", "two", "three"};
     options.controllers = g_array_new(FALSE, FALSE, sizeof(struct agent_controller));
--- a/tests/chaos_day.c
+++ b/tests/chaos_day.c
@@ -12,7 +12,7 @@
     struct world *w;
     GRand *rand;
     bool cancelled[JOBS];
-    GPtrArray *copies; /* struct ow_report, to be sent late */
+    GPtrArray *copies; /* struct ow_heartbeat, to be sent late */
 };
 
 static struct world_machine *any_machine(struct failures *failures)
@@ -21,10 +21,10 @@
                              (guint)g_rand_int_range(failures->rand, 0, (gint32)failures->w->machines->len));
 }
 
-/* Keeps a duplicate of the machine's last report, to be sent later to any controller. */
+/* Keeps a duplicate of the machine's last heartbeat, to be sent later to any controller. */
 static void keep_copy(struct failures *failures, const struct world_machine *machine)
 {
-    g_ptr_array_add(failures->copies, world_last_report(machine));
+    g_ptr_array_add(failures->copies, world_last_heartbeat(machine));
 }
 
 static void send_copies(struct failures *failures)
@@ -209,9 +209,9 @@
     world_cancel(failures->w, g_rand_int_range(failures->rand, 0, WORLD_CONTROLLERS), id);
 }
 
-static void free_report(void *report)
+static void free_heartbeat(void *heartbeat)
 {
-    ow_report_free(report);
+    ow_heartbeat_free(heartbeat);
 }
 
 /* Once the failures are over, every poll is answered. */
@@ -306,7 +306,7 @@
 {
     struct failures failures = {.w = start_world(seed, divided, observer),
                                 .rand = g_rand_new_with_seed(seed),
-                                .copies = g_ptr_array_new_with_free_func(free_report)};
+                                .copies = g_ptr_array_new_with_free_func(free_heartbeat)};
     play_failures(&failures);
     end_failures(&failures);
     world_run(failures.w, 25);
--- a/tests/test_agent.c
+++ b/tests/test_agent.c
@@ -1,5 +1,5 @@
 /* The thin agent: when and where it reports, and what it says and reads. */
-#include "agent/reporter.h"
+#include "agent/heartbeat.h"
 #include "agent_setup.h"
 #include "check.h"
 #include "wire/agent_json.h"
@@ -9,21 +9,21 @@
 
 /* ---- reports ---- */
 
-static void test_reports_follow_the_interval_and_changes(void **state)
+static void test_heartbeats_follow_the_interval_and_changes(void **state)
 {
     (void)state;
     struct agent_options options = agent_setup_options();
-    struct agent_reporter reporter;
-    agent_reporter_init(&reporter, &options, 100);
-    assert_true(agent_reporter_is_due(&reporter, 100));
-    agent_reporter_sent(&reporter, 100, 1);
-    assert_false(agent_reporter_is_due(&reporter, 200)); /* one at a time */
-    agent_reporter_taken(&reporter);
-    assert_false(agent_reporter_is_due(&reporter, 103.7));
-    assert_true(agent_reporter_is_due(&reporter, 103.8));
-    agent_reporter_changed(&reporter);
-    assert_false(agent_reporter_is_due(&reporter, 100.4));
-    assert_true(agent_reporter_is_due(&reporter, 100.5));
+    struct agent_heartbeat heartbeat_timer;
+    agent_heartbeat_init(&heartbeat_timer, &options, 100);
+    assert_true(agent_heartbeat_is_due(&heartbeat_timer, 100));
+    agent_heartbeat_sent(&heartbeat_timer, 100, 1);
+    assert_false(agent_heartbeat_is_due(&heartbeat_timer, 200)); /* one at a time */
+    agent_heartbeat_accepted(&heartbeat_timer);
+    assert_false(agent_heartbeat_is_due(&heartbeat_timer, 103.7));
+    assert_true(agent_heartbeat_is_due(&heartbeat_timer, 103.8));
+    agent_heartbeat_changed(&heartbeat_timer);
+    assert_false(agent_heartbeat_is_due(&heartbeat_timer, 100.4));
+    assert_true(agent_heartbeat_is_due(&heartbeat_timer, 100.5));
     g_array_free(options.controllers, TRUE);
 }
 
@@ -31,18 +31,18 @@
 {
     (void)state;
     struct agent_options options = agent_setup_options();
-    struct agent_reporter reporter;
-    agent_reporter_init(&reporter, &options, 100);
-    agent_reporter_sent(&reporter, 100, 0);
-    agent_reporter_taken(&reporter);
-    agent_reporter_token_changed(&reporter, 100.1);
-    assert_true(agent_reporter_is_due(&reporter, 100.6));
-    agent_reporter_sent(&reporter, 100.6, 0);
-    agent_reporter_taken(&reporter);
-    agent_reporter_token_changed(&reporter, 101);
-    assert_false(agent_reporter_is_due(&reporter, 101.5));
-    agent_reporter_token_changed(&reporter, 110.2);
-    assert_true(agent_reporter_is_due(&reporter, 110.2));
+    struct agent_heartbeat heartbeat_timer;
+    agent_heartbeat_init(&heartbeat_timer, &options, 100);
+    agent_heartbeat_sent(&heartbeat_timer, 100, 0);
+    agent_heartbeat_accepted(&heartbeat_timer);
+    agent_heartbeat_token_changed(&heartbeat_timer, 100.1);
+    assert_true(agent_heartbeat_is_due(&heartbeat_timer, 100.6));
+    agent_heartbeat_sent(&heartbeat_timer, 100.6, 0);
+    agent_heartbeat_accepted(&heartbeat_timer);
+    agent_heartbeat_token_changed(&heartbeat_timer, 101);
+    assert_false(agent_heartbeat_is_due(&heartbeat_timer, 101.5));
+    agent_heartbeat_token_changed(&heartbeat_timer, 110.2);
+    assert_true(agent_heartbeat_is_due(&heartbeat_timer, 110.2));
     g_array_free(options.controllers, TRUE);
 }
 
@@ -50,64 +50,64 @@
 {
     (void)state;
     struct agent_options options = agent_setup_options();
-    struct agent_reporter reporter;
-    agent_reporter_init(&reporter, &options, 100);
-    agent_reporter_sent(&reporter, 100, 0);
-    agent_reporter_misdirected(&reporter, "three", 100, 0.25);
-    assert_string_equal(agent_reporter_controller(&reporter)->name, "three");
-    assert_false(agent_reporter_is_due(&reporter, 100.2));
-    assert_true(agent_reporter_is_due(&reporter, 100.25));
+    struct agent_heartbeat heartbeat_timer;
+    agent_heartbeat_init(&heartbeat_timer, &options, 100);
+    agent_heartbeat_sent(&heartbeat_timer, 100, 0);
+    agent_heartbeat_misdirected(&heartbeat_timer, "three", 100, 0.25);
+    assert_string_equal(agent_heartbeat_controller(&heartbeat_timer)->name, "three");
+    assert_false(agent_heartbeat_is_due(&heartbeat_timer, 100.2));
+    assert_true(agent_heartbeat_is_due(&heartbeat_timer, 100.25));
     /* Its own name, an unknown one or none: the next controller, a second later, whatever changes. */
     static const char *const useless[] = {"three", "nobody", NULL};
     static const char *const next[] = {"one", "two", "three"};
     for (int i = 0; i < 3; i++) {
-        agent_reporter_sent(&reporter, 200, 0);
-        agent_reporter_misdirected(&reporter, useless[i], 200, 0);
-        assert_string_equal(agent_reporter_controller(&reporter)->name, next[i]);
-        agent_reporter_changed(&reporter);
-        assert_false(agent_reporter_is_due(&reporter, 200.9));
-        assert_true(agent_reporter_is_due(&reporter, 201));
+        agent_heartbeat_sent(&heartbeat_timer, 200, 0);
+        agent_heartbeat_misdirected(&heartbeat_timer, useless[i], 200, 0);
+        assert_string_equal(agent_heartbeat_controller(&heartbeat_timer)->name, next[i]);
+        agent_heartbeat_changed(&heartbeat_timer);
+        assert_false(agent_heartbeat_is_due(&heartbeat_timer, 200.9));
+        assert_true(agent_heartbeat_is_due(&heartbeat_timer, 201));
     }
-    agent_reporter_sent(&reporter, 300, 0);
-    agent_reporter_failed(&reporter, 304);
-    assert_string_equal(agent_reporter_controller(&reporter)->name, "one");
-    assert_false(agent_reporter_is_due(&reporter, 304.9));
+    agent_heartbeat_sent(&heartbeat_timer, 300, 0);
+    agent_heartbeat_failed(&heartbeat_timer, 304);
+    assert_string_equal(agent_heartbeat_controller(&heartbeat_timer)->name, "one");
+    assert_false(agent_heartbeat_is_due(&heartbeat_timer, 304.9));
     g_array_free(options.controllers, TRUE);
 }
 
 /* ---- messages ---- */
 
-static void test_report_is_what_controllers_read(void **state)
+static void test_heartbeat_is_what_controllers_read(void **state)
 {
     (void)state;
     static char machine[] = "m-1", type[] = "m8", zone[] = "a", address[] = "127.0.0.1:1";
-    struct ow_report report = {.machine = machine,
-                               .addr = address,
-                               .type = type,
-                               .zone = zone,
-                               .spot = true,
-                               .session = 3,
-                               .seq = 8,
-                               .token = 41,
-                               .notice_s = -1,
-                               .tasks = g_array_new(FALSE, FALSE, sizeof(struct ow_task_report))};
-    struct ow_task_report running = {"run-1", 3, 2, OW_PHASE_RUNNING, OW_CAUSE_NONE, false};
-    struct ow_task_report stopped = {"run-2", 0, 1, OW_PHASE_EXITED, OW_CAUSE_STOPPED, true};
-    g_array_append_val(report.tasks, running);
-    g_array_append_val(report.tasks, stopped);
-    char *text = wire_report(&report);
-    struct ow_report *read = wire_report_parse(text, strlen(text));
+    struct ow_heartbeat heartbeat = {.machine = machine,
+                                     .addr = address,
+                                     .type = type,
+                                     .zone = zone,
+                                     .spot = true,
+                                     .session = 3,
+                                     .seq = 8,
+                                     .token = 41,
+                                     .notice_s = -1,
+                                     .tasks = g_array_new(FALSE, FALSE, sizeof(struct ow_task_status))};
+    struct ow_task_status running = {"run-1", 3, 2, OW_PHASE_RUNNING, OW_CAUSE_NONE, false};
+    struct ow_task_status stopped = {"run-2", 0, 1, OW_PHASE_EXITED, OW_CAUSE_STOPPED, true};
+    g_array_append_val(heartbeat.tasks, running);
+    g_array_append_val(heartbeat.tasks, stopped);
+    char *text = wire_heartbeat(&heartbeat);
+    struct ow_heartbeat *read = wire_heartbeat_parse(text, strlen(text));
     assert_non_null(read);
     assert_string_equal(read->machine, "m-1");
     assert_true(read->spot && read->session == 3 && read->seq == 8 && read->token == 41 &&
                 read->notice_s < 0);
     assert_int_equal(read->tasks->len, 2);
-    const struct ow_task_report *second = &g_array_index(read->tasks, struct ow_task_report, 1);
+    const struct ow_task_status *second = &g_array_index(read->tasks, struct ow_task_status, 1);
     assert_int_equal(second->cause, OW_CAUSE_STOPPED);
     assert_true(second->saved);
-    assert_int_equal(g_array_index(read->tasks, struct ow_task_report, 0).attempt, 2);
-    ow_report_free(read);
-    g_array_free(report.tasks, TRUE);
+    assert_int_equal(g_array_index(read->tasks, struct ow_task_status, 0).attempt, 2);
+    ow_heartbeat_free(read);
+    g_array_free(heartbeat.tasks, TRUE);
     g_free(text);
 }
 
@@ -143,10 +143,10 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_reports_follow_the_interval_and_changes),
+        cmocka_unit_test(test_heartbeats_follow_the_interval_and_changes),
         cmocka_unit_test(test_higher_token_counts_as_a_change_now_and_then),
         cmocka_unit_test(test_other_controllers_are_tried),
-        cmocka_unit_test(test_report_is_what_controllers_read),
+        cmocka_unit_test(test_heartbeat_is_what_controllers_read),
         cmocka_unit_test(test_orders_are_what_controllers_write),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test_agent_tasks.c
+++ b/tests/test_agent_tasks.c
@@ -93,29 +93,29 @@
     g_array_free(commands, TRUE);
 }
 
-/* What a report says of the first task, after all have ended. */
-static struct ow_task_report wait_for_end(struct bench *bench)
+/* What a heartbeat says of the first task, after all have ended. */
+static struct ow_task_status wait_for_end(struct bench *bench)
 {
     double until = agent_clock() + PATIENCE_S;
     while (agent_tasks_any_running(bench->tasks) && agent_clock() < until) {
         agent_tasks_poll(bench->tasks);
         g_usleep(10000);
     }
-    GArray *reports = g_array_new(FALSE, TRUE, sizeof(struct ow_task_report));
-    agent_tasks_report(bench->tasks, reports);
-    assert_true(reports->len > 0);
-    struct ow_task_report first = g_array_index(reports, struct ow_task_report, 0);
-    g_array_free(reports, TRUE);
+    GArray *heartbeats = g_array_new(FALSE, TRUE, sizeof(struct ow_task_status));
+    agent_tasks_status(bench->tasks, heartbeats);
+    assert_true(heartbeats->len > 0);
+    struct ow_task_status first = g_array_index(heartbeats, struct ow_task_status, 0);
+    g_array_free(heartbeats, TRUE);
     assert_int_equal(first.phase, OW_PHASE_EXITED);
     return first;
 }
 
 static guint count_tasks(const struct bench *bench)
 {
-    GArray *reports = g_array_new(FALSE, TRUE, sizeof(struct ow_task_report));
-    agent_tasks_report(bench->tasks, reports);
-    guint count = reports->len;
-    g_array_free(reports, TRUE);
+    GArray *heartbeats = g_array_new(FALSE, TRUE, sizeof(struct ow_task_status));
+    agent_tasks_status(bench->tasks, heartbeats);
+    guint count = heartbeats->len;
+    g_array_free(heartbeats, TRUE);
     return count;
 }
 
@@ -155,13 +155,13 @@
     obey(&bench, OW_WORKER_LAUNCH, 0, 3, 0); /* the task is here with another attempt */
     obey(&bench, OW_WORKER_LAUNCH, 1, 1, 0); /* 3 of 4 CPUs are taken */
     obey(&bench, OW_WORKER_LAUNCH, 9, 1, 0); /* the job has 4 tasks */
-    GArray *reports = g_array_new(FALSE, TRUE, sizeof(struct ow_task_report));
-    agent_tasks_report(bench.tasks, reports);
+    GArray *heartbeats = g_array_new(FALSE, TRUE, sizeof(struct ow_task_status));
+    agent_tasks_status(bench.tasks, heartbeats);
     static const enum ow_cause causes[] = {OW_CAUSE_NONE, OW_CAUSE_BUSY, OW_CAUSE_FULL, OW_CAUSE_UNKNOWN};
-    assert_int_equal(reports->len, G_N_ELEMENTS(causes));
-    for (guint i = 0; i < reports->len; i++)
-        assert_int_equal(g_array_index(reports, struct ow_task_report, i).cause, causes[i]);
-    g_array_free(reports, TRUE);
+    assert_int_equal(heartbeats->len, G_N_ELEMENTS(causes));
+    for (guint i = 0; i < heartbeats->len; i++)
+        assert_int_equal(g_array_index(heartbeats, struct ow_task_status, i).cause, causes[i]);
+    g_array_free(heartbeats, TRUE);
     /* Running tasks are not cleared. */
     obey(&bench, OW_WORKER_CLEAR, 0, 2, 0);
     assert_int_equal(count_tasks(&bench), 4);
@@ -188,7 +188,7 @@
         obey(&bench, OW_WORKER_LAUNCH, 0, 1, 0);
         g_usleep(300000); /* until the trap is set */
         obey(&bench, OW_WORKER_STOP, 0, 1, stops[i].grace_s);
-        struct ow_task_report end = wait_for_end(&bench);
+        struct ow_task_status end = wait_for_end(&bench);
         assert_int_equal(end.cause, OW_CAUSE_STOPPED);
         assert_int_equal(end.saved, stops[i].saved);
         close_bench(&bench);
@@ -211,7 +211,7 @@
     close_bench(&bench);
 }
 
-static void test_renewal_counts_from_when_the_report_was_sent(void **state)
+static void test_renewal_counts_from_when_the_heartbeat_was_sent(void **state)
 {
     (void)state;
     struct agent_lease *lease = agent_lease_new(10);
@@ -281,7 +281,7 @@
         cmocka_unit_test(test_launches_are_refused),
         cmocka_unit_test(test_stopped_task_saves_in_its_grace),
         cmocka_unit_test(test_tasks_end_with_the_lease_while_the_agent_stands_still),
-        cmocka_unit_test(test_renewal_counts_from_when_the_report_was_sent),
+        cmocka_unit_test(test_renewal_counts_from_when_the_heartbeat_was_sent),
         cmocka_unit_test(test_restarted_agent_waits_until_no_task_is_left),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test_cancellation_races.c
+++ b/tests/test_cancellation_races.c
@@ -53,7 +53,7 @@
     struct world *w = failure_world(1);
     struct world_machine *machine = world_machine(w, "m-0");
     w->hold_directs = true;
-    machine->report_at = w->now + 10;
+    machine->heartbeat_at = w->now + 10;
     world_submit(w, 0, world_job("run-1", 1, 1));
     world_run(w, 1);
     struct canceller canceller = {.id = "run-1", .controller = world_follower(w)};
--- a/tests/test_gangs.c
+++ b/tests/test_gangs.c
@@ -112,7 +112,7 @@
     uint64_t attempt = task->attempt;
     task->phase = OW_PHASE_EXITED;
     task->cause = OW_CAUSE_FULL; /* rejected by the worker: the member that did start is stopped */
-    machine->report_at = w->now;
+    machine->heartbeat_at = w->now;
     world_run(w, 6);
     assert_int_equal(world_running(w, "run-1"), 2);
     task = &g_array_index(machine->tasks, struct world_task, machine->tasks->len - 1);
--- a/tests/test_large_fleet.c
+++ b/tests/test_large_fleet.c
@@ -55,9 +55,9 @@
         world_machine_at(w, (guint)i)->stopped_reporting = !reporting;
 }
 
-/* The successor reaches every machine with what the leader told it alone: no report comes, and no list of the
-   cloud. Of a list that was cut it would reach the first machines only, and the others' tasks would end with
-   their leases. */
+/* The successor reaches every machine with what the leader told it alone: no heartbeat comes, and no list of
+   the cloud. Of a list that was cut it would reach the first machines only, and the others' tasks would end
+   with their leases. */
 static void test_successor_reaches_all_machines_by_the_leaders_list(void **state)
 {
     (void)state;
--- a/tests/test_lease_guard.c
+++ b/tests/test_lease_guard.c
@@ -121,11 +121,11 @@
 {
     (void)state;
     struct ow_event *refusal = NULL;
-    struct ow_effect *report_answer = new_effect(OW_EFFECT_WORKER_COMMANDS);
-    assert_true(ow_effect_guard(report_answer, OW_LEASE_UNPROVEN, &refusal));
-    assert_int_equal(report_answer->kind, OW_EFFECT_REFUSE);
-    assert_int_equal(report_answer->status, REFUSED);
-    ow_effect_free(report_answer);
+    struct ow_effect *heartbeat_answer = new_effect(OW_EFFECT_WORKER_COMMANDS);
+    assert_true(ow_effect_guard(heartbeat_answer, OW_LEASE_UNPROVEN, &refusal));
+    assert_int_equal(heartbeat_answer->kind, OW_EFFECT_REFUSE);
+    assert_int_equal(heartbeat_answer->status, REFUSED);
+    ow_effect_free(heartbeat_answer);
     struct ow_effect *direct = new_effect(OW_EFFECT_DIRECT);
     assert_true(ow_effect_guard(direct, OW_LEASE_UNPROVEN, &refusal));
     assert_int_equal(refusal->kind, OW_EVENT_DIRECT_REPLY);
--- a/tests/test_reports.c
+++ b/tests/test_reconciliation.c
@@ -61,16 +61,16 @@
     world_finish(w);
 }
 
-static void test_duplicate_report_renews_no_lease(void **state)
+static void test_duplicate_heartbeat_renews_no_lease(void **state)
 {
     (void)state;
     struct world *w = world_with_capacity(2, 6);
     w->cloud_down = true; /* no proof by deletion */
     struct world_machine *machine = world_start_long_job(w);
     enum { COPIES = 26 };
-    struct ow_report *copies[COPIES];
+    struct ow_heartbeat *copies[COPIES];
     for (int i = 0; i < COPIES; i++)
-        copies[i] = world_last_report(machine);
+        copies[i] = world_last_heartbeat(machine);
     machine->cut = true;
     for (int i = 0; i < COPIES; i++) {
         world_send_copy(w, world_leader(w), copies[i]);
@@ -82,22 +82,22 @@
     world_finish(w);
 }
 
-static void test_duplicate_report_frees_no_task_after_a_takeover(void **state)
+static void test_duplicate_heartbeat_frees_no_task_after_a_takeover(void **state)
 {
     (void)state;
     struct world *w = world_with_capacity(2, 6);
     w->cloud_down = true;
     struct world_machine *machine = world_machine(w, "m-0");
-    struct ow_report *before = world_last_report(machine),
-                     *other = world_last_report(world_machine(w, "m-1"));
+    struct ow_heartbeat *before = world_last_heartbeat(machine),
+                        *other = world_last_heartbeat(world_machine(w, "m-1"));
     machine = world_start_long_job(w);
-    ow_report_free(machine == world_machine(w, "m-0") ? other : before);
-    struct ow_report *copy = machine == world_machine(w, "m-0") ? before : other;
+    ow_heartbeat_free(machine == world_machine(w, "m-0") ? other : before);
+    struct ow_heartbeat *copy = machine == world_machine(w, "m-0") ? before : other;
     machine->cut = true;
     machine->renewed_at = w->now + 1000;
     world_kill_controller(w, world_leader(w));
     world_run(w, 8);
-    /* It lists no task, and it is the first report of the machine that this leader receives. */
+    /* It lists no task, and it is the first heartbeat of the machine that this leader receives. */
     world_send_copy(w, world_leader(w), copy);
     world_run(w, 15);
     assert_false(world_runs_on_another(w, machine));
@@ -107,16 +107,16 @@
     world_finish(w);
 }
 
-static void test_duplicate_report_restores_no_deleted_machine(void **state)
+static void test_duplicate_heartbeat_restores_no_deleted_machine(void **state)
 {
     (void)state;
     struct world *w = world_with_capacity(1, 6);
     struct world_machine *machine = world_start_long_job(w);
-    struct ow_report *copy = world_last_report(machine);
-    copy->seq += 100; /* newer than every report received from it */
+    struct ow_heartbeat *copy = world_last_heartbeat(machine);
+    copy->seq += 100; /* newer than every heartbeat received from it */
     g_array_set_size(copy->tasks, 0);
     machine->notice_s = 1;
-    machine->report_at = w->now;
+    machine->heartbeat_at = w->now;
     world_run(w, 1.5);
     world_delete_machine(machine);
     w->run_s = 1;
@@ -138,7 +138,7 @@
     machine->session = 3;
     machine->seq = 500;
     world_run(w, 10);
-    struct ow_report *copy = world_last_report(machine);
+    struct ow_heartbeat *copy = world_last_heartbeat(machine);
     copy->seq += 100;
     w->run_s = 2;
     world_reboot(w, machine);
@@ -155,9 +155,9 @@
         cmocka_unit_test(test_unresponsive_machine_gets_no_new_tasks),
         cmocka_unit_test(test_unresponsive_machine_is_replaced_after_a_takeover),
         cmocka_unit_test(test_unresponsive_machine_with_a_cancelled_task_is_deleted),
-        cmocka_unit_test(test_duplicate_report_renews_no_lease),
-        cmocka_unit_test(test_duplicate_report_frees_no_task_after_a_takeover),
-        cmocka_unit_test(test_duplicate_report_restores_no_deleted_machine),
+        cmocka_unit_test(test_duplicate_heartbeat_renews_no_lease),
+        cmocka_unit_test(test_duplicate_heartbeat_frees_no_task_after_a_takeover),
+        cmocka_unit_test(test_duplicate_heartbeat_restores_no_deleted_machine),
         cmocka_unit_test(test_worker_with_reset_sequence_numbers_is_replaced),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test_replica_moves.c
+++ b/tests/test_replica_moves.c
@@ -21,7 +21,7 @@
     world_submit(w, 0, other);
     world_run(w, 12);
     old->notice_s = 12;
-    old->report_at = w->now;
+    old->heartbeat_at = w->now;
     world_run(w, 4);
     assert_true(world_where(w, "run-1") != NULL && world_where(w, "run-1") != old);
     world_finish(w);
@@ -46,7 +46,7 @@
             if (!machine->spot)
                 continue;
             machine->notice_s = left;
-            machine->report_at = w->now;
+            machine->heartbeat_at = w->now;
         }
         world_run(w, 1);
     }
@@ -196,12 +196,12 @@
     struct world_machine *machine = world_where(w, "run-1");
     world_add_machine(w, "n-0", "big", "west", false);
     world_run(w, 4);
-    machine->report_at = w->now;
+    machine->heartbeat_at = w->now;
     world_run(w, 0.5);
     machine->stopped_reporting = true;
     world_run(w, w->settings[0].lease_s - 2);
     machine->stopped_reporting = false;
-    machine->report_at = w->now;
+    machine->heartbeat_at = w->now;
     world_run(w, 10);
     assert_int_equal(world_tasks_on(machine, "run-1"), 1);
     assert_int_equal(machine->starts, 1);
--- a/tests/test_safety.c
+++ b/tests/test_safety.c
@@ -49,7 +49,7 @@
     w->run_s = 100;
     struct world_machine *machine = world_start_settled_job(w, world_job("run-1", 1, 1));
     machine->notice_s = 1;
-    machine->report_at = w->now;
+    machine->heartbeat_at = w->now;
     world_run(w, 1.5);
     world_delete_machine(machine);
     assert_true(world_until(w, 12, world_runs_on_another, machine));
--- a/tests/test_services.c
+++ b/tests/test_services.c
@@ -241,7 +241,7 @@
 }
 
 /* A faulty job fails on every machine; while it is paused, polls answer the reason. */
-static void test_paused_service_reports_its_reason(void **state)
+static void test_paused_service_heartbeats_its_reason(void **state)
 {
     (void)state;
     struct world *w = world_with_capacity(4, 4);
@@ -276,7 +276,7 @@
         cmocka_unit_test(test_preemption_frees_capacity_in_one_zone),
         cmocka_unit_test(test_preemption_respects_the_spread_limit),
         cmocka_unit_test(test_failures_of_a_healthy_service_do_not_accumulate),
-        cmocka_unit_test(test_paused_service_reports_its_reason),
+        cmocka_unit_test(test_paused_service_heartbeats_its_reason),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/test_shards.c
+++ b/tests/test_shards.c
@@ -169,7 +169,7 @@
     (void)state;
     struct world *w = world_new();
     for (int i = 0; i < WORLD_CONTROLLERS; i++)
-        w->settings[i].report_s = 1;
+        w->settings[i].heartbeat_interval_s = 1;
     w->rules.leader_lease_s = 2;
     world_divide(w);
     world_start_controllers(w);
@@ -212,7 +212,7 @@
     unsigned before = withheld(w, old, EAST);
     assert_int_equal(ow_lease_guard_check(&shard_view(w, old, EAST)->guard, w->now), OW_LEASE_UNPROVEN);
     /* Reports come in, and what would be answered is not. */
-    world_report(w, old, world_machine(w, "east-0"), 1000, world_machine(w, "east-0")->token);
+    world_heartbeat(w, old, world_machine(w, "east-0"), 1000, world_machine(w, "east-0")->token);
     world_run(w, 0.6);
     assert_true(withheld(w, old, EAST) > before);
     w->state_slow_s = 0;
--- a/tests/test_takeover.c
+++ b/tests/test_takeover.c
@@ -70,9 +70,9 @@
     world_finish(w);
 }
 
-/* Rules 2 and 4: after a report from before the new token an older leader may still change the machine. It
+/* Rules 2 and 4: after a heartbeat from before the new token an older leader may still change the machine. It
  * frees no task and allows no launch. */
-static void test_report_with_a_stale_token_frees_no_task(void **state)
+static void test_heartbeat_with_a_stale_token_frees_no_task(void **state)
 {
     (void)state;
     struct world *w = world_with_machines(2);
@@ -86,7 +86,7 @@
     world_kill_controller(w, world_leader(w));
     world_run(w, 8);
     int controller = world_leader(w);
-    world_report(w, controller, machine, machine->seq + 1, token);
+    world_heartbeat(w, controller, machine, machine->seq + 1, token);
     world_submit(w, controller, world_job("run-2", 1, 1));
     world_run(w, 3);
     char *first = world_progress(w, "run-1/0");
@@ -121,7 +121,7 @@
 }
 
 /* Rule 4: a new leader starts nothing on a machine before it has its report under the new token. */
-static void test_no_launch_before_the_machine_reports_the_new_token(void **state)
+static void test_no_launch_before_the_machine_heartbeats_the_new_token(void **state)
 {
     (void)state;
     struct world *w = world_with_machines(1);
@@ -224,9 +224,9 @@
         cmocka_unit_test(test_takeover_recovers_tasks_of_a_deleted_machine),
         cmocka_unit_test(test_tasks_recover_when_machine_and_leader_fail_together),
         cmocka_unit_test(test_machine_with_a_stale_token_keeps_its_tasks),
-        cmocka_unit_test(test_report_with_a_stale_token_frees_no_task),
+        cmocka_unit_test(test_heartbeat_with_a_stale_token_frees_no_task),
         cmocka_unit_test(test_write_of_a_deposed_leader_is_rejected),
-        cmocka_unit_test(test_no_launch_before_the_machine_reports_the_new_token),
+        cmocka_unit_test(test_no_launch_before_the_machine_heartbeats_the_new_token),
         cmocka_unit_test(test_inherited_attempts_count_against_the_limit),
         cmocka_unit_test(test_higher_token_deposes_the_leader),
         cmocka_unit_test(test_successor_does_not_ask_machines_that_boot),
--- a/tests/test_wire.c
+++ b/tests/test_wire.c
@@ -138,27 +138,27 @@
     assert_null(parse_job("null"));
 }
 
-static const char report[] =
+static const char heartbeat[] =
     "{\"perch\":\"n-1\",\"addr\":\"10.1.0.2:9000\",\"breed\":\"g8\",\"range\":\"a\",\"windfall\":true,"
     "\"stint\":1,\"chirp\":88,\"crest\":41,\"warning_s\":7.5,"
     "\"talons\":[{\"talon\":\"run-000412/3\",\"dive\":2,\"stance\":\"flushing\"},"
     "{\"talon\":\"run-000398/0\",\"dive\":1,\"stance\":\"exited\",\"cause\":\"halted\",\"saved\":true}]}";
 
-static void test_reports(void **state)
+static void test_heartbeats(void **state)
 {
     (void)state;
-    struct ow_report *parsed = wire_report_parse(report, strlen(report));
+    struct ow_heartbeat *parsed = wire_heartbeat_parse(heartbeat, strlen(heartbeat));
     assert_non_null(parsed);
     assert_true(parsed->session == 1 && parsed->seq == 88 && parsed->token == 41 && parsed->notice_s == 7.5 &&
                 parsed->tasks->len == 2);
-    const struct ow_task_report *task = &g_array_index(parsed->tasks, struct ow_task_report, 1);
+    const struct ow_task_status *task = &g_array_index(parsed->tasks, struct ow_task_status, 1);
     assert_true(task->task == 0 && task->phase == OW_PHASE_EXITED && task->cause == OW_CAUSE_STOPPED &&
                 task->saved);
-    ow_report_free(parsed);
+    ow_heartbeat_free(parsed);
     /* A task that can't be parsed must not look like one that has ended. */
-    char **parts = g_strsplit(report, "run-000398/0", 2);
+    char **parts = g_strsplit(heartbeat, "run-000398/0", 2);
     char *text = g_strjoinv("run-000398", parts);
-    assert_null(wire_report_parse(text, strlen(text)));
+    assert_null(wire_heartbeat_parse(text, strlen(text)));
     g_free(text);
     g_strfreev(parts);
 }
@@ -285,7 +285,7 @@
         cmocka_unit_test(test_deadline_is_optional),
         cmocka_unit_test(test_wrong_deadline_is_named),
         cmocka_unit_test(test_bad_jobs_are_refused),
-        cmocka_unit_test(test_reports),
+        cmocka_unit_test(test_heartbeats),
         cmocka_unit_test(test_worker_commands),
         cmocka_unit_test(test_cloud),
         cmocka_unit_test(test_peer_messages),
--- a/tests/world.c
+++ b/tests/world.c
@@ -44,7 +44,7 @@
     add_team(settings->teams, tight_team, 8, 0);
     settings->objectives = g_array_new(FALSE, TRUE, sizeof(struct ow_objective));
     settings->zones = zones;
-    settings->report_s = 3;
+    settings->heartbeat_interval_s = 3;
     settings->lease_s = 20;
     settings->gang_wait_s = 30;
     settings->gang_peer_s = 4;
--- a/tests/world.h
+++ b/tests/world.h
@@ -32,18 +32,18 @@
     bool cut;               /* partitioned: no message passes in either direction */
     bool hangs;             /* its worker makes no progress at all */
     bool faulty;            /* every task fails on it */
-    bool unresponsive;      /* its reports arrive; responses and commands do not reach it */
-    bool stopped_reporting; /* its reports reach no controller; commands reach it */
+    bool unresponsive;      /* its heartbeats arrive; responses and commands do not reach it */
+    bool stopped_reporting; /* its heartbeats reach no controller; commands reach it */
     int only_controller;    /* partitioned from every other controller; -1: from none */
     double up_at;           /* the end of its boot */
     uint64_t session, seq, token;
     double notice_s; /* the time until it is reclaimed, as it reports it; -1: none */
-    double report_at, renewed_at, sent_at;
-    bool report_busy; /* it waits for the response to a report */
-    int controller;   /* the one that it reports to */
-    GArray *tasks;    /* struct world_task */
-    unsigned starts;  /* launches that it has carried out */
-    unsigned clears;  /* results that it was told to clear */
+    double heartbeat_at, renewed_at, sent_at;
+    bool heartbeat_busy; /* it waits for the response to a heartbeat */
+    int controller;      /* the one that it reports to */
+    GArray *tasks;       /* struct world_task */
+    unsigned starts;     /* launches that it has carried out */
+    unsigned clears;     /* results that it was told to clear */
 };
 
 /** What a submission requires, for the checks on the machines. */
@@ -211,13 +211,13 @@
 /** The attempts of a job that have not exited on this machine. */
 unsigned world_tasks_on(const struct world_machine *machine, const char *job);
 
-/** Sends a controller a report without tasks, of this sequence number and token. */
-void world_report(struct world *w, int controller, const struct world_machine *machine, uint64_t seq,
-                  uint64_t token);
-/** A duplicate of the machine's last report. */
-struct ow_report *world_last_report(const struct world_machine *machine);
-/** Sends a controller the report, which it takes over. */
-void world_send_copy(struct world *w, int controller, struct ow_report *report);
+/** Sends a controller a heartbeat without tasks, of this sequence number and token. */
+void world_heartbeat(struct world *w, int controller, const struct world_machine *machine, uint64_t seq,
+                     uint64_t token);
+/** A duplicate of the machine's last heartbeat. */
+struct ow_heartbeat *world_last_heartbeat(const struct world_machine *machine);
+/** Sends a controller the heartbeat, which it takes over. */
+void world_send_copy(struct world *w, int controller, struct ow_heartbeat *heartbeat);
 
 /* ---- users: each request returns its number; the response arrives while the cluster runs ---- */
 
--- a/tests/world_machines.c
+++ b/tests/world_machines.c
@@ -1,4 +1,4 @@
-/* The simulated machines: their creation and deletion, and their reports. */
+/* The simulated machines: their creation and deletion, and their heartbeats. */
 #include "world_parts.h"
 
 struct world_machine *world_machine(struct world *w, const char *name)
@@ -23,7 +23,7 @@
     machine->session = 1;
     machine->notice_s = -1;
     machine->only_controller = -1;
-    machine->up_at = machine->renewed_at = machine->report_at = w->now;
+    machine->up_at = machine->renewed_at = machine->heartbeat_at = w->now;
     machine->tasks = g_array_new(FALSE, TRUE, sizeof(struct world_task));
     g_ptr_array_add(w->machines, machine);
     g_hash_table_insert(w->machines_by_name, machine->name, machine);
@@ -51,55 +51,55 @@
     g_array_set_size(machine->tasks, 0);
 }
 
-struct ow_report *world_make_report(struct world_machine *machine)
+struct ow_heartbeat *world_make_heartbeat(struct world_machine *machine)
 {
-    struct ow_report *report = g_new0(struct ow_report, 1);
-    report->machine = g_strdup(machine->name);
-    report->addr = g_strdup(machine->addr);
-    report->type = g_strdup(machine->type);
-    report->zone = g_strdup(machine->zone);
-    report->spot = machine->spot;
-    report->session = machine->session;
-    report->seq = ++machine->seq;
-    report->token = machine->token;
-    report->notice_s = machine->notice_s;
-    report->tasks = g_array_new(FALSE, TRUE, sizeof(struct ow_task_report));
+    struct ow_heartbeat *heartbeat = g_new0(struct ow_heartbeat, 1);
+    heartbeat->machine = g_strdup(machine->name);
+    heartbeat->addr = g_strdup(machine->addr);
+    heartbeat->type = g_strdup(machine->type);
+    heartbeat->zone = g_strdup(machine->zone);
+    heartbeat->spot = machine->spot;
+    heartbeat->session = machine->session;
+    heartbeat->seq = ++machine->seq;
+    heartbeat->token = machine->token;
+    heartbeat->notice_s = machine->notice_s;
+    heartbeat->tasks = g_array_new(FALSE, TRUE, sizeof(struct ow_task_status));
     for (guint i = 0; i < machine->tasks->len; i++) {
         const struct world_task *task = &g_array_index(machine->tasks, struct world_task, i);
-        struct ow_task_report task_report = {.task = task->task,
+        struct ow_task_status task_status = {.task = task->task,
                                              .attempt = task->attempt,
                                              .phase = task->phase,
                                              .cause = task->cause,
                                              .saved = task->saved};
-        g_strlcpy(task_report.job, task->job, sizeof task_report.job);
-        g_array_append_val(report->tasks, task_report);
+        g_strlcpy(task_status.job, task->job, sizeof task_status.job);
+        g_array_append_val(heartbeat->tasks, task_status);
     }
-    return report;
+    return heartbeat;
 }
 
-void world_report(struct world *w, int controller, const struct world_machine *machine, uint64_t seq,
-                  uint64_t token)
+void world_heartbeat(struct world *w, int controller, const struct world_machine *machine, uint64_t seq,
+                     uint64_t token)
 {
     struct world_machine copy = *machine;
-    struct ow_event *event = world_command(OW_EVENT_REPORT, (uint64_t)1 << 60);
+    struct ow_event *event = world_command(OW_EVENT_HEARTBEAT, (uint64_t)1 << 60);
     copy.seq = seq - 1;
     copy.token = token;
-    event->report = world_make_report(&copy);
-    g_array_set_size(event->report->tasks, 0);
+    event->heartbeat = world_make_heartbeat(&copy);
+    g_array_set_size(event->heartbeat->tasks, 0);
     world_deliver(w, controller, w->controller_nonce[controller], 0, event);
 }
 
-struct ow_report *world_last_report(const struct world_machine *machine)
+struct ow_heartbeat *world_last_heartbeat(const struct world_machine *machine)
 {
     struct world_machine copy = *machine;
     copy.seq--;
-    return world_make_report(&copy);
+    return world_make_heartbeat(&copy);
 }
 
-void world_send_copy(struct world *w, int controller, struct ow_report *report)
+void world_send_copy(struct world *w, int controller, struct ow_heartbeat *heartbeat)
 {
-    struct ow_event *event = world_command(OW_EVENT_REPORT, (uint64_t)1 << 60);
-    event->report = report;
+    struct ow_event *event = world_command(OW_EVENT_HEARTBEAT, (uint64_t)1 << 60);
+    event->heartbeat = heartbeat;
     world_deliver(w, controller, w->controller_nonce[controller], 0, event);
 }
 
@@ -108,6 +108,6 @@
     g_array_set_size(machine->tasks, 0);
     machine->session = 1;
     machine->seq = machine->token = 0;
-    machine->report_busy = false;
-    machine->renewed_at = machine->report_at = w->now;
+    machine->heartbeat_busy = false;
+    machine->renewed_at = machine->heartbeat_at = w->now;
 }
--- a/tests/world_parts.h
+++ b/tests/world_parts.h
@@ -28,7 +28,7 @@
 void world_state_step(struct world *w);
 
 /* world_machines.c */
-struct ow_report *world_make_report(struct world_machine *machine);
+struct ow_heartbeat *world_make_heartbeat(struct world_machine *machine);
 
 /* world_workers.c */
 void world_workers_init(struct world *w);
--- a/tests/world_setup.c
+++ b/tests/world_setup.c
@@ -7,7 +7,7 @@
 {
     for (int i = 0; i < WORLD_CONTROLLERS; i++) {
         struct ow_settings *settings = &w->settings[i];
-        settings->report_s = 5;
+        settings->heartbeat_interval_s = 5;
         settings->lease_s = 26.5;
         settings->cancel_s = 46.5;
         settings->state_rps = 400;
--- a/tests/world_workers.c
+++ b/tests/world_workers.c
@@ -127,12 +127,12 @@
     bool ok = effect->token >= machine->token && effect->session == machine->session;
     if (effect->token > machine->token) {
         machine->token = effect->token;
-        machine->report_at = MIN(machine->report_at, w->now + 0.5);
+        machine->heartbeat_at = MIN(machine->heartbeat_at, w->now + 0.5);
     }
     if (ok)
         obey(w, machine, effect->commands);
     event->status = ok ? 200 : 409;
-    event->report = world_make_report(machine);
+    event->heartbeat = world_make_heartbeat(machine);
     world_deliver(w, controller, w->controller_nonce[controller], 0.01, event);
 }
 
@@ -152,34 +152,34 @@
     }
 }
 
-/* Takes the response to a report: requests of workers carry their machine's index above 2^32. */
+/* Takes the response to a heartbeat: requests of workers carry their machine's index above 2^32. */
 void world_workers_take_answer(struct world *w, int controller, const struct ow_effect *effect)
 {
     guint index = (guint)(effect->request >> 32) - 1;
     if (index >= w->machines->len)
         return; /* no worker waits for it */
     struct world_machine *machine = world_machine_at(w, index);
-    if (!machine->report_busy || (uint32_t)effect->request != (uint32_t)machine->seq || machine->hangs ||
+    if (!machine->heartbeat_busy || (uint32_t)effect->request != (uint32_t)machine->seq || machine->hangs ||
         machine->unresponsive || apart(w, machine, controller))
         return;
-    machine->report_busy = false;
-    machine->report_at = w->now + w->settings[0].report_s;
+    machine->heartbeat_busy = false;
+    machine->heartbeat_at = w->now + w->settings[0].heartbeat_interval_s;
     if (effect->kind == OW_EFFECT_MISDIRECT) {
         int named = effect->text != NULL ? atoi(effect->text + strlen("node-")) : controller;
         machine->controller = named != controller ? named : (controller + 1) % WORLD_CONTROLLERS;
-        machine->report_at = w->now + (named != controller ? 0.1 : 1);
+        machine->heartbeat_at = w->now + (named != controller ? 0.1 : 1);
         return;
     }
     if (effect->token < machine->token)
         return;
     if (effect->token > machine->token)
-        machine->report_at = w->now + 0.5;
+        machine->heartbeat_at = w->now + 0.5;
     machine->token = effect->token;
     machine->renewed_at = machine->sent_at;
     guint before = machine->tasks->len;
     obey(w, machine, effect->commands);
     if (machine->tasks->len != before)
-        machine->report_at = w->now + 0.5;
+        machine->heartbeat_at = w->now + 0.5;
 }
 
 static void step_task(struct world *w, struct world_machine *machine, struct world_task *task)
@@ -197,7 +197,7 @@
     }
     if (machine->faulty && task->phase == OW_PHASE_RUNNING)
         task->phase_at = w->now;
-    machine->report_at = MIN(machine->report_at, w->now + 0.5);
+    machine->heartbeat_at = MIN(machine->heartbeat_at, w->now + 0.5);
 }
 
 static void step_machine(struct world *w, struct world_machine *machine, guint index)
@@ -207,7 +207,7 @@
     if (w->now - machine->renewed_at > w->settings[0].lease_s) {
         machine->session++;
         machine->renewed_at = w->now;
-        machine->report_busy = false;
+        machine->heartbeat_busy = false;
         g_array_set_size(machine->tasks, 0);
     }
     world_check_cancelled(w, machine);
@@ -215,25 +215,25 @@
         return;
     for (guint i = 0; i < machine->tasks->len; i++)
         step_task(w, machine, &g_array_index(machine->tasks, struct world_task, i));
-    if (machine->report_busy && w->now - machine->sent_at > 4) {
-        machine->report_busy = false;
+    if (machine->heartbeat_busy && w->now - machine->sent_at > 4) {
+        machine->heartbeat_busy = false;
         machine->controller = (machine->controller + 1) % WORLD_CONTROLLERS;
-        machine->report_at = w->now + 1;
+        machine->heartbeat_at = w->now + 1;
     }
-    if (machine->report_busy || w->now < machine->report_at || machine->cut)
+    if (machine->heartbeat_busy || w->now < machine->heartbeat_at || machine->cut)
         return;
     machine->sent_at = w->now;
     if (w->controllers[machine->controller] == NULL || machine->stopped_reporting ||
         apart(w, machine, machine->controller)) {
         machine->controller = (machine->controller + 1) % WORLD_CONTROLLERS;
-        machine->report_at = w->now + 1;
+        machine->heartbeat_at = w->now + 1;
         return;
     }
-    struct ow_report *report = world_make_report(machine);
-    machine->report_busy = true;
+    struct ow_heartbeat *heartbeat = world_make_heartbeat(machine);
+    machine->heartbeat_busy = true;
     struct ow_event *event =
-        world_command(OW_EVENT_REPORT, ((uint64_t)(index + 1) << 32) | (uint32_t)machine->seq);
-    event->report = report;
+        world_command(OW_EVENT_HEARTBEAT, ((uint64_t)(index + 1) << 32) | (uint32_t)machine->seq);
+    event->heartbeat = heartbeat;
     world_deliver(w, machine->controller, w->controller_nonce[machine->controller], 0.01, event);
 }
 
