--- a/src/agent/agent.c
+++ b/src/agent/agent.c
@@ -26,13 +26,13 @@
     struct ow_http_server *server;
     struct ow_http_client *client;
     struct agent_history history;
-    struct agent_session session;
+    struct agent_incarnation incarnation;
     struct agent_lease *lease;
     struct agent_tasks *tasks;
     struct agent_heartbeat heartbeat_timer;
-    uint64_t sequence;          /* of the last message that tells the state of this machine */
-    uint64_t heartbeat_session; /* of the heartbeat under way */
-    double heartbeat_clock;     /* when it left, by the lease's clock */
+    uint64_t sequence;              /* of the last message that tells the state of this machine */
+    uint64_t heartbeat_incarnation; /* of the heartbeat under way */
+    double heartbeat_clock;         /* when it left, by the lease's clock */
 };
 
 /* ---- what this machine says ---- */
@@ -47,9 +47,9 @@
         .type = options->type,
         .zone = options->zone,
         .spot = options->spot,
-        .session = agent->session.number,
+        .incarnation = agent->incarnation.number,
         .seq = ++agent->sequence,
-        .token = agent->session.token,
+        .token = agent->incarnation.token,
         .notice_s = -1,
         .tasks = g_array_new(FALSE, FALSE, sizeof(struct ow_task_status)),
     };
@@ -67,15 +67,15 @@
     agent_history_add(&agent->history, "orders",
                       ",\"via\":\"%s\",\"token\":%" PRIu64 ",\"seen\":%" PRIu64 ",\"session\":%" PRIu64
                       ",\"commands\":%u,\"accepted\":%s",
-                      via, orders->token, agent->session.token, agent->session.number, orders->commands->len,
-                      accepted ? "true" : "false");
+                      via, orders->token, agent->incarnation.token, agent->incarnation.number,
+                      orders->commands->len, accepted ? "true" : "false");
 }
 
 static void see_token(struct agent *agent, uint64_t token)
 {
-    if (token <= agent->session.token)
+    if (token <= agent->incarnation.token)
         return;
-    agent_session_set_token(&agent->session, token);
+    agent_incarnation_set_token(&agent->incarnation, token);
     agent_history_add(&agent->history, "token", ",\"token\":%" PRIu64, token);
     agent_heartbeat_token_changed(&agent->heartbeat_timer, ow_loop_now(agent->loop));
 }
@@ -94,11 +94,11 @@
 {
     if (!agent_lease_is_over(agent->lease))
         return;
-    agent_history_add(&agent->history, "lease-over", ",\"session\":%" PRIu64, agent->session.number);
+    agent_history_add(&agent->history, "lease-over", ",\"session\":%" PRIu64, agent->incarnation.number);
     agent_tasks_forget_all(agent->tasks);
-    agent_session_begin_next(&agent->session);
+    agent_incarnation_begin_next(&agent->incarnation);
     agent_lease_restart(agent->lease);
-    agent_history_add(&agent->history, "session", ",\"session\":%" PRIu64, agent->session.number);
+    agent_history_add(&agent->history, "session", ",\"session\":%" PRIu64, agent->incarnation.number);
     agent_heartbeat_changed(&agent->heartbeat_timer);
 }
 
@@ -122,12 +122,13 @@
 static void take_direct(struct agent *agent, const struct ow_http_request *request)
 {
     struct ow_worker_orders *orders = wire_worker_orders_parse(request->body, request->body_size);
-    if (orders == NULL || !orders->has_token || !orders->has_session) {
+    if (orders == NULL || !orders->has_token || !orders->has_incarnation) {
         answer_error(agent, request, OW_HTTP_STATUS_BAD_REQUEST, "no commands with token and session");
         wire_worker_orders_free(orders);
         return;
     }
-    bool accepted = orders->token >= agent->session.token && orders->session == agent->session.number;
+    bool accepted =
+        orders->token >= agent->incarnation.token && orders->incarnation == agent->incarnation.number;
     record_orders(agent, orders, "direct", accepted);
     if (accepted)
         obey(agent, orders);
@@ -154,7 +155,7 @@
 {
     double now = ow_loop_now(agent->loop);
     char *body = make_heartbeat(agent);
-    agent->heartbeat_session = agent->session.number;
+    agent->heartbeat_incarnation = agent->incarnation.number;
     agent->heartbeat_clock = agent_clock();
     agent_heartbeat_sent(&agent->heartbeat_timer, now, g_random_double_range(-1, 1));
     ow_http_client_send(agent->client, agent_heartbeat_controller(&agent->heartbeat_timer)->endpoint, "POST",
@@ -172,8 +173,8 @@
         return;
     }
     bool in_time = agent_clock() - agent->heartbeat_clock <= HEARTBEAT_TIMEOUT_S;
-    bool accepted =
-        in_time && orders->token >= agent->session.token && agent->heartbeat_session == agent->session.number;
+    bool accepted = in_time && orders->token >= agent->incarnation.token &&
+                    agent->heartbeat_incarnation == agent->incarnation.number;
     record_orders(agent, orders, "answer", accepted);
     if (accepted) {
         agent_lease_renew(agent->lease, agent->heartbeat_clock);
@@ -232,11 +233,11 @@
     struct agent agent = {.options = options};
     /* Whoever starts again waits here until the tasks of its last life are gone. */
     if (!agent_history_open(&agent.history, options->history, options->machine) ||
-        !agent_session_open(&agent.session, options->state_dir) || !open_sockets(&agent))
+        !agent_incarnation_open(&agent.incarnation, options->state_dir) || !open_sockets(&agent))
         return;
     agent.lease = agent_lease_new(options->lease_s);
-    agent.tasks = agent_tasks_new(options, &agent.session, agent.lease, &agent.history);
+    agent.tasks = agent_tasks_new(options, &agent.incarnation, agent.lease, &agent.history);
     agent_heartbeat_init(&agent.heartbeat_timer, options, ow_loop_now(agent.loop));
-    agent_history_add(&agent.history, "session", ",\"session\":%" PRIu64, agent.session.number);
+    agent_history_add(&agent.history, "session", ",\"session\":%" PRIu64, agent.incarnation.number);
     ow_loop_run(agent.loop, serve_round, &agent);
 }
--- a/src/agent/lease.h
+++ b/src/agent/lease.h
@@ -16,7 +16,7 @@
 void agent_lease_free(struct agent_lease *lease);
 /* A report sent at this time has been answered by who is entitled to. An earlier one changes nothing. */
 void agent_lease_renew(struct agent_lease *lease, double sent_at);
-/* A new session has begun. */
+/* A new incarnation has begun. */
 void agent_lease_restart(struct agent_lease *lease);
 bool agent_lease_is_over(const struct agent_lease *lease);
 /* When it runs out. */
--- a/src/agent/options.h
+++ b/src/agent/options.h
@@ -16,7 +16,7 @@
     struct ow_amounts size;
     double heartbeat_interval_s, lease_s;
     GArray *controllers; /* struct agent_controller */
-    char *state_dir;     /* the agent's own: session, lock */
+    char *state_dir;     /* the agent's own: incarnation, lock */
     char *jobs_dir;      /* job descriptions, <id>.json */
     char *history;       /* file that events are appended to, or NULL */
 };
--- a/src/agent/supervisor.c
+++ b/src/agent/supervisor.c
@@ -85,7 +85,7 @@
 
 static void kill_task(const struct watch *watch, int signal)
 {
-    /* The task leads a session of its own; until it has got there it is one process. */
+    /* The task leads an incarnation of its own; until it has got there it is one process. */
     if (kill(-watch->task, signal) != 0)
         kill(watch->task, signal);
 }
--- a/src/agent/tasks.c
+++ b/src/agent/tasks.c
@@ -18,7 +18,7 @@
 
 struct agent_tasks {
     const struct agent_options *options;
-    const struct agent_session *session;
+    const struct agent_incarnation *incarnation;
     const struct agent_lease *lease;
     const struct agent_history *history;
     GPtrArray *list; /* struct task, owned */
@@ -33,12 +33,13 @@
     g_free(task);
 }
 
-struct agent_tasks *agent_tasks_new(const struct agent_options *options, const struct agent_session *session,
+struct agent_tasks *agent_tasks_new(const struct agent_options *options,
+                                    const struct agent_incarnation *incarnation,
                                     const struct agent_lease *lease, const struct agent_history *history)
 {
     struct agent_tasks *tasks = g_new0(struct agent_tasks, 1);
     tasks->options = options;
-    tasks->session = session;
+    tasks->incarnation = incarnation;
     tasks->lease = lease;
     tasks->history = history;
     tasks->list = g_ptr_array_new_with_free_func(task_free);
@@ -135,11 +136,11 @@
         .words = description->command,
         .lease = tasks->lease,
         .history = tasks->history,
-        .lock_fd = tasks->session->lock_fd,
+        .lock_fd = tasks->incarnation->lock_fd,
     };
     agent_history_add(tasks->history, "launched",
                       ",\"task\":\"%s/%" PRIu32 "\",\"attempt\":%" PRIu64 ",\"token\":%" PRIu64, run.job,
-                      run.task, run.attempt, tasks->session->token);
+                      run.task, run.attempt, tasks->incarnation->token);
     task->heartbeat.phase = OW_PHASE_RUNNING;
     task->may_save = description->submission->checkpoint_s > 0;
     task->description = description;
--- a/src/agent/tasks.h
+++ b/src/agent/tasks.h
@@ -4,13 +4,14 @@
 #define OW_AGENT_TASKS_H
 
 #include "agent/options.h"
-#include "agent/session.h"
+#include "agent/incarnation.h"
 #include "agent/supervisor.h"
 
 struct agent_tasks;
 
 /* All must outlive it. */
-struct agent_tasks *agent_tasks_new(const struct agent_options *options, const struct agent_session *session,
+struct agent_tasks *agent_tasks_new(const struct agent_options *options,
+                                    const struct agent_incarnation *incarnation,
                                     const struct agent_lease *lease, const struct agent_history *history);
 /* Kills every task and frees all. */
 void agent_tasks_free(struct agent_tasks *tasks);
--- a/src/core/attempt.c
+++ b/src/core/attempt.c
@@ -19,7 +19,7 @@
 static const double RETRY_PAUSE_S = 1;
 
 struct ow_attempt *ow_attempt_new(struct ow_leader *leader, struct ow_run *run, uint32_t task,
-                                  uint64_t number, struct ow_machine *machine, uint64_t session)
+                                  uint64_t number, struct ow_machine *machine, uint64_t incarnation)
 {
     struct ow_attempt *attempt = g_new0(struct ow_attempt, 1);
     const struct ow_submission *submission = run->job->spec->submission;
@@ -27,7 +27,7 @@
     attempt->task = task;
     attempt->number = number;
     attempt->machine = machine;
-    attempt->session = session;
+    attempt->incarnation = incarnation;
     attempt->placed_at = leader->core->now;
     run->tasks[task].attempt = attempt;
     g_ptr_array_add(run->attempts, attempt);
--- a/src/core/attempt.h
+++ b/src/core/attempt.h
@@ -24,7 +24,7 @@
     uint32_t task;
     uint64_t number; /* grows with each attempt at any task of the chunk */
     struct ow_machine *machine;
-    uint64_t session; /* the worker's session that it belongs to */
+    uint64_t incarnation; /* the worker's incarnation that it belongs to */
     enum ow_attempt_state state;
     enum ow_phase phase;
     uint64_t in_write;             /* serial of the write that carries its record */
@@ -38,7 +38,7 @@
 
 /* Creates an attempt in state OW_ATTEMPT_PLANNED and adds its needs to the sums of machine and team. */
 struct ow_attempt *ow_attempt_new(struct ow_leader *leader, struct ow_run *run, uint32_t task,
-                                  uint64_t number, struct ow_machine *machine, uint64_t session);
+                                  uint64_t number, struct ow_machine *machine, uint64_t incarnation);
 /* Ends and frees an attempt that is proven gone, or of which no launch ever left. `proof` is for the log.
    Other attempts of a gang may end with it. */
 void ow_attempt_end(struct ow_leader *leader, struct ow_attempt *attempt, enum ow_cause cause,
--- a/src/core/core.c
+++ b/src/core/core.c
@@ -193,7 +193,7 @@
 {
     for (guint i = 0; i < leader->machines->len; i++) {
         const struct ow_machine *machine = g_ptr_array_index(leader->machines, i);
-        if (machine->session == 0)
+        if (machine->incarnation == 0)
             continue;
         status->machines++;
         status->fenced += machine->fenced ? 1 : 0;
--- a/src/core/effects.h
+++ b/src/core/effects.h
@@ -122,7 +122,7 @@
     char *text; /* the reason a job waits; an error; a controller; an address */
     int retry_after_s;
     /* commands */
-    uint64_t token, session;
+    uint64_t token, incarnation;
     GArray *commands; /* struct ow_worker_command */
     GArray *teams;    /* struct ow_team_view */
     struct ow_store_request *store;
--- a/src/core/leader.c
+++ b/src/core/leader.c
@@ -93,23 +93,23 @@
         machine->unanswered_since = 0;
 }
 
-static uint64_t session_of(const struct ow_leader *leader, const struct ow_heartbeat *heartbeat)
+static uint64_t incarnation_of(const struct ow_leader *leader, const struct ow_heartbeat *heartbeat)
 {
     const struct ow_machine *machine = ow_machines_find(leader, heartbeat->machine);
-    return machine != NULL ? machine->session : 0;
+    return machine != NULL ? machine->incarnation : 0;
 }
 
 void ow_leader_receive_heartbeat(struct ow_leader *leader, uint64_t request,
                                  const struct ow_heartbeat *heartbeat)
 {
-    uint64_t session_before = session_of(leader, heartbeat);
+    uint64_t incarnation_before = incarnation_of(leader, heartbeat);
     struct ow_effect *effect = ow_effect_new(OW_EFFECT_WORKER_COMMANDS, request);
     GArray *clears = g_array_new(FALSE, FALSE, sizeof(struct ow_worker_command));
     struct ow_machine *machine = ow_reconcile_heartbeat(leader, heartbeat, clears);
     bool is_newest =
-        machine != NULL && heartbeat->session == machine->session && heartbeat->seq == machine->seq;
+        machine != NULL && heartbeat->incarnation == machine->incarnation && heartbeat->seq == machine->seq;
     if (is_newest) {
-        if (machine->fenced && heartbeat->session == session_before)
+        if (machine->fenced && heartbeat->incarnation == incarnation_before)
             note_answers_arrive(machine, leader->core->now);
         machine->last_heartbeat_at = leader->core->now;
     }
@@ -118,7 +118,7 @@
     effect->token = leader->phase == OW_LEADER_REFRESH ? 0 : leader->token;
     bool current =
         is_newest && machine->fenced && heartbeat->token == leader->token && leader->phase == OW_LEADER_READY;
-    /* Commands go only to the session that they are meant for, and not in answer to a late copy. */
+    /* Commands go only to the incarnation that they are meant for, and not in answer to a late copy. */
     if (current)
         effect->commands = ow_worker_commands_for(leader, machine, NULL);
     else if (leader->phase != OW_LEADER_REFRESH)
--- a/src/core/machines/machine.h
+++ b/src/core/machines/machine.h
@@ -17,7 +17,7 @@
 };
 
 /* A launch sent to the machine's own address to which no answer has come: it may be carried out at any time
-   until the worker's session ends. */
+   until the worker's incarnation ends. */
 struct ow_unacknowledged_launch {
     const struct ow_job *job;
     uint32_t task;
@@ -35,14 +35,14 @@
     double delete_at; /* the next try to delete it */
 
     /* Liveness: reconciliation.c, worker_commands.c and machine_health.c. */
-    double met_at;            /* when this leader first learnt of it */
-    double first_message_at;  /* arrival of the first message of any kind; 0: none has come */
-    double last_message_at;   /* arrival of its newest message of any kind; 0: none has come */
-    double last_heartbeat_at; /* arrival of its newest heartbeat; an answer to a command renews no lease */
-    double unanswered_since;  /* commands find no answer since then; 0: it answers */
-    uint64_t session, seq;    /* of its newest message */
-    uint64_t dead_session;    /* every session up to this one is proven over */
-    bool fenced;              /* it has seen this leader's token and accepts no older leader's commands */
+    double met_at;             /* when this leader first learnt of it */
+    double first_message_at;   /* arrival of the first message of any kind; 0: none has come */
+    double last_message_at;    /* arrival of its newest message of any kind; 0: none has come */
+    double last_heartbeat_at;  /* arrival of its newest heartbeat; an answer to a command renews no lease */
+    double unanswered_since;   /* commands find no answer since then; 0: it answers */
+    uint64_t incarnation, seq; /* of its newest message */
+    uint64_t expired_incarnation; /* every incarnation up to this one is proven over */
+    bool fenced;                  /* it has seen this leader's token and accepts no older leader's commands */
     double fenced_at;
     double reclaimed_at;           /* when the cloud takes it back, after a notice; 0: no notice */
     uint32_t heartbeat_generation; /* the leader's count of heartbeats at its newest one */
--- a/src/core/machines/machine_health.c
+++ b/src/core/machines/machine_health.c
@@ -37,16 +37,17 @@
 
 /* Proof by time: a worker ends its tasks when lease_s has passed since it sent the last heartbeat that was
    answered. Only answers of ours count once it has seen our token: no older one is accepted. And that report
-   was sent before the newest message came that we have of the session: late copies renew nothing. */
+   was sent before the newest message came that we have of the incarnation: late copies renew nothing. */
 static void prove_by_lease(struct ow_leader *leader, struct ow_machine *machine)
 {
     double lease = leader->core->settings->lease_s * (1 + DRIFT) + MARGIN_S;
     double last = MAX(machine->last_message_at, machine->fenced_at);
-    if (!machine->fenced || machine->session <= machine->dead_session || leader->core->now < last + lease)
+    if (!machine->fenced || machine->incarnation <= machine->expired_incarnation ||
+        leader->core->now < last + lease)
         return;
     g_info("machine %s: session %" G_GUINT64_FORMAT " has run out unanswered", machine->name,
-           machine->session);
-    machine->dead_session = machine->session;
+           machine->incarnation);
+    machine->expired_incarnation = machine->incarnation;
     while (machine->attempts->len > 0)
         ow_attempt_end(leader, g_ptr_array_index(machine->attempts, 0), OW_CAUSE_NONE,
                        "its machine's lease has run out");
--- a/src/core/machines/machine_registry.c
+++ b/src/core/machines/machine_registry.c
@@ -95,7 +95,7 @@
     /* No launch before its report under our own token, nor on one that has fallen silent, answers commands
        but does not report (its lease runs out), or is unresponsive, is about to be reclaimed, or is being
        returned. */
-    return machine->fenced && machine->session > machine->dead_session &&
+    return machine->fenced && machine->incarnation > machine->expired_incarnation &&
            ow_machine_spec(leader, machine) != NULL && machine->addr != NULL &&
            ow_machine_heard_recently(leader, machine) && !ow_machine_is_silent(leader, machine) &&
            machine->unanswered_since == 0 && machine->reclaimed_at == 0 && !machine->deleting &&
--- a/src/core/machines/reconciliation.c
+++ b/src/core/machines/reconciliation.c
@@ -18,7 +18,7 @@
     struct ow_attempt *attempt = job->run->tasks[task_status->task].attempt;
     if (attempt == NULL || attempt->machine != machine)
         return NULL;
-    if (attempt->number != task_status->attempt || attempt->session != machine->session)
+    if (attempt->number != task_status->attempt || attempt->incarnation != machine->incarnation)
         return NULL;
     return attempt;
 }
@@ -142,7 +142,7 @@
             continue;
         struct ow_attempt *attempt = g_ptr_array_index(machine->attempts, i - 1);
         if (attempt->heartbeat_generation == machine->heartbeat_generation ||
-            attempt->session != machine->session)
+            attempt->incarnation != machine->incarnation)
             continue;
         /* An older leader's launch can't come true any more: the worker has seen our token.
            Our own may still be on its way; it is sent again until it shows. */
@@ -156,21 +156,21 @@
     }
 }
 
-static void begin_session(struct ow_machine *machine, uint64_t session)
+static void begin_incarnation(struct ow_machine *machine, uint64_t incarnation)
 {
-    machine->session = session;
+    machine->incarnation = incarnation;
     machine->seq = 0;
-    machine->dead_session = MAX(machine->dead_session, session - 1);
+    machine->expired_incarnation = MAX(machine->expired_incarnation, incarnation - 1);
     g_array_set_size(machine->unacknowledged_launches, 0);
 }
 
-static void end_older_sessions(struct ow_leader *leader, struct ow_machine *machine)
+static void end_older_incarnations(struct ow_leader *leader, struct ow_machine *machine)
 {
     for (guint i = machine->attempts->len; i > 0; i--) {
         if (i > machine->attempts->len)
             continue;
         struct ow_attempt *attempt = g_ptr_array_index(machine->attempts, i - 1);
-        if (attempt->session < machine->session)
+        if (attempt->incarnation < machine->incarnation)
             ow_attempt_end(leader, attempt, OW_CAUSE_NONE, "its machine has begun a new session");
     }
 }
@@ -193,16 +193,16 @@
     machine->reclaimed_at = leader->core->now + notice_s;
 }
 
-/* What a heartbeat says of its machine whichever leader's commands it accepts. A session that has ended took
-   its tasks along, whichever token the worker has seen: attempts are recorded with the session that they were
-   meant for. */
-static void apply_session(struct ow_leader *leader, struct ow_machine *machine,
-                          const struct ow_heartbeat *heartbeat)
+/* What a heartbeat says of its machine whichever leader's commands it accepts. A incarnation that has ended
+   took its tasks along, whichever token the worker has seen: attempts are recorded with the incarnation that
+   they were meant for. */
+static void apply_incarnation(struct ow_leader *leader, struct ow_machine *machine,
+                              const struct ow_heartbeat *heartbeat)
 {
-    if (heartbeat->session > machine->session)
-        begin_session(machine, heartbeat->session);
-    /* Also in a session that records have named before: others may name older ones. */
-    end_older_sessions(leader, machine);
+    if (heartbeat->incarnation > machine->incarnation)
+        begin_incarnation(machine, heartbeat->incarnation);
+    /* Also in an incarnation that records have named before: others may name older ones. */
+    end_older_incarnations(leader, machine);
     machine->listed = OW_LISTED_RUNNING;
     machine->last_message_at = leader->core->now;
     if (machine->first_message_at == 0)
@@ -216,7 +216,7 @@
     machine->fenced_at = machine->idle_since = leader->core->now;
     machine->unanswered_since = 0;
     leader->pass.due = true;
-    g_info("machine %s reports, session %" G_GUINT64_FORMAT, machine->name, machine->session);
+    g_info("machine %s reports, session %" G_GUINT64_FORMAT, machine->name, machine->incarnation);
 }
 
 GArray *ow_reconcile_cancelled(const struct ow_leader *leader, const struct ow_heartbeat *heartbeat)
@@ -238,13 +238,13 @@
     if (g_hash_table_contains(leader->deletions.names, heartbeat->machine))
         return NULL;
     struct ow_machine *machine = ow_machines_find_or_add(leader, heartbeat->machine);
-    /* A late copy says nothing about now, renews nothing, and a session proven over is over. */
-    if (heartbeat->session < machine->session ||
-        (heartbeat->session == machine->session && heartbeat->seq <= machine->seq) ||
-        heartbeat->session <= machine->dead_session)
+    /* A late copy says nothing about now, renews nothing, and an incarnation proven over is over. */
+    if (heartbeat->incarnation < machine->incarnation ||
+        (heartbeat->incarnation == machine->incarnation && heartbeat->seq <= machine->seq) ||
+        heartbeat->incarnation <= machine->expired_incarnation)
         return machine;
     ow_machine_describe(leader, machine, heartbeat->addr, heartbeat->type, heartbeat->zone, heartbeat->spot);
-    apply_session(leader, machine, heartbeat);
+    apply_incarnation(leader, machine, heartbeat);
     if (heartbeat->token != leader->token || leader->phase != OW_LEADER_READY) {
         /* Until it has seen our token an older leader may still change what it says. */
         if (leader->phase == OW_LEADER_READY)
--- a/src/core/machines/reconciliation.h
+++ b/src/core/machines/reconciliation.h
@@ -1,5 +1,5 @@
-/* Reports of workers: what they say about machines, sessions and tasks, and which attempts that proves to be
- * running, done or gone. */
+/* Reports of workers: what they say about machines, incarnations and tasks, and which attempts that proves to
+ * be running, done or gone. */
 #ifndef OW_CORE_MACHINES_RECONCILIATION_H
 #define OW_CORE_MACHINES_RECONCILIATION_H
 
--- a/src/core/machines/worker_commands.c
+++ b/src/core/machines/worker_commands.c
@@ -45,11 +45,12 @@
         add_command(commands, OW_WORKER_STOP, attempt);
 }
 
-/* Whether there is something to tell the machine of the attempt. A new session has forgotten the tasks of the
-   old one; it must not be given them again. */
+/* Whether there is something to tell the machine of the attempt. A new incarnation has forgotten the tasks of
+   the old one; it must not be given them again. */
 static bool is_command_due(const struct ow_machine *machine, const struct ow_attempt *attempt)
 {
-    return attempt->session == machine->session && (attempt->state != OW_ATTEMPT_SEEN || attempt->stop);
+    return attempt->incarnation == machine->incarnation &&
+           (attempt->state != OW_ATTEMPT_SEEN || attempt->stop);
 }
 
 GArray *ow_worker_commands_for(struct ow_leader *leader, struct ow_machine *machine, GArray *starts)
@@ -126,7 +127,7 @@
         apply_direct_answer(leader, machine, answer);
         return;
     }
-    /* No answer: these launches may be carried out minutes later, for as long as the session lasts. */
+    /* No answer: these launches may be carried out minutes later, for as long as the incarnation lasts. */
     g_array_append_vals(machine->unacknowledged_launches, machine->direct_launches->data,
                         machine->direct_launches->len);
     g_array_set_size(machine->direct_launches, 0);
@@ -147,7 +148,7 @@
     effect->commands = ow_worker_commands_for(leader, machine, machine->direct_launches);
     effect->text = g_strdup(machine->addr);
     effect->token = leader->token;
-    effect->session = MAX(machine->session, 1);
+    effect->incarnation = MAX(machine->incarnation, 1);
     effect->request =
         ow_pending_calls_add(leader->core->pending_calls, on_direct, leader, call, direct_call_free);
     ow_core_emit(leader->core, effect);
--- a/src/core/machines/worker_commands.h
+++ b/src/core/machines/worker_commands.h
@@ -8,7 +8,7 @@
 struct ow_leader;
 struct ow_machine;
 
-/* The commands due for the machine's session, as struct ow_worker_command; the caller owns the array. The
+/* The commands due for the machine's incarnation, as struct ow_worker_command; the caller owns the array. The
    attempts among them count as sent. Each launch is also appended to `starts`, an array of struct
    ow_unacknowledged_launch, unless that is NULL. */
 GArray *ow_worker_commands_for(struct ow_leader *leader, struct ow_machine *machine, GArray *starts);
--- a/src/core/records/limits.c
+++ b/src/core/records/limits.c
@@ -2,8 +2,8 @@
 
 #include "core/records/records.h"
 
-/* What one task takes in a progress record at most: a machine with its session, the task and its attempt, or
-   a mark among those that are done. Beside them a record has its name and its frame. */
+/* What one task takes in a progress record at most: a machine with its incarnation, the task and its attempt,
+   or a mark among those that are done. Beside them a record has its name and its frame. */
 enum { TASK_BYTES = 30, FRAME_BYTES = 150, LEAST_BYTES = 256 };
 
 struct ow_limits ow_limits_of(const struct ow_settings *s)
--- a/src/core/records/record_values.c
+++ b/src/core/records/record_values.c
@@ -186,8 +186,8 @@
     int machines = strcmp(x->machine, y->machine);
     if (machines != 0)
         return machines;
-    if (x->session != y->session)
-        return x->session < y->session ? -1 : 1;
+    if (x->incarnation != y->incarnation)
+        return x->incarnation < y->incarnation ? -1 : 1;
     return x->task < y->task ? -1 : x->task > y->task;
 }
 
@@ -206,7 +206,7 @@
             g_array_append_val(record.done, task);
         if (attempt == NULL)
             continue;
-        struct ow_live_record live = {task, attempt->number, attempt->machine->name, attempt->session};
+        struct ow_live_record live = {task, attempt->number, attempt->machine->name, attempt->incarnation};
         g_array_append_val(record.live, live);
     }
     g_array_sort(record.live, by_place);
--- a/src/core/records/records.h
+++ b/src/core/records/records.h
@@ -36,13 +36,13 @@
     uint32_t task;
     uint64_t attempt;
     const char *machine;
-    uint64_t session;
+    uint64_t incarnation;
 };
 
 struct ow_progress_record {
     uint64_t last_attempt;    /* no attempt number up to it may be used again */
     GArray *done;             /* uint32_t task numbers, ascending */
-    GArray *live;             /* struct ow_live_record, grouped by machine and session */
+    GArray *live;             /* struct ow_live_record, grouped by machine and incarnation */
     GPtrArray *machine_names; /* the texts of `live`, if they are the record's own; else NULL */
 };
 
--- a/src/core/records/takeover.c
+++ b/src/core/records/takeover.c
@@ -36,10 +36,10 @@
             continue;
         struct ow_machine *machine = ow_machines_find_or_add(leader, record->machine);
         struct ow_attempt *attempt =
-            ow_attempt_new(leader, run, record->task, record->attempt, machine, record->session);
+            ow_attempt_new(leader, run, record->task, record->attempt, machine, record->incarnation);
         attempt->state = OW_ATTEMPT_INHERITED;
-        if (machine->session == 0)
-            machine->session = record->session;
+        if (machine->incarnation == 0)
+            machine->incarnation = record->incarnation;
     }
 }
 
--- a/src/core/scheduling/placement.c
+++ b/src/core/scheduling/placement.c
@@ -128,7 +128,7 @@
 {
     struct ow_chunk *chunk = ow_run_chunk(run, task);
     chunk->last_attempt = MAX(chunk->last_attempt, number);
-    struct ow_attempt *attempt = ow_attempt_new(leader, run, task, number, machine, machine->session);
+    struct ow_attempt *attempt = ow_attempt_new(leader, run, task, number, machine, machine->incarnation);
     /* A replica has no end: what is not stopped for others must be complete some day. */
     attempt->not_preemptible = (run->starves || run->aged) && !ow_run_is_service(run);
     ow_machine_image_use(leader, machine, run->job->spec, false);
--- a/src/core/scheduling/preempt.c
+++ b/src/core/scheduling/preempt.c
@@ -23,7 +23,7 @@
 {
     const struct ow_spec *spec = run->job->spec;
     const struct ow_spec *other = attempt->job->spec;
-    if (attempt->session != attempt->machine->session || attempt->not_preemptible)
+    if (attempt->incarnation != attempt->machine->incarnation || attempt->not_preemptible)
         return false;
     /* Who can't be in time any more takes nothing from who still can. */
     if (ow_deadline_is_missed(leader, run) && ow_deadline_is_kept(leader, attempt))
--- a/src/wire/records_json.c
+++ b/src/wire/records_json.c
@@ -73,10 +73,10 @@
 
 static bool same_place(const struct ow_live_record *a, const struct ow_live_record *b)
 {
-    return a->session == b->session && strcmp(a->machine, b->machine) == 0;
+    return a->incarnation == b->incarnation && strcmp(a->machine, b->machine) == 0;
 }
 
-/* The live attempts of one machine and session: "from-to@attempt,...". */
+/* The live attempts of one machine and incarnation: "from-to@attempt,...". */
 static char *place_text(const GArray *live, guint *i)
 {
     GString *text = g_string_new(NULL);
@@ -103,7 +103,7 @@
     json_t *live = json_object();
     for (guint i = 0; i < record->live->len;) {
         const struct ow_live_record *head = &g_array_index(record->live, struct ow_live_record, i);
-        char *place = g_strdup_printf("%s %" PRIu64, head->machine, head->session);
+        char *place = g_strdup_printf("%s %" PRIu64, head->machine, head->incarnation);
         char *tasks = place_text(record->live, &i);
         const char *before = json_string_value(json_object_get(live, place));
         char *all = before != NULL ? g_strdup_printf("%s,%s", before, tasks) : g_strdup(tasks);
@@ -149,7 +149,7 @@
     return true;
 }
 
-static bool parse_place(const char *machine, uint64_t session, const char *text, GArray *live)
+static bool parse_place(const char *machine, uint64_t incarnation, const char *text, GArray *live)
 {
     while (*text != '\0') {
         uint32_t from = 0, to = 0;
@@ -158,7 +158,7 @@
             return false;
         uint64_t attempt = strtoull(text + 1, &end, 10);
         for (uint32_t task = from; task <= to; task++) {
-            struct ow_live_record entry = {task, attempt, machine, session};
+            struct ow_live_record entry = {task, attempt, machine, incarnation};
             g_array_append_val(live, entry);
         }
         text = *end == ',' ? end + 1 : end;
@@ -184,7 +184,7 @@
             ok = false;
             continue;
         }
-        /* The key holds the session behind the name. */
+        /* The key holds the incarnation behind the name. */
         char *machine = g_strndup(place, (gsize)(space - place));
         g_ptr_array_add(out->machine_names, machine);
         ok = parse_place(machine, strtoull(space + 1, NULL, 10), json_string_value(tasks), out->live) && ok;
--- a/src/wire/words.h
+++ b/src/wire/words.h
@@ -51,7 +51,7 @@
 #define W_MACHINE "perch"
 #define W_MACHINES "perches"
 #define W_ADDR "addr"
-#define W_SESSION "stint"
+#define W_INCARNATION "stint"
 #define W_SEQ "chirp"
 #define W_TOKEN "crest"
 #define W_NOTICE "warning_s"
--- a/src/wire/worker_json.c
+++ b/src/wire/worker_json.c
@@ -68,8 +68,8 @@
     heartbeat->notice_s = -1;
     bool ok = wj_string(object, W_MACHINE, &machine) && wj_string(object, W_ADDR, &addr) &&
               wj_string(object, W_TYPE, &type) && wj_string(object, W_ZONE, &zone) &&
-              wj_count(object, W_SESSION, &heartbeat->session) && wj_count(object, W_SEQ, &heartbeat->seq) &&
-              parse_tasks(object, heartbeat->tasks);
+              wj_count(object, W_INCARNATION, &heartbeat->incarnation) &&
+              wj_count(object, W_SEQ, &heartbeat->seq) && parse_tasks(object, heartbeat->tasks);
     if (ok) {
         wj_bool(object, W_SPOT, &heartbeat->spot);
         wj_count(object, W_TOKEN, &heartbeat->token);
@@ -108,10 +108,10 @@
         json_pack("{s:I,s:o}", W_TOKEN, (json_int_t)token, W_COMMANDS, commands_json(commands)));
 }
 
-char *wire_direct_commands(uint64_t token, uint64_t session, const GArray *commands)
+char *wire_direct_commands(uint64_t token, uint64_t incarnation, const GArray *commands)
 {
-    return wj_take_text(json_pack("{s:I,s:I,s:o}", W_TOKEN, (json_int_t)token, W_SESSION, (json_int_t)session,
-                                  W_COMMANDS, commands_json(commands)));
+    return wj_take_text(json_pack("{s:I,s:I,s:o}", W_TOKEN, (json_int_t)token, W_INCARNATION,
+                                  (json_int_t)incarnation, W_COMMANDS, commands_json(commands)));
 }
 
 char *wire_misdirected(const char *controller)
--- a/tests/effect_line.c
+++ b/tests/effect_line.c
@@ -38,7 +38,7 @@
 static void append_direct(GString *line, const struct ow_effect *effect)
 {
     g_string_append_printf(line, "direct %s", effect->text);
-    append_body(line, wire_direct_commands(effect->token, effect->session, effect->commands));
+    append_body(line, wire_direct_commands(effect->token, effect->incarnation, effect->commands));
 }
 
 static void append_store_request(GString *line, const struct ow_store_request *request)
--- a/tests/test_agent.c
+++ b/tests/test_agent.c
@@ -86,7 +86,7 @@
                                      .type = type,
                                      .zone = zone,
                                      .spot = true,
-                                     .session = 3,
+                                     .incarnation = 3,
                                      .seq = 8,
                                      .token = 41,
                                      .notice_s = -1,
@@ -99,7 +99,7 @@
     struct ow_heartbeat *read = wire_heartbeat_parse(text, strlen(text));
     assert_non_null(read);
     assert_string_equal(read->machine, "m-1");
-    assert_true(read->spot && read->session == 3 && read->seq == 8 && read->token == 41 &&
+    assert_true(read->spot && read->incarnation == 3 && read->seq == 8 && read->token == 41 &&
                 read->notice_s < 0);
     assert_int_equal(read->tasks->len, 2);
     const struct ow_task_status *second = &g_array_index(read->tasks, struct ow_task_status, 1);
@@ -119,7 +119,8 @@
     g_array_append_val(commands, stop);
     char *direct = wire_direct_commands(9, 2, commands);
     struct ow_worker_orders *orders = wire_worker_orders_parse(direct, strlen(direct));
-    assert_true(orders->has_token && orders->token == 9 && orders->has_session && orders->session == 2);
+    assert_true(orders->has_token && orders->token == 9 && orders->has_incarnation &&
+                orders->incarnation == 2);
     const struct ow_worker_command *read = &g_array_index(orders->commands, struct ow_worker_command, 0);
     assert_int_equal(read->kind, OW_WORKER_STOP);
     assert_string_equal(read->job, "run-7");
--- a/tests/test_agent_tasks.c
+++ b/tests/test_agent_tasks.c
@@ -13,26 +13,26 @@
 /* Longer than anything that is waited for takes. */
 static const double PATIENCE_S = 30;
 
-static void test_session_and_token_outlive_the_process(void **state)
+static void test_incarnation_and_token_outlive_the_process(void **state)
 {
     (void)state;
     char *directory = agent_setup_directory();
-    struct agent_session session;
-    assert_true(agent_session_open(&session, directory));
-    assert_int_equal(session.number, 1);
-    agent_session_set_token(&session, 77);
-    agent_session_begin_next(&session);
-    agent_session_close(&session);
-    assert_true(agent_session_open(&session, directory));
-    assert_int_equal(session.number, 3);
-    assert_int_equal(session.token, 77);
-    agent_session_close(&session);
+    struct agent_incarnation incarnation;
+    assert_true(agent_incarnation_open(&incarnation, directory));
+    assert_int_equal(incarnation.number, 1);
+    agent_incarnation_set_token(&incarnation, 77);
+    agent_incarnation_begin_next(&incarnation);
+    agent_incarnation_close(&incarnation);
+    assert_true(agent_incarnation_open(&incarnation, directory));
+    assert_int_equal(incarnation.number, 3);
+    assert_int_equal(incarnation.token, 77);
+    agent_incarnation_close(&incarnation);
     /* A file that can't be read is no new machine. */
     char *path = g_build_filename(directory, "session", NULL);
     assert_true(g_file_set_contents(path, "what", -1, NULL));
     g_free(path);
-    assert_false(agent_session_open(&session, directory));
-    agent_session_close(&session);
+    assert_false(agent_incarnation_open(&incarnation, directory));
+    agent_incarnation_close(&incarnation);
     agent_setup_remove(directory);
 }
 
@@ -41,7 +41,7 @@
 struct bench {
     char *directory;
     struct agent_options options;
-    struct agent_session session;
+    struct agent_incarnation incarnation;
     struct agent_lease *lease;
     struct agent_history history;
     struct agent_tasks *tasks;
@@ -69,16 +69,16 @@
         .directory = agent_setup_directory(), .options = agent_setup_options(), .history = {-1, "m-1"}};
     bench->options.jobs_dir = bench->directory;
     bench->options.lease_s = lease_s;
-    assert_true(agent_session_open(&bench->session, bench->directory));
+    assert_true(agent_incarnation_open(&bench->incarnation, bench->directory));
     bench->lease = agent_lease_new(lease_s);
-    bench->tasks = agent_tasks_new(&bench->options, &bench->session, bench->lease, &bench->history);
+    bench->tasks = agent_tasks_new(&bench->options, &bench->incarnation, bench->lease, &bench->history);
 }
 
 static void close_bench(struct bench *bench)
 {
     agent_tasks_free(bench->tasks);
     agent_lease_free(bench->lease);
-    agent_session_close(&bench->session);
+    agent_incarnation_close(&bench->incarnation);
     g_array_free(bench->options.controllers, TRUE);
     agent_setup_remove(bench->directory);
 }
@@ -229,7 +229,7 @@
     return kill(pid, 0) == 0;
 }
 
-/* An agent that is killed leaves no task: the next one waits for that, and begins a new session. */
+/* An agent that is killed leaves no task: the next one waits for that, and begins a new incarnation. */
 static void test_restarted_agent_waits_until_no_task_is_left(void **state)
 {
     (void)state;
@@ -241,9 +241,9 @@
         struct bench bench = {
             .directory = directory, .options = agent_setup_options(), .history = {-1, "m-1"}};
         bench.options.jobs_dir = directory;
-        bool ok = agent_session_open(&bench.session, directory);
+        bool ok = agent_incarnation_open(&bench.incarnation, directory);
         bench.lease = agent_lease_new(600);
-        bench.tasks = agent_tasks_new(&bench.options, &bench.session, bench.lease, &bench.history);
+        bench.tasks = agent_tasks_new(&bench.options, &bench.incarnation, bench.lease, &bench.history);
         char *command = g_strdup_printf("echo $$ > %s; exec sleep 600", pid_file);
         describe_job(&bench, 1, 0, command);
         obey(&bench, OW_WORKER_LAUNCH, 0, 1, 0);
@@ -263,11 +263,11 @@
     assert_true(task > 0 && process_exists(task));
     kill(agent, SIGKILL);
     waitpid(agent, NULL, 0);
-    struct agent_session session;
-    assert_true(agent_session_open(&session, directory));
+    struct agent_incarnation incarnation;
+    assert_true(agent_incarnation_open(&incarnation, directory));
     assert_false(process_exists(task));
-    assert_int_equal(session.number, 2);
-    agent_session_close(&session);
+    assert_int_equal(incarnation.number, 2);
+    agent_incarnation_close(&incarnation);
     g_free(text);
     g_free(pid_file);
     agent_setup_remove(directory);
@@ -276,7 +276,7 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_session_and_token_outlive_the_process),
+        cmocka_unit_test(test_incarnation_and_token_outlive_the_process),
         cmocka_unit_test(test_ends_are_reported_with_their_cause),
         cmocka_unit_test(test_launches_are_refused),
         cmocka_unit_test(test_stopped_task_saves_in_its_grace),
--- a/tests/test_isolation.c
+++ b/tests/test_isolation.c
@@ -153,7 +153,7 @@
     assert_true(world_until(w, 40, world_all_done, "run-1"));
     world_run(w, 15);
     for (guint i = 0; i < w->machines->len; i++)
-        assert_int_equal(world_machine_at(w, i)->session, 1);
+        assert_int_equal(world_machine_at(w, i)->incarnation, 1);
     world_submit(w, 0, world_job("run-2", 4, 1));
     assert_true(world_until(w, 40, world_all_done, "run-2"));
     world_finish(w);
--- a/tests/test_reconciliation.c
+++ b/tests/test_reconciliation.c
@@ -135,7 +135,7 @@
     (void)state;
     struct world *w = world_with_capacity(1, 6);
     struct world_machine *machine = world_start_long_job(w);
-    machine->session = 3;
+    machine->incarnation = 3;
     machine->seq = 500;
     world_run(w, 10);
     struct ow_heartbeat *copy = world_last_heartbeat(machine);
--- a/tests/test_records.c
+++ b/tests/test_records.c
@@ -13,9 +13,9 @@
 /* Bytes: a chunk of tasks must stay well below the size limit of a value. */
 enum { VALUE_LIMIT = 8 * 1024 };
 
-static void add_live(GArray *live, uint32_t task, uint64_t attempt, const char *machine, uint64_t session)
+static void add_live(GArray *live, uint32_t task, uint64_t attempt, const char *machine, uint64_t incarnation)
 {
-    struct ow_live_record record = {task, attempt, machine, session};
+    struct ow_live_record record = {task, attempt, machine, incarnation};
     g_array_append_val(live, record);
 }
 
@@ -43,7 +43,7 @@
         const struct ow_live_record *written = &g_array_index(record.live, struct ow_live_record, i);
         const struct ow_live_record *read = &g_array_index(again.live, struct ow_live_record, i);
         assert_true(written->task == read->task && written->attempt == read->attempt &&
-                    written->session == read->session);
+                    written->incarnation == read->incarnation);
         assert_string_equal(written->machine, read->machine);
     }
     json_decref(value);
--- a/tests/world.h
+++ b/tests/world.h
@@ -36,7 +36,7 @@
     bool stopped_reporting; /* its heartbeats reach no controller; commands reach it */
     int only_controller;    /* partitioned from every other controller; -1: from none */
     double up_at;           /* the end of its boot */
-    uint64_t session, seq, token;
+    uint64_t incarnation, seq, token;
     double notice_s; /* the time until it is reclaimed, as it reports it; -1: none */
     double heartbeat_at, renewed_at, sent_at;
     bool heartbeat_busy; /* it waits for the response to a heartbeat */
--- a/tests/world_machines.c
+++ b/tests/world_machines.c
@@ -20,7 +20,7 @@
     g_strlcpy(machine->type, type, sizeof machine->type);
     g_strlcpy(machine->zone, zone, sizeof machine->zone);
     machine->spot = spot;
-    machine->session = 1;
+    machine->incarnation = 1;
     machine->notice_s = -1;
     machine->only_controller = -1;
     machine->up_at = machine->renewed_at = machine->heartbeat_at = w->now;
@@ -59,7 +59,7 @@
     heartbeat->type = g_strdup(machine->type);
     heartbeat->zone = g_strdup(machine->zone);
     heartbeat->spot = machine->spot;
-    heartbeat->session = machine->session;
+    heartbeat->incarnation = machine->incarnation;
     heartbeat->seq = ++machine->seq;
     heartbeat->token = machine->token;
     heartbeat->notice_s = machine->notice_s;
@@ -106,7 +106,7 @@
 void world_reboot(struct world *w, struct world_machine *machine)
 {
     g_array_set_size(machine->tasks, 0);
-    machine->session = 1;
+    machine->incarnation = 1;
     machine->seq = machine->token = 0;
     machine->heartbeat_busy = false;
     machine->renewed_at = machine->heartbeat_at = w->now;
--- a/tests/world_workers.c
+++ b/tests/world_workers.c
@@ -9,7 +9,7 @@
 
 struct late_direct {
     char machine[32];
-    uint64_t token, session;
+    uint64_t token, incarnation;
     GArray *commands;
 };
 
@@ -116,7 +116,7 @@
         if (machine != NULL && !machine->gone && (machine->cut || w->hold_directs)) {
             /* The partition delays the packets; they arrive once it heals. */
             struct late_direct late = {.token = effect->token,
-                                       .session = effect->session,
+                                       .incarnation = effect->incarnation,
                                        .commands = g_steal_pointer(&effect->commands)};
             g_strlcpy(late.machine, machine->name, sizeof late.machine);
             g_array_append_val(w->late, late);
@@ -124,7 +124,7 @@
         world_deliver(w, controller, w->controller_nonce[controller], 3, event);
         return;
     }
-    bool ok = effect->token >= machine->token && effect->session == machine->session;
+    bool ok = effect->token >= machine->token && effect->incarnation == machine->incarnation;
     if (effect->token > machine->token) {
         machine->token = effect->token;
         machine->heartbeat_at = MIN(machine->heartbeat_at, w->now + 0.5);
@@ -143,7 +143,7 @@
         struct world_machine *machine = world_machine(w, late->machine);
         if (!machine->gone && (machine->cut || w->hold_directs))
             continue;
-        if (!machine->gone && late->token >= machine->token && late->session == machine->session) {
+        if (!machine->gone && late->token >= machine->token && late->incarnation == machine->incarnation) {
             machine->token = late->token;
             obey(w, machine, late->commands);
         }
@@ -205,7 +205,7 @@
     if (machine->gone || w->now < machine->up_at)
         return;
     if (w->now - machine->renewed_at > w->settings[0].lease_s) {
-        machine->session++;
+        machine->incarnation++;
         machine->renewed_at = w->now;
         machine->heartbeat_busy = false;
         g_array_set_size(machine->tasks, 0);
