--- a/src/agent/agent.c
+++ b/src/agent/agent.c
@@ -49,7 +49,7 @@
         .spot = options->spot,
         .incarnation = agent->incarnation.number,
         .seq = ++agent->sequence,
-        .token = agent->incarnation.token,
+        .fencing_token = agent->incarnation.fencing_token,
         .notice_s = -1,
         .tasks = g_array_new(FALSE, FALSE, sizeof(struct ow_task_status)),
     };
@@ -67,22 +67,22 @@
     agent_history_add(&agent->history, "orders",
                       ",\"via\":\"%s\",\"token\":%" PRIu64 ",\"seen\":%" PRIu64 ",\"session\":%" PRIu64
                       ",\"commands\":%u,\"accepted\":%s",
-                      via, orders->token, agent->incarnation.token, agent->incarnation.number,
+                      via, orders->fencing_token, agent->incarnation.fencing_token, agent->incarnation.number,
                       orders->commands->len, accepted ? "true" : "false");
 }
 
-static void see_token(struct agent *agent, uint64_t token)
+static void observe_fencing_token(struct agent *agent, uint64_t fencing_token)
 {
-    if (token <= agent->incarnation.token)
+    if (fencing_token <= agent->incarnation.fencing_token)
         return;
-    agent_incarnation_set_token(&agent->incarnation, token);
-    agent_history_add(&agent->history, "token", ",\"token\":%" PRIu64, token);
-    agent_heartbeat_token_changed(&agent->heartbeat_timer, ow_loop_now(agent->loop));
+    agent_incarnation_set_fencing_token(&agent->incarnation, fencing_token);
+    agent_history_add(&agent->history, "token", ",\"token\":%" PRIu64, fencing_token);
+    agent_heartbeat_fencing_token_changed(&agent->heartbeat_timer, ow_loop_now(agent->loop));
 }
 
 static void obey(struct agent *agent, const struct ow_worker_orders *orders)
 {
-    see_token(agent, orders->token);
+    observe_fencing_token(agent, orders->fencing_token);
     if (orders->commands->len == 0)
         return;
     agent_tasks_obey(agent->tasks, orders->commands);
@@ -122,13 +122,13 @@
 static void take_direct(struct agent *agent, const struct ow_http_request *request)
 {
     struct ow_worker_orders *orders = wire_worker_orders_parse(request->body, request->body_size);
-    if (orders == NULL || !orders->has_token || !orders->has_incarnation) {
+    if (orders == NULL || !orders->has_fencing_token || !orders->has_incarnation) {
         answer_error(agent, request, OW_HTTP_STATUS_BAD_REQUEST, "no commands with token and session");
         wire_worker_orders_free(orders);
         return;
     }
-    bool accepted =
-        orders->token >= agent->incarnation.token && orders->incarnation == agent->incarnation.number;
+    bool accepted = orders->fencing_token >= agent->incarnation.fencing_token &&
+                    orders->incarnation == agent->incarnation.number;
     record_orders(agent, orders, "direct", accepted);
     if (accepted)
         obey(agent, orders);
@@ -163,17 +163,17 @@
     g_free(body);
 }
 
-/* An answer of who may be entitled; one with an older token, or none, is as good as none. */
+/* An answer of who may be entitled; one with an older fencing token, or none, is as good as none. */
 static void take_orders(struct agent *agent, const char *body, size_t size)
 {
     struct ow_worker_orders *orders = wire_worker_orders_parse(body, size);
     agent_heartbeat_accepted(&agent->heartbeat_timer);
-    if (orders == NULL || !orders->has_token) {
+    if (orders == NULL || !orders->has_fencing_token) {
         wire_worker_orders_free(orders);
         return;
     }
     bool in_time = agent_clock() - agent->heartbeat_clock <= HEARTBEAT_TIMEOUT_S;
-    bool accepted = in_time && orders->token >= agent->incarnation.token &&
+    bool accepted = in_time && orders->fencing_token >= agent->incarnation.fencing_token &&
                     agent->heartbeat_incarnation == agent->incarnation.number;
     record_orders(agent, orders, "answer", accepted);
     if (accepted) {
--- a/src/agent/agent.h
+++ b/src/agent/agent.h
@@ -1,4 +1,5 @@
-/* The agent of one machine: it reports to one controller at a time, and obeys the one with the highest token.
+/* The agent of one machine: it reports to one controller at a time, and obeys the one with the highest
+ * fencing token.
  */
 #ifndef OW_AGENT_AGENT_H
 #define OW_AGENT_AGENT_H
--- a/src/agent/heartbeat.c
+++ b/src/agent/heartbeat.c
@@ -5,14 +5,16 @@
 /* Reports come at least so far apart; around the interval by this share; and a controller that did not take
    one is followed by the next after so long. */
 static const double GAP_S = 0.5, JITTER_SHARE = 0.25, NEXT_S = 1;
-/* A higher token counts as a change at most once in this share of the lease. */
-static const double TOKEN_CHANGE_SHARE = 0.5;
+/* A higher fencing token counts as a change at most once in this share of the lease. */
+static const double FENCING_TOKEN_CHANGE_SHARE = 0.5;
 
 void agent_heartbeat_init(struct agent_heartbeat *heartbeat_timer, const struct agent_options *options,
                           double now)
 {
-    *heartbeat_timer = (struct agent_heartbeat){
-        .options = options, .due_at = now, .sent_at = now - GAP_S, .token_change_at = now - options->lease_s};
+    *heartbeat_timer = (struct agent_heartbeat){.options = options,
+                                                .due_at = now,
+                                                .sent_at = now - GAP_S,
+                                                .fencing_token_change_at = now - options->lease_s};
 }
 
 void agent_heartbeat_changed(struct agent_heartbeat *heartbeat_timer)
@@ -20,11 +22,12 @@
     heartbeat_timer->changed = true;
 }
 
-void agent_heartbeat_token_changed(struct agent_heartbeat *heartbeat_timer, double now)
+void agent_heartbeat_fencing_token_changed(struct agent_heartbeat *heartbeat_timer, double now)
 {
-    if (now - heartbeat_timer->token_change_at < TOKEN_CHANGE_SHARE * heartbeat_timer->options->lease_s)
+    if (now - heartbeat_timer->fencing_token_change_at <
+        FENCING_TOKEN_CHANGE_SHARE * heartbeat_timer->options->lease_s)
         return;
-    heartbeat_timer->token_change_at = now;
+    heartbeat_timer->fencing_token_change_at = now;
     heartbeat_timer->changed = true;
 }
 
--- a/src/agent/heartbeat.h
+++ b/src/agent/heartbeat.h
@@ -12,15 +12,15 @@
     bool busy;        /* a heartbeat is under way */
     bool changed;     /* something has, since the last heartbeat was made */
     double sent_at, due_at;
-    double token_change_at; /* when a higher token last counted as a change */
+    double fencing_token_change_at; /* when a higher fencing token last counted as a change */
 };
 
 void agent_heartbeat_init(struct agent_heartbeat *heartbeat_timer, const struct agent_options *options,
                           double now);
 /* Something that a heartbeat tells has changed. */
 void agent_heartbeat_changed(struct agent_heartbeat *heartbeat_timer);
-/* A higher token was seen, which counts as a change only now and then. */
-void agent_heartbeat_token_changed(struct agent_heartbeat *heartbeat_timer, double now);
+/* A higher fencing token was seen, which counts as a change only now and then. */
+void agent_heartbeat_fencing_token_changed(struct agent_heartbeat *heartbeat_timer, double now);
 /* Whether a heartbeat is to be sent now. */
 bool agent_heartbeat_is_due(const struct agent_heartbeat *heartbeat_timer, double now);
 /* A report leaves; `jitter` is a random number from -1 to 1. */
--- a/src/agent/incarnation.c
+++ b/src/agent/incarnation.c
@@ -38,7 +38,8 @@
 {
     char *path = path_of(incarnation, "session");
     char *beside = path_of(incarnation, "session.new");
-    char *text = g_strdup_printf("%" PRIu64 " %" PRIu64 "\n", incarnation->number, incarnation->token);
+    char *text =
+        g_strdup_printf("%" PRIu64 " %" PRIu64 "\n", incarnation->number, incarnation->fencing_token);
     FILE *file = fopen(beside, "we");
     bool ok = file != NULL && fputs(text, file) >= 0;
     ok = file != NULL && fclose(file) == 0 && ok;
@@ -65,7 +66,7 @@
     char *text = NULL;
     bool ok = true;
     if (g_file_get_contents(path, &text, NULL, NULL))
-        ok = sscanf(text, "%" SCNu64 " %" SCNu64, &incarnation->number, &incarnation->token) == 2;
+        ok = sscanf(text, "%" SCNu64 " %" SCNu64, &incarnation->number, &incarnation->fencing_token) == 2;
     else
         ok = !g_file_test(path, G_FILE_TEST_EXISTS);
     if (!ok)
@@ -111,8 +112,8 @@
     store_or_end(incarnation);
 }
 
-void agent_incarnation_set_token(struct agent_incarnation *incarnation, uint64_t token)
+void agent_incarnation_set_fencing_token(struct agent_incarnation *incarnation, uint64_t fencing_token)
 {
-    incarnation->token = token;
+    incarnation->fencing_token = fencing_token;
     store_or_end(incarnation);
 }
--- a/src/agent/tasks.c
+++ b/src/agent/tasks.c
@@ -140,7 +140,7 @@
     };
     agent_history_add(tasks->history, "launched",
                       ",\"task\":\"%s/%" PRIu32 "\",\"attempt\":%" PRIu64 ",\"token\":%" PRIu64, run.job,
-                      run.task, run.attempt, tasks->incarnation->token);
+                      run.task, run.attempt, tasks->incarnation->fencing_token);
     task->heartbeat.phase = OW_PHASE_RUNNING;
     task->may_save = description->submission->checkpoint_s > 0;
     task->description = description;
--- a/src/core/api/cancel.c
+++ b/src/core/api/cancel.c
@@ -12,7 +12,7 @@
 /* A cancellation whose record is on its way. */
 struct cancel_call {
     struct ow_pending_request pending;
-    uint64_t leader_token; /* as the record names it */
+    uint64_t leader_fencing_token; /* as the record names it */
     size_t record_bytes;
 };
 
@@ -34,7 +34,8 @@
 static void handle_success(struct ow_core *core, const struct cancel_call *call, uint64_t revision)
 {
     g_info("job %s cancelled by its user", call->pending.id);
-    const struct ow_job *job = ow_jobs_cancel(core->jobs, call->pending.id, revision, call->leader_token);
+    const struct ow_job *job =
+        ow_jobs_cancel(core->jobs, call->pending.id, revision, call->leader_fencing_token);
     ow_job_answer(core, call->pending.request, 200, job);
 }
 
@@ -84,12 +85,13 @@
     }
 }
 
-static char *cancellation_record(const struct ow_core *core, const struct ow_job *job, uint64_t leader_token)
+static char *cancellation_record(const struct ow_core *core, const struct ow_job *job,
+                                 uint64_t leader_fencing_token)
 {
     double age_s = core->now - job->accepted_at;
     struct ow_job_record record = {.state = OW_JOB_CANCELLED,
                                    .accepted_at = core->time_of_day - age_s,
-                                   .leader_token = leader_token,
+                                   .leader_fencing_token = leader_fencing_token,
                                    .submission = job->spec->submission};
     char *text = wire_job_record(&record);
     if (strlen(text) < core->limits.refused_bytes)
@@ -105,31 +107,31 @@
 /* The record expects the leader that it names: so it comes before any later take-over, whose reading
    then includes it. */
 static void write_cancellation(struct ow_core *core, uint64_t request, const struct ow_job *job,
-                               uint64_t leader_token)
+                               uint64_t leader_fencing_token)
 {
     struct ow_store_request *transaction = ow_store_request_new(OW_STORE_TXN, NULL);
     struct cancel_call *call = g_new0(struct cancel_call, 1);
     char *key = g_strconcat(OW_KEY_JOBS, job->id, NULL);
-    ow_store_expect(transaction, OW_KEY_LEADER, leader_token);
+    ow_store_expect(transaction, OW_KEY_LEADER, leader_fencing_token);
     ow_store_expect(transaction, key, job->version);
-    ow_store_write(transaction, key, cancellation_record(core, job, leader_token), 0);
+    ow_store_write(transaction, key, cancellation_record(core, job, leader_fencing_token), 0);
     g_free(key);
     call->pending.request = request;
     g_strlcpy(call->pending.id, job->id, sizeof call->pending.id);
-    call->leader_token = leader_token;
+    call->leader_fencing_token = leader_fencing_token;
     call->record_bytes = ow_store_largest_value(transaction);
     ow_core_call_store(core, transaction, on_cancel_reply, core, call, g_free);
 }
 
 static void cancel_known(struct ow_core *core, uint64_t request, const struct ow_job *job)
 {
-    uint64_t leader_token = ow_election_key(core->election);
+    uint64_t leader_fencing_token = ow_election_key(core->election);
     if (ow_job_over(job))
         ow_job_answer(core, request, 200, job);
-    else if (leader_token == 0)
+    else if (leader_fencing_token == 0)
         ow_job_answer_retry(core, request, "there is no leader yet");
     else
-        write_cancellation(core, request, job, leader_token);
+        write_cancellation(core, request, job, leader_fencing_token);
 }
 
 void ow_cancel_job(struct ow_core *core, uint64_t request, const char *id)
--- a/src/core/api/cancellation_ack.c
+++ b/src/core/api/cancellation_ack.c
@@ -79,12 +79,12 @@
 }
 
 static void send_to_peers(struct ow_core *core, enum ow_peer_kind kind, const struct ow_job *job,
-                          uint64_t token)
+                          uint64_t fencing_token)
 {
     struct ow_peer_message *message = ow_peer_message_new(kind);
     g_strlcpy(message->job, job->id, sizeof message->job);
     message->revision = job->version;
-    message->number = token;
+    message->number = fencing_token;
     ow_core_send_to_peers(core, message);
 }
 
@@ -98,7 +98,7 @@
     if (job->state != OW_JOB_CANCELLED)
         return;
     if (job->cancellation_acked)
-        send_to_peers(core, OW_PEER_CANCELLATION_ACK, job, ow_election_token(core->election));
+        send_to_peers(core, OW_PEER_CANCELLATION_ACK, job, ow_election_fencing_token(core->election));
     else
         entry_get(acks, message->job);
 }
@@ -111,7 +111,7 @@
         return;
     /* The acknowledgement of a leader that was deposed before the cancellation was recorded is worth nothing:
        the one that counts may not have it. A later one has read it before it became ready. */
-    if (job->state == OW_JOB_CANCELLED && message->number >= job->cancel_token)
+    if (job->state == OW_JOB_CANCELLED && message->number >= job->cancel_fencing_token)
         job->cancellation_acked = true;
 }
 
@@ -119,11 +119,11 @@
  */
 static bool acknowledge(struct ow_core *core, struct ow_job *job)
 {
-    if (core->leader == NULL || ow_election_token(core->election) < job->cancel_token ||
+    if (core->leader == NULL || ow_election_fencing_token(core->election) < job->cancel_fencing_token ||
         !ow_leader_cancel(core->leader, job))
         return false;
     job->cancellation_acked = true;
-    send_to_peers(core, OW_PEER_CANCELLATION_ACK, job, ow_election_token(core->election));
+    send_to_peers(core, OW_PEER_CANCELLATION_ACK, job, ow_election_fencing_token(core->election));
     return true;
 }
 
@@ -167,7 +167,7 @@
     if (core->leader == NULL && core->now >= entry->send_at) {
         entry->send_at = core->now + entry->pause_s;
         entry->pause_s = MIN(2 * entry->pause_s, RESEND_MOST_S);
-        send_to_peers(core, OW_PEER_CANCELLATION, job, job->cancel_token);
+        send_to_peers(core, OW_PEER_CANCELLATION, job, job->cancel_fencing_token);
     }
     return false;
 }
--- a/src/core/api/job.c
+++ b/src/core/api/job.c
@@ -119,7 +119,7 @@
     return job;
 }
 
-struct ow_job *ow_jobs_cancel(struct ow_jobs *jobs, const char *id, uint64_t version, uint64_t token)
+struct ow_job *ow_jobs_cancel(struct ow_jobs *jobs, const char *id, uint64_t version, uint64_t fencing_token)
 {
     struct ow_job *job = ow_jobs_find(jobs, id);
     if (job == NULL) {
@@ -131,7 +131,7 @@
         return job;
     job->version = version;
     job->state = OW_JOB_CANCELLED;
-    job->cancel_token = token;
+    job->cancel_fencing_token = fencing_token;
     ow_job_set_reason(job, NULL);
     return job;
 }
--- a/src/core/api/job.h
+++ b/src/core/api/job.h
@@ -16,16 +16,16 @@
 
 struct ow_job {
     char *id;
-    enum ow_job_state state;    /* OW_JOB_QUEUED stands for every job that is not over */
-    uint64_t version;           /* of its record */
-    uint64_t accepted_revision; /* the revision that accepted it: its place in the queue */
-    double accepted_at;         /* when it was accepted, by our steady clock */
-    double first_seen_at;       /* when this controller first saw it */
-    struct ow_spec *spec;       /* NULL once it is over and no task is left */
-    struct ow_run *run;         /* the leader's */
-    uint64_t cancel_token;      /* of a cancelled one: who led when that was recorded */
-    bool cancellation_acked;    /* its cancellation has been acknowledged: users may be told of it */
-    bool record_unread;         /* cancelled before its record has been read: nothing else is known of it */
+    enum ow_job_state state;       /* OW_JOB_QUEUED stands for every job that is not over */
+    uint64_t version;              /* of its record */
+    uint64_t accepted_revision;    /* the revision that accepted it: its place in the queue */
+    double accepted_at;            /* when it was accepted, by our steady clock */
+    double first_seen_at;          /* when this controller first saw it */
+    struct ow_spec *spec;          /* NULL once it is over and no task is left */
+    struct ow_run *run;            /* the leader's */
+    uint64_t cancel_fencing_token; /* of a cancelled one: who led when that was recorded */
+    bool cancellation_acked;       /* its cancellation has been acknowledged: users may be told of it */
+    bool record_unread; /* cancelled before its record has been read: nothing else is known of it */
     /* Shown to users; nothing is decided by them. */
     int done, running;
     char *reason;
@@ -48,7 +48,7 @@
                              struct ow_submission *submission, double now, double age_s);
 /* A cancellation that is committed, here or elsewhere; its tasks may still have to be ended. A job that is
    not known yet is recorded in the table, so that no older record of it, read later, lets it start. */
-struct ow_job *ow_jobs_cancel(struct ow_jobs *jobs, const char *id, uint64_t version, uint64_t token);
+struct ow_job *ow_jobs_cancel(struct ow_jobs *jobs, const char *id, uint64_t version, uint64_t fencing_token);
 /* The jobs that are not over, or are cancelled and may still have tasks, in no order. */
 const GPtrArray *ow_jobs_open(const struct ow_jobs *jobs);
 /* To be called when a job is over and no task of it is left: it leaves the open ones. */
--- a/src/core/api/job_cache.c
+++ b/src/core/api/job_cache.c
@@ -81,7 +81,7 @@
                                            item->version, record.state, record.submission,
                                            job_cache->core->now, age_s(job_cache->core, record.accepted_at));
         if (job != NULL)
-            job->cancel_token = record.leader_token;
+            job->cancel_fencing_token = record.leader_fencing_token;
     }
 }
 
--- a/src/core/core.c
+++ b/src/core/core.c
@@ -85,8 +85,8 @@
 static void handle_heartbeat(struct ow_core *core, const struct ow_event *event)
 {
     core->last_worker_heartbeat_at = core->now;
-    /* A worker that has seen a higher token obeys another leader: we must not act for it. */
-    ow_election_observe_token(core->election, event->heartbeat->token, NULL);
+    /* A worker that has seen a higher fencing token obeys another leader: we must not act for it. */
+    ow_election_observe_fencing_token(core->election, event->heartbeat->fencing_token, NULL);
     if (core->leader != NULL) {
         ow_leader_receive_heartbeat(core->leader, event->request, event->heartbeat);
         return;
@@ -184,9 +184,9 @@
     return ow_health_is_good(core);
 }
 
-uint64_t ow_core_token(const struct ow_core *core)
+uint64_t ow_core_fencing_token(const struct ow_core *core)
 {
-    return ow_election_token(core->election);
+    return ow_election_fencing_token(core->election);
 }
 
 static void count_fenced(const struct ow_leader *leader, struct ow_core_status *status)
@@ -205,7 +205,7 @@
     const struct ow_leader *leader = core->leader;
     *status = (struct ow_core_status){
         .leader_name = ow_election_leader_name(core->election),
-        .token = ow_election_token(core->election),
+        .fencing_token = ow_election_fencing_token(core->election),
         .key_missing = ow_election_key_is_missing(core->election),
     };
     if (leader == NULL)
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -23,12 +23,12 @@
  */
 struct ow_core_status {
     const char *leader_name; /* NULL: nobody, or unknown */
-    uint64_t token;          /* of this controller's term; 0: it does not lead */
+    uint64_t fencing_token;  /* of this controller's term; 0: it does not lead */
     bool key_missing;        /* the state service has shown that nobody holds the leader's key */
     bool records_read;
     bool settled;      /* the leader has been ready for so long that every live worker has reported to it */
     unsigned machines; /* that the leader knows and that have reported, ever */
-    unsigned fenced;   /* those of them that have shown its token */
+    unsigned fenced;   /* those of them that have shown its fencing token */
 };
 void ow_core_status(const struct ow_core *core, struct ow_core_status *status);
 /* Whether this controller may take the leader's key, and how long it leaves a missing one to others. */
@@ -39,7 +39,7 @@
 const char *ow_core_infeasible_reason(const struct ow_core *core, const struct ow_submission *submission);
 /* CPUs that the tasks of open jobs wait for, as far as this controller knows. */
 double ow_core_waiting_cpus(const struct ow_core *core);
-/* The token under which this controller leads; 0: it does not. */
-uint64_t ow_core_token(const struct ow_core *core);
+/* The fencing token under which this controller leads; 0: it does not. */
+uint64_t ow_core_fencing_token(const struct ow_core *core);
 
 #endif
--- a/src/core/effects.h
+++ b/src/core/effects.h
@@ -52,7 +52,7 @@
 /* A shard that the sender of a heartbeat leads. */
 struct ow_peer_shard {
     char *name;
-    uint64_t token;
+    uint64_t fencing_token;
     bool serving;      /* it has read the records and fenced every machine it has heard */
     unsigned machines; /* that have reported */
 };
@@ -64,7 +64,7 @@
     enum ow_peer_kind kind;
     uint32_t version; /* of the sender's messages and records */
     char *sender;
-    uint64_t number;         /* token, or revision of a changed job */
+    uint64_t number;         /* fencing token, or revision of a changed job */
     char job[OW_ID_MAX + 1]; /* of a cancellation, committed or acknowledged */
     uint64_t revision;       /* of its record */
     bool leads, state_ok, receives_heartbeats;
@@ -122,7 +122,7 @@
     char *text; /* the reason a job waits; an error; a controller; an address */
     int retry_after_s;
     /* commands */
-    uint64_t token, incarnation;
+    uint64_t fencing_token, incarnation;
     GArray *commands; /* struct ow_worker_command */
     GArray *teams;    /* struct ow_team_view */
     struct ow_store_request *store;
--- a/src/core/election/election.c
+++ b/src/core/election/election.c
@@ -22,15 +22,15 @@
     g_free(election);
 }
 
-uint64_t ow_election_token(const struct ow_election *election)
+uint64_t ow_election_fencing_token(const struct ow_election *election)
 {
-    return election->stage == OW_ELECTION_LEADING ? election->token : 0;
+    return election->stage == OW_ELECTION_LEADING ? election->fencing_token : 0;
 }
 
 uint64_t ow_election_key(const struct ow_election *election)
 {
     if (election->stage == OW_ELECTION_LEADING)
-        return election->token;
+        return election->fencing_token;
     return election->key_known ? election->key_version : 0;
 }
 
@@ -50,7 +50,8 @@
 {
     if (!ow_succession_may_replace_ended(election, controller_name))
         return;
-    /* Safe even if the hint is wrong: the token and the conditions of every write depose the old one. */
+    /* Safe even if the hint is wrong: the fencing token and the conditions of every write depose the old one.
+     */
     g_info("leader %s seems to have ended", controller_name);
     election->act_at = election->core->now;
     ow_election_run_for_leader(election);
@@ -78,12 +79,13 @@
     ow_election_look_again(election, YIELD_S);
 }
 
-void ow_election_observe_token(struct ow_election *election, uint64_t token, const char *leader_name)
+void ow_election_observe_fencing_token(struct ow_election *election, uint64_t fencing_token,
+                                       const char *leader_name)
 {
-    if (token < election->seen_token)
+    if (fencing_token < election->seen_fencing_token)
         return;
-    election->seen_token = token;
-    if (election->stage == OW_ELECTION_LEADING && token > election->token)
+    election->seen_fencing_token = fencing_token;
+    if (election->stage == OW_ELECTION_LEADING && fencing_token > election->fencing_token)
         ow_election_step_down(election, "a higher token is about");
     if (leader_name != NULL && election->stage != OW_ELECTION_LEADING)
         ow_election_set_leader_name(election, leader_name);
--- a/src/core/election/election.h
+++ b/src/core/election/election.h
@@ -1,5 +1,5 @@
 /* Who leads: a key of the state service, attached to a short lease. The revision of the write
- * that took the key is the leader's token, so tokens only grow. */
+ * that took the key is the leader's fencing token, so fencing tokens only grow. */
 #ifndef OW_CORE_ELECTION_ELECTION_H
 #define OW_CORE_ELECTION_ELECTION_H
 
@@ -14,8 +14,8 @@
 void ow_election_free(struct ow_election *election);
 /* Sends what is due: reads, watches and writes of the key, and renewals of its lease. */
 void ow_election_tick(struct ow_election *election);
-/* Our token; 0 while we do not lead. */
-uint64_t ow_election_token(const struct ow_election *election);
+/* Our fencing token; 0 while we do not lead. */
+uint64_t ow_election_fencing_token(const struct ow_election *election);
 /* The revision of the leader's key as we know it, ours included; 0: nobody holds it, or it is unknown. */
 uint64_t ow_election_key(const struct ow_election *election);
 /* Whether the state service has shown that nobody holds the key, and nobody is known to have taken it since.
@@ -25,9 +25,10 @@
 void ow_election_invalidate(struct ow_election *election);
 /* The name of the controller that leads as far as we know, or NULL. */
 const char *ow_election_leader_name(const struct ow_election *election);
-/* Somebody has seen this token. A token higher than ours ends our term; `leader_name` is its holder's name,
- * or NULL if unknown. */
-void ow_election_observe_token(struct ow_election *election, uint64_t token, const char *leader_name);
+/* Somebody has seen this fencing token. A fencing token higher than ours ends our term; `leader_name` is its
+ * holder's name, or NULL if unknown. */
+void ow_election_observe_fencing_token(struct ow_election *election, uint64_t fencing_token,
+                                       const char *leader_name);
 /* A controller seems to have ended. If it leads, its key is taken over without waiting for its lease. */
 void ow_election_peer_ended(struct ow_election *election, const char *controller_name);
 /* Gives up leadership because the workers cannot reach us: the key is deleted, and we try again only later.
--- a/src/core/election/election_state.c
+++ b/src/core/election/election_state.c
@@ -26,19 +26,19 @@
     election->stage = OW_ELECTION_LEASING;
 }
 
-void ow_election_begin_to_lead(struct ow_election *election, uint64_t token)
+void ow_election_begin_to_lead(struct ow_election *election, uint64_t fencing_token)
 {
     struct ow_core *core = election->core;
     election->stage = OW_ELECTION_LEADING;
-    election->token = token;
+    election->fencing_token = fencing_token;
     election->key_missing = false;
     election->began_at = core->now;
-    election->seen_token = MAX(election->seen_token, token);
+    election->seen_fencing_token = MAX(election->seen_fencing_token, fencing_token);
     election->renew_at = core->now + core->rules->leader_lease_s / 4;
-    election->revision = token;
+    election->revision = fencing_token;
     ow_election_set_leader_name(election, NULL);
-    g_info("leader with token %" G_GUINT64_FORMAT, token);
-    core->leader = ow_leader_new(core, token);
+    g_info("leader with token %" G_GUINT64_FORMAT, fencing_token);
+    core->leader = ow_leader_new(core, fencing_token);
 }
 
 void ow_election_step_down(struct ow_election *election, const char *why)
--- a/src/core/election/election_state.h
+++ b/src/core/election/election_state.h
@@ -26,9 +26,9 @@
     bool key_missing;     /* as last read, nobody held it; stays true while the reading is repeated */
     bool has_waited;      /* the missing key has been left to others for the election delay */
     char *leader_name;
-    uint64_t token;      /* ours in stage OW_ELECTION_LEADING */
-    uint64_t seen_token; /* the highest known */
-    uint64_t taken_from; /* the version that our attempt to take the key replaces */
+    uint64_t fencing_token;      /* ours in stage OW_ELECTION_LEADING */
+    uint64_t seen_fencing_token; /* the highest known */
+    uint64_t taken_from;         /* the version that our attempt to take the key replaces */
     bool renewing;
     double renew_at;
     bool watching;
@@ -47,8 +47,8 @@
 void ow_election_look_again(struct ow_election *election, double after_s);
 /* Tries to take the key, with a new lease: one from an earlier try may have run out. */
 void ow_election_run_for_leader(struct ow_election *election);
-/* Begins to lead with a token, the revision of the write that took the key. */
-void ow_election_begin_to_lead(struct ow_election *election, uint64_t token);
+/* Begins to lead with a fencing token, the revision of the write that took the key. */
+void ow_election_begin_to_lead(struct ow_election *election, uint64_t fencing_token);
 /* Ends the leader's state if we lead, and reads the key again. `why` is for the log. */
 void ow_election_step_down(struct ow_election *election, const char *why);
 
--- a/src/core/election/leader_key.c
+++ b/src/core/election/leader_key.c
@@ -19,14 +19,14 @@
 }
 
 /* Whether this process has written the key with the lease that it still holds, and has not led with it yet.
-   A token that it has led with and given up is not taken up again: launches sent under it may still be on
-   their way. */
+   A fencing token that it has led with and given up is not taken up again: launches sent under it may still
+   be on their way. */
 static bool is_own_write(const struct ow_election *election, uint64_t version, const char *leader_name,
                          const char *nonce)
 {
     if (!ow_leader_key_is_own_name(election, leader_name) || election->lease == 0)
         return false;
-    if (version <= election->taken_from || version <= election->token)
+    if (version <= election->taken_from || version <= election->fencing_token)
         return false;
     char *own_nonce = ow_leader_key_nonce(election);
     bool same = g_strcmp0(nonce, own_nonce) == 0;
@@ -57,7 +57,7 @@
         return;
     }
     ow_election_set_leader_name(election, leader_name);
-    election->seen_token = MAX(election->seen_token, item->version);
+    election->seen_fencing_token = MAX(election->seen_fencing_token, item->version);
 }
 
 /* How often a controller that may not lead looks whether anybody does. */
--- a/src/core/election/leader_lease.c
+++ b/src/core/election/leader_lease.c
@@ -93,7 +93,7 @@
 void ow_leader_lease_release_key(struct ow_election *election)
 {
     struct ow_store_request *transaction = ow_store_request_new(OW_STORE_TXN, NULL);
-    ow_store_expect(transaction, OW_KEY_LEADER, election->token);
+    ow_store_expect(transaction, OW_KEY_LEADER, election->fencing_token);
     ow_store_write(transaction, OW_KEY_LEADER, NULL, 0);
     ow_core_call_store(election->core, transaction, NULL, election, NULL, NULL);
 }
--- a/src/core/leader.c
+++ b/src/core/leader.c
@@ -36,11 +36,11 @@
 /* The share of the permitted cloud requests that the leader uses. */
 static const double CLOUD_SHARE = 0.8;
 
-struct ow_leader *ow_leader_new(struct ow_core *core, uint64_t token)
+struct ow_leader *ow_leader_new(struct ow_core *core, uint64_t fencing_token)
 {
     struct ow_leader *leader = g_new0(struct ow_leader, 1);
     leader->core = core;
-    leader->token = token;
+    leader->fencing_token = fencing_token;
     leader->machines_by_name = g_hash_table_new(g_str_hash, g_str_equal);
     leader->machines = g_ptr_array_new_with_free_func(ow_machine_free);
     leader->direct_due = g_ptr_array_new();
@@ -114,10 +114,10 @@
         machine->last_heartbeat_at = leader->core->now;
     }
     /* Until the job table has been read, an answer could keep tasks alive whose cancellation has been
-       acknowledged to a user. One without our token renews nothing, and the worker stays. */
-    effect->token = leader->phase == OW_LEADER_REFRESH ? 0 : leader->token;
-    bool current =
-        is_newest && machine->fenced && heartbeat->token == leader->token && leader->phase == OW_LEADER_READY;
+       acknowledged to a user. One without our fencing token renews nothing, and the worker stays. */
+    effect->fencing_token = leader->phase == OW_LEADER_REFRESH ? 0 : leader->fencing_token;
+    bool current = is_newest && machine->fenced && heartbeat->fencing_token == leader->fencing_token &&
+                   leader->phase == OW_LEADER_READY;
     /* Commands go only to the incarnation that they are meant for, and not in answer to a late copy. */
     if (current)
         effect->commands = ow_worker_commands_for(leader, machine, NULL);
@@ -160,7 +160,7 @@
     if (strlen(record) > leader->core->limits.value_bytes)
         g_warning(
             "the machine types don't fit a value: who starts while the cloud is down can't accept jobs");
-    ow_store_expect(txn, OW_KEY_LEADER, leader->token);
+    ow_store_expect(txn, OW_KEY_LEADER, leader->fencing_token);
     if (strlen(record) <= leader->core->limits.value_bytes)
         ow_store_write(txn, OW_KEY_TYPES, g_steal_pointer(&record), 0);
     g_free(record);
--- a/src/core/leader.h
+++ b/src/core/leader.h
@@ -8,8 +8,9 @@
 struct ow_job;
 struct ow_leader;
 
-/* A leader that holds the key under `token`; its phase is not ready before it has read the records. */
-struct ow_leader *ow_leader_new(struct ow_core *core, uint64_t token);
+/* A leader that holds the key under `fencing token`; its phase is not ready before it has read the records.
+ */
+struct ow_leader *ow_leader_new(struct ow_core *core, uint64_t fencing_token);
 /* Frees the leader, its machines and runs; answers still to come are ignored. */
 void ow_leader_free(struct ow_leader *leader);
 /* Applies a worker's report and answers it. */
--- a/src/core/leader_broadcast.c
+++ b/src/core/leader_broadcast.c
@@ -25,7 +25,7 @@
 static struct ow_peer_message *new_summary(const struct ow_leader *leader)
 {
     struct ow_peer_message *message = ow_peer_message_new(OW_PEER_SUMMARY);
-    message->number = leader->token;
+    message->number = leader->fencing_token;
     return message;
 }
 
@@ -87,7 +87,7 @@
 static void send_whole_list(struct ow_leader *leader, GArray *machines)
 {
     struct ow_peer_message *message = ow_peer_message_new(OW_PEER_MACHINES);
-    message->number = leader->token;
+    message->number = leader->fencing_token;
     g_array_free(message->machines, TRUE);
     message->machines = machines;
     ow_core_send_to_peers(leader->core, message);
@@ -104,7 +104,7 @@
         if (part == NULL || part->machines->len >= PART_ENTRIES ||
             bytes + machine_bytes(machine) > PART_BYTES) {
             part = ow_peer_message_new(OW_PEER_MACHINES_PART);
-            part->number = leader->token;
+            part->number = leader->fencing_token;
             part->part = parts->len;
             g_ptr_array_add(parts, part);
             bytes = 0;
--- a/src/core/leader_state.h
+++ b/src/core/leader_state.h
@@ -83,7 +83,7 @@
 
 struct ow_leader {
     struct ow_core *core;
-    uint64_t token;                                                       /* of its lease */
+    uint64_t fencing_token;                                               /* of its lease */
     enum { OW_LEADER_REFRESH, OW_LEADER_LOADING, OW_LEADER_READY } phase; /* takeover.c */
     double ready_at;                                                      /* when it became ready */
     struct ow_takeover_progress takeover;
--- a/src/core/machine_hints.c
+++ b/src/core/machine_hints.c
@@ -2,8 +2,8 @@
 #include "core/machine_hints.h"
 
 struct ow_machine_hints {
-    GArray *machines; /* struct ow_peer_machine: the last complete list */
-    uint64_t token;   /* of the newest leader that has sent a list */
+    GArray *machines;       /* struct ow_peer_machine: the last complete list */
+    uint64_t fencing_token; /* of the newest leader that has sent a list */
     /* The list that comes in parts: */
     GArray *assembled;   /* struct ow_peer_machine of the parts so far; NULL: none is under way */
     uint32_t next_part;  /* which is expected */
@@ -82,14 +82,14 @@
 
 void ow_machine_hints_take(struct ow_machine_hints *hints, struct ow_peer_message *message)
 {
-    if (message->number < hints->token) {
+    if (message->number < hints->fencing_token) {
         g_info("a list of machines of an older leader is dropped");
         return;
     }
     /* Parts of two leaders are not parts of one list. */
-    if (message->number > hints->token)
+    if (message->number > hints->fencing_token)
         drop_parts(hints);
-    hints->token = message->number;
+    hints->fencing_token = message->number;
     if (message->kind == OW_PEER_MACHINES_PART) {
         take_part(hints, message);
         return;
--- a/src/core/machines/machine.h
+++ b/src/core/machines/machine.h
@@ -42,7 +42,7 @@
     double unanswered_since;   /* commands find no answer since then; 0: it answers */
     uint64_t incarnation, seq; /* of its newest message */
     uint64_t expired_incarnation; /* every incarnation up to this one is proven over */
-    bool fenced;                  /* it has seen this leader's token and accepts no older leader's commands */
+    bool fenced; /* it has seen this leader's fencing token and accepts no older leader's commands */
     double fenced_at;
     double reclaimed_at;           /* when the cloud takes it back, after a notice; 0: no notice */
     uint32_t heartbeat_generation; /* the leader's count of heartbeats at its newest one */
--- a/src/core/machines/machine_health.c
+++ b/src/core/machines/machine_health.c
@@ -36,8 +36,9 @@
 enum { ERRORS_TO_QUARANTINE = 2, RUN_FAILURES = 3, UNRESPONSIVE_FEW = 2, SILENT_FEW = 3 };
 
 /* Proof by time: a worker ends its tasks when lease_s has passed since it sent the last heartbeat that was
-   answered. Only answers of ours count once it has seen our token: no older one is accepted. And that report
-   was sent before the newest message came that we have of the incarnation: late copies renew nothing. */
+   answered. Only answers of ours count once it has seen our fencing token: no older one is accepted. And that
+   report was sent before the newest message came that we have of the incarnation: late copies renew nothing.
+ */
 static void prove_by_lease(struct ow_leader *leader, struct ow_machine *machine)
 {
     double lease = leader->core->settings->lease_s * (1 + DRIFT) + MARGIN_S;
--- a/src/core/machines/machine_registry.c
+++ b/src/core/machines/machine_registry.c
@@ -92,9 +92,9 @@
 bool ow_machine_is_usable(const struct ow_leader *leader, const struct ow_machine *machine)
 {
     double now = leader->core->now;
-    /* No launch before its report under our own token, nor on one that has fallen silent, answers commands
-       but does not report (its lease runs out), or is unresponsive, is about to be reclaimed, or is being
-       returned. */
+    /* No launch before its report under our own fencing token, nor on one that has fallen silent, answers
+       commands but does not report (its lease runs out), or is unresponsive, is about to be reclaimed, or is
+       being returned. */
     return machine->fenced && machine->incarnation > machine->expired_incarnation &&
            ow_machine_spec(leader, machine) != NULL && machine->addr != NULL &&
            ow_machine_heard_recently(leader, machine) && !ow_machine_is_silent(leader, machine) &&
--- a/src/core/machines/reconciliation.c
+++ b/src/core/machines/reconciliation.c
@@ -144,7 +144,7 @@
         if (attempt->heartbeat_generation == machine->heartbeat_generation ||
             attempt->incarnation != machine->incarnation)
             continue;
-        /* An older leader's launch can't come true any more: the worker has seen our token.
+        /* An older leader's launch can't come true any more: the worker has seen our fencing token.
            Our own may still be on its way; it is sent again until it shows. */
         if (attempt->state == OW_ATTEMPT_INHERITED)
             ow_attempt_end(leader, attempt, OW_CAUSE_NONE, "not on its machine under the new token");
@@ -194,8 +194,8 @@
 }
 
 /* What a heartbeat says of its machine whichever leader's commands it accepts. A incarnation that has ended
-   took its tasks along, whichever token the worker has seen: attempts are recorded with the incarnation that
-   they were meant for. */
+   took its tasks along, whichever fencing token the worker has seen: attempts are recorded with the
+   incarnation that they were meant for. */
 static void apply_incarnation(struct ow_leader *leader, struct ow_machine *machine,
                               const struct ow_heartbeat *heartbeat)
 {
@@ -245,8 +245,8 @@
         return machine;
     ow_machine_describe(leader, machine, heartbeat->addr, heartbeat->type, heartbeat->zone, heartbeat->spot);
     apply_incarnation(leader, machine, heartbeat);
-    if (heartbeat->token != leader->token || leader->phase != OW_LEADER_READY) {
-        /* Until it has seen our token an older leader may still change what it says. */
+    if (heartbeat->fencing_token != leader->fencing_token || leader->phase != OW_LEADER_READY) {
+        /* Until it has seen our fencing token an older leader may still change what it says. */
         if (leader->phase == OW_LEADER_READY)
             ow_worker_commands_want_fenced(leader, machine);
         return machine;
--- a/src/core/machines/rent.c
+++ b/src/core/machines/rent.c
@@ -192,8 +192,9 @@
     *call =
         (struct rental_call){expected->machine.type, expected->machine.zone, expected->machine.spot, count};
     request->op = OW_CLOUD_RENT;
-    /* The token is ours alone, so no other process ever uses the same name for another request. */
-    request->name = g_strdup_printf("r-%" G_GUINT64_FORMAT "-%u", leader->token, ++leader->renting.count);
+    /* The fencing token is ours alone, so no other process ever uses the same name for another request. */
+    request->name =
+        g_strdup_printf("r-%" G_GUINT64_FORMAT "-%u", leader->fencing_token, ++leader->renting.count);
     request->type = g_strdup(ow_names_text(leader->core->names.types, call->type));
     request->zone = g_strdup(ow_names_text(leader->core->names.zones, call->zone));
     request->spot = call->spot;
--- a/src/core/machines/worker_commands.c
+++ b/src/core/machines/worker_commands.c
@@ -11,8 +11,8 @@
 /* Direct commands to machines that may not answer, at a time: so many, and in proportion to our share of a
  * core. */
 enum { PROBES_LEAST = 64, PROBES_PER_CORE = 1000 };
-/* A worker that learns of our token by an answer reports again at once: only if it does not within this time
-   is it sent a direct command. */
+/* A worker that learns of our fencing token by an answer reports again at once: only if it does not within
+   this time is it sent a direct command. */
 static const double FENCE_BY_HEARTBEAT_S = 1;
 static const double DIRECT_PAUSE_S = 3, REFUSED_PAUSE_S = 0.5, UNSENT_PAUSE_S = 0.5;
 /* Processor time of a direct command with its answer, in seconds of a core, and the part of our share of a
@@ -111,8 +111,8 @@
     leader->probes -= call->is_probe ? 1 : 0;
     if (machine == NULL)
         return;
-    if (answer->heartbeat != NULL && answer->heartbeat->token > leader->token) {
-        ow_election_observe_token(leader->core->election, answer->heartbeat->token, NULL);
+    if (answer->heartbeat != NULL && answer->heartbeat->fencing_token > leader->fencing_token) {
+        ow_election_observe_fencing_token(leader->core->election, answer->heartbeat->fencing_token, NULL);
         return; /* and with that the leader is gone */
     }
     machine->direct_busy = false;
@@ -147,7 +147,7 @@
     machine->direct_busy = true;
     effect->commands = ow_worker_commands_for(leader, machine, machine->direct_launches);
     effect->text = g_strdup(machine->addr);
-    effect->token = leader->token;
+    effect->fencing_token = leader->fencing_token;
     effect->incarnation = MAX(machine->incarnation, 1);
     effect->request =
         ow_pending_calls_add(leader->core->pending_calls, on_direct, leader, call, direct_call_free);
--- a/src/core/machines/worker_commands.h
+++ b/src/core/machines/worker_commands.h
@@ -14,11 +14,11 @@
 GArray *ow_worker_commands_for(struct ow_leader *leader, struct ow_machine *machine, GArray *starts);
 /* From now on the machine is due a direct command: with what there is to tell it, or else to hear from it. */
 void ow_worker_commands_want(struct ow_leader *leader, struct ow_machine *machine);
-/* The same for a machine that has reported under an older token and is answered under ours: a command is sent
-   only if it does not report again of itself. */
+/* The same for a machine that has reported under an older fencing token and is answered under ours: a command
+   is sent only if it does not report again of itself. */
 void ow_worker_commands_want_fenced(struct ow_leader *leader, struct ow_machine *machine);
-/* The same for every machine, as a new leader does to show them its token; in a large fleet one after the
-   other, for most of them come with a heartbeat meanwhile. */
+/* The same for every machine, as a new leader does to show them its fencing token; in a large fleet one after
+   the other, for most of them come with a heartbeat meanwhile. */
 void ow_worker_commands_want_all(struct ow_leader *leader);
 /* Sends a direct command to every machine that is due one. */
 void ow_worker_commands_send(struct ow_leader *leader);
--- a/src/core/peer_messages.c
+++ b/src/core/peer_messages.c
@@ -18,7 +18,7 @@
                              GUINT_TO_POINTER(message->version));
     if (message->number > 0) {
         const char *leader_name = message->leads ? message->sender : NULL;
-        ow_election_observe_token(core->election, message->number, leader_name);
+        ow_election_observe_fencing_token(core->election, message->number, leader_name);
     }
     if (message->receives_heartbeats)
         core->peer_receives_heartbeats_at = core->now;
@@ -89,7 +89,7 @@
     core->hello_at = core->now + HELLO_S;
     struct ow_peer_message *message = ow_peer_message_new(OW_PEER_HELLO);
     message->sender = g_strdup(core->settings->controller_name);
-    message->number = ow_election_token(core->election);
+    message->number = ow_election_fencing_token(core->election);
     message->leads = message->number > 0;
     message->state_ok = ow_health_state_is_ok(core);
     message->receives_heartbeats =
--- a/src/core/records/recorder.c
+++ b/src/core/records/recorder.c
@@ -122,7 +122,7 @@
         return;
     refine_record_values(leader);
     struct ow_store_request *transaction = ow_store_request_new(OW_STORE_TXN, NULL);
-    ow_store_expect(transaction, OW_KEY_LEADER, leader->token);
+    ow_store_expect(transaction, OW_KEY_LEADER, leader->fencing_token);
     recorder->serial++;
     ow_transaction_fill(leader, transaction);
     if (transaction->changes->len == 0) {
--- a/src/core/records/records.h
+++ b/src/core/records/records.h
@@ -28,7 +28,7 @@
 struct ow_job_record {
     enum ow_job_state state;          /* queued stands for every job that is not over */
     double accepted_at;               /* time of day; 0: not recorded */
-    uint64_t leader_token;            /* of a cancelled one: who led when that was recorded */
+    uint64_t leader_fencing_token;    /* of a cancelled one: who led when that was recorded */
     struct ow_submission *submission; /* NULL once over and no task of it may be left */
 };
 
--- a/src/core/records/takeover.c
+++ b/src/core/records/takeover.c
@@ -191,7 +191,7 @@
     leader->ready_at = leader->core->now;
     leader->pass.due = true;
     use_hints(leader);
-    /* Fencing: a worker that has seen our token heeds no older leader any more. */
+    /* Fencing: a worker that has seen our fencing token heeds no older leader any more. */
     ow_worker_commands_want_all(leader);
     g_info("took over: %u jobs with progress, %u machines known", leader->runs->len, leader->machines->len);
 }
@@ -221,8 +221,8 @@
 static void on_jobs_fresh(struct ow_core *core, void *data, bool ok)
 {
     struct ow_leader *leader = core->leader;
-    const uint64_t *token = data;
-    if (leader == NULL || leader->token != *token)
+    const uint64_t *fencing_token = data;
+    if (leader == NULL || leader->fencing_token != *fencing_token)
         return;
     leader->takeover.busy = false;
     if (ok) {
@@ -241,9 +241,9 @@
     leader->takeover.busy = true;
     if (leader->phase == OW_LEADER_REFRESH) {
         /* Progress of a job that the copy does not show yet would read as a leftover. */
-        uint64_t *token = g_new(uint64_t, 1);
-        *token = leader->token;
-        ow_job_cache_refresh(leader->core->job_cache, on_jobs_fresh, token);
+        uint64_t *fencing_token = g_new(uint64_t, 1);
+        *fencing_token = leader->fencing_token;
+        ow_job_cache_refresh(leader->core->job_cache, on_jobs_fresh, fencing_token);
         return;
     }
     if (leader->format.current == 0) {
--- a/src/core/records/transaction_reply.c
+++ b/src/core/records/transaction_reply.c
@@ -124,9 +124,9 @@
 static void on_job_fresh(struct ow_core *core, void *data, bool ok)
 {
     struct ow_leader *leader = core->leader;
-    const uint64_t *token = data;
+    const uint64_t *fencing_token = data;
     (void)ok; /* if the read failed, the write fails again and the job is read again */
-    if (leader == NULL || leader->token != *token)
+    if (leader == NULL || leader->fencing_token != *fencing_token)
         return;
     leader->recorder->version_checks--;
     leader->pass.due = true;
@@ -140,9 +140,9 @@
         read_version(leader, key);
         return;
     }
-    uint64_t *token = g_new(uint64_t, 1);
-    *token = leader->token;
-    ow_job_cache_refresh(leader->core->job_cache, on_job_fresh, token);
+    uint64_t *fencing_token = g_new(uint64_t, 1);
+    *fencing_token = leader->fencing_token;
+    ow_job_cache_refresh(leader->core->job_cache, on_job_fresh, fencing_token);
 }
 
 /* ---- failure ---- */
--- a/src/core/types.h
+++ b/src/core/types.h
@@ -69,7 +69,7 @@
 struct ow_heartbeat {
     char *machine, *addr, *type, *zone;
     bool spot;
-    uint64_t incarnation, seq, token;
+    uint64_t incarnation, seq, fencing_token;
     double notice_s; /* negative: none */
     GArray *tasks;   /* struct ow_task_status */
 };
--- a/src/io/client.c
+++ b/src/io/client.c
@@ -136,19 +136,19 @@
     json_array_foreach(json_object_get(o, "shards"), i, shard)
     {
         const char *name = "", *state = "", *leader = "nobody", *successor = "";
-        uint64_t token = 0, machines = 0, fenced = 0;
+        uint64_t fencing_token = 0, machines = 0, fenced = 0;
         wj_string(shard, "name", &name);
         wj_string(shard, "state", &state);
         wj_string(shard, "leader", &leader);
         wj_string(shard, "successor", &successor);
-        wj_count(shard, "token", &token);
+        wj_count(shard, "token", &fencing_token);
         wj_count(shard, "machines", &machines);
         wj_count(shard, "fenced", &fenced);
         printf("%s: %s, led by %s, next would be %s", name, state, leader, successor);
-        if (token > 0)
+        if (fencing_token > 0)
             printf("; token %" G_GUINT64_FORMAT ", %" G_GUINT64_FORMAT " of %" G_GUINT64_FORMAT
                    " machines fenced",
-                   token, fenced, machines);
+                   fencing_token, fenced, machines);
         printf("\n");
         json_array_foreach(json_object_get(shard, "steps"), k, step) print_step(step);
     }
--- a/src/io/incoming.c
+++ b/src/io/incoming.c
@@ -152,7 +152,7 @@
         break;
     case OW_EFFECT_WORKER_COMMANDS:
         answer(daemon, effect->request, OW_HTTP_STATUS_OK, NULL,
-               wire_worker_commands(effect->token, effect->commands));
+               wire_worker_commands(effect->fencing_token, effect->commands));
         break;
     case OW_EFFECT_MISDIRECT:
         answer(daemon, effect->request, OW_HTTP_STATUS_MISDIRECTED, NULL, wire_misdirected(effect->text));
--- a/src/io/outgoing.c
+++ b/src/io/outgoing.c
@@ -159,7 +159,7 @@
         give_up_direct(daemon, effect);
         return;
     }
-    char *body = wire_direct_commands(effect->token, effect->incarnation, effect->commands);
+    char *body = wire_direct_commands(effect->fencing_token, effect->incarnation, effect->commands);
     uint64_t tag = add_pending(daemon, TARGET_WORKER, NO_OPERATION, effect->request);
     ow_http_client_send(daemon->client, effect->text, "POST", W_PATH_COMMANDS, body, DIRECT_TIMEOUT_S, tag);
     g_free(body);
--- a/src/sharding/handover.c
+++ b/src/sharding/handover.c
@@ -44,7 +44,7 @@
 
 static enum ow_handover_phase phase_of(const struct ow_handover_view *view)
 {
-    if (view->token != 0) {
+    if (view->fencing_token != 0) {
         if (!view->records_read)
             return OW_HANDOVER_CONDEMNED;
         return view->settled && view->fenced == view->machines ? OW_HANDOVER_SERVING : OW_HANDOVER_RECORDS;
@@ -73,7 +73,8 @@
         return was_led ? g_strdup_printf("the state service has removed the key of %s", from)
                        : g_strdup("nobody has led it yet, as far as this controller knows");
     case OW_HANDOVER_CONDEMNED:
-        return g_strdup_printf("token %" G_GUINT64_FORMAT " committed, led by %s before", view->token, from);
+        return g_strdup_printf("token %" G_GUINT64_FORMAT " committed, led by %s before", view->fencing_token,
+                               from);
     case OW_HANDOVER_RECORDS:
         return g_strdup_printf("%u of %u machines fenced", view->fenced, view->machines);
     case OW_HANDOVER_SERVING:
@@ -86,7 +87,7 @@
 static bool is_settled(const struct ow_handover *handover, const struct ow_handover_view *view,
                        enum ow_handover_phase phase)
 {
-    return phase == OW_HANDOVER_RECORDS && handover->token == view->token &&
+    return phase == OW_HANDOVER_RECORDS && handover->fencing_token == view->fencing_token &&
            ow_handover_last(handover)->phase == OW_HANDOVER_SERVING;
 }
 
@@ -103,9 +104,9 @@
                         double now)
 {
     enum ow_handover_phase phase = phase_of(view);
-    const char *leader = view->token != 0 ? view->self : view->leader_name;
+    const char *leader = view->fencing_token != 0 ? view->self : view->leader_name;
     bool new_leader = leader != NULL && g_strcmp0(leader, handover->leader) != 0;
-    bool new_term = view->token != 0 && view->token != handover->token;
+    bool new_term = view->fencing_token != 0 && view->fencing_token != handover->fencing_token;
     struct ow_handover_step *first = &g_array_index(handover->steps, struct ow_handover_step, 0);
     if (first->at <= 0)
         first->at = now; /* the clock was not known when the shard was made */
@@ -122,7 +123,7 @@
         g_free(handover->leader);
         handover->leader = g_strdup(leader);
     }
-    handover->token = view->token;
+    handover->fencing_token = view->fencing_token;
 }
 
 char *ow_handover_reason(const struct ow_handover *handover, const char *shard)
--- a/src/sharding/handover.h
+++ b/src/sharding/handover.h
@@ -15,7 +15,7 @@
     OW_HANDOVER_LEASE_GONE, /* the state service shows that nobody leads */
     OW_HANDOVER_CONDEMNED,  /* our transaction has committed: its leader is deposed, we lead */
     OW_HANDOVER_RECORDS,    /* we lead, and have read the records */
-    OW_HANDOVER_SERVING,    /* we lead, and every machine that reports has seen our token */
+    OW_HANDOVER_SERVING,    /* we lead, and every machine that reports has seen our fencing token */
 };
 
 struct ow_handover_step {
@@ -27,7 +27,7 @@
 struct ow_handover {
     GArray *steps; /* struct ow_handover_step, the last ones, in order; never empty */
     char *leader;  /* who leads or led last; NULL: unknown */
-    uint64_t token;
+    uint64_t fencing_token;
     double fault_at; /* when the present handover began: the first sign that the leader is gone; 0: none */
 };
 
@@ -36,7 +36,7 @@
     const char *self;
     const char *leader_name;        /* who leads as far as known, or NULL */
     const struct ow_member *leader; /* that controller as a member; NULL: ourselves, or unknown */
-    uint64_t token;                 /* ours; 0: we do not lead */
+    uint64_t fencing_token;         /* ours; 0: we do not lead */
     bool key_missing, records_read;
     bool settled; /* every live machine has had the time to report to us */
     unsigned machines, fenced;
--- a/src/sharding/shard_manager.c
+++ b/src/sharding/shard_manager.c
@@ -85,7 +85,7 @@
 {
     unsigned count = 0;
     for (guint i = 0; i < manager->shards->len; i++)
-        count += ow_managed_shard(manager, i)->status.token != 0 ? 1 : 0;
+        count += ow_managed_shard(manager, i)->status.fencing_token != 0 ? 1 : 0;
     return count;
 }
 
@@ -95,9 +95,9 @@
     for (guint i = 0; i < manager->shards->len; i++) {
         const struct ow_shard *shard = ow_managed_shard(manager, i);
         bool serving = ow_handover_last(&shard->handover)->phase == OW_HANDOVER_SERVING;
-        struct ow_peer_shard view = {(char *)shard->name, shard->status.token, serving,
+        struct ow_peer_shard view = {(char *)shard->name, shard->status.fencing_token, serving,
                                      shard->status.machines};
-        if (shard->status.token != 0)
+        if (shard->status.fencing_token != 0)
             ow_peer_shards_add(led, &view);
     }
     return led;
@@ -141,7 +141,7 @@
         .self = manager->settings->controller_name,
         .leader_name = status->leader_name,
         .leader = ow_membership_find(manager->membership, status->leader_name),
-        .token = status->token,
+        .fencing_token = status->fencing_token,
         .key_missing = status->key_missing,
         .records_read = status->records_read,
         .settled = status->settled,
@@ -187,9 +187,9 @@
 
 uint64_t ow_shard_manager_fencing_token(const struct ow_shard_manager *manager)
 {
-    uint64_t highest = manager->core != NULL ? ow_core_token(manager->core) : 0;
+    uint64_t highest = manager->core != NULL ? ow_core_fencing_token(manager->core) : 0;
     for (guint i = 0; manager->core == NULL && i < manager->shards->len; i++)
-        highest = MAX(highest, ow_managed_shard(manager, i)->status.token);
+        highest = MAX(highest, ow_managed_shard(manager, i)->status.fencing_token);
     return highest;
 }
 
@@ -201,7 +201,7 @@
     for (guint i = 0; i < manager->shards->len; i++) {
         struct ow_shard *shard = ow_managed_shard(manager, i);
         ow_shard_resumed(shard, now);
-        bool leads = shard->status.token != 0;
+        bool leads = shard->status.fencing_token != 0;
         doubtful |= leads && ow_lease_guard_check(&shard->guard, now) != OW_LEASE_HELD;
     }
     if (doubtful)
--- a/src/sharding/shard_manager.h
+++ b/src/sharding/shard_manager.h
@@ -22,7 +22,7 @@
 double ow_shard_manager_idle_seconds(const struct ow_shard_manager *manager);
 /* Whether users should be sent here. */
 bool ow_shard_manager_is_ready(const struct ow_shard_manager *manager);
-/* The highest token under which this controller leads anything; 0: it leads nothing. */
+/* The highest fencing token under which this controller leads anything; 0: it leads nothing. */
 uint64_t ow_shard_manager_fencing_token(const struct ow_shard_manager *manager);
 /* The process stood still for so long, up to now. True: bytes that wait to be sent must not leave any more.
  */
--- a/src/wire/agent_json.c
+++ b/src/wire/agent_json.c
@@ -29,11 +29,11 @@
     for (guint i = 0; i < heartbeat->tasks->len; i++)
         json_array_append_new(tasks, task_json(&g_array_index(heartbeat->tasks, struct ow_task_status, i)));
     json_t *notice = heartbeat->notice_s >= 0 ? json_real(heartbeat->notice_s) : json_null();
-    return wj_take_text(json_pack("{s:s,s:s,s:s,s:s,s:b,s:I,s:I,s:I,s:o,s:o}", W_MACHINE, heartbeat->machine,
-                                  W_ADDR, heartbeat->addr, W_TYPE, heartbeat->type, W_ZONE, heartbeat->zone,
-                                  W_SPOT, (int)heartbeat->spot, W_INCARNATION,
-                                  (json_int_t)heartbeat->incarnation, W_SEQ, (json_int_t)heartbeat->seq,
-                                  W_TOKEN, (json_int_t)heartbeat->token, W_NOTICE, notice, W_TASKS, tasks));
+    return wj_take_text(json_pack(
+        "{s:s,s:s,s:s,s:s,s:b,s:I,s:I,s:I,s:o,s:o}", W_MACHINE, heartbeat->machine, W_ADDR, heartbeat->addr,
+        W_TYPE, heartbeat->type, W_ZONE, heartbeat->zone, W_SPOT, (int)heartbeat->spot, W_INCARNATION,
+        (json_int_t)heartbeat->incarnation, W_SEQ, (json_int_t)heartbeat->seq, W_FENCING_TOKEN,
+        (json_int_t)heartbeat->fencing_token, W_NOTICE, notice, W_TASKS, tasks));
 }
 
 static bool parse_command(const json_t *object, struct ow_worker_command *command)
@@ -74,7 +74,7 @@
         return NULL;
     struct ow_worker_orders *orders = g_new0(struct ow_worker_orders, 1);
     orders->commands = g_array_new(FALSE, FALSE, sizeof(struct ow_worker_command));
-    orders->has_token = wj_count(object, W_TOKEN, &orders->token);
+    orders->has_fencing_token = wj_count(object, W_FENCING_TOKEN, &orders->fencing_token);
     orders->has_incarnation = wj_count(object, W_INCARNATION, &orders->incarnation);
     bool ok = parse_commands(json_object_get(object, W_COMMANDS), orders->commands);
     json_decref(object);
--- a/src/wire/agent_json.h
+++ b/src/wire/agent_json.h
@@ -8,8 +8,8 @@
 
 /* Commands for a worker, from the answer to a heartbeat or from a request to its own address. */
 struct ow_worker_orders {
-    bool has_token, has_incarnation;
-    uint64_t token, incarnation;
+    bool has_fencing_token, has_incarnation;
+    uint64_t fencing_token, incarnation;
     GArray *commands; /* struct ow_worker_command */
 };
 
--- a/src/wire/peer.x
+++ b/src/wire/peer.x
@@ -12,7 +12,7 @@
 
 struct peer_hello {
     string sender<PEER_NAME_MAX>;
-    unsigned hyper token;     /* the highest token known; the sender's own if it leads */
+    unsigned hyper fencing_token;     /* the highest fencing token known; the sender's own if it leads */
     bool leads;
     bool state_ok;            /* the state service answered the sender lately */
     bool receives_heartbeats;       /* workers came to the sender lately */
@@ -26,7 +26,7 @@
 };
 
 struct peer_summary {
-    unsigned hyper token;
+    unsigned hyper fencing_token;
     peer_job jobs<PEER_JOBS_MAX>;
 };
 
@@ -45,7 +45,7 @@
 };
 
 struct peer_machines {
-    unsigned hyper token;
+    unsigned hyper fencing_token;
     peer_machine machines<PEER_MACHINES_MAX>;
 };
 
@@ -55,7 +55,7 @@
 const PEER_PARTS_MAX = 1000;
 
 struct peer_machines_part {
-    unsigned hyper token;
+    unsigned hyper fencing_token;
     unsigned int part;        /* from 0 */
     unsigned int part_count;
     peer_machine machines<PEER_PART_MACHINES_MAX>;
@@ -65,14 +65,14 @@
 struct peer_cancellation {
     string job<PEER_NAME_MAX>;
     unsigned hyper revision;  /* of the record that says so */
-    unsigned hyper token;     /* of the leader at the time of that record */
+    unsigned hyper fencing_token;     /* of the leader at the time of that record */
 };
 
 /* "The leader has acknowledged the cancellation": it has queued the stops, and nothing of the job can start. */
 struct peer_cancellation_ack {
     string job<PEER_NAME_MAX>;
     unsigned hyper revision;
-    unsigned hyper token;     /* of the leader that says so */
+    unsigned hyper fencing_token;     /* of the leader that says so */
 };
 
 /* Controllers that share a fleet of several shards tell each other that they are alive, and what they lead. */
@@ -80,7 +80,7 @@
 
 struct peer_led_shard {
     string name<PEER_NAME_MAX>;
-    unsigned hyper token;
+    unsigned hyper fencing_token;
     bool serving;
     unsigned int machines;
 };
--- a/src/wire/peer_body.c
+++ b/src/wire/peer_body.c
@@ -55,7 +55,7 @@
     peer_led_shard *filled = g_new0(peer_led_shard, shards->len);
     for (guint i = 0; i < shards->len; i++) {
         struct ow_peer_shard *shard = &g_array_index(shards, struct ow_peer_shard, i);
-        filled[i] = (peer_led_shard){shard->name, shard->token, shard->serving, shard->machines};
+        filled[i] = (peer_led_shard){shard->name, shard->fencing_token, shard->serving, shard->machines};
     }
     return filled;
 }
@@ -109,7 +109,7 @@
 
 static void read_summary(const peer_summary *summary, struct ow_peer_message *message)
 {
-    message->number = summary->token;
+    message->number = summary->fencing_token;
     for (u_int i = 0; i < summary->jobs.jobs_len; i++) {
         const peer_job *entry = &summary->jobs.jobs_val[i];
         struct ow_peer_job job = {
@@ -131,7 +131,7 @@
 
 static void read_machines_part(const peer_machines_part *part, struct ow_peer_message *message)
 {
-    message->number = part->token;
+    message->number = part->fencing_token;
     message->part = part->part;
     /* A list of more parts than there may be is none: its parts are dropped one by one. */
     message->part_count = part->part_count <= PEER_PARTS_MAX ? part->part_count : 0;
@@ -146,7 +146,7 @@
     message->digest = heartbeat->digest;
     for (u_int i = 0; i < heartbeat->shards.shards_len; i++) {
         const peer_led_shard *entry = &heartbeat->shards.shards_val[i];
-        struct ow_peer_shard shard = {entry->name, entry->token, entry->serving, entry->machines};
+        struct ow_peer_shard shard = {entry->name, entry->fencing_token, entry->serving, entry->machines};
         ow_peer_shards_add(message->shards, &shard);
     }
 }
@@ -168,7 +168,7 @@
     switch (message->kind) {
     case OW_PEER_HELLO:
         message->sender = g_strdup(body->hello.sender);
-        message->number = body->hello.token;
+        message->number = body->hello.fencing_token;
         message->leads = body->hello.leads;
         message->state_ok = body->hello.state_ok;
         message->receives_heartbeats = body->hello.receives_heartbeats;
@@ -180,7 +180,7 @@
         message->number = body->job_changed.revision;
         break;
     case OW_PEER_MACHINES:
-        message->number = body->machines.token;
+        message->number = body->machines.fencing_token;
         read_machines(body->machines.machines.machines_val, body->machines.machines.machines_len, message);
         break;
     case OW_PEER_MACHINES_PART:
@@ -189,12 +189,12 @@
     case OW_PEER_CANCELLATION:
         g_strlcpy(message->job, body->cancellation.job, sizeof message->job);
         message->revision = body->cancellation.revision;
-        message->number = body->cancellation.token;
+        message->number = body->cancellation.fencing_token;
         break;
     case OW_PEER_CANCELLATION_ACK:
         g_strlcpy(message->job, body->cancellation_ack.job, sizeof message->job);
         message->revision = body->cancellation_ack.revision;
-        message->number = body->cancellation_ack.token;
+        message->number = body->cancellation_ack.fencing_token;
         break;
     case OW_PEER_HEARTBEAT:
         read_heartbeat(&body->heartbeat, message);
--- a/src/wire/records_json.c
+++ b/src/wire/records_json.c
@@ -12,7 +12,7 @@
 #define F_STATE "e"
 #define F_SUBMISSION "s"
 #define F_ACCEPTED "t"
-#define F_LEADER_TOKEN "c"
+#define F_LEADER_FENCING_TOKEN "c"
 #define F_LAST "a"
 #define F_DONE "d"
 #define F_LIVE "l"
@@ -29,8 +29,9 @@
         json_object_set_new(object, F_SUBMISSION, wire_submission_json(record->submission));
     if (record->accepted_at > 0)
         json_object_set_new(object, F_ACCEPTED, json_integer((json_int_t)record->accepted_at));
-    if (record->leader_token > 0)
-        json_object_set_new(object, F_LEADER_TOKEN, json_integer((json_int_t)record->leader_token));
+    if (record->leader_fencing_token > 0)
+        json_object_set_new(object, F_LEADER_FENCING_TOKEN,
+                            json_integer((json_int_t)record->leader_fencing_token));
     return wj_take_text(object);
 }
 
@@ -42,7 +43,7 @@
     bool over = wj_count(value, F_STATE, &state);
     out->state = (enum ow_job_state)state;
     wj_number(value, F_ACCEPTED, &out->accepted_at);
-    wj_count(value, F_LEADER_TOKEN, &out->leader_token);
+    wj_count(value, F_LEADER_FENCING_TOKEN, &out->leader_fencing_token);
     const json_t *submission = json_object_get(value, F_SUBMISSION);
     if (submission != NULL)
         out->submission = wire_submission_from(submission, &fault);
--- a/src/wire/sharding_json.c
+++ b/src/wire/sharding_json.c
@@ -16,7 +16,7 @@
 #define F_SUSPICIONS "suspicions"
 #define F_LEADS "leads"
 #define F_LEADER "leader"
-#define F_TOKEN "token"
+#define F_FENCING_TOKEN "token"
 #define F_MACHINES "machines"
 #define F_FENCED "fenced"
 #define F_WITHHELD "withheld"
@@ -101,10 +101,10 @@
     const struct ow_handover *handover = &shard->handover;
     double now = ow_shard_manager_now(manager);
     json_t *object = json_pack("{s:s,s:s,s:I,s:i,s:i,s:i,s:o}", F_NAME, shard->name, F_STATE,
-                               ow_handover_phase_name(ow_handover_last(handover)->phase), F_TOKEN,
-                               (json_int_t)shard->status.token, F_MACHINES, (int)shard->status.machines,
-                               F_FENCED, (int)shard->status.fenced, F_WITHHELD, (int)shard->withheld, F_STEPS,
-                               steps_json(handover, now));
+                               ow_handover_phase_name(ow_handover_last(handover)->phase), F_FENCING_TOKEN,
+                               (json_int_t)shard->status.fencing_token, F_MACHINES,
+                               (int)shard->status.machines, F_FENCED, (int)shard->status.fenced, F_WITHHELD,
+                               (int)shard->withheld, F_STEPS, steps_json(handover, now));
     if (handover->leader != NULL)
         json_object_set_new(object, F_LEADER, json_string(handover->leader));
     json_object_set_new(object, F_SUCCESSOR, json_string(ow_shard_manager_successor(manager, shard)));
--- a/src/wire/words.h
+++ b/src/wire/words.h
@@ -53,7 +53,7 @@
 #define W_ADDR "addr"
 #define W_INCARNATION "stint"
 #define W_SEQ "chirp"
-#define W_TOKEN "crest"
+#define W_FENCING_TOKEN "crest"
 #define W_NOTICE "warning_s"
 #define W_ATTEMPT "dive"
 #define W_CAUSE "cause"
--- a/src/wire/worker_json.c
+++ b/src/wire/worker_json.c
@@ -72,7 +72,7 @@
               wj_count(object, W_SEQ, &heartbeat->seq) && parse_tasks(object, heartbeat->tasks);
     if (ok) {
         wj_bool(object, W_SPOT, &heartbeat->spot);
-        wj_count(object, W_TOKEN, &heartbeat->token);
+        wj_count(object, W_FENCING_TOKEN, &heartbeat->fencing_token);
         wj_number(object, W_NOTICE, &heartbeat->notice_s);
         heartbeat->machine = g_strdup(machine);
         heartbeat->addr = g_strdup(addr);
@@ -102,15 +102,15 @@
     return list;
 }
 
-char *wire_worker_commands(uint64_t token, const GArray *commands)
+char *wire_worker_commands(uint64_t fencing_token, const GArray *commands)
 {
-    return wj_take_text(
-        json_pack("{s:I,s:o}", W_TOKEN, (json_int_t)token, W_COMMANDS, commands_json(commands)));
+    return wj_take_text(json_pack("{s:I,s:o}", W_FENCING_TOKEN, (json_int_t)fencing_token, W_COMMANDS,
+                                  commands_json(commands)));
 }
 
-char *wire_direct_commands(uint64_t token, uint64_t incarnation, const GArray *commands)
+char *wire_direct_commands(uint64_t fencing_token, uint64_t incarnation, const GArray *commands)
 {
-    return wj_take_text(json_pack("{s:I,s:I,s:o}", W_TOKEN, (json_int_t)token, W_INCARNATION,
+    return wj_take_text(json_pack("{s:I,s:I,s:o}", W_FENCING_TOKEN, (json_int_t)fencing_token, W_INCARNATION,
                                   (json_int_t)incarnation, W_COMMANDS, commands_json(commands)));
 }
 
--- a/tests/effect_line.c
+++ b/tests/effect_line.c
@@ -38,7 +38,7 @@
 static void append_direct(GString *line, const struct ow_effect *effect)
 {
     g_string_append_printf(line, "direct %s", effect->text);
-    append_body(line, wire_direct_commands(effect->token, effect->incarnation, effect->commands));
+    append_body(line, wire_direct_commands(effect->fencing_token, effect->incarnation, effect->commands));
 }
 
 static void append_store_request(GString *line, const struct ow_store_request *request)
@@ -96,7 +96,8 @@
         append_refusal(line, effect);
         break;
     case OW_EFFECT_WORKER_COMMANDS:
-        append_answer(line, effect, "commands", wire_worker_commands(effect->token, effect->commands));
+        append_answer(line, effect, "commands",
+                      wire_worker_commands(effect->fencing_token, effect->commands));
         break;
     case OW_EFFECT_MISDIRECT:
         append_answer(line, effect, "misdirected", wire_misdirected(effect->text));
--- a/tests/test_agent.c
+++ b/tests/test_agent.c
@@ -27,7 +27,7 @@
     g_array_free(options.controllers, TRUE);
 }
 
-static void test_higher_token_counts_as_a_change_now_and_then(void **state)
+static void test_higher_fencing_token_counts_as_a_change_now_and_then(void **state)
 {
     (void)state;
     struct agent_options options = agent_setup_options();
@@ -35,13 +35,13 @@
     agent_heartbeat_init(&heartbeat_timer, &options, 100);
     agent_heartbeat_sent(&heartbeat_timer, 100, 0);
     agent_heartbeat_accepted(&heartbeat_timer);
-    agent_heartbeat_token_changed(&heartbeat_timer, 100.1);
+    agent_heartbeat_fencing_token_changed(&heartbeat_timer, 100.1);
     assert_true(agent_heartbeat_is_due(&heartbeat_timer, 100.6));
     agent_heartbeat_sent(&heartbeat_timer, 100.6, 0);
     agent_heartbeat_accepted(&heartbeat_timer);
-    agent_heartbeat_token_changed(&heartbeat_timer, 101);
+    agent_heartbeat_fencing_token_changed(&heartbeat_timer, 101);
     assert_false(agent_heartbeat_is_due(&heartbeat_timer, 101.5));
-    agent_heartbeat_token_changed(&heartbeat_timer, 110.2);
+    agent_heartbeat_fencing_token_changed(&heartbeat_timer, 110.2);
     assert_true(agent_heartbeat_is_due(&heartbeat_timer, 110.2));
     g_array_free(options.controllers, TRUE);
 }
@@ -88,7 +88,7 @@
                                      .spot = true,
                                      .incarnation = 3,
                                      .seq = 8,
-                                     .token = 41,
+                                     .fencing_token = 41,
                                      .notice_s = -1,
                                      .tasks = g_array_new(FALSE, FALSE, sizeof(struct ow_task_status))};
     struct ow_task_status running = {"run-1", 3, 2, OW_PHASE_RUNNING, OW_CAUSE_NONE, false};
@@ -99,7 +99,7 @@
     struct ow_heartbeat *read = wire_heartbeat_parse(text, strlen(text));
     assert_non_null(read);
     assert_string_equal(read->machine, "m-1");
-    assert_true(read->spot && read->incarnation == 3 && read->seq == 8 && read->token == 41 &&
+    assert_true(read->spot && read->incarnation == 3 && read->seq == 8 && read->fencing_token == 41 &&
                 read->notice_s < 0);
     assert_int_equal(read->tasks->len, 2);
     const struct ow_task_status *second = &g_array_index(read->tasks, struct ow_task_status, 1);
@@ -119,7 +119,7 @@
     g_array_append_val(commands, stop);
     char *direct = wire_direct_commands(9, 2, commands);
     struct ow_worker_orders *orders = wire_worker_orders_parse(direct, strlen(direct));
-    assert_true(orders->has_token && orders->token == 9 && orders->has_incarnation &&
+    assert_true(orders->has_fencing_token && orders->fencing_token == 9 && orders->has_incarnation &&
                 orders->incarnation == 2);
     const struct ow_worker_command *read = &g_array_index(orders->commands, struct ow_worker_command, 0);
     assert_int_equal(read->kind, OW_WORKER_STOP);
@@ -145,7 +145,7 @@
 {
     const struct CMUnitTest tests[] = {
         cmocka_unit_test(test_heartbeats_follow_the_interval_and_changes),
-        cmocka_unit_test(test_higher_token_counts_as_a_change_now_and_then),
+        cmocka_unit_test(test_higher_fencing_token_counts_as_a_change_now_and_then),
         cmocka_unit_test(test_other_controllers_are_tried),
         cmocka_unit_test(test_heartbeat_is_what_controllers_read),
         cmocka_unit_test(test_orders_are_what_controllers_write),
--- a/tests/test_agent_tasks.c
+++ b/tests/test_agent_tasks.c
@@ -13,19 +13,19 @@
 /* Longer than anything that is waited for takes. */
 static const double PATIENCE_S = 30;
 
-static void test_incarnation_and_token_outlive_the_process(void **state)
+static void test_incarnation_and_fencing_token_outlive_the_process(void **state)
 {
     (void)state;
     char *directory = agent_setup_directory();
     struct agent_incarnation incarnation;
     assert_true(agent_incarnation_open(&incarnation, directory));
     assert_int_equal(incarnation.number, 1);
-    agent_incarnation_set_token(&incarnation, 77);
+    agent_incarnation_set_fencing_token(&incarnation, 77);
     agent_incarnation_begin_next(&incarnation);
     agent_incarnation_close(&incarnation);
     assert_true(agent_incarnation_open(&incarnation, directory));
     assert_int_equal(incarnation.number, 3);
-    assert_int_equal(incarnation.token, 77);
+    assert_int_equal(incarnation.fencing_token, 77);
     agent_incarnation_close(&incarnation);
     /* A file that can't be read is no new machine. */
     char *path = g_build_filename(directory, "session", NULL);
@@ -276,7 +276,7 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_incarnation_and_token_outlive_the_process),
+        cmocka_unit_test(test_incarnation_and_fencing_token_outlive_the_process),
         cmocka_unit_test(test_ends_are_reported_with_their_cause),
         cmocka_unit_test(test_launches_are_refused),
         cmocka_unit_test(test_stopped_task_saves_in_its_grace),
--- a/tests/test_cancellation.c
+++ b/tests/test_cancellation.c
@@ -52,14 +52,14 @@
 }
 
 static void send_cancellation_ack(struct world *w, int controller, const char *job, uint64_t revision,
-                                  uint64_t token)
+                                  uint64_t fencing_token)
 {
     struct ow_event *event = g_new0(struct ow_event, 1);
     event->kind = OW_EVENT_PEER;
     event->peer = ow_peer_message_new(OW_PEER_CANCELLATION_ACK);
     g_strlcpy(event->peer->job, job, sizeof event->peer->job);
     event->peer->revision = revision;
-    event->peer->number = token;
+    event->peer->number = fencing_token;
     ow_shard_manager_push(w->controllers[controller], event);
 }
 
@@ -70,18 +70,18 @@
     (void)state;
     struct world *w = failure_world(2);
     failure_start_job(w, world_job("run-1", 1, 1));
-    uint64_t token = world_token(w, world_leader(w));
+    uint64_t fencing_token = world_fencing_token(w, world_leader(w));
     w->denied_controller = world_leader(w);
     w->peers_cut = true;
     int controller = world_follower(w);
     world_cancel(w, controller, "run-1");
     world_run(w, 1);
     w->state_down = true;
-    send_cancellation_ack(w, controller, "run-1", w->revision, token - 1);
+    send_cancellation_ack(w, controller, "run-1", w->revision, fencing_token - 1);
     uint64_t poll = world_poll(w, controller, "run-1");
     world_run(w, 1);
     assert_int_equal(world_status(w, poll), 503);
-    send_cancellation_ack(w, controller, "run-1", w->revision, token);
+    send_cancellation_ack(w, controller, "run-1", w->revision, fencing_token);
     poll = world_poll(w, controller, "run-1");
     world_run(w, 1);
     assert_int_equal(world_status(w, poll), 200);
--- a/tests/test_candidacy.c
+++ b/tests/test_candidacy.c
@@ -37,7 +37,7 @@
 static void hear(struct bench *bench, const char *name, unsigned count)
 {
     struct ow_peer_message *message = ow_peer_message_new(OW_PEER_HEARTBEAT);
-    struct ow_peer_shard shard = {.name = names[0], .token = 1};
+    struct ow_peer_shard shard = {.name = names[0], .fencing_token = 1};
     GPtrArray *sent = g_ptr_array_new();
     message->sender = g_strdup(name);
     message->incarnation = message->sequence = message->digest = 1;
--- a/tests/test_election.c
+++ b/tests/test_election.c
@@ -8,14 +8,14 @@
     struct world *w = world_with_controllers(3, 1);
     int first = world_leader(w);
     assert_true(first >= 0);
-    uint64_t token = world_token(w, first);
+    uint64_t fencing_token = world_fencing_token(w, first);
     for (int i = 0; i < WORLD_CONTROLLERS; i++)
-        assert_true(i == first || world_token(w, i) == 0);
+        assert_true(i == first || world_fencing_token(w, i) == 0);
     world_kill_controller(w, first);
     world_run(w, 8);
     int second = world_leader(w);
     assert_true(second >= 0 && second != first);
-    assert_true(world_token(w, second) > token);
+    assert_true(world_fencing_token(w, second) > fencing_token);
     world_finish(w);
 }
 
@@ -32,10 +32,10 @@
     /* Two controllers without a link must not depose each other in turn. */
     world_start_controller(w, first);
     world_run(w, 2);
-    uint64_t token = world_token(w, other);
+    uint64_t fencing_token = world_fencing_token(w, other);
     world_lose_link(w, first, other);
     world_run(w, 1);
-    assert_true(world_token(w, other) == token);
+    assert_true(world_fencing_token(w, other) == fencing_token);
     world_finish(w);
 }
 
@@ -43,11 +43,11 @@
 {
     (void)state;
     struct world *w = world_with_controllers(1, 1);
-    uint64_t token = world_token(w, 0);
+    uint64_t fencing_token = world_fencing_token(w, 0);
     world_kill_controller(w, 0);
     world_start_controller(w, 0);
     world_run(w, 1);
-    assert_true(world_token(w, 0) > token);
+    assert_true(world_fencing_token(w, 0) > fencing_token);
     world_finish(w);
 }
 
@@ -60,7 +60,7 @@
     world_run(w, 2);
     w->lose_txn_answers = false;
     world_run(w, 2);
-    assert_true(world_token(w, 0) > 0);
+    assert_true(world_fencing_token(w, 0) > 0);
     world_finish(w);
 }
 
@@ -69,7 +69,7 @@
     (void)state;
     struct world *w = world_with_controllers(3, 2);
     int leader = world_leader(w);
-    uint64_t token = world_token(w, leader);
+    uint64_t fencing_token = world_fencing_token(w, leader);
     world_submit(w, 0, world_job("run-1", 2, 1));
     w->run_s = 60;
     assert_true(world_until(w, 10, world_some_running, "run-1"));
@@ -79,7 +79,7 @@
     assert_int_equal(world_running(w, "run-1"), 2);
     w->state_down = false;
     world_run(w, 2);
-    assert_true(world_token(w, leader) == token);
+    assert_true(world_fencing_token(w, leader) == fencing_token);
     world_finish(w);
 }
 
--- a/tests/test_isolation.c
+++ b/tests/test_isolation.c
@@ -19,7 +19,7 @@
     assert_true(answer != NULL && answer->status == 503);
     assert_true(world_until(w, 20, world_some_running, "run-1"));
     world_run(w, 10);
-    assert_true(world_leader(w) != old && world_token(w, old) == 0);
+    assert_true(world_leader(w) != old && world_fencing_token(w, old) == 0);
     /* The task has survived on its machine. */
     assert_true(world_where(w, "run-1") == machine);
     assert_int_equal(machine->starts, 1);
--- a/tests/test_large_fleet.c
+++ b/tests/test_large_fleet.c
@@ -66,12 +66,12 @@
     w->cloud_down = true;
     w->directs = 0;
     set_reporting(w, false);
-    uint64_t old_token = world_machine_at(w, 0)->token;
+    uint64_t old_fencing_token = world_machine_at(w, 0)->fencing_token;
     world_kill_controller(w, world_leader(w));
     world_run(w, 15);
     assert_true(world_leader(w) >= 0);
     for (int i = 0; i < MACHINES; i++)
-        assert_true(world_machine_at(w, (guint)i)->token > old_token);
+        assert_true(world_machine_at(w, (guint)i)->fencing_token > old_fencing_token);
     set_reporting(w, true);
     world_run(w, 20);
     assert_int_equal(world_running(w, "run-1"), MACHINES);
--- a/tests/test_leader_changes.c
+++ b/tests/test_leader_changes.c
@@ -3,22 +3,22 @@
 #include "failure_setup.h"
 #include "world.h"
 
-/* A token that was released is never reused: launches sent under it may still be in flight. */
-static void test_returning_leader_takes_a_new_token(void **state)
+/* A fencing token that was released is never reused: launches sent under it may still be in flight. */
+static void test_returning_leader_takes_a_new_fencing_token(void **state)
 {
     (void)state;
     struct world *w = failure_world(2);
     int old = world_leader(w);
-    uint64_t before = world_token(w, old);
+    uint64_t before = world_fencing_token(w, old);
     w->isolated_controller = old;
     w->state_down = true; /* its key stays: leases don't expire in an outage */
     world_run(w, 30);
-    assert_int_equal(world_token(w, old), 0);
+    assert_int_equal(world_fencing_token(w, old), 0);
     w->isolated_controller = -1;
     w->state_down = false;
     world_run(w, 8);
     assert_int_equal(world_leader(w), old);
-    assert_true(world_token(w, old) > before);
+    assert_true(world_fencing_token(w, old) > before);
     world_finish(w);
 }
 
@@ -124,7 +124,7 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_returning_leader_takes_a_new_token),
+        cmocka_unit_test(test_returning_leader_takes_a_new_fencing_token),
         cmocka_unit_test(test_machine_that_stopped_reporting_gets_no_new_tasks),
         cmocka_unit_test(test_one_zone_array_survives_a_machine_loss),
         cmocka_unit_test(test_all_controllers_down_for_longer_than_a_lease),
--- a/tests/test_peer_lists.c
+++ b/tests/test_peer_lists.c
@@ -16,11 +16,11 @@
     return machine;
 }
 
-static struct ow_peer_message *machines_message(enum ow_peer_kind kind, uint64_t token, unsigned first,
-                                                unsigned count)
+static struct ow_peer_message *machines_message(enum ow_peer_kind kind, uint64_t fencing_token,
+                                                unsigned first, unsigned count)
 {
     struct ow_peer_message *message = ow_peer_message_new(kind);
-    message->number = token;
+    message->number = fencing_token;
     for (unsigned i = 0; i < count; i++) {
         struct ow_peer_machine machine = hint(first + i);
         g_array_append_val(message->machines, machine);
@@ -29,9 +29,9 @@
 }
 
 /* A part of a list of three, with one machine that has the part's number. */
-static struct ow_peer_message *part_of_three(uint64_t token, uint32_t part)
+static struct ow_peer_message *part_of_three(uint64_t fencing_token, uint32_t part)
 {
-    struct ow_peer_message *message = machines_message(OW_PEER_MACHINES_PART, token, part, 1);
+    struct ow_peer_message *message = machines_message(OW_PEER_MACHINES_PART, fencing_token, part, 1);
     message->part = part;
     message->part_count = 3;
     return message;
--- a/tests/test_reconciliation.c
+++ b/tests/test_reconciliation.c
@@ -41,7 +41,7 @@
     struct world_machine *unresponsive = world_start_long_job(w);
     unresponsive->unresponsive = true;
     world_kill_controller(w, world_leader(w));
-    /* Its reports under an old token keep arriving: they are no sign of health. */
+    /* Its reports under an old fencing token keep arriving: they are no sign of health. */
     assert_true(world_until(w, 60, world_runs_on_another, unresponsive));
     assert_true(world_until(w, 90, world_is_gone, unresponsive));
     world_finish(w);
--- a/tests/test_shard_settings.c
+++ b/tests/test_shard_settings.c
@@ -16,7 +16,7 @@
     ((struct ow_shard_settings *)g_ptr_array_index(w->sharding->shards, EAST))->share = 0.4;
     world_start_controller(w, 0);
     world_run(w, 30);
-    assert_int_equal(world_token(w, 0), 0);
+    assert_int_equal(world_fencing_token(w, 0), 0);
     const char *difference = ow_shard_manager_difference(w->controllers[0]);
     assert_non_null(difference);
     assert_non_null(
@@ -36,7 +36,7 @@
     world_start_controllers(w);
     world_run(w, 10);
     for (int i = 0; i < WORLD_CONTROLLERS; i++) {
-        assert_int_equal(world_token(w, i), 0);
+        assert_int_equal(world_fencing_token(w, i), 0);
         assert_non_null(strstr(ow_shard_manager_difference(w->controllers[i]), "in use without shards"));
     }
     world_finish(w);
@@ -52,7 +52,7 @@
     world_kill_controller(w, 0);
     world_start_controller(w, 0);
     world_run(w, 30);
-    assert_int_equal(world_token(w, 0), 0);
+    assert_int_equal(world_fencing_token(w, 0), 0);
     world_kill_controllers(w);
     w->sharding = sharding;
     world_finish(w);
--- a/tests/test_sharding_wire.c
+++ b/tests/test_sharding_wire.c
@@ -47,7 +47,7 @@
     assert_int_equal(message->shards->len, 2);
     const struct ow_peer_shard *shard = &g_array_index(message->shards, struct ow_peer_shard, 1);
     assert_string_equal(shard->name, "north");
-    assert_true(shard->token == 6 && shard->serving && shard->machines == 12);
+    assert_true(shard->fencing_token == 6 && shard->serving && shard->machines == 12);
     assert_null(message->shard);
     ow_peer_message_free(message);
 }
--- a/tests/test_shards.c
+++ b/tests/test_shards.c
@@ -9,9 +9,9 @@
     return g_ptr_array_index(ow_shard_manager_shards(w->controllers[controller]), shard);
 }
 
-static uint64_t shard_token(const struct world *w, guint shard)
+static uint64_t shard_fencing_token(const struct world *w, guint shard)
 {
-    return shard_view(w, world_shard_leader(w, shard), shard)->status.token;
+    return shard_view(w, world_shard_leader(w, shard), shard)->status.fencing_token;
 }
 
 /* The controllers that believe that they lead the shard, stopped ones left out. */
@@ -20,13 +20,14 @@
     int count = 0;
     for (int i = 0; i < WORLD_CONTROLLERS; i++)
         if (w->controllers[i] != NULL && !w->frozen[i])
-            count += shard_view(w, i, shard)->status.token != 0 ? 1 : 0;
+            count += shard_view(w, i, shard)->status.fencing_token != 0 ? 1 : 0;
     return count;
 }
 
-static bool handed_over(struct world *w, const void *old_token)
+static bool handed_over(struct world *w, const void *old_fencing_token)
 {
-    return world_shard_leader(w, EAST) >= 0 && shard_token(w, EAST) > *(const uint64_t *)old_token;
+    return world_shard_leader(w, EAST) >= 0 &&
+           shard_fencing_token(w, EAST) > *(const uint64_t *)old_fencing_token;
 }
 
 /* ---- who leads ---- */
@@ -38,10 +39,10 @@
     assert_int_equal(count_leaders(w, EAST), 1);
     assert_int_equal(count_leaders(w, WEST), 1);
     assert_int_not_equal(world_shard_leader(w, EAST), world_shard_leader(w, WEST));
-    assert_int_not_equal(shard_token(w, EAST), shard_token(w, WEST));
-    /* Each machine has seen the token of its own shard. */
-    assert_int_equal(world_machine(w, "east-0")->token, shard_token(w, EAST));
-    assert_int_equal(world_machine(w, "west-1")->token, shard_token(w, WEST));
+    assert_int_not_equal(shard_fencing_token(w, EAST), shard_fencing_token(w, WEST));
+    /* Each machine has seen the fencing token of its own shard. */
+    assert_int_equal(world_machine(w, "east-0")->fencing_token, shard_fencing_token(w, EAST));
+    assert_int_equal(world_machine(w, "west-1")->fencing_token, shard_fencing_token(w, WEST));
     world_finish(w);
 }
 
@@ -51,23 +52,23 @@
     struct world *w = world_with_shards(2);
     w->run_s = 60;
     int old = world_shard_leader(w, EAST);
-    uint64_t token = shard_token(w, EAST);
-    uint64_t west_token = shard_token(w, WEST);
+    uint64_t fencing_token = shard_fencing_token(w, EAST);
+    uint64_t west_fencing_token = shard_fencing_token(w, WEST);
     world_accept(w, 0, world_job_in("run-1", "east", 2));
     world_kill_controller(w, old);
-    assert_true(world_until(w, 15, handed_over, &token));
+    assert_true(world_until(w, 15, handed_over, &fencing_token));
     int successor = world_shard_leader(w, EAST);
     /* Its tasks ran on through the handover, and new ones start. */
     world_accept(w, successor, world_job_in("run-2", "east", 1));
     assert_int_equal(world_running(w, "run-1"), 2);
     assert_int_equal(world_running(w, "run-2"), 1);
-    assert_int_equal(shard_token(w, WEST), west_token);
+    assert_int_equal(shard_fencing_token(w, WEST), west_fencing_token);
     /* When it is back, work does not bounce. */
-    token = shard_token(w, EAST);
+    fencing_token = shard_fencing_token(w, EAST);
     world_start_controller(w, old);
     world_run(w, 20);
     assert_int_equal(world_shard_leader(w, EAST), successor);
-    assert_int_equal(shard_token(w, EAST), token);
+    assert_int_equal(shard_fencing_token(w, EAST), fencing_token);
     world_finish(w);
 }
 
@@ -78,11 +79,11 @@
     struct world *w = world_with_shards(1);
     world_run(w, 10);
     int old = world_shard_leader(w, EAST);
-    uint64_t token = shard_token(w, EAST);
+    uint64_t fencing_token = shard_fencing_token(w, EAST);
     world_lose_link(w, (old + 1) % WORLD_CONTROLLERS, old);
     w->peers_cut = true;
     world_run(w, 30);
-    assert_int_equal(shard_token(w, EAST), token);
+    assert_int_equal(shard_fencing_token(w, EAST), fencing_token);
     int other = (old + 1) % WORLD_CONTROLLERS;
     const struct ow_member *member = g_ptr_array_index(ow_shard_manager_members(w->controllers[other]), 0);
     assert_int_equal(member->state, OW_MEMBER_SUSPECTED);
@@ -110,11 +111,11 @@
     assert_non_null(world_value_text(w, "coordinator"));
     assert_non_null(world_value_text(w, "j/run-1"));
     int old = world_shard_leader(w, 0);
-    uint64_t token = shard_token(w, 0);
+    uint64_t fencing_token = shard_fencing_token(w, 0);
     world_lose_link(w, (old + 1) % WORLD_CONTROLLERS, old);
     world_run(w, 10);
     assert_int_equal(world_shard_leader(w, 0), old);
-    assert_int_equal(shard_token(w, 0), token);
+    assert_int_equal(shard_fencing_token(w, 0), fencing_token);
     world_finish(w);
 }
 
@@ -125,12 +126,12 @@
     struct world *w = world_with_shards(2);
     w->run_s = 200;
     world_accept(w, 0, world_job_in("run-1", "east", 2));
-    uint64_t token = shard_token(w, EAST);
+    uint64_t fencing_token = shard_fencing_token(w, EAST);
     w->state_down = true;
     world_run(w, 60);
     w->state_down = false;
     world_run(w, 10);
-    assert_int_equal(shard_token(w, EAST), token);
+    assert_int_equal(shard_fencing_token(w, EAST), fencing_token);
     assert_int_equal(world_running(w, "run-1"), 2);
     world_finish(w);
 }
@@ -142,12 +143,12 @@
     (void)state;
     struct world *w = world_with_shards(2);
     int old = world_shard_leader(w, EAST);
-    uint64_t token = shard_token(w, EAST);
+    uint64_t fencing_token = shard_fencing_token(w, EAST);
     world_accept(w, (old + 1) % WORLD_CONTROLLERS, world_job_in("run-1", "east", 3));
     world_freeze(w, old);
     world_run(w, 30);
-    assert_true(shard_token(w, EAST) > token);
-    uint64_t successor_token = shard_token(w, EAST);
+    assert_true(shard_fencing_token(w, EAST) > fencing_token);
+    uint64_t successor_fencing_token = shard_fencing_token(w, EAST);
     world_accept(w, (old + 1) % WORLD_CONTROLLERS, world_job_in("run-2", "east", 3));
     unsigned directs = w->directs;
     world_thaw(w, old);
@@ -156,8 +157,8 @@
     assert_true(w->directs - directs <= 2);
     world_run(w, 10);
     assert_int_equal(count_leaders(w, EAST), 1);
-    assert_int_equal(shard_token(w, EAST), successor_token);
-    assert_int_equal(world_machine(w, "east-0")->token, successor_token);
+    assert_int_equal(shard_fencing_token(w, EAST), successor_fencing_token);
+    assert_int_equal(world_machine(w, "east-0")->fencing_token, successor_fencing_token);
     world_finish(w);
 }
 
@@ -177,14 +178,14 @@
     world_add_group(w, "west", 3, "west", false);
     world_run(w, 10);
     int old = world_shard_leader(w, EAST);
-    uint64_t token = shard_token(w, EAST);
+    uint64_t fencing_token = shard_fencing_token(w, EAST);
     world_freeze(w, old);
-    assert_true(world_until(w, 4, handed_over, &token));
-    token = shard_token(w, EAST);
+    assert_true(world_until(w, 4, handed_over, &fencing_token));
+    fencing_token = shard_fencing_token(w, EAST);
     world_run(w, 2.9); /* the workers still wait for the one that stands still */
     world_thaw(w, old);
     world_run(w, 20);
-    assert_int_equal(shard_token(w, EAST), token);
+    assert_int_equal(shard_fencing_token(w, EAST), fencing_token);
     world_finish(w);
 }
 
@@ -212,7 +213,7 @@
     unsigned before = withheld(w, old, EAST);
     assert_int_equal(ow_lease_guard_check(&shard_view(w, old, EAST)->guard, w->now), OW_LEASE_UNPROVEN);
     /* Reports come in, and what would be answered is not. */
-    world_heartbeat(w, old, world_machine(w, "east-0"), 1000, world_machine(w, "east-0")->token);
+    world_heartbeat(w, old, world_machine(w, "east-0"), 1000, world_machine(w, "east-0")->fencing_token);
     world_run(w, 0.6);
     assert_true(withheld(w, old, EAST) > before);
     w->state_slow_s = 0;
--- a/tests/test_takeover.c
+++ b/tests/test_takeover.c
@@ -47,8 +47,8 @@
 }
 
 /* Rule 2, fencing: a deposed leader may still renew the machine's lease until the machine has seen the new
- * token; its tasks count as running. */
-static void test_machine_with_a_stale_token_keeps_its_tasks(void **state)
+ * fencing token; its tasks count as running. */
+static void test_machine_with_a_stale_fencing_token_keeps_its_tasks(void **state)
 {
     (void)state;
     struct world *w = world_with_machines(2);
@@ -70,23 +70,23 @@
     world_finish(w);
 }
 
-/* Rules 2 and 4: after a heartbeat from before the new token an older leader may still change the machine. It
- * frees no task and allows no launch. */
-static void test_heartbeat_with_a_stale_token_frees_no_task(void **state)
+/* Rules 2 and 4: after a heartbeat from before the new fencing token an older leader may still change the
+ * machine. It frees no task and allows no launch. */
+static void test_heartbeat_with_a_stale_fencing_token_frees_no_task(void **state)
 {
     (void)state;
     struct world *w = world_with_machines(2);
     w->run_s = 200;
     w->cloud_down = true;
     struct world_machine *machine = world_start_settled_job(w, world_job("run-1", 1, 1));
-    uint64_t token = machine->token;
+    uint64_t fencing_token = machine->fencing_token;
     for (guint i = 0; i < w->machines->len; i++)
         world_machine_at(w, i)->cut = true;
     machine->renewed_at = w->now + 1000;
     world_kill_controller(w, world_leader(w));
     world_run(w, 8);
     int controller = world_leader(w);
-    world_heartbeat(w, controller, machine, machine->seq + 1, token);
+    world_heartbeat(w, controller, machine, machine->seq + 1, fencing_token);
     world_submit(w, controller, world_job("run-2", 1, 1));
     world_run(w, 3);
     char *first = world_progress(w, "run-1/0");
@@ -120,14 +120,14 @@
     world_finish(w);
 }
 
-/* Rule 4: a new leader starts nothing on a machine before it has its report under the new token. */
-static void test_no_launch_before_the_machine_heartbeats_the_new_token(void **state)
+/* Rule 4: a new leader starts nothing on a machine before it has its report under the new fencing token. */
+static void test_no_launch_before_the_machine_heartbeats_the_new_fencing_token(void **state)
 {
     (void)state;
     struct world *w = world_with_machines(1);
     w->cloud_down = true;
     struct world_machine *machine = world_machine(w, "m-0");
-    uint64_t before = machine->token;
+    uint64_t before = machine->fencing_token;
     machine->cut = true;
     world_kill_controller(w, world_leader(w));
     world_run(w, 8);
@@ -137,7 +137,7 @@
     assert_int_equal(machine->starts, 0);
     machine->cut = false;
     assert_true(world_until(w, 15, world_some_running, "run-1"));
-    assert_true(machine->token > before);
+    assert_true(machine->fencing_token > before);
     world_finish(w);
 }
 
@@ -162,16 +162,16 @@
     world_finish(w);
 }
 
-/* A leader that sees a higher token steps down. */
-static void test_higher_token_deposes_the_leader(void **state)
+/* A leader that sees a higher fencing token steps down. */
+static void test_higher_fencing_token_deposes_the_leader(void **state)
 {
     (void)state;
     struct world *w = world_with_machines(1);
     int leader = world_leader(w);
     w->state_down = true; /* it can't read who leads */
-    world_machine(w, "m-0")->token = 1000000;
+    world_machine(w, "m-0")->fencing_token = 1000000;
     world_run(w, 5);
-    assert_true(world_token(w, leader) == 0);
+    assert_true(world_fencing_token(w, leader) == 0);
     world_free(w);
 }
 
@@ -223,12 +223,12 @@
     const struct CMUnitTest tests[] = {
         cmocka_unit_test(test_takeover_recovers_tasks_of_a_deleted_machine),
         cmocka_unit_test(test_tasks_recover_when_machine_and_leader_fail_together),
-        cmocka_unit_test(test_machine_with_a_stale_token_keeps_its_tasks),
-        cmocka_unit_test(test_heartbeat_with_a_stale_token_frees_no_task),
+        cmocka_unit_test(test_machine_with_a_stale_fencing_token_keeps_its_tasks),
+        cmocka_unit_test(test_heartbeat_with_a_stale_fencing_token_frees_no_task),
         cmocka_unit_test(test_write_of_a_deposed_leader_is_rejected),
-        cmocka_unit_test(test_no_launch_before_the_machine_heartbeats_the_new_token),
+        cmocka_unit_test(test_no_launch_before_the_machine_heartbeats_the_new_fencing_token),
         cmocka_unit_test(test_inherited_attempts_count_against_the_limit),
-        cmocka_unit_test(test_higher_token_deposes_the_leader),
+        cmocka_unit_test(test_higher_fencing_token_deposes_the_leader),
         cmocka_unit_test(test_successor_does_not_ask_machines_that_boot),
         cmocka_unit_test(test_slow_boot_is_not_taken_for_unresponsive),
     };
--- a/tests/world.c
+++ b/tests/world.c
@@ -261,9 +261,9 @@
     int leader = -1;
     uint64_t highest = 0;
     for (int i = 0; i < WORLD_CONTROLLERS; i++) {
-        uint64_t token = w->controllers[i] != NULL ? world_token(w, i) : 0;
-        if (token > highest) {
-            highest = token;
+        uint64_t fencing_token = w->controllers[i] != NULL ? world_fencing_token(w, i) : 0;
+        if (fencing_token > highest) {
+            highest = fencing_token;
             leader = i;
         }
     }
--- a/tests/world.h
+++ b/tests/world.h
@@ -36,7 +36,7 @@
     bool stopped_reporting; /* its heartbeats reach no controller; commands reach it */
     int only_controller;    /* partitioned from every other controller; -1: from none */
     double up_at;           /* the end of its boot */
-    uint64_t incarnation, seq, token;
+    uint64_t incarnation, seq, fencing_token;
     double notice_s; /* the time until it is reclaimed, as it reports it; -1: none */
     double heartbeat_at, renewed_at, sent_at;
     bool heartbeat_busy; /* it waits for the response to a heartbeat */
@@ -181,9 +181,9 @@
 /** The controller's process stands still, or goes on. */
 void world_freeze(struct world *w, int controller);
 void world_thaw(struct world *w, int controller);
-/** The highest token under which the controller leads; 0: it does not. */
-uint64_t world_token(const struct world *w, int controller);
-/** The controller that leads the shard of this index with the highest token, or -1. */
+/** The highest fencing token under which the controller leads; 0: it does not. */
+uint64_t world_fencing_token(const struct world *w, int controller);
+/** The controller that leads the shard of this index with the highest fencing token, or -1. */
 int world_shard_leader(const struct world *w, guint shard);
 /** The controller that leads, or -1. */
 int world_leader(const struct world *w);
@@ -211,9 +211,9 @@
 /** The attempts of a job that have not exited on this machine. */
 unsigned world_tasks_on(const struct world_machine *machine, const char *job);
 
-/** Sends a controller a heartbeat without tasks, of this sequence number and token. */
+/** Sends a controller a heartbeat without tasks, of this sequence number and fencing token. */
 void world_heartbeat(struct world *w, int controller, const struct world_machine *machine, uint64_t seq,
-                     uint64_t token);
+                     uint64_t fencing_token);
 /** A duplicate of the machine's last heartbeat. */
 struct ow_heartbeat *world_last_heartbeat(const struct world_machine *machine);
 /** Sends a controller the heartbeat, which it takes over. */
--- a/tests/world_machines.c
+++ b/tests/world_machines.c
@@ -61,7 +61,7 @@
     heartbeat->spot = machine->spot;
     heartbeat->incarnation = machine->incarnation;
     heartbeat->seq = ++machine->seq;
-    heartbeat->token = machine->token;
+    heartbeat->fencing_token = machine->fencing_token;
     heartbeat->notice_s = machine->notice_s;
     heartbeat->tasks = g_array_new(FALSE, TRUE, sizeof(struct ow_task_status));
     for (guint i = 0; i < machine->tasks->len; i++) {
@@ -78,12 +78,12 @@
 }
 
 void world_heartbeat(struct world *w, int controller, const struct world_machine *machine, uint64_t seq,
-                     uint64_t token)
+                     uint64_t fencing_token)
 {
     struct world_machine copy = *machine;
     struct ow_event *event = world_command(OW_EVENT_HEARTBEAT, (uint64_t)1 << 60);
     copy.seq = seq - 1;
-    copy.token = token;
+    copy.fencing_token = fencing_token;
     event->heartbeat = world_make_heartbeat(&copy);
     g_array_set_size(event->heartbeat->tasks, 0);
     world_deliver(w, controller, w->controller_nonce[controller], 0, event);
@@ -107,7 +107,7 @@
 {
     g_array_set_size(machine->tasks, 0);
     machine->incarnation = 1;
-    machine->seq = machine->token = 0;
+    machine->seq = machine->fencing_token = 0;
     machine->heartbeat_busy = false;
     machine->renewed_at = machine->heartbeat_at = w->now;
 }
--- a/tests/world_shards.c
+++ b/tests/world_shards.c
@@ -44,7 +44,7 @@
     w->frozen[controller] = false;
 }
 
-uint64_t world_token(const struct world *w, int controller)
+uint64_t world_fencing_token(const struct world *w, int controller)
 {
     return ow_shard_manager_fencing_token(w->controllers[controller]);
 }
@@ -57,8 +57,8 @@
         if (w->controllers[i] == NULL)
             continue;
         const struct ow_shard *view = g_ptr_array_index(ow_shard_manager_shards(w->controllers[i]), shard);
-        if (view->status.token > highest) {
-            highest = view->status.token;
+        if (view->status.fencing_token > highest) {
+            highest = view->status.fencing_token;
             leader = i;
         }
     }
--- a/tests/world_workers.c
+++ b/tests/world_workers.c
@@ -9,7 +9,7 @@
 
 struct late_direct {
     char machine[32];
-    uint64_t token, incarnation;
+    uint64_t fencing_token, incarnation;
     GArray *commands;
 };
 
@@ -115,7 +115,7 @@
         apart(w, machine, controller)) {
         if (machine != NULL && !machine->gone && (machine->cut || w->hold_directs)) {
             /* The partition delays the packets; they arrive once it heals. */
-            struct late_direct late = {.token = effect->token,
+            struct late_direct late = {.fencing_token = effect->fencing_token,
                                        .incarnation = effect->incarnation,
                                        .commands = g_steal_pointer(&effect->commands)};
             g_strlcpy(late.machine, machine->name, sizeof late.machine);
@@ -124,9 +124,9 @@
         world_deliver(w, controller, w->controller_nonce[controller], 3, event);
         return;
     }
-    bool ok = effect->token >= machine->token && effect->incarnation == machine->incarnation;
-    if (effect->token > machine->token) {
-        machine->token = effect->token;
+    bool ok = effect->fencing_token >= machine->fencing_token && effect->incarnation == machine->incarnation;
+    if (effect->fencing_token > machine->fencing_token) {
+        machine->fencing_token = effect->fencing_token;
         machine->heartbeat_at = MIN(machine->heartbeat_at, w->now + 0.5);
     }
     if (ok)
@@ -143,8 +143,9 @@
         struct world_machine *machine = world_machine(w, late->machine);
         if (!machine->gone && (machine->cut || w->hold_directs))
             continue;
-        if (!machine->gone && late->token >= machine->token && late->incarnation == machine->incarnation) {
-            machine->token = late->token;
+        if (!machine->gone && late->fencing_token >= machine->fencing_token &&
+            late->incarnation == machine->incarnation) {
+            machine->fencing_token = late->fencing_token;
             obey(w, machine, late->commands);
         }
         g_array_free(late->commands, TRUE);
@@ -170,11 +171,11 @@
         machine->heartbeat_at = w->now + (named != controller ? 0.1 : 1);
         return;
     }
-    if (effect->token < machine->token)
+    if (effect->fencing_token < machine->fencing_token)
         return;
-    if (effect->token > machine->token)
+    if (effect->fencing_token > machine->fencing_token)
         machine->heartbeat_at = w->now + 0.5;
-    machine->token = effect->token;
+    machine->fencing_token = effect->fencing_token;
     machine->renewed_at = machine->sent_at;
     guint before = machine->tasks->len;
     obey(w, machine, effect->commands);
