--- a/src/core/api/cancel.c
+++ b/src/core/api/cancel.c
@@ -104,7 +104,7 @@
     return wire_job_record(&record);
 }
 
-/* The record expects the leader that it names: so it comes before any later take-over, whose reading
+/* The record expects the leader that it names: so it comes before any later failover, whose reading
    then includes it. */
 static void write_cancellation(struct ow_core *core, uint64_t request, const struct ow_job *job,
                                uint64_t leader_fencing_token)
--- a/src/core/leader.c
+++ b/src/core/leader.c
@@ -14,7 +14,7 @@
 #include "core/records/record_values.h"
 #include "core/records/recorder.h"
 #include "core/records/records.h"
-#include "core/records/takeover.h"
+#include "core/records/failover.h"
 #include "core/run.h"
 #include "core/scheduling/image_demand.h"
 #include "core/scheduling/reason.h"
@@ -61,7 +61,7 @@
 void ow_leader_free(struct ow_leader *leader)
 {
     ow_pending_calls_forget(leader->core->pending_calls, leader);
-    ow_takeover_free(leader);
+    ow_failover_free(leader);
     while (leader->runs->len > 0)
         ow_run_drop(leader, g_ptr_array_index(leader->runs, 0));
     g_ptr_array_free(leader->runs, TRUE);
@@ -80,7 +80,7 @@
     g_free(leader->teams.entitled);
     g_free(leader->teams.borrows);
     g_free(leader->cloud.list_after);
-    g_free(leader->takeover.after);
+    g_free(leader->failover.after);
     g_free(leader);
 }
 
@@ -250,7 +250,7 @@
 {
     double now = leader->core->now;
     ow_record_format_tick(leader);
-    ow_takeover_tick(leader);
+    ow_failover_tick(leader);
     ask_types(leader);
     if (leader->phase != OW_LEADER_READY)
         return;
--- a/src/core/leader_state.h
+++ b/src/core/leader_state.h
@@ -8,8 +8,8 @@
 
 struct ow_recorder;
 
-/* Reading the records of earlier leaders: takeover.c. */
-struct ow_takeover_progress {
+/* Reading the records of earlier leaders: failover.c. */
+struct ow_failover_progress {
     bool busy;      /* a read is under way */
     double next_at; /* no read before this time */
     char *after;    /* the last key read; NULL: none yet */
@@ -84,9 +84,9 @@
 struct ow_leader {
     struct ow_core *core;
     uint64_t fencing_token;                                               /* of its lease */
-    enum { OW_LEADER_REFRESH, OW_LEADER_LOADING, OW_LEADER_READY } phase; /* takeover.c */
+    enum { OW_LEADER_REFRESH, OW_LEADER_LOADING, OW_LEADER_READY } phase; /* failover.c */
     double ready_at;                                                      /* when it became ready */
-    struct ow_takeover_progress takeover;
+    struct ow_failover_progress failover;
 
     /* Machines: machine_registry.c. */
     GHashTable *machines_by_name;  /* name -> struct ow_machine */
--- a/src/core/machines/machine_registry.c
+++ b/src/core/machines/machine_registry.c
@@ -84,7 +84,7 @@
 
 bool ow_machine_is_silent(const struct ow_leader *leader, const struct ow_machine *machine)
 {
-    /* Answers to commands fence a machine at a take-over before its next heartbeat comes. */
+    /* Answers to commands fence a machine at a failover before its next heartbeat comes. */
     double since = MAX(MAX(machine->last_heartbeat_at, machine->met_at), leader->ready_at);
     return leader->core->now - since > MISSED_HEARTBEATS * leader->core->settings->heartbeat_interval_s;
 }
--- a/src/core/machines/worker_commands.c
+++ b/src/core/machines/worker_commands.c
@@ -16,7 +16,7 @@
 static const double FENCE_BY_HEARTBEAT_S = 1;
 static const double DIRECT_PAUSE_S = 3, REFUSED_PAUSE_S = 0.5, UNSENT_PAUSE_S = 0.5;
 /* Processor time of a direct command with its answer, in seconds of a core, and the part of our share of a
-   core that those to all machines may take: at a take-over every worker reports as well, and the lease has to
+   core that those to all machines may take: at a failover every worker reports as well, and the lease has to
    be renewed. */
 static const double DIRECT_COST_S = 100e-6, WANT_ALL_SHARE = 0.5;
 
--- a/src/core/records/takeover.c
+++ b/src/core/records/failover.c
@@ -1,5 +1,5 @@
 /* Rebuilding the leader's picture: records first, then the workers' own reports. */
-#include "core/records/takeover.h"
+#include "core/records/failover.h"
 #include "core/api/job_cache.h"
 #include "core/leader_state.h"
 #include "core/machine_hints.h"
@@ -60,9 +60,9 @@
     json_decref(((struct loaded_record *)item)->value);
 }
 
-void ow_takeover_free(struct ow_leader *leader)
+void ow_failover_free(struct ow_leader *leader)
 {
-    g_clear_pointer(&leader->takeover.loaded, g_array_unref);
+    g_clear_pointer(&leader->failover.loaded, g_array_unref);
 }
 
 static gint by_version(gconstpointer a, gconstpointer b)
@@ -117,17 +117,17 @@
 
 static void take_loaded(struct ow_leader *leader)
 {
-    g_array_sort(leader->takeover.loaded, by_version);
+    g_array_sort(leader->failover.loaded, by_version);
     /* A run keeps the smallest chunks that it was recorded in. */
-    for (guint i = 0; i < leader->takeover.loaded->len; i++) {
-        const struct loaded_record *loaded = &g_array_index(leader->takeover.loaded, struct loaded_record, i);
+    for (guint i = 0; i < leader->failover.loaded->len; i++) {
+        const struct loaded_record *loaded = &g_array_index(leader->failover.loaded, struct loaded_record, i);
         bool fresh = loaded->job->run == NULL;
         struct ow_run *run = ow_run_find_or_add(leader, loaded->job);
         if (fresh || loaded->chunk_tasks < run->chunk_tasks)
             ow_run_divide(run, loaded->chunk_tasks);
     }
-    for (guint i = 0; i < leader->takeover.loaded->len; i++) {
-        const struct loaded_record *loaded = &g_array_index(leader->takeover.loaded, struct loaded_record, i);
+    for (guint i = 0; i < leader->failover.loaded->len; i++) {
+        const struct loaded_record *loaded = &g_array_index(leader->failover.loaded, struct loaded_record, i);
         struct ow_run *run = loaded->job->run;
         if ((uint64_t)loaded->index * loaded->chunk_tasks >= run->count) {
             ow_recorder_compact(leader, loaded->record_value);
@@ -136,7 +136,7 @@
         load_record(leader, run, loaded);
         load_place(leader, run, loaded);
     }
-    ow_takeover_free(leader);
+    ow_failover_free(leader);
 }
 
 /* False when the record is of no use any more: what a final record has left behind. */
@@ -150,7 +150,7 @@
     if (loaded.job == NULL || loaded.job->spec == NULL)
         return false;
     loaded.value = json_incref(value);
-    g_array_append_val(leader->takeover.loaded, loaded);
+    g_array_append_val(leader->failover.loaded, loaded);
     return true;
 }
 
@@ -201,9 +201,9 @@
     struct ow_leader *leader = owner;
     const struct ow_store_reply *reply = &answer->store;
     (void)data;
-    leader->takeover.busy = false;
+    leader->failover.busy = false;
     if (reply->status != 200) {
-        leader->takeover.next_at = leader->core->now + RETRY_S;
+        leader->failover.next_at = leader->core->now + RETRY_S;
         return;
     }
     for (guint i = 0; i < reply->items->len; i++)
@@ -211,8 +211,8 @@
     if (reply->more && reply->items->len > 0) {
         const struct ow_store_item *last =
             &g_array_index(reply->items, struct ow_store_item, reply->items->len - 1);
-        g_free(leader->takeover.after);
-        leader->takeover.after = g_strdup(last->key);
+        g_free(leader->failover.after);
+        leader->failover.after = g_strdup(last->key);
         return;
     }
     become_ready(leader);
@@ -224,21 +224,21 @@
     const uint64_t *fencing_token = data;
     if (leader == NULL || leader->fencing_token != *fencing_token)
         return;
-    leader->takeover.busy = false;
+    leader->failover.busy = false;
     if (ok) {
         leader->phase = OW_LEADER_LOADING;
-        leader->takeover.loaded = g_array_new(FALSE, FALSE, sizeof(struct loaded_record));
-        g_array_set_clear_func(leader->takeover.loaded, loaded_clear);
+        leader->failover.loaded = g_array_new(FALSE, FALSE, sizeof(struct loaded_record));
+        g_array_set_clear_func(leader->failover.loaded, loaded_clear);
     } else
-        leader->takeover.next_at = core->now + RETRY_S;
+        leader->failover.next_at = core->now + RETRY_S;
 }
 
-void ow_takeover_tick(struct ow_leader *leader)
+void ow_failover_tick(struct ow_leader *leader)
 {
-    if (leader->phase == OW_LEADER_READY || leader->takeover.busy ||
-        leader->core->now < leader->takeover.next_at)
+    if (leader->phase == OW_LEADER_READY || leader->failover.busy ||
+        leader->core->now < leader->failover.next_at)
         return;
-    leader->takeover.busy = true;
+    leader->failover.busy = true;
     if (leader->phase == OW_LEADER_REFRESH) {
         /* Progress of a job that the copy does not show yet would read as a leftover. */
         uint64_t *fencing_token = g_new(uint64_t, 1);
@@ -248,10 +248,10 @@
     }
     if (leader->format.current == 0) {
         /* How runs are divided depends on it. */
-        leader->takeover.busy = false;
+        leader->failover.busy = false;
         return;
     }
     struct ow_store_request *request = ow_store_request_new(OW_STORE_LIST, OW_KEY_PROGRESS);
-    request->after = g_strdup(leader->takeover.after);
+    request->after = g_strdup(leader->failover.after);
     ow_core_call_store(leader->core, request, on_page, leader, NULL, NULL);
 }
--- a/src/core/scheduling/classes.c
+++ b/src/core/scheduling/classes.c
@@ -36,7 +36,7 @@
     return &g_array_index(core->classes, struct ow_class, class_index);
 }
 
-/* At a take-over jobs come in any order: only a job newer than all before shows an interval. */
+/* At a failover jobs come in any order: only a job newer than all before shows an interval. */
 static void observe_arrival(struct ow_class *class, double accepted_at)
 {
     if (!class->seen) {
--- a/tests/test_cancellation.c
+++ b/tests/test_cancellation.c
@@ -113,9 +113,9 @@
     world_finish(w);
 }
 
-/* A record that commits only after a takeover would be missed by a leader that has already read the table:
+/* A record that commits only after a failover would be missed by a leader that has already read the table:
  * the transaction therefore expects the leader key that its writer knew. */
-static void test_cancellation_written_after_a_takeover_is_rejected(void **state)
+static void test_cancellation_written_after_a_failover_is_rejected(void **state)
 {
     (void)state;
     struct world *w = failure_world(2);
@@ -236,7 +236,7 @@
         cmocka_unit_test(test_unacknowledged_cancellation_is_not_answered_in_an_outage),
         cmocka_unit_test(test_acknowledgement_of_a_deposed_leader_is_ignored),
         cmocka_unit_test(test_cancellation_received_before_its_job_prevents_the_start),
-        cmocka_unit_test(test_cancellation_written_after_a_takeover_is_rejected),
+        cmocka_unit_test(test_cancellation_written_after_a_failover_is_rejected),
         cmocka_unit_test(test_leader_renews_no_lease_before_its_first_read),
         cmocka_unit_test(test_leader_acknowledges_no_cancellation_before_it_is_ready),
         cmocka_unit_test(test_cancellation_while_a_zone_is_partitioned_with_the_leader),
--- a/tests/test_takeover.c
+++ b/tests/test_failover.c
@@ -1,4 +1,4 @@
-/* The safety rules of docs/design.md on takeovers and fencing tokens: each test fails without the guard that
+/* The safety rules of docs/design.md on failovers and fencing tokens: each test fails without the guard that
  * it names. */
 #include "check.h"
 #include "world.h"
@@ -11,7 +11,7 @@
 }
 
 /* Tasks recorded on a machine that is deleted before another leader takes over. */
-static void test_takeover_recovers_tasks_of_a_deleted_machine(void **state)
+static void test_failover_recovers_tasks_of_a_deleted_machine(void **state)
 {
     (void)state;
     struct world *w = world_with_machines(2);
@@ -221,7 +221,7 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_takeover_recovers_tasks_of_a_deleted_machine),
+        cmocka_unit_test(test_failover_recovers_tasks_of_a_deleted_machine),
         cmocka_unit_test(test_tasks_recover_when_machine_and_leader_fail_together),
         cmocka_unit_test(test_machine_with_a_stale_fencing_token_keeps_its_tasks),
         cmocka_unit_test(test_heartbeat_with_a_stale_fencing_token_frees_no_task),
--- a/tests/test_leader_changes.c
+++ b/tests/test_leader_changes.c
@@ -47,7 +47,7 @@
     world_finish(w);
 }
 
-/* Tasks bound to one zone lose their machine during a takeover: none starts in another zone before they have
+/* Tasks bound to one zone lose their machine during a failover: none starts in another zone before they have
  * ended. */
 static void test_one_zone_array_survives_a_machine_loss(void **state)
 {
--- a/tests/test_reconciliation.c
+++ b/tests/test_reconciliation.c
@@ -34,7 +34,7 @@
     world_finish(w);
 }
 
-static void test_unresponsive_machine_is_replaced_after_a_takeover(void **state)
+static void test_unresponsive_machine_is_replaced_after_a_failover(void **state)
 {
     (void)state;
     struct world *w = world_with_capacity(3, 6);
@@ -82,7 +82,7 @@
     world_finish(w);
 }
 
-static void test_duplicate_heartbeat_frees_no_task_after_a_takeover(void **state)
+static void test_duplicate_heartbeat_frees_no_task_after_a_failover(void **state)
 {
     (void)state;
     struct world *w = world_with_capacity(2, 6);
@@ -153,10 +153,10 @@
     const struct CMUnitTest tests[] = {
         cmocka_unit_test(test_unresponsive_machine_is_avoided_and_deleted),
         cmocka_unit_test(test_unresponsive_machine_gets_no_new_tasks),
-        cmocka_unit_test(test_unresponsive_machine_is_replaced_after_a_takeover),
+        cmocka_unit_test(test_unresponsive_machine_is_replaced_after_a_failover),
         cmocka_unit_test(test_unresponsive_machine_with_a_cancelled_task_is_deleted),
         cmocka_unit_test(test_duplicate_heartbeat_renews_no_lease),
-        cmocka_unit_test(test_duplicate_heartbeat_frees_no_task_after_a_takeover),
+        cmocka_unit_test(test_duplicate_heartbeat_frees_no_task_after_a_failover),
         cmocka_unit_test(test_duplicate_heartbeat_restores_no_deleted_machine),
         cmocka_unit_test(test_worker_with_reset_sequence_numbers_is_replaced),
     };
--- a/tests/test_upgrade.c
+++ b/tests/test_upgrade.c
@@ -185,7 +185,7 @@
 
 /* A new leader splits stored values above the announced limit, even if their records don't change.
  */
-static void test_oversized_values_are_split_after_a_takeover(void **state)
+static void test_oversized_values_are_split_after_a_failover(void **state)
 {
     (void)state;
     struct world *w = world_of_old_controllers(6);
@@ -289,7 +289,7 @@
         cmocka_unit_test(test_leadership_moves_to_the_new_version_once),
         cmocka_unit_test(test_old_version_does_not_regain_leadership),
         cmocka_unit_test(test_interrupted_record_split_loses_nothing),
-        cmocka_unit_test(test_oversized_values_are_split_after_a_takeover),
+        cmocka_unit_test(test_oversized_values_are_split_after_a_failover),
         cmocka_unit_test(test_format_gate_stays_closed_beside_an_old_controller),
         cmocka_unit_test(test_cancellations_across_versions),
         cmocka_unit_test(test_oversized_value_delays_no_other_write),
