--- a/src/config/settings_file.c
+++ b/src/config/settings_file.c
@@ -176,11 +176,11 @@
     return toml_doc_kind(reader->doc, path) == TOML_NONE ? otherwise : number(reader, path, least, most);
 }
 
-/* Limits of the state service that will apply later; those of now where nothing is said. */
+/* Limits of the key-value store that will apply later; those of now where nothing is said. */
 static void read_coming_limits(struct reader *reader, struct ow_settings *settings)
 {
     settings->next_write_rps =
-        number_or(reader, "params.state.next.write_rps", 1, RATE_MAX, settings->state_write_rps);
+        number_or(reader, "params.state.next.write_rps", 1, RATE_MAX, settings->store_write_rps);
     settings->next_value_kb =
         number_or(reader, "params.state.next.value_kb", 1, VALUE_KB_MAX, settings->value_kb);
     settings->next_txn_ops =
@@ -194,8 +194,8 @@
     settings->gang_wait_s = number(reader, "params.workers.gang_wait_s", 1, HOUR_S);
     settings->gang_peer_s = number(reader, "params.workers.gang_peer_s", 0.1, HOUR_S);
     settings->cancel_s = number(reader, "params.workers.cancel_s", 1, HOUR_S);
-    settings->state_rps = number(reader, "params.state.rps", 1, RATE_MAX);
-    settings->state_write_rps = number(reader, "params.state.write_rps", 1, RATE_MAX);
+    settings->store_rps = number(reader, "params.state.rps", 1, RATE_MAX);
+    settings->store_write_rps = number(reader, "params.state.write_rps", 1, RATE_MAX);
     settings->value_kb = number(reader, "params.state.value_kb", 1, VALUE_KB_MAX);
     settings->txn_ops = (unsigned)number(reader, "params.state.txn_ops", 1, OPERATIONS_MAX);
     settings->cloud_rps = number(reader, "params.cloud.rps", 0.1, RATE_MAX);
@@ -220,8 +220,8 @@
     settings->zone = text(&reader, "area");
     settings->front = endpoint(&reader, "front");
     settings->peer_listen = endpoint(&reader, "peer_listen");
-    settings->cloud = endpoint(&reader, "services.cloud");
-    settings->state = endpoint(&reader, "services.state");
+    settings->cloud_endpoint = endpoint(&reader, "services.cloud");
+    settings->store_endpoint = endpoint(&reader, "services.state");
     settings->peers = read_peers(&reader);
     settings->teams = read_teams(&reader);
     settings->objectives = read_objectives(&reader);
@@ -244,8 +244,8 @@
     g_free(settings->zone);
     g_free(settings->front);
     g_free(settings->peer_listen);
-    g_free(settings->cloud);
-    g_free(settings->state);
+    g_free(settings->cloud_endpoint);
+    g_free(settings->store_endpoint);
     g_array_free(settings->peers, TRUE);
     g_array_free(settings->teams, TRUE);
     g_array_free(settings->objectives, TRUE);
--- a/src/config/sharding_file.c
+++ b/src/config/sharding_file.c
@@ -150,7 +150,7 @@
     return NULL;
 }
 
-/* Keys of the state service may hold neither blanks nor, for us, a slash. */
+/* Keys of the key-value store may hold neither blanks nor, for us, a slash. */
 static char *check_name(const char *name)
 {
     for (const char *at = name; at != NULL && *at != '\0'; at++)
--- a/src/core/api/cancel.c
+++ b/src/core/api/cancel.c
@@ -61,7 +61,7 @@
 /* Limits fell since the job was accepted: the next try leaves out what is not needed. */
 static void handle_too_large(struct ow_core *core, const struct cancel_call *call)
 {
-    ow_limits_refused(&core->limits, 1, call->record_bytes);
+    ow_store_limits_refused(&core->store_limits, 1, call->record_bytes);
     ow_job_answer_retry(core, call->pending.request, "the state service takes no record of this size");
 }
 
@@ -80,7 +80,7 @@
         handle_too_large(core, call);
         break;
     default:
-        ow_job_answer_no_state_service(core, call->pending.request);
+        ow_job_answer_store_unavailable(core, call->pending.request);
         break;
     }
 }
@@ -94,7 +94,7 @@
                                    .leader_fencing_token = leader_fencing_token,
                                    .submission = job->spec->submission};
     char *text = wire_job_record(&record);
-    if (strlen(text) < core->limits.refused_bytes)
+    if (strlen(text) < core->store_limits.refused_bytes)
         return text;
     /* Accepted when values were larger. Nothing of it will start, so its types don't matter any more. */
     struct ow_submission short_form = *record.submission;
@@ -112,9 +112,9 @@
     struct ow_store_request *transaction = ow_store_request_new(OW_STORE_TXN, NULL);
     struct cancel_call *call = g_new0(struct cancel_call, 1);
     char *key = g_strconcat(OW_KEY_JOBS, job->id, NULL);
-    ow_store_expect(transaction, OW_KEY_LEADER, leader_fencing_token);
-    ow_store_expect(transaction, key, job->version);
-    ow_store_write(transaction, key, cancellation_record(core, job, leader_fencing_token), 0);
+    ow_store_compare(transaction, OW_KEY_LEADER, leader_fencing_token);
+    ow_store_compare(transaction, key, job->version);
+    ow_store_put(transaction, key, cancellation_record(core, job, leader_fencing_token), 0);
     g_free(key);
     call->pending.request = request;
     g_strlcpy(call->pending.id, job->id, sizeof call->pending.id);
--- a/src/core/api/job_answer.c
+++ b/src/core/api/job_answer.c
@@ -19,7 +19,7 @@
     ow_core_reject_request(core, request, 503, text, RETRY_AFTER_S);
 }
 
-void ow_job_answer_no_state_service(struct ow_core *core, uint64_t request)
+void ow_job_answer_store_unavailable(struct ow_core *core, uint64_t request)
 {
     ow_job_answer_retry(core, request, "the state service does not answer");
 }
@@ -49,7 +49,7 @@
                                         bool ok)
 {
     if (!ok) {
-        ow_job_answer_no_state_service(core, pending->request);
+        ow_job_answer_store_unavailable(core, pending->request);
         return NULL;
     }
     const struct ow_job *job = ow_jobs_find(core->jobs, pending->id);
--- a/src/core/api/job_answer.h
+++ b/src/core/api/job_answer.h
@@ -1,4 +1,4 @@
-/* Answers to users about a job, and requests of users that wait for the state service before they can be
+/* Answers to users about a job, and requests of users that wait for the key-value store before they can be
  * answered. */
 #ifndef OW_CORE_API_JOB_ANSWER_H
 #define OW_CORE_API_JOB_ANSWER_H
@@ -8,7 +8,7 @@
 struct ow_core;
 struct ow_job;
 
-/* One request of a user that waits for the state service. */
+/* One request of a user that waits for the key-value store. */
 struct ow_pending_request {
     uint64_t request;
     char id[OW_ID_MAX + 1]; /* of the job that it asks for */
@@ -19,8 +19,8 @@
 
 /* Tells the user to come again soon. */
 void ow_job_answer_retry(struct ow_core *core, uint64_t request, const char *text);
-/* The same because the state service does not answer. */
-void ow_job_answer_no_state_service(struct ow_core *core, uint64_t request);
+/* The same because the key-value store does not answer. */
+void ow_job_answer_store_unavailable(struct ow_core *core, uint64_t request);
 /* Answers with the state of the job. If it is cancelled, the answer waits until a leader has acknowledged
    that: until then the user may not learn of it, however they ask. */
 void ow_job_answer(struct ow_core *core, uint64_t request, int status, const struct ow_job *job);
--- a/src/core/api/job_cache.c
+++ b/src/core/api/job_cache.c
@@ -7,7 +7,7 @@
 
 #include <string.h>
 
-/* The state service no longer holds the changes asked for; an answer was larger than the client takes. */
+/* The key-value store no longer holds the changes asked for; an answer was larger than the client takes. */
 enum { STATUS_GONE = 410, STATUS_TOO_LARGE = 413 };
 /* How long a watch may stay open, and the least time between two reads of one kind. */
 static const double WATCH_S = 10, WATCH_GAP_LEADER_S = 0.1, WATCH_GAP_S = 1.0, FRESH_GAP_S = 0.05,
@@ -98,8 +98,8 @@
     free_waiters(batch);
 }
 
-/* Whether the changes since our revision can't be had in one answer: the state service no longer holds them,
-   or they are more than we take in at once. Asking for them again would never end. */
+/* Whether the changes since our revision can't be had in one answer: the key-value store no longer holds
+   them, or they are more than we take in at once. Asking for them again would never end. */
 static bool is_beyond_reach(int status)
 {
     return status == STATUS_GONE || status == STATUS_TOO_LARGE;
@@ -210,9 +210,10 @@
     job_cache->asked = waiters;
     job_cache->hinted = false;
     job_cache->reading = true;
-    /* Reads for polls keep to a share of the state service's requests, whatever the number of controllers. */
+    /* Reads for polls keep to a share of the key-value store's requests, whatever the number of controllers.
+     */
     double share =
-        READ_SHARE * job_cache->core->settings->state_rps / (job_cache->core->settings->peers->len + 1);
+        READ_SHARE * job_cache->core->settings->store_rps / (job_cache->core->settings->peers->len + 1);
     job_cache->fresh_at = job_cache->core->now + MAX(FRESH_GAP_S, share > 0 ? 1 / share : 0);
     send_watch(job_cache, 0, on_fresh);
 }
--- a/src/core/api/job_cache.h
+++ b/src/core/api/job_cache.h
@@ -1,4 +1,4 @@
-/* This controller's copy of the job table, kept current from the state service. */
+/* This controller's copy of the job table, kept current from the key-value store. */
 #ifndef OW_CORE_API_JOB_CACHE_H
 #define OW_CORE_API_JOB_CACHE_H
 
@@ -11,7 +11,7 @@
 /* Called once the copy is at least as new as the call that asked for it, or with false if that failed. */
 typedef void (*ow_fresh_fn)(struct ow_core *core, void *data, bool ok);
 
-/* An empty copy; it is read from the state service by the ticks that follow. */
+/* An empty copy; it is read from the key-value store by the ticks that follow. */
 struct ow_job_cache *ow_job_cache_new(struct ow_core *core);
 /* Frees it; calls that still wait are dropped. */
 void ow_job_cache_free(struct ow_job_cache *job_cache);
--- a/src/core/api/poll.h
+++ b/src/core/api/poll.h
@@ -6,7 +6,7 @@
 
 struct ow_core;
 
-/* Answers with the state of the job of this id, after a read of the state service if need be. */
+/* Answers with the state of the job of this id, after a read of the key-value store if need be. */
 void ow_poll_job(struct ow_core *core, uint64_t request, const char *id);
 
 #endif
--- a/src/core/api/submit.c
+++ b/src/core/api/submit.c
@@ -77,7 +77,7 @@
    again, unless an earlier try was carried out after all. */
 static void refuse_too_large(struct ow_core *core, const struct submit_call *call)
 {
-    ow_limits_refused(&core->limits, 1, call->record_bytes);
+    ow_store_limits_refused(&core->store_limits, 1, call->record_bytes);
     refuse_unless_known(core, call->request, call->submission->id, 422, TOO_LARGE);
 }
 
@@ -102,17 +102,17 @@
         refuse_too_large(core, call);
         break;
     default:
-        ow_job_answer_no_state_service(core, call->request);
+        ow_job_answer_store_unavailable(core, call->request);
         break;
     }
 }
 
-/* NULL and an answer if the record doesn't fit a value of the state service. Another controller, which has
+/* NULL and an answer if the record doesn't fit a value of the key-value store. Another controller, which has
    not met the limit, may have accepted the job before. */
 static char *record_that_fits(struct ow_core *core, uint64_t request, const struct ow_job_record *record)
 {
     char *text = wire_job_record(record);
-    if (strlen(text) < core->limits.refused_bytes)
+    if (strlen(text) < core->store_limits.refused_bytes)
         return text;
     g_free(text);
     refuse_unless_known(core, request, record->submission->id, 422, TOO_LARGE);
@@ -132,8 +132,8 @@
     struct submit_call *call = g_new0(struct submit_call, 1);
     struct ow_store_request *transaction = ow_store_request_new(OW_STORE_TXN, NULL);
     char *key = g_strconcat(OW_KEY_JOBS, submission->id, NULL);
-    ow_store_expect(transaction, key, 0);
-    ow_store_write(transaction, key, text, 0);
+    ow_store_compare(transaction, key, 0);
+    ow_store_put(transaction, key, text, 0);
     g_free(key);
     call->submission = submission;
     call->request = request;
--- a/src/core/core.c
+++ b/src/core/core.c
@@ -31,7 +31,7 @@
     core->rules = rules;
     core->nonce = nonce;
     core->may_lead = true;
-    core->limits = ow_limits_of(settings);
+    core->store_limits = ow_store_limits_of(settings);
     core->peer_formats = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     core->pending_calls = ow_pending_calls_new();
     core->names = (struct ow_name_tables){ow_names_new(), ow_names_new(), ow_names_new(), ow_names_new(),
@@ -115,7 +115,7 @@
         ow_pending_calls_answer(core->pending_calls, event->request, event);
         break;
     case OW_EVENT_STORE:
-        ow_health_note_state_answer(core, event->store.status);
+        ow_health_note_store_reply(core, event->store.status);
         ow_pending_calls_answer(core->pending_calls, event->request, event);
         break;
     case OW_EVENT_PEER:
@@ -155,7 +155,7 @@
     ow_job_cache_tick(core->job_cache);
     ow_cancellation_ack_tick(core->cancellation_ack);
     ow_type_discovery_tick(&core->type_discovery);
-    ow_health_probe_state(core, &core->health_probe);
+    ow_health_probe_store(core, &core->health_probe);
     ow_peer_messages_send_hello(core);
 }
 
@@ -181,7 +181,7 @@
 
 bool ow_core_is_ready(const struct ow_core *core)
 {
-    return ow_health_is_good(core);
+    return ow_health_is_ready(core);
 }
 
 uint64_t ow_core_fencing_token(const struct ow_core *core)
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -24,7 +24,7 @@
 struct ow_core_status {
     const char *leader_name; /* NULL: nobody, or unknown */
     uint64_t fencing_token;  /* of this controller's term; 0: it does not lead */
-    bool key_missing;        /* the state service has shown that nobody holds the leader's key */
+    bool key_missing;        /* the key-value store has shown that nobody holds the leader's key */
     bool records_read;
     bool settled;      /* the leader has been ready for so long that every live worker has reported to it */
     unsigned machines; /* that the leader knows and that have reported, ever */
--- a/src/core/core_state.h
+++ b/src/core/core_state.h
@@ -6,7 +6,7 @@
 #include "core/effects.h"
 #include "core/pending_calls.h"
 #include "core/rate_limiter.h"
-#include "core/records/limits.h"
+#include "core/records/store_limits.h"
 #include "core/settings.h"
 #include "core/health.h"
 #include "core/type_discovery.h"
@@ -23,7 +23,7 @@
 struct ow_core {
     const struct ow_settings *settings;
     const struct ow_rules *rules;
-    struct ow_limits limits;
+    struct ow_store_limits store_limits;
     GHashTable
         *peer_formats; /* peer name -> GUINT_TO_POINTER: the format of messages and records it speaks */
     uint64_t nonce;    /* tells this process from others of the same name */
@@ -40,11 +40,11 @@
     struct ow_election *election;
     struct ow_leader *leader; /* NULL while another controller leads */
     struct ow_cancellation_ack *cancellation_ack;
-    double state_ok_at;      /* the last answer of the state service that was no failure */
-    double state_bad_since;  /* 0: the last answer was good */
-    double state_refused_at; /* its last refusal: it can be reached, but may serve others */
-    bool state_silent;       /* the last failure was no answer, rather than a refusal */
-    GHashTable *peers_ok;    /* peer name -> double *: when it last said that its state service answers */
+    double store_ok_at;         /* the last answer of the key-value store that was no failure */
+    double store_failing_since; /* 0: the last answer was good */
+    double store_refused_at;    /* its last refusal: it can be reached, but may serve others */
+    bool store_silent;          /* the last failure was no answer, rather than a refusal */
+    GHashTable *peers_ok; /* peer name -> double *: when it last said that its key-value store answers */
     double last_worker_heartbeat_at;        /* the last heartbeat that came here; 0: none yet */
     double peer_receives_heartbeats_at;     /* when a peer last said that workers come to it */
     double last_peer_message_at;            /* the last message of any peer; 0: none yet */
@@ -64,8 +64,8 @@
 /* Answers a user's request with an error; `text` is copied. */
 void ow_core_reject_request(struct ow_core *core, uint64_t request, int status, const char *text,
                             int retry_after_s);
-/* Sends a request to the state service, taking it over. `callback` (NULL: the answer is ignored) gets `owner`
-   and `data`; `free_data` may be NULL. */
+/* Sends a request to the key-value store, taking it over. `callback` (NULL: the answer is ignored) gets
+   `owner` and `data`; `free_data` may be NULL. */
 void ow_core_call_store(struct ow_core *core, struct ow_store_request *request, ow_call_fn callback,
                         void *owner, void *data, void (*free_data)(void *));
 /* The same to the cloud, where `callback` must not be NULL. */
--- a/src/core/effects.h
+++ b/src/core/effects.h
@@ -67,7 +67,7 @@
     uint64_t number;         /* fencing token, or revision of a changed job */
     char job[OW_ID_MAX + 1]; /* of a cancellation, committed or acknowledged */
     uint64_t revision;       /* of its record */
-    bool leads, state_ok, receives_heartbeats;
+    bool leads, store_ok, receives_heartbeats;
     GArray *jobs;        /* struct ow_peer_job */
     GArray *machines;    /* struct ow_peer_machine */
     uint32_t part;       /* of a list in parts: which this is, from 0 */
--- a/src/core/election/election.h
+++ b/src/core/election/election.h
@@ -1,4 +1,4 @@
-/* Who leads: a key of the state service, attached to a short lease. The revision of the write
+/* Who leads: a key of the key-value store, attached to a short lease. The revision of the write
  * that took the key is the leader's fencing token, so fencing tokens only grow. */
 #ifndef OW_CORE_ELECTION_ELECTION_H
 #define OW_CORE_ELECTION_ELECTION_H
@@ -18,7 +18,8 @@
 uint64_t ow_election_fencing_token(const struct ow_election *election);
 /* The revision of the leader's key as we know it, ours included; 0: nobody holds it, or it is unknown. */
 uint64_t ow_election_key(const struct ow_election *election);
-/* Whether the state service has shown that nobody holds the key, and nobody is known to have taken it since.
+/* Whether the key-value store has shown that nobody holds the key, and nobody is known to have taken it
+ * since.
  */
 bool ow_election_key_is_missing(const struct ow_election *election);
 /* A write of ours showed that the key is not as we know it. */
--- a/src/core/election/election_state.h
+++ b/src/core/election/election_state.h
@@ -22,7 +22,7 @@
     double act_at; /* no request of the stage before this time */
     uint64_t lease;
     uint64_t key_version; /* of the key as last read; 0: nobody holds it */
-    bool key_known;       /* key_version and leader_name are from the state service */
+    bool key_known;       /* key_version and leader_name are from the key-value store */
     bool key_missing;     /* as last read, nobody held it; stays true while the reading is repeated */
     bool has_waited;      /* the missing key has been left to others for the election delay */
     char *leader_name;
--- a/src/core/election/leader_key.h
+++ b/src/core/election/leader_key.h
@@ -1,4 +1,5 @@
-/* The leader's key as the state service shows it: reading and watching it while another controller leads. */
+/* The leader's key as the key-value store shows it: reading and watching it while another controller leads.
+ */
 #ifndef OW_CORE_ELECTION_LEADER_KEY_H
 #define OW_CORE_ELECTION_LEADER_KEY_H
 
--- a/src/core/election/leader_lease.c
+++ b/src/core/election/leader_lease.c
@@ -23,7 +23,7 @@
 
 void ow_leader_lease_obtain(struct ow_election *election)
 {
-    struct ow_store_request *request = ow_store_request_new(OW_STORE_LEASE, NULL);
+    struct ow_store_request *request = ow_store_request_new(OW_STORE_GRANT_LEASE, NULL);
     request->seconds = election->core->rules->leader_lease_s;
     election->busy = true;
     ow_core_call_store(election->core, request, on_lease, election, NULL, NULL);
@@ -53,8 +53,8 @@
     struct ow_store_request *transaction = ow_store_request_new(OW_STORE_TXN, NULL);
     char *nonce = ow_leader_key_nonce(election);
     char *record = wire_leader_record(election->core->settings->controller_name, nonce);
-    ow_store_expect(transaction, OW_KEY_LEADER, election->key_version);
-    ow_store_write(transaction, OW_KEY_LEADER, record, election->lease);
+    ow_store_compare(transaction, OW_KEY_LEADER, election->key_version);
+    ow_store_put(transaction, OW_KEY_LEADER, record, election->lease);
     g_free(nonce);
     election->taken_from = election->key_version;
     election->busy = true;
@@ -82,7 +82,7 @@
 
 void ow_leader_lease_renew(struct ow_election *election)
 {
-    struct ow_store_request *request = ow_store_request_new(OW_STORE_RENEW, NULL);
+    struct ow_store_request *request = ow_store_request_new(OW_STORE_KEEP_ALIVE, NULL);
     uint64_t *lease = g_new(uint64_t, 1);
     *lease = election->lease;
     request->number = election->lease;
@@ -93,7 +93,7 @@
 void ow_leader_lease_release_key(struct ow_election *election)
 {
     struct ow_store_request *transaction = ow_store_request_new(OW_STORE_TXN, NULL);
-    ow_store_expect(transaction, OW_KEY_LEADER, election->fencing_token);
-    ow_store_write(transaction, OW_KEY_LEADER, NULL, 0);
+    ow_store_compare(transaction, OW_KEY_LEADER, election->fencing_token);
+    ow_store_put(transaction, OW_KEY_LEADER, NULL, 0);
     ow_core_call_store(election->core, transaction, NULL, election, NULL, NULL);
 }
--- a/src/core/election/succession.c
+++ b/src/core/election/succession.c
@@ -24,7 +24,7 @@
     return election->core->now - election->led_since >= HINT_AGE_S;
 }
 
-/* A leader that gets no answer at all from the state service, not even a refusal, may be cut off, alone
+/* A leader that gets no answer at all from the key-value store, not even a refusal, may be cut off, alone
    or together with workers and other controllers, and have a successor whose cancellations it does not hear
    of: by answering reports it would keep their tasks alive. It stops so early that leases end within the time
    that a cancelled task may last. In an ordinary outage the refusals themselves show that it is not cut off.
@@ -36,7 +36,7 @@
     if (settings->peers->len == 0)
         return false;
     double patience_s = settings->cancel_s - settings->lease_s * (1 + CLOCK_DRIFT) - MARGIN_S;
-    double answered_at = MAX(core->state_ok_at, core->state_refused_at);
+    double answered_at = MAX(core->store_ok_at, core->store_refused_at);
     double heard_at = MAX(election->began_at, answered_at);
     return core->now - heard_at > MAX(patience_s, 2 * core->rules->leader_lease_s);
 }
@@ -60,6 +60,6 @@
     const double *heard_at = g_hash_table_lookup(core->peers_ok, election->leader_name);
     if (heard_at == NULL || now - *heard_at >= PEER_FRESH_S)
         return false;
-    bool state_is_well = core->state_bad_since == 0 && now - core->state_ok_at < PEER_FRESH_S;
-    return state_is_well && now - election->led_since > OUTDATED_LEADER_S;
+    bool store_is_healthy = core->store_failing_since == 0 && now - core->store_ok_at < PEER_FRESH_S;
+    return store_is_healthy && now - election->led_since > OUTDATED_LEADER_S;
 }
--- a/src/core/election/succession.h
+++ b/src/core/election/succession.h
@@ -9,7 +9,7 @@
 
 /* Whether the key may be taken because the controller of this name has ended. */
 bool ow_succession_may_replace_ended(const struct ow_election *election, const char *controller_name);
-/* Whether we, the leader, are cut off from the state service for so long that we must stop leading. */
+/* Whether we, the leader, are cut off from the key-value store for so long that we must stop leading. */
 bool ow_succession_is_cut_off(const struct ow_election *election);
 /* Whether the leader's process is of an earlier version, which an upgrade is about to replace. Leadership
    then moves once, now, instead of with every process of that version that happens to hold it as its turn
--- a/src/core/leader.c
+++ b/src/core/leader.c
@@ -157,12 +157,12 @@
     /* For controllers that start while the cloud is down. */
     struct ow_store_request *txn = ow_store_request_new(OW_STORE_TXN, NULL);
     char *record = wire_types_record(answer->cloud.types);
-    if (strlen(record) > leader->core->limits.value_bytes)
+    if (strlen(record) > leader->core->store_limits.value_bytes)
         g_warning(
             "the machine types don't fit a value: who starts while the cloud is down can't accept jobs");
-    ow_store_expect(txn, OW_KEY_LEADER, leader->fencing_token);
-    if (strlen(record) <= leader->core->limits.value_bytes)
-        ow_store_write(txn, OW_KEY_TYPES, g_steal_pointer(&record), 0);
+    ow_store_compare(txn, OW_KEY_LEADER, leader->fencing_token);
+    if (strlen(record) <= leader->core->store_limits.value_bytes)
+        ow_store_put(txn, OW_KEY_TYPES, g_steal_pointer(&record), 0);
     g_free(record);
     ow_core_call_store(leader->core, txn, NULL, leader, NULL, NULL);
 }
@@ -179,7 +179,7 @@
 }
 
 /* Whether every worker has fallen silent at once while they report to other controllers: it is this
-   controller that is cut off from them, even if it reaches the state service. Where they report to none,
+   controller that is cut off from them, even if it reaches the key-value store. Where they report to none,
    they are gone. */
 static bool workers_lost(const struct ow_leader *leader)
 {
--- a/src/core/peer_messages.c
+++ b/src/core/peer_messages.c
@@ -22,7 +22,7 @@
     }
     if (message->receives_heartbeats)
         core->peer_receives_heartbeats_at = core->now;
-    if (message->state_ok && message->sender != NULL) {
+    if (message->store_ok && message->sender != NULL) {
         double *heard_at = g_new(double, 1);
         *heard_at = core->now;
         g_hash_table_replace(core->peers_ok, g_strdup(message->sender), heard_at);
@@ -91,7 +91,7 @@
     message->sender = g_strdup(core->settings->controller_name);
     message->number = ow_election_fencing_token(core->election);
     message->leads = message->number > 0;
-    message->state_ok = ow_health_state_is_ok(core);
+    message->store_ok = ow_health_store_is_ok(core);
     message->receives_heartbeats =
         core->last_worker_heartbeat_at > 0 && core->now - core->last_worker_heartbeat_at < WORKER_RECENT_S;
     ow_core_send_to_peers(core, message);
--- a/src/core/pending_calls.h
+++ b/src/core/pending_calls.h
@@ -1,4 +1,4 @@
-/* Requests that wait for an answer from the state service, the cloud or a worker. */
+/* Requests that wait for an answer from the key-value store, the cloud or a worker. */
 #ifndef OW_CORE_PENDING_CALLS_H
 #define OW_CORE_PENDING_CALLS_H
 
--- a/src/core/records/failover.c
+++ b/src/core/records/failover.c
@@ -20,10 +20,10 @@
 /* Whether the value could not be written any more once the limits to come are there. */
 static bool is_too_large(const struct ow_leader *leader, const json_t *value)
 {
-    if (leader->core->limits.value_bytes >= leader->core->limits.value_bytes_now)
+    if (leader->core->store_limits.value_bytes >= leader->core->store_limits.value_bytes_now)
         return false;
     char *text = wj_text(value);
-    bool large = strlen(text) > leader->core->limits.value_bytes;
+    bool large = strlen(text) > leader->core->store_limits.value_bytes;
     g_free(text);
     return large;
 }
--- a/src/core/records/record_format.c
+++ b/src/core/records/record_format.c
@@ -37,9 +37,9 @@
 static void write_format_gate(struct ow_leader *leader)
 {
     struct ow_store_request *txn = ow_store_request_new(OW_STORE_TXN, NULL);
-    ow_store_expect(txn, OW_KEY_LEADER, leader->fencing_token);
-    ow_store_expect(txn, OW_KEY_FORMAT, 0);
-    ow_store_write(txn, OW_KEY_FORMAT, wire_format_record(OW_FORMAT_FINE), 0);
+    ow_store_compare(txn, OW_KEY_LEADER, leader->fencing_token);
+    ow_store_compare(txn, OW_KEY_FORMAT, 0);
+    ow_store_put(txn, OW_KEY_FORMAT, wire_format_record(OW_FORMAT_FINE), 0);
     leader->format.busy = true;
     ow_core_call_store(leader->core, txn, on_gate_written, leader, NULL, NULL);
 }
--- a/src/core/records/record_format.h
+++ b/src/core/records/record_format.h
@@ -1,5 +1,5 @@
 /* The format in which records may be written: the newest one that every controller is known to read. The
- * decision is stored in the state service, so that it holds for later leaders. */
+ * decision is stored in the key-value store, so that it holds for later leaders. */
 #ifndef OW_CORE_RECORDS_RECORD_FORMAT_H
 #define OW_CORE_RECORDS_RECORD_FORMAT_H
 
--- a/src/core/records/record_values.c
+++ b/src/core/records/record_values.c
@@ -1,4 +1,4 @@
-/* Which progress records share a value of the state service. Its changes are scarcer than its bytes: what
+/* Which progress records share a value of the key-value store. Its changes are scarcer than its bytes: what
  * changes together is written together. A chunk stays in its record value until its job is over, or until the
  * record value outgrows a value. */
 #include "core/records/record_values.h"
@@ -24,7 +24,7 @@
 
 static size_t value_limit(const struct ow_leader *leader)
 {
-    return leader->core->limits.value_bytes;
+    return leader->core->store_limits.value_bytes;
 }
 
 struct ow_task_range ow_chunk_task_range(uint32_t index, uint32_t chunk_tasks, uint32_t task_count)
@@ -41,7 +41,8 @@
 
 uint32_t ow_record_values_chunk_tasks(const struct ow_leader *leader)
 {
-    return leader->format.current >= OW_FORMAT_FINE ? ow_limits_tasks(&leader->core->limits) : OW_CHUNK_TASKS;
+    return leader->format.current >= OW_FORMAT_FINE ? ow_store_limits_tasks(&leader->core->store_limits)
+                                                    : OW_CHUNK_TASKS;
 }
 
 static struct ow_record_value *record_value_new(struct ow_leader *leader, uint32_t number)
--- a/src/core/records/record_values.h
+++ b/src/core/records/record_values.h
@@ -1,4 +1,4 @@
-/* Record values: which chunks share a value of the state service, and the text of that value. The module
+/* Record values: which chunks share a value of the key-value store, and the text of that value. The module
  * owns the record values of a leader; when they are written is up to recorder.h. */
 #ifndef OW_CORE_RECORDS_RECORD_VALUES_H
 #define OW_CORE_RECORDS_RECORD_VALUES_H
@@ -12,7 +12,7 @@
     uint32_t first, end;
 };
 
-/* One value of the state service, with the records of the chunks in it. */
+/* One value of the key-value store, with the records of the chunks in it. */
 struct ow_record_value {
     bool oversized;       /* as last encoded it was larger than the limit for values */
     double refused_until; /* it was refused for its size and can not be made smaller: not written before */
--- a/src/core/records/recorder.c
+++ b/src/core/records/recorder.c
@@ -22,10 +22,10 @@
 struct ow_recorder *ow_recorder_new(struct ow_leader *leader)
 {
     struct ow_recorder *recorder = g_new0(struct ow_recorder, 1);
-    double rate = leader->core->limits.write_rps;
+    double rate = leader->core->store_limits.write_rps;
     recorder->queue = ow_write_queue_new();
     recorder->sent = g_ptr_array_new_with_free_func(g_free);
-    ow_rate_limiter_init(&recorder->changes, RATE_SHARE * rate, BURST_S * rate, leader->core->now);
+    ow_rate_limiter_init(&recorder->mutations, RATE_SHARE * rate, BURST_S * rate, leader->core->now);
     return recorder;
 }
 
@@ -111,7 +111,7 @@
         return false;
     if (ow_write_queue_length(recorder->queue) == 0)
         return false;
-    return ow_rate_limiter_level(&recorder->changes, now) >= 1;
+    return ow_rate_limiter_level(&recorder->mutations, now) >= 1;
 }
 
 void ow_recorder_tick(struct ow_leader *leader)
@@ -122,15 +122,15 @@
         return;
     refine_record_values(leader);
     struct ow_store_request *transaction = ow_store_request_new(OW_STORE_TXN, NULL);
-    ow_store_expect(transaction, OW_KEY_LEADER, leader->fencing_token);
+    ow_store_compare(transaction, OW_KEY_LEADER, leader->fencing_token);
     recorder->serial++;
     ow_transaction_fill(leader, transaction);
-    if (transaction->changes->len == 0) {
+    if (transaction->mutations->len == 0) {
         ow_store_request_free(transaction);
         return;
     }
-    ow_rate_limiter_spend(&recorder->changes, transaction->changes->len, now);
-    recorder->sent_changes = transaction->changes->len;
+    ow_rate_limiter_spend(&recorder->mutations, transaction->mutations->len, now);
+    recorder->sent_mutations = transaction->mutations->len;
     recorder->sent_largest = ow_store_largest_value(transaction);
     recorder->busy = true;
     ow_core_call_store(leader->core, transaction, on_transaction, leader, NULL, NULL);
--- a/src/core/records/recorder.h
+++ b/src/core/records/recorder.h
@@ -1,4 +1,4 @@
-/* The recorder writes changed records to the state service, in batches and in an order that keeps every
+/* The recorder writes changed records to the key-value store, in batches and in an order that keeps every
  * decision recoverable. It owns the queue of writes and the transaction under way. */
 #ifndef OW_CORE_RECORDS_RECORDER_H
 #define OW_CORE_RECORDS_RECORDER_H
--- a/src/core/records/recorder_state.h
+++ b/src/core/records/recorder_state.h
@@ -18,9 +18,9 @@
     uint64_t serial;         /* of the last transaction */
     unsigned version_checks; /* reads of versions under way; nothing is written meanwhile */
     double next_at;          /* no transaction before this time */
-    struct ow_rate_limiter changes;
-    unsigned sent_changes; /* of the transaction under way */
-    size_t sent_largest;   /* its largest value, in bytes */
+    struct ow_rate_limiter mutations;
+    unsigned sent_mutations; /* of the transaction under way */
+    size_t sent_largest;     /* its largest value, in bytes */
 };
 
 #endif
--- a/src/core/records/records.h
+++ b/src/core/records/records.h
@@ -1,4 +1,4 @@
-/* What the state service keeps for us, as plain data.
+/* What the key-value store keeps for us, as plain data.
  *
  *   coordinator      who leads; attached to a short lease
  *   format           the newest format of records that every controller reads; absent: 1
--- a/src/core/records/transaction.c
+++ b/src/core/records/transaction.c
@@ -10,7 +10,7 @@
 #include <string.h>
 
 /* The most that a transaction may take, and what each change takes beside its key and value. */
-enum { TRANSACTION_BYTES = 60 * 1024, CHANGE_BYTES = 120 };
+enum { TRANSACTION_BYTES = 60 * 1024, MUTATION_BYTES = 120 };
 /* With so much of the permitted changes unused, writes that are due soon are written at once. */
 static const double SPARE_SHARE = 0.8;
 
@@ -36,11 +36,11 @@
 }
 
 /* Whether the value is too large although it holds a single chunk, which can be divided. Before every
-   controller reads smaller chunks it is written as it is, while the state service still takes it. */
+   controller reads smaller chunks it is written as it is, while the key-value store still takes it. */
 static bool needs_refining(const struct ow_leader *leader, const struct ow_record_value *record_value,
                            const char *value)
 {
-    if (strlen(value) <= leader->core->limits.value_bytes)
+    if (strlen(value) <= leader->core->store_limits.value_bytes)
         return false;
     if (record_value->chunks->len != 1)
         return false;
@@ -58,8 +58,8 @@
 {
     char *key = record_value_key(record_value);
     mark_written(record_value, leader->recorder->serial);
-    ow_store_expect(transaction, key, record_value->version);
-    ow_store_write(transaction, key, value, 0);
+    ow_store_compare(transaction, key, record_value->version);
+    ow_store_put(transaction, key, value, 0);
     g_free(key);
 }
 
@@ -84,8 +84,8 @@
         ow_write_queue_add_record_value(queue, record_value, write->order, write->due_at);
         return;
     }
-    record_value->oversized = strlen(value) > leader->core->limits.value_bytes;
-    if (record_value->oversized && transaction->changes->len > 0) {
+    record_value->oversized = strlen(value) > leader->core->store_limits.value_bytes;
+    if (record_value->oversized && transaction->mutations->len > 0) {
         g_free(value);
         ow_write_queue_add_record_value(queue, record_value, write->order, write->due_at);
         return;
@@ -102,8 +102,8 @@
     if (job->state == OW_JOB_CANCELLED)
         record.state = OW_JOB_CANCELLED;
     char *key = g_strconcat(OW_KEY_JOBS, job->id, NULL);
-    ow_store_expect(transaction, key, job->version);
-    ow_store_write(transaction, key, wire_job_record(&record), 0);
+    ow_store_compare(transaction, key, job->version);
+    ow_store_put(transaction, key, wire_job_record(&record), 0);
     g_free(key);
     add_to_sent(leader->recorder, write);
 }
@@ -112,9 +112,10 @@
 static size_t transaction_bytes(const struct ow_store_request *transaction)
 {
     size_t bytes = 0;
-    for (guint i = 0; i < transaction->changes->len; i++) {
-        const struct ow_change *change = &g_array_index(transaction->changes, struct ow_change, i);
-        bytes += CHANGE_BYTES + 2 * strlen(change->key);
+    for (guint i = 0; i < transaction->mutations->len; i++) {
+        const struct ow_store_mutation *change =
+            &g_array_index(transaction->mutations, struct ow_store_mutation, i);
+        bytes += MUTATION_BYTES + 2 * strlen(change->key);
         if (change->value != NULL)
             bytes += strlen(change->value);
     }
@@ -151,15 +152,15 @@
 
 /* Whether the transaction has room for one more change, which may be as large as a value may be now. */
 static bool has_room(const struct ow_leader *leader, const struct ow_store_request *transaction,
-                     guint most_changes)
+                     guint mutations_max)
 {
-    if (transaction->changes->len >= most_changes)
+    if (transaction->mutations->len >= mutations_max)
         return false;
-    if (transaction->changes->len == 0)
+    if (transaction->mutations->len == 0)
         return true;
-    if (ow_store_largest_value(transaction) > leader->core->limits.value_bytes)
+    if (ow_store_largest_value(transaction) > leader->core->store_limits.value_bytes)
         return false;
-    return transaction_bytes(transaction) + leader->core->limits.value_bytes_now < TRANSACTION_BYTES;
+    return transaction_bytes(transaction) + leader->core->store_limits.value_bytes_now < TRANSACTION_BYTES;
 }
 
 static void put(struct ow_leader *leader, const struct ow_write *write, struct ow_store_request *transaction)
@@ -174,14 +175,15 @@
 {
     struct ow_recorder *recorder = leader->recorder;
     double now = leader->core->now;
-    double permitted_changes = ow_rate_limiter_level(&recorder->changes, now);
-    guint most_changes = (guint)MIN((double)leader->core->limits.txn_ops, permitted_changes);
-    bool spare = permitted_changes > SPARE_SHARE * recorder->changes.depth;
+    double permitted_mutations = ow_rate_limiter_level(&recorder->mutations, now);
+    guint mutations_max = (guint)MIN((double)leader->core->store_limits.txn_ops, permitted_mutations);
+    bool spare = permitted_mutations > SPARE_SHARE * recorder->mutations.depth;
     guint position = 0;
     ow_write_queue_sort(recorder->queue);
-    while (position < ow_write_queue_length(recorder->queue) && has_room(leader, transaction, most_changes)) {
+    while (position < ow_write_queue_length(recorder->queue) &&
+           has_room(leader, transaction, mutations_max)) {
         const struct ow_write *next = ow_write_queue_at(recorder->queue, position);
-        if (must_wait(next, now, spare) || (transaction->changes->len > 0 && must_go_alone(next))) {
+        if (must_wait(next, now, spare) || (transaction->mutations->len > 0 && must_go_alone(next))) {
             position++;
             continue;
         }
--- a/src/core/records/transaction_reply.c
+++ b/src/core/records/transaction_reply.c
@@ -193,9 +193,10 @@
 {
     double now = leader->core->now;
     struct ow_recorder *recorder = leader->recorder;
-    bool smaller = ow_limits_refused(&leader->core->limits, recorder->sent_changes, recorder->sent_largest);
+    bool smaller = ow_store_limits_refused(&leader->core->store_limits, recorder->sent_mutations,
+                                           recorder->sent_largest);
     g_warning("the state service refuses a write of %u changes, the largest of %zu bytes; %s",
-              recorder->sent_changes, recorder->sent_largest,
+              recorder->sent_mutations, recorder->sent_largest,
               smaller ? "the next ones are smaller" : "it can't be made smaller");
     bool others_may_go = smaller || postpone_refused(recorder, now + REFUSED_S);
     recorder->next_at = now + (others_may_go ? RETRY_S : REFUSED_S);
@@ -235,7 +236,7 @@
         shrink_limits(leader);
     requeue(leader);
     if (reply->status == 429)
-        ow_rate_limiter_empty(&recorder->changes, leader->core->now);
+        ow_rate_limiter_empty(&recorder->mutations, leader->core->now);
     if (reply->status == 409)
         check_failed_versions(leader, reply);
 }
--- a/src/core/scheduling/classes.c
+++ b/src/core/scheduling/classes.c
@@ -92,8 +92,8 @@
 bool ow_class_is_quiet(struct ow_core *core, int class_index)
 {
     const struct ow_class *class = ow_class_of(core, class_index);
-    /* While the state service is away nothing can be accepted: that shows nothing of the class. */
-    if (class->service || !class->seen || !ow_health_state_is_ok(core))
+    /* While the key-value store is away nothing can be accepted: that shows nothing of the class. */
+    if (class->service || !class->seen || !ow_health_store_is_ok(core))
         return false;
     double limit_s = MAX(QUIET_LEAST_S, QUIET_INTERVALS * class->arrival_interval_s);
     return core->now - class->last_arrival_at > limit_s;
--- a/src/core/settings.h
+++ b/src/core/settings.h
@@ -22,15 +22,16 @@
 };
 
 struct ow_settings {
-    char *controller_name, *zone, *front, *peer_listen, *cloud, *state;
+    char *controller_name, *zone, *front, *peer_listen, *cloud_endpoint, *store_endpoint;
     GArray *peers;      /* struct ow_peer_settings */
     GArray *teams;      /* struct ow_team_settings */
     GArray *objectives; /* struct ow_objective */
     char **zones;
     double heartbeat_interval_s, lease_s, gang_wait_s, gang_peer_s, cancel_s;
-    double state_rps, state_write_rps, value_kb;
+    double store_rps, store_write_rps, value_kb;
     unsigned txn_ops;
-    /* What the state service will allow from some moment on, without notice; the same where nothing is said.
+    /* What the key-value store will allow from some moment on, without notice; the same where nothing is
+     * said.
      */
     double next_write_rps, next_value_kb;
     unsigned next_txn_ops;
@@ -45,7 +46,7 @@
     double hold_life_s;     /* an unrenewed hold is dropped after it */
     double waiting_limit_s; /* a short gang's holds drop after it; its place stays */
     unsigned candidates;    /* holds collected for each member at most */
-    double leader_lease_s;  /* the life of the leader's lease in the state service */
+    double leader_lease_s;  /* the life of the leader's lease in the key-value store */
 };
 
 struct ow_rules ow_rules_default(void);
--- a/src/core/store.c
+++ b/src/core/store.c
@@ -2,14 +2,14 @@
 
 #include <string.h>
 
-static void condition_clear(void *item)
+static void comparison_clear(void *item)
 {
-    g_free(((struct ow_condition *)item)->key);
+    g_free(((struct ow_store_comparison *)item)->key);
 }
 
-static void change_clear(void *item)
+static void mutation_clear(void *item)
 {
-    struct ow_change *change = item;
+    struct ow_store_mutation *change = item;
     g_free(change->key);
     g_free(change->value);
 }
@@ -20,10 +20,10 @@
     request->op = op;
     request->key = g_strdup(key);
     if (op == OW_STORE_TXN) {
-        request->conditions = g_array_new(FALSE, FALSE, sizeof(struct ow_condition));
-        g_array_set_clear_func(request->conditions, condition_clear);
-        request->changes = g_array_new(FALSE, FALSE, sizeof(struct ow_change));
-        g_array_set_clear_func(request->changes, change_clear);
+        request->comparisons = g_array_new(FALSE, FALSE, sizeof(struct ow_store_comparison));
+        g_array_set_clear_func(request->comparisons, comparison_clear);
+        request->mutations = g_array_new(FALSE, FALSE, sizeof(struct ow_store_mutation));
+        g_array_set_clear_func(request->mutations, mutation_clear);
     }
     return request;
 }
@@ -34,30 +34,30 @@
         return;
     g_free(request->key);
     g_free(request->after);
-    if (request->conditions != NULL)
-        g_array_free(request->conditions, TRUE);
-    if (request->changes != NULL)
-        g_array_free(request->changes, TRUE);
+    if (request->comparisons != NULL)
+        g_array_free(request->comparisons, TRUE);
+    if (request->mutations != NULL)
+        g_array_free(request->mutations, TRUE);
     g_free(request);
 }
 
-void ow_store_expect(struct ow_store_request *request, const char *key, uint64_t version)
+void ow_store_compare(struct ow_store_request *request, const char *key, uint64_t version)
 {
-    struct ow_condition condition = {g_strdup(key), version};
-    g_array_append_val(request->conditions, condition);
+    struct ow_store_comparison comparison = {g_strdup(key), version};
+    g_array_append_val(request->comparisons, comparison);
 }
 
-void ow_store_write(struct ow_store_request *request, const char *key, char *value, uint64_t lease)
+void ow_store_put(struct ow_store_request *request, const char *key, char *value, uint64_t lease)
 {
-    struct ow_change change = {g_strdup(key), value, lease};
-    g_array_append_val(request->changes, change);
+    struct ow_store_mutation change = {g_strdup(key), value, lease};
+    g_array_append_val(request->mutations, change);
 }
 
 size_t ow_store_largest_value(const struct ow_store_request *request)
 {
     size_t largest = 0;
-    for (guint i = 0; i < request->changes->len; i++) {
-        const char *value = g_array_index(request->changes, struct ow_change, i).value;
+    for (guint i = 0; i < request->mutations->len; i++) {
+        const char *value = g_array_index(request->mutations, struct ow_store_mutation, i).value;
         largest = value != NULL ? MAX(largest, strlen(value)) : largest;
     }
     return largest;
--- a/src/core/store.h
+++ b/src/core/store.h
@@ -1,4 +1,4 @@
-/* What the core asks of the state service, and what it hears back. Plain data. */
+/* What the core asks of the key-value store, and what it hears back. Plain data. */
 #ifndef OW_CORE_STORE_H
 #define OW_CORE_STORE_H
 
@@ -13,16 +13,16 @@
     OW_STORE_LIST,
     OW_STORE_TXN,
     OW_STORE_WATCH,
-    OW_STORE_LEASE,
-    OW_STORE_RENEW,
+    OW_STORE_GRANT_LEASE,
+    OW_STORE_KEEP_ALIVE,
 };
 
-struct ow_condition {
+struct ow_store_comparison {
     char *key;
     uint64_t version; /* 0: must not exist */
 };
 
-struct ow_change {
+struct ow_store_mutation {
     char *key;
     char *value;    /* JSON text; NULL: delete */
     uint64_t lease; /* 0: none */
@@ -31,19 +31,19 @@
 struct ow_store_request {
     uint64_t tag;
     enum ow_store_op op;
-    char *key;          /* get; prefix of a list or a watch */
-    char *after;        /* list: begin after this key */
-    uint64_t number;    /* watch: since this revision; renew: the lease */
-    double seconds;     /* watch: how long it may stay open; lease: its life */
-    GArray *conditions; /* struct ow_condition, or NULL */
-    GArray *changes;    /* struct ow_change, or NULL */
+    char *key;           /* get; prefix of a list or a watch */
+    char *after;         /* list: begin after this key */
+    uint64_t number;     /* watch: since this revision; renew: the lease */
+    double seconds;      /* watch: how long it may stay open; lease: its life */
+    GArray *comparisons; /* struct ow_store_comparison, or NULL */
+    GArray *mutations;   /* struct ow_store_mutation, or NULL */
 };
 
 struct ow_store_request *ow_store_request_new(enum ow_store_op op, const char *key);
 void ow_store_request_free(struct ow_store_request *request);
-void ow_store_expect(struct ow_store_request *request, const char *key, uint64_t version);
+void ow_store_compare(struct ow_store_request *request, const char *key, uint64_t version);
 /* Takes over `value`, which is NULL for a deletion. */
-void ow_store_write(struct ow_store_request *request, const char *key, char *value, uint64_t lease);
+void ow_store_put(struct ow_store_request *request, const char *key, char *value, uint64_t lease);
 /* Bytes of the largest value that the transaction writes. */
 size_t ow_store_largest_value(const struct ow_store_request *request);
 
--- a/src/core/type_discovery.h
+++ b/src/core/type_discovery.h
@@ -14,7 +14,7 @@
 };
 
 /* Asks for the machine types while they are not known. The cloud may be down: a leader has recorded the types
-   that it saw last in the state service. */
+   that it saw last in the key-value store. */
 void ow_type_discovery_tick(struct ow_type_discovery *discovery);
 
 #endif
--- a/src/io/daemon.c
+++ b/src/io/daemon.c
@@ -9,7 +9,7 @@
 static const double SWEEP_S = 0.1, IDLE_S = 60;
 enum {
     BODY_LIMIT_BYTES = 64 * 1024,
-    RESERVED_SOCKETS = 60, /* for the state service, the cloud and other controllers */
+    RESERVED_SOCKETS = 60, /* for the key-value store, the cloud and other controllers */
     SOCKETS_LEAST = 200,
 };
 /* Each machine reports on a connection of its own, and those come first. Ours, for commands, get what is
@@ -149,7 +149,7 @@
      * heartbeats.
      */
     if (ow_loop_is_saturated(daemon->loop))
-        ow_http_client_read_from(daemon->client, daemon->settings->state);
+        ow_http_client_read_from(daemon->client, daemon->settings->store_endpoint);
     GPtrArray *effects = ow_control_run(daemon->manager, now, (double)g_get_real_time() / G_USEC_PER_SEC);
     for (guint i = 0; i < effects->len; i++)
         carry_out(daemon, g_ptr_array_index(effects, i));
--- a/src/io/daemon_state.h
+++ b/src/io/daemon_state.h
@@ -19,7 +19,7 @@
     struct ow_peer_links *peers;
     GHashTable *pending_requests; /* tag of the HTTP client -> struct pending_request of outgoing.c */
     uint64_t last_tag;            /* the last one given to the HTTP client */
-    unsigned sockets; /* without those reserved for the state service, the cloud and other controllers */
+    unsigned sockets; /* without those reserved for the key-value store, the cloud and other controllers */
     unsigned client_sockets_least; /* of `sockets`, those that our own requests may always use */
     double sweep_at;               /* when idle connections are looked at next */
 };
@@ -31,9 +31,9 @@
 /* Answers a user or a worker as the core says. */
 void ow_incoming_answer(struct ow_daemon *daemon, const struct ow_effect *effect);
 
-/* outgoing.c: requests to the state service, the cloud and workers. */
+/* outgoing.c: requests to the key-value store, the cloud and workers. */
 
-/* Sends a request of the core to the state service, the cloud or a worker. */
+/* Sends a request of the core to the key-value store, the cloud or a worker. */
 void ow_outgoing_send(struct ow_daemon *daemon, const struct ow_effect *effect);
 /* The HTTP client's reply function: turns a response into an event. `owner` is the service. */
 void ow_outgoing_take_reply(void *owner, uint64_t tag, int status, const char *body, size_t size);
--- a/src/io/outgoing.c
+++ b/src/io/outgoing.c
@@ -1,17 +1,17 @@
-/* Requests to the state service, the cloud and workers, and what becomes of their responses. */
+/* Requests to the key-value store, the cloud and workers, and what becomes of their responses. */
 #include "io/daemon_state.h"
 
 #include "wire/cloud_json.h"
-#include "wire/state_json.h"
+#include "wire/store_json.h"
 #include "wire/words.h"
 #include "wire/worker_json.h"
 
 /* How long each may take to respond. */
-static const double STATE_TIMEOUT_S = 1.5, CLOUD_TIMEOUT_S = 8, DIRECT_TIMEOUT_S = 3;
-/* A watch may stay open for as long as it was asked to, by the state service's clock, and then some. */
+static const double STORE_TIMEOUT_S = 1.5, CLOUD_TIMEOUT_S = 8, DIRECT_TIMEOUT_S = 3;
+/* A watch may stay open for as long as it was asked to, by the key-value store's clock, and then some. */
 static const double WATCH_DRIFT = 1.01, WATCH_MARGIN_S = 2;
 
-enum target { TARGET_STATE_SERVICE, TARGET_CLOUD, TARGET_WORKER };
+enum target { TARGET_STORE, TARGET_CLOUD, TARGET_WORKER };
 enum { NO_OPERATION = 0 };
 
 /* A request that waits for its response. */
@@ -57,7 +57,7 @@
     return event;
 }
 
-static struct ow_event *state_event(const struct pending_request *pending, int status, const char *body,
+static struct ow_event *store_event(const struct pending_request *pending, int status, const char *body,
                                     size_t size)
 {
     struct ow_event *event = ow_event_new(OW_EVENT_STORE, pending->core_tag);
@@ -79,8 +79,8 @@
                                     size_t size)
 {
     switch (pending->target) {
-    case TARGET_STATE_SERVICE:
-        return state_event(pending, status, body, size);
+    case TARGET_STORE:
+        return store_event(pending, status, body, size);
     case TARGET_CLOUD:
         return cloud_event(pending, status, body, size);
     case TARGET_WORKER:
@@ -102,12 +102,12 @@
 static void send_store(struct ow_daemon *daemon, const struct ow_effect *effect)
 {
     struct wire_http http = wire_store_request(effect->store);
-    double timeout = STATE_TIMEOUT_S;
+    double timeout = STORE_TIMEOUT_S;
     if (effect->store->op == OW_STORE_WATCH)
         timeout += effect->store->seconds * WATCH_DRIFT + WATCH_MARGIN_S;
-    uint64_t tag = add_pending(daemon, TARGET_STATE_SERVICE, (int)effect->store->op, effect->store->tag);
-    ow_http_client_send(daemon->client, daemon->settings->state, http.method, http.path, http.body, timeout,
-                        tag);
+    uint64_t tag = add_pending(daemon, TARGET_STORE, (int)effect->store->op, effect->store->tag);
+    ow_http_client_send(daemon->client, daemon->settings->store_endpoint, http.method, http.path, http.body,
+                        timeout, tag);
     wire_http_clear(&http);
 }
 
@@ -132,7 +132,8 @@
         path = g_strdup(W_PATH_DELETE);
         body = wire_delete(request->machines);
     }
-    ow_http_client_send(daemon->client, daemon->settings->cloud, method, path, body, CLOUD_TIMEOUT_S, tag);
+    ow_http_client_send(daemon->client, daemon->settings->cloud_endpoint, method, path, body, CLOUD_TIMEOUT_S,
+                        tag);
     g_free(path);
     g_free(body);
 }
--- a/src/sharding/candidacy.h
+++ b/src/sharding/candidacy.h
@@ -1,5 +1,5 @@
 /* In which order controllers run for a shard that nobody leads: the one that leads fewest shards first. The
- * order only spares them a race; which of them leads is decided by the state service. */
+ * order only spares them a race; which of them leads is decided by the key-value store. */
 #ifndef OW_SHARDING_CANDIDACY_H
 #define OW_SHARDING_CANDIDACY_H
 
--- a/src/sharding/effect_guard.c
+++ b/src/sharding/effect_guard.c
@@ -54,7 +54,8 @@
     case OW_EFFECT_CLOUD:
         return guard_cloud(effect, refusal);
     default:
-        /* Writes are conditioned on the leader's key, and answers to users on reads of the state service. */
+        /* Writes are conditioned on the leader's key, and answers to users on reads of the key-value store.
+         */
         return false;
     }
 }
--- a/src/sharding/lease_guard.c
+++ b/src/sharding/lease_guard.c
@@ -1,7 +1,7 @@
 #include "sharding/lease_guard.h"
 
 enum { STATUS_NONE = 0, STATUS_OK = 200 };
-/* The state service's clock may run faster than ours by as much, and some more. */
+/* The key-value store's clock may run faster than ours by as much, and some more. */
 static const double CLOCK_DRIFT = 0.002;
 /* An effect may need as long from the check to the wire. */
 static const double MARGIN_S = 0.1;
--- a/src/sharding/map_agreement.c
+++ b/src/sharding/map_agreement.c
@@ -48,15 +48,15 @@
 static struct ow_store_request *creation(const struct ow_map_agreement *agreement)
 {
     struct ow_store_request *request = ow_store_request_new(OW_STORE_TXN, NULL);
-    ow_store_expect(request, MAP_KEY, 0);
-    ow_store_write(request, MAP_KEY, wire_shard_map(agreement->values), 0);
+    ow_store_compare(request, MAP_KEY, 0);
+    ow_store_put(request, MAP_KEY, wire_shard_map(agreement->values), 0);
     if (agreement->only_default)
         return request;
     /* Records without shards would be lost from sight, and their machines would get two owners. */
-    ow_store_expect(request, OW_KEY_TYPES, 0);
-    ow_store_expect(request, OW_KEY_FORMAT, 0);
-    ow_store_expect(request, OW_KEY_LEADER, 0);
-    ow_store_write(request, OW_KEY_LEADER, wire_leader_record(DIVIDED_NAME, ""), 0);
+    ow_store_compare(request, OW_KEY_TYPES, 0);
+    ow_store_compare(request, OW_KEY_FORMAT, 0);
+    ow_store_compare(request, OW_KEY_LEADER, 0);
+    ow_store_put(request, OW_KEY_LEADER, wire_leader_record(DIVIDED_NAME, ""), 0);
     return request;
 }
 
--- a/src/sharding/map_agreement.h
+++ b/src/sharding/map_agreement.h
@@ -1,5 +1,5 @@
-/* The shard map in the state service: the first controller stores the values that its settings say, and every
- * controller leads only while its own are the same. A map is never changed: a machine or job that moved
+/* The shard map in the key-value store: the first controller stores the values that its settings say, and
+ * every controller leads only while its own are the same. A map is never changed: a machine or job that moved
  * between shards with a lease still running could be started twice. No I/O: requests are added to an array.
  */
 #ifndef OW_SHARDING_MAP_AGREEMENT_H
--- a/src/sharding/shard.c
+++ b/src/sharding/shard.c
@@ -102,7 +102,7 @@
 static void translate_store(struct ow_shard *shard, struct ow_effect *effect, double now)
 {
     struct ow_store_request *request = effect->store;
-    if (request->op == OW_STORE_LEASE || request->op == OW_STORE_RENEW)
+    if (request->op == OW_STORE_GRANT_LEASE || request->op == OW_STORE_KEEP_ALIVE)
         ow_lease_guard_requested(&shard->guard, request->tag, now);
     ow_shard_keys_guard_new_job(request, shard->prefixes, shard->prefix);
     ow_shard_keys_qualify(request, shard->prefix);
--- a/src/sharding/shard_keys.c
+++ b/src/sharding/shard_keys.c
@@ -27,13 +27,14 @@
         qualify(&request->key, prefix);
     if (request->after != NULL)
         qualify(&request->after, prefix);
-    for (guint i = 0; request->conditions != NULL && i < request->conditions->len; i++) {
-        struct ow_condition *condition = &g_array_index(request->conditions, struct ow_condition, i);
-        if (!g_str_has_prefix(condition->key, SHARDS_PREFIX))
-            qualify(&condition->key, prefix);
+    for (guint i = 0; request->comparisons != NULL && i < request->comparisons->len; i++) {
+        struct ow_store_comparison *comparison =
+            &g_array_index(request->comparisons, struct ow_store_comparison, i);
+        if (!g_str_has_prefix(comparison->key, SHARDS_PREFIX))
+            qualify(&comparison->key, prefix);
     }
-    for (guint i = 0; request->changes != NULL && i < request->changes->len; i++)
-        qualify(&g_array_index(request->changes, struct ow_change, i).key, prefix);
+    for (guint i = 0; request->mutations != NULL && i < request->mutations->len; i++)
+        qualify(&g_array_index(request->mutations, struct ow_store_mutation, i).key, prefix);
 }
 
 static void strip(char *key, const char *prefix)
@@ -56,11 +57,12 @@
 /* The key of the job that the request accepts, or NULL. */
 static const char *accepted_job(const struct ow_store_request *request)
 {
-    if (request->op != OW_STORE_TXN || request->conditions->len != 1)
+    if (request->op != OW_STORE_TXN || request->comparisons->len != 1)
         return NULL;
-    const struct ow_condition *condition = &g_array_index(request->conditions, struct ow_condition, 0);
-    bool is_new = condition->version == 0 && g_str_has_prefix(condition->key, OW_KEY_JOBS);
-    return is_new ? condition->key : NULL;
+    const struct ow_store_comparison *comparison =
+        &g_array_index(request->comparisons, struct ow_store_comparison, 0);
+    bool is_new = comparison->version == 0 && g_str_has_prefix(comparison->key, OW_KEY_JOBS);
+    return is_new ? comparison->key : NULL;
 }
 
 void ow_shard_keys_guard_new_job(struct ow_store_request *request, const GPtrArray *prefixes,
@@ -73,7 +75,7 @@
         if (prefix == NULL || g_strcmp0(prefix, own_prefix) == 0)
             continue;
         char *key = g_strconcat(prefix, copy, NULL);
-        ow_store_expect(request, key, 0);
+        ow_store_compare(request, key, 0);
         g_free(key);
     }
     g_free(copy);
--- a/src/sharding/shard_keys.h
+++ b/src/sharding/shard_keys.h
@@ -1,4 +1,4 @@
-/* The name space of one shard in the state service: its keys stand behind a prefix of their own. */
+/* The name space of one shard in the key-value store: its keys stand behind a prefix of their own. */
 #ifndef OW_SHARDING_SHARD_KEYS_H
 #define OW_SHARDING_SHARD_KEYS_H
 
--- a/src/sharding/shard_settings.c
+++ b/src/sharding/shard_settings.c
@@ -36,8 +36,8 @@
     settings->teams = divide_teams(sharding, own, platform->teams);
     /* Budgets go with the shard, whoever leads it: those of a controller that has ended are its successor's.
      */
-    settings->state_rps *= part;
-    settings->state_write_rps *= part;
+    settings->store_rps *= part;
+    settings->store_write_rps *= part;
     settings->next_write_rps *= part;
     settings->cloud_rps *= part;
     settings->core_share *= part;
--- a/src/sharding/sharding_settings.c
+++ b/src/sharding/sharding_settings.c
@@ -9,7 +9,7 @@
 /* A leader must learn that its lease is over long before its workers' leases run out. */
 static const double LEASE_SHARE_MAX = 0.5;
 /* A transaction may have this many times as many conditions as changes. */
-enum { CONDITIONS_PER_CHANGE = 4 };
+enum { COMPARISONS_PER_MUTATION = 4 };
 
 static void shard_free(void *item)
 {
@@ -189,8 +189,8 @@
 static char *check_whole(const struct ow_sharding_settings *sharding, const struct ow_settings *platform,
                          const struct ow_rules *rules)
 {
-    unsigned conditions = CONDITIONS_PER_CHANGE * MIN(platform->txn_ops, platform->next_txn_ops);
-    guint most = MIN(OW_SHARDS_MAX, conditions);
+    unsigned comparisons = COMPARISONS_PER_MUTATION * MIN(platform->txn_ops, platform->next_txn_ops);
+    guint most = MIN(OW_SHARDS_MAX, comparisons);
     if (sharding->shards->len == 0)
         return g_strdup_printf("line %lu: control: has no shard", sharding->line);
     if (sharding->shards->len > most)
--- a/src/wire/cloud_json.h
+++ b/src/wire/cloud_json.h
@@ -9,7 +9,7 @@
 
 /* The cloud's answer with the machine types: struct ow_machine_type each; NULL when malformed. */
 GArray *wire_types_parse(const char *text, size_t size);
-/* The same from a JSON object, which is also the form kept in the state service. */
+/* The same from a JSON object, which is also the form kept in the key-value store. */
 GArray *wire_types_from(const json_t *object);
 /* The reverse: a new reference. */
 json_t *wire_types_json(const GArray *types);
--- a/src/wire/peer.x
+++ b/src/wire/peer.x
@@ -14,7 +14,7 @@
     string sender<PEER_NAME_MAX>;
     unsigned hyper fencing_token;     /* the highest fencing token known; the sender's own if it leads */
     bool leads;
-    bool state_ok;            /* the state service answered the sender lately */
+    bool store_ok;            /* the key-value store answered the sender lately */
     bool receives_heartbeats;       /* workers came to the sender lately */
 };
 
--- a/src/wire/peer_body.c
+++ b/src/wire/peer_body.c
@@ -64,7 +64,7 @@
 {
     switch (message->kind) {
     case OW_PEER_HELLO:
-        body->hello = (peer_hello){message->sender, message->number, message->leads, message->state_ok,
+        body->hello = (peer_hello){message->sender, message->number, message->leads, message->store_ok,
                                    message->receives_heartbeats};
         return NULL;
     case OW_PEER_SUMMARY:
@@ -170,7 +170,7 @@
         message->sender = g_strdup(body->hello.sender);
         message->number = body->hello.fencing_token;
         message->leads = body->hello.leads;
-        message->state_ok = body->hello.state_ok;
+        message->store_ok = body->hello.store_ok;
         message->receives_heartbeats = body->hello.receives_heartbeats;
         break;
     case OW_PEER_SUMMARY:
--- a/src/wire/state_json.c
+++ b/src/wire/store_json.c
@@ -1,4 +1,4 @@
-#include "wire/state_json.h"
+#include "wire/store_json.h"
 
 #include "wire/json.h"
 #include "wire/words.h"
@@ -9,14 +9,16 @@
 
 static char *txn_body(const struct ow_store_request *request)
 {
-    json_t *conditions = json_array(), *changes = json_array();
-    for (guint i = 0; i < request->conditions->len; i++) {
-        const struct ow_condition *condition = &g_array_index(request->conditions, struct ow_condition, i);
-        json_array_append_new(conditions, json_pack("{s:s,s:I}", W_KEY, condition->key, W_VERSION,
-                                                    (json_int_t)condition->version));
+    json_t *comparisons = json_array(), *mutations = json_array();
+    for (guint i = 0; i < request->comparisons->len; i++) {
+        const struct ow_store_comparison *comparison =
+            &g_array_index(request->comparisons, struct ow_store_comparison, i);
+        json_array_append_new(comparisons, json_pack("{s:s,s:I}", W_KEY, comparison->key, W_VERSION,
+                                                     (json_int_t)comparison->version));
     }
-    for (guint i = 0; i < request->changes->len; i++) {
-        const struct ow_change *change = &g_array_index(request->changes, struct ow_change, i);
+    for (guint i = 0; i < request->mutations->len; i++) {
+        const struct ow_store_mutation *change =
+            &g_array_index(request->mutations, struct ow_store_mutation, i);
         json_t *object;
         if (change->value == NULL)
             object = json_pack("{s:s}", W_DELETE, change->key);
@@ -25,9 +27,9 @@
                                json_loads(change->value, JSON_DECODE_ANY, NULL));
         if (change->lease != 0)
             json_object_set_new(object, W_LEASE, json_integer((json_int_t)change->lease));
-        json_array_append_new(changes, object);
+        json_array_append_new(mutations, object);
     }
-    return wj_take_text(json_pack("{s:o,s:o}", W_IF, conditions, W_THEN, changes));
+    return wj_take_text(json_pack("{s:o,s:o}", W_IF, comparisons, W_THEN, mutations));
 }
 
 static char *list_path(const struct ow_store_request *request)
@@ -57,12 +59,12 @@
         http.path = g_strdup_printf("%s?%s=%s&%s=%" PRIu64 "&%s=%d", W_PATH_WATCH, W_PREFIX, request->key,
                                     W_AFTER, request->number, W_WAIT, (int)(request->seconds * 1000.0));
         break;
-    case OW_STORE_LEASE:
+    case OW_STORE_GRANT_LEASE:
         http.method = "POST";
         http.path = g_strdup(W_PATH_LEASES);
         http.body = wj_take_text(json_pack("{s:i}", W_TTL, (int)(request->seconds * 1000.0)));
         break;
-    case OW_STORE_RENEW:
+    case OW_STORE_KEEP_ALIVE:
         http.method = "POST";
         http.path = g_strdup_printf("%s/%" PRIu64 "/%s", W_PATH_LEASES, request->number, W_PATH_RENEW);
         http.body = g_strdup("{}");
@@ -135,9 +137,9 @@
         return json_object_get(object, W_REVISION) != NULL && read_items(object, W_EVENTS, true, out->items);
     case OW_STORE_TXN:
         return json_object_get(object, W_REVISION) != NULL;
-    case OW_STORE_LEASE:
+    case OW_STORE_GRANT_LEASE:
         return wj_count(object, W_LEASE, &out->lease);
-    case OW_STORE_RENEW:
+    case OW_STORE_KEEP_ALIVE:
         return true;
     }
     return false;
@@ -150,7 +152,7 @@
     out->items = g_array_new(FALSE, FALSE, sizeof(struct ow_store_item));
     g_array_set_clear_func(out->items, item_clear);
     json_t *object = status == 200 || status == 409 || status == 404 ? wj_object(body, size) : NULL;
-    if (status == 200 && op != OW_STORE_RENEW && (object == NULL || !read_success(op, object, out)))
+    if (status == 200 && op != OW_STORE_KEEP_ALIVE && (object == NULL || !read_success(op, object, out)))
         out->status = 0;
     if (status == 409 && object != NULL)
         out->failed = wj_strings(json_object_get(object, W_FAILED));
--- a/src/wire/state_json.h
+++ b/src/wire/store_json.h
@@ -1,6 +1,6 @@
-/* Requests to the state service and its answers. */
-#ifndef OW_WIRE_STATE_JSON_H
-#define OW_WIRE_STATE_JSON_H
+/* Requests to the key-value store and its answers. */
+#ifndef OW_WIRE_STORE_JSON_H
+#define OW_WIRE_STORE_JSON_H
 
 #include "core/store.h"
 
--- a/tests/chaos_day.c
+++ b/tests/chaos_day.c
@@ -109,8 +109,8 @@
         failures->w->peers_cut = !failures->w->peers_cut;
         break;
     case 9:
-        failures->w->state_slow_s =
-            failures->w->state_slow_s > 0 ? 0 : g_rand_double_range(failures->rand, 0.1, 1.2);
+        failures->w->store_slow_s =
+            failures->w->store_slow_s > 0 ? 0 : g_rand_double_range(failures->rand, 0.1, 1.2);
         break;
     case 5:
         failures->w->isolated_controller = g_rand_int_range(failures->rand, -1, WORLD_CONTROLLERS);
@@ -119,7 +119,7 @@
         failures->w->workerless_controller = g_rand_int_range(failures->rand, -1, WORLD_CONTROLLERS);
         break;
     case 0:
-        failures->w->state_down = !failures->w->state_down;
+        failures->w->store_down = !failures->w->store_down;
         break;
     case 1:
         failures->w->cloud_down = !failures->w->cloud_down;
@@ -157,8 +157,8 @@
     struct world *w = failures->w;
     w->isolated_controller = w->workerless_controller = w->denied_controller = -1;
     w->peers_cut = false;
-    w->state_slow_s = 0;
-    w->state_down = w->cloud_down = w->hold_txns = w->lose_txn_answers = w->hold_directs = false;
+    w->store_slow_s = 0;
+    w->store_down = w->cloud_down = w->hold_txns = w->lose_txn_answers = w->hold_directs = false;
     for (guint i = 0; i < w->machines->len; i++) {
         struct world_machine *machine = world_machine_at(w, i);
         machine->cut = machine->hangs = machine->faulty = machine->unresponsive = machine->stopped_reporting =
--- a/tests/effect_line.c
+++ b/tests/effect_line.c
@@ -3,7 +3,7 @@
 
 #include "wire/cloud_json.h"
 #include "wire/peer_xdr.h"
-#include "wire/state_json.h"
+#include "wire/store_json.h"
 #include "wire/user_json.h"
 #include "wire/words.h"
 #include "wire/worker_json.h"
--- a/tests/test_cancellation.c
+++ b/tests/test_cancellation.c
@@ -1,5 +1,5 @@
-/* Cancellations while controllers, links or the state service fail (docs/meetings.md). The simulated cluster
- * checks the safety rules from outside: the answers that users get and the tasks on the machines. */
+/* Cancellations while controllers, links or the key-value store fail (docs/meetings.md). The simulated
+ * cluster checks the safety rules from outside: the answers that users get and the tasks on the machines. */
 #include "check.h"
 #include "failure_setup.h"
 #include "world.h"
@@ -17,7 +17,7 @@
     struct canceller canceller = {.id = "run-1", .controller = world_follower(w)};
     run_cancelling(w, &canceller, 1);
     assert_true(canceller.answered_at > 0);
-    w->state_down = true;
+    w->store_down = true;
     world_run(w, 60);
     assert_int_equal(world_running(w, "run-1"), 0);
     world_finish(w);
@@ -33,7 +33,7 @@
     w->peers_cut = true;
     struct canceller canceller = {.id = "run-1", .controller = world_follower(w)};
     run_cancelling(w, &canceller, 1.2);
-    w->state_down = true;
+    w->store_down = true;
     run_cancelling(w, &canceller, 60);
     assert_true(canceller.answered_at == 0);
     world_run(w, 1);
@@ -43,7 +43,7 @@
     world_run(w, 1);
     assert_int_equal(world_status(w, poll), 503);
     /* The commit is kept: the cancellation takes effect and is confirmed once a leader has read it. */
-    w->state_down = w->peers_cut = false;
+    w->store_down = w->peers_cut = false;
     w->denied_controller = -1;
     run_cancelling(w, &canceller, 12);
     assert_true(canceller.answered_at > 0);
@@ -76,7 +76,7 @@
     int controller = world_follower(w);
     world_cancel(w, controller, "run-1");
     world_run(w, 1);
-    w->state_down = true;
+    w->store_down = true;
     send_cancellation_ack(w, controller, "run-1", w->revision, fencing_token - 1);
     uint64_t poll = world_poll(w, controller, "run-1");
     world_run(w, 1);
@@ -97,14 +97,14 @@
     struct world *w = failure_world(2);
     int leader = world_leader(w);
     w->slow_controller = leader;
-    w->state_slow_s = 1.2; /* each read is stale by this time when it arrives */
+    w->store_slow_s = 1.2; /* each read is stale by this time when it arrives */
     world_submit(w, world_follower(w), world_job("run-1", 1, 1));
     world_run(w, 0.3);
     struct canceller canceller = {.id = "run-1", .controller = world_follower(w)};
     run_cancelling(w, &canceller, 0.6);
     assert_true(canceller.answered_at > 0);
     world_run(w, 4);
-    w->state_slow_s = 0;
+    w->store_slow_s = 0;
     world_run(w, 16);
     assert_int_equal(world_leader(w), leader);
     assert_int_equal(world_machine(w, "m-0")->starts + world_machine(w, "m-1")->starts, 0);
@@ -162,9 +162,9 @@
     run_cancelling(w, &canceller, 0.5);
     assert_true(canceller.answered_at > 0);
     world_kill_controller(w, old);
-    w->state_slow_s = 0.5;
+    w->store_slow_s = 0.5;
     run_until_taken(w, old);
-    w->state_down = true;
+    w->store_down = true;
     machine->hangs = false;
     world_run(w, 60);
     assert_true(world_leader(w) >= 0);
@@ -186,12 +186,12 @@
     while (world_leader(w) < 0)
         world_run(w, 0.05);
     w->slow_controller = world_leader(w);
-    w->state_slow_s = 3;
+    w->store_slow_s = 3;
     world_run(w, 0.3); /* the others learn who leads */
     struct canceller canceller = {.id = "run-1", .controller = 3 - old - world_leader(w)};
     run_cancelling(w, &canceller, 2);
     assert_true(canceller.answered_at == 0);
-    w->state_slow_s = 0;
+    w->store_slow_s = 0;
     machine->cut = false;
     run_cancelling(w, &canceller, 15);
     assert_true(canceller.answered_at > 0);
--- a/tests/test_cancellation_races.c
+++ b/tests/test_cancellation_races.c
@@ -10,7 +10,7 @@
     for (int offset = 0; offset < 40; offset++) {
         struct world *w = world_with_machines(2);
         w->run_s = 1;
-        w->state_slow_s = offset % 2 == 0 ? 0 : 0.2;
+        w->store_slow_s = offset % 2 == 0 ? 0 : 0.2;
         world_submit(w, offset % WORLD_CONTROLLERS, world_job("run-1", 2, 1));
         world_run(w, 1 + 0.1 * offset);
         uint64_t cancel = world_cancel(w, (offset + 1) % WORLD_CONTROLLERS, "run-1");
@@ -113,7 +113,7 @@
         if (old >= 0)
             world_start_controller(w, old);
         canceller.controller = change % WORLD_CONTROLLERS;
-        w->state_down = change == 4 || change == 5;
+        w->store_down = change == 4 || change == 5;
         run_cancelling(w, &canceller, 10);
     }
     run_cancelling(w, &canceller, 5);
--- a/tests/test_election.c
+++ b/tests/test_election.c
@@ -1,4 +1,4 @@
-/* Election of a leader, its term, and the health of controllers while the state service fails. */
+/* Election of a leader, its term, and the health of controllers while the key-value store fails. */
 #include "check.h"
 #include "world.h"
 
@@ -73,11 +73,11 @@
     world_submit(w, 0, world_job("run-1", 2, 1));
     w->run_s = 60;
     assert_true(world_until(w, 10, world_some_running, "run-1"));
-    w->state_down = true;
+    w->store_down = true;
     world_run(w, 45);
     /* Rule 8: workers are answered all along, so their tasks outlive the outage. */
     assert_int_equal(world_running(w, "run-1"), 2);
-    w->state_down = false;
+    w->store_down = false;
     world_run(w, 2);
     assert_true(world_fencing_token(w, leader) == fencing_token);
     world_finish(w);
@@ -93,7 +93,7 @@
     assert_false(ow_shard_manager_is_ready(w->controllers[2]));
     assert_true(ow_shard_manager_is_ready(w->controllers[0]) && ow_shard_manager_is_ready(w->controllers[1]));
     w->denied_controller = -1;
-    w->state_down = true;
+    w->store_down = true;
     world_run(w, 18);
     world_kill_controller(w, 0);
     world_start_controller(w, 0);
--- a/tests/test_failover.c
+++ b/tests/test_failover.c
@@ -168,7 +168,7 @@
     (void)state;
     struct world *w = world_with_machines(1);
     int leader = world_leader(w);
-    w->state_down = true; /* it can't read who leads */
+    w->store_down = true; /* it can't read who leads */
     world_machine(w, "m-0")->fencing_token = 1000000;
     world_run(w, 5);
     assert_true(world_fencing_token(w, leader) == 0);
--- a/tests/test_fleet.c
+++ b/tests/test_fleet.c
@@ -140,12 +140,12 @@
     world_run(w, 3);
     lose_a_third(w);
     double since = w->now;
-    w->state_requests = w->state_changes = w->cloud_calls = 0;
+    w->store_requests = w->store_mutations = w->cloud_calls = 0;
     assert_true(world_until(w, 240, all_jobs_done, &jobs));
     /* Within the rate limits of the services, with a reserve for users. */
     double took = w->now - since;
-    assert_true(w->state_requests < 0.5 * w->settings[0].state_rps * took);
-    assert_true(w->state_changes < 0.8 * w->settings[0].state_write_rps * took);
+    assert_true(w->store_requests < 0.5 * w->settings[0].store_rps * took);
+    assert_true(w->store_mutations < 0.8 * w->settings[0].store_write_rps * took);
     assert_true(w->cloud_calls < 0.8 * w->settings[0].cloud_rps * took);
     world_finish(w);
 }
--- a/tests/test_isolation.c
+++ b/tests/test_isolation.c
@@ -48,7 +48,7 @@
     world_finish(w);
 }
 
-/* A leader that no worker can reach steps down even if the state service is available to it. */
+/* A leader that no worker can reach steps down even if the key-value store is available to it. */
 static void test_leader_without_workers_steps_down(void **state)
 {
     (void)state;
--- a/tests/test_leader_changes.c
+++ b/tests/test_leader_changes.c
@@ -11,11 +11,11 @@
     int old = world_leader(w);
     uint64_t before = world_fencing_token(w, old);
     w->isolated_controller = old;
-    w->state_down = true; /* its key stays: leases don't expire in an outage */
+    w->store_down = true; /* its key stays: leases don't expire in an outage */
     world_run(w, 30);
     assert_int_equal(world_fencing_token(w, old), 0);
     w->isolated_controller = -1;
-    w->state_down = false;
+    w->store_down = false;
     world_run(w, 8);
     assert_int_equal(world_leader(w), old);
     assert_true(world_fencing_token(w, old) > before);
--- a/tests/test_lease_guard.c
+++ b/tests/test_lease_guard.c
@@ -52,8 +52,8 @@
     assert_int_equal(ow_lease_guard_check(&guard, 30), OW_LEASE_KEEP_ALIVE);
 }
 
-/* After a pause nothing leaves until the state service has answered a request sent since; an answer that has
-   lain in the socket all the while proves nothing. */
+/* After a pause nothing leaves until the key-value store has answered a request sent since; an answer that
+   has lain in the socket all the while proves nothing. */
 static void test_nothing_leaves_after_a_pause(void **state)
 {
     (void)state;
--- a/tests/test_limits.c
+++ b/tests/test_limits.c
@@ -1,4 +1,4 @@
-/* Limits of the state service that fall without notice, and submissions that exceed them. */
+/* Limits of the key-value store that fall without notice, and submissions that exceed them. */
 #include "check.h"
 #include "world.h"
 
--- a/tests/test_production_format.c
+++ b/tests/test_production_format.c
@@ -83,7 +83,7 @@
     (void)state;
     struct ow_peer_message *message = fixture_message("peer-hello.hex");
     assert_true(message->kind == OW_PEER_HELLO && message->number == 77 && message->leads &&
-                message->state_ok && !message->receives_heartbeats);
+                message->store_ok && !message->receives_heartbeats);
     assert_string_equal(message->sender, "node-1");
     ow_peer_message_free(message);
     message = fixture_message("peer-summary.hex");
--- a/tests/test_records.c
+++ b/tests/test_records.c
@@ -1,8 +1,8 @@
-/* Records in the state service: they survive encoding and decoding, and stay small. */
+/* Records in the key-value store: they survive encoding and decoding, and stay small. */
 #include "check.h"
 #include "core/rate_limiter.h"
 #include "core/api/job.h"
-#include "core/records/limits.h"
+#include "core/records/store_limits.h"
 #include "core/names.h"
 #include "wire/json.h"
 #include "wire/records_json.h"
--- a/tests/test_shard_settings.c
+++ b/tests/test_shard_settings.c
@@ -89,19 +89,19 @@
     const struct ow_settings *whole = &w->settings[0];
     ((struct ow_shard_settings *)g_ptr_array_index(w->sharding->shards, EAST))->share = 1;
     ((struct ow_shard_settings *)g_ptr_array_index(w->sharding->shards, WEST))->share = 0;
-    double state_rps = 0, write_rps = 0, cloud_rps = 0, limit = 0;
+    double store_rps = 0, write_rps = 0, cloud_rps = 0, limit = 0;
     for (guint shard = 0; shard < SHARDS; shard++) {
         struct ow_settings *part = ow_shard_settings_new(w->sharding, shard, whole);
         const struct ow_team_settings *tight = &g_array_index(part->teams, struct ow_team_settings, 1);
         assert_true(tight->cpus_max > 0);
         assert_true(tight->gpus_max == 0);
-        state_rps += part->state_rps;
-        write_rps += part->state_write_rps;
+        store_rps += part->store_rps;
+        write_rps += part->store_write_rps;
         cloud_rps += part->cloud_rps;
         limit += tight->cpus_max;
         ow_shard_settings_free(part);
     }
-    assert_true(state_rps <= whole->state_rps && write_rps <= whole->state_write_rps);
+    assert_true(store_rps <= whole->store_rps && write_rps <= whole->store_write_rps);
     assert_true(cloud_rps <= whole->cloud_rps);
     assert_true(limit <= 8.001);
     world_finish(w);
--- a/tests/test_shards.c
+++ b/tests/test_shards.c
@@ -119,7 +119,7 @@
     world_finish(w);
 }
 
-/* The state service fails for all: nobody is condemned, and tasks run on. */
+/* The key-value store fails for all: nobody is condemned, and tasks run on. */
 static void test_outage_condemns_nobody(void **state)
 {
     (void)state;
@@ -127,9 +127,9 @@
     w->run_s = 200;
     world_accept(w, 0, world_job_in("run-1", "east", 2));
     uint64_t fencing_token = shard_fencing_token(w, EAST);
-    w->state_down = true;
+    w->store_down = true;
     world_run(w, 60);
-    w->state_down = false;
+    w->store_down = false;
     world_run(w, 10);
     assert_int_equal(shard_fencing_token(w, EAST), fencing_token);
     assert_int_equal(world_running(w, "run-1"), 2);
@@ -195,7 +195,7 @@
 }
 
 /* A leader that goes on after a pause longer than its lease, while nobody has taken its place: it sends
-   nothing before the state service has answered, and then learns that its lease is over. */
+   nothing before the key-value store has answered, and then learns that its lease is over. */
 static void test_nothing_leaves_after_a_pause_before_the_lease_is_proven(void **state)
 {
     (void)state;
@@ -209,14 +209,14 @@
     world_freeze(w, old);
     world_run(w, 8);
     world_thaw(w, old);
-    w->state_slow_s = 1;
+    w->store_slow_s = 1;
     unsigned before = withheld(w, old, EAST);
     assert_int_equal(ow_lease_guard_check(&shard_view(w, old, EAST)->guard, w->now), OW_LEASE_UNPROVEN);
     /* Reports come in, and what would be answered is not. */
     world_heartbeat(w, old, world_machine(w, "east-0"), 1000, world_machine(w, "east-0")->fencing_token);
     world_run(w, 0.6);
     assert_true(withheld(w, old, EAST) > before);
-    w->state_slow_s = 0;
+    w->store_slow_s = 0;
     world_run(w, 20);
     assert_int_equal(count_leaders(w, EAST), 1);
     world_finish(w);
--- a/tests/test_upgrade.c
+++ b/tests/test_upgrade.c
@@ -1,4 +1,4 @@
-/* Rolling upgrades from the production version, also while limits of the state service fall. */
+/* Rolling upgrades from the production version, also while limits of the key-value store fall. */
 #include "check.h"
 #include "world.h"
 
@@ -241,7 +241,7 @@
         uint64_t cancel = world_cancel(w, (world_leader(w) + 1) % WORLD_CONTROLLERS, "run-1");
         world_run(w, 1);
         assert_int_equal(world_answer(w, cancel)->state, OW_JOB_CANCELLED);
-        w->state_down = true;
+        w->store_down = true;
         world_run(w, 60);
         assert_int_equal(world_running(w, "run-1"), 0);
         world_finish(w);
--- a/tests/test_user_api.c
+++ b/tests/test_user_api.c
@@ -1,4 +1,4 @@
-/* Answers to users' requests: repeats, rejections, fresh reads, and outages of the state service. */
+/* Answers to users' requests: repeats, rejections, fresh reads, and outages of the key-value store. */
 #include "check.h"
 #include "world.h"
 
@@ -8,12 +8,12 @@
 {
     (void)state;
     struct world *w = world_with_controllers(3, 1);
-    w->state_down = true;
+    w->store_down = true;
     uint64_t request = world_submit(w, 1, world_job("run-1", 1, 1));
     world_run(w, 0.3);
     assert_int_equal(world_status(w, request), 503);
     assert_true(world_answer(w, request)->retry_after_s > 0);
-    w->state_down = false;
+    w->store_down = false;
     assert_int_equal(world_job_state(w, "run-1"), -404);
     world_finish(w);
 }
@@ -62,7 +62,7 @@
     world_run(w, 0.5);
     assert_int_equal(world_status(w, repeat), 200);
     assert_int_equal(world_status(w, other), 400);
-    w->state_down = true; /* the controller can't know whether the job exists */
+    w->store_down = true; /* the controller can't know whether the job exists */
     repeat = world_submit_malformed(w, 2, "run-1");
     other = world_submit_malformed(w, 2, "run-2");
     world_run(w, 0.5);
@@ -130,7 +130,7 @@
     world_run(w, 0.3);
     assert_int_equal(world_status(w, poll), 200);
     assert_int_equal(world_answer(w, poll)->state, OW_JOB_CANCELLED);
-    w->state_down = true;
+    w->store_down = true;
     uint64_t blind = world_poll(w, other, "run-9"), sure = world_poll(w, asked, "run-1");
     world_run(w, 0.5);
     assert_int_equal(world_status(w, blind), 503);
--- a/tests/world.c
+++ b/tests/world.c
@@ -31,7 +31,7 @@
     static char endpoint[] = "10.0.0.1:1";
     settings->controller_name = names[controller];
     settings->zone = zones[0];
-    settings->front = settings->peer_listen = settings->cloud = settings->state = endpoint;
+    settings->front = settings->peer_listen = settings->cloud_endpoint = settings->store_endpoint = endpoint;
     settings->peers = g_array_new(FALSE, TRUE, sizeof(struct ow_peer_settings));
     for (int i = 0; i < WORLD_CONTROLLERS; i++) {
         struct ow_peer_settings peer = {.node = names[i], .endpoint = endpoint};
@@ -49,8 +49,8 @@
     settings->gang_wait_s = 30;
     settings->gang_peer_s = 4;
     settings->cancel_s = 40;
-    settings->state_rps = 200;
-    settings->state_write_rps = 100;
+    settings->store_rps = 200;
+    settings->store_write_rps = 100;
     settings->value_kb = 8;
     settings->txn_ops = 8;
     settings->next_write_rps = settings->next_value_kb = 1e6; /* no change is announced */
--- a/tests/world.h
+++ b/tests/world.h
@@ -1,6 +1,6 @@
 /**
- * A simulated cluster for tests of the core: a clock, a state service, a cloud, users and workers, all under
- * the sharding of the test. The workers check the safety rules of docs/design.md from outside; whatever
+ * A simulated cluster for tests of the core: a clock, a key-value store, a cloud, users and workers, all
+ * under the sharding of the test. The workers check the safety rules of docs/design.md from outside; whatever
  * breaks one is recorded as a violation, which world_finish() turns into a failure of the test.
  */
 #ifndef OW_TESTS_WORLD_H
@@ -88,15 +88,15 @@
     double frozen_at[WORLD_CONTROLLERS];
     uint64_t controller_nonce[WORLD_CONTROLLERS], nonce;
 
-    /* The state service. */
+    /* The key-value store. */
     GHashTable *keys;   /* key -> struct world_value */
     GArray *log;        /* struct world_event */
     GHashTable *leases; /* id -> double *: ends at */
     uint64_t revision, last_lease;
-    bool state_down, cloud_down;
+    bool store_down, cloud_down;
     bool hold_txns;        /* transactions are delayed while it is set */
     bool lose_txn_answers; /* transactions are applied, and their responses are lost */
-    double state_slow_s;   /* additional latency of the state service */
+    double store_slow_s;   /* additional latency of the key-value store */
     int slow_controller;   /* the only one with that latency; -1: all */
     guint changes_most;    /* a watch with more changes is answered as too large; 0: none is */
     bool silent_watches;   /* open watches report nothing before they time out */
@@ -109,13 +109,13 @@
     double value_kb;                        /* the current limit of a value's size */
     unsigned txn_ops;                       /* the current limit of a transaction's changes */
     unsigned too_large;                     /* transactions refused for exceeding the limits */
-    int denied_controller;                  /* the state service answers it 503 */
-    int isolated_controller;                /* reaches neither the state service nor other controllers */
+    int denied_controller;                  /* the key-value store answers it 503 */
+    int isolated_controller;                /* reaches neither the key-value store nor other controllers */
     int workerless_controller;              /* no message passes between it and the workers */
     GPtrArray *held;                        /* delayed transactions */
     GPtrArray *follows;                     /* open watches */
     unsigned txns;
-    unsigned state_requests, state_changes, cloud_calls, directs; /* the load on other services */
+    unsigned store_requests, store_mutations, cloud_calls, directs; /* the load on other services */
 
     /* Machines. */
     GPtrArray *machines;
@@ -275,7 +275,7 @@
 bool world_runs_on_another(struct world *w, const void *machine);
 /** The progress record "<job>/<chunk>", to be freed, or NULL. */
 char *world_progress(struct world *w, const char *name);
-/** The value of the key in the state service, or NULL. */
+/** The value of the key in the key-value store, or NULL. */
 const char *world_value_text(struct world *w, const char *key);
 
 #endif
--- a/tests/world_leases.c
+++ b/tests/world_leases.c
@@ -1,4 +1,4 @@
-/* The leases of the simulated state service. */
+/* The leases of the simulated key-value store. */
 #include "world_state_parts.h"
 
 static void end_lease(struct world *w, uint64_t lease)
@@ -20,7 +20,7 @@
     GHashTableIter iter;
     void *id, *until;
     g_hash_table_iter_init(&iter, w->leases);
-    while (!w->state_down && g_hash_table_iter_next(&iter, &id, &until)) {
+    while (!w->store_down && g_hash_table_iter_next(&iter, &id, &until)) {
         if (*(double *)until >= w->now)
             continue;
         uint64_t lease = *(uint64_t *)id;
@@ -34,6 +34,6 @@
     GHashTableIter iter;
     void *id, *until;
     g_hash_table_iter_init(&iter, w->leases);
-    while (w->state_down && g_hash_table_iter_next(&iter, &id, &until))
+    while (w->store_down && g_hash_table_iter_next(&iter, &id, &until))
         *(double *)until = w->now + w->rules.leader_lease_s;
 }
--- a/tests/world_setup.c
+++ b/tests/world_setup.c
@@ -10,8 +10,8 @@
         settings->heartbeat_interval_s = 5;
         settings->lease_s = 26.5;
         settings->cancel_s = 46.5;
-        settings->state_rps = 400;
-        settings->state_write_rps = 150;
+        settings->store_rps = 400;
+        settings->store_write_rps = 150;
         settings->value_kb = w->value_kb = 16;
         settings->txn_ops = w->txn_ops = 48;
         settings->cloud_rps = 7;
--- a/tests/world_state.c
+++ b/tests/world_state.c
@@ -1,4 +1,4 @@
-/* The simulated state service: requests, watches and leases. */
+/* The simulated key-value store: requests, watches and leases. */
 #include "world_state_parts.h"
 
 #include <string.h>
@@ -61,7 +61,7 @@
 
 static double answer_time(const struct world *w, int controller)
 {
-    return 0.01 + (w->slow_controller < 0 || controller == w->slow_controller ? w->state_slow_s : 0);
+    return 0.01 + (w->slow_controller < 0 || controller == w->slow_controller ? w->store_slow_s : 0);
 }
 
 static void answer_page(struct world *w, int controller, uint64_t nonce, uint64_t tag, GArray *items,
@@ -178,15 +178,15 @@
 {
     const struct ow_store_request *request = effect->store;
     uint64_t nonce = w->controller_nonce[controller];
-    w->state_requests++;
-    w->state_changes += request->changes != NULL ? request->changes->len : 0;
+    w->store_requests++;
+    w->store_mutations += request->mutations != NULL ? request->mutations->len : 0;
     if (controller == w->isolated_controller) {
         struct ow_event *event = world_command(OW_EVENT_STORE, request->tag);
         event->store = (struct ow_store_reply){.tag = request->tag, .items = world_new_items()};
         world_deliver(w, controller, nonce, 1.5, event);
         return;
     }
-    if (w->state_down || controller == w->denied_controller) {
+    if (w->store_down || controller == w->denied_controller) {
         answer_store(w, controller, nonce, request->tag, 503, NULL, 0, NULL);
         return;
     }
@@ -209,10 +209,10 @@
     case OW_STORE_WATCH:
         do_follow(w, controller, nonce, request);
         return;
-    case OW_STORE_LEASE:
+    case OW_STORE_GRANT_LEASE:
         do_lease(w, controller, nonce, request);
         return;
-    case OW_STORE_RENEW:
+    case OW_STORE_KEEP_ALIVE:
         do_renew(w, controller, nonce, request);
         return;
     case OW_STORE_GET:
@@ -247,7 +247,7 @@
 
 static void answer_watches(struct world *w)
 {
-    for (guint i = w->follows->len; i > 0 && !w->state_down; i--) {
+    for (guint i = w->follows->len; i > 0 && !w->store_down; i--) {
         struct follow *follow = g_ptr_array_index(w->follows, i - 1);
         if (follow->controller == w->isolated_controller || follow->controller == w->denied_controller)
             continue;
--- a/tests/world_state_parts.h
+++ b/tests/world_state_parts.h
@@ -1,4 +1,4 @@
-/* What the files of the simulated state service share. */
+/* What the files of the simulated key-value store share. */
 #ifndef OW_TESTS_WORLD_STATE_PARTS_H
 #define OW_TESTS_WORLD_STATE_PARTS_H
 
--- a/tests/world_values.c
+++ b/tests/world_values.c
@@ -1,4 +1,4 @@
-/* The simulated state service's values, log of changes and transactions. */
+/* The simulated key-value store's values, log of changes and transactions. */
 #include "world_state_parts.h"
 
 #include "core/records/records.h"
@@ -30,7 +30,7 @@
     return lease == 0 || g_hash_table_contains(w->leases, &lease);
 }
 
-static void put(struct world *w, const struct ow_change *change)
+static void put(struct world *w, const struct ow_store_mutation *change)
 {
     world_log_change(w, change->key, change->value);
     if (change->value == NULL) {
@@ -43,7 +43,7 @@
 }
 
 /* Records in finer chunks, which a controller of the first format would drop when it rewrites the value. */
-static void check_format(struct world *w, const struct ow_change *change)
+static void check_format(struct world *w, const struct ow_store_mutation *change)
 {
     bool old = false;
     for (int i = 0; i < WORLD_CONTROLLERS; i++)
@@ -65,14 +65,16 @@
 int world_apply_txn(struct world *w, const struct ow_store_request *request, char ***failed)
 {
     GPtrArray *failed_keys = g_ptr_array_new();
-    bool large = request->changes->len > w->txn_ops || request->conditions->len > 4 * w->txn_ops;
-    for (guint i = 0; i < request->conditions->len; i++) {
-        const struct ow_condition *condition = &g_array_index(request->conditions, struct ow_condition, i);
-        if (version_of(w, condition->key) != condition->version)
-            g_ptr_array_add(failed_keys, g_strdup(condition->key));
+    bool large = request->mutations->len > w->txn_ops || request->comparisons->len > 4 * w->txn_ops;
+    for (guint i = 0; i < request->comparisons->len; i++) {
+        const struct ow_store_comparison *comparison =
+            &g_array_index(request->comparisons, struct ow_store_comparison, i);
+        if (version_of(w, comparison->key) != comparison->version)
+            g_ptr_array_add(failed_keys, g_strdup(comparison->key));
     }
-    for (guint i = 0; i < request->changes->len; i++) {
-        const struct ow_change *change = &g_array_index(request->changes, struct ow_change, i);
+    for (guint i = 0; i < request->mutations->len; i++) {
+        const struct ow_store_mutation *change =
+            &g_array_index(request->mutations, struct ow_store_mutation, i);
         large = large || (change->value != NULL && strlen(change->value) > 1024 * w->value_kb);
         check_format(w, change);
     }
@@ -82,14 +84,14 @@
     *failed = (char **)g_ptr_array_free(failed_keys, FALSE);
     if (large)
         return 400;
-    for (guint i = 0; ok && i < request->changes->len; i++)
-        if (!lease_alive(w, g_array_index(request->changes, struct ow_change, i).lease))
+    for (guint i = 0; ok && i < request->mutations->len; i++)
+        if (!lease_alive(w, g_array_index(request->mutations, struct ow_store_mutation, i).lease))
             return 400;
     if (!ok)
         return 409;
     w->revision++;
-    for (guint i = 0; i < request->changes->len; i++)
-        put(w, &g_array_index(request->changes, struct ow_change, i));
+    for (guint i = 0; i < request->mutations->len; i++)
+        put(w, &g_array_index(request->mutations, struct ow_store_mutation, i));
     return 200;
 }
 
