--- a/src/core/api/job.c
+++ b/src/core/api/job.c
@@ -17,7 +17,7 @@
     spec->types = submission->types == NULL ? UINT64_MAX : 0;
     for (char **type = submission->types; type != NULL && *type != NULL; type++) {
         int index = ow_names_add(names->types, *type);
-        /* Types past the bound are never rented, so a job loses nothing by not allowing them. */
+        /* Types past the bound are never provisioned, so a job loses nothing by not allowing them. */
         if (index < OW_MAX_TYPES)
             spec->types |= UINT64_C(1) << index;
     }
--- a/src/core/effects.c
+++ b/src/core/effects.c
@@ -93,7 +93,7 @@
         g_array_free(reply->types, TRUE);
     if (reply->listed != NULL)
         g_array_free(reply->listed, TRUE);
-    g_strfreev(reply->rented);
+    g_strfreev(reply->provisioned);
 }
 
 void ow_effect_free(void *item)
--- a/src/core/effects.h
+++ b/src/core/effects.h
@@ -6,7 +6,7 @@
 #include "core/types.h"
 
 struct ow_cloud_request {
-    enum { OW_CLOUD_TYPES, OW_CLOUD_LIST, OW_CLOUD_RENT, OW_CLOUD_DELETE } op;
+    enum { OW_CLOUD_TYPES, OW_CLOUD_LIST, OW_CLOUD_PROVISION, OW_CLOUD_TERMINATE } op;
     uint64_t tag;
     char *after;              /* list */
     char *name, *type, *zone; /* rent */
@@ -21,7 +21,7 @@
     GArray *types;  /* of OW_CLOUD_TYPES */
     GArray *listed; /* of OW_CLOUD_LIST */
     bool more;
-    char **rented; /* of OW_CLOUD_RENT */
+    char **provisioned; /* of OW_CLOUD_PROVISION */
 };
 
 struct ow_peer_job {
--- a/src/core/leader.c
+++ b/src/core/leader.c
@@ -6,8 +6,8 @@
 #include "core/machines/machine.h"
 #include "core/machines/machine_health.h"
 #include "core/machines/machine_registry.h"
-#include "core/machines/rent.h"
-#include "core/machines/rental_options.h"
+#include "core/machines/scale_out.h"
+#include "core/machines/instance_offers.h"
 #include "core/machines/reconciliation.h"
 #include "core/machines/worker_commands.h"
 #include "core/records/record_format.h"
@@ -49,9 +49,9 @@
     leader->pass.shortlists = ow_shortlists_new();
     leader->pass.allowances = ow_reason_new_allowances();
     leader->record_values = g_ptr_array_new_with_free_func(ow_record_value_free);
-    leader->renting.refusals = ow_rental_options_new_refusals();
-    leader->deletions.queued = g_ptr_array_new_with_free_func(g_free);
-    leader->deletions.names = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+    leader->scale_out.refusals = ow_instance_offers_new_refusals();
+    leader->terminations.queued = g_ptr_array_new_with_free_func(g_free);
+    leader->terminations.names = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     leader->recorder = ow_recorder_new(leader);
     ow_rate_limiter_init(&leader->cloud.limiter, CLOUD_SHARE * core->settings->cloud_rps,
                          core->settings->cloud_rps, core->now);
@@ -68,9 +68,9 @@
     g_hash_table_destroy(leader->machines_by_name);
     g_ptr_array_free(leader->machines, TRUE);
     g_ptr_array_free(leader->direct_due, TRUE);
-    g_array_free(leader->renting.refusals, TRUE);
-    g_ptr_array_free(leader->deletions.queued, TRUE);
-    g_hash_table_destroy(leader->deletions.names);
+    g_array_free(leader->scale_out.refusals, TRUE);
+    g_ptr_array_free(leader->terminations.queued, TRUE);
+    g_hash_table_destroy(leader->terminations.names);
     ow_recorder_free(leader->recorder);
     g_ptr_array_free(leader->record_values, TRUE);
     g_array_free(leader->pass.image_demand, TRUE);
@@ -189,7 +189,7 @@
     for (guint i = 0; i < leader->machines->len; i++) {
         const struct ow_machine *machine = g_ptr_array_index(leader->machines, i);
         last_message_at = MAX(last_message_at, machine->last_message_at);
-        expected += machine->listed == OW_LISTED_RUNNING && !machine->deleting ? 1 : 0;
+        expected += machine->listed == OW_LISTED_RUNNING && !machine->terminating ? 1 : 0;
     }
     /* Workers of a leader that stands still wait for its answer before they turn to its successor. */
     double heartbeat_interval_s = leader->core->settings->heartbeat_interval_s;
@@ -264,8 +264,8 @@
         }
         ow_machine_health_tick(leader);
     }
-    ow_rent_tick(leader);
-    ow_fleet_send_deletions(leader);
+    ow_scale_out_tick(leader);
+    ow_fleet_send_terminations(leader);
     ow_recorder_tick(leader);
     ow_worker_commands_send(leader);
     ow_leader_broadcast_tick(leader);
--- a/src/core/leader_broadcast.c
+++ b/src/core/leader_broadcast.c
@@ -59,7 +59,7 @@
         const struct ow_machine *machine = g_ptr_array_index(leader->machines, i);
         /* One that boots listens nowhere yet: a successor would take it for one that does not answer. */
         bool listens = machine->last_message_at > 0;
-        if (!listens || machine->addr == NULL || machine->type < 0 || machine->deleting)
+        if (!listens || machine->addr == NULL || machine->type < 0 || machine->terminating)
             continue;
         struct ow_peer_machine hint = {g_strdup(machine->name), g_strdup(machine->addr),
                                        g_strdup(ow_names_text(leader->core->names.types, machine->type)),
--- a/src/core/leader_state.h
+++ b/src/core/leader_state.h
@@ -54,8 +54,8 @@
     char *list_after;               /* the last machine of the list's pages read; NULL: at its beginning */
 };
 
-/* Renting: rent.c, and rental_options.c for refusals. */
-struct ow_renting {
+/* Renting: scale_out.c, and instance_offers.c for refusals. */
+struct ow_scale_out_state {
     double next_at; /* when it is considered next */
     unsigned count; /* of rent requests, which gives names to the machines */
     unsigned calls; /* under way */
@@ -63,7 +63,7 @@
 };
 
 /* Returning machines: fleet.c. */
-struct ow_deletions {
+struct ow_terminations {
     GPtrArray *queued; /* names of machines whose deletion is to be sent */
     GHashTable *names; /* names of machines deleted, which lagging lists still show */
 };
@@ -104,8 +104,8 @@
 
     struct ow_pass_scratch pass;
     struct ow_cloud_polling cloud;
-    struct ow_renting renting;
-    struct ow_deletions deletions;
+    struct ow_scale_out_state scale_out;
+    struct ow_terminations terminations;
     struct ow_spot_risk spot_risk;
     struct ow_leader_timers periodic;
 };
--- a/src/core/machines/fleet.c
+++ b/src/core/machines/fleet.c
@@ -1,10 +1,10 @@
-/* The machines that are rented: the cloud's list, and the return of those that are not needed. */
+/* The machines that are provisioned: the cloud's list, and the return of those that are not needed. */
 #include "core/machines/fleet.h"
 #include "core/leader_state.h"
 #include "core/machines/headroom.h"
 #include "core/machines/machine.h"
 #include "core/machines/machine_registry.h"
-#include "core/machines/rental_options.h"
+#include "core/machines/instance_offers.h"
 
 #include <math.h>
 
@@ -24,14 +24,14 @@
 {
     if (status == 200) {
         g_info("machine %s is returned", machine->name);
-        g_hash_table_add(leader->deletions.names, g_strdup(machine->name));
-        ow_rental_options_forget_refusal(leader, machine); /* its place is free again */
+        g_hash_table_add(leader->terminations.names, g_strdup(machine->name));
+        ow_instance_offers_forget_refusal(leader, machine); /* its place is free again */
         ow_machines_remove(leader, machine, "its machine is deleted");
     } else {
         /* Refused, it was not carried out and the machine stays of use. Without an answer it may be carried
            out yet, so nothing new goes there. */
-        machine->deleting = status == 0;
-        machine->delete_at = leader->core->now + DELETE_RETRY_S;
+        machine->terminating = status == 0;
+        machine->terminate_at = leader->core->now + DELETE_RETRY_S;
     }
 }
 
@@ -46,16 +46,16 @@
     }
 }
 
-void ow_fleet_delete(struct ow_leader *leader, struct ow_machine *machine, const char *why)
+void ow_fleet_terminate(struct ow_leader *leader, struct ow_machine *machine, const char *why)
 {
     double now = leader->core->now;
-    if (now < machine->delete_at || ow_rate_limiter_level(&leader->cloud.limiter, now) < 1)
+    if (now < machine->terminate_at || ow_rate_limiter_level(&leader->cloud.limiter, now) < 1)
         return;
-    if (!machine->deleting)
+    if (!machine->terminating)
         g_info("machine %s is being returned: %s", machine->name, why);
-    machine->deleting = true;
-    machine->delete_at = INFINITY;
-    g_ptr_array_add(leader->deletions.queued, g_strdup(machine->name));
+    machine->terminating = true;
+    machine->terminate_at = INFINITY;
+    g_ptr_array_add(leader->terminations.queued, g_strdup(machine->name));
 }
 
 static void free_names(void *names)
@@ -63,20 +63,20 @@
     g_ptr_array_free(names, TRUE);
 }
 
-void ow_fleet_send_deletions(struct ow_leader *leader)
+void ow_fleet_send_terminations(struct ow_leader *leader)
 {
-    if (leader->deletions.queued->len == 0 ||
+    if (leader->terminations.queued->len == 0 ||
         !ow_rate_limiter_take(&leader->cloud.limiter, 1, leader->core->now))
         return;
     struct ow_cloud_request *request = g_new0(struct ow_cloud_request, 1);
     GPtrArray *names = g_ptr_array_new_with_free_func(g_free);
-    request->op = OW_CLOUD_DELETE;
+    request->op = OW_CLOUD_TERMINATE;
     request->machines = g_ptr_array_new_with_free_func(g_free);
-    for (guint i = 0; i < leader->deletions.queued->len && i < DELETE_MOST; i++) {
-        g_ptr_array_add(names, g_strdup(g_ptr_array_index(leader->deletions.queued, i)));
-        g_ptr_array_add(request->machines, g_strdup(g_ptr_array_index(leader->deletions.queued, i)));
+    for (guint i = 0; i < leader->terminations.queued->len && i < DELETE_MOST; i++) {
+        g_ptr_array_add(names, g_strdup(g_ptr_array_index(leader->terminations.queued, i)));
+        g_ptr_array_add(request->machines, g_strdup(g_ptr_array_index(leader->terminations.queued, i)));
     }
-    g_ptr_array_remove_range(leader->deletions.queued, 0, names->len);
+    g_ptr_array_remove_range(leader->terminations.queued, 0, names->len);
     ow_core_call_cloud(leader->core, request, on_deleted, leader, names, free_names);
 }
 
@@ -94,7 +94,7 @@
     const GArray *listed = answer->cloud.listed;
     for (guint i = 0; i < listed->len; i++) {
         const struct ow_listed_machine *listed_machine = &g_array_index(listed, struct ow_listed_machine, i);
-        if (g_hash_table_contains(leader->deletions.names, listed_machine->name))
+        if (g_hash_table_contains(leader->terminations.names, listed_machine->name))
             continue; /* the list lags */
         struct ow_machine *machine = ow_machines_find(leader, listed_machine->name);
         bool fresh = machine == NULL;
@@ -106,15 +106,16 @@
         if (machine->last_message_at == 0 || listed_machine->state == OW_LISTED_FAILED)
             machine->listed = listed_machine->state;
         /* One that reported first was older than it seemed. */
-        machine->rented_at = fresh ? leader->core->now - listed_machine->age_s
-                                   : MIN(machine->rented_at, leader->core->now - listed_machine->age_s);
+        machine->provisioned_at =
+            fresh ? leader->core->now - listed_machine->age_s
+                  : MIN(machine->provisioned_at, leader->core->now - listed_machine->age_s);
     }
     g_clear_pointer(&leader->cloud.list_after, g_free);
     if (answer->cloud.more && listed->len > 0) {
         leader->cloud.list_after =
             g_strdup(g_array_index(listed, struct ow_listed_machine, listed->len - 1).name);
     } else {
-        /* Not before the last page: what is not known yet would be rented a second time. */
+        /* Not before the last page: what is not known yet would be provisioned a second time. */
         leader->cloud.listed_once = true;
         leader->cloud.list_at = leader->core->now + LIST_S;
     }
@@ -136,7 +137,7 @@
 
 static bool idle(const struct ow_machine *machine)
 {
-    return machine->attempts->len == 0 && machine->fenced && !machine->deleting && machine->holders == 0;
+    return machine->attempts->len == 0 && machine->fenced && !machine->terminating && machine->holders == 0;
 }
 
 static bool alike(const struct ow_machine *a, const struct ow_machine *b)
@@ -165,7 +166,7 @@
         *all_alike += alike(g_ptr_array_index(leader->machines, i), machine) ? 1 : 0;
 }
 
-void ow_fleet_return_idle(struct ow_leader *leader)
+void ow_fleet_scale_in(struct ow_leader *leader)
 {
     double now = leader->core->now;
     GPtrArray *unneeded = ow_headroom_unneeded(leader, idle);
@@ -176,9 +177,9 @@
         if (last == NULL || !alike(machine, last))
             count_alike(leader, unneeded, machine, &idle_alike, &all_alike);
         last = machine;
-        if (now - machine->rented_at > PAID_S &&
+        if (now - machine->provisioned_at > PAID_S &&
             now - MAX(machine->idle_since, leader->ready_at) > idle_limit(machine, idle_alike, all_alike))
-            ow_fleet_delete(leader, machine, "it is idle");
+            ow_fleet_terminate(leader, machine, "it is idle");
     }
     g_ptr_array_free(unneeded, TRUE);
 }
--- a/src/core/machines/headroom.c
+++ b/src/core/machines/headroom.c
@@ -3,7 +3,7 @@
 #include "core/leader_state.h"
 #include "core/machines/machine.h"
 #include "core/machines/machine_registry.h"
-#include "core/machines/rental_options.h"
+#include "core/machines/instance_offers.h"
 #include "core/run.h"
 #include "core/scheduling/classes.h"
 #include "core/scheduling/placement.h"
@@ -12,10 +12,11 @@
 
 /* Room kept ready beyond what a class uses. */
 static const double HEADROOM_SHARE = 0.5;
-/* The time a machine rented at need is expected to take: so many boot times, the fetch and this margin. */
+/* The time a machine provisioned at need is expected to take: so many boot times, the fetch and this margin.
+ */
 static const double START_BOOTS = 2, START_MARGIN_S = 20;
 
-/* Whether the class has so little slack that a machine rented at need would come late for it. */
+/* Whether the class has so little slack that a machine provisioned at need would come late for it. */
 static bool is_tight(struct ow_leader *leader, int class_index, const struct ow_machine_type *type)
 {
     const struct ow_class *class = ow_class_of(leader->core, class_index);
@@ -30,12 +31,12 @@
                             const struct ow_machine *machine, bool proper)
 {
     const struct ow_machine_type *type = ow_machine_spec(leader, machine);
-    if (type == NULL || (proper && ow_rental_options_is_wasteful(leader, type, class, machine->spot)) ||
+    if (type == NULL || (proper && ow_instance_offers_is_wasteful(leader, type, class, machine->spot)) ||
         (machine->spot && !class->spot) || (class->types & (UINT64_C(1) << machine->type)) == 0)
         return 0;
     /* What ordinary GPU machines have for it is what their GPUs leave over, as in placement. */
     struct ow_machine_type left = {.size = type->size};
-    if (ow_rental_options_is_wasteful(leader, type, class, machine->spot) && !machine->spot)
+    if (ow_instance_offers_is_wasteful(leader, type, class, machine->spot) && !machine->spot)
         left.size.cpus = MAX(0, left.size.cpus - left.size.gpus * leader->pass.gpu_cpus);
     return ow_placement_slots_on_empty(&left, &class->need);
 }
@@ -79,7 +80,7 @@
         double peak = ow_class_peak(leader->core, (int)i, class_tasks(leader, (int)i, &sample));
         struct ow_expected_machine candidate;
         if (sample == NULL ||
-            !ow_rental_options_best(leader, sample->job->spec, INFINITY, true, false, &candidate))
+            !ow_instance_offers_best(leader, sample->job->spec, INFINITY, true, false, &candidate))
             continue;
         const struct ow_machine_type *type = ow_machine_spec(leader, &candidate.machine);
         const struct ow_class *class = ow_class_of(leader->core, (int)i);
@@ -89,7 +90,7 @@
         double wanted = peak + MAX(class->largest, HEADROOM_SHARE * peak);
         uint32_t there = slots_there(leader, class, true, plan);
         while (*most > 0 && there < wanted &&
-               ow_rental_options_best(leader, sample->job->spec, INFINITY, true, false, &candidate)) {
+               ow_instance_offers_best(leader, sample->job->spec, INFINITY, true, false, &candidate)) {
             there += class_slots(leader, class, &candidate.machine, true);
             g_array_append_val(plan, candidate);
             (*most)--;
@@ -140,7 +141,7 @@
         uint32_t slots = class_slots(leader, need->class, machine, need->proper);
         bool matters =
             slots > 0 &&
-            need->proper == !ow_rental_options_is_wasteful(leader, type, need->class, machine->spot) &&
+            need->proper == !ow_instance_offers_is_wasteful(leader, type, need->class, machine->spot) &&
             is_tight(leader, need->class_index, type);
         if (matters && need->there < need->wanted + slots)
             return false;
--- a/src/core/machines/rental_options.c
+++ b/src/core/machines/instance_offers.c
@@ -1,5 +1,5 @@
 /* Kinds of machines: which has been refused lately, and which is worth renting for a job. */
-#include "core/machines/rental_options.h"
+#include "core/machines/instance_offers.h"
 #include "core/leader_state.h"
 #include "core/machines/machine.h"
 #include "core/scheduling/classes.h"
@@ -17,50 +17,50 @@
 /* ---- refusals ---- */
 
 /* A kind of machine that the cloud has refused to rent. */
-struct ow_rental_refusal {
+struct ow_offer_refusal {
     int type, zone;
     bool spot;
     double until;
 };
 
-GArray *ow_rental_options_new_refusals(void)
+GArray *ow_instance_offers_new_refusals(void)
 {
-    return g_array_new(FALSE, FALSE, sizeof(struct ow_rental_refusal));
+    return g_array_new(FALSE, FALSE, sizeof(struct ow_offer_refusal));
 }
 
-static bool is_kind(const struct ow_rental_refusal *refusal, int type, int zone, bool spot)
+static bool is_kind(const struct ow_offer_refusal *refusal, int type, int zone, bool spot)
 {
     return refusal->type == type && refusal->zone == zone && refusal->spot == spot;
 }
 
 static bool refused(const struct ow_leader *leader, int type, int zone, bool spot)
 {
-    for (guint i = 0; i < leader->renting.refusals->len; i++)
-        if (is_kind(&g_array_index(leader->renting.refusals, struct ow_rental_refusal, i), type, zone, spot))
+    for (guint i = 0; i < leader->scale_out.refusals->len; i++)
+        if (is_kind(&g_array_index(leader->scale_out.refusals, struct ow_offer_refusal, i), type, zone, spot))
             return true;
     return false;
 }
 
-void ow_rental_options_forget_refusal(struct ow_leader *leader, const struct ow_machine *machine)
+void ow_instance_offers_forget_refusal(struct ow_leader *leader, const struct ow_machine *machine)
 {
-    for (guint i = leader->renting.refusals->len; i > 0; i--)
-        if (is_kind(&g_array_index(leader->renting.refusals, struct ow_rental_refusal, i - 1), machine->type,
+    for (guint i = leader->scale_out.refusals->len; i > 0; i--)
+        if (is_kind(&g_array_index(leader->scale_out.refusals, struct ow_offer_refusal, i - 1), machine->type,
                     machine->zone, machine->spot))
-            g_array_remove_index_fast(leader->renting.refusals, i - 1);
+            g_array_remove_index_fast(leader->scale_out.refusals, i - 1);
 }
 
-void ow_rental_options_forget_old(struct ow_leader *leader)
+void ow_instance_offers_forget_old(struct ow_leader *leader)
 {
-    for (guint i = leader->renting.refusals->len; i > 0; i--)
-        if (g_array_index(leader->renting.refusals, struct ow_rental_refusal, i - 1).until <
+    for (guint i = leader->scale_out.refusals->len; i > 0; i--)
+        if (g_array_index(leader->scale_out.refusals, struct ow_offer_refusal, i - 1).until <
             leader->core->now)
-            g_array_remove_index_fast(leader->renting.refusals, i - 1);
+            g_array_remove_index_fast(leader->scale_out.refusals, i - 1);
 }
 
-void ow_rental_options_refuse(struct ow_leader *leader, int type, int zone, bool spot)
+void ow_instance_offers_refuse(struct ow_leader *leader, int type, int zone, bool spot)
 {
-    struct ow_rental_refusal refusal = {type, zone, spot, leader->core->now + REFUSAL_S};
-    g_array_append_val(leader->renting.refusals, refusal);
+    struct ow_offer_refusal refusal = {type, zone, spot, leader->core->now + REFUSAL_S};
+    g_array_append_val(leader->scale_out.refusals, refusal);
 }
 
 /* ---- what they are worth ---- */
@@ -95,8 +95,8 @@
     return best;
 }
 
-bool ow_rental_options_is_wasteful(const struct ow_leader *leader, const struct ow_machine_type *type,
-                                   const struct ow_class *class, bool spot)
+bool ow_instance_offers_is_wasteful(const struct ow_leader *leader, const struct ow_machine_type *type,
+                                    const struct ow_class *class, bool spot)
 {
     /* Less urgent work gets only what the GPUs leave over. */
     return improper(type, &class->need) &&
@@ -111,7 +111,7 @@
     return type->boot_s + (type->fetch_gb_per_s > 0 ? spec->submission->image_gb / type->fetch_gb_per_s : 0);
 }
 
-/* Whether the kind of machine can be rented for the job, and would come in time to help. */
+/* Whether the kind of machine can be provisioned for the job, and would come in time to help. */
 static bool is_option(const struct ow_leader *leader, const struct ow_spec *spec,
                       const struct ow_machine *kind, double waits)
 {
@@ -133,8 +133,8 @@
     return (kind->spot ? type->spot_price : type->price) / MIN(slots, spec->submission->tasks);
 }
 
-bool ow_rental_options_best(const struct ow_leader *leader, const struct ow_spec *spec, double waits,
-                            bool proper, bool cheap, struct ow_expected_machine *out)
+bool ow_instance_offers_best(const struct ow_leader *leader, const struct ow_spec *spec, double waits,
+                             bool proper, bool cheap, struct ow_expected_machine *out)
 {
     const struct ow_class *class = ow_class_of(leader->core, spec->class_index);
     double best = INFINITY;
@@ -144,8 +144,9 @@
             int zone_index = ow_names_add(leader->core->names.zones, *zone);
             for (int spot = cheap ? 1 : 0; spot < 2; spot++) {
                 struct ow_expected_machine candidate = {
-                    .machine = {.type = type_index, .zone = zone_index, .spot = spot != 0}, .to_rent = true};
-                if (proper && ow_rental_options_is_wasteful(leader, type, class, spot != 0))
+                    .machine = {.type = type_index, .zone = zone_index, .spot = spot != 0},
+                    .to_provision = true};
+                if (proper && ow_instance_offers_is_wasteful(leader, type, class, spot != 0))
                     continue;
                 if (!is_option(leader, spec, &candidate.machine, waits))
                     continue;
--- a/src/core/machines/machine.h
+++ b/src/core/machines/machine.h
@@ -1,5 +1,5 @@
-/* A rented machine as the leader knows it. Machines are created and freed by machine_registry.c alone; each
- * group of fields below names the module that keeps it up to date. Times are seconds of the controller's
+/* A provisioned machine as the leader knows it. Machines are created and freed by machine_registry.c alone;
+ * each group of fields below names the module that keeps it up to date. Times are seconds of the controller's
  * steady clock, 0 meaning "not yet" unless said otherwise. */
 #ifndef OW_CORE_MACHINES_MACHINE_H
 #define OW_CORE_MACHINES_MACHINE_H
@@ -30,9 +30,9 @@
     int type, zone;    /* name indices; OW_NO_NAME: not known yet */
     bool spot;         /* the cloud may take it back at short notice */
     enum ow_listed listed;
-    double rented_at;
-    bool deleting;    /* it is being returned to the cloud */
-    double delete_at; /* the next try to delete it */
+    double provisioned_at;
+    bool terminating;    /* it is being returned to the cloud */
+    double terminate_at; /* the next try to delete it */
 
     /* Liveness: reconciliation.c, worker_commands.c and machine_health.c. */
     double met_at;             /* when this leader first learnt of it */
--- a/src/core/machines/machine_health.c
+++ b/src/core/machines/machine_health.c
@@ -59,7 +59,7 @@
     const struct ow_machine_type *type = ow_machine_spec(leader, machine);
     double boot_s = type != NULL ? type->boot_s : UNKNOWN_BOOT_S;
     return machine->last_message_at == 0 &&
-           leader->core->now - machine->rented_at > OVERDUE_BOOTS * boot_s + OVERDUE_MARGIN_S;
+           leader->core->now - machine->provisioned_at > OVERDUE_BOOTS * boot_s + OVERDUE_MARGIN_S;
 }
 
 /* A machine that sends nothing: deleting it is proof at once, and ends the rent. */
@@ -68,18 +68,18 @@
     double now = leader->core->now;
     double since = MAX(machine->last_message_at, leader->ready_at);
     if (machine->listed == OW_LISTED_FAILED)
-        ow_fleet_delete(leader, machine, "it has failed");
+        ow_fleet_terminate(leader, machine, "it has failed");
     else if (machine->reclaimed_at > 0 && now > machine->reclaimed_at && now - since > RECLAIMED_SILENT_S)
-        ow_fleet_delete(leader, machine, "it was taken back");
+        ow_fleet_terminate(leader, machine, "it was taken back");
     else if (machine->last_message_at == 0 && machine->listed == OW_LISTED_NOT &&
              machine->attempts->len > 0 && now - since > UNKNOWN_S)
-        ow_fleet_delete(leader, machine, "its tasks are recorded, but nothing is heard or known of it");
+        ow_fleet_terminate(leader, machine, "its tasks are recorded, but nothing is heard or known of it");
     else if (overdue(leader, machine) && now - leader->ready_at > OVERDUE_READY_S)
-        ow_fleet_delete(leader, machine, "it does not come up");
+        ow_fleet_terminate(leader, machine, "it does not come up");
     else if (machine->last_message_at != 0 &&
              now - MAX(MAX(machine->last_heartbeat_at, machine->met_at), leader->ready_at) >
                  3 * leader->core->settings->lease_s)
-        ow_fleet_delete(leader, machine, "it has been silent for too long");
+        ow_fleet_terminate(leader, machine, "it has been silent for too long");
 }
 
 /* Seconds since the machine should have answered. */
@@ -102,9 +102,10 @@
     double lease_s = leader->core->settings->lease_s;
     double limit_s = machine->attempts->len > 0 ? lease_s + LEASE_MARGIN_S : EMPTY_LEASES * lease_s;
     if (unresponsive > limit_s)
-        ow_fleet_delete(leader, machine, "it does not answer commands, and its tasks can't be accounted for");
+        ow_fleet_terminate(leader, machine,
+                           "it does not answer commands, and its tasks can't be accounted for");
     else if (machine->fenced && unresponsive > UNRESPONSIVE_S && ow_machine_heard_recently(leader, machine))
-        ow_fleet_delete(leader, machine, "it reports but does not answer commands");
+        ow_fleet_terminate(leader, machine, "it reports but does not answer commands");
 }
 
 static bool has_replicas(const struct ow_machine *machine)
@@ -136,7 +137,7 @@
     if (fallen_silent(leader, machine) && machine->unanswered_since > 0 && has_replicas(machine) &&
         leader->core->now - leader->ready_at >
             MISSED_HEARTBEATS * leader->core->settings->heartbeat_interval_s)
-        ow_fleet_delete(leader, machine, "it is silent, and services miss their replicas");
+        ow_fleet_terminate(leader, machine, "it is silent, and services miss their replicas");
 }
 
 /* Where many machines are unresponsive the fault is hardly theirs. */
@@ -162,7 +163,7 @@
         if (waited > 1 && !machine->direct_busy)
             ow_worker_commands_want(leader, machine);
         if (waited > 0.5 * leader->core->settings->cancel_s) {
-            ow_fleet_delete(leader, machine, "a cancelled task can't be ended otherwise");
+            ow_fleet_terminate(leader, machine, "a cancelled task can't be ended otherwise");
             return;
         }
     }
@@ -212,9 +213,9 @@
             drain_noticed(leader, machine);
         if (needs_direct_call(leader, machine))
             ow_worker_commands_want(leader, machine);
-        /* A faulty machine is given back; a sound one is rented in its place if it is missed. */
+        /* A faulty machine is given back; a sound one is provisioned in its place if it is missed. */
         if (leader->core->now < machine->quarantine_until && machine->attempts->len == 0)
-            ow_fleet_delete(leader, machine, "it is faulty");
+            ow_fleet_terminate(leader, machine, "it is faulty");
         enforce_cancellations(leader, machine);
         delete_if_silent(leader, machine);
         if (return_silent)
--- a/src/core/machines/machine_registry.c
+++ b/src/core/machines/machine_registry.c
@@ -27,7 +27,7 @@
     machine->name = g_strdup(name);
     machine->type = machine->zone = OW_NO_NAME;
     machine->slowness = 1;
-    machine->rented_at = machine->idle_since = machine->met_at = leader->core->now;
+    machine->provisioned_at = machine->idle_since = machine->met_at = leader->core->now;
     machine->attempts = g_ptr_array_new();
     machine->direct_launches = g_array_new(FALSE, FALSE, sizeof(struct ow_unacknowledged_launch));
     machine->unacknowledged_launches = g_array_new(FALSE, FALSE, sizeof(struct ow_unacknowledged_launch));
@@ -98,7 +98,7 @@
     return machine->fenced && machine->incarnation > machine->expired_incarnation &&
            ow_machine_spec(leader, machine) != NULL && machine->addr != NULL &&
            ow_machine_heard_recently(leader, machine) && !ow_machine_is_silent(leader, machine) &&
-           machine->unanswered_since == 0 && machine->reclaimed_at == 0 && !machine->deleting &&
+           machine->unanswered_since == 0 && machine->reclaimed_at == 0 && !machine->terminating &&
            now >= MAX(machine->quarantine_until, machine->suspect_until);
 }
 
--- a/src/core/machines/reconciliation.c
+++ b/src/core/machines/reconciliation.c
@@ -235,7 +235,7 @@
                                           GArray *commands)
 {
     /* A copy of an old heartbeat must not bring a deleted machine back. */
-    if (g_hash_table_contains(leader->deletions.names, heartbeat->machine))
+    if (g_hash_table_contains(leader->terminations.names, heartbeat->machine))
         return NULL;
     struct ow_machine *machine = ow_machines_find_or_add(leader, heartbeat->machine);
     /* A late copy says nothing about now, renews nothing, and an incarnation proven over is over. */
--- a/src/core/machines/rent.c
+++ b/src/core/machines/scale_out.c
@@ -1,11 +1,11 @@
 /* Renting for work that waits. */
-#include "core/machines/rent.h"
+#include "core/machines/scale_out.h"
 #include "core/leader_state.h"
 #include "core/machines/fleet.h"
 #include "core/machines/headroom.h"
 #include "core/machines/machine.h"
 #include "core/machines/machine_registry.h"
-#include "core/machines/rental_options.h"
+#include "core/machines/instance_offers.h"
 #include "core/run.h"
 #include "core/scheduling/classes.h"
 #include "core/scheduling/deadline.h"
@@ -18,33 +18,34 @@
 
 /* The share of a class's slack that may be spent on waiting for machines that are there. */
 static const double PATIENCE = 0.75;
-enum { RENT_MOST = 50 };
+enum { PROVISION_BATCH_MAX = 50 };
 /* How long a new leader waits before it rents: once every running machine has reported to it, and before. */
 static const double SETTLED_S = 1, UNSETTLED_S = 4;
 
-struct rental_call {
+struct provision_call {
     int type, zone;
     bool spot;
     unsigned count;
 };
 
-static void on_rented(void *owner, void *data, const struct ow_event *answer)
+static void on_provisioned(void *owner, void *data, const struct ow_event *answer)
 {
     struct ow_leader *leader = owner;
-    const struct rental_call *call = data;
+    const struct provision_call *call = data;
     const char *type = ow_names_text(leader->core->names.types, call->type);
     const char *zone = ow_names_text(leader->core->names.zones, call->zone);
-    leader->renting.calls--;
-    leader->renting.next_at = leader->core->now; /* plan again with what this one has shown */
-    if (answer->cloud.status != 200 || answer->cloud.rented == NULL || answer->cloud.rented[0] == NULL) {
-        ow_rental_options_refuse(leader, call->type, call->zone, call->spot);
+    leader->scale_out.calls--;
+    leader->scale_out.next_at = leader->core->now; /* plan again with what this one has shown */
+    if (answer->cloud.status != 200 || answer->cloud.provisioned == NULL ||
+        answer->cloud.provisioned[0] == NULL) {
+        ow_instance_offers_refuse(leader, call->type, call->zone, call->spot);
         g_info("no %s machine of type %s in %s: status %d", call->spot ? "spot" : "ordinary", type, zone,
                answer->cloud.status);
         return;
     }
-    if (g_strv_length(answer->cloud.rented) < call->count)
-        ow_rental_options_refuse(leader, call->type, call->zone, call->spot); /* these were the last */
-    for (char **name = answer->cloud.rented; *name != NULL; name++) {
+    if (g_strv_length(answer->cloud.provisioned) < call->count)
+        ow_instance_offers_refuse(leader, call->type, call->zone, call->spot); /* these were the last */
+    for (char **name = answer->cloud.provisioned; *name != NULL; name++) {
         struct ow_machine *machine = ow_machines_find_or_add(leader, *name);
         ow_machine_describe(leader, machine, NULL, type, zone, call->spot);
         if (machine->listed == OW_LISTED_NOT)
@@ -58,7 +59,7 @@
     GArray *expected_machines = g_array_new(FALSE, TRUE, sizeof(struct ow_expected_machine));
     for (guint i = 0; i < leader->machines->len; i++) {
         const struct ow_machine *machine = g_ptr_array_index(leader->machines, i);
-        if (machine->last_message_at != 0 || machine->listed != OW_LISTED_BOOTING || machine->deleting)
+        if (machine->last_message_at != 0 || machine->listed != OW_LISTED_BOOTING || machine->terminating)
             continue;
         struct ow_expected_machine expected = {
             .machine = {.type = machine->type, .zone = machine->zone, .spot = machine->spot}};
@@ -173,7 +174,7 @@
     for (guint i = 0; i < plan->len && wanted > 0; i++)
         wanted -= take_room(leader, spec, &g_array_index(plan, struct ow_expected_machine, i), wanted);
     struct ow_expected_machine expected;
-    while (wanted > 0 && *most > 0 && ow_rental_options_best(leader, spec, waits, false, cheap, &expected)) {
+    while (wanted > 0 && *most > 0 && ow_instance_offers_best(leader, spec, waits, false, cheap, &expected)) {
         uint32_t taken = take_room(leader, spec, &expected, wanted);
         if (taken == 0)
             return;
@@ -188,33 +189,33 @@
 static void rent(struct ow_leader *leader, const struct ow_expected_machine *expected, unsigned count)
 {
     struct ow_cloud_request *request = g_new0(struct ow_cloud_request, 1);
-    struct rental_call *call = g_new0(struct rental_call, 1);
-    *call =
-        (struct rental_call){expected->machine.type, expected->machine.zone, expected->machine.spot, count};
-    request->op = OW_CLOUD_RENT;
+    struct provision_call *call = g_new0(struct provision_call, 1);
+    *call = (struct provision_call){expected->machine.type, expected->machine.zone, expected->machine.spot,
+                                    count};
+    request->op = OW_CLOUD_PROVISION;
     /* The fencing token is ours alone, so no other process ever uses the same name for another request. */
     request->name =
-        g_strdup_printf("r-%" G_GUINT64_FORMAT "-%u", leader->fencing_token, ++leader->renting.count);
+        g_strdup_printf("r-%" G_GUINT64_FORMAT "-%u", leader->fencing_token, ++leader->scale_out.count);
     request->type = g_strdup(ow_names_text(leader->core->names.types, call->type));
     request->zone = g_strdup(ow_names_text(leader->core->names.zones, call->zone));
     request->spot = call->spot;
     request->count = count;
-    leader->renting.calls++;
-    ow_core_call_cloud(leader->core, request, on_rented, leader, call, g_free);
+    leader->scale_out.calls++;
+    ow_core_call_cloud(leader->core, request, on_provisioned, leader, call, g_free);
 }
 
 static bool same_kind(const struct ow_expected_machine *a, const struct ow_expected_machine *b)
 {
-    return a->to_rent && b->to_rent && a->machine.type == b->machine.type &&
+    return a->to_provision && b->to_provision && a->machine.type == b->machine.type &&
            a->machine.zone == b->machine.zone && a->machine.spot == b->machine.spot;
 }
 
-static void rent_planned(struct ow_leader *leader, GArray *plan)
+static void provision_planned(struct ow_leader *leader, GArray *plan)
 {
     for (guint i = 0; i < plan->len; i++) {
         struct ow_expected_machine *expected = &g_array_index(plan, struct ow_expected_machine, i);
         unsigned count = 0;
-        if (!expected->to_rent)
+        if (!expected->to_provision)
             continue;
         for (guint k = i; k < plan->len; k++)
             count += same_kind(expected, &g_array_index(plan, struct ow_expected_machine, k)) ? 1 : 0;
@@ -223,7 +224,7 @@
         rent(leader, expected, count);
         for (guint k = plan->len; k > i; k--)
             if (k - 1 != i && same_kind(expected, &g_array_index(plan, struct ow_expected_machine, k - 1)))
-                g_array_index(plan, struct ow_expected_machine, k - 1).to_rent = false;
+                g_array_index(plan, struct ow_expected_machine, k - 1).to_provision = false;
     }
 }
 
@@ -237,34 +238,34 @@
     return leader->cloud.listed_once;
 }
 
-static void rent_for_waiting(struct ow_leader *leader)
+static void provision_for_waiting(struct ow_leader *leader)
 {
     double settling_s = all_sent_heartbeats(leader) ? SETTLED_S : UNSETTLED_S;
     /* One round at a time: a second plan must see what the first has brought. And none before the machines
        that are there had time to report. */
-    if (leader->renting.calls > 0 || leader->core->now - leader->ready_at < settling_s)
+    if (leader->scale_out.calls > 0 || leader->core->now - leader->ready_at < settling_s)
         return;
-    ow_rental_options_forget_old(leader);
+    ow_instance_offers_forget_old(leader);
     GArray *plan = coming_up(leader);
     GPtrArray *runs = ow_queue_sorted(leader);
     struct backlog ahead = {.supplies = g_array_new(FALSE, FALSE, sizeof(struct supply))};
-    unsigned most = RENT_MOST;
+    unsigned most = PROVISION_BATCH_MAX;
     for (guint i = 0; i < runs->len; i++)
         plan_for(leader, g_ptr_array_index(runs, i), plan, &ahead, &most);
     g_ptr_array_free(runs, TRUE);
     g_array_free(ahead.supplies, TRUE);
     ow_headroom_plan(leader, plan, &most);
-    rent_planned(leader, plan);
+    provision_planned(leader, plan);
     g_array_free(plan, TRUE);
 }
 
-void ow_rent_tick(struct ow_leader *leader)
+void ow_scale_out_tick(struct ow_leader *leader)
 {
     double now = leader->core->now;
     ow_fleet_list(leader);
-    if (now < leader->renting.next_at)
+    if (now < leader->scale_out.next_at)
         return;
-    leader->renting.next_at = now + 1;
-    rent_for_waiting(leader);
-    ow_fleet_return_idle(leader);
+    leader->scale_out.next_at = now + 1;
+    provision_for_waiting(leader);
+    ow_fleet_scale_in(leader);
 }
--- a/src/io/outgoing.c
+++ b/src/io/outgoing.c
@@ -52,8 +52,8 @@
         event->cloud.types = wire_types_parse(body, size);
     else if (pending->operation == OW_CLOUD_LIST)
         event->cloud.listed = wire_list_parse(body, size, &event->cloud.more);
-    else if (pending->operation == OW_CLOUD_RENT)
-        event->cloud.rented = wire_rented_parse(body, size);
+    else if (pending->operation == OW_CLOUD_PROVISION)
+        event->cloud.provisioned = wire_provision_reply_parse(body, size);
     return event;
 }
 
@@ -121,12 +121,12 @@
         path = g_strdup(W_PATH_TYPES);
     } else if (request->op == OW_CLOUD_LIST) {
         path = wire_list_path(request->after);
-    } else if (request->op == OW_CLOUD_RENT) {
-        struct ow_rental rental = {request->name, request->type, request->zone, request->spot,
-                                   request->count};
+    } else if (request->op == OW_CLOUD_PROVISION) {
+        struct ow_provision_request provision_request = {request->name, request->type, request->zone,
+                                                         request->spot, request->count};
         method = "POST";
         path = g_strdup(W_PATH_MACHINES);
-        body = wire_rental(&rental);
+        body = wire_provision_request(&provision_request);
     } else {
         method = "POST";
         path = g_strdup(W_PATH_DELETE);
--- a/src/sharding/lease_guard.h
+++ b/src/sharding/lease_guard.h
@@ -10,7 +10,7 @@
 enum ow_lease_verdict {
     OW_LEASE_HELD,       /* everything */
     OW_LEASE_KEEP_ALIVE, /* answers that keep running tasks alive and stop cancelled ones: nothing is started,
-                            rented or returned */
+                            provisioned or returned */
     OW_LEASE_UNPROVEN,   /* nothing */
 };
 
--- a/src/wire/cloud_json.c
+++ b/src/wire/cloud_json.c
@@ -66,14 +66,15 @@
     return json_pack("{s:o}", W_TYPES, list);
 }
 
-char *wire_rental(const struct ow_rental *rental)
+char *wire_provision_request(const struct ow_provision_request *provision_request)
 {
-    json_t *object = json_pack("{s:s,s:s,s:s,s:b,s:i}", W_REQUEST, rental->request, W_TYPE, rental->type,
-                               W_ZONE, rental->zone, W_SPOT, (int)rental->spot, W_COUNT, (int)rental->count);
+    json_t *object = json_pack("{s:s,s:s,s:s,s:b,s:i}", W_REQUEST, provision_request->request, W_TYPE,
+                               provision_request->type, W_ZONE, provision_request->zone, W_SPOT,
+                               (int)provision_request->spot, W_COUNT, (int)provision_request->count);
     return wj_take_text(object);
 }
 
-char **wire_rented_parse(const char *text, size_t size)
+char **wire_provision_reply_parse(const char *text, size_t size)
 {
     json_t *object = wj_object(text, size);
     char **names = object != NULL ? wj_strings(json_object_get(object, W_MACHINES)) : NULL;
--- a/src/wire/cloud_json.h
+++ b/src/wire/cloud_json.h
@@ -15,7 +15,7 @@
 json_t *wire_types_json(const GArray *types);
 
 /* A request for machines. */
-struct ow_rental {
+struct ow_provision_request {
     const char *request; /* its name, by which the cloud knows a repeat */
     const char *type, *zone;
     bool spot;
@@ -23,9 +23,9 @@
 };
 
 /* The body of a request for machines (g_free). */
-char *wire_rental(const struct ow_rental *rental);
-/* Names of the machines rented (a NULL-ended vector), or NULL. */
-char **wire_rented_parse(const char *text, size_t size);
+char *wire_provision_request(const struct ow_provision_request *provision_request);
+/* Names of the machines provisioned (a NULL-ended vector), or NULL. */
+char **wire_provision_reply_parse(const char *text, size_t size);
 /* The body of a request that returns machines (g_free). */
 char *wire_delete(const GPtrArray *names);
 /* One page of the list of machines: struct ow_listed_machine each; NULL when malformed. *more says whether
--- a/tests/effect_line.c
+++ b/tests/effect_line.c
@@ -51,7 +51,8 @@
 
 static void append_cloud_request(GString *line, const struct ow_cloud_request *request)
 {
-    struct ow_rental rental = {request->name, request->type, request->zone, request->spot, request->count};
+    struct ow_provision_request provision_request = {request->name, request->type, request->zone,
+                                                     request->spot, request->count};
     g_string_append(line, "cloud");
     switch (request->op) {
     case OW_CLOUD_TYPES:
@@ -61,11 +62,11 @@
         g_string_append(line, " GET");
         append_body(line, wire_list_path(request->after));
         break;
-    case OW_CLOUD_RENT:
+    case OW_CLOUD_PROVISION:
         g_string_append(line, " POST " W_PATH_MACHINES);
-        append_body(line, wire_rental(&rental));
+        append_body(line, wire_provision_request(&provision_request));
         break;
-    case OW_CLOUD_DELETE:
+    case OW_CLOUD_TERMINATE:
         g_string_append(line, " POST " W_PATH_DELETE);
         append_body(line, wire_delete(request->machines));
         break;
--- a/tests/test_isolation.c
+++ b/tests/test_isolation.c
@@ -130,7 +130,7 @@
     (void)state;
     struct world *w = world_with_capacity(2, 6);
     w->capacity = 0;
-    w->cloud_down = true; /* no machine is deleted or rented */
+    w->cloud_down = true; /* no machine is deleted or provisioned */
     for (guint i = 0; i < w->machines->len; i++)
         world_machine_at(w, i)->faulty = true;
     w->run_s = 1;
--- a/tests/test_lease_guard.c
+++ b/tests/test_lease_guard.c
@@ -139,7 +139,7 @@
 static void test_machines_are_neither_rented_nor_returned_without_the_lease(void **state)
 {
     (void)state;
-    for (int op = OW_CLOUD_TYPES; op <= OW_CLOUD_DELETE; op++) {
+    for (int op = OW_CLOUD_TYPES; op <= OW_CLOUD_TERMINATE; op++) {
         struct ow_effect *effect = new_effect(OW_EFFECT_CLOUD);
         struct ow_event *refusal = NULL;
         bool reads = op == OW_CLOUD_TYPES || op == OW_CLOUD_LIST;
--- a/tests/test_replica_moves.c
+++ b/tests/test_replica_moves.c
@@ -112,7 +112,7 @@
     return submission;
 }
 
-/* A replica that keeps running on a machine where every new task fails would keep it rented for ever. */
+/* A replica that keeps running on a machine where every new task fails would keep it provisioned for ever. */
 static void test_replica_moves_off_a_faulty_machine(void **state)
 {
     (void)state;
--- a/tests/test_user_api.c
+++ b/tests/test_user_api.c
@@ -194,7 +194,7 @@
     world_finish(w);
 }
 
-/* A new user on an empty fleet is told that machines are rented and boot, and can cancel meanwhile. */
+/* A new user on an empty fleet is told that machines are provisioned and boot, and can cancel meanwhile. */
 static void test_empty_fleet_tells_why_a_job_waits(void **state)
 {
     (void)state;
--- a/tests/world.h
+++ b/tests/world.h
@@ -121,8 +121,8 @@
     GPtrArray *machines;
     GHashTable *machines_by_name; /* and by address */
     GHashTable *started_on;       /* "<job>/<task>" -> the machine of its last start */
-    unsigned rented;
-    unsigned capacity; /* machines that can still be rented */
+    unsigned provisioned;
+    unsigned capacity; /* machines that can still be provisioned */
     GArray *late;      /* delayed direct commands */
     bool hold_directs; /* direct commands are delayed while it is set */
     bool no_sockets;   /* controllers have no free sockets for direct commands */
@@ -145,7 +145,7 @@
 void world_set_large_rates(struct world *w);
 /** A cluster with all controllers and as many large machines in one zone, some seconds after the start. */
 struct world *world_with_machines(int machines);
-/** The same, with as many machines that can be rented. */
+/** The same, with as many machines that can be provisioned. */
 struct world *world_with_capacity(int machines, unsigned capacity);
 /** The same, with four machines to rent, on which the replicas of the service "run-1" run. */
 struct world *world_with_service(int machines, uint32_t replicas);
--- a/tests/world_cloud.c
+++ b/tests/world_cloud.c
@@ -60,7 +60,7 @@
     GPtrArray *names = g_ptr_array_new();
     for (unsigned i = 0; i < request->count && w->capacity > 0; i++, w->capacity--) {
         char name[32];
-        g_snprintf(name, sizeof name, "r-%03u", ++w->rented);
+        g_snprintf(name, sizeof name, "r-%03u", ++w->provisioned);
         struct world_machine *machine =
             world_add_machine(w, name, request->type, request->zone, request->spot);
         machine->up_at = machine->renewed_at = w->now + 5;
@@ -68,7 +68,7 @@
     }
     reply->status = names->len > 0 ? 200 : 503;
     g_ptr_array_add(names, NULL);
-    reply->rented = (char **)g_ptr_array_free(names, FALSE);
+    reply->provisioned = (char **)g_ptr_array_free(names, FALSE);
 }
 
 static void delete_machines(struct world *w, const GPtrArray *names)
@@ -94,7 +94,7 @@
         event->cloud.types = machine_types();
     else if (request->op == OW_CLOUD_LIST)
         event->cloud.listed = list_machines(w, request->after, &event->cloud.more);
-    else if (request->op == OW_CLOUD_RENT)
+    else if (request->op == OW_CLOUD_PROVISION)
         rent(w, request, &event->cloud);
     else
         delete_machines(w, request->machines);
