--- a/src/agent/agent.c
+++ b/src/agent/agent.c
@@ -50,7 +50,7 @@
         .incarnation = agent->incarnation.number,
         .seq = ++agent->sequence,
         .fencing_token = agent->incarnation.fencing_token,
-        .notice_s = -1,
+        .reclaim_notice_s = -1,
         .tasks = g_array_new(FALSE, FALSE, sizeof(struct ow_task_status)),
     };
     agent_tasks_status(agent->tasks, heartbeat.tasks);
--- a/src/agent/tasks.c
+++ b/src/agent/tasks.c
@@ -13,7 +13,7 @@
     struct ow_task_status heartbeat;
     struct agent_supervisor *supervisor;    /* NULL: it has ended, or never began */
     struct ow_job_description *description; /* while there is a supervisor */
-    bool told_to_stop, may_save;
+    bool told_to_stop, may_checkpoint;
 };
 
 struct agent_tasks {
@@ -142,7 +142,7 @@
                       ",\"task\":\"%s/%" PRIu32 "\",\"attempt\":%" PRIu64 ",\"token\":%" PRIu64, run.job,
                       run.task, run.attempt, tasks->incarnation->fencing_token);
     task->heartbeat.phase = OW_PHASE_RUNNING;
-    task->may_save = description->submission->checkpoint_s > 0;
+    task->may_checkpoint = description->submission->checkpoint_interval_s > 0;
     task->description = description;
     task->supervisor = agent_supervisor_start(&run);
     if (task->supervisor == NULL)
@@ -174,13 +174,13 @@
 {
     if (task == NULL || task->supervisor == NULL)
         return;
-    double save_s = task->description->submission->save_s;
-    bool saves = task->may_save && grace_s >= save_s && grace_s > 0;
-    if (saves)
-        task->heartbeat.phase = OW_PHASE_SAVING;
-    task->may_save = task->may_save && saves;
+    double checkpoint_duration_s = task->description->submission->checkpoint_duration_s;
+    bool has_checkpoints = task->may_checkpoint && grace_s >= checkpoint_duration_s && grace_s > 0;
+    if (has_checkpoints)
+        task->heartbeat.phase = OW_PHASE_CHECKPOINTING;
+    task->may_checkpoint = task->may_checkpoint && has_checkpoints;
     task->told_to_stop = true;
-    agent_supervisor_stop(task->supervisor, saves ? grace_s : 0);
+    agent_supervisor_stop(task->supervisor, has_checkpoints ? grace_s : 0);
 }
 
 static void clear(struct agent_tasks *tasks, struct task *task)
@@ -224,7 +224,7 @@
         if (end == AGENT_END_NONE)
             continue;
         any = true;
-        task->heartbeat.saved = end == AGENT_END_STOPPED && task->may_save && status == STATUS_DONE;
+        task->heartbeat.saved = end == AGENT_END_STOPPED && task->may_checkpoint && status == STATUS_DONE;
         end_task(tasks, task, cause_of(task, end, status));
         agent_supervisor_free(g_steal_pointer(&task->supervisor));
         wire_job_description_free(g_steal_pointer(&task->description));
--- a/src/config/operators_file.c
+++ b/src/config/operators_file.c
@@ -7,7 +7,7 @@
 #include <stddef.h>
 #include <string.h>
 
-/* A setting: where it stands in the file and in struct ow_rules, and its range. */
+/* A setting: where it stands in the file and in struct ow_tuning, and its range. */
 struct value {
     const char *element, *attribute;
     size_t offset;
@@ -16,17 +16,17 @@
 };
 
 static const struct value values[] = {
-    {"reservation", "window_s", offsetof(struct ow_rules, window_s), false, 0, 5},
-    {"reservation", "hold_life_s", offsetof(struct ow_rules, hold_life_s), false, 0.5, 600},
-    {"reservation", "waiting_limit_s", offsetof(struct ow_rules, waiting_limit_s), false, 1, 86400},
-    {"reservation", "candidates", offsetof(struct ow_rules, candidates), true, 1, 100},
-    {"election", "lease_s", offsetof(struct ow_rules, leader_lease_s), false, 1, 60},
+    {"reservation", "window_s", offsetof(struct ow_tuning, window_s), false, 0, 5},
+    {"reservation", "hold_life_s", offsetof(struct ow_tuning, hold_life_s), false, 0.5, 600},
+    {"reservation", "waiting_limit_s", offsetof(struct ow_tuning, waiting_limit_s), false, 1, 86400},
+    {"reservation", "candidates", offsetof(struct ow_tuning, candidates), true, 1, 100},
+    {"election", "lease_s", offsetof(struct ow_tuning, leader_lease_s), false, 1, 60},
 };
 
 /* The state of reading one file. */
 struct reader {
     XML_Parser parser;
-    struct ow_rules *rules;
+    struct ow_tuning *tuning;
     struct ow_sharding_settings *sharding;
     int depth;
     char *fault;
@@ -63,9 +63,9 @@
         fail(reader, value->attribute, what);
         g_free(what);
     } else if (value->whole) {
-        *(unsigned *)((char *)reader->rules + value->offset) = (unsigned)number;
+        *(unsigned *)((char *)reader->tuning + value->offset) = (unsigned)number;
     } else {
-        *(double *)((char *)reader->rules + value->offset) = number;
+        *(double *)((char *)reader->tuning + value->offset) = number;
     }
 }
 
@@ -113,7 +113,7 @@
     fail(owner, name, "a document type is not accepted");
 }
 
-bool ow_operators_load(const char *path, struct ow_rules *rules, struct ow_sharding_settings *sharding,
+bool ow_operators_load(const char *path, struct ow_tuning *tuning, struct ow_sharding_settings *sharding,
                        char **fault)
 {
     char *text = NULL;
@@ -124,7 +124,7 @@
         g_error_free(error);
         return false;
     }
-    struct ow_rules changed = *rules;
+    struct ow_tuning changed = *tuning;
     struct reader reader = {XML_ParserCreate(NULL), &changed, sharding, 0, NULL};
     XML_SetUserData(reader.parser, &reader);
     XML_SetElementHandler(reader.parser, on_start, on_end);
@@ -136,6 +136,6 @@
     g_free(text);
     *fault = reader.fault;
     if (reader.fault == NULL)
-        *rules = changed;
+        *tuning = changed;
     return reader.fault == NULL;
 }
--- a/src/config/operators_file.h
+++ b/src/config/operators_file.h
@@ -8,7 +8,7 @@
 #include <stdbool.h>
 
 /* Changes what the file names; on a fault answers false and says the line and the name (g_free). */
-bool ow_operators_load(const char *path, struct ow_rules *rules, struct ow_sharding_settings *sharding,
+bool ow_operators_load(const char *path, struct ow_tuning *tuning, struct ow_sharding_settings *sharding,
                        char **fault);
 
 #endif
--- a/src/config/settings_file.c
+++ b/src/config/settings_file.c
@@ -119,34 +119,34 @@
     return teams;
 }
 
-static void objective_clear(void *item)
+static void slo_clear(void *item)
 {
-    g_free(((struct ow_objective *)item)->class_name);
+    g_free(((struct ow_slo *)item)->class_name);
 }
 
-static enum ow_objective_kind objective_kind(const char *word)
+static enum ow_slo_kind slo_kind(const char *word)
 {
     if (g_strcmp0(word, "wait") == 0)
-        return OW_OBJECTIVE_WAIT;
-    return g_strcmp0(word, "finished") == 0 ? OW_OBJECTIVE_FINISHED : OW_OBJECTIVE_OTHER;
+        return OW_SLO_WAIT;
+    return g_strcmp0(word, "finished") == 0 ? OW_SLO_FINISHED : OW_SLO_OTHER;
 }
 
 /* Objectives only guide; one that is not understood is passed over. */
-static GArray *read_objectives(struct reader *reader)
+static GArray *read_slos(struct reader *reader)
 {
     const char *array = "params.objectives";
-    GArray *objectives = g_array_new(FALSE, TRUE, sizeof(struct ow_objective));
-    g_array_set_clear_func(objectives, objective_clear);
+    GArray *slos = g_array_new(FALSE, TRUE, sizeof(struct ow_slo));
+    g_array_set_clear_func(slos, slo_clear);
     for (size_t i = 0; i < toml_doc_count(reader->doc, array); i++) {
-        struct ow_objective o = {0};
+        struct ow_slo o = {0};
         char *kind = path_of(array, i, "kind"), *name = path_of(array, i, "class");
         char *within = path_of(array, i, "within_s"), *share = path_of(array, i, "share");
-        o.kind = objective_kind(toml_doc_string(reader->doc, kind));
+        o.kind = slo_kind(toml_doc_string(reader->doc, kind));
         o.class_name = g_strdup(toml_doc_string(reader->doc, name));
         toml_doc_number(reader->doc, share, &o.share);
         if (o.class_name != NULL && toml_doc_number(reader->doc, within, &o.within_s) &&
-            o.kind != OW_OBJECTIVE_OTHER)
-            g_array_append_val(objectives, o);
+            o.kind != OW_SLO_OTHER)
+            g_array_append_val(slos, o);
         else
             g_free(o.class_name);
         g_free(kind);
@@ -154,7 +154,7 @@
         g_free(within);
         g_free(share);
     }
-    return objectives;
+    return slos;
 }
 
 static char **read_zones(struct reader *reader)
@@ -224,7 +224,7 @@
     settings->store_endpoint = endpoint(&reader, "services.state");
     settings->peers = read_peers(&reader);
     settings->teams = read_teams(&reader);
-    settings->objectives = read_objectives(&reader);
+    settings->slos = read_slos(&reader);
     settings->zones = read_zones(&reader);
     read_bounds(&reader, settings);
     read_coming_limits(&reader, settings);
@@ -248,7 +248,7 @@
     g_free(settings->store_endpoint);
     g_array_free(settings->peers, TRUE);
     g_array_free(settings->teams, TRUE);
-    g_array_free(settings->objectives, TRUE);
+    g_array_free(settings->slos, TRUE);
     g_strfreev(settings->zones);
     g_free(settings);
 }
--- a/src/core/api/job_cache.c
+++ b/src/core/api/job_cache.c
@@ -117,7 +117,7 @@
 {
     apply_items(job_cache, reply->items);
     if (job_cache->core->leader != NULL && reply->items->len > 0)
-        ow_leader_wake(job_cache->core->leader);
+        ow_leader_request_cycle(job_cache->core->leader);
     job_cache->revision = MAX(job_cache->revision, reply->revision);
 }
 
--- a/src/core/attempt.c
+++ b/src/core/attempt.c
@@ -34,7 +34,7 @@
     g_ptr_array_add(machine->attempts, attempt);
     ow_amounts_add(&machine->used, &submission->need, 1);
     ow_amounts_add(&machine->used_by[submission->rank], &submission->need, 1);
-    ow_amounts_add(ow_team_used(leader, run->job->spec->team), &submission->need, 1);
+    ow_amounts_add(ow_team_usage(leader, run->job->spec->team), &submission->need, 1);
     return attempt;
 }
 
@@ -63,7 +63,7 @@
     struct ow_run *run = attempt->job->run;
     g_ptr_array_remove_fast(run->attempts, attempt);
     detach_from_machine(leader, attempt);
-    ow_amounts_add(ow_team_used(leader, spec->team), &spec->submission->need, -1);
+    ow_amounts_add(ow_team_usage(leader, spec->team), &spec->submission->need, -1);
     if (attempt->state == OW_ATTEMPT_SEEN && attempt->phase == OW_PHASE_RUNNING)
         run->running--;
     run->tasks[attempt->task].attempt = NULL;
@@ -122,7 +122,7 @@
         return;
     }
     machine->errors = 0;
-    machine->suspect_until = 0;
+    machine->probation_until = 0;
     machine->failed_job = NULL;
     complete_tasks(leader, run, task);
 }
@@ -153,7 +153,7 @@
         observe_run_time(leader, attempt);
     detach(leader, attempt);
     g_free(attempt);
-    leader->pass.due = true;
+    leader->cycle.due = true;
     ow_recorder_chunk(leader, run, task, false);
     if (cause == OW_CAUSE_DONE)
         take_result(leader, run, task, machine);
--- a/src/core/core.c
+++ b/src/core/core.c
@@ -24,11 +24,12 @@
 static const double SETTLING_HEARTBEATS = 1.25;
 /* ---- life ---- */
 
-struct ow_core *ow_core_new(const struct ow_settings *settings, const struct ow_rules *rules, uint64_t nonce)
+struct ow_core *ow_core_new(const struct ow_settings *settings, const struct ow_tuning *tuning,
+                            uint64_t nonce)
 {
     struct ow_core *core = g_new0(struct ow_core, 1);
     core->settings = settings;
-    core->rules = rules;
+    core->tuning = tuning;
     core->nonce = nonce;
     core->may_lead = true;
     core->store_limits = ow_store_limits_of(settings);
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -8,7 +8,8 @@
 struct ow_core;
 
 /* Settings and rules must outlive the core. `nonce` is a number that no other process has. */
-struct ow_core *ow_core_new(const struct ow_settings *settings, const struct ow_rules *rules, uint64_t nonce);
+struct ow_core *ow_core_new(const struct ow_settings *settings, const struct ow_tuning *tuning,
+                            uint64_t nonce);
 void ow_core_free(struct ow_core *core);
 /* Queues an event, which the core takes over. */
 void ow_core_push(struct ow_core *core, struct ow_event *event);
--- a/src/core/core_state.c
+++ b/src/core/core_state.c
@@ -64,7 +64,7 @@
 void ow_core_announce_job_change(struct ow_core *core, uint64_t revision)
 {
     if (core->leader != NULL) {
-        ow_leader_wake(core->leader);
+        ow_leader_request_cycle(core->leader);
         return;
     }
     struct ow_peer_message *message = ow_peer_message_new(OW_PEER_JOB_CHANGED);
--- a/src/core/core_state.h
+++ b/src/core/core_state.h
@@ -22,7 +22,7 @@
 
 struct ow_core {
     const struct ow_settings *settings;
-    const struct ow_rules *rules;
+    const struct ow_tuning *tuning;
     struct ow_store_limits store_limits;
     GHashTable
         *peer_formats; /* peer name -> GUINT_TO_POINTER: the format of messages and records it speaks */
--- a/src/core/election/election_state.c
+++ b/src/core/election/election_state.c
@@ -34,7 +34,7 @@
     election->key_missing = false;
     election->began_at = core->now;
     election->seen_fencing_token = MAX(election->seen_fencing_token, fencing_token);
-    election->renew_at = core->now + core->rules->leader_lease_s / 4;
+    election->renew_at = core->now + core->tuning->leader_lease_s / 4;
     election->revision = fencing_token;
     ow_election_set_leader_name(election, NULL);
     g_info("leader with token %" G_GUINT64_FORMAT, fencing_token);
--- a/src/core/election/leader_lease.c
+++ b/src/core/election/leader_lease.c
@@ -24,7 +24,7 @@
 void ow_leader_lease_obtain(struct ow_election *election)
 {
     struct ow_store_request *request = ow_store_request_new(OW_STORE_GRANT_LEASE, NULL);
-    request->seconds = election->core->rules->leader_lease_s;
+    request->seconds = election->core->tuning->leader_lease_s;
     election->busy = true;
     ow_core_call_store(election->core, request, on_lease, election, NULL, NULL);
 }
@@ -76,7 +76,7 @@
     }
     double pause_s = OW_ELECTION_RETRY_S;
     if (status == 200)
-        pause_s = election->core->rules->leader_lease_s / 4;
+        pause_s = election->core->tuning->leader_lease_s / 4;
     election->renew_at = election->core->now + pause_s;
 }
 
--- a/src/core/election/succession.c
+++ b/src/core/election/succession.c
@@ -38,7 +38,7 @@
     double patience_s = settings->cancel_s - settings->lease_s * (1 + CLOCK_DRIFT) - MARGIN_S;
     double answered_at = MAX(core->store_ok_at, core->store_refused_at);
     double heard_at = MAX(election->began_at, answered_at);
-    return core->now - heard_at > MAX(patience_s, 2 * core->rules->leader_lease_s);
+    return core->now - heard_at > MAX(patience_s, 2 * core->tuning->leader_lease_s);
 }
 
 static bool leader_format_is_outdated(const struct ow_election *election)
--- a/src/core/leader.c
+++ b/src/core/leader.c
@@ -24,11 +24,12 @@
 
 #include <string.h>
 
-static const double PASS_GAP_S = 0.1, PASS_LEAST_S = 1, CARE_S = 0.5, TYPES_S = 60, TYPES_RETRY_S = 2;
+static const double CYCLE_GAP_S = 0.1, CYCLE_INTERVAL_MAX_S = 1, HEALTH_CHECK_INTERVAL_S = 0.5, TYPES_S = 60,
+                    TYPES_RETRY_S = 2;
 /* So many reports missed by all machines, and a recent message of a peer that it receives theirs. */
 static const double LOST_HEARTBEATS = 2.5, LOST_MESSAGE_S = 3;
-/* Up to so many machines passes follow each other as soon as PASS_GAP_S allows. */
-static const double PASS_MACHINES = 1500;
+/* Up to so many machines passes follow each other as soon as CYCLE_GAP_S allows. */
+static const double CYCLE_GAP_MACHINES = 1500;
 /* After so long without an answer a worker reports to another controller. */
 static const double HEARTBEAT_TIMEOUT_S = 4;
 /* One machine alone may be at fault itself. */
@@ -45,9 +46,9 @@
     leader->machines = g_ptr_array_new_with_free_func(ow_machine_free);
     leader->direct_due = g_ptr_array_new();
     leader->runs = g_ptr_array_new();
-    leader->pass.image_demand = ow_image_demand_new_table();
-    leader->pass.shortlists = ow_shortlists_new();
-    leader->pass.allowances = ow_reason_new_allowances();
+    leader->cycle.image_demand = ow_image_demand_new_table();
+    leader->cycle.shortlists = ow_shortlists_new();
+    leader->cycle.allowances = ow_reason_new_allowances();
     leader->record_values = g_ptr_array_new_with_free_func(ow_record_value_free);
     leader->scale_out.refusals = ow_instance_offers_new_refusals();
     leader->terminations.queued = g_ptr_array_new_with_free_func(g_free);
@@ -73,12 +74,12 @@
     g_hash_table_destroy(leader->terminations.names);
     ow_recorder_free(leader->recorder);
     g_ptr_array_free(leader->record_values, TRUE);
-    g_array_free(leader->pass.image_demand, TRUE);
-    g_array_free(leader->pass.shortlists, TRUE);
-    g_array_free(leader->pass.allowances, TRUE);
+    g_array_free(leader->cycle.image_demand, TRUE);
+    g_array_free(leader->cycle.shortlists, TRUE);
+    g_array_free(leader->cycle.allowances, TRUE);
     g_free(leader->teams.used);
-    g_free(leader->teams.entitled);
-    g_free(leader->teams.borrows);
+    g_free(leader->teams.demand_guaranteed);
+    g_free(leader->teams.is_borrowing);
     g_free(leader->cloud.list_after);
     g_free(leader->failover.after);
     g_free(leader);
@@ -202,10 +203,10 @@
 /* Whether an attempt of a cancelled job is where it can only end: running, on a machine that accepts commands
    of this leader alone. Whatever has yet to begin might do so after the cancellation was acknowledged, for as
    long as its stop is on the way. */
-static bool only_ends(const struct ow_attempt *attempt)
+static bool can_only_end(const struct ow_attempt *attempt)
 {
     return attempt->stop && attempt->state == OW_ATTEMPT_SEEN && attempt->machine->fenced &&
-           (attempt->phase == OW_PHASE_RUNNING || attempt->phase == OW_PHASE_SAVING);
+           (attempt->phase == OW_PHASE_RUNNING || attempt->phase == OW_PHASE_CHECKPOINTING);
 }
 
 bool ow_leader_cancel(struct ow_leader *leader, struct ow_job *job)
@@ -213,36 +214,36 @@
     /* Before it is ready a leader does not know what there is to end. */
     if (leader->phase != OW_LEADER_READY)
         return false;
-    ow_leader_wake(leader);
+    ow_leader_request_cycle(leader);
     if (job->run == NULL)
         return true;
     ow_run_stop(leader, job->run, 0, "its job is cancelled");
     for (guint i = 0; i < job->run->attempts->len; i++)
-        if (!only_ends(g_ptr_array_index(job->run->attempts, i)))
+        if (!can_only_end(g_ptr_array_index(job->run->attempts, i)))
             return false;
     return true;
 }
 
-void ow_leader_wake(struct ow_leader *leader)
+void ow_leader_request_cycle(struct ow_leader *leader)
 {
-    leader->pass.due = true;
+    leader->cycle.due = true;
 }
 
-static bool pass_is_due(const struct ow_leader *leader)
+static bool cycle_is_due(const struct ow_leader *leader)
 {
     double now = leader->core->now;
     /* A pass looks at every machine: in a large fleet passes are as much rarer as there are more machines. */
-    double gap_s = PASS_GAP_S * MAX(1, (double)leader->machines->len / PASS_MACHINES);
-    return (leader->pass.due && now >= leader->pass.last_at + gap_s) ||
-           now >= leader->pass.last_at + PASS_LEAST_S;
+    double gap_s = CYCLE_GAP_S * MAX(1, (double)leader->machines->len / CYCLE_GAP_MACHINES);
+    return (leader->cycle.due && now >= leader->cycle.last_at + gap_s) ||
+           now >= leader->cycle.last_at + CYCLE_INTERVAL_MAX_S;
 }
 
-static void run_pass(struct ow_leader *leader)
+static void run_cycle(struct ow_leader *leader)
 {
-    leader->pass.due = false;
-    leader->pass.last_at = leader->core->now;
+    leader->cycle.due = false;
+    leader->cycle.last_at = leader->core->now;
     ow_schedule_jobs(leader);
-    ow_schedule_pass(leader);
+    ow_schedule_cycle(leader);
     count_for_users(leader);
 }
 
@@ -254,10 +255,10 @@
     ask_types(leader);
     if (leader->phase != OW_LEADER_READY)
         return;
-    if (pass_is_due(leader))
-        run_pass(leader);
+    if (cycle_is_due(leader))
+        run_cycle(leader);
     if (now >= leader->periodic.health_check_at) {
-        leader->periodic.health_check_at = now + CARE_S;
+        leader->periodic.health_check_at = now + HEALTH_CHECK_INTERVAL_S;
         if (workers_lost(leader)) {
             ow_election_yield(leader->core->election, "no worker is heard any more");
             return;
--- a/src/core/leader_state.h
+++ b/src/core/leader_state.h
@@ -23,19 +23,20 @@
     double next_at;   /* no read or write before this time */
 };
 
-/* Sums and rights of teams, by name index: teams.c; `entitled` and `borrows` are set by each scheduling pass.
+/* Sums and rights of teams, by name index: teams.c; `entitled` and `borrows` are set by each scheduling
+ * cycle.
  */
 struct ow_team_state {
     struct ow_amounts *used; /* `count` of them, grown as teams come */
     guint count;
-    bool *entitled; /* ow_team_entitled() */
-    bool *borrows;  /* ow_team_borrows() */
+    bool *demand_guaranteed; /* ow_team_demand_is_guaranteed() */
+    bool *is_borrowing;      /* ow_team_is_borrowing() */
 };
 
-/* When the scheduling pass is due, and what it computes once for all jobs: schedule.c unless said otherwise.
+/* When the scheduling cycle is due, and what it computes once for all jobs: schedule.c unless said otherwise.
  */
-struct ow_pass_scratch {
-    bool due;             /* something has changed since the last pass */
+struct ow_cycle_scratch {
+    bool due;             /* something has changed since the last cycle */
     double last_at;       /* leader.c */
     GArray *image_demand; /* image_demand.c; by image */
     GArray *shortlists;   /* shortlist.c; by class */
@@ -70,7 +71,7 @@
 
 /* Notices of spot machines, and how long there were such machines, both fading: spot_risk.c. */
 struct ow_spot_risk {
-    double notices;
+    double reclaim_notices;
     double machine_s;
     double updated_at;
 };
@@ -102,7 +103,7 @@
     struct ow_recorder *recorder;
     GPtrArray *record_values; /* struct ow_record_value, owned: record_values.c */
 
-    struct ow_pass_scratch pass;
+    struct ow_cycle_scratch cycle;
     struct ow_cloud_polling cloud;
     struct ow_scale_out_state scale_out;
     struct ow_terminations terminations;
--- a/src/core/machines/headroom.c
+++ b/src/core/machines/headroom.c
@@ -22,7 +22,7 @@
     const struct ow_class *class = ow_class_of(leader->core, class_index);
     double fetch = type->fetch_gb_per_s > 0 ? class->image_gb / type->fetch_gb_per_s : 0;
     /* A class without aims has no promise to keep: no machine is kept idle for it. */
-    return ow_class_has_objective(leader->core, class_index) &&
+    return ow_class_has_slo(leader->core, class_index) &&
            ow_class_slack_s(leader->core, class_index) < START_BOOTS * type->boot_s + fetch + START_MARGIN_S;
 }
 
@@ -37,7 +37,7 @@
     /* What ordinary GPU machines have for it is what their GPUs leave over, as in placement. */
     struct ow_machine_type left = {.size = type->size};
     if (ow_instance_offers_is_wasteful(leader, type, class, machine->spot) && !machine->spot)
-        left.size.cpus = MAX(0, left.size.cpus - left.size.gpus * leader->pass.gpu_cpus);
+        left.size.cpus = MAX(0, left.size.cpus - left.size.gpus * leader->cycle.gpu_cpus);
     return ow_placement_slots_on_empty(&left, &class->need);
 }
 
--- a/src/core/machines/instance_offers.c
+++ b/src/core/machines/instance_offers.c
@@ -100,7 +100,7 @@
 {
     /* Less urgent work gets only what the GPUs leave over. */
     return improper(type, &class->need) &&
-           ((int)class->rank >= leader->pass.gpu_rank ||
+           ((int)class->rank >= leader->cycle.gpu_rank ||
             price_of(type, &class->need, spot) >
                 FAIR_PRICE * proper_price(leader, &class->need, class->types));
 }
--- a/src/core/machines/machine.h
+++ b/src/core/machines/machine.h
@@ -44,7 +44,7 @@
     uint64_t expired_incarnation; /* every incarnation up to this one is proven over */
     bool fenced; /* it has seen this leader's fencing token and accepts no older leader's commands */
     double fenced_at;
-    double reclaimed_at;           /* when the cloud takes it back, after a notice; 0: no notice */
+    double reclaim_at;             /* when the cloud takes it back, after a notice; 0: no notice */
     uint32_t heartbeat_generation; /* the leader's count of heartbeats at its newest one */
 
     /* Load: attempt.c, reconciliation.c and machine_registry.c. */
@@ -68,14 +68,14 @@
     const struct ow_job *failed_job; /* the last of them, not owned */
     unsigned quarantines;
     double quarantine_until;
-    double suspect_until; /* it has failed a job, and it is not known yet which of the two is at fault */
-    double slowness;      /* observed run time divided by the estimate; 1: as expected */
+    double probation_until; /* it has failed a job, and it is not known yet which of the two is at fault */
+    double slowness;        /* observed run time divided by the estimate; 1: as expected */
 
-    /* Scratch of the scheduling pass: schedule.c, gpu_reserve.c, array_preemption.c and reservation.c. */
+    /* Scratch of the scheduling cycle: schedule.c, gpu_reserve.c, array_preemption.c and reservation.c. */
     bool gpus_kept;                   /* waiting work needs its GPUs: other work stays off */
     struct ow_amounts held;           /* kept from every job behind in the queue */
     struct ow_amounts held_for_gangs; /* the same, but a gang that can start at once may take it */
-    unsigned holders;                 /* gangs with a hold on it; outlives the pass */
+    unsigned holders;                 /* gangs with a hold on it; outlives the cycle */
 };
 
 #endif
--- a/src/core/machines/machine_health.c
+++ b/src/core/machines/machine_health.c
@@ -19,7 +19,7 @@
 static const double COUNTED_UNRESPONSIVE_S = 5;
 /* How long a machine that failed a job is kept from it, and from every job until another job shows which of
    the two is at fault. */
-static const double BAD_S = 60, SUSPECT_S = 20;
+static const double FAILED_MACHINE_AVOIDANCE_S = 60, PROBATION_S = 20;
 /* A replica that has run for so long shows that its job is sound. */
 static const double PROVEN_S = 20;
 /* A machine that has not reported after so many boot times and so long is overdue; the boot time of an
@@ -30,7 +30,7 @@
 /* A machine whose reclaim time has passed is gone once it has been silent for so long. */
 static const double RECLAIMED_SILENT_S = 3;
 /* Beyond its save time: the least that must be left for a task to be stopped, and the most it is given. */
-static const double SAVE_MARGIN_S = 1, SAVE_GRACE_S = 2;
+static const double CHECKPOINT_MARGIN_S = 1, CHECKPOINT_GRACE_S = 2;
 /* Report intervals that a new leader waits before a silent machine counts as fallen silent. */
 static const double MISSED_HEARTBEATS = 2.5;
 enum { ERRORS_TO_QUARANTINE = 2, RUN_FAILURES = 3, UNRESPONSIVE_FEW = 2, SILENT_FEW = 3 };
@@ -39,7 +39,7 @@
    answered. Only answers of ours count once it has seen our fencing token: no older one is accepted. And that
    report was sent before the newest message came that we have of the incarnation: late copies renew nothing.
  */
-static void prove_by_lease(struct ow_leader *leader, struct ow_machine *machine)
+static void end_attempts_by_lease_expiry(struct ow_leader *leader, struct ow_machine *machine)
 {
     double lease = leader->core->settings->lease_s * (1 + DRIFT) + MARGIN_S;
     double last = MAX(machine->last_message_at, machine->fenced_at);
@@ -54,7 +54,7 @@
                        "its machine's lease has run out");
 }
 
-static bool overdue(const struct ow_leader *leader, const struct ow_machine *machine)
+static bool is_overdue(const struct ow_leader *leader, const struct ow_machine *machine)
 {
     const struct ow_machine_type *type = ow_machine_spec(leader, machine);
     double boot_s = type != NULL ? type->boot_s : UNKNOWN_BOOT_S;
@@ -63,18 +63,18 @@
 }
 
 /* A machine that sends nothing: deleting it is proof at once, and ends the rent. */
-static void delete_if_silent(struct ow_leader *leader, struct ow_machine *machine)
+static void terminate_if_silent(struct ow_leader *leader, struct ow_machine *machine)
 {
     double now = leader->core->now;
     double since = MAX(machine->last_message_at, leader->ready_at);
     if (machine->listed == OW_LISTED_FAILED)
         ow_fleet_terminate(leader, machine, "it has failed");
-    else if (machine->reclaimed_at > 0 && now > machine->reclaimed_at && now - since > RECLAIMED_SILENT_S)
+    else if (machine->reclaim_at > 0 && now > machine->reclaim_at && now - since > RECLAIMED_SILENT_S)
         ow_fleet_terminate(leader, machine, "it was taken back");
     else if (machine->last_message_at == 0 && machine->listed == OW_LISTED_NOT &&
              machine->attempts->len > 0 && now - since > UNKNOWN_S)
         ow_fleet_terminate(leader, machine, "its tasks are recorded, but nothing is heard or known of it");
-    else if (overdue(leader, machine) && now - leader->ready_at > OVERDUE_READY_S)
+    else if (is_overdue(leader, machine) && now - leader->ready_at > OVERDUE_READY_S)
         ow_fleet_terminate(leader, machine, "it does not come up");
     else if (machine->last_message_at != 0 &&
              now - MAX(MAX(machine->last_heartbeat_at, machine->met_at), leader->ready_at) >
@@ -96,7 +96,7 @@
 
 /* A machine that is unresponsive, whether or not it reports: reports alone are no sign of health. Its tasks
    have ended with its lease, unless an older leader renews it: waiting gains nothing. */
-static void delete_if_unresponsive(struct ow_leader *leader, struct ow_machine *machine)
+static void terminate_if_unresponsive(struct ow_leader *leader, struct ow_machine *machine)
 {
     double unresponsive = unresponsive_s(leader, machine);
     double lease_s = leader->core->settings->lease_s;
@@ -116,7 +116,7 @@
     return false;
 }
 
-static bool fallen_silent(const struct ow_leader *leader, const struct ow_machine *machine)
+static bool has_fallen_silent(const struct ow_leader *leader, const struct ow_machine *machine)
 {
     return machine->fenced && machine->last_message_at > 0 && !ow_machine_heard_recently(leader, machine);
 }
@@ -124,24 +124,24 @@
 /* A machine that alone has fallen silent has hardly been cut off: its replicas serve nobody, and a deletion
    proves them gone long before its lease does. Where many are silent at once they may serve on behind a cut
    that heals. */
-static bool few_silent(const struct ow_leader *leader)
+static bool silent_machines_are_few(const struct ow_leader *leader)
 {
     unsigned silent = 0;
     for (guint i = 0; i < leader->machines->len; i++)
-        silent += fallen_silent(leader, g_ptr_array_index(leader->machines, i)) ? 1 : 0;
+        silent += has_fallen_silent(leader, g_ptr_array_index(leader->machines, i)) ? 1 : 0;
     return silent <= SILENT_FEW;
 }
 
-static void delete_for_replicas(struct ow_leader *leader, struct ow_machine *machine)
+static void terminate_for_replicas(struct ow_leader *leader, struct ow_machine *machine)
 {
-    if (fallen_silent(leader, machine) && machine->unanswered_since > 0 && has_replicas(machine) &&
+    if (has_fallen_silent(leader, machine) && machine->unanswered_since > 0 && has_replicas(machine) &&
         leader->core->now - leader->ready_at >
             MISSED_HEARTBEATS * leader->core->settings->heartbeat_interval_s)
         ow_fleet_terminate(leader, machine, "it is silent, and services miss their replicas");
 }
 
 /* Where many machines are unresponsive the fault is hardly theirs. */
-static bool few_unresponsive(const struct ow_leader *leader)
+static bool unresponsive_machines_are_few(const struct ow_leader *leader)
 {
     unsigned unresponsive = 0;
     for (guint i = 0; i < leader->machines->len; i++)
@@ -169,18 +169,18 @@
     }
 }
 
-static void drain_noticed(struct ow_leader *leader, struct ow_machine *machine)
+static void checkpoint_before_reclaim(struct ow_leader *leader, struct ow_machine *machine)
 {
-    double left_s = machine->reclaimed_at - leader->core->now;
+    double left_s = machine->reclaim_at - leader->core->now;
     for (guint i = machine->attempts->len; i > 0; i--) {
         if (i > machine->attempts->len)
             continue;
         struct ow_attempt *attempt = g_ptr_array_index(machine->attempts, i - 1);
         const struct ow_submission *submission = attempt->job->spec->submission;
-        if (submission->kind == OW_KIND_SERVICE || submission->checkpoint_s <= 0 ||
-            left_s < submission->save_s + SAVE_MARGIN_S || attempt->stop)
+        if (submission->kind == OW_KIND_SERVICE || submission->checkpoint_interval_s <= 0 ||
+            left_s < submission->checkpoint_duration_s + CHECKPOINT_MARGIN_S || attempt->stop)
             continue;
-        double grace = MIN(left_s, submission->save_s + SAVE_GRACE_S);
+        double grace = MIN(left_s, submission->checkpoint_duration_s + CHECKPOINT_GRACE_S);
         if (submission->gang)
             ow_run_stop(leader, attempt->job->run, grace, "its machine is taken back");
         else
@@ -195,52 +195,52 @@
         return false;
     if (!machine->fenced || machine->unanswered_since > 0)
         return true;
-    return fallen_silent(leader, machine) && has_replicas(machine);
+    return has_fallen_silent(leader, machine) && has_replicas(machine);
 }
 
 void ow_machine_health_tick(struct ow_leader *leader)
 {
-    bool return_unresponsive = few_unresponsive(leader);
-    bool return_silent = few_silent(leader);
+    bool terminate_unresponsive = unresponsive_machines_are_few(leader);
+    bool terminate_silent = silent_machines_are_few(leader);
     ow_service_moves_tick(leader);
     ow_spot_risk_tick(leader);
     for (guint i = leader->machines->len; i > 0; i--) {
         if (i > leader->machines->len)
             continue;
         struct ow_machine *machine = g_ptr_array_index(leader->machines, i - 1);
-        prove_by_lease(leader, machine);
-        if (machine->reclaimed_at > 0)
-            drain_noticed(leader, machine);
+        end_attempts_by_lease_expiry(leader, machine);
+        if (machine->reclaim_at > 0)
+            checkpoint_before_reclaim(leader, machine);
         if (needs_direct_call(leader, machine))
             ow_worker_commands_want(leader, machine);
         /* A faulty machine is given back; a sound one is provisioned in its place if it is missed. */
         if (leader->core->now < machine->quarantine_until && machine->attempts->len == 0)
             ow_fleet_terminate(leader, machine, "it is faulty");
         enforce_cancellations(leader, machine);
-        delete_if_silent(leader, machine);
-        if (return_silent)
-            delete_for_replicas(leader, machine);
-        if (return_unresponsive)
-            delete_if_unresponsive(leader, machine);
+        terminate_if_silent(leader, machine);
+        if (terminate_silent)
+            terminate_for_replicas(leader, machine);
+        if (terminate_unresponsive)
+            terminate_if_unresponsive(leader, machine);
     }
 }
 
-static void clear_suspicion(const struct ow_run *run)
+static void end_probation(const struct ow_run *run)
 {
     GHashTableIter iter;
     void *machine;
-    g_hash_table_iter_init(&iter, run->bad_machines);
+    g_hash_table_iter_init(&iter, run->failed_machines);
     while (g_hash_table_iter_next(&iter, &machine, NULL))
-        ((struct ow_machine *)machine)->suspect_until = 0;
+        ((struct ow_machine *)machine)->probation_until = 0;
 }
 
 void ow_machine_health_avoid(struct ow_leader *leader, struct ow_machine *machine, struct ow_run *run)
 {
     /* For a while only: a job must not run out of machines because each of them failed it once. */
-    if (leader->core->now > run->bad_until)
-        g_hash_table_remove_all(run->bad_machines);
-    run->bad_until = leader->core->now + BAD_S;
-    g_hash_table_add(run->bad_machines, machine);
+    if (leader->core->now > run->failed_machines_until)
+        g_hash_table_remove_all(run->failed_machines);
+    run->failed_machines_until = leader->core->now + FAILED_MACHINE_AVOIDANCE_S;
+    g_hash_table_add(run->failed_machines, machine);
 }
 
 /* Whether a replica of the service has served for a while: the job is sound, and what fails is the machines.
@@ -265,7 +265,7 @@
     if (proven)
         run->failures = 0;
     run->failures = MIN(run->failures + 1, 1000);
-    guint bad = g_hash_table_size(run->bad_machines);
+    guint bad = g_hash_table_size(run->failed_machines);
     if (bad >= RUN_FAILURES) {
         /* It fails wherever it goes: the job is at fault, not the machines. */
         double pause = MIN(60, 5 << MIN(run->failures / 4, 4));
@@ -274,15 +274,15 @@
         run->ready_at = MAX(run->ready_at, now + pause);
         /* Of a proven service the machines are at fault: it must not go back to them at once. */
         if (!proven) {
-            clear_suspicion(run);
-            g_hash_table_remove_all(run->bad_machines);
+            end_probation(run);
+            g_hash_table_remove_all(run->failed_machines);
             return;
         }
     }
     /* A job with many tasks proves no more against a machine than one with a single task. */
     machine->errors += machine->failed_job != run->job ? 1 : 0;
     machine->failed_job = run->job;
-    machine->suspect_until = now + SUSPECT_S;
+    machine->probation_until = now + PROBATION_S;
     if (machine->errors < ERRORS_TO_QUARANTINE || now < machine->quarantine_until)
         return;
     double pause = MIN(240, 30 << MIN(machine->quarantines, 3));
--- a/src/core/machines/machine_registry.c
+++ b/src/core/machines/machine_registry.c
@@ -67,13 +67,13 @@
         ow_attempt_end(leader, g_ptr_array_index(machine->attempts, 0), OW_CAUSE_NONE, proof);
     for (guint i = 0; i < leader->runs->len; i++) {
         struct ow_run *run = g_ptr_array_index(leader->runs, i);
-        g_hash_table_remove(run->bad_machines, machine);
+        g_hash_table_remove(run->failed_machines, machine);
         ow_reservation_forget(run->reservation, machine);
     }
     ow_worker_commands_forget(leader, machine);
     g_hash_table_remove(leader->machines_by_name, machine->name);
     g_ptr_array_remove_fast(leader->machines, machine);
-    leader->pass.due = true;
+    leader->cycle.due = true;
 }
 
 bool ow_machine_heard_recently(const struct ow_leader *leader, const struct ow_machine *machine)
@@ -98,8 +98,8 @@
     return machine->fenced && machine->incarnation > machine->expired_incarnation &&
            ow_machine_spec(leader, machine) != NULL && machine->addr != NULL &&
            ow_machine_heard_recently(leader, machine) && !ow_machine_is_silent(leader, machine) &&
-           machine->unanswered_since == 0 && machine->reclaimed_at == 0 && !machine->terminating &&
-           now >= MAX(machine->quarantine_until, machine->suspect_until);
+           machine->unanswered_since == 0 && machine->reclaim_at == 0 && !machine->terminating &&
+           now >= MAX(machine->quarantine_until, machine->probation_until);
 }
 
 bool ow_machine_has_unacknowledged_launch(const struct ow_machine *machine, const struct ow_job *job,
--- a/src/core/machines/reconciliation.c
+++ b/src/core/machines/reconciliation.c
@@ -175,22 +175,24 @@
     }
 }
 
-static void note_notice(struct ow_leader *leader, const struct ow_machine *machine, double notice_s)
+static void log_reclaim_notice(struct ow_leader *leader, const struct ow_machine *machine,
+                               double reclaim_notice_s)
 {
-    g_info("machine %s is taken back by the cloud in %.1f s", machine->name, notice_s);
+    g_info("machine %s is taken back by the cloud in %.1f s", machine->name, reclaim_notice_s);
     if (machine->spot)
-        ow_spot_risk_note_notice(leader);
+        ow_spot_risk_observe_reclaim_notice(leader);
 }
 
-static void apply_reclaim_notice(struct ow_leader *leader, struct ow_machine *machine, double notice_s)
+static void apply_reclaim_notice(struct ow_leader *leader, struct ow_machine *machine,
+                                 double reclaim_notice_s)
 {
-    if (notice_s < 0) {
-        machine->reclaimed_at = 0;
+    if (reclaim_notice_s < 0) {
+        machine->reclaim_at = 0;
         return;
     }
-    if (machine->reclaimed_at == 0)
-        note_notice(leader, machine, notice_s);
-    machine->reclaimed_at = leader->core->now + notice_s;
+    if (machine->reclaim_at == 0)
+        log_reclaim_notice(leader, machine, reclaim_notice_s);
+    machine->reclaim_at = leader->core->now + reclaim_notice_s;
 }
 
 /* What a heartbeat says of its machine whichever leader's commands it accepts. A incarnation that has ended
@@ -215,7 +217,7 @@
     machine->fenced = true;
     machine->fenced_at = machine->idle_since = leader->core->now;
     machine->unanswered_since = 0;
-    leader->pass.due = true;
+    leader->cycle.due = true;
     g_info("machine %s reports, session %" G_GUINT64_FORMAT, machine->name, machine->incarnation);
 }
 
@@ -255,7 +257,7 @@
         note_fenced(leader, machine);
     machine->heartbeat_generation = ++leader->heartbeat_generation;
     machine->unknown_tasks_use = (struct ow_amounts){0};
-    apply_reclaim_notice(leader, machine, heartbeat->notice_s);
+    apply_reclaim_notice(leader, machine, heartbeat->reclaim_notice_s);
     for (guint i = 0; i < heartbeat->tasks->len; i++)
         apply_task_status(leader, machine, &g_array_index(heartbeat->tasks, struct ow_task_status, i),
                           commands);
--- a/src/core/machines/scale_out.c
+++ b/src/core/machines/scale_out.c
@@ -100,16 +100,16 @@
     if (type == NULL || !ow_placement_is_allowed(leader, spec, machine))
         return 0;
     if (spec->submission->need.gpus <= 0)
-        return MAX(0, type->size.cpus - type->size.gpus * leader->pass.gpu_cpus);
+        return MAX(0, type->size.cpus - type->size.gpus * leader->cycle.gpu_cpus);
     double cpus = type->size.cpus;
     for (guint i = 0; machine->attempts != NULL && i < machine->attempts->len; i++) {
         const struct ow_attempt *attempt = g_ptr_array_index(machine->attempts, i);
         if (attempt->job->spec->submission->need.gpus <= 0)
             cpus -= attempt->job->spec->submission->need.cpus;
     }
-    if (leader->pass.gpu_cpus <= 0)
+    if (leader->cycle.gpu_cpus <= 0)
         return type->size.gpus;
-    return MIN(type->size.gpus, MAX(0, cpus) / leader->pass.gpu_cpus);
+    return MIN(type->size.gpus, MAX(0, cpus) / leader->cycle.gpu_cpus);
 }
 
 static double supply_for(const struct ow_leader *leader, const struct ow_spec *spec, GArray *supplies)
--- a/src/core/machines/spot_risk.c
+++ b/src/core/machines/spot_risk.c
@@ -8,12 +8,12 @@
 /* Time constant with which what was seen loses its weight. */
 static const double MEMORY_S = 180;
 /* What is assumed beside what was seen: one notice in so many machine seconds. */
-static const double ASSUMED_NOTICES = 1;
+static const double ASSUMED_RECLAIM_NOTICES = 1;
 static const double ASSUMED_MACHINE_S = 1800;
 
-void ow_spot_risk_note_notice(struct ow_leader *leader)
+void ow_spot_risk_observe_reclaim_notice(struct ow_leader *leader)
 {
-    leader->spot_risk.notices += 1;
+    leader->spot_risk.reclaim_notices += 1;
 }
 
 void ow_spot_risk_tick(struct ow_leader *leader)
@@ -27,7 +27,7 @@
         const struct ow_machine *machine = g_ptr_array_index(leader->machines, i);
         machines += machine->spot && machine->last_message_at > 0 ? 1 : 0;
     }
-    risk->notices *= weight;
+    risk->reclaim_notices *= weight;
     risk->machine_s = risk->machine_s * weight + machines * passed_s;
     risk->updated_at = now;
 }
@@ -35,6 +35,6 @@
 double ow_spot_risk_within(const struct ow_leader *leader, double seconds)
 {
     const struct ow_spot_risk *risk = &leader->spot_risk;
-    double rate = (risk->notices + ASSUMED_NOTICES) / (risk->machine_s + ASSUMED_MACHINE_S);
+    double rate = (risk->reclaim_notices + ASSUMED_RECLAIM_NOTICES) / (risk->machine_s + ASSUMED_MACHINE_S);
     return 1 - exp(-rate * MAX(0, seconds));
 }
--- a/src/core/machines/spot_risk.h
+++ b/src/core/machines/spot_risk.h
@@ -5,7 +5,7 @@
 struct ow_leader;
 
 /* A spot machine has got notice. */
-void ow_spot_risk_note_notice(struct ow_leader *leader);
+void ow_spot_risk_observe_reclaim_notice(struct ow_leader *leader);
 /* Takes in how many spot machines there are; to be called a few times a second. */
 void ow_spot_risk_tick(struct ow_leader *leader);
 /* The probability that a spot machine is taken back within `seconds`. */
--- a/src/core/records/failover.c
+++ b/src/core/records/failover.c
@@ -189,7 +189,7 @@
     take_loaded(leader);
     leader->phase = OW_LEADER_READY;
     leader->ready_at = leader->core->now;
-    leader->pass.due = true;
+    leader->cycle.due = true;
     use_hints(leader);
     /* Fencing: a worker that has seen our fencing token heeds no older leader any more. */
     ow_worker_commands_want_all(leader);
--- a/src/core/records/transaction_reply.c
+++ b/src/core/records/transaction_reply.c
@@ -129,7 +129,7 @@
     if (leader == NULL || leader->fencing_token != *fencing_token)
         return;
     leader->recorder->version_checks--;
-    leader->pass.due = true;
+    leader->cycle.due = true;
 }
 
 /* Learns the version of a record that was not as the transaction expected. */
@@ -167,8 +167,8 @@
         if (write->kind == OW_WRITE_RECORD_VALUE) {
             requeue_record_value(leader, write);
         } else if (write->run != NULL) {
-            write->run->finishing = false; /* the scheduling pass finishes it again, if it is still over */
-            leader->pass.due = true;
+            write->run->finishing = false; /* the scheduling cycle finishes it again, if it is still over */
+            leader->cycle.due = true;
         }
     }
     g_ptr_array_free(sent, TRUE);
--- a/src/core/run.c
+++ b/src/core/run.c
@@ -8,17 +8,17 @@
 #include "core/scheduling/reservation.h"
 #include "core/teams.h"
 
-/* An entitled team waits for capacity to come free by itself for this share of what its objectives leave,
-   before others are stopped for it: stopped work is lost work. */
+/* An team with a guarantee for all its demand waits for capacity to come free by itself for this share of
+   what its SLOs leave, before others are stopped for it: stopped work is lost work. */
 static const double CLAIM_SHARE = 0.6;
 
 bool ow_run_claims(const struct ow_leader *leader, const struct ow_run *run)
 {
     const struct ow_spec *spec = run->job->spec;
     double patience_s = CLAIM_SHARE * ow_deadline_slack_s(leader, run);
-    if (!leader->teams.entitled[spec->team])
+    if (!leader->teams.demand_guaranteed[spec->team])
         return false;
-    if (!ow_team_covers(leader, spec->team, &spec->submission->need))
+    if (!ow_team_has_guarantee_for(leader, spec->team, &spec->submission->need))
         return false;
     return leader->core->now - run->accepted_at > patience_s;
 }
@@ -44,11 +44,11 @@
     run->tasks = g_new0(struct ow_task, run->count);
     run->attempts = g_ptr_array_new();
     ow_run_divide(run, ow_record_values_chunk_tasks(leader));
-    run->bad_machines = g_hash_table_new(NULL, NULL);
+    run->failed_machines = g_hash_table_new(NULL, NULL);
     ow_class_observe_job(leader->core, job->spec, job->accepted_at);
     job->run = run;
     g_ptr_array_add(leader->runs, run);
-    leader->pass.due = true;
+    leader->cycle.due = true;
     return run;
 }
 
@@ -60,7 +60,7 @@
     for (guint i = run->attempts->len; i > 0; i--)
         ow_attempt_unload(leader, g_ptr_array_index(run->attempts, i - 1));
     g_ptr_array_free(run->attempts, TRUE);
-    g_hash_table_destroy(run->bad_machines);
+    g_hash_table_destroy(run->failed_machines);
     g_free(run->chunks);
     g_free(run->tasks);
     g_ptr_array_remove_fast(leader->runs, run);
--- a/src/core/run.h
+++ b/src/core/run.h
@@ -36,14 +36,14 @@
     uint32_t chunk_tasks;               /* of each chunk but the last */
     uint32_t cursor;                    /* no pending task below it */
     bool finishing;                     /* its last record is queued or under way */
-    bool aged;                          /* it is old, begun or not; set by each scheduling pass */
-    bool starves;                       /* nothing of it starts for too long; set by each scheduling pass */
+    bool aged;                          /* it is old, begun or not; set by each scheduling cycle */
+    bool starves;                       /* nothing of it starts for too long; set by each scheduling cycle */
     double ready_at;                    /* not to be started before */
     double missing_since;               /* a task of it waits since then; 0: none does */
     double separate_at;                 /* service_service_moves.c: when its replicas are next looked at */
     unsigned failures;                  /* in a row, on several machines */
-    double bad_until;                   /* when bad_machines expires */
-    GHashTable *bad_machines;           /* set of struct ow_machine * where a task of it failed */
+    double failed_machines_until;       /* when failed_machines expires */
+    GHashTable *failed_machines;        /* set of struct ow_machine * where a task of it failed */
     struct ow_reservation *reservation; /* of a waiting gang; owned by reservation.c; NULL: none */
     double accepted_at;                 /* when the job was accepted, by the steady clock */
 };
--- a/src/core/scheduling/array_preemption.h
+++ b/src/core/scheduling/array_preemption.h
@@ -5,7 +5,7 @@
 struct ow_leader;
 struct ow_run;
 
-/* Stops less urgent work for the run's waiting tasks, and holds that capacity for the rest of the pass; in
+/* Stops less urgent work for the run's waiting tasks, and holds that capacity for the rest of the cycle; in
    the next passes the job's rank keeps it. */
 void ow_array_preempt(struct ow_leader *leader, struct ow_run *run);
 
--- a/src/core/scheduling/array_start.c
+++ b/src/core/scheduling/array_start.c
@@ -51,7 +51,7 @@
 }
 
 /* A machine without the image is left alone while those that have it complete the work sooner, in `wait_s`,
-   than it could fetch the image, as long as the objectives of the class leave the time. */
+   than it could fetch the image, as long as the SLOs of the class leave the time. */
 static bool is_better_to_wait(struct ow_leader *leader, const struct ow_run *run,
                               const struct ow_machine *machine, double wait_s, bool starves)
 {
@@ -67,7 +67,7 @@
     double slack_s = ow_deadline_slack_s(leader, run);
     if (wait_s < fetch_s && waited_s < slack_s)
         return true;
-    /* A fetch that costs more than the work it serves is made only when the objectives need it, ... */
+    /* A fetch that costs more than the work it serves is made only when the SLOs need it, ... */
     if (fetch_s <= ow_class_run_s(leader->core, spec))
         return false;
     if (waited_s < IMAGE_PATIENCE * slack_s)
--- a/src/core/scheduling/classes.c
+++ b/src/core/scheduling/classes.c
@@ -1,4 +1,4 @@
-/* What has been observed of each class of jobs, and how long its objectives let it wait. */
+/* What has been observed of each class of jobs, and how long its SLOs let it wait. */
 #include "core/scheduling/classes.h"
 
 #include "core/core_state.h"
@@ -14,8 +14,8 @@
 static const double RATIO_MOST = 4;
 /* Weight of the newest job in the estimate of its class. */
 static const double ESTIMATE_WEIGHT = 0.2;
-/* The slack of a class without objectives. */
-static const double NO_OBJECTIVE_SLACK_S = 80;
+/* The slack of a class without SLOs. */
+static const double NO_SLO_SLACK_S = 80;
 /* Time constant with which the peak of a class decays. */
 static const double PEAK_DECAY_S = 150;
 /* Weight of the newest interval between two jobs of a class, and the interval assumed before the second. */
@@ -107,65 +107,61 @@
 double ow_class_slack_s(struct ow_core *core, int class_index)
 {
     const struct ow_class *class = ow_class_of(core, class_index);
-    /* A replica that does not run is an outage, whatever objectives are stated. */
+    /* A replica that does not run is an outage, whatever SLOs are stated. */
     if (class->service)
         return 0;
     const char *name = ow_names_text(core->names.classes, class_index);
     double slack = INFINITY;
-    for (guint i = 0; i < core->settings->objectives->len; i++) {
-        const struct ow_objective *objective =
-            &g_array_index(core->settings->objectives, struct ow_objective, i);
-        if (strcmp(objective->class_name, name) != 0)
+    for (guint i = 0; i < core->settings->slos->len; i++) {
+        const struct ow_slo *slo = &g_array_index(core->settings->slos, struct ow_slo, i);
+        if (strcmp(slo->class_name, name) != 0)
             continue;
-        /* The longer runs are the ones that decide whether the objective is met. */
+        /* The longer runs are the ones that decide whether the SLO is met. */
         double run_s = 0;
-        if (objective->kind == OW_OBJECTIVE_FINISHED)
+        if (slo->kind == OW_SLO_FINISHED)
             run_s = LONGER_RUN * class->estimate_s * class->ratio;
-        slack = MIN(slack, MAX(0, objective->within_s - run_s));
+        slack = MIN(slack, MAX(0, slo->within_s - run_s));
     }
-    return slack < INFINITY ? slack : NO_OBJECTIVE_SLACK_S;
+    return slack < INFINITY ? slack : NO_SLO_SLACK_S;
 }
 
-static bool is_start_objective(const struct ow_objective *objective, const char *class_name)
+static bool is_start_slo(const struct ow_slo *slo, const char *class_name)
 {
-    return objective->kind == OW_OBJECTIVE_WAIT && strcmp(objective->class_name, class_name) == 0;
+    return slo->kind == OW_SLO_WAIT && strcmp(slo->class_name, class_name) == 0;
 }
 
 unsigned ow_class_missed(struct ow_core *core, int class_index, double age_s)
 {
     const char *name = ow_names_text(core->names.classes, class_index);
     unsigned missed = 0;
-    for (guint i = 0; i < core->settings->objectives->len; i++) {
-        const struct ow_objective *objective =
-            &g_array_index(core->settings->objectives, struct ow_objective, i);
-        if (is_start_objective(objective, name) && age_s > objective->within_s)
+    for (guint i = 0; i < core->settings->slos->len; i++) {
+        const struct ow_slo *slo = &g_array_index(core->settings->slos, struct ow_slo, i);
+        if (is_start_slo(slo, name) && age_s > slo->within_s)
             missed++;
     }
     return missed;
 }
 
-double ow_class_next_start_objective_s(struct ow_core *core, int class_index, double age_s)
+double ow_class_next_start_slo_s(struct ow_core *core, int class_index, double age_s)
 {
     const char *name = ow_names_text(core->names.classes, class_index);
     double next_s = INFINITY;
-    for (guint i = 0; i < core->settings->objectives->len; i++) {
-        const struct ow_objective *objective =
-            &g_array_index(core->settings->objectives, struct ow_objective, i);
-        if (is_start_objective(objective, name) && objective->within_s > age_s)
-            next_s = MIN(next_s, objective->within_s);
+    for (guint i = 0; i < core->settings->slos->len; i++) {
+        const struct ow_slo *slo = &g_array_index(core->settings->slos, struct ow_slo, i);
+        if (is_start_slo(slo, name) && slo->within_s > age_s)
+            next_s = MIN(next_s, slo->within_s);
     }
     return next_s;
 }
 
-bool ow_class_has_objective(struct ow_core *core, int class_index)
+bool ow_class_has_slo(struct ow_core *core, int class_index)
 {
     if (ow_class_of(core, class_index)->service)
         return true;
     const char *name = ow_names_text(core->names.classes, class_index);
-    for (guint i = 0; i < core->settings->objectives->len; i++) {
-        const struct ow_objective *objective =
-            &g_array_index(core->settings->objectives, struct ow_objective, i);
-        if (strcmp(objective->class_name, name) == 0)
+    for (guint i = 0; i < core->settings->slos->len; i++) {
+        const struct ow_slo *slo = &g_array_index(core->settings->slos, struct ow_slo, i);
+        if (strcmp(slo->class_name, name) == 0)
             return true;
     }
     return false;
--- a/src/core/scheduling/classes.h
+++ b/src/core/scheduling/classes.h
@@ -1,4 +1,4 @@
-/* What has been observed of each class of jobs, and how long its objectives let it wait. */
+/* What has been observed of each class of jobs, and how long its SLOs let it wait. */
 #ifndef OW_CORE_SCHEDULING_CLASSES_H
 #define OW_CORE_SCHEDULING_CLASSES_H
 
@@ -33,14 +33,14 @@
 bool ow_class_is_quiet(struct ow_core *core, int class_index);
 /* How long a task of the job runs, the estimate corrected by the ratio of its class. */
 double ow_class_run_s(struct ow_core *core, const struct ow_spec *spec);
-/* How long a task of the class may wait for its start without missing an objective of its class. */
+/* How long a task of the class may wait for its start without missing an SLO of its class. */
 double ow_class_slack_s(struct ow_core *core, int class_index);
-/* The shortest objective for the start of a job of such an age that can still be met, in seconds from its
+/* The shortest SLO for the start of a job of such an age that can still be met, in seconds from its
    acceptance; INFINITY if there is none. */
-double ow_class_next_start_objective_s(struct ow_core *core, int class_index, double age_s);
-/* How many objectives for starting a job of such an age can no longer be met. */
+double ow_class_next_start_slo_s(struct ow_core *core, int class_index, double age_s);
+/* How many SLOs for starting a job of such an age can no longer be met. */
 unsigned ow_class_missed(struct ow_core *core, int class_index, double age_s);
-/* Whether the settings state an objective for the class; services always have one. */
-bool ow_class_has_objective(struct ow_core *core, int class_index);
+/* Whether the settings state an SLO for the class; services always have one. */
+bool ow_class_has_slo(struct ow_core *core, int class_index);
 
 #endif
--- a/src/core/scheduling/deadline.h
+++ b/src/core/scheduling/deadline.h
@@ -19,8 +19,8 @@
 /* How long after its acceptance a task of the run may start without the job missing its deadline; INFINITY
    without one. */
 double ow_deadline_latest_start_s(const struct ow_leader *leader, const struct ow_run *run);
-/* The same for the deadline and for the objectives of its class. Without either it is the slack of a class
-   without objectives. */
+/* The same for the deadline and for the SLOs of its class. Without either it is the slack of a class
+   without SLOs. */
 double ow_deadline_slack_s(const struct ow_leader *leader, const struct ow_run *run);
 
 #endif
--- a/src/core/scheduling/gang_turn.c
+++ b/src/core/scheduling/gang_turn.c
@@ -6,7 +6,7 @@
 
 #include <math.h>
 
-/* The share of an objective for its start after which a gang no longer lets others pass. */
+/* The share of an SLO for its start after which a gang no longer lets others pass. */
 static const double TURN_SHARE = 0.25;
 
 /* The gangs of a class: members that wait, and members that run or are about to. */
@@ -37,17 +37,17 @@
     return members.placed > 0 && members.waiting * run_s / members.placed < left_s;
 }
 
-/* Smaller gangs that fit pass a large one for as long as they come, and it would miss its objective although
+/* Smaller gangs that fit pass a large one for as long as they come, and it would miss its SLO although
    there is capacity for all. Once a quarter of its time is over, the first such gang in the queue keeps what
    it holds. Where not all can be in time, small ones still go first: more of them are. */
 bool ow_gang_turn_take(struct ow_leader *leader, const struct ow_run *run)
 {
     const struct ow_spec *spec = run->job->spec;
     double age_s = leader->core->now - run->accepted_at;
-    double objective_s = ow_class_next_start_objective_s(leader->core, spec->class_index, age_s);
-    if (leader->pass.turn_taken || objective_s == INFINITY || age_s < TURN_SHARE * objective_s)
+    double slo_s = ow_class_next_start_slo_s(leader->core, spec->class_index, age_s);
+    if (leader->cycle.turn_taken || slo_s == INFINITY || age_s < TURN_SHARE * slo_s)
         return false;
-    double left_s = objective_s - age_s - ow_image_slowest_fetch_seconds(leader, spec);
-    leader->pass.turn_taken = is_backlog_short(leader, run, left_s);
-    return leader->pass.turn_taken;
+    double left_s = slo_s - age_s - ow_image_slowest_fetch_seconds(leader, spec);
+    leader->cycle.turn_taken = is_backlog_short(leader, run, left_s);
+    return leader->cycle.turn_taken;
 }
--- a/src/core/scheduling/gpu_reserve.h
+++ b/src/core/scheduling/gpu_reserve.h
@@ -4,7 +4,7 @@
 
 struct ow_leader;
 
-/* Marks the machines whose GPUs are kept for GPU jobs in this scheduling pass (`gpus_kept`). */
+/* Marks the machines whose GPUs are kept for GPU jobs in this scheduling cycle (`gpus_kept`). */
 void ow_gpu_reserve_update(struct ow_leader *leader);
 
 #endif
--- a/src/core/scheduling/image_demand.c
+++ b/src/core/scheduling/image_demand.c
@@ -31,7 +31,7 @@
 
 static struct ow_image_demand *find_or_add(struct ow_leader *leader, int image)
 {
-    GArray *table = leader->pass.image_demand;
+    GArray *table = leader->cycle.image_demand;
     if (table->len <= (guint)image)
         g_array_set_size(table, (guint)image + 1);
     return &g_array_index(table, struct ow_image_demand, image);
@@ -70,7 +70,7 @@
 
 void ow_image_demand_update(struct ow_leader *leader)
 {
-    g_array_set_size(leader->pass.image_demand, 0);
+    g_array_set_size(leader->cycle.image_demand, 0);
     for (guint i = 0; i < leader->runs->len; i++)
         add_waiting_work(leader, g_ptr_array_index(leader->runs, i));
     for (guint i = 0; i < leader->machines->len; i++)
--- a/src/core/scheduling/image_demand.h
+++ b/src/core/scheduling/image_demand.h
@@ -4,7 +4,7 @@
 
 #include "core/run.h"
 
-/* The work that waits for an image and the slots where it is, computed once a pass. */
+/* The work that waits for an image and the slots where it is, computed once a cycle. */
 struct ow_image_demand {
     const struct ow_spec *spec; /* of one of the jobs that wait for it; NULL: none */
     double work_s;              /* seconds of waiting work */
@@ -13,7 +13,7 @@
 
 /* The empty table of a leader, by image index; freed with g_array_free(). */
 GArray *ow_image_demand_new_table(void);
-/* Begins a pass: computes the demand for each image. */
+/* Begins a cycle: computes the demand for each image. */
 void ow_image_demand_update(struct ow_leader *leader);
 /* The demand for the image. Valid until the next call. */
 const struct ow_image_demand *ow_image_demand_of(struct ow_leader *leader, int image);
--- a/src/core/scheduling/placement.c
+++ b/src/core/scheduling/placement.c
@@ -31,7 +31,8 @@
         return false;
     if (!ow_placement_is_allowed(leader, run->job->spec, machine))
         return false;
-    return leader->core->now > run->bad_until || !g_hash_table_contains(run->bad_machines, machine);
+    return leader->core->now > run->failed_machines_until ||
+           !g_hash_table_contains(run->failed_machines, machine);
 }
 
 /* How often `need` fits in `free`. */
@@ -61,10 +62,10 @@
 {
     if (submission->need.gpus > 0 || free_gpus <= 0)
         return 0;
-    bool urgent = (int)submission->rank < leader->pass.gpu_rank;
+    bool urgent = (int)submission->rank < leader->cycle.gpu_rank;
     if (!machine->gpus_kept && (!urgent || machine->spot))
         return 0;
-    return free_gpus * leader->pass.gpu_cpus;
+    return free_gpus * leader->cycle.gpu_cpus;
 }
 
 uint32_t ow_placement_slots_beside(const struct ow_leader *leader, const struct ow_spec *spec,
--- a/src/core/scheduling/placement_cost.c
+++ b/src/core/scheduling/placement_cost.c
@@ -16,7 +16,7 @@
 static const double SLOWNESS_TOLERANCE = 1.7;
 /* What missing a deadline counts, in seconds. */
 static const double DEADLINE_LOSS_S = 100;
-/* Work without objectives goes on expensive machines only after it has waited so long for cheap ones. */
+/* Work without SLOs goes on expensive machines only after it has waited so long for cheap ones. */
 static const double CHEAP_WAIT_S = 120;
 
 static bool class_allows_type(const struct ow_class *class, int type_index)
@@ -75,7 +75,7 @@
     cost += spec->submission->estimate_s * MAX(0, machine->slowness - SLOWNESS_TOLERANCE);
     /* Less urgent work gets only what GPUs leave over, which is nobody else's loss. */
     if (type->size.gpus > 0 && spec->submission->need.gpus <= 0 &&
-        (int)spec->submission->rank < leader->pass.gpu_rank)
+        (int)spec->submission->rank < leader->cycle.gpu_rank)
         cost += GPU_WASTE_S;
     if (is_wanted_by_gangs(leader, spec, machine, type))
         cost += GANG_DEMAND_S;
@@ -89,10 +89,10 @@
 bool ow_placement_waits_for_cheap(const struct ow_leader *leader, const struct ow_run *run)
 {
     const struct ow_spec *spec = run->job->spec;
-    /* More urgent work waits for no rent, whether or not anybody has set an objective for it. */
+    /* More urgent work waits for no rent, whether or not anybody has set an SLO for it. */
     if (!spec->submission->spot || spec->submission->rank != OW_RANK_LOW)
         return false;
-    if (ow_class_has_objective(leader->core, spec->class_index) || run->starves || run->aged)
+    if (ow_class_has_slo(leader->core, spec->class_index) || run->starves || run->aged)
         return false;
     /* The age of the job does not count: when every controller has restarted all jobs may be old, and would
        go on expensive machines at once; but what has waited too long goes there however often they restart.
@@ -100,7 +100,7 @@
     return leader->core->now - run->job->first_seen_at < CHEAP_WAIT_S;
 }
 
-/* Whether the class has an objective and makes proper use of machines of the type. */
+/* Whether the class has an SLO and makes proper use of machines of the type. */
 static bool is_of_use_to_class(const struct ow_leader *leader, int class_index, int type_index,
                                const struct ow_machine_type *type)
 {
@@ -111,7 +111,7 @@
         return false;
     if (type->size.gpus > 0 && class->need.gpus <= 0)
         return false;
-    return ow_class_has_objective(leader->core, class_index);
+    return ow_class_has_slo(leader->core, class_index);
 }
 
 bool ow_placement_is_expensive(const struct ow_leader *leader, const struct ow_machine *machine)
@@ -119,7 +119,7 @@
     const struct ow_machine_type *type = ow_machine_spec(leader, machine);
     if (machine->spot || type->spot_price <= 0 || type->spot_price >= type->price)
         return false;
-    if (leader->core->settings->objectives->len == 0)
+    if (leader->core->settings->slos->len == 0)
         return false;
     for (guint i = 0; i < leader->core->classes->len; i++) {
         if (is_of_use_to_class(leader, (int)i, machine->type, type))
--- a/src/core/scheduling/placement_cost.h
+++ b/src/core/scheduling/placement_cost.h
@@ -9,8 +9,8 @@
                          const struct ow_machine *machine);
 /* Whether the run's tasks wait for cheap machines for now. */
 bool ow_placement_waits_for_cheap(const struct ow_leader *leader, const struct ow_run *run);
-/* Whether classes have objectives, and none of them has proper use for such machines: they cost what work
-   without objectives is not worth while there are cheaper ones of their type. */
+/* Whether classes have SLOs, and none of them has proper use for such machines: they cost what work
+   without SLOs is not worth while there are cheaper ones of their type. */
 bool ow_placement_is_expensive(const struct ow_leader *leader, const struct ow_machine *machine);
 
 #endif
--- a/src/core/scheduling/preempt.c
+++ b/src/core/scheduling/preempt.c
@@ -31,9 +31,9 @@
     if (other->submission->rank > spec->submission->rank)
         return true;
     return other->submission->rank == spec->submission->rank && other->team != spec->team &&
-           leader->teams.entitled[spec->team] && leader->teams.borrows[other->team] &&
-           ow_team_covers(leader, spec->team, &spec->submission->need) &&
-           ow_team_covers(leader, other->team, &other->submission->need);
+           leader->teams.demand_guaranteed[spec->team] && leader->teams.is_borrowing[other->team] &&
+           ow_team_has_guarantee_for(leader, spec->team, &spec->submission->need) &&
+           ow_team_has_guarantee_for(leader, other->team, &other->submission->need);
 }
 
 /* Seconds of one task's work that stopping it now throws away. */
@@ -44,7 +44,7 @@
     if (attempt->running_at == 0)
         return leader->core->now - attempt->placed_at;
     double ran = leader->core->now - attempt->running_at;
-    return submission->checkpoint_s > 0 ? MIN(ran, submission->save_s) : ran;
+    return submission->checkpoint_interval_s > 0 ? MIN(ran, submission->checkpoint_duration_s) : ran;
 }
 
 /* The same, and what its deadline is worth if that is lost as well. */
@@ -73,8 +73,8 @@
 int ow_preempt_top_rank(const struct ow_leader *leader, const struct ow_spec *spec)
 {
     int rank = (int)spec->submission->rank;
-    bool entitled = leader->teams.entitled[spec->team];
-    if (entitled && ow_team_covers(leader, spec->team, &spec->submission->need))
+    bool demand_guaranteed = leader->teams.demand_guaranteed[spec->team];
+    if (demand_guaranteed && ow_team_has_guarantee_for(leader, spec->team, &spec->submission->need))
         return rank;
     return rank + 1;
 }
@@ -185,7 +185,8 @@
     for (guint i = 0; i < victims->len; i++) {
         struct ow_attempt *attempt = g_array_index(victims, struct victim, i).attempt;
         const struct ow_submission *submission = attempt->job->spec->submission;
-        double grace = submission->checkpoint_s > 0 ? submission->save_s + GRACE_MARGIN_S : 0;
+        double grace =
+            submission->checkpoint_interval_s > 0 ? submission->checkpoint_duration_s + GRACE_MARGIN_S : 0;
         /* The tasks of a gang stop in one round, or their saving fails. One stopped before may have ended
            another that was chosen, too. */
         if (submission->gang) {
--- a/src/core/scheduling/queue.c
+++ b/src/core/scheduling/queue.c
@@ -32,9 +32,9 @@
 struct queue_entry {
     struct ow_run *run;
     int rank;
-    bool borrowing;             /* beyond its team's guarantee */
-    unsigned missed_objectives; /* for its start */
-    double queue_time;          /* earlier goes first */
+    bool borrowing;       /* beyond its team's guarantee */
+    unsigned missed_slos; /* for its start */
+    double queue_time;    /* earlier goes first */
 };
 
 /* Total capacity of the usable machines. */
@@ -57,10 +57,10 @@
 static bool is_guaranteed(struct ow_leader *leader, const struct ow_run *run)
 {
     const struct ow_spec *spec = run->job->spec;
-    struct ow_amounts amounts = *ow_team_used(leader, spec->team);
+    struct ow_amounts amounts = *ow_team_usage(leader, spec->team);
     ow_amounts_add(&amounts, &spec->submission->need, ow_run_pending(run));
-    return ow_team_covers(leader, spec->team, &spec->submission->need) &&
-           ow_team_guarantees(leader, spec->team, &amounts);
+    return ow_team_has_guarantee_for(leader, spec->team, &spec->submission->need) &&
+           ow_team_guarantee_covers(leader, spec->team, &amounts);
 }
 
 static int compare_revisions(const struct ow_run *a, const struct ow_run *b)
@@ -79,8 +79,8 @@
     if (first->borrowing != second->borrowing)
         return first->borrowing ? 1 : -1;
     /* Who can still be in time goes before who can't any more. That is bounded: nobody starves. */
-    if (first->missed_objectives != second->missed_objectives)
-        return first->missed_objectives < second->missed_objectives ? -1 : 1;
+    if (first->missed_slos != second->missed_slos)
+        return first->missed_slos < second->missed_slos ? -1 : 1;
     if (first->queue_time != second->queue_time)
         return first->queue_time < second->queue_time ? -1 : 1;
     return compare_revisions(first->run, second->run);
@@ -146,7 +146,7 @@
     run->aged = age > AGED_S + MIN(run->job->spec->submission->deadline_s, DEADLINE_DELAY_LIMIT_S);
 }
 
-static unsigned missed_objectives(struct ow_leader *leader, const struct ow_run *run)
+static unsigned missed_slos(struct ow_leader *leader, const struct ow_run *run)
 {
     double age = leader->core->now - run->accepted_at;
     /* A service's age says nothing of how long its replica has been missed. */
@@ -185,7 +185,7 @@
             .run = run,
             .rank = ow_queue_rank(run),
             .borrowing = !is_guaranteed(leader, run),
-            .missed_objectives = missed_objectives(leader, run),
+            .missed_slos = missed_slos(leader, run),
             .queue_time = queue_time(leader, run, &capacity),
         };
         g_array_append_val(entries, entry);
--- a/src/core/scheduling/queue.h
+++ b/src/core/scheduling/queue.h
@@ -1,4 +1,4 @@
-/* The order in which waiting runs are considered: by rank, guarantees of teams, objectives and queue time. A
+/* The order in which waiting runs are considered: by rank, guarantees of teams, SLOs and queue time. A
  * run of which nothing has started for too long is promoted, so that none starves. */
 #ifndef OW_CORE_SCHEDULING_QUEUE_H
 #define OW_CORE_SCHEDULING_QUEUE_H
--- a/src/core/scheduling/reason.c
+++ b/src/core/scheduling/reason.c
@@ -9,7 +9,7 @@
 #include "core/scheduling/reservation.h"
 #include "core/teams.h"
 
-/* How many machines jobs with such demands allow: counted once a pass. */
+/* How many machines jobs with such demands allow: counted once a cycle. */
 struct allowance {
     uint64_t types;
     int zone;
@@ -26,8 +26,8 @@
 
 static struct allowance allowed_machines(struct ow_leader *leader, const struct ow_spec *spec)
 {
-    for (guint i = 0; i < leader->pass.allowances->len; i++) {
-        const struct allowance *allowance = &g_array_index(leader->pass.allowances, struct allowance, i);
+    for (guint i = 0; i < leader->cycle.allowances->len; i++) {
+        const struct allowance *allowance = &g_array_index(leader->cycle.allowances, struct allowance, i);
         if (allowance->types == spec->types && allowance->zone == spec->zone &&
             allowance->spot == spec->submission->spot)
             return *allowance;
@@ -43,7 +43,7 @@
         if (ow_machine_is_usable(leader, machine))
             count.usable++;
     }
-    g_array_append_val(leader->pass.allowances, count);
+    g_array_append_val(leader->cycle.allowances, count);
     return count;
 }
 
--- a/src/core/scheduling/reason.h
+++ b/src/core/scheduling/reason.h
@@ -7,7 +7,7 @@
 struct ow_leader;
 struct ow_run;
 
-/* The empty cache of a leader, of machine counts by demand; emptied at each pass, freed with
+/* The empty cache of a leader, of machine counts by demand; emptied at each cycle, freed with
    g_array_free(). */
 GArray *ow_reason_new_allowances(void);
 /* Sets the reason of the run's job, or clears it if no task waits. */
--- a/src/core/scheduling/reservation.c
+++ b/src/core/scheduling/reservation.c
@@ -99,7 +99,7 @@
 {
     for (guint i = reservation->holds->len; i > 0; i--) {
         double made_at = g_array_index(reservation->holds, struct ow_hold, i - 1).made_at;
-        if (leader->core->now - made_at >= leader->core->rules->hold_life_s)
+        if (leader->core->now - made_at >= leader->core->tuning->hold_life_s)
             drop_hold(reservation, i - 1);
     }
 }
@@ -143,7 +143,7 @@
 static void collect_candidates(const struct ow_leader *leader, struct ow_run *run, const GArray *candidates)
 {
     guint members = MIN(run->count, candidates->len);
-    guint limit = MIN(candidates->len, leader->core->rules->candidates);
+    guint limit = MIN(candidates->len, leader->core->tuning->candidates);
     for (guint member = 0; member < members; member++) {
         for (guint i = 0; i < limit; i++) {
             struct ow_machine *machine = g_array_index(candidates, struct ow_candidate, i).machine;
@@ -194,7 +194,7 @@
 {
     struct ow_reservation *reservation = run->reservation;
     double now = leader->core->now;
-    double limit_s = leader->core->rules->waiting_limit_s;
+    double limit_s = leader->core->tuning->waiting_limit_s;
     if (reservation->given_up || now - reservation->short_since <= limit_s)
         return;
     reservation->given_up = true;
@@ -209,7 +209,7 @@
 {
     struct ow_reservation *reservation = run->reservation;
     double now = leader->core->now;
-    if (now < reservation->opened_at + leader->core->rules->window_s) {
+    if (now < reservation->opened_at + leader->core->tuning->window_s) {
         hold_picks(leader, reservation, picks);
         collect_candidates(leader, run, candidates);
         return;
--- a/src/core/scheduling/schedule.c
+++ b/src/core/scheduling/schedule.c
@@ -1,4 +1,4 @@
-/* The scheduling pass: what is started or held for each waiting run, and the completion of jobs. */
+/* The scheduling cycle: what is started or held for each waiting run, and the completion of jobs. */
 #include "core/scheduling/schedule.h"
 #include "core/leader_state.h"
 #include "core/machines/machine.h"
@@ -43,21 +43,21 @@
         ow_recorder_finish(leader, run);
 }
 
-/* Takes a job that needs GPUs into what the pass knows of GPU jobs. */
+/* Takes a job that needs GPUs into what the cycle knows of GPU jobs. */
 static void observe_gpu_need(struct ow_leader *leader, const struct ow_submission *submission)
 {
     const struct ow_amounts *need = &submission->need;
     if (need->gpus <= 0)
         return;
-    leader->pass.gpu_cpus = MAX(leader->pass.gpu_cpus, need->cpus / need->gpus);
-    leader->pass.gpu_rank = MIN(leader->pass.gpu_rank, (int)submission->rank);
+    leader->cycle.gpu_cpus = MAX(leader->cycle.gpu_cpus, need->cpus / need->gpus);
+    leader->cycle.gpu_rank = MIN(leader->cycle.gpu_rank, (int)submission->rank);
 }
 
 void ow_schedule_jobs(struct ow_leader *leader)
 {
     const GPtrArray *open_jobs = ow_jobs_open(leader->core->jobs);
-    leader->pass.gpu_cpus = 0;
-    leader->pass.gpu_rank = OW_RANK_LOW;
+    leader->cycle.gpu_cpus = 0;
+    leader->cycle.gpu_rank = OW_RANK_LOW;
     /* From the end: a job that is closed leaves the array. */
     for (guint i = open_jobs->len; i > 0; i--) {
         struct ow_job *job = g_ptr_array_index(open_jobs, i - 1);
@@ -70,11 +70,11 @@
 static void update_teams(struct ow_leader *leader)
 {
     int count = ow_names_count(leader->core->names.teams);
-    leader->teams.entitled = g_renew(bool, leader->teams.entitled, count);
-    leader->teams.borrows = g_renew(bool, leader->teams.borrows, count);
+    leader->teams.demand_guaranteed = g_renew(bool, leader->teams.demand_guaranteed, count);
+    leader->teams.is_borrowing = g_renew(bool, leader->teams.is_borrowing, count);
     for (int team = 0; team < count; team++) {
-        leader->teams.entitled[team] = ow_team_entitled(leader, team);
-        leader->teams.borrows[team] = ow_team_borrows(leader, team);
+        leader->teams.demand_guaranteed[team] = ow_team_demand_is_guaranteed(leader, team);
+        leader->teams.is_borrowing[team] = ow_team_is_borrowing(leader, team);
     }
 }
 
@@ -97,15 +97,15 @@
     }
 }
 
-static void begin_pass(struct ow_leader *leader)
+static void begin_cycle(struct ow_leader *leader)
 {
     update_teams(leader);
     ow_gpu_reserve_update(leader);
     ow_image_demand_update(leader);
     clear_held(leader);
     ow_shortlists_begin(leader);
-    g_array_set_size(leader->pass.allowances, 0);
-    leader->pass.turn_taken = false;
+    g_array_set_size(leader->cycle.allowances, 0);
+    leader->cycle.turn_taken = false;
 }
 
 /* Starts what can be started of the run, and holds or makes capacity for the rest. */
@@ -134,9 +134,9 @@
     }
 }
 
-void ow_schedule_pass(struct ow_leader *leader)
+void ow_schedule_cycle(struct ow_leader *leader)
 {
-    begin_pass(leader);
+    begin_cycle(leader);
     GPtrArray *runs = ow_queue_sorted(leader);
     const struct ow_run *previous = NULL; /* the last run that was not promoted */
     for (guint i = 0; i < runs->len; i++) {
--- a/src/core/scheduling/schedule.h
+++ b/src/core/scheduling/schedule.h
@@ -1,4 +1,4 @@
-/* The scheduling pass: what is started or held for each waiting run, in the order of the queue. It also
+/* The scheduling cycle: what is started or held for each waiting run, in the order of the queue. It also
  * completes jobs whose tasks are over. */
 #ifndef OW_CORE_SCHEDULING_SCHEDULE_H
 #define OW_CORE_SCHEDULING_SCHEDULE_H
@@ -9,6 +9,6 @@
    jobs recorded. */
 void ow_schedule_jobs(struct ow_leader *leader);
 /* One pass over the queue. ow_schedule_jobs() must have been called in the same tick. */
-void ow_schedule_pass(struct ow_leader *leader);
+void ow_schedule_cycle(struct ow_leader *leader);
 
 #endif
--- a/src/core/scheduling/service_moves.c
+++ b/src/core/scheduling/service_moves.c
@@ -100,8 +100,8 @@
    known. */
 static double leaves_at(const struct ow_leader *leader, const struct ow_machine *machine)
 {
-    if (machine->reclaimed_at > 0)
-        return machine->reclaimed_at;
+    if (machine->reclaim_at > 0)
+        return machine->reclaim_at;
     if (!loses_its_lease(leader, machine))
         return 0;
     /* This leader may never have had a heartbeat of it: then there is no time that could be counted on. */
@@ -135,7 +135,7 @@
 {
     const struct ow_machine *machine = attempt->machine;
     const struct ow_machine_type *type = ow_machine_spec(leader, machine);
-    if (machine->reclaimed_at > 0)
+    if (machine->reclaim_at > 0)
         return true;
     if (type == NULL || type->fetch_gb_per_s <= 0)
         return false;
--- a/src/core/scheduling/shortlist.c
+++ b/src/core/scheduling/shortlist.c
@@ -1,6 +1,6 @@
 /* Candidate machines of a class: those with capacity for the least that any of its waiting tasks needs.
- * Listed once a pass, so that a pass costs machines times classes and not machines times waiting jobs.
- * Capacity only shrinks while a pass lasts; what a stop frees at once is found by the next one. */
+ * Listed once a cycle, so that a cycle costs machines times classes and not machines times waiting jobs.
+ * Capacity only shrinks while a cycle lasts; what a stop frees at once is found by the next one. */
 #include "core/scheduling/shortlist.h"
 #include "core/leader_state.h"
 #include "core/machines/machine.h"
@@ -34,9 +34,9 @@
 
 static struct shortlist *list_of(struct ow_leader *leader, int class_index)
 {
-    if (leader->pass.shortlists->len <= (guint)class_index)
-        g_array_set_size(leader->pass.shortlists, (guint)class_index + 1);
-    return &g_array_index(leader->pass.shortlists, struct shortlist, class_index);
+    if (leader->cycle.shortlists->len <= (guint)class_index)
+        g_array_set_size(leader->cycle.shortlists, (guint)class_index + 1);
+    return &g_array_index(leader->cycle.shortlists, struct shortlist, class_index);
 }
 
 /* Lowers the least needs of the class so that they cover the job, too. */
@@ -60,7 +60,7 @@
 
 void ow_shortlists_begin(struct ow_leader *leader)
 {
-    g_array_set_size(leader->pass.shortlists, 0);
+    g_array_set_size(leader->cycle.shortlists, 0);
     for (guint i = 0; i < leader->runs->len; i++) {
         const struct ow_run *run = g_ptr_array_index(leader->runs, i);
         if (ow_run_pending(run) > 0)
--- a/src/core/scheduling/shortlist.h
+++ b/src/core/scheduling/shortlist.h
@@ -1,5 +1,6 @@
 /* Shortlists: for each class, the machines with capacity for the least that any of its waiting tasks needs.
- * Each is computed at most once a pass, so that a pass costs machines times classes, not machines times jobs.
+ * Each is computed at most once a cycle, so that a cycle costs machines times classes, not machines times
+ * jobs.
  */
 #ifndef OW_CORE_SCHEDULING_SHORTLIST_H
 #define OW_CORE_SCHEDULING_SHORTLIST_H
@@ -10,9 +11,10 @@
 
 /* The empty lists of a leader, by class index; freed with g_array_free(). */
 GArray *ow_shortlists_new(void);
-/* Begins a pass: drops the lists of the previous one and notes what the waiting runs need. */
+/* Begins a cycle: drops the lists of the previous one and notes what the waiting runs need. */
 void ow_shortlists_begin(struct ow_leader *leader);
-/* Machines (struct ow_machine *) that may have capacity for a job of the class. Valid until the next pass. */
+/* Machines (struct ow_machine *) that may have capacity for a job of the class. Valid until the next cycle.
+ */
 const GPtrArray *ow_shortlist(struct ow_leader *leader, int class_index);
 /* The same, counting capacity that could be freed by stopping work. */
 const GPtrArray *ow_shortlist_with_preemption(struct ow_leader *leader, int class_index);
--- a/src/core/settings.c
+++ b/src/core/settings.c
@@ -1,8 +1,8 @@
 #include "core/settings.h"
 
-struct ow_rules ow_rules_default(void)
+struct ow_tuning ow_tuning_default(void)
 {
-    return (struct ow_rules){
+    return (struct ow_tuning){
         .window_s = 5,
         .hold_life_s = 10,
         .waiting_limit_s = 120,
--- a/src/core/settings.h
+++ b/src/core/settings.h
@@ -13,19 +13,19 @@
     double cpus, cpus_max, gpus, gpus_max; /* 0: none */
 };
 
-enum ow_objective_kind { OW_OBJECTIVE_WAIT, OW_OBJECTIVE_FINISHED, OW_OBJECTIVE_OTHER };
+enum ow_slo_kind { OW_SLO_WAIT, OW_SLO_FINISHED, OW_SLO_OTHER };
 
-struct ow_objective {
-    enum ow_objective_kind kind;
+struct ow_slo {
+    enum ow_slo_kind kind;
     char *class_name;
     double within_s, share;
 };
 
 struct ow_settings {
     char *controller_name, *zone, *front, *peer_listen, *cloud_endpoint, *store_endpoint;
-    GArray *peers;      /* struct ow_peer_settings */
-    GArray *teams;      /* struct ow_team_settings */
-    GArray *objectives; /* struct ow_objective */
+    GArray *peers; /* struct ow_peer_settings */
+    GArray *teams; /* struct ow_team_settings */
+    GArray *slos;  /* struct ow_slo */
     char **zones;
     double heartbeat_interval_s, lease_s, gang_wait_s, gang_peer_s, cancel_s;
     double store_rps, store_write_rps, value_kb;
@@ -41,7 +41,7 @@
 };
 
 /* The operators' own: starting values of the design, and how patient the service is. */
-struct ow_rules {
+struct ow_tuning {
     double window_s;        /* how long a gang collects holds at most (the paper's D_c) */
     double hold_life_s;     /* an unrenewed hold is dropped after it */
     double waiting_limit_s; /* a short gang's holds drop after it; its place stays */
@@ -49,6 +49,6 @@
     double leader_lease_s;  /* the life of the leader's lease in the key-value store */
 };
 
-struct ow_rules ow_rules_default(void);
+struct ow_tuning ow_tuning_default(void);
 
 #endif
--- a/src/core/teams.c
+++ b/src/core/teams.c
@@ -8,7 +8,7 @@
 /* Sums of fractions drift: so much more than a limit or guarantee still lies within it, in CPUs or GPUs. */
 static const double AMOUNT_TOLERANCE = 1e-6;
 
-struct ow_amounts *ow_team_used(struct ow_leader *leader, int team)
+struct ow_amounts *ow_team_usage(struct ow_leader *leader, int team)
 {
     guint wanted = (guint)team + 1;
     if (wanted > leader->teams.count) {
@@ -45,7 +45,7 @@
 
 uint32_t ow_team_admits(struct ow_leader *leader, const struct ow_spec *spec, uint32_t wanted)
 {
-    const struct ow_amounts *used = ow_team_used(leader, spec->team);
+    const struct ow_amounts *used = ow_team_usage(leader, spec->team);
     const struct ow_amounts *need = &spec->submission->need;
     const struct ow_team_settings *settings = ow_team_settings_of(leader, spec->team);
     if (settings == NULL)
@@ -68,7 +68,7 @@
     return settings->cpus > 0 && amounts->cpus > 0;
 }
 
-bool ow_team_guarantees(const struct ow_leader *leader, int team, const struct ow_amounts *amounts)
+bool ow_team_guarantee_covers(const struct ow_leader *leader, int team, const struct ow_amounts *amounts)
 {
     const struct ow_team_settings *settings = ow_team_settings_of(leader, team);
     if (settings == NULL || !has_guaranteed_resource(settings, amounts))
@@ -76,27 +76,27 @@
     return !exceeds(settings->gpus, amounts->gpus) && !exceeds(settings->cpus, amounts->cpus);
 }
 
-bool ow_team_covers(const struct ow_leader *leader, int team, const struct ow_amounts *need)
+bool ow_team_has_guarantee_for(const struct ow_leader *leader, int team, const struct ow_amounts *need)
 {
     const struct ow_team_settings *settings = ow_team_settings_of(leader, team);
     return settings != NULL && has_guaranteed_resource(settings, need);
 }
 
-bool ow_team_entitled(const struct ow_leader *leader, int team)
+bool ow_team_demand_is_guaranteed(const struct ow_leader *leader, int team)
 {
-    struct ow_amounts claims = {0};
+    struct ow_amounts demand = {0};
     for (guint i = 0; i < leader->runs->len; i++) {
         const struct ow_run *run = g_ptr_array_index(leader->runs, i);
         if (run->job->spec->team == team && !ow_job_over(run->job))
-            ow_amounts_add(&claims, &run->job->spec->submission->need, run->count - run->done);
+            ow_amounts_add(&demand, &run->job->spec->submission->need, run->count - run->done);
     }
-    return ow_team_guarantees(leader, team, &claims);
+    return ow_team_guarantee_covers(leader, team, &demand);
 }
 
-bool ow_team_borrows(struct ow_leader *leader, int team)
+bool ow_team_is_borrowing(struct ow_leader *leader, int team)
 {
     const struct ow_team_settings *settings = ow_team_settings_of(leader, team);
-    const struct ow_amounts *used = ow_team_used(leader, team);
+    const struct ow_amounts *used = ow_team_usage(leader, team);
     if (settings == NULL)
         return false;
     return exceeds(settings->gpus, used->gpus) || exceeds(settings->cpus, used->cpus);
--- a/src/core/teams.h
+++ b/src/core/teams.h
@@ -12,18 +12,18 @@
 /* The team's settings, owned by the settings, or NULL if they name no such team. */
 const struct ow_team_settings *ow_team_settings_of(const struct ow_leader *leader, int team);
 /* What the team's attempts use. Valid until the next call. */
-struct ow_amounts *ow_team_used(struct ow_leader *leader, int team);
+struct ow_amounts *ow_team_usage(struct ow_leader *leader, int team);
 /* Whether the amounts lie within what the team is guaranteed. A resource of which it is guaranteed none is
    left out; one that is guaranteed must be among them. */
-bool ow_team_guarantees(const struct ow_leader *leader, int team, const struct ow_amounts *amounts);
+bool ow_team_guarantee_covers(const struct ow_leader *leader, int team, const struct ow_amounts *amounts);
 /* Whether such tasks need anything of which the team is guaranteed some: only then guarantees concern them.
  */
-bool ow_team_covers(const struct ow_leader *leader, int team, const struct ow_amounts *need);
+bool ow_team_has_guarantee_for(const struct ow_leader *leader, int team, const struct ow_amounts *need);
 /* Whether all unfinished jobs of the team together fit within its guarantee: they need not wait for others.
  */
-bool ow_team_entitled(const struct ow_leader *leader, int team);
+bool ow_team_demand_is_guaranteed(const struct ow_leader *leader, int team);
 /* Whether the team uses more than its guarantee, which entitled teams may claim back. */
-bool ow_team_borrows(struct ow_leader *leader, int team);
+bool ow_team_is_borrowing(struct ow_leader *leader, int team);
 /* How many of `wanted` further tasks of a job its team's limit admits; 0 for a team without settings. */
 uint32_t ow_team_admits(struct ow_leader *leader, const struct ow_spec *spec, uint32_t wanted);
 
--- a/src/core/types.h
+++ b/src/core/types.h
@@ -36,14 +36,20 @@
     char **types; /* NULL: any */
     char *zone;   /* NULL: any */
     bool one_zone, spread, spot;
-    double estimate_s, checkpoint_s, save_s;
+    double estimate_s, checkpoint_interval_s, checkpoint_duration_s;
     double deadline_s; /* 0: none */
 };
 
 void ow_submission_free(struct ow_submission *submission);
 
 /* What a worker says of one task. */
-enum ow_phase { OW_PHASE_FETCHING, OW_PHASE_WAITING, OW_PHASE_RUNNING, OW_PHASE_SAVING, OW_PHASE_EXITED };
+enum ow_phase {
+    OW_PHASE_FETCHING,
+    OW_PHASE_WAITING,
+    OW_PHASE_RUNNING,
+    OW_PHASE_CHECKPOINTING,
+    OW_PHASE_EXITED
+};
 
 enum ow_cause {
     OW_CAUSE_NONE,
@@ -70,8 +76,8 @@
     char *machine, *addr, *type, *zone;
     bool spot;
     uint64_t incarnation, seq, fencing_token;
-    double notice_s; /* negative: none */
-    GArray *tasks;   /* struct ow_task_status */
+    double reclaim_notice_s; /* negative: none */
+    GArray *tasks;           /* struct ow_task_status */
 };
 
 void ow_heartbeat_free(struct ow_heartbeat *heartbeat);
--- a/src/io/daemon.c
+++ b/src/io/daemon.c
@@ -94,7 +94,7 @@
 }
 
 struct ow_daemon *ow_daemon_new(struct ow_loop *loop, const struct ow_settings *settings,
-                                const struct ow_rules *rules, const struct ow_sharding_settings *sharding,
+                                const struct ow_tuning *tuning, const struct ow_sharding_settings *sharding,
                                 char **fault)
 {
     struct ow_daemon *daemon = g_new0(struct ow_daemon, 1);
@@ -112,7 +112,7 @@
     daemon->server = ow_http_server_new(loop, &options, ow_incoming_handle, daemon);
     daemon->peers = ow_peer_links_new(loop, settings->peer_listen, take_peer, handle_peer_link_lost, daemon);
     daemon->client = ow_http_client_new(loop, daemon->client_sockets_least, ow_outgoing_take_reply, daemon);
-    daemon->manager = ow_shard_manager_new(settings, rules, sharding, ow_rng_nonce());
+    daemon->manager = ow_shard_manager_new(settings, tuning, sharding, ow_rng_nonce());
     ow_loop_on_wake(loop, handle_wake, daemon);
     if (daemon->server == NULL || daemon->peers == NULL) {
         *fault = g_strdup_printf("cannot listen on %s",
--- a/src/io/daemon.h
+++ b/src/io/daemon.h
@@ -9,7 +9,7 @@
 
 /* NULL if an address can't be listened on; *fault then says which (g_free). */
 struct ow_daemon *ow_daemon_new(struct ow_loop *loop, const struct ow_settings *settings,
-                                const struct ow_rules *rules, const struct ow_sharding_settings *sharding,
+                                const struct ow_tuning *tuning, const struct ow_sharding_settings *sharding,
                                 char **fault);
 void ow_daemon_free(struct ow_daemon *daemon);
 /* The round of the event loop (ow_round_fn): lets the core run and carries out its effects. `owner` is the
--- a/src/io/http_client.c
+++ b/src/io/http_client.c
@@ -21,7 +21,7 @@
     bool busy;
     uint64_t tag;
     double deadline; /* busy: of the request; idle: when to close */
-    bool overdue;    /* past its deadline, and its socket has been read since */
+    bool is_overdue; /* past its deadline, and its socket has been read since */
     struct ow_http_parser parser;
     GString *out;
     size_t sent;
@@ -215,7 +215,7 @@
     }
     ow_idle_connections_remove(client->idle, endpoint, connection);
     connection->busy = true;
-    connection->overdue = false;
+    connection->is_overdue = false;
     connection->tag = tag;
     connection->deadline = ow_loop_now(client->loop) + timeout_s;
     g_string_append_printf(connection->out, "%s %s HTTP/1.1\r\nHost: %s\r\n", method, path, endpoint);
@@ -286,12 +286,12 @@
         struct ow_client_connection *connection = g_ptr_array_index(client->connections, i - 1);
         if (now < connection->deadline)
             continue;
-        if (connection->overdue || !awaits_answer(connection)) {
+        if (connection->is_overdue || !awaits_answer(connection)) {
             fail(connection);
             continue;
         }
         /* We may be late, not the answer: what has come is taken in, and the next sweep looks again. */
-        connection->overdue = true;
+        connection->is_overdue = true;
         read_ready(connection);
     }
 }
--- a/src/main.c
+++ b/src/main.c
@@ -24,7 +24,7 @@
 /* Everything that the settings files say. */
 struct configuration {
     struct ow_settings *settings;
-    struct ow_rules rules;
+    struct ow_tuning tuning;
     struct ow_sharding_settings *sharding;
 };
 
@@ -36,7 +36,7 @@
         ow_net_set_source(configuration->settings->front);
     struct ow_loop *loop = ow_loop_new();
     struct ow_daemon *daemon =
-        ow_daemon_new(loop, configuration->settings, &configuration->rules, configuration->sharding, &fault);
+        ow_daemon_new(loop, configuration->settings, &configuration->tuning, configuration->sharding, &fault);
     if (daemon == NULL)
         return print_error(cmdline->config, fault);
     ow_loop_run(loop, ow_daemon_round, daemon);
@@ -47,10 +47,10 @@
 static char *load_operators(const char *path, struct configuration *configuration)
 {
     char *fault = NULL;
-    if (!ow_operators_load(path, &configuration->rules, configuration->sharding, &fault))
+    if (!ow_operators_load(path, &configuration->tuning, configuration->sharding, &fault))
         return fault;
     return ow_sharding_settings_check(configuration->sharding, configuration->settings,
-                                      &configuration->rules);
+                                      &configuration->tuning);
 }
 
 /* Checks the files, and serves unless only that is wanted. */
@@ -70,7 +70,7 @@
 {
     char *fault = NULL;
     struct configuration configuration = {.settings = ow_settings_load(cmdline->config, &fault),
-                                          .rules = ow_rules_default()};
+                                          .tuning = ow_tuning_default()};
     if (configuration.settings == NULL)
         return print_error(cmdline->config, fault);
     configuration.sharding = ow_sharding_settings_new();
--- a/src/sharding/handover.c
+++ b/src/sharding/handover.c
@@ -46,14 +46,14 @@
 {
     if (view->fencing_token != 0) {
         if (!view->records_read)
-            return OW_HANDOVER_CONDEMNED;
+            return OW_HANDOVER_KEY_TAKEN;
         return view->settled && view->fenced == view->machines ? OW_HANDOVER_SERVING : OW_HANDOVER_RECORDS;
     }
     if (view->leader_name != NULL) {
         bool suspected = view->leader != NULL && view->leader->state == OW_MEMBER_SUSPECTED;
         return suspected ? OW_HANDOVER_SUSPECTED : OW_HANDOVER_ELSEWHERE;
     }
-    return view->key_missing ? OW_HANDOVER_LEASE_GONE : OW_HANDOVER_UNKNOWN;
+    return view->key_missing ? OW_HANDOVER_LEASE_EXPIRED : OW_HANDOVER_UNKNOWN;
 }
 
 /* Why the phase is what it is (g_free). */
@@ -69,10 +69,10 @@
         return g_strdup_printf("%s leads", view->leader_name);
     case OW_HANDOVER_SUSPECTED:
         return g_strdup_printf("%s: %s", view->leader_name, view->leader->cause);
-    case OW_HANDOVER_LEASE_GONE:
+    case OW_HANDOVER_LEASE_EXPIRED:
         return was_led ? g_strdup_printf("the state service has removed the key of %s", from)
                        : g_strdup("nobody has led it yet, as far as this controller knows");
-    case OW_HANDOVER_CONDEMNED:
+    case OW_HANDOVER_KEY_TAKEN:
         return g_strdup_printf("token %" G_GUINT64_FORMAT " committed, led by %s before", view->fencing_token,
                                from);
     case OW_HANDOVER_RECORDS:
@@ -93,7 +93,7 @@
 
 static void note_fault(struct ow_handover *handover, enum ow_handover_phase phase, double now)
 {
-    bool leaderless = phase == OW_HANDOVER_SUSPECTED || phase == OW_HANDOVER_LEASE_GONE;
+    bool leaderless = phase == OW_HANDOVER_SUSPECTED || phase == OW_HANDOVER_LEASE_EXPIRED;
     if (leaderless && handover->fault_at <= 0)
         handover->fault_at = now;
     else if (phase == OW_HANDOVER_SERVING || phase == OW_HANDOVER_ELSEWHERE)
@@ -132,9 +132,9 @@
     const char *what = NULL;
     if (last->phase == OW_HANDOVER_SUSPECTED)
         what = "its controller does not answer";
-    else if (last->phase == OW_HANDOVER_LEASE_GONE)
+    else if (last->phase == OW_HANDOVER_LEASE_EXPIRED)
         what = "a new controller is being elected";
-    else if (last->phase == OW_HANDOVER_CONDEMNED)
+    else if (last->phase == OW_HANDOVER_KEY_TAKEN)
         what = "the new controller reads the records";
     if (what == NULL)
         return NULL;
--- a/src/sharding/handover.h
+++ b/src/sharding/handover.h
@@ -9,13 +9,13 @@
 #include <stdint.h>
 
 enum ow_handover_phase {
-    OW_HANDOVER_UNKNOWN,    /* this controller does not know yet who leads */
-    OW_HANDOVER_ELSEWHERE,  /* another controller leads */
-    OW_HANDOVER_SUSPECTED,  /* another one leads, and is suspected */
-    OW_HANDOVER_LEASE_GONE, /* the key-value store shows that nobody leads */
-    OW_HANDOVER_CONDEMNED,  /* our transaction has committed: its leader is deposed, we lead */
-    OW_HANDOVER_RECORDS,    /* we lead, and have read the records */
-    OW_HANDOVER_SERVING,    /* we lead, and every machine that reports has seen our fencing token */
+    OW_HANDOVER_UNKNOWN,       /* this controller does not know yet who leads */
+    OW_HANDOVER_ELSEWHERE,     /* another controller leads */
+    OW_HANDOVER_SUSPECTED,     /* another one leads, and is suspected */
+    OW_HANDOVER_LEASE_EXPIRED, /* the key-value store shows that nobody leads */
+    OW_HANDOVER_KEY_TAKEN,     /* our transaction has committed: its leader is deposed, we lead */
+    OW_HANDOVER_RECORDS,       /* we lead, and have read the records */
+    OW_HANDOVER_SERVING,       /* we lead, and every machine that reports has seen our fencing token */
 };
 
 struct ow_handover_step {
--- a/src/sharding/request_router.c
+++ b/src/sharding/request_router.c
@@ -177,7 +177,7 @@
             effect->status == STATUS_UNPROCESSABLE);
 }
 
-static bool pass_submission(struct ow_request_router *router, struct ow_effect *effect, double now)
+static bool forward_submission(struct ow_request_router *router, struct ow_effect *effect, double now)
 {
     const struct submission *waiting = g_hash_table_lookup(router->submissions, &effect->request);
     if (waiting == NULL)
@@ -208,14 +208,14 @@
     effect->text = reason;
 }
 
-bool ow_request_router_pass(struct ow_request_router *router, const struct ow_shard *shard,
-                            struct ow_effect *effect, double now, GPtrArray *out)
+bool ow_request_router_forward(struct ow_request_router *router, const struct ow_shard *shard,
+                               struct ow_effect *effect, double now, GPtrArray *out)
 {
     if (effect->kind != OW_EFFECT_JOB && effect->kind != OW_EFFECT_REFUSE && effect->kind != OW_EFFECT_TEAMS)
         return true;
     explain_waiting(shard, effect);
     if ((effect->request & QUESTION_BIT) == 0)
-        return pass_submission(router, effect, now);
+        return forward_submission(router, effect, now);
     uint64_t number = effect->request;
     struct ow_shard_question *question = g_hash_table_lookup(router->questions, &number);
     if (question == NULL) {
--- a/src/sharding/request_router.h
+++ b/src/sharding/request_router.h
@@ -16,8 +16,8 @@
 void ow_request_router_push(struct ow_request_router *router, struct ow_event *event, double now);
 /* Whether an answer of the shard may go to the user as it is. If not it is kept, and the combined answer,
    once it is there, is appended to `out`. The effect is taken over in that case only. */
-bool ow_request_router_pass(struct ow_request_router *router, const struct ow_shard *shard,
-                            struct ow_effect *effect, double now, GPtrArray *out);
+bool ow_request_router_forward(struct ow_request_router *router, const struct ow_shard *shard,
+                               struct ow_effect *effect, double now, GPtrArray *out);
 /* Forgets requests that were never answered. */
 void ow_request_router_sweep(struct ow_request_router *router, double now);
 
--- a/src/sharding/shard.c
+++ b/src/sharding/shard.c
@@ -6,7 +6,7 @@
 #include "sharding/shard_settings.h"
 
 struct ow_shard *ow_shard_new(const struct ow_sharding_settings *sharding, unsigned index,
-                              const struct ow_settings *platform, const struct ow_rules *rules,
+                              const struct ow_settings *platform, const struct ow_tuning *tuning,
                               uint64_t nonce, const GPtrArray *prefixes, double now)
 {
     struct ow_shard *shard = g_new0(struct ow_shard, 1);
@@ -16,8 +16,8 @@
     shard->name = ((const struct ow_shard_settings *)g_ptr_array_index(sharding->shards, index))->name;
     shard->prefix = ow_shard_prefix(shard->name);
     shard->settings = ow_shard_settings_new(sharding, index, platform);
-    shard->core = ow_core_new(shard->settings, rules, nonce);
-    ow_lease_guard_init(&shard->guard, rules->leader_lease_s);
+    shard->core = ow_core_new(shard->settings, tuning, nonce);
+    ow_lease_guard_init(&shard->guard, tuning->leader_lease_s);
     ow_handover_init(&shard->handover, now);
     return shard;
 }
--- a/src/sharding/shard.h
+++ b/src/sharding/shard.h
@@ -25,7 +25,7 @@
 enum { OW_SHARD_TAG_BITS = 48 };
 
 struct ow_shard *ow_shard_new(const struct ow_sharding_settings *sharding, unsigned index,
-                              const struct ow_settings *platform, const struct ow_rules *rules,
+                              const struct ow_settings *platform, const struct ow_tuning *tuning,
                               uint64_t nonce, const GPtrArray *prefixes, double now);
 void ow_shard_free(struct ow_shard *shard);
 /* Hands the core an event, which is taken over: an answer to one of its requests is translated first. */
--- a/src/sharding/shard_manager.c
+++ b/src/sharding/shard_manager.c
@@ -17,7 +17,7 @@
     ow_shard_free(item);
 }
 
-static void make_shards(struct ow_shard_manager *manager, const struct ow_rules *rules, uint64_t nonce)
+static void make_shards(struct ow_shard_manager *manager, const struct ow_tuning *tuning, uint64_t nonce)
 {
     const struct ow_sharding_settings *settings = manager->sharding_settings;
     manager->prefixes = g_ptr_array_new_with_free_func(g_free);
@@ -28,11 +28,11 @@
     }
     for (guint i = 0; i < settings->shards->len; i++)
         g_ptr_array_add(manager->shards,
-                        ow_shard_new(settings, i, manager->settings, rules, nonce, manager->prefixes, 0));
+                        ow_shard_new(settings, i, manager->settings, tuning, nonce, manager->prefixes, 0));
 }
 
 struct ow_shard_manager *ow_shard_manager_new(const struct ow_settings *settings,
-                                              const struct ow_rules *rules,
+                                              const struct ow_tuning *tuning,
                                               const struct ow_sharding_settings *sharding_settings,
                                               uint64_t nonce)
 {
@@ -40,12 +40,12 @@
     manager->settings = settings;
     g_queue_init(&manager->events);
     if (sharding_settings == NULL || !sharding_settings->enabled) {
-        manager->core = ow_core_new(settings, rules, nonce);
+        manager->core = ow_core_new(settings, tuning, nonce);
         return manager;
     }
     manager->sharding_settings = sharding_settings;
-    make_shards(manager, rules, nonce);
-    GHashTable *values = ow_shard_map_values(sharding_settings, settings, rules);
+    make_shards(manager, tuning, nonce);
+    GHashTable *values = ow_shard_map_values(sharding_settings, settings, tuning);
     manager->membership = ow_membership_new(sharding_settings, settings->controller_name, settings->peers,
                                             nonce, ow_shard_map_digest(values));
     bool only_default = g_ptr_array_index(manager->prefixes, 0) == NULL;
@@ -128,7 +128,7 @@
     ow_shard_run(shard, manager->now, time_of_day, effects);
     for (guint i = 0; i < effects->len; i++) {
         struct ow_effect *effect = g_ptr_array_index(effects, i);
-        if (ow_request_router_pass(manager->router, shard, effect, manager->now, out))
+        if (ow_request_router_forward(manager->router, shard, effect, manager->now, out))
             g_ptr_array_add(out, effect);
     }
     g_ptr_array_free(effects, TRUE);
--- a/src/sharding/shard_manager.h
+++ b/src/sharding/shard_manager.h
@@ -11,7 +11,7 @@
 
 /* `settings`, `rules` and `manager` must outlive it. `nonce` is a number that no other process has. */
 struct ow_shard_manager *ow_shard_manager_new(const struct ow_settings *settings,
-                                              const struct ow_rules *rules,
+                                              const struct ow_tuning *tuning,
                                               const struct ow_sharding_settings *sharding, uint64_t nonce);
 void ow_shard_manager_free(struct ow_shard_manager *manager);
 /* Queues an event, which is taken over. */
--- a/src/sharding/shard_map.c
+++ b/src/sharding/shard_map.c
@@ -75,7 +75,7 @@
 }
 
 GHashTable *ow_shard_map_values(const struct ow_sharding_settings *sharding,
-                                const struct ow_settings *platform, const struct ow_rules *rules)
+                                const struct ow_settings *platform, const struct ow_tuning *tuning)
 {
     GHashTable *values = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     GString *names = g_string_new(NULL);
@@ -87,7 +87,7 @@
     add_value(values, g_strdup("shards"), g_string_free(names, FALSE));
     for (guint i = 0; i < platform->teams->len; i++)
         add_team(values, &g_array_index(platform->teams, struct ow_team_settings, i));
-    add_value(values, g_strdup("election lease_s"), g_strdup_printf("%g", rules->leader_lease_s));
+    add_value(values, g_strdup("election lease_s"), g_strdup_printf("%g", tuning->leader_lease_s));
     add_value(values, g_strdup("workers lease_s"), g_strdup_printf("%g", platform->lease_s));
     return values;
 }
--- a/src/sharding/shard_map.h
+++ b/src/sharding/shard_map.h
@@ -16,7 +16,7 @@
 /* Every value that controllers must agree on before they share shards: name -> value, both texts owned by the
    table. */
 GHashTable *ow_shard_map_values(const struct ow_sharding_settings *sharding,
-                                const struct ow_settings *platform, const struct ow_rules *rules);
+                                const struct ow_settings *platform, const struct ow_tuning *tuning);
 /* The first value, by name, that differs between two such tables, in words (g_free); NULL: they agree. */
 char *ow_shard_map_difference(GHashTable *ours, GHashTable *stored);
 /* A number that tells different tables apart. */
--- a/src/sharding/sharding_settings.c
+++ b/src/sharding/sharding_settings.c
@@ -187,7 +187,7 @@
 }
 
 static char *check_whole(const struct ow_sharding_settings *sharding, const struct ow_settings *platform,
-                         const struct ow_rules *rules)
+                         const struct ow_tuning *tuning)
 {
     unsigned comparisons = COMPARISONS_PER_MUTATION * MIN(platform->txn_ops, platform->next_txn_ops);
     guint most = MIN(OW_SHARDS_MAX, comparisons);
@@ -196,23 +196,23 @@
     if (sharding->shards->len > most)
         return g_strdup_printf("line %lu: control: has %u shards, and at most %u are possible",
                                sharding->line, sharding->shards->len, most);
-    if (rules->leader_lease_s > LEASE_SHARE_MAX * platform->lease_s)
+    if (tuning->leader_lease_s > LEASE_SHARE_MAX * platform->lease_s)
         return g_strdup_printf("line %lu: control: the election's lease_s of %g is more than half of the "
                                "workers' lease of %g s",
-                               sharding->line, rules->leader_lease_s, platform->lease_s);
-    if (sharding->heartbeat_s >= rules->leader_lease_s)
+                               sharding->line, tuning->leader_lease_s, platform->lease_s);
+    if (sharding->heartbeat_s >= tuning->leader_lease_s)
         return g_strdup_printf(
             "line %lu: control: heartbeat_s of %g is not below the election's lease_s of %g", sharding->line,
-            sharding->heartbeat_s, rules->leader_lease_s);
+            sharding->heartbeat_s, tuning->leader_lease_s);
     return NULL;
 }
 
 char *ow_sharding_settings_check(const struct ow_sharding_settings *sharding,
-                                 const struct ow_settings *platform, const struct ow_rules *rules)
+                                 const struct ow_settings *platform, const struct ow_tuning *tuning)
 {
     if (!sharding->enabled)
         return NULL;
-    char *fault = check_whole(sharding, platform, rules);
+    char *fault = check_whole(sharding, platform, tuning);
     for (guint i = 0; fault == NULL && i < sharding->shards->len; i++)
         fault = check_shard(sharding, i, platform);
     for (char **zone = platform->zones; fault == NULL && *zone != NULL; zone++)
--- a/src/sharding/sharding_settings.h
+++ b/src/sharding/sharding_settings.h
@@ -58,6 +58,6 @@
 /* NULL if the settings are consistent with those of the platform and the rules; otherwise what is wrong and
    in which line (g_free). */
 char *ow_sharding_settings_check(const struct ow_sharding_settings *sharding,
-                                 const struct ow_settings *platform, const struct ow_rules *rules);
+                                 const struct ow_settings *platform, const struct ow_tuning *tuning);
 
 #endif
--- a/src/wire/agent_json.c
+++ b/src/wire/agent_json.c
@@ -28,12 +28,12 @@
     json_t *tasks = json_array();
     for (guint i = 0; i < heartbeat->tasks->len; i++)
         json_array_append_new(tasks, task_json(&g_array_index(heartbeat->tasks, struct ow_task_status, i)));
-    json_t *notice = heartbeat->notice_s >= 0 ? json_real(heartbeat->notice_s) : json_null();
+    json_t *notice = heartbeat->reclaim_notice_s >= 0 ? json_real(heartbeat->reclaim_notice_s) : json_null();
     return wj_take_text(json_pack(
         "{s:s,s:s,s:s,s:s,s:b,s:I,s:I,s:I,s:o,s:o}", W_MACHINE, heartbeat->machine, W_ADDR, heartbeat->addr,
         W_TYPE, heartbeat->type, W_ZONE, heartbeat->zone, W_SPOT, (int)heartbeat->spot, W_INCARNATION,
         (json_int_t)heartbeat->incarnation, W_SEQ, (json_int_t)heartbeat->seq, W_FENCING_TOKEN,
-        (json_int_t)heartbeat->fencing_token, W_NOTICE, notice, W_TASKS, tasks));
+        (json_int_t)heartbeat->fencing_token, W_RECLAIM_NOTICE, notice, W_TASKS, tasks));
 }
 
 static bool parse_command(const json_t *object, struct ow_worker_command *command)
--- a/src/wire/user_json.c
+++ b/src/wire/user_json.c
@@ -149,10 +149,10 @@
 {
     if (!take_amount(object, W_ESTIMATE, 0, &submission->estimate_s))
         return W_ESTIMATE ": missing or out of range";
-    if (!take_amount(object, W_CHECKPOINT, 0, &submission->checkpoint_s))
-        return W_CHECKPOINT ": missing or out of range";
-    if (!take_amount(object, W_SAVE, 0, &submission->save_s))
-        return W_SAVE ": missing or out of range";
+    if (!take_amount(object, W_CHECKPOINT_INTERVAL, 0, &submission->checkpoint_interval_s))
+        return W_CHECKPOINT_INTERVAL ": missing or out of range";
+    if (!take_amount(object, W_CHECKPOINT_DURATION, 0, &submission->checkpoint_duration_s))
+        return W_CHECKPOINT_DURATION ": missing or out of range";
     if (!take_optional_amount(object, W_DEADLINE, &submission->deadline_s))
         return W_DEADLINE ": out of range";
     return NULL;
@@ -215,15 +215,16 @@
         for (char **name = submission->types; *name != NULL; name++)
             json_array_append_new(types, json_string(*name));
     }
-    return json_pack(
-        "{s:s,s:s,s:s,s:s,s:s,s:I,s:f,s:f,s:f,s:s,s:f,s:o,s:s?,s:b,s:b,s:b,s:f,s:f,s:f,s:f}", W_ID,
-        submission->id, W_CLASS, submission->class_name, W_TEAM, submission->team, W_KIND,
-        w_kinds[submission->kind], W_RANK, w_ranks[submission->rank], W_TASKS, (json_int_t)submission->tasks,
-        W_CPUS, submission->need.cpus, W_GPUS, submission->need.gpus, W_MEMORY, submission->need.memory_gb,
-        W_IMAGE, submission->image, W_IMAGE_GB, submission->image_gb, W_TYPES, types, W_ZONE,
-        submission->zone, W_ONE_ZONE, (int)submission->one_zone, W_SPREAD, (int)submission->spread, W_SPOT,
-        (int)submission->spot, W_ESTIMATE, submission->estimate_s, W_CHECKPOINT, submission->checkpoint_s,
-        W_SAVE, submission->save_s, W_DEADLINE, submission->deadline_s);
+    return json_pack("{s:s,s:s,s:s,s:s,s:s,s:I,s:f,s:f,s:f,s:s,s:f,s:o,s:s?,s:b,s:b,s:b,s:f,s:f,s:f,s:f}",
+                     W_ID, submission->id, W_CLASS, submission->class_name, W_TEAM, submission->team, W_KIND,
+                     w_kinds[submission->kind], W_RANK, w_ranks[submission->rank], W_TASKS,
+                     (json_int_t)submission->tasks, W_CPUS, submission->need.cpus, W_GPUS,
+                     submission->need.gpus, W_MEMORY, submission->need.memory_gb, W_IMAGE, submission->image,
+                     W_IMAGE_GB, submission->image_gb, W_TYPES, types, W_ZONE, submission->zone, W_ONE_ZONE,
+                     (int)submission->one_zone, W_SPREAD, (int)submission->spread, W_SPOT,
+                     (int)submission->spot, W_ESTIMATE, submission->estimate_s, W_CHECKPOINT_INTERVAL,
+                     submission->checkpoint_interval_s, W_CHECKPOINT_DURATION,
+                     submission->checkpoint_duration_s, W_DEADLINE, submission->deadline_s);
 }
 
 char *wire_job_view(const struct ow_job_view *view)
--- a/src/wire/worker_json.c
+++ b/src/wire/worker_json.c
@@ -65,7 +65,7 @@
     struct ow_heartbeat *heartbeat = g_new0(struct ow_heartbeat, 1);
     const char *machine = NULL, *addr = NULL, *type = NULL, *zone = NULL;
     heartbeat->tasks = g_array_new(FALSE, FALSE, sizeof(struct ow_task_status));
-    heartbeat->notice_s = -1;
+    heartbeat->reclaim_notice_s = -1;
     bool ok = wj_string(object, W_MACHINE, &machine) && wj_string(object, W_ADDR, &addr) &&
               wj_string(object, W_TYPE, &type) && wj_string(object, W_ZONE, &zone) &&
               wj_count(object, W_INCARNATION, &heartbeat->incarnation) &&
@@ -73,7 +73,7 @@
     if (ok) {
         wj_bool(object, W_SPOT, &heartbeat->spot);
         wj_count(object, W_FENCING_TOKEN, &heartbeat->fencing_token);
-        wj_number(object, W_NOTICE, &heartbeat->notice_s);
+        wj_number(object, W_RECLAIM_NOTICE, &heartbeat->reclaim_notice_s);
         heartbeat->machine = g_strdup(machine);
         heartbeat->addr = g_strdup(addr);
         heartbeat->type = g_strdup(type);
--- a/tests/test_agent.c
+++ b/tests/test_agent.c
@@ -89,7 +89,7 @@
                                      .incarnation = 3,
                                      .seq = 8,
                                      .fencing_token = 41,
-                                     .notice_s = -1,
+                                     .reclaim_notice_s = -1,
                                      .tasks = g_array_new(FALSE, FALSE, sizeof(struct ow_task_status))};
     struct ow_task_status running = {"run-1", 3, 2, OW_PHASE_RUNNING, OW_CAUSE_NONE, false};
     struct ow_task_status stopped = {"run-2", 0, 1, OW_PHASE_EXITED, OW_CAUSE_STOPPED, true};
@@ -100,7 +100,7 @@
     assert_non_null(read);
     assert_string_equal(read->machine, "m-1");
     assert_true(read->spot && read->incarnation == 3 && read->seq == 8 && read->fencing_token == 41 &&
-                read->notice_s < 0);
+                read->reclaim_notice_s < 0);
     assert_int_equal(read->tasks->len, 2);
     const struct ow_task_status *second = &g_array_index(read->tasks, struct ow_task_status, 1);
     assert_int_equal(second->cause, OW_CAUSE_STOPPED);
--- a/tests/test_agent_tasks.c
+++ b/tests/test_agent_tasks.c
@@ -48,7 +48,8 @@
 };
 
 /* The description of the job "run-1", of which each task runs a shell command. */
-static void describe_job(const struct bench *bench, double cpus, double checkpoint_s, const char *command)
+static void describe_job(const struct bench *bench, double cpus, double checkpoint_interval_s,
+                         const char *command)
 {
     char *path = g_build_filename(bench->directory, "run-1.json", NULL);
     char *text = g_strdup_printf(
@@ -57,7 +58,7 @@
         "\"cores\":%g,\"gpus\":0,\"ram_gb\":1,\"plumage\":\"i\",\"image_gb\":0,\"same_place\":false,"
         "\"scatter\":false,\"windfall\":false,\"flight_s\":1,\"molt_s\":%g,\"preen_s\":1,"
         "\"command\":[\"sh\",\"-c\",\"%s\"]}",
-        cpus, checkpoint_s, command);
+        cpus, checkpoint_interval_s, command);
     assert_true(g_file_set_contents(path, text, -1, NULL));
     g_free(text);
     g_free(path);
@@ -172,7 +173,7 @@
 {
     (void)state;
     static const struct {
-        double checkpoint_s, grace_s;
+        double checkpoint_interval_s, grace_s;
         const char *command;
         bool saved;
     } stops[] = {
@@ -184,7 +185,7 @@
     for (guint i = 0; i < G_N_ELEMENTS(stops); i++) {
         struct bench bench;
         open_bench(&bench, 120);
-        describe_job(&bench, 1, stops[i].checkpoint_s, stops[i].command);
+        describe_job(&bench, 1, stops[i].checkpoint_interval_s, stops[i].command);
         obey(&bench, OW_WORKER_LAUNCH, 0, 1, 0);
         g_usleep(300000); /* until the trap is set */
         obey(&bench, OW_WORKER_STOP, 0, 1, stops[i].grace_s);
--- a/tests/test_deadlines.c
+++ b/tests/test_deadlines.c
@@ -127,7 +127,7 @@
     world_add_group(w, "taken", 4, "east", true);
     world_run(w, 6);
     for (int i = 0; i < 4; i++)
-        world_machine_at(w, (guint)i)->notice_s = 1000;
+        world_machine_at(w, (guint)i)->reclaim_notice_s = 1000;
     world_add_machine(w, "spot", "big", "east", true);
     world_add_machine(w, "ordinary", "big", "east", false);
     world_run(w, 6);
--- a/tests/test_gangs.c
+++ b/tests/test_gangs.c
@@ -48,7 +48,7 @@
 {
     (void)state;
     struct world *w = world_with_one_controller();
-    w->rules.waiting_limit_s = 8;
+    w->tuning.waiting_limit_s = 8;
     world_add_machine(w, "m-0", "big", "east", false);
     world_add_machine(w, "m-1", "big", "east", false);
     world_run(w, 6);
--- a/tests/test_placement.c
+++ b/tests/test_placement.c
@@ -199,9 +199,8 @@
 {
     struct world *w = world_with_one_controller();
     static char class_name[] = "class";
-    struct ow_objective start = {
-        .kind = OW_OBJECTIVE_WAIT, .class_name = class_name, .within_s = 5, .share = 1};
-    g_array_append_val(w->settings[0].objectives, start);
+    struct ow_slo start = {.kind = OW_SLO_WAIT, .class_name = class_name, .within_s = 5, .share = 1};
+    g_array_append_val(w->settings[0].slos, start);
     world_add_machines(w, 6);
     world_run(w, 6);
     w->run_s = 20;
--- a/tests/test_reconciliation.c
+++ b/tests/test_reconciliation.c
@@ -115,7 +115,7 @@
     struct ow_heartbeat *copy = world_last_heartbeat(machine);
     copy->seq += 100; /* newer than every heartbeat received from it */
     g_array_set_size(copy->tasks, 0);
-    machine->notice_s = 1;
+    machine->reclaim_notice_s = 1;
     machine->heartbeat_at = w->now;
     world_run(w, 1.5);
     world_delete_machine(machine);
--- a/tests/test_replica_moves.c
+++ b/tests/test_replica_moves.c
@@ -20,7 +20,7 @@
     w->run_s = 2;
     world_submit(w, 0, other);
     world_run(w, 12);
-    old->notice_s = 12;
+    old->reclaim_notice_s = 12;
     old->heartbeat_at = w->now;
     world_run(w, 4);
     assert_true(world_where(w, "run-1") != NULL && world_where(w, "run-1") != old);
@@ -38,14 +38,14 @@
 }
 
 /* Every spot machine reports its remaining time each second until it is reclaimed. */
-static void take_spot_machines(struct world *w, int notice_s)
+static void take_spot_machines(struct world *w, int reclaim_notice_s)
 {
-    for (int left = notice_s; left > 0; left--) {
+    for (int left = reclaim_notice_s; left > 0; left--) {
         for (guint i = 0; i < w->machines->len; i++) {
             struct world_machine *machine = world_machine_at(w, i);
             if (!machine->spot)
                 continue;
-            machine->notice_s = left;
+            machine->reclaim_notice_s = left;
             machine->heartbeat_at = w->now;
         }
         world_run(w, 1);
--- a/tests/test_safety.c
+++ b/tests/test_safety.c
@@ -48,7 +48,7 @@
     struct world *w = world_with_machines(2);
     w->run_s = 100;
     struct world_machine *machine = world_start_settled_job(w, world_job("run-1", 1, 1));
-    machine->notice_s = 1;
+    machine->reclaim_notice_s = 1;
     machine->heartbeat_at = w->now;
     world_run(w, 1.5);
     world_delete_machine(machine);
--- a/tests/test_settings.c
+++ b/tests/test_settings.c
@@ -48,7 +48,7 @@
     assert_non_null(settings);
     assert_string_equal(settings->controller_name, "n-0");
     assert_int_equal(settings->peers->len, 1);
-    assert_int_equal(settings->objectives->len, 1); /* the unknown one is ignored */
+    assert_int_equal(settings->slos->len, 1); /* the unknown one is ignored */
     assert_true(g_array_index(settings->teams, struct ow_team_settings, 0).cpus_max == 4);
     assert_int_equal(settings->txn_ops, 8);
     ow_settings_free(settings);
@@ -87,11 +87,11 @@
     }
 }
 
-static bool load_operators(const char *text, struct ow_rules *rules, char **fault)
+static bool load_operators(const char *text, struct ow_tuning *tuning, char **fault)
 {
     char *path = write_file(text);
     struct ow_sharding_settings *sharding = ow_sharding_settings_new();
-    bool ok = ow_operators_load(path, rules, sharding, fault);
+    bool ok = ow_operators_load(path, tuning, sharding, fault);
     ow_sharding_settings_free(sharding);
     g_unlink(path);
     g_free(path);
@@ -102,10 +102,10 @@
 {
     (void)state;
     char *fault = NULL;
-    struct ow_rules rules = ow_rules_default();
+    struct ow_tuning tuning = ow_tuning_default();
     assert_true(load_operators("<ospreywell>\n<reservation window_s='2.5' candidates='4'/></ospreywell>",
-                               &rules, &fault));
-    assert_true(rules.window_s == 2.5 && rules.candidates == 4 && rules.hold_life_s == 10);
+                               &tuning, &fault));
+    assert_true(tuning.window_s == 2.5 && tuning.candidates == 4 && tuning.hold_life_s == 10);
 }
 
 static const struct change operator_faults[] = {
@@ -124,12 +124,12 @@
     (void)state;
     for (size_t i = 0; i < G_N_ELEMENTS(operator_faults); i++) {
         char *fault = NULL;
-        struct ow_rules rules = ow_rules_default(), before = rules;
-        assert_false(load_operators(operator_faults[i].from, &rules, &fault));
+        struct ow_tuning tuning = ow_tuning_default(), before = tuning;
+        assert_false(load_operators(operator_faults[i].from, &tuning, &fault));
         if (strstr(fault, operator_faults[i].named) == NULL)
             fail_msg("expected \"%s\", got \"%s\"", operator_faults[i].named, fault);
         /* A file with an error changes nothing. */
-        assert_memory_equal(&rules, &before, sizeof rules);
+        assert_memory_equal(&tuning, &before, sizeof tuning);
         g_free(fault);
     }
 }
@@ -138,15 +138,16 @@
 {
     (void)state;
     char *fault = NULL;
-    struct ow_rules rules, expected = ow_rules_default();
-    memset(&rules, 0, sizeof rules);
+    struct ow_tuning tuning, expected = ow_tuning_default();
+    memset(&tuning, 0, sizeof tuning);
     struct ow_sharding_settings *sharding = ow_sharding_settings_new();
-    assert_true(ow_operators_load("deploy/operators.xml", &rules, sharding, &fault));
+    assert_true(ow_operators_load("deploy/operators.xml", &tuning, sharding, &fault));
     assert_false(sharding->enabled);
     ow_sharding_settings_free(sharding);
-    assert_true(rules.window_s == expected.window_s && rules.hold_life_s == expected.hold_life_s);
-    assert_true(rules.waiting_limit_s == expected.waiting_limit_s && rules.candidates == expected.candidates);
-    assert_true(rules.leader_lease_s == expected.leader_lease_s);
+    assert_true(tuning.window_s == expected.window_s && tuning.hold_life_s == expected.hold_life_s);
+    assert_true(tuning.waiting_limit_s == expected.waiting_limit_s &&
+                tuning.candidates == expected.candidates);
+    assert_true(tuning.leader_lease_s == expected.leader_lease_s);
 }
 
 int main(void)
--- a/tests/test_sharding_settings.c
+++ b/tests/test_sharding_settings.c
@@ -8,14 +8,14 @@
 #include <unistd.h>
 
 /* Reads the text as an operators' file; NULL or what is wrong (g_free). */
-static char *load(const char *text, struct ow_rules *rules, struct ow_sharding_settings *sharding)
+static char *load(const char *text, struct ow_tuning *tuning, struct ow_sharding_settings *sharding)
 {
     char *path = NULL, *fault = NULL;
     int fd = g_file_open_tmp("ospreywell-XXXXXX", &path, NULL);
     assert_true(fd >= 0);
     close(fd);
     assert_true(g_file_set_contents(path, text, -1, NULL));
-    bool ok = ow_operators_load(path, rules, sharding, &fault);
+    bool ok = ow_operators_load(path, tuning, sharding, &fault);
     assert_int_equal(ok, fault == NULL);
     g_unlink(path);
     g_free(path);
@@ -25,7 +25,7 @@
 /* A platform of two zones and two teams. */
 struct platform {
     struct ow_settings settings;
-    struct ow_rules rules;
+    struct ow_tuning tuning;
 };
 
 static void open_platform(struct platform *platform)
@@ -33,7 +33,7 @@
     static char *zones[] = {"a", "b", NULL};
     static char vision[] = "vision", speech[] = "speech";
     struct ow_team_settings teams[] = {{vision, 16, 64, 0, 0}, {speech, 0, 0, 4, 8}};
-    *platform = (struct platform){.rules = ow_rules_default()};
+    *platform = (struct platform){.tuning = ow_tuning_default()};
     platform->settings.zones = zones;
     platform->settings.lease_s = 20;
     platform->settings.txn_ops = platform->settings.next_txn_ops = 8;
@@ -52,9 +52,9 @@
     struct platform platform;
     struct ow_sharding_settings *sharding = ow_sharding_settings_new();
     open_platform(&platform);
-    char *fault = load(text, &platform.rules, sharding);
+    char *fault = load(text, &platform.tuning, sharding);
     if (fault == NULL)
-        fault = ow_sharding_settings_check(sharding, &platform.settings, &platform.rules);
+        fault = ow_sharding_settings_check(sharding, &platform.settings, &platform.tuning);
     ow_sharding_settings_free(sharding);
     close_platform(&platform);
     return fault;
@@ -69,12 +69,12 @@
 {
     (void)state;
     struct ow_sharding_settings *sharding = ow_sharding_settings_new();
-    struct ow_rules rules = ow_rules_default();
+    struct ow_tuning tuning = ow_tuning_default();
     char *fault = load(HEAD "<control heartbeat_s='0.25' suspicion_phi='5' relays='2'>\n" NORTH
                             "<shard name='gpu' zones='a  b' types='g4 g8' share='0.25'/>\n"
                             "<allotment team='vision' shard='gpu' share='0'/>\n"
                             "<route class='train' zone='a' shards='gpu north'/></control>" TAIL,
-                       &rules, sharding);
+                       &tuning, sharding);
     assert_null(fault);
     assert_true(sharding->enabled);
     assert_true(sharding->heartbeat_s == 0.25 && sharding->suspicion_phi == 5 && sharding->relays == 2);
@@ -181,9 +181,9 @@
 {
     (void)state;
     struct ow_sharding_settings *sharding = ow_sharding_settings_new();
-    struct ow_rules rules = ow_rules_default();
+    struct ow_tuning tuning = ow_tuning_default();
     char *fault = NULL;
-    assert_true(ow_operators_load("deploy/control.xml", &rules, sharding, &fault));
+    assert_true(ow_operators_load("deploy/control.xml", &tuning, sharding, &fault));
     struct ow_sharding_settings *expected = ow_sharding_settings_new();
     assert_true(sharding->heartbeat_s == expected->heartbeat_s && sharding->relays == expected->relays);
     assert_true(sharding->suspicion_phi == expected->suspicion_phi);
--- a/tests/test_shards.c
+++ b/tests/test_shards.c
@@ -171,7 +171,7 @@
     struct world *w = world_new();
     for (int i = 0; i < WORLD_CONTROLLERS; i++)
         w->settings[i].heartbeat_interval_s = 1;
-    w->rules.leader_lease_s = 2;
+    w->tuning.leader_lease_s = 2;
     world_divide(w);
     world_start_controllers(w);
     world_add_group(w, "east", 3, "east", false);
--- a/tests/test_starvation.c
+++ b/tests/test_starvation.c
@@ -83,16 +83,15 @@
     world_finish(w);
 }
 
-/* There is capacity for all within the objective, but small gangs that fit would pass the large one for as
+/* There is capacity for all within the SLO, but small gangs that fit would pass the large one for as
  * long as they come. */
 static void test_largest_gang_starts_within_its_objective(void **state)
 {
     (void)state;
     struct world *w = world_with_staggered_gangs();
     static char class_name[] = "class";
-    struct ow_objective start = {
-        .kind = OW_OBJECTIVE_WAIT, .class_name = class_name, .within_s = 80, .share = 1};
-    g_array_append_val(w->settings[0].objectives, start);
+    struct ow_slo start = {.kind = OW_SLO_WAIT, .class_name = class_name, .within_s = 80, .share = 1};
+    g_array_append_val(w->settings[0].slos, start);
     world_submit(w, 0, numbered(1, 4, 16, true, OW_RANK_URGENT));
     assert_true(starts_within(w, "run-1", 80, 2.6, small_gang, 100));
     world_finish(w);
@@ -149,14 +148,14 @@
     world_finish(w);
 }
 
-/* Only jobs of low rank without an objective wait for cheap machines. */
+/* Only jobs of low rank without an SLO wait for cheap machines. */
 static void test_only_low_work_waits_for_cheap_machines(void **state)
 {
     (void)state;
     struct world *w = world_with_one_controller_and_machines(2);
     static char another[] = "another";
-    struct ow_objective aim = {.kind = OW_OBJECTIVE_WAIT, .class_name = another, .within_s = 30, .share = 1};
-    g_array_append_val(w->settings[0].objectives, aim);
+    struct ow_slo slo = {.kind = OW_SLO_WAIT, .class_name = another, .within_s = 30, .share = 1};
+    g_array_append_val(w->settings[0].slos, slo);
     w->run_s = 1000;
     world_submit(w, 0, numbered(1, 1, 4, false, OW_RANK_LOW));
     world_submit(w, 0, numbered(2, 2, 10, false, OW_RANK_STANDARD));
--- a/tests/test_wire.c
+++ b/tests/test_wire.c
@@ -150,7 +150,7 @@
     struct ow_heartbeat *parsed = wire_heartbeat_parse(heartbeat, strlen(heartbeat));
     assert_non_null(parsed);
     assert_true(parsed->incarnation == 1 && parsed->seq == 88 && parsed->fencing_token == 41 &&
-                parsed->notice_s == 7.5 && parsed->tasks->len == 2);
+                parsed->reclaim_notice_s == 7.5 && parsed->tasks->len == 2);
     const struct ow_task_status *task = &g_array_index(parsed->tasks, struct ow_task_status, 1);
     assert_true(task->task == 0 && task->phase == OW_PHASE_EXITED && task->cause == OW_CAUSE_STOPPED &&
                 task->saved);
--- a/tests/world.c
+++ b/tests/world.c
@@ -42,7 +42,7 @@
     static char open_team[] = "open", tight_team[] = "tight";
     add_team(settings->teams, open_team, 0, 0);
     add_team(settings->teams, tight_team, 8, 0);
-    settings->objectives = g_array_new(FALSE, TRUE, sizeof(struct ow_objective));
+    settings->slos = g_array_new(FALSE, TRUE, sizeof(struct ow_slo));
     settings->zones = zones;
     settings->heartbeat_interval_s = 3;
     settings->lease_s = 20;
@@ -66,7 +66,7 @@
 {
     struct world *w = g_new0(struct world, 1);
     w->now = 1000;
-    w->rules = ow_rules_default();
+    w->tuning = ow_tuning_default();
     world_state_init(w);
     world_workers_init(w);
     w->denied_controller = w->isolated_controller = w->workerless_controller = w->slow_controller = -1;
@@ -88,7 +88,7 @@
             ow_shard_manager_free(w->controllers[i]);
         g_array_free(w->settings[i].peers, TRUE);
         g_array_free(w->settings[i].teams, TRUE);
-        g_array_free(w->settings[i].objectives, TRUE);
+        g_array_free(w->settings[i].slos, TRUE);
     }
     for (guint i = 0; i < w->queue->len; i++) {
         struct delivery *delivery = g_ptr_array_index(w->queue, i);
@@ -172,7 +172,7 @@
 {
     w->controller_nonce[controller] = ++w->nonce;
     w->controllers[controller] =
-        ow_shard_manager_new(&w->settings[controller], &w->rules, w->sharding, w->nonce);
+        ow_shard_manager_new(&w->settings[controller], &w->tuning, w->sharding, w->nonce);
 }
 
 void world_start_controllers(struct world *w)
--- a/tests/world.h
+++ b/tests/world.h
@@ -37,7 +37,7 @@
     int only_controller;    /* partitioned from every other controller; -1: from none */
     double up_at;           /* the end of its boot */
     uint64_t incarnation, seq, fencing_token;
-    double notice_s; /* the time until it is reclaimed, as it reports it; -1: none */
+    double reclaim_notice_s; /* the time until it is reclaimed, as it reports it; -1: none */
     double heartbeat_at, renewed_at, sent_at;
     bool heartbeat_busy; /* it waits for the response to a heartbeat */
     int controller;      /* the one that it reports to */
@@ -81,7 +81,7 @@
 struct world {
     double now;
     struct ow_settings settings[WORLD_CONTROLLERS];
-    struct ow_rules rules;
+    struct ow_tuning tuning;
     struct ow_sharding_settings *sharding;                   /* NULL: the fleet is not divided into shards */
     struct ow_shard_manager *controllers[WORLD_CONTROLLERS]; /* NULL: down */
     bool frozen[WORLD_CONTROLLERS]; /* the process stands still; what is sent to it waits */
--- a/tests/world_leases.c
+++ b/tests/world_leases.c
@@ -35,5 +35,5 @@
     void *id, *until;
     g_hash_table_iter_init(&iter, w->leases);
     while (w->store_down && g_hash_table_iter_next(&iter, &id, &until))
-        *(double *)until = w->now + w->rules.leader_lease_s;
+        *(double *)until = w->now + w->tuning.leader_lease_s;
 }
--- a/tests/world_machines.c
+++ b/tests/world_machines.c
@@ -21,7 +21,7 @@
     g_strlcpy(machine->zone, zone, sizeof machine->zone);
     machine->spot = spot;
     machine->incarnation = 1;
-    machine->notice_s = -1;
+    machine->reclaim_notice_s = -1;
     machine->only_controller = -1;
     machine->up_at = machine->renewed_at = machine->heartbeat_at = w->now;
     machine->tasks = g_array_new(FALSE, TRUE, sizeof(struct world_task));
@@ -62,7 +62,7 @@
     heartbeat->incarnation = machine->incarnation;
     heartbeat->seq = ++machine->seq;
     heartbeat->fencing_token = machine->fencing_token;
-    heartbeat->notice_s = machine->notice_s;
+    heartbeat->reclaim_notice_s = machine->reclaim_notice_s;
     heartbeat->tasks = g_array_new(FALSE, TRUE, sizeof(struct ow_task_status));
     for (guint i = 0; i < machine->tasks->len; i++) {
         const struct world_task *task = &g_array_index(machine->tasks, struct world_task, i);
--- a/tests/world_state.c
+++ b/tests/world_state.c
@@ -161,7 +161,7 @@
 {
     double *until = g_hash_table_lookup(w->leases, &request->number);
     if (until != NULL)
-        *until = w->now + w->rules.leader_lease_s;
+        *until = w->now + w->tuning.leader_lease_s;
     answer_store(w, controller, nonce, request->tag, until != NULL ? 200 : 404, NULL, 0, NULL);
 }
 
