--- a/src/core/api/job.c
+++ b/src/core/api/job.c
@@ -1,22 +1,22 @@
 #include "core/api/job.h"
 
 struct ow_jobs {
-    struct ow_name_tables *names;
+    struct ow_interners *names;
     GHashTable *by_id;
     GPtrArray *open;
 };
 
-struct ow_spec *ow_spec_new(struct ow_name_tables *names, struct ow_submission *submission)
+struct ow_job_spec *ow_job_spec_new(struct ow_interners *names, struct ow_submission *submission)
 {
-    struct ow_spec *spec = g_new0(struct ow_spec, 1);
+    struct ow_job_spec *spec = g_new0(struct ow_job_spec, 1);
     spec->submission = submission;
-    spec->class_index = ow_names_add(names->classes, submission->class_name);
-    spec->team = ow_names_add(names->teams, submission->team);
-    spec->image = ow_names_add(names->images, submission->image);
-    spec->zone = submission->zone != NULL ? ow_names_add(names->zones, submission->zone) : OW_NO_NAME;
+    spec->class_index = ow_interner_intern(names->classes, submission->class_name);
+    spec->team = ow_interner_intern(names->teams, submission->team);
+    spec->image = ow_interner_intern(names->images, submission->image);
+    spec->zone = submission->zone != NULL ? ow_interner_intern(names->zones, submission->zone) : OW_NO_NAME;
     spec->types = submission->types == NULL ? UINT64_MAX : 0;
     for (char **type = submission->types; type != NULL && *type != NULL; type++) {
-        int index = ow_names_add(names->types, *type);
+        int index = ow_interner_intern(names->types, *type);
         /* Types past the bound are never provisioned, so a job loses nothing by not allowing them. */
         if (index < OW_MAX_TYPES)
             spec->types |= UINT64_C(1) << index;
@@ -24,7 +24,7 @@
     return spec;
 }
 
-void ow_spec_free(struct ow_spec *spec)
+void ow_job_spec_free(struct ow_job_spec *spec)
 {
     if (spec == NULL)
         return;
@@ -35,13 +35,13 @@
 static void job_free(void *item)
 {
     struct ow_job *job = item;
-    ow_spec_free(job->spec);
+    ow_job_spec_free(job->spec);
     g_free(job->reason);
     g_free(job->id);
     g_free(job);
 }
 
-struct ow_jobs *ow_jobs_new(struct ow_name_tables *names)
+struct ow_jobs *ow_jobs_new(struct ow_interners *names)
 {
     struct ow_jobs *jobs = g_new0(struct ow_jobs, 1);
     jobs->names = names;
@@ -104,7 +104,7 @@
     /* A cancelled job keeps its description until the leader has seen its last task end. */
     bool settled = submission == NULL;
     if (submission != NULL && job->spec == NULL)
-        job->spec = ow_spec_new(jobs->names, submission);
+        job->spec = ow_job_spec_new(jobs->names, submission);
     else
         ow_submission_free(submission);
     if (ow_job_over(job))
@@ -114,7 +114,7 @@
         job->cancellation_acked = true;
     if (fresh && job->spec != NULL)
         g_ptr_array_add(jobs->open, job);
-    else if (ow_job_over(job) && job->run == NULL && settled)
+    else if (ow_job_over(job) && job->execution == NULL && settled)
         ow_jobs_close(jobs, job);
     return job;
 }
@@ -139,7 +139,7 @@
 void ow_jobs_close(struct ow_jobs *jobs, struct ow_job *job)
 {
     g_ptr_array_remove_fast(jobs->open, job);
-    ow_spec_free(job->spec);
+    ow_job_spec_free(job->spec);
     job->spec = NULL;
 }
 
--- a/src/core/api/job.h
+++ b/src/core/api/job.h
@@ -2,13 +2,13 @@
 #ifndef OW_CORE_API_JOB_H
 #define OW_CORE_API_JOB_H
 
-#include "core/names.h"
+#include "core/interner.h"
 #include "core/types.h"
 
-struct ow_run;
+struct ow_execution;
 
 /* A submission with its names as indices. */
-struct ow_spec {
+struct ow_job_spec {
     struct ow_submission *submission;   /* owned */
     int class_index, team, image, zone; /* zone OW_NO_NAME: any */
     uint64_t types;                     /* a bit for each allowed type */
@@ -16,15 +16,15 @@
 
 struct ow_job {
     char *id;
-    enum ow_job_state state;       /* OW_JOB_QUEUED stands for every job that is not over */
-    uint64_t version;              /* of its record */
-    uint64_t accepted_revision;    /* the revision that accepted it: its place in the queue */
-    double accepted_at;            /* when it was accepted, by our steady clock */
-    double first_seen_at;          /* when this controller first saw it */
-    struct ow_spec *spec;          /* NULL once it is over and no task is left */
-    struct ow_run *run;            /* the leader's */
-    uint64_t cancel_fencing_token; /* of a cancelled one: who led when that was recorded */
-    bool cancellation_acked;       /* its cancellation has been acknowledged: users may be told of it */
+    enum ow_job_state state;        /* OW_JOB_QUEUED stands for every job that is not over */
+    uint64_t version;               /* of its record */
+    uint64_t accepted_revision;     /* the revision that accepted it: its place in the queue */
+    double accepted_at;             /* when it was accepted, by our steady clock */
+    double first_seen_at;           /* when this controller first saw it */
+    struct ow_job_spec *spec;       /* NULL once it is over and no task is left */
+    struct ow_execution *execution; /* the leader's */
+    uint64_t cancel_fencing_token;  /* of a cancelled one: who led when that was recorded */
+    bool cancellation_acked;        /* its cancellation has been acknowledged: users may be told of it */
     bool record_unread; /* cancelled before its record has been read: nothing else is known of it */
     /* Shown to users; nothing is decided by them. */
     int done, running;
@@ -33,12 +33,12 @@
 
 struct ow_jobs;
 
-struct ow_name_tables {
-    struct ow_names *classes, *teams, *images, *zones, *types;
+struct ow_interners {
+    struct ow_interner *classes, *teams, *images, *zones, *types;
 };
 
 /* An empty table; `names` must outlive it. */
-struct ow_jobs *ow_jobs_new(struct ow_name_tables *names);
+struct ow_jobs *ow_jobs_new(struct ow_interners *names);
 /* Frees the table and its jobs; NULL is allowed. */
 void ow_jobs_free(struct ow_jobs *jobs);
 /* The job with this id, or NULL. */
@@ -59,8 +59,8 @@
 /* Sets the reason shown to users, which is copied; NULL: none. */
 void ow_job_set_reason(struct ow_job *job, const char *reason);
 /* Takes over `submission` and adds its names to the tables. */
-struct ow_spec *ow_spec_new(struct ow_name_tables *names, struct ow_submission *submission);
+struct ow_job_spec *ow_job_spec_new(struct ow_interners *names, struct ow_submission *submission);
 /* Frees it and its submission; NULL is allowed. */
-void ow_spec_free(struct ow_spec *spec);
+void ow_job_spec_free(struct ow_job_spec *spec);
 
 #endif
--- a/src/core/attempt.c
+++ b/src/core/attempt.c
@@ -5,7 +5,7 @@
 #include "core/machines/machine_health.h"
 #include "core/machines/worker_commands.h"
 #include "core/records/recorder.h"
-#include "core/run.h"
+#include "core/execution.h"
 #include "core/scheduling/classes.h"
 #include "core/teams.h"
 
@@ -18,23 +18,23 @@
 /* A run waits so long after a machine has lost or refused a task of it. */
 static const double RETRY_PAUSE_S = 1;
 
-struct ow_attempt *ow_attempt_new(struct ow_leader *leader, struct ow_run *run, uint32_t task,
+struct ow_attempt *ow_attempt_new(struct ow_leader *leader, struct ow_execution *execution, uint32_t task,
                                   uint64_t number, struct ow_machine *machine, uint64_t incarnation)
 {
     struct ow_attempt *attempt = g_new0(struct ow_attempt, 1);
-    const struct ow_submission *submission = run->job->spec->submission;
-    attempt->job = run->job;
+    const struct ow_submission *submission = execution->job->spec->submission;
+    attempt->job = execution->job;
     attempt->task = task;
     attempt->number = number;
     attempt->machine = machine;
     attempt->incarnation = incarnation;
     attempt->placed_at = leader->core->now;
-    run->tasks[task].attempt = attempt;
-    g_ptr_array_add(run->attempts, attempt);
+    execution->tasks[task].attempt = attempt;
+    g_ptr_array_add(execution->attempts, attempt);
     g_ptr_array_add(machine->attempts, attempt);
     ow_amounts_add(&machine->used, &submission->need, 1);
     ow_amounts_add(&machine->used_by[submission->rank], &submission->need, 1);
-    ow_amounts_add(ow_team_usage(leader, run->job->spec->team), &submission->need, 1);
+    ow_amounts_add(ow_team_usage(leader, execution->job->spec->team), &submission->need, 1);
     return attempt;
 }
 
@@ -59,15 +59,15 @@
 
 static void detach(struct ow_leader *leader, struct ow_attempt *attempt)
 {
-    const struct ow_spec *spec = attempt->job->spec;
-    struct ow_run *run = attempt->job->run;
-    g_ptr_array_remove_fast(run->attempts, attempt);
+    const struct ow_job_spec *spec = attempt->job->spec;
+    struct ow_execution *execution = attempt->job->execution;
+    g_ptr_array_remove_fast(execution->attempts, attempt);
     detach_from_machine(leader, attempt);
     ow_amounts_add(ow_team_usage(leader, spec->team), &spec->submission->need, -1);
     if (attempt->state == OW_ATTEMPT_SEEN && attempt->phase == OW_PHASE_RUNNING)
-        run->running--;
-    run->tasks[attempt->task].attempt = NULL;
-    run->cursor = MIN(run->cursor, attempt->task);
+        execution->running--;
+    execution->tasks[attempt->task].attempt = NULL;
+    execution->cursor = MIN(execution->cursor, attempt->task);
 }
 
 void ow_attempt_unload(struct ow_leader *leader, struct ow_attempt *attempt)
@@ -76,89 +76,89 @@
     g_free(attempt);
 }
 
-static void mark_done(struct ow_run *run, uint32_t task)
+static void mark_done(struct ow_execution *execution, uint32_t task)
 {
-    if (run->tasks[task].done)
+    if (execution->tasks[task].done)
         return;
-    run->tasks[task].done = true;
-    run->done++;
+    execution->tasks[task].done = true;
+    execution->done++;
 }
 
 /* The tasks of a gang complete together: one result is that of all of them. */
-static void complete_tasks(struct ow_leader *leader, struct ow_run *run, uint32_t task)
+static void complete_tasks(struct ow_leader *leader, struct ow_execution *execution, uint32_t task)
 {
-    mark_done(run, task);
-    run->failures = 0;
-    if (!run->job->spec->submission->gang)
+    mark_done(execution, task);
+    execution->failures = 0;
+    if (!execution->job->spec->submission->gang)
         return;
-    for (uint32_t i = 0; i < run->count; i++) {
-        mark_done(run, i);
-        ow_recorder_chunk(leader, run, i, false);
+    for (uint32_t i = 0; i < execution->count; i++) {
+        mark_done(execution, i);
+        ow_recorder_chunk(leader, execution, i, false);
     }
 }
 
 /* Takes in what the run time of a completed task shows of its class and its machine. */
 static void observe_run_time(struct ow_leader *leader, const struct ow_attempt *attempt)
 {
-    const struct ow_spec *spec = attempt->job->spec;
+    const struct ow_job_spec *spec = attempt->job->spec;
     struct ow_machine *machine = attempt->machine;
     double ran_s = leader->core->now - attempt->running_at;
-    double expected_s = ow_class_run_s(leader->core, spec);
+    double expected_s = ow_class_run_time_s(leader->core, spec);
     /* A gang is as fast as its slowest machine, which need not be this one. */
     if (expected_s > 0 && !spec->submission->gang) {
         double slowness = MIN(ran_s / expected_s, SLOWNESS_MOST);
         machine->slowness += SLOWNESS_WEIGHT * (slowness - machine->slowness);
     }
-    ow_class_observe_run(leader->core, spec, ran_s);
+    ow_class_observe_run_time(leader->core, spec, ran_s);
 }
 
 /* The attempt at the task has ended with a result. */
-static void take_result(struct ow_leader *leader, struct ow_run *run, uint32_t task,
+static void take_result(struct ow_leader *leader, struct ow_execution *execution, uint32_t task,
                         struct ow_machine *machine)
 {
-    if (ow_run_is_service(run)) {
+    if (ow_execution_is_service(execution)) {
         /* Its machine keeps the result and would end the replica again: it goes elsewhere. */
-        ow_machine_health_avoid(leader, machine, run);
+        ow_machine_health_avoid(leader, machine, execution);
         return;
     }
     machine->errors = 0;
     machine->probation_until = 0;
     machine->failed_job = NULL;
-    complete_tasks(leader, run, task);
+    complete_tasks(leader, execution, task);
 }
 
 /* The attempt at the task has ended without a result. */
-static void take_failure(struct ow_leader *leader, struct ow_run *run, uint32_t task,
+static void take_failure(struct ow_leader *leader, struct ow_execution *execution, uint32_t task,
                          struct ow_machine *machine, enum ow_cause cause, bool stopped)
 {
     if (cause == OW_CAUSE_ERROR)
-        ow_machine_health_error(leader, machine, run);
+        ow_machine_health_error(leader, machine, execution);
     if (cause == OW_CAUSE_UNKNOWN || cause == OW_CAUSE_FULL || cause == OW_CAUSE_BUSY)
-        run->ready_at = MAX(run->ready_at, leader->core->now + RETRY_PAUSE_S);
+        execution->ready_at = MAX(execution->ready_at, leader->core->now + RETRY_PAUSE_S);
     /* One that is gone, or refused, ends the gang's attempt: the others would wait or fail, too. */
-    if (run->job->spec->submission->gang && !stopped && !run->tasks[task].done)
-        ow_run_stop(leader, run, 0, "another task of the gang is gone");
+    if (execution->job->spec->submission->gang && !stopped && !execution->tasks[task].done)
+        ow_execution_stop(leader, execution, 0, "another task of the gang is gone");
 }
 
 void ow_attempt_end(struct ow_leader *leader, struct ow_attempt *attempt, enum ow_cause cause,
                     const char *proof)
 {
-    struct ow_run *run = attempt->job->run;
+    struct ow_execution *execution = attempt->job->execution;
     struct ow_machine *machine = attempt->machine;
     uint32_t task = attempt->task;
     bool stopped = attempt->stop;
     g_debug("task %s/%u attempt %" G_GUINT64_FORMAT " on %s is gone: %s", attempt->job->id, task,
             attempt->number, machine->name, proof);
-    if (cause == OW_CAUSE_DONE && attempt->running_at > 0 && !ow_run_is_service(run))
+    if (cause == OW_CAUSE_DONE && attempt->running_at > 0 && !ow_execution_is_service(execution))
         observe_run_time(leader, attempt);
     detach(leader, attempt);
     g_free(attempt);
     leader->cycle.due = true;
-    ow_recorder_chunk(leader, run, task, false);
+    ow_recorder_chunk(leader, execution, task, false);
     if (cause == OW_CAUSE_DONE)
-        take_result(leader, run, task, machine);
+        take_result(leader, execution, task, machine);
     else
-        take_failure(leader, run, task, machine, cause, stopped);
+        take_failure(leader, execution, task, machine, cause, stopped);
 }
 
 void ow_attempt_stop(struct ow_leader *leader, struct ow_attempt *attempt, double grace_s, const char *why)
--- a/src/core/attempt.h
+++ b/src/core/attempt.h
@@ -8,7 +8,7 @@
 
 struct ow_leader;
 struct ow_machine;
-struct ow_run;
+struct ow_execution;
 
 enum ow_attempt_state {
     OW_ATTEMPT_PLANNED,   /* its record is not committed: no launch may leave */
@@ -37,7 +37,7 @@
 };
 
 /* Creates an attempt in state OW_ATTEMPT_PLANNED and adds its needs to the sums of machine and team. */
-struct ow_attempt *ow_attempt_new(struct ow_leader *leader, struct ow_run *run, uint32_t task,
+struct ow_attempt *ow_attempt_new(struct ow_leader *leader, struct ow_execution *execution, uint32_t task,
                                   uint64_t number, struct ow_machine *machine, uint64_t incarnation);
 /* Ends and frees an attempt that is proven gone, or of which no launch ever left. `proof` is for the log.
    Other attempts of a gang may end with it. */
--- a/src/core/core.c
+++ b/src/core/core.c
@@ -35,10 +35,10 @@
     core->store_limits = ow_store_limits_of(settings);
     core->peer_formats = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     core->pending_calls = ow_pending_calls_new();
-    core->names = (struct ow_name_tables){ow_names_new(), ow_names_new(), ow_names_new(), ow_names_new(),
-                                          ow_names_new()};
+    core->interners = (struct ow_interners){ow_interner_new(), ow_interner_new(), ow_interner_new(),
+                                            ow_interner_new(), ow_interner_new()};
     core->classes = g_array_new(FALSE, FALSE, sizeof(struct ow_class));
-    core->jobs = ow_jobs_new(&core->names);
+    core->jobs = ow_jobs_new(&core->interners);
     core->job_cache = ow_job_cache_new(core);
     core->election = ow_election_new(core);
     core->cancellation_ack = ow_cancellation_ack_new(core);
@@ -63,11 +63,11 @@
     ow_cancellation_ack_free(core->cancellation_ack);
     ow_jobs_free(core->jobs);
     ow_core_free_machine_types(core);
-    ow_names_free(core->names.classes);
-    ow_names_free(core->names.teams);
-    ow_names_free(core->names.images);
-    ow_names_free(core->names.zones);
-    ow_names_free(core->names.types);
+    ow_interner_free(core->interners.classes);
+    ow_interner_free(core->interners.teams);
+    ow_interner_free(core->interners.images);
+    ow_interner_free(core->interners.zones);
+    ow_interner_free(core->interners.types);
     g_array_free(core->classes, TRUE);
     g_hash_table_destroy(core->peers_ok);
     g_hash_table_destroy(core->peer_formats);
@@ -160,7 +160,7 @@
     ow_peer_messages_send_hello(core);
 }
 
-GPtrArray *ow_core_run(struct ow_core *core, double now, double time_of_day)
+GPtrArray *ow_core_step(struct ow_core *core, double now, double time_of_day)
 {
     core->now = now;
     core->time_of_day = time_of_day;
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -15,7 +15,7 @@
 void ow_core_push(struct ow_core *core, struct ow_event *event);
 /* Works off the queue and everything that is due; the effects (struct ow_effect) go to the caller,
  * who owns the array and its members. `now` is steady; the time of day only tells how old jobs are. */
-GPtrArray *ow_core_run(struct ow_core *core, double now, double time_of_day);
+GPtrArray *ow_core_step(struct ow_core *core, double now, double time_of_day);
 /* How long until the core wants to run again, if nothing comes in. */
 double ow_core_idle_seconds(const struct ow_core *core);
 /* Whether users should be sent here. */
--- a/src/core/core_state.c
+++ b/src/core/core_state.c
@@ -92,7 +92,7 @@
 {
     for (guint i = 0; i < types->len; i++) {
         const struct ow_machine_type *type = &g_array_index(types, struct ow_machine_type, i);
-        int index = ow_names_add(core->names.types, type->name);
+        int index = ow_interner_intern(core->interners.types, type->name);
         if (index >= OW_MAX_TYPES)
             continue;
         free_type(core->types[index]);
--- a/src/core/core_state.h
+++ b/src/core/core_state.h
@@ -31,7 +31,7 @@
     double time_of_day; /* roughly: nothing that must be safe rests on it */
     GPtrArray *effects;
     struct ow_pending_calls *pending_calls;
-    struct ow_name_tables names;
+    struct ow_interners interners;
     struct ow_jobs *jobs;
     struct ow_machine_type *types[OW_MAX_TYPES]; /* by name index; NULL: not known */
     bool types_known;
--- a/src/core/run.h
+++ b/src/core/execution.h
@@ -1,7 +1,7 @@
-/* Runs of jobs: the leader's view of a job whose tasks may still exist. run.c owns runs, with their tasks and
- * chunks. */
-#ifndef OW_CORE_RUN_H
-#define OW_CORE_RUN_H
+/* Runs of jobs: the leader's view of a job whose tasks may still exist. execution.c owns runs, with their
+ * tasks and chunks. */
+#ifndef OW_CORE_EXECUTION_H
+#define OW_CORE_EXECUTION_H
 
 #include "core/api/job.h"
 #include "core/attempt.h"
@@ -26,7 +26,7 @@
     bool dirty, writing;                  /* it differs from its record; it is in the write under way */
 };
 
-struct ow_run {
+struct ow_execution {
     struct ow_job *job;
     struct ow_task *tasks;
     uint32_t count, done, running; /* tasks */
@@ -49,31 +49,32 @@
 };
 
 /* A service's replicas are never done: one that ends, for whatever cause, runs again. */
-static inline bool ow_run_is_service(const struct ow_run *run)
+static inline bool ow_execution_is_service(const struct ow_execution *execution)
 {
-    return run->job->spec->submission->kind == OW_KIND_SERVICE;
+    return execution->job->spec->submission->kind == OW_KIND_SERVICE;
 }
 
 /* The chunk that records the task. */
-static inline struct ow_chunk *ow_run_chunk(const struct ow_run *run, uint32_t task)
+static inline struct ow_chunk *ow_execution_chunk(const struct ow_execution *execution, uint32_t task)
 {
-    return &run->chunks[task / run->chunk_tasks];
+    return &execution->chunks[task / execution->chunk_tasks];
 }
 
 /* Replaces the run's chunks by fresh ones of `chunk_tasks` tasks. No chunk of it may be in a record value or
    a write. */
-void ow_run_divide(struct ow_run *run, uint32_t chunk_tasks);
+void ow_execution_divide(struct ow_execution *execution, uint32_t chunk_tasks);
 /* The job's run, which is created if there is none; the leader owns it. The job must have its spec. */
-struct ow_run *ow_run_find_or_add(struct ow_leader *leader, struct ow_job *job);
+struct ow_execution *ow_execution_find_or_add(struct ow_leader *leader, struct ow_job *job);
 /* Frees the run with its attempts and reservation; its record values are rewritten without it. */
-void ow_run_drop(struct ow_leader *leader, struct ow_run *run);
+void ow_execution_drop(struct ow_leader *leader, struct ow_execution *execution);
 /* Stops all attempts of a run in one round, each with `grace_s` seconds to save its work. */
-void ow_run_stop(struct ow_leader *leader, struct ow_run *run, double grace_s, const char *why);
+void ow_execution_stop(struct ow_leader *leader, struct ow_execution *execution, double grace_s,
+                       const char *why);
 /* Tasks that are neither done nor have an attempt; 0 for a job that is over. */
-uint32_t ow_run_pending(const struct ow_run *run);
+uint32_t ow_execution_pending(const struct ow_execution *execution);
 /* The lowest attempt number that no task of the run has used. */
-uint64_t ow_run_next_attempt(const struct ow_run *run);
+uint64_t ow_execution_next_attempt(const struct ow_execution *execution);
 /* Whether the run's team is entitled and has waited long enough for others to be stopped for it. */
-bool ow_run_claims(const struct ow_leader *leader, const struct ow_run *run);
+bool ow_execution_may_reclaim_quota(const struct ow_leader *leader, const struct ow_execution *execution);
 
 #endif
--- a/src/core/names.c
+++ b/src/core/interner.c
@@ -1,21 +1,21 @@
-#include "core/names.h"
+#include "core/interner.h"
 
 #include <glib.h>
 
-struct ow_names {
+struct ow_interner {
     GHashTable *index;
     GPtrArray *text; /* owns the strings */
 };
 
-struct ow_names *ow_names_new(void)
+struct ow_interner *ow_interner_new(void)
 {
-    struct ow_names *names = g_new0(struct ow_names, 1);
+    struct ow_interner *names = g_new0(struct ow_interner, 1);
     names->index = g_hash_table_new(g_str_hash, g_str_equal);
     names->text = g_ptr_array_new_with_free_func(g_free);
     return names;
 }
 
-void ow_names_free(struct ow_names *names)
+void ow_interner_free(struct ow_interner *names)
 {
     if (names == NULL)
         return;
@@ -24,7 +24,7 @@
     g_free(names);
 }
 
-int ow_names_find(const struct ow_names *names, const char *name)
+int ow_interner_find(const struct ow_interner *names, const char *name)
 {
     void *value = NULL;
     if (name == NULL || !g_hash_table_lookup_extended(names->index, name, NULL, &value))
@@ -32,9 +32,9 @@
     return GPOINTER_TO_INT(value);
 }
 
-int ow_names_add(struct ow_names *names, const char *name)
+int ow_interner_intern(struct ow_interner *names, const char *name)
 {
-    int found = ow_names_find(names, name);
+    int found = ow_interner_find(names, name);
     if (found != OW_NO_NAME)
         return found;
     char *copy = g_strdup(name);
@@ -44,12 +44,12 @@
     return index;
 }
 
-const char *ow_names_text(const struct ow_names *names, int index)
+const char *ow_interner_text(const struct ow_interner *names, int index)
 {
     return g_ptr_array_index(names->text, (guint)index);
 }
 
-int ow_names_count(const struct ow_names *names)
+int ow_interner_count(const struct ow_interner *names)
 {
     return (int)names->text->len;
 }
--- a/src/core/leader.c
+++ b/src/core/leader.c
@@ -15,7 +15,7 @@
 #include "core/records/recorder.h"
 #include "core/records/records.h"
 #include "core/records/failover.h"
-#include "core/run.h"
+#include "core/execution.h"
 #include "core/scheduling/image_demand.h"
 #include "core/scheduling/reason.h"
 #include "core/scheduling/schedule.h"
@@ -45,7 +45,7 @@
     leader->machines_by_name = g_hash_table_new(g_str_hash, g_str_equal);
     leader->machines = g_ptr_array_new_with_free_func(ow_machine_free);
     leader->direct_due = g_ptr_array_new();
-    leader->runs = g_ptr_array_new();
+    leader->executions = g_ptr_array_new();
     leader->cycle.image_demand = ow_image_demand_new_table();
     leader->cycle.shortlists = ow_shortlists_new();
     leader->cycle.allowances = ow_reason_new_allowances();
@@ -63,9 +63,9 @@
 {
     ow_pending_calls_forget(leader->core->pending_calls, leader);
     ow_failover_free(leader);
-    while (leader->runs->len > 0)
-        ow_run_drop(leader, g_ptr_array_index(leader->runs, 0));
-    g_ptr_array_free(leader->runs, TRUE);
+    while (leader->executions->len > 0)
+        ow_execution_drop(leader, g_ptr_array_index(leader->executions, 0));
+    g_ptr_array_free(leader->executions, TRUE);
     g_hash_table_destroy(leader->machines_by_name);
     g_ptr_array_free(leader->machines, TRUE);
     g_ptr_array_free(leader->direct_due, TRUE);
@@ -134,10 +134,10 @@
 
 static void count_for_users(struct ow_leader *leader)
 {
-    for (guint i = 0; i < leader->runs->len; i++) {
-        const struct ow_run *run = g_ptr_array_index(leader->runs, i);
-        run->job->done = (int)run->done;
-        run->job->running = (int)run->running;
+    for (guint i = 0; i < leader->executions->len; i++) {
+        const struct ow_execution *execution = g_ptr_array_index(leader->executions, i);
+        execution->job->done = (int)execution->done;
+        execution->job->running = (int)execution->running;
     }
 }
 
@@ -215,11 +215,11 @@
     if (leader->phase != OW_LEADER_READY)
         return false;
     ow_leader_request_cycle(leader);
-    if (job->run == NULL)
+    if (job->execution == NULL)
         return true;
-    ow_run_stop(leader, job->run, 0, "its job is cancelled");
-    for (guint i = 0; i < job->run->attempts->len; i++)
-        if (!can_only_end(g_ptr_array_index(job->run->attempts, i)))
+    ow_execution_stop(leader, job->execution, 0, "its job is cancelled");
+    for (guint i = 0; i < job->execution->attempts->len; i++)
+        if (!can_only_end(g_ptr_array_index(job->execution->attempts, i)))
             return false;
     return true;
 }
--- a/src/core/leader_broadcast.c
+++ b/src/core/leader_broadcast.c
@@ -2,7 +2,7 @@
 #include "core/leader_broadcast.h"
 #include "core/leader_state.h"
 #include "core/machines/machine.h"
-#include "core/run.h"
+#include "core/execution.h"
 
 #include <string.h>
 
@@ -34,8 +34,9 @@
 {
     struct ow_peer_message *message = new_summary(leader);
     size_t bytes = 0;
-    for (guint i = 0; i < leader->runs->len; i++) {
-        const struct ow_job *job = ((const struct ow_run *)g_ptr_array_index(leader->runs, i))->job;
+    for (guint i = 0; i < leader->executions->len; i++) {
+        const struct ow_job *job =
+            ((const struct ow_execution *)g_ptr_array_index(leader->executions, i))->job;
         if (message->jobs->len >= PART_ENTRIES || bytes + job_bytes(job) > PART_BYTES) {
             ow_core_send_to_peers(leader->core, message);
             message = new_summary(leader);
@@ -61,10 +62,10 @@
         bool listens = machine->last_message_at > 0;
         if (!listens || machine->addr == NULL || machine->type < 0 || machine->terminating)
             continue;
-        struct ow_peer_machine hint = {g_strdup(machine->name), g_strdup(machine->addr),
-                                       g_strdup(ow_names_text(leader->core->names.types, machine->type)),
-                                       g_strdup(ow_names_text(leader->core->names.zones, machine->zone)),
-                                       machine->spot};
+        struct ow_peer_machine hint = {
+            g_strdup(machine->name), g_strdup(machine->addr),
+            g_strdup(ow_interner_text(leader->core->interners.types, machine->type)),
+            g_strdup(ow_interner_text(leader->core->interners.zones, machine->zone)), machine->spot};
         g_array_append_val(machines, hint);
     }
     return machines;
--- a/src/core/leader_state.h
+++ b/src/core/leader_state.h
@@ -96,7 +96,7 @@
     GPtrArray *direct_due;         /* struct ow_machine, not owned: worker_commands.c */
     unsigned probes; /* direct commands under way to machines that may not answer: worker_commands.c */
 
-    GPtrArray *runs; /* struct ow_run, owned: run.c */
+    GPtrArray *executions; /* struct ow_execution, owned: execution.c */
     struct ow_team_state teams;
 
     struct ow_format_state format;
--- a/src/core/machines/headroom.c
+++ b/src/core/machines/headroom.c
@@ -4,7 +4,7 @@
 #include "core/machines/machine.h"
 #include "core/machines/machine_registry.h"
 #include "core/machines/instance_offers.h"
-#include "core/run.h"
+#include "core/execution.h"
 #include "core/scheduling/classes.h"
 #include "core/scheduling/placement.h"
 
@@ -30,7 +30,7 @@
 static uint32_t class_slots(const struct ow_leader *leader, const struct ow_class *class,
                             const struct ow_machine *machine, bool proper)
 {
-    const struct ow_machine_type *type = ow_machine_spec(leader, machine);
+    const struct ow_machine_type *type = ow_machine_type_of(leader, machine);
     if (type == NULL || (proper && ow_instance_offers_is_wasteful(leader, type, class, machine->spot)) ||
         (machine->spot && !class->spot) || (class->types & (UINT64_C(1) << machine->type)) == 0)
         return 0;
@@ -58,17 +58,18 @@
 }
 
 /* The tasks of a class that run or wait, and the newest of its runs as a sample. */
-static uint32_t class_tasks(const struct ow_leader *leader, int class_index, const struct ow_run **sample)
+static uint32_t class_tasks(const struct ow_leader *leader, int class_index,
+                            const struct ow_execution **sample)
 {
     uint32_t tasks = 0;
     *sample = NULL;
-    for (guint i = 0; i < leader->runs->len; i++) {
-        const struct ow_run *run = g_ptr_array_index(leader->runs, i);
-        if (run->job->spec->class_index != class_index || ow_job_over(run->job))
+    for (guint i = 0; i < leader->executions->len; i++) {
+        const struct ow_execution *execution = g_ptr_array_index(leader->executions, i);
+        if (execution->job->spec->class_index != class_index || ow_job_over(execution->job))
             continue;
-        tasks += run->count - run->done;
-        if (*sample == NULL || run->accepted_at > (*sample)->accepted_at)
-            *sample = run;
+        tasks += execution->count - execution->done;
+        if (*sample == NULL || execution->accepted_at > (*sample)->accepted_at)
+            *sample = execution;
     }
     return tasks;
 }
@@ -76,13 +77,13 @@
 void ow_headroom_plan(struct ow_leader *leader, GArray *plan, unsigned *most)
 {
     for (guint i = 0; i < leader->core->classes->len; i++) {
-        const struct ow_run *sample = NULL;
+        const struct ow_execution *sample = NULL;
         double peak = ow_class_peak(leader->core, (int)i, class_tasks(leader, (int)i, &sample));
         struct ow_expected_machine candidate;
         if (sample == NULL ||
             !ow_instance_offers_best(leader, sample->job->spec, INFINITY, true, false, &candidate))
             continue;
-        const struct ow_machine_type *type = ow_machine_spec(leader, &candidate.machine);
+        const struct ow_machine_type *type = ow_machine_type_of(leader, &candidate.machine);
         const struct ow_class *class = ow_class_of(leader->core, (int)i);
         if (!is_tight(leader, (int)i, type) || ow_class_is_quiet(leader->core, (int)i))
             continue;
@@ -112,7 +113,7 @@
 static double slots_wanted(struct ow_leader *leader, int class_index, bool proper)
 {
     const struct ow_class *class = ow_class_of(leader->core, class_index);
-    const struct ow_run *sample = NULL;
+    const struct ow_execution *sample = NULL;
     if (ow_class_is_quiet(leader->core, class_index))
         return class_tasks(leader, class_index, &sample);
     return proper ? class->peak * (1 + HEADROOM_SHARE) + class->largest : class->peak;
@@ -135,7 +136,7 @@
 /* Whether a class would miss the machine; if none would, it counts as gone from here on. */
 static bool spared(struct ow_leader *leader, GArray *needs, const struct ow_machine *machine)
 {
-    const struct ow_machine_type *type = ow_machine_spec(leader, machine);
+    const struct ow_machine_type *type = ow_machine_type_of(leader, machine);
     for (guint i = 0; i < needs->len; i++) {
         const struct need *need = &g_array_index(needs, struct need, i);
         uint32_t slots = class_slots(leader, need->class, machine, need->proper);
@@ -155,7 +156,7 @@
 
 static double rent_of(const struct ow_leader *leader, const struct ow_machine *machine)
 {
-    const struct ow_machine_type *type = ow_machine_spec(leader, machine);
+    const struct ow_machine_type *type = ow_machine_type_of(leader, machine);
     return machine->spot ? type->spot_price : type->price;
 }
 
@@ -174,7 +175,7 @@
     GPtrArray *found = g_ptr_array_new(), *unneeded = g_ptr_array_new();
     for (guint i = 0; i < leader->machines->len; i++) {
         struct ow_machine *machine = g_ptr_array_index(leader->machines, i);
-        if (ow_machine_spec(leader, machine) != NULL && idle(machine))
+        if (ow_machine_type_of(leader, machine) != NULL && idle(machine))
             g_ptr_array_add(found, machine);
     }
     g_ptr_array_sort_with_data(found, dearest_first, leader);
--- a/src/core/machines/instance_offers.c
+++ b/src/core/machines/instance_offers.c
@@ -106,26 +106,26 @@
 }
 
 /* How long a new machine takes until it can run the job. */
-static double start_s(const struct ow_machine_type *type, const struct ow_spec *spec)
+static double start_s(const struct ow_machine_type *type, const struct ow_job_spec *spec)
 {
     return type->boot_s + (type->fetch_gb_per_s > 0 ? spec->submission->image_gb / type->fetch_gb_per_s : 0);
 }
 
 /* Whether the kind of machine can be provisioned for the job, and would come in time to help. */
-static bool is_option(const struct ow_leader *leader, const struct ow_spec *spec,
+static bool is_option(const struct ow_leader *leader, const struct ow_job_spec *spec,
                       const struct ow_machine *kind, double waits)
 {
     const struct ow_machine_type *type = leader->core->types[kind->type];
     if (waits < HELP_PATIENCE * start_s(type, spec))
         return false;
-    if (!offered_in(type, ow_names_text(leader->core->names.zones, kind->zone)))
+    if (!offered_in(type, ow_interner_text(leader->core->interners.zones, kind->zone)))
         return false;
     return ow_placement_slots(leader, spec, kind) > 0 && ow_placement_is_allowed(leader, spec, kind) &&
            !refused(leader, kind->type, kind->zone, kind->spot);
 }
 
 /* Hourly rent for each task of the job that would run on such a machine. */
-static double price_for_job(const struct ow_leader *leader, const struct ow_spec *spec,
+static double price_for_job(const struct ow_leader *leader, const struct ow_job_spec *spec,
                             const struct ow_machine *kind)
 {
     const struct ow_machine_type *type = leader->core->types[kind->type];
@@ -133,7 +133,7 @@
     return (kind->spot ? type->spot_price : type->price) / MIN(slots, spec->submission->tasks);
 }
 
-bool ow_instance_offers_best(const struct ow_leader *leader, const struct ow_spec *spec, double waits,
+bool ow_instance_offers_best(const struct ow_leader *leader, const struct ow_job_spec *spec, double waits,
                              bool proper, bool cheap, struct ow_expected_machine *out)
 {
     const struct ow_class *class = ow_class_of(leader->core, spec->class_index);
@@ -141,7 +141,7 @@
     for (int type_index = 0; type_index < OW_MAX_TYPES; type_index++) {
         const struct ow_machine_type *type = leader->core->types[type_index];
         for (char **zone = leader->core->settings->zones; type != NULL && *zone != NULL; zone++) {
-            int zone_index = ow_names_add(leader->core->names.zones, *zone);
+            int zone_index = ow_interner_intern(leader->core->interners.zones, *zone);
             for (int spot = cheap ? 1 : 0; spot < 2; spot++) {
                 struct ow_expected_machine candidate = {
                     .machine = {.type = type_index, .zone = zone_index, .spot = spot != 0},
--- a/src/core/machines/instance_offers.h
+++ b/src/core/machines/instance_offers.h
@@ -19,7 +19,7 @@
 /* Finds the cheapest kind of machine for the job that has not been refused lately; false if there is none.
    `waits`: seconds the job would wait without it; `proper`: no machine whose GPUs would be wasted on it;
    `cheap`: spot machines alone. */
-bool ow_instance_offers_best(const struct ow_leader *leader, const struct ow_spec *spec, double waits,
+bool ow_instance_offers_best(const struct ow_leader *leader, const struct ow_job_spec *spec, double waits,
                              bool proper, bool cheap, struct ow_expected_machine *out);
 /* Whether a machine with GPUs would be too expensive for work that does not need them. */
 bool ow_instance_offers_is_wasteful(const struct ow_leader *leader, const struct ow_machine_type *type,
--- a/src/core/machines/machine_health.c
+++ b/src/core/machines/machine_health.c
@@ -7,7 +7,7 @@
 #include "core/machines/machine_registry.h"
 #include "core/machines/spot_risk.h"
 #include "core/machines/worker_commands.h"
-#include "core/run.h"
+#include "core/execution.h"
 #include "core/scheduling/service_moves.h"
 
 static const double DRIFT = 0.002, MARGIN_S = 1.5;
@@ -56,7 +56,7 @@
 
 static bool is_overdue(const struct ow_leader *leader, const struct ow_machine *machine)
 {
-    const struct ow_machine_type *type = ow_machine_spec(leader, machine);
+    const struct ow_machine_type *type = ow_machine_type_of(leader, machine);
     double boot_s = type != NULL ? type->boot_s : UNKNOWN_BOOT_S;
     return machine->last_message_at == 0 &&
            leader->core->now - machine->provisioned_at > OVERDUE_BOOTS * boot_s + OVERDUE_MARGIN_S;
@@ -111,7 +111,8 @@
 static bool has_replicas(const struct ow_machine *machine)
 {
     for (guint i = 0; i < machine->attempts->len; i++)
-        if (ow_run_is_service(((const struct ow_attempt *)g_ptr_array_index(machine->attempts, i))->job->run))
+        if (ow_execution_is_service(
+                ((const struct ow_attempt *)g_ptr_array_index(machine->attempts, i))->job->execution))
             return true;
     return false;
 }
@@ -182,7 +183,7 @@
             continue;
         double grace = MIN(left_s, submission->checkpoint_duration_s + CHECKPOINT_GRACE_S);
         if (submission->gang)
-            ow_run_stop(leader, attempt->job->run, grace, "its machine is taken back");
+            ow_execution_stop(leader, attempt->job->execution, grace, "its machine is taken back");
         else
             ow_attempt_stop(leader, attempt, grace, "its machine is taken back");
     }
@@ -225,63 +226,65 @@
     }
 }
 
-static void end_probation(const struct ow_run *run)
+static void end_probation(const struct ow_execution *execution)
 {
     GHashTableIter iter;
     void *machine;
-    g_hash_table_iter_init(&iter, run->failed_machines);
+    g_hash_table_iter_init(&iter, execution->failed_machines);
     while (g_hash_table_iter_next(&iter, &machine, NULL))
         ((struct ow_machine *)machine)->probation_until = 0;
 }
 
-void ow_machine_health_avoid(struct ow_leader *leader, struct ow_machine *machine, struct ow_run *run)
+void ow_machine_health_avoid(struct ow_leader *leader, struct ow_machine *machine,
+                             struct ow_execution *execution)
 {
     /* For a while only: a job must not run out of machines because each of them failed it once. */
-    if (leader->core->now > run->failed_machines_until)
-        g_hash_table_remove_all(run->failed_machines);
-    run->failed_machines_until = leader->core->now + FAILED_MACHINE_AVOIDANCE_S;
-    g_hash_table_add(run->failed_machines, machine);
+    if (leader->core->now > execution->failed_machines_until)
+        g_hash_table_remove_all(execution->failed_machines);
+    execution->failed_machines_until = leader->core->now + FAILED_MACHINE_AVOIDANCE_S;
+    g_hash_table_add(execution->failed_machines, machine);
 }
 
 /* Whether a replica of the service has served for a while: the job is sound, and what fails is the machines.
  */
-static bool is_proven(const struct ow_leader *leader, const struct ow_run *run)
+static bool is_proven(const struct ow_leader *leader, const struct ow_execution *execution)
 {
-    for (guint i = 0; ow_run_is_service(run) && i < run->attempts->len; i++) {
-        const struct ow_attempt *attempt = g_ptr_array_index(run->attempts, i);
+    for (guint i = 0; ow_execution_is_service(execution) && i < execution->attempts->len; i++) {
+        const struct ow_attempt *attempt = g_ptr_array_index(execution->attempts, i);
         if (attempt->running_at > 0 && leader->core->now - attempt->running_at > PROVEN_S)
             return true;
     }
     return false;
 }
 
-void ow_machine_health_error(struct ow_leader *leader, struct ow_machine *machine, struct ow_run *run)
+void ow_machine_health_error(struct ow_leader *leader, struct ow_machine *machine,
+                             struct ow_execution *execution)
 {
     double now = leader->core->now;
-    ow_machine_health_avoid(leader, machine, run);
+    ow_machine_health_avoid(leader, machine, execution);
     /* A service that otherwise serves has no result that would forgive its failures: without this they would
        add up as long as it lives, and its replicas wait ever longer. */
-    bool proven = is_proven(leader, run);
+    bool proven = is_proven(leader, execution);
     if (proven)
-        run->failures = 0;
-    run->failures = MIN(run->failures + 1, 1000);
-    guint bad = g_hash_table_size(run->failed_machines);
+        execution->failures = 0;
+    execution->failures = MIN(execution->failures + 1, 1000);
+    guint bad = g_hash_table_size(execution->failed_machines);
     if (bad >= RUN_FAILURES) {
         /* It fails wherever it goes: the job is at fault, not the machines. */
-        double pause = MIN(60, 5 << MIN(run->failures / 4, 4));
-        if (run->ready_at < now + 1)
-            g_info("job %s fails on %u machines: paused for %.0f s", run->job->id, bad, pause);
-        run->ready_at = MAX(run->ready_at, now + pause);
+        double pause = MIN(60, 5 << MIN(execution->failures / 4, 4));
+        if (execution->ready_at < now + 1)
+            g_info("job %s fails on %u machines: paused for %.0f s", execution->job->id, bad, pause);
+        execution->ready_at = MAX(execution->ready_at, now + pause);
         /* Of a proven service the machines are at fault: it must not go back to them at once. */
         if (!proven) {
-            end_probation(run);
-            g_hash_table_remove_all(run->failed_machines);
+            end_probation(execution);
+            g_hash_table_remove_all(execution->failed_machines);
             return;
         }
     }
     /* A job with many tasks proves no more against a machine than one with a single task. */
-    machine->errors += machine->failed_job != run->job ? 1 : 0;
-    machine->failed_job = run->job;
+    machine->errors += machine->failed_job != execution->job ? 1 : 0;
+    machine->failed_job = execution->job;
     machine->probation_until = now + PROBATION_S;
     if (machine->errors < ERRORS_TO_QUARANTINE || now < machine->quarantine_until)
         return;
--- a/src/core/machines/machine_registry.c
+++ b/src/core/machines/machine_registry.c
@@ -3,7 +3,7 @@
 #include "core/leader_state.h"
 #include "core/machines/machine.h"
 #include "core/machines/worker_commands.h"
-#include "core/run.h"
+#include "core/execution.h"
 #include "core/scheduling/reservation.h"
 
 #include <string.h>
@@ -56,8 +56,8 @@
         g_free(machine->addr);
         machine->addr = g_strdup(addr);
     }
-    machine->type = ow_names_add(leader->core->names.types, type);
-    machine->zone = ow_names_add(leader->core->names.zones, zone);
+    machine->type = ow_interner_intern(leader->core->interners.types, type);
+    machine->zone = ow_interner_intern(leader->core->interners.zones, zone);
     machine->spot = spot;
 }
 
@@ -65,10 +65,10 @@
 {
     while (machine->attempts->len > 0)
         ow_attempt_end(leader, g_ptr_array_index(machine->attempts, 0), OW_CAUSE_NONE, proof);
-    for (guint i = 0; i < leader->runs->len; i++) {
-        struct ow_run *run = g_ptr_array_index(leader->runs, i);
-        g_hash_table_remove(run->failed_machines, machine);
-        ow_reservation_forget(run->reservation, machine);
+    for (guint i = 0; i < leader->executions->len; i++) {
+        struct ow_execution *execution = g_ptr_array_index(leader->executions, i);
+        g_hash_table_remove(execution->failed_machines, machine);
+        ow_reservation_forget(execution->reservation, machine);
     }
     ow_worker_commands_forget(leader, machine);
     g_hash_table_remove(leader->machines_by_name, machine->name);
@@ -96,7 +96,7 @@
        commands but does not report (its lease runs out), or is unresponsive, is about to be reclaimed, or is
        being returned. */
     return machine->fenced && machine->incarnation > machine->expired_incarnation &&
-           ow_machine_spec(leader, machine) != NULL && machine->addr != NULL &&
+           ow_machine_type_of(leader, machine) != NULL && machine->addr != NULL &&
            ow_machine_heard_recently(leader, machine) && !ow_machine_is_silent(leader, machine) &&
            machine->unanswered_since == 0 && machine->reclaim_at == 0 && !machine->terminating &&
            now >= MAX(machine->quarantine_until, machine->probation_until);
@@ -140,7 +140,7 @@
 /* A guess at what the machine still has: it caches the most recently used images. */
 static void forget_old_images(const struct ow_leader *leader, struct ow_machine *machine)
 {
-    const struct ow_machine_type *type = ow_machine_spec(leader, machine);
+    const struct ow_machine_type *type = ow_machine_type_of(leader, machine);
     double limit = type != NULL ? type->cache_gb : 0;
     for (;;) {
         double sum = 0;
@@ -160,8 +160,8 @@
     }
 }
 
-void ow_machine_image_use(struct ow_leader *leader, struct ow_machine *machine, const struct ow_spec *spec,
-                          bool present)
+void ow_machine_image_use(struct ow_leader *leader, struct ow_machine *machine,
+                          const struct ow_job_spec *spec, bool present)
 {
     struct ow_image_copy *copy = ow_machine_image(machine, spec->image);
     if (copy == NULL) {
@@ -177,9 +177,9 @@
 }
 
 double ow_machine_fetch_seconds(const struct ow_leader *leader, const struct ow_machine *machine,
-                                const struct ow_spec *spec)
+                                const struct ow_job_spec *spec)
 {
-    const struct ow_machine_type *type = ow_machine_spec(leader, machine);
+    const struct ow_machine_type *type = ow_machine_type_of(leader, machine);
     const struct ow_image_copy *copy = ow_machine_image(machine, spec->image);
     if (copy != NULL && copy->present)
         return 0;
--- a/src/core/machines/machine_registry.h
+++ b/src/core/machines/machine_registry.h
@@ -7,8 +7,8 @@
 #include "core/machines/machine.h"
 
 /* The machine's type, owned by the controller, or NULL while its type is unknown. */
-static inline const struct ow_machine_type *ow_machine_spec(const struct ow_leader *leader,
-                                                            const struct ow_machine *machine)
+static inline const struct ow_machine_type *ow_machine_type_of(const struct ow_leader *leader,
+                                                               const struct ow_machine *machine)
 {
     return machine->type >= 0 && machine->type < OW_MAX_TYPES ? leader->core->types[machine->type] : NULL;
 }
@@ -36,11 +36,11 @@
    ow_machine_image_use(). */
 struct ow_image_copy *ow_machine_image(const struct ow_machine *machine, int image);
 /* Notes that a task uses its job's image there. `present`: the image is known to have been fetched. */
-void ow_machine_image_use(struct ow_leader *leader, struct ow_machine *machine, const struct ow_spec *spec,
-                          bool present);
+void ow_machine_image_use(struct ow_leader *leader, struct ow_machine *machine,
+                          const struct ow_job_spec *spec, bool present);
 /* Expected seconds until a task with the job's image could run there; 0 if the image is present. */
 double ow_machine_fetch_seconds(const struct ow_leader *leader, const struct ow_machine *machine,
-                                const struct ow_spec *spec);
+                                const struct ow_job_spec *spec);
 /* Frees a machine: the free function of the registry's array. */
 void ow_machine_free(void *machine);
 
--- a/src/core/machines/reconciliation.c
+++ b/src/core/machines/reconciliation.c
@@ -6,16 +6,16 @@
 #include "core/machines/spot_risk.h"
 #include "core/machines/worker_commands.h"
 #include "core/records/recorder.h"
-#include "core/run.h"
+#include "core/execution.h"
 
 #include <string.h>
 
 static struct ow_attempt *find_attempt(struct ow_machine *machine, const struct ow_job *job,
                                        const struct ow_task_status *task_status)
 {
-    if (job == NULL || job->run == NULL || task_status->task >= job->run->count)
+    if (job == NULL || job->execution == NULL || task_status->task >= job->execution->count)
         return NULL;
-    struct ow_attempt *attempt = job->run->tasks[task_status->task].attempt;
+    struct ow_attempt *attempt = job->execution->tasks[task_status->task].attempt;
     if (attempt == NULL || attempt->machine != machine)
         return NULL;
     if (attempt->number != task_status->attempt || attempt->incarnation != machine->incarnation)
@@ -39,10 +39,10 @@
     if (ow_job_over(job))
         return true;
     /* The final record takes the place of the chunks, and is not there yet. */
-    if (job->run->finishing)
+    if (job->execution->finishing)
         return false;
-    const struct ow_chunk *chunk = ow_run_chunk(job->run, task);
-    return job->run->tasks[task].done && !chunk->dirty && !chunk->writing;
+    const struct ow_chunk *chunk = ow_execution_chunk(job->execution, task);
+    return job->execution->tasks[task].done && !chunk->dirty && !chunk->writing;
 }
 
 /* Rule 3: an ended task is cleared only when nothing can deliver its launch again, and a result only
@@ -54,7 +54,7 @@
     if (job == NULL ||
         ow_machine_has_unacknowledged_launch(machine, job, task_status->task, task_status->attempt))
         return;
-    bool known = job->run != NULL && task_status->task < job->run->count;
+    bool known = job->execution != NULL && task_status->task < job->execution->count;
     if (ow_job_over(job) ||
         (known && task_status->cause == OW_CAUSE_DONE && result_recorded(job, task_status->task)))
         add_command(commands, OW_WORKER_CLEAR, task_status);
@@ -63,11 +63,11 @@
 /* Whether the task belongs to a batch job that goes on, is not done and has no attempt. */
 static bool awaits_result(const struct ow_job *job, uint32_t task)
 {
-    if (job == NULL || job->run == NULL || ow_job_over(job))
+    if (job == NULL || job->execution == NULL || ow_job_over(job))
         return false;
-    if (ow_run_is_service(job->run) || task >= job->run->count)
+    if (ow_execution_is_service(job->execution) || task >= job->execution->count)
         return false;
-    return !job->run->tasks[task].done && job->run->tasks[task].attempt == NULL;
+    return !job->execution->tasks[task].done && job->execution->tasks[task].attempt == NULL;
 }
 
 /* A task that no record of ours accounts for: a copy of an old launch. */
@@ -77,15 +77,15 @@
     if (task_status->phase == OW_PHASE_EXITED) {
         /* A result counts even if its attempt had been ended as lost. */
         if (task_status->cause == OW_CAUSE_DONE && awaits_result(job, task_status->task)) {
-            job->run->tasks[task_status->task].done = true;
-            job->run->done++;
-            ow_recorder_chunk(leader, job->run, task_status->task, false);
+            job->execution->tasks[task_status->task].done = true;
+            job->execution->done++;
+            ow_recorder_chunk(leader, job->execution, task_status->task, false);
         }
         clear_ended(machine, job, task_status, commands);
         return;
     }
-    const struct ow_spec *spec = job != NULL ? job->spec : NULL;
-    const struct ow_machine_type *type = ow_machine_spec(leader, machine);
+    const struct ow_job_spec *spec = job != NULL ? job->spec : NULL;
+    const struct ow_machine_type *type = ow_machine_type_of(leader, machine);
     const struct ow_amounts *need = NULL;
     if (spec != NULL)
         need = &spec->submission->need;
@@ -100,13 +100,13 @@
 
 static void apply_phase(struct ow_leader *leader, struct ow_attempt *attempt, enum ow_phase phase)
 {
-    struct ow_run *run = attempt->job->run;
+    struct ow_execution *execution = attempt->job->execution;
     bool was_running = attempt->state == OW_ATTEMPT_SEEN && attempt->phase == OW_PHASE_RUNNING;
     if (attempt->state == OW_ATTEMPT_SENT)
         attempt->machine->unanswered_since = 0; /* the command has arrived, by whichever way */
     attempt->state = OW_ATTEMPT_SEEN;
     attempt->phase = phase;
-    run->running += (phase == OW_PHASE_RUNNING ? 1 : 0) - (was_running ? 1 : 0);
+    execution->running += (phase == OW_PHASE_RUNNING ? 1 : 0) - (was_running ? 1 : 0);
     if (phase == OW_PHASE_RUNNING && attempt->running_at == 0)
         attempt->running_at = leader->core->now;
     ow_machine_image_use(leader, attempt->machine, attempt->job->spec, phase != OW_PHASE_FETCHING);
@@ -150,7 +150,7 @@
             ow_attempt_end(leader, attempt, OW_CAUSE_NONE, "not on its machine under the new token");
         else if (attempt->state == OW_ATTEMPT_SEEN) {
             if (attempt->phase == OW_PHASE_RUNNING)
-                attempt->job->run->running--;
+                attempt->job->execution->running--;
             attempt->state = OW_ATTEMPT_SENT;
         }
     }
--- a/src/core/machines/scale_out.c
+++ b/src/core/machines/scale_out.c
@@ -6,7 +6,7 @@
 #include "core/machines/machine.h"
 #include "core/machines/machine_registry.h"
 #include "core/machines/instance_offers.h"
-#include "core/run.h"
+#include "core/execution.h"
 #include "core/scheduling/classes.h"
 #include "core/scheduling/deadline.h"
 #include "core/scheduling/placement.h"
@@ -32,8 +32,8 @@
 {
     struct ow_leader *leader = owner;
     const struct provision_call *call = data;
-    const char *type = ow_names_text(leader->core->names.types, call->type);
-    const char *zone = ow_names_text(leader->core->names.zones, call->zone);
+    const char *type = ow_interner_text(leader->core->interners.types, call->type);
+    const char *zone = ow_interner_text(leader->core->interners.zones, call->zone);
     leader->scale_out.calls--;
     leader->scale_out.next_at = leader->core->now; /* plan again with what this one has shown */
     if (answer->cloud.status != 200 || answer->cloud.provisioned == NULL ||
@@ -68,7 +68,7 @@
     return expected_machines;
 }
 
-static uint32_t take_room(const struct ow_leader *leader, const struct ow_spec *spec,
+static uint32_t take_room(const struct ow_leader *leader, const struct ow_job_spec *spec,
                           struct ow_expected_machine *expected, uint32_t wanted)
 {
     if (!ow_placement_is_allowed(leader, spec, &expected->machine))
@@ -93,10 +93,10 @@
 };
 
 /* What a machine has for such work, in the same measure. */
-static double room_for(const struct ow_leader *leader, const struct ow_spec *spec,
+static double room_for(const struct ow_leader *leader, const struct ow_job_spec *spec,
                        const struct ow_machine *machine)
 {
-    const struct ow_machine_type *type = ow_machine_spec(leader, machine);
+    const struct ow_machine_type *type = ow_machine_type_of(leader, machine);
     if (type == NULL || !ow_placement_is_allowed(leader, spec, machine))
         return 0;
     if (spec->submission->need.gpus <= 0)
@@ -112,7 +112,7 @@
     return MIN(type->size.gpus, MAX(0, cpus) / leader->cycle.gpu_cpus);
 }
 
-static double supply_for(const struct ow_leader *leader, const struct ow_spec *spec, GArray *supplies)
+static double supply_for(const struct ow_leader *leader, const struct ow_job_spec *spec, GArray *supplies)
 {
     struct supply supply = {spec->types, spec->zone, spec->submission->spot, spec->submission->need.gpus > 0,
                             0};
@@ -131,7 +131,7 @@
     return supply.there;
 }
 
-static double capacity(const struct ow_leader *leader, const struct ow_spec *spec, const GArray *plan,
+static double capacity(const struct ow_leader *leader, const struct ow_job_spec *spec, const GArray *plan,
                        GArray *supplies)
 {
     double sum = supply_for(leader, spec, supplies);
@@ -141,36 +141,36 @@
 }
 
 /* Whether the machines that are there or coming get to the job in time for the aims of its class. */
-static bool in_time(struct ow_leader *leader, const struct ow_run *run, const GArray *plan,
+static bool in_time(struct ow_leader *leader, const struct ow_execution *execution, const GArray *plan,
                     struct backlog *ahead, double *waits_out)
 {
-    const struct ow_spec *spec = run->job->spec;
+    const struct ow_job_spec *spec = execution->job->spec;
     const struct ow_amounts *need = &spec->submission->need;
     bool gpu = need->gpus > 0;
-    double run_s = ow_class_run_s(leader->core, spec);
+    double run_time_s = ow_class_run_time_s(leader->core, spec);
     double *work = gpu ? &ahead->gpu_s : &ahead->cpu_s;
-    *work += ow_run_pending(run) * (gpu ? need->gpus : need->cpus) * run_s;
+    *work += ow_execution_pending(execution) * (gpu ? need->gpus : need->cpus) * run_time_s;
     double there = capacity(leader, spec, plan, ahead->supplies);
     *waits_out = INFINITY;
     /* A service's replicas free no place for one another, and none of them may wait. */
-    if (there <= 0 || ow_run_is_service(run))
+    if (there <= 0 || ow_execution_is_service(execution))
         return false;
     /* Until the first of the places there is free, and then the work ahead. */
-    double waits = (*work + run_s * (gpu ? need->gpus : need->cpus)) / there;
+    double waits = (*work + run_time_s * (gpu ? need->gpus : need->cpus)) / there;
     *waits_out = waits;
-    double slack = ow_deadline_slack_s(leader, run) - (leader->core->now - run->accepted_at);
+    double slack = ow_deadline_slack_s(leader, execution) - (leader->core->now - execution->accepted_at);
     return waits < PATIENCE * slack;
 }
 
-static void plan_for(struct ow_leader *leader, const struct ow_run *run, GArray *plan, struct backlog *ahead,
-                     unsigned *most)
+static void plan_for(struct ow_leader *leader, const struct ow_execution *execution, GArray *plan,
+                     struct backlog *ahead, unsigned *most)
 {
-    const struct ow_spec *spec = run->job->spec;
-    uint32_t wanted = ow_team_admits(leader, spec, ow_run_pending(run));
+    const struct ow_job_spec *spec = execution->job->spec;
+    uint32_t wanted = ow_team_admits(leader, spec, ow_execution_pending(execution));
     double waits;
-    if (in_time(leader, run, plan, ahead, &waits))
+    if (in_time(leader, execution, plan, ahead, &waits))
         return;
-    bool cheap = ow_placement_waits_for_cheap(leader, run);
+    bool cheap = ow_placement_waits_for_cheap(leader, execution);
     for (guint i = 0; i < plan->len && wanted > 0; i++)
         wanted -= take_room(leader, spec, &g_array_index(plan, struct ow_expected_machine, i), wanted);
     struct ow_expected_machine expected;
@@ -180,7 +180,8 @@
             return;
         wanted -= taken;
         g_debug("a %s machine is planned for job %s, which would wait %.0f s",
-                ow_names_text(leader->core->names.types, expected.machine.type), run->job->id, waits);
+                ow_interner_text(leader->core->interners.types, expected.machine.type), execution->job->id,
+                waits);
         g_array_append_val(plan, expected);
         (*most)--;
     }
@@ -196,8 +197,8 @@
     /* The fencing token is ours alone, so no other process ever uses the same name for another request. */
     request->name =
         g_strdup_printf("r-%" G_GUINT64_FORMAT "-%u", leader->fencing_token, ++leader->scale_out.count);
-    request->type = g_strdup(ow_names_text(leader->core->names.types, call->type));
-    request->zone = g_strdup(ow_names_text(leader->core->names.zones, call->zone));
+    request->type = g_strdup(ow_interner_text(leader->core->interners.types, call->type));
+    request->zone = g_strdup(ow_interner_text(leader->core->interners.zones, call->zone));
     request->spot = call->spot;
     request->count = count;
     leader->scale_out.calls++;
@@ -247,12 +248,12 @@
         return;
     ow_instance_offers_forget_old(leader);
     GArray *plan = coming_up(leader);
-    GPtrArray *runs = ow_queue_sorted(leader);
+    GPtrArray *executions = ow_queue_sorted(leader);
     struct backlog ahead = {.supplies = g_array_new(FALSE, FALSE, sizeof(struct supply))};
     unsigned most = PROVISION_BATCH_MAX;
-    for (guint i = 0; i < runs->len; i++)
-        plan_for(leader, g_ptr_array_index(runs, i), plan, &ahead, &most);
-    g_ptr_array_free(runs, TRUE);
+    for (guint i = 0; i < executions->len; i++)
+        plan_for(leader, g_ptr_array_index(executions, i), plan, &ahead, &most);
+    g_ptr_array_free(executions, TRUE);
     g_array_free(ahead.supplies, TRUE);
     ow_headroom_plan(leader, plan, &most);
     provision_planned(leader, plan);
--- a/src/core/machines/worker_commands.c
+++ b/src/core/machines/worker_commands.c
@@ -5,7 +5,7 @@
 #include "core/machines/machine.h"
 #include "core/machines/machine_registry.h"
 #include "core/machines/reconciliation.h"
-#include "core/run.h"
+#include "core/execution.h"
 
 enum { COMMANDS_MAX = 400 };
 /* Direct commands to machines that may not answer, at a time: so many, and in proportion to our share of a
--- a/src/core/records/failover.c
+++ b/src/core/records/failover.c
@@ -9,7 +9,7 @@
 #include "core/records/record_values.h"
 #include "core/records/recorder.h"
 #include "core/records/records.h"
-#include "core/run.h"
+#include "core/execution.h"
 #include "wire/json.h"
 #include "wire/records_json.h"
 
@@ -28,15 +28,15 @@
     return large;
 }
 
-static void load_live(struct ow_leader *leader, struct ow_run *run, const GArray *live)
+static void load_live(struct ow_leader *leader, struct ow_execution *execution, const GArray *live)
 {
     for (guint i = 0; i < live->len; i++) {
         const struct ow_live_record *record = &g_array_index(live, struct ow_live_record, i);
-        if (record->task >= run->count || run->tasks[record->task].attempt != NULL)
+        if (record->task >= execution->count || execution->tasks[record->task].attempt != NULL)
             continue;
         struct ow_machine *machine = ow_machines_find_or_add(leader, record->machine);
         struct ow_attempt *attempt =
-            ow_attempt_new(leader, run, record->task, record->attempt, machine, record->incarnation);
+            ow_attempt_new(leader, execution, record->task, record->attempt, machine, record->incarnation);
         attempt->state = OW_ATTEMPT_INHERITED;
         if (machine->incarnation == 0)
             machine->incarnation = record->incarnation;
@@ -71,48 +71,50 @@
     return x->version < y->version ? -1 : x->version > y->version;
 }
 
-static void load_record(struct ow_leader *leader, struct ow_run *run, const struct loaded_record *loaded)
+static void load_record(struct ow_leader *leader, struct ow_execution *execution,
+                        const struct loaded_record *loaded)
 {
     struct ow_progress_record record;
-    struct ow_task_range tasks = ow_chunk_task_range(loaded->index, loaded->chunk_tasks, run->count);
+    struct ow_task_range tasks = ow_chunk_task_range(loaded->index, loaded->chunk_tasks, execution->count);
     if (!wire_progress_record_parse(loaded->value, &record))
-        g_warning("a progress record of job %s cannot be read in full", run->job->id);
-    for (guint i = run->attempts->len; i > 0; i--) {
-        struct ow_attempt *attempt = g_ptr_array_index(run->attempts, i - 1);
+        g_warning("a progress record of job %s cannot be read in full", execution->job->id);
+    for (guint i = execution->attempts->len; i > 0; i--) {
+        struct ow_attempt *attempt = g_ptr_array_index(execution->attempts, i - 1);
         if (attempt->task >= tasks.first && attempt->task < tasks.end)
             ow_attempt_unload(leader, attempt);
     }
-    for (uint32_t task = tasks.first; task < tasks.end; task += run->chunk_tasks)
-        ow_run_chunk(run, task)->last_attempt =
-            MAX(ow_run_chunk(run, task)->last_attempt, record.last_attempt);
+    for (uint32_t task = tasks.first; task < tasks.end; task += execution->chunk_tasks)
+        ow_execution_chunk(execution, task)->last_attempt =
+            MAX(ow_execution_chunk(execution, task)->last_attempt, record.last_attempt);
     for (guint i = 0; i < record.done->len; i++) {
         uint32_t task = g_array_index(record.done, uint32_t, i);
-        if (task < run->count && !run->tasks[task].done) {
-            run->tasks[task].done = true;
-            run->done++;
+        if (task < execution->count && !execution->tasks[task].done) {
+            execution->tasks[task].done = true;
+            execution->done++;
         }
     }
-    load_live(leader, run, record.live);
+    load_live(leader, execution, record.live);
     wire_progress_record_clear(&record);
 }
 
 /* Where the record goes on standing: in its record value, or, if its run is divided otherwise now, in smaller
  * ones.
  */
-static void load_place(struct ow_leader *leader, struct ow_run *run, const struct loaded_record *loaded)
+static void load_place(struct ow_leader *leader, struct ow_execution *execution,
+                       const struct loaded_record *loaded)
 {
-    struct ow_task_range tasks = ow_chunk_task_range(loaded->index, loaded->chunk_tasks, run->count);
-    if (loaded->chunk_tasks == run->chunk_tasks) {
-        struct ow_chunk *chunk = &run->chunks[loaded->index];
+    struct ow_task_range tasks = ow_chunk_task_range(loaded->index, loaded->chunk_tasks, execution->count);
+    if (loaded->chunk_tasks == execution->chunk_tasks) {
+        struct ow_chunk *chunk = &execution->chunks[loaded->index];
         if (chunk->record_value != NULL)
             ow_recorder_compact(leader, ow_record_values_leave(chunk));
         ow_record_values_add(loaded->record_value, chunk);
         return;
     }
-    ow_record_values_retain(loaded->record_value, run->job, tasks);
+    ow_record_values_retain(loaded->record_value, execution->job, tasks);
     ow_recorder_compact(leader, loaded->record_value);
-    for (uint32_t task = tasks.first; task < tasks.end; task += run->chunk_tasks)
-        ow_recorder_chunk(leader, run, task, true);
+    for (uint32_t task = tasks.first; task < tasks.end; task += execution->chunk_tasks)
+        ow_recorder_chunk(leader, execution, task, true);
 }
 
 static void take_loaded(struct ow_leader *leader)
@@ -121,20 +123,20 @@
     /* A run keeps the smallest chunks that it was recorded in. */
     for (guint i = 0; i < leader->failover.loaded->len; i++) {
         const struct loaded_record *loaded = &g_array_index(leader->failover.loaded, struct loaded_record, i);
-        bool fresh = loaded->job->run == NULL;
-        struct ow_run *run = ow_run_find_or_add(leader, loaded->job);
-        if (fresh || loaded->chunk_tasks < run->chunk_tasks)
-            ow_run_divide(run, loaded->chunk_tasks);
+        bool fresh = loaded->job->execution == NULL;
+        struct ow_execution *execution = ow_execution_find_or_add(leader, loaded->job);
+        if (fresh || loaded->chunk_tasks < execution->chunk_tasks)
+            ow_execution_divide(execution, loaded->chunk_tasks);
     }
     for (guint i = 0; i < leader->failover.loaded->len; i++) {
         const struct loaded_record *loaded = &g_array_index(leader->failover.loaded, struct loaded_record, i);
-        struct ow_run *run = loaded->job->run;
-        if ((uint64_t)loaded->index * loaded->chunk_tasks >= run->count) {
+        struct ow_execution *execution = loaded->job->execution;
+        if ((uint64_t)loaded->index * loaded->chunk_tasks >= execution->count) {
             ow_recorder_compact(leader, loaded->record_value);
             continue;
         }
-        load_record(leader, run, loaded);
-        load_place(leader, run, loaded);
+        load_record(leader, execution, loaded);
+        load_place(leader, execution, loaded);
     }
     ow_failover_free(leader);
 }
@@ -193,7 +195,8 @@
     use_hints(leader);
     /* Fencing: a worker that has seen our fencing token heeds no older leader any more. */
     ow_worker_commands_want_all(leader);
-    g_info("took over: %u jobs with progress, %u machines known", leader->runs->len, leader->machines->len);
+    g_info("took over: %u jobs with progress, %u machines known", leader->executions->len,
+           leader->machines->len);
 }
 
 static void on_page(void *owner, void *data, const struct ow_event *answer)
--- a/src/core/records/record_values.c
+++ b/src/core/records/record_values.c
@@ -6,7 +6,7 @@
 #include "core/machines/machine.h"
 #include "core/records/recorder.h"
 #include "core/records/records.h"
-#include "core/run.h"
+#include "core/execution.h"
 #include "wire/records_json.h"
 
 #include <string.h>
@@ -35,8 +35,8 @@
 
 static struct ow_task_range tasks_of(const struct ow_chunk *chunk)
 {
-    const struct ow_run *run = chunk->job->run;
-    return ow_chunk_task_range(chunk->index, run->chunk_tasks, run->count);
+    const struct ow_execution *execution = chunk->job->execution;
+    return ow_chunk_task_range(chunk->index, execution->chunk_tasks, execution->count);
 }
 
 uint32_t ow_record_values_chunk_tasks(const struct ow_leader *leader)
@@ -142,10 +142,10 @@
 /* Whether all of it stands in other values by now, or means nothing any more. */
 static bool settled(const struct ow_retained_tasks *retained)
 {
-    const struct ow_run *run = retained->job->run;
-    for (uint32_t task = retained->tasks.first; run != NULL && task < retained->tasks.end;
-         task += run->chunk_tasks) {
-        const struct ow_chunk *chunk = ow_run_chunk(run, task);
+    const struct ow_execution *execution = retained->job->execution;
+    for (uint32_t task = retained->tasks.first; execution != NULL && task < retained->tasks.end;
+         task += execution->chunk_tasks) {
+        const struct ow_chunk *chunk = ow_execution_chunk(execution, task);
         if (chunk->record_value == NULL || chunk->dirty || chunk->writing)
             return false;
     }
@@ -160,25 +160,26 @@
     return record_value->retained->len > 0;
 }
 
-void ow_record_values_refine(struct ow_leader *leader, struct ow_run *run)
+void ow_record_values_refine(struct ow_leader *leader, struct ow_execution *execution)
 {
-    uint32_t tasks = run->chunk_tasks, finer = MIN(ow_record_values_chunk_tasks(leader), tasks / 2);
+    uint32_t tasks = execution->chunk_tasks, finer = MIN(ow_record_values_chunk_tasks(leader), tasks / 2);
     uint64_t last = 0;
-    for (uint32_t i = 0; i < run->chunk_count; i++) {
-        struct ow_chunk *chunk = &run->chunks[i];
+    for (uint32_t i = 0; i < execution->chunk_count; i++) {
+        struct ow_chunk *chunk = &execution->chunks[i];
         struct ow_record_value *record_value = ow_record_values_leave(chunk);
         last = MAX(last, chunk->last_attempt);
         if (record_value == NULL)
             continue;
-        ow_record_values_retain(record_value, run->job, ow_chunk_task_range(i, tasks, run->count));
+        ow_record_values_retain(record_value, execution->job,
+                                ow_chunk_task_range(i, tasks, execution->count));
         ow_recorder_compact(leader, record_value);
     }
-    ow_run_divide(run, finer);
-    for (uint32_t i = 0; i < run->chunk_count; i++)
-        run->chunks[i].last_attempt = last;
-    for (uint32_t task = 0; task < run->count; task += finer)
-        ow_recorder_chunk(leader, run, task, true);
-    g_info("job %s: recorded in chunks of %u tasks from now on", run->job->id, finer);
+    ow_execution_divide(execution, finer);
+    for (uint32_t i = 0; i < execution->chunk_count; i++)
+        execution->chunks[i].last_attempt = last;
+    for (uint32_t task = 0; task < execution->count; task += finer)
+        ow_recorder_chunk(leader, execution, task, true);
+    g_info("job %s: recorded in chunks of %u tasks from now on", execution->job->id, finer);
 }
 
 static gint by_place(gconstpointer a, gconstpointer b)
@@ -194,7 +195,7 @@
 
 static char *chunk_value(const struct ow_chunk *chunk)
 {
-    const struct ow_run *run = chunk->job->run;
+    const struct ow_execution *execution = chunk->job->execution;
     struct ow_progress_record record = {
         .last_attempt = chunk->last_attempt,
         .done = g_array_new(FALSE, FALSE, sizeof(uint32_t)),
@@ -202,8 +203,8 @@
     };
     struct ow_task_range tasks = tasks_of(chunk);
     for (uint32_t task = tasks.first; task < tasks.end; task++) {
-        const struct ow_attempt *attempt = run->tasks[task].attempt;
-        if (run->tasks[task].done)
+        const struct ow_attempt *attempt = execution->tasks[task].attempt;
+        if (execution->tasks[task].done)
             g_array_append_val(record.done, task);
         if (attempt == NULL)
             continue;
@@ -222,7 +223,8 @@
     for (guint i = 0; i < record_value->chunks->len; i++) {
         const struct ow_chunk *chunk = g_ptr_array_index(record_value->chunks, i);
         char *value = chunk_value(chunk);
-        wire_progress_value_add(text, chunk->job->id, chunk->index, chunk->job->run->chunk_tasks, value);
+        wire_progress_value_add(text, chunk->job->id, chunk->index, chunk->job->execution->chunk_tasks,
+                                value);
         g_free(value);
     }
     wire_progress_value_end(text);
--- a/src/core/records/record_values.h
+++ b/src/core/records/record_values.h
@@ -3,7 +3,7 @@
 #ifndef OW_CORE_RECORDS_RECORD_VALUES_H
 #define OW_CORE_RECORDS_RECORD_VALUES_H
 
-#include "core/run.h"
+#include "core/execution.h"
 
 struct ow_write;
 
@@ -41,7 +41,7 @@
 /* Whether the stored value must stay as it is for now. */
 bool ow_record_values_retains_tasks(struct ow_record_value *record_value);
 /* Records the run in smaller chunks from now on. Nothing of it may be in a write. */
-void ow_record_values_refine(struct ow_leader *leader, struct ow_run *run);
+void ow_record_values_refine(struct ow_leader *leader, struct ow_execution *execution);
 /* Adds a chunk that is in no record value. */
 void ow_record_values_add(struct ow_record_value *record_value, struct ow_chunk *chunk);
 /* Adds a chunk that is in no record value to the one that suits it best, or to a new one. */
--- a/src/core/records/recorder.c
+++ b/src/core/records/recorder.c
@@ -9,7 +9,7 @@
 #include "core/records/records.h"
 #include "core/records/transaction.h"
 #include "core/records/transaction_reply.h"
-#include "core/run.h"
+#include "core/execution.h"
 
 /* How long values wait that still hold records of jobs that are over. */
 static const double TIDY_S = 10;
@@ -36,32 +36,33 @@
     g_free(recorder);
 }
 
-static int launch_order(const struct ow_run *run)
+static int launch_order(const struct ow_execution *execution)
 {
-    return ORDER_LAUNCH + (int)run->job->spec->submission->rank * ORDER_PER_RANK;
+    return ORDER_LAUNCH + (int)execution->job->spec->submission->rank * ORDER_PER_RANK;
 }
 
-void ow_recorder_chunk(struct ow_leader *leader, struct ow_run *run, uint32_t task, bool launching)
+void ow_recorder_chunk(struct ow_leader *leader, struct ow_execution *execution, uint32_t task,
+                       bool launching)
 {
-    struct ow_chunk *chunk = ow_run_chunk(run, task);
+    struct ow_chunk *chunk = ow_execution_chunk(execution, task);
     double now = leader->core->now;
-    if (ow_job_over(run->job) || run->finishing)
+    if (ow_job_over(execution->job) || execution->finishing)
         return;
     if (chunk->record_value == NULL)
         ow_record_values_join(leader, chunk);
     chunk->dirty = true;
-    int order = launching ? launch_order(run) : OW_ORDER_LAZY;
+    int order = launching ? launch_order(execution) : OW_ORDER_LAZY;
     double due_at = launching ? now : now + OW_LAZY_WRITE_S;
     ow_write_queue_add_record_value(leader->recorder->queue, chunk->record_value, order, due_at);
 }
 
-void ow_recorder_finish(struct ow_leader *leader, struct ow_run *run)
+void ow_recorder_finish(struct ow_leader *leader, struct ow_execution *execution)
 {
-    if (run->finishing)
+    if (execution->finishing)
         return;
-    run->finishing = true;
-    int order = run->job->state == OW_JOB_CANCELLED ? OW_ORDER_TIDY : OW_ORDER_FINISH;
-    ow_write_queue_add_finish(leader->recorder->queue, run, order, leader->core->now);
+    execution->finishing = true;
+    int order = execution->job->state == OW_JOB_CANCELLED ? OW_ORDER_TIDY : OW_ORDER_FINISH;
+    ow_write_queue_add_finish(leader->recorder->queue, execution, order, leader->core->now);
 }
 
 void ow_recorder_compact(struct ow_leader *leader, struct ow_record_value *record_value)
@@ -70,17 +71,17 @@
     ow_write_queue_add_record_value(leader->recorder->queue, record_value, OW_ORDER_TIDY, due_at);
 }
 
-void ow_recorder_forget(struct ow_leader *leader, const struct ow_run *run)
+void ow_recorder_forget(struct ow_leader *leader, const struct ow_execution *execution)
 {
     struct ow_recorder *recorder = leader->recorder;
-    ow_write_queue_remove_run(recorder->queue, run);
+    ow_write_queue_remove_execution(recorder->queue, execution);
     for (guint i = 0; i < recorder->sent->len; i++) {
         struct ow_write *write = g_ptr_array_index(recorder->sent, i);
-        if (write->run == run)
-            write->run = NULL;
+        if (write->execution == execution)
+            write->execution = NULL;
     }
-    for (uint32_t i = 0; i < run->chunk_count; i++) {
-        struct ow_record_value *record_value = ow_record_values_leave(&run->chunks[i]);
+    for (uint32_t i = 0; i < execution->chunk_count; i++) {
+        struct ow_record_value *record_value = ow_record_values_leave(&execution->chunks[i]);
         if (record_value != NULL)
             ow_recorder_compact(leader, record_value);
     }
@@ -99,7 +100,7 @@
         struct ow_record_value *record_value = g_ptr_array_index(leader->record_values, i);
         if (record_value->refines && record_value->chunks->len > 0) {
             const struct ow_chunk *chunk = g_ptr_array_index(record_value->chunks, 0);
-            ow_record_values_refine(leader, chunk->job->run);
+            ow_record_values_refine(leader, chunk->job->execution);
         }
         record_value->refines = false;
     }
--- a/src/core/records/transaction.c
+++ b/src/core/records/transaction.c
@@ -4,7 +4,7 @@
 #include "core/records/record_values.h"
 #include "core/records/recorder_state.h"
 #include "core/records/records.h"
-#include "core/run.h"
+#include "core/execution.h"
 #include "wire/records_json.h"
 
 #include <string.h>
@@ -24,12 +24,12 @@
 {
     for (guint i = 0; i < record_value->chunks->len; i++) {
         struct ow_chunk *chunk = g_ptr_array_index(record_value->chunks, i);
-        const struct ow_run *run = chunk->job->run;
+        const struct ow_execution *execution = chunk->job->execution;
         chunk->writing = chunk->writing || chunk->dirty;
         chunk->dirty = false;
-        for (guint k = 0; k < run->attempts->len; k++) {
-            struct ow_attempt *attempt = g_ptr_array_index(run->attempts, k);
-            if (attempt->state == OW_ATTEMPT_PLANNED && ow_run_chunk(run, attempt->task) == chunk)
+        for (guint k = 0; k < execution->attempts->len; k++) {
+            struct ow_attempt *attempt = g_ptr_array_index(execution->attempts, k);
+            if (attempt->state == OW_ATTEMPT_PLANNED && ow_execution_chunk(execution, attempt->task) == chunk)
                 attempt->in_write = serial;
         }
     }
@@ -45,7 +45,8 @@
     if (record_value->chunks->len != 1)
         return false;
     const struct ow_chunk *chunk = g_ptr_array_index(record_value->chunks, 0);
-    return leader->format.current >= OW_FORMAT_FINE && chunk->job->run->chunk_tasks > OW_LEAST_CHUNK_TASKS;
+    return leader->format.current >= OW_FORMAT_FINE &&
+           chunk->job->execution->chunk_tasks > OW_LEAST_CHUNK_TASKS;
 }
 
 static void add_to_sent(struct ow_recorder *recorder, const struct ow_write *write)
@@ -97,7 +98,7 @@
 static void put_finish(struct ow_leader *leader, const struct ow_write *write,
                        struct ow_store_request *transaction)
 {
-    const struct ow_job *job = write->run->job;
+    const struct ow_job *job = write->execution->job;
     struct ow_job_record record = {.state = OW_JOB_DONE};
     if (job->state == OW_JOB_CANCELLED)
         record.state = OW_JOB_CANCELLED;
--- a/src/core/records/transaction_reply.c
+++ b/src/core/records/transaction_reply.c
@@ -8,7 +8,7 @@
 #include "core/records/record_values.h"
 #include "core/records/recorder_state.h"
 #include "core/records/records.h"
-#include "core/run.h"
+#include "core/execution.h"
 
 #include <string.h>
 
@@ -38,13 +38,13 @@
 
 static void commit_chunk(struct ow_leader *leader, struct ow_chunk *chunk, uint64_t serial)
 {
-    const struct ow_run *run = chunk->job->run;
+    const struct ow_execution *execution = chunk->job->execution;
     chunk->writing = false;
-    for (guint i = 0; i < run->attempts->len; i++) {
-        struct ow_attempt *attempt = g_ptr_array_index(run->attempts, i);
+    for (guint i = 0; i < execution->attempts->len; i++) {
+        struct ow_attempt *attempt = g_ptr_array_index(execution->attempts, i);
         if (attempt->state != OW_ATTEMPT_PLANNED || attempt->in_write != serial)
             continue;
-        if (ow_run_chunk(run, attempt->task) != chunk)
+        if (ow_execution_chunk(execution, attempt->task) != chunk)
             continue;
         attempt->state = OW_ATTEMPT_COMMITTED;
         ow_worker_commands_want(leader, attempt->machine);
@@ -60,13 +60,13 @@
         commit_chunk(leader, g_ptr_array_index(record_value->chunks, i), leader->recorder->serial);
 }
 
-static void commit_finish(struct ow_leader *leader, struct ow_run *run, uint64_t revision)
+static void commit_finish(struct ow_leader *leader, struct ow_execution *execution, uint64_t revision)
 {
-    struct ow_job *job = run->job;
+    struct ow_job *job = execution->job;
     /* The watch may have told of the record before the answer to its write came. */
     if (job->state != OW_JOB_CANCELLED)
         g_info("job %s done", job->id);
-    ow_run_drop(leader, run);
+    ow_execution_drop(leader, execution);
     enum ow_job_state state = job->state == OW_JOB_CANCELLED ? OW_JOB_CANCELLED : OW_JOB_DONE;
     ow_jobs_apply(leader->core->jobs, job->id, revision, state, NULL, leader->core->now, 0);
 }
@@ -78,8 +78,8 @@
         const struct ow_write *write = g_ptr_array_index(sent, i);
         if (write->kind == OW_WRITE_RECORD_VALUE)
             commit_record_value(leader, write->record_value, revision);
-        else if (write->run != NULL)
-            commit_finish(leader, write->run, revision);
+        else if (write->execution != NULL)
+            commit_finish(leader, write->execution, revision);
     }
     g_ptr_array_free(sent, TRUE);
 }
@@ -166,8 +166,9 @@
         const struct ow_write *write = g_ptr_array_index(sent, i);
         if (write->kind == OW_WRITE_RECORD_VALUE) {
             requeue_record_value(leader, write);
-        } else if (write->run != NULL) {
-            write->run->finishing = false; /* the scheduling cycle finishes it again, if it is still over */
+        } else if (write->execution != NULL) {
+            write->execution->finishing =
+                false; /* the scheduling cycle finishes it again, if it is still over */
             leader->cycle.due = true;
         }
     }
--- a/src/core/records/write_queue.c
+++ b/src/core/records/write_queue.c
@@ -52,10 +52,11 @@
     queued->due_at = MIN(queued->due_at, due_at);
 }
 
-void ow_write_queue_add_finish(struct ow_write_queue *queue, struct ow_run *run, int order, double due_at)
+void ow_write_queue_add_finish(struct ow_write_queue *queue, struct ow_execution *execution, int order,
+                               double due_at)
 {
     struct ow_write *write = add(queue, OW_WRITE_FINISH, order, due_at);
-    write->run = run;
+    write->execution = execution;
 }
 
 static gint compare_urgency(gconstpointer a, gconstpointer b)
@@ -82,11 +83,11 @@
     return write;
 }
 
-void ow_write_queue_remove_run(struct ow_write_queue *queue, const struct ow_run *run)
+void ow_write_queue_remove_execution(struct ow_write_queue *queue, const struct ow_execution *execution)
 {
     for (guint i = queue->writes->len; i > 0; i--) {
         const struct ow_write *write = g_ptr_array_index(queue->writes, i - 1);
-        if (write->run == run)
+        if (write->execution == execution)
             g_ptr_array_remove_index(queue->writes, i - 1);
     }
 }
--- a/src/core/records/write_queue.h
+++ b/src/core/records/write_queue.h
@@ -6,7 +6,7 @@
 #include <glib.h>
 
 struct ow_record_value;
-struct ow_run;
+struct ow_execution;
 struct ow_write_queue;
 
 enum ow_write_kind { OW_WRITE_RECORD_VALUE, OW_WRITE_FINISH };
@@ -17,7 +17,7 @@
 
 struct ow_write {
     enum ow_write_kind kind;
-    struct ow_run *run;                   /* of OW_WRITE_FINISH; NULL once the run is gone */
+    struct ow_execution *execution;       /* of OW_WRITE_FINISH; NULL once the run is gone */
     struct ow_record_value *record_value; /* of OW_WRITE_RECORD_VALUE */
     double due_at;                        /* it need not be written before this time */
     int order;
@@ -34,12 +34,13 @@
 void ow_write_queue_add_record_value(struct ow_write_queue *queue, struct ow_record_value *record_value,
                                      int order, double due_at);
 /* Queues the final record of the run's job. */
-void ow_write_queue_add_finish(struct ow_write_queue *queue, struct ow_run *run, int order, double due_at);
+void ow_write_queue_add_finish(struct ow_write_queue *queue, struct ow_execution *execution, int order,
+                               double due_at);
 /* Sorts the queue: the most urgent order first, within it the earliest time. */
 void ow_write_queue_sort(struct ow_write_queue *queue);
 /* Takes the write at a position out of the queue; the caller frees it with g_free(). */
 struct ow_write *ow_write_queue_take(struct ow_write_queue *queue, guint position);
 /* Removes the writes of a run that is about to be freed. */
-void ow_write_queue_remove_run(struct ow_write_queue *queue, const struct ow_run *run);
+void ow_write_queue_remove_execution(struct ow_write_queue *queue, const struct ow_execution *execution);
 
 #endif
--- a/src/core/scheduling/array_preemption.c
+++ b/src/core/scheduling/array_preemption.c
@@ -2,7 +2,7 @@
 #include "core/scheduling/array_preemption.h"
 #include "core/leader_state.h"
 #include "core/machines/machine.h"
-#include "core/run.h"
+#include "core/execution.h"
 #include "core/scheduling/candidates.h"
 #include "core/scheduling/placement.h"
 #include "core/scheduling/preempt.h"
@@ -10,37 +10,38 @@
 #include "core/teams.h"
 
 /* Whether other work may be stopped for the run at all. */
-static bool may_preempt(const struct ow_leader *leader, const struct ow_run *run)
+static bool may_preempt(const struct ow_leader *leader, const struct ow_execution *execution)
 {
-    const struct ow_submission *submission = run->job->spec->submission;
-    if (submission->rank == OW_RANK_LOW && !ow_run_claims(leader, run))
+    const struct ow_submission *submission = execution->job->spec->submission;
+    if (submission->rank == OW_RANK_LOW && !ow_execution_may_reclaim_quota(leader, execution))
         return false;
-    return ow_run_is_service(run) || (!submission->one_zone && !submission->spread);
+    return ow_execution_is_service(execution) || (!submission->one_zone && !submission->spread);
 }
 
 /* The zone where stopping less urgent work makes most capacity for tasks that must stay together. */
-static int best_zone_with_stops(struct ow_leader *leader, const struct ow_run *run, const GPtrArray *machines)
+static int best_zone_with_stops(struct ow_leader *leader, const struct ow_execution *execution,
+                                const GPtrArray *machines)
 {
     GArray *candidates = g_array_new(FALSE, FALSE, sizeof(struct ow_candidate));
     for (guint i = 0; i < machines->len; i++) {
         struct ow_machine *machine = g_ptr_array_index(machines, i);
-        if (!ow_placement_is_permitted(leader, run, machine))
+        if (!ow_placement_is_permitted(leader, execution, machine))
             continue;
         struct ow_candidate candidate = {
             .machine = machine,
-            .slots = ow_preempt_slots(leader, run, machine),
+            .slots = ow_preempt_slots(leader, execution, machine),
         };
         g_array_append_val(candidates, candidate);
     }
-    int zone = ow_candidates_best_zone(run, candidates);
+    int zone = ow_candidates_best_zone(execution, candidates);
     g_array_free(candidates, TRUE);
     return zone;
 }
 
 /* Replicas the zone still admits, given the zones (int) of the slots that were made in this pass. */
-static uint32_t zone_still_admits(const struct ow_run *run, const GArray *made_zones, int zone)
+static uint32_t zone_still_admits(const struct ow_execution *execution, const GArray *made_zones, int zone)
 {
-    uint32_t admitted = ow_placement_zone_admits(run, zone);
+    uint32_t admitted = ow_placement_zone_admits(execution, zone);
     for (guint i = 0; i < made_zones->len && admitted > 0; i++) {
         if (g_array_index(made_zones, int, i) == zone)
             admitted--;
@@ -50,42 +51,44 @@
 
 /* How many tasks to make capacity for on one machine in the zone. Replicas are kept apart: a machine of its
    own for each, if need be. */
-static uint32_t slots_wanted(const struct ow_run *run, const GArray *made_zones, int zone, uint32_t wanted)
+static uint32_t slots_wanted(const struct ow_execution *execution, const GArray *made_zones, int zone,
+                             uint32_t wanted)
 {
-    if (!ow_run_is_service(run))
+    if (!ow_execution_is_service(execution))
         return wanted;
-    return MIN(zone_still_admits(run, made_zones, zone), 1);
+    return MIN(zone_still_admits(execution, made_zones, zone), 1);
 }
 
 /* Stops work on the machine for up to `wanted` tasks; returns for how many there will be capacity. */
-static uint32_t preempt_on(struct ow_leader *leader, const struct ow_run *run, struct ow_machine *machine,
-                           uint32_t wanted)
+static uint32_t preempt_on(struct ow_leader *leader, const struct ow_execution *execution,
+                           struct ow_machine *machine, uint32_t wanted)
 {
-    const struct ow_spec *spec = run->job->spec;
-    uint32_t slots = MIN(wanted, ow_preempt_slots(leader, run, machine));
-    if (slots == 0 || !ow_preempt_make_room(leader, run, machine, slots))
+    const struct ow_job_spec *spec = execution->job->spec;
+    uint32_t slots = MIN(wanted, ow_preempt_slots(leader, execution, machine));
+    if (slots == 0 || !ow_preempt_make_room(leader, execution, machine, slots))
         return 0;
     ow_amounts_add(&machine->held, &spec->submission->need, slots);
     return slots;
 }
 
-void ow_array_preempt(struct ow_leader *leader, struct ow_run *run)
+void ow_array_preempt(struct ow_leader *leader, struct ow_execution *execution)
 {
-    if (!may_preempt(leader, run))
+    if (!may_preempt(leader, execution))
         return;
-    const struct ow_spec *spec = run->job->spec;
-    uint32_t wanted = ow_team_admits(leader, spec, ow_run_pending(run));
+    const struct ow_job_spec *spec = execution->job->spec;
+    uint32_t wanted = ow_team_admits(leader, spec, ow_execution_pending(execution));
     const GPtrArray *machines = ow_shortlist_with_preemption(leader, spec->class_index);
-    int only_zone = spec->submission->one_zone ? best_zone_with_stops(leader, run, machines) : OW_NO_NAME;
+    int only_zone =
+        spec->submission->one_zone ? best_zone_with_stops(leader, execution, machines) : OW_NO_NAME;
     GArray *made_zones = g_array_new(FALSE, FALSE, sizeof(int));
     for (guint i = 0; i < machines->len && wanted > 0; i++) {
         struct ow_machine *machine = g_ptr_array_index(machines, i);
-        if (!ow_placement_is_permitted(leader, run, machine))
+        if (!ow_placement_is_permitted(leader, execution, machine))
             continue;
         if (only_zone != OW_NO_NAME && machine->zone != only_zone)
             continue;
-        uint32_t limit = slots_wanted(run, made_zones, machine->zone, wanted);
-        uint32_t made = preempt_on(leader, run, machine, limit);
+        uint32_t limit = slots_wanted(execution, made_zones, machine->zone, wanted);
+        uint32_t made = preempt_on(leader, execution, machine, limit);
         if (made > 0)
             g_array_append_val(made_zones, machine->zone);
         wanted -= made;
--- a/src/core/scheduling/array_preemption.h
+++ b/src/core/scheduling/array_preemption.h
@@ -3,10 +3,10 @@
 #define OW_CORE_SCHEDULING_ARRAY_PREEMPTION_H
 
 struct ow_leader;
-struct ow_run;
+struct ow_execution;
 
 /* Stops less urgent work for the run's waiting tasks, and holds that capacity for the rest of the cycle; in
    the next passes the job's rank keeps it. */
-void ow_array_preempt(struct ow_leader *leader, struct ow_run *run);
+void ow_array_preempt(struct ow_leader *leader, struct ow_execution *execution);
 
 #endif
--- a/src/core/scheduling/array_start.c
+++ b/src/core/scheduling/array_start.c
@@ -3,7 +3,7 @@
 #include "core/leader_state.h"
 #include "core/machines/machine.h"
 #include "core/machines/machine_registry.h"
-#include "core/run.h"
+#include "core/execution.h"
 #include "core/scheduling/candidates.h"
 #include "core/scheduling/classes.h"
 #include "core/scheduling/deadline.h"
@@ -23,7 +23,7 @@
 
 /* The start of an array's tasks in one pass. */
 struct array_start {
-    struct ow_run *run;
+    struct ow_execution *execution;
     uint64_t number; /* of the attempts */
     uint32_t wanted;
     uint32_t placed;
@@ -34,7 +34,7 @@
 
 /* How long work of the class waits that the machine could start at once with the images it has; NO_WAIT:
    there is none. */
-static double wait_for_its_images(struct ow_leader *leader, const struct ow_spec *spec,
+static double wait_for_its_images(struct ow_leader *leader, const struct ow_job_spec *spec,
                                   const struct ow_machine *machine)
 {
     double longest = NO_WAIT;
@@ -52,23 +52,23 @@
 
 /* A machine without the image is left alone while those that have it complete the work sooner, in `wait_s`,
    than it could fetch the image, as long as the SLOs of the class leave the time. */
-static bool is_better_to_wait(struct ow_leader *leader, const struct ow_run *run,
+static bool is_better_to_wait(struct ow_leader *leader, const struct ow_execution *execution,
                               const struct ow_machine *machine, double wait_s, bool starves)
 {
-    const struct ow_spec *spec = run->job->spec;
+    const struct ow_job_spec *spec = execution->job->spec;
     double fetch_s = ow_machine_fetch_seconds(leader, machine, spec);
     /* Capacity that others are stopped for must be taken, or they would be put there and stopped again. */
-    if (fetch_s <= SHORT_FETCH_S || starves || ow_run_claims(leader, run))
+    if (fetch_s <= SHORT_FETCH_S || starves || ow_execution_may_reclaim_quota(leader, execution))
         return false;
     /* However late it is, a fetch that takes twice as long as the work that is left helps nobody. */
     if (CLEARLY_LONGER * wait_s < fetch_s)
         return true;
-    double waited_s = leader->core->now - run->accepted_at + wait_s;
-    double slack_s = ow_deadline_slack_s(leader, run);
+    double waited_s = leader->core->now - execution->accepted_at + wait_s;
+    double slack_s = ow_deadline_slack_s(leader, execution);
     if (wait_s < fetch_s && waited_s < slack_s)
         return true;
     /* A fetch that costs more than the work it serves is made only when the SLOs need it, ... */
-    if (fetch_s <= ow_class_run_s(leader->core, spec))
+    if (fetch_s <= ow_class_run_time_s(leader->core, spec))
         return false;
     if (waited_s < IMAGE_PATIENCE * slack_s)
         return true;
@@ -83,18 +83,18 @@
 {
     if (start->slots <= 0)
         return false;
-    bool starves = start->run->starves && start->placed == 0;
-    return is_better_to_wait(leader, start->run, machine, start->work_s / start->slots, starves);
+    bool starves = start->execution->starves && start->placed == 0;
+    return is_better_to_wait(leader, start->execution, machine, start->work_s / start->slots, starves);
 }
 
 static void start_on(struct ow_leader *leader, struct array_start *start,
                      const struct ow_candidate *candidate)
 {
-    struct ow_run *run = start->run;
-    uint32_t slots = MIN(candidate->slots, ow_placement_zone_admits(run, candidate->machine->zone));
+    struct ow_execution *execution = start->execution;
+    uint32_t slots = MIN(candidate->slots, ow_placement_zone_admits(execution, candidate->machine->zone));
     for (; slots > 0 && start->placed < start->wanted; slots--) {
-        uint32_t task = ow_placement_next_pending(run);
-        ow_placement_start_task(leader, run, task, start->number, candidate->machine);
+        uint32_t task = ow_placement_next_pending(execution);
+        ow_placement_start_task(leader, execution, task, start->number, candidate->machine);
         start->placed++;
     }
 }
@@ -103,31 +103,31 @@
                      const struct ow_candidate *candidate)
 {
     const struct ow_machine *machine = candidate->machine;
-    const struct ow_spec *spec = start->run->job->spec;
+    const struct ow_job_spec *spec = start->execution->job->spec;
     if (start->only_zone != OW_NO_NAME && machine->zone != start->only_zone)
         return;
     if (ow_machine_image(machine, spec->image) == NULL) {
         if (waits_for_image(leader, start, machine))
             return;
-        const struct ow_machine_type *type = ow_machine_spec(leader, machine);
+        const struct ow_machine_type *type = ow_machine_type_of(leader, machine);
         start->slots += ow_placement_slots_on_empty(type, &spec->submission->need);
     }
     start_on(leader, start, candidate);
 }
 
-void ow_array_start(struct ow_leader *leader, struct ow_run *run)
+void ow_array_start(struct ow_leader *leader, struct ow_execution *execution)
 {
-    const struct ow_spec *spec = run->job->spec;
-    uint32_t wanted = ow_team_admits(leader, spec, ow_run_pending(run));
+    const struct ow_job_spec *spec = execution->job->spec;
+    uint32_t wanted = ow_team_admits(leader, spec, ow_execution_pending(execution));
     if (wanted == 0)
         return;
-    GArray *candidates = ow_candidates_find(leader, run);
+    GArray *candidates = ow_candidates_find(leader, execution);
     const struct ow_image_demand *demand = ow_image_demand_of(leader, spec->image);
     struct array_start start = {
-        .run = run,
-        .number = ow_run_next_attempt(run),
+        .execution = execution,
+        .number = ow_execution_next_attempt(execution),
         .wanted = wanted,
-        .only_zone = spec->submission->one_zone ? ow_candidates_best_zone(run, candidates) : OW_NO_NAME,
+        .only_zone = spec->submission->one_zone ? ow_candidates_best_zone(execution, candidates) : OW_NO_NAME,
         .work_s = demand->work_s,
         .slots = demand->slots,
     };
@@ -135,5 +135,5 @@
         consider(leader, &start, &g_array_index(candidates, struct ow_candidate, i));
     g_array_free(candidates, TRUE);
     if (start.placed > 0)
-        g_info("job %s: %u tasks placed", run->job->id, start.placed);
+        g_info("job %s: %u tasks placed", execution->job->id, start.placed);
 }
--- a/src/core/scheduling/array_start.h
+++ b/src/core/scheduling/array_start.h
@@ -3,9 +3,9 @@
 #define OW_CORE_SCHEDULING_ARRAY_START_H
 
 struct ow_leader;
-struct ow_run;
+struct ow_execution;
 
 /* Starts as many pending tasks of an array as there is capacity for. */
-void ow_array_start(struct ow_leader *leader, struct ow_run *run);
+void ow_array_start(struct ow_leader *leader, struct ow_execution *execution);
 
 #endif
--- a/src/core/scheduling/candidates.c
+++ b/src/core/scheduling/candidates.c
@@ -19,15 +19,15 @@
     return first->cost > second->cost ? 1 : 0;
 }
 
-GArray *ow_candidates_find(struct ow_leader *leader, const struct ow_run *run)
+GArray *ow_candidates_find(struct ow_leader *leader, const struct ow_execution *execution)
 {
     GArray *candidates = g_array_new(FALSE, FALSE, sizeof(struct ow_candidate));
-    const struct ow_spec *spec = run->job->spec;
+    const struct ow_job_spec *spec = execution->job->spec;
     const GPtrArray *machines = ow_shortlist(leader, spec->class_index);
-    bool only_cheap = ow_placement_waits_for_cheap(leader, run);
+    bool only_cheap = ow_placement_waits_for_cheap(leader, execution);
     for (guint i = 0; i < machines->len; i++) {
         struct ow_machine *machine = g_ptr_array_index(machines, i);
-        if (!ow_placement_is_permitted(leader, run, machine))
+        if (!ow_placement_is_permitted(leader, execution, machine))
             continue;
         uint32_t slots = ow_placement_slots(leader, spec, machine);
         if (slots == 0)
@@ -37,8 +37,8 @@
         struct ow_candidate candidate = {
             .machine = machine,
             .slots = slots,
-            .cost = ow_placement_cost(leader, run, machine),
-            .conflicted = spec->submission->gang && ow_reservation_conflicts(run, machine),
+            .cost = ow_placement_cost(leader, execution, machine),
+            .conflicted = spec->submission->gang && ow_reservation_conflicts(execution, machine),
         };
         g_array_append_val(candidates, candidate);
     }
@@ -57,13 +57,13 @@
     return slots;
 }
 
-int ow_candidates_best_zone(const struct ow_run *run, const GArray *candidates)
+int ow_candidates_best_zone(const struct ow_execution *execution, const GArray *candidates)
 {
     int best_zone = OW_NO_NAME;
     uint64_t most_slots = 0;
     for (guint i = 0; i < candidates->len; i++) {
         int zone = g_array_index(candidates, struct ow_candidate, i).machine->zone;
-        if (ow_placement_zone_admits(run, zone) == 0)
+        if (ow_placement_zone_admits(execution, zone) == 0)
             continue;
         uint64_t slots = slots_in_zone(candidates, zone);
         if (slots > most_slots) {
--- a/src/core/scheduling/candidates.h
+++ b/src/core/scheduling/candidates.h
@@ -2,7 +2,7 @@
 #ifndef OW_CORE_SCHEDULING_CANDIDATES_H
 #define OW_CORE_SCHEDULING_CANDIDATES_H
 
-#include "core/run.h"
+#include "core/execution.h"
 
 /* A machine on which tasks of a run could be started. */
 struct ow_candidate {
@@ -14,8 +14,8 @@
 
 /* Every machine with capacity for the run, cheapest first, as struct ow_candidate; the caller frees the
    array. */
-GArray *ow_candidates_find(struct ow_leader *leader, const struct ow_run *run);
+GArray *ow_candidates_find(struct ow_leader *leader, const struct ow_execution *execution);
 /* The zone with most slots for tasks that must stay together; OW_NO_NAME if no zone has any. */
-int ow_candidates_best_zone(const struct ow_run *run, const GArray *candidates);
+int ow_candidates_best_zone(const struct ow_execution *execution, const GArray *candidates);
 
 #endif
--- a/src/core/scheduling/classes.c
+++ b/src/core/scheduling/classes.c
@@ -51,7 +51,7 @@
     class->last_arrival_at = accepted_at;
 }
 
-void ow_class_observe_job(struct ow_core *core, const struct ow_spec *spec, double accepted_at)
+void ow_class_observe_job(struct ow_core *core, const struct ow_job_spec *spec, double accepted_at)
 {
     struct ow_class *class = ow_class_of(core, spec->class_index);
     const struct ow_submission *submission = spec->submission;
@@ -72,7 +72,7 @@
     class->seen = true;
 }
 
-void ow_class_observe_run(struct ow_core *core, const struct ow_spec *spec, double ran_s)
+void ow_class_observe_run_time(struct ow_core *core, const struct ow_job_spec *spec, double ran_s)
 {
     struct ow_class *class = ow_class_of(core, spec->class_index);
     if (spec->submission->estimate_s <= 0)
@@ -99,7 +99,7 @@
     return core->now - class->last_arrival_at > limit_s;
 }
 
-double ow_class_run_s(struct ow_core *core, const struct ow_spec *spec)
+double ow_class_run_time_s(struct ow_core *core, const struct ow_job_spec *spec)
 {
     return spec->submission->estimate_s * ow_class_of(core, spec->class_index)->ratio;
 }
@@ -110,17 +110,17 @@
     /* A replica that does not run is an outage, whatever SLOs are stated. */
     if (class->service)
         return 0;
-    const char *name = ow_names_text(core->names.classes, class_index);
+    const char *name = ow_interner_text(core->interners.classes, class_index);
     double slack = INFINITY;
     for (guint i = 0; i < core->settings->slos->len; i++) {
         const struct ow_slo *slo = &g_array_index(core->settings->slos, struct ow_slo, i);
         if (strcmp(slo->class_name, name) != 0)
             continue;
         /* The longer runs are the ones that decide whether the SLO is met. */
-        double run_s = 0;
+        double run_time_s = 0;
         if (slo->kind == OW_SLO_FINISHED)
-            run_s = LONGER_RUN * class->estimate_s * class->ratio;
-        slack = MIN(slack, MAX(0, slo->within_s - run_s));
+            run_time_s = LONGER_RUN * class->estimate_s * class->ratio;
+        slack = MIN(slack, MAX(0, slo->within_s - run_time_s));
     }
     return slack < INFINITY ? slack : NO_SLO_SLACK_S;
 }
@@ -132,7 +132,7 @@
 
 unsigned ow_class_missed(struct ow_core *core, int class_index, double age_s)
 {
-    const char *name = ow_names_text(core->names.classes, class_index);
+    const char *name = ow_interner_text(core->interners.classes, class_index);
     unsigned missed = 0;
     for (guint i = 0; i < core->settings->slos->len; i++) {
         const struct ow_slo *slo = &g_array_index(core->settings->slos, struct ow_slo, i);
@@ -144,7 +144,7 @@
 
 double ow_class_next_start_slo_s(struct ow_core *core, int class_index, double age_s)
 {
-    const char *name = ow_names_text(core->names.classes, class_index);
+    const char *name = ow_interner_text(core->interners.classes, class_index);
     double next_s = INFINITY;
     for (guint i = 0; i < core->settings->slos->len; i++) {
         const struct ow_slo *slo = &g_array_index(core->settings->slos, struct ow_slo, i);
@@ -158,7 +158,7 @@
 {
     if (ow_class_of(core, class_index)->service)
         return true;
-    const char *name = ow_names_text(core->names.classes, class_index);
+    const char *name = ow_interner_text(core->interners.classes, class_index);
     for (guint i = 0; i < core->settings->slos->len; i++) {
         const struct ow_slo *slo = &g_array_index(core->settings->slos, struct ow_slo, i);
         if (strcmp(slo->class_name, name) == 0)
--- a/src/core/scheduling/classes.h
+++ b/src/core/scheduling/classes.h
@@ -23,16 +23,16 @@
 /* What is known of the class; valid until the next call. The list grows as class names come. */
 struct ow_class *ow_class_of(struct ow_core *core, int class_index);
 /* Takes in what a newly accepted job shows of its class. */
-void ow_class_observe_job(struct ow_core *core, const struct ow_spec *spec, double accepted_at);
+void ow_class_observe_job(struct ow_core *core, const struct ow_job_spec *spec, double accepted_at);
 /* Takes in how long a task of the job ran, against its owner's estimate. */
-void ow_class_observe_run(struct ow_core *core, const struct ow_spec *spec, double ran_s);
+void ow_class_observe_run_time(struct ow_core *core, const struct ow_job_spec *spec, double ran_s);
 /* Takes in how many tasks of the class run or wait now; returns their decaying maximum. */
 double ow_class_peak(struct ow_core *core, int class_index, double tasks);
 /* Whether no job of the class has come for so long that hardly any more is to be expected soon. Never true of
    services: their replicas need capacity as long as they live. */
 bool ow_class_is_quiet(struct ow_core *core, int class_index);
 /* How long a task of the job runs, the estimate corrected by the ratio of its class. */
-double ow_class_run_s(struct ow_core *core, const struct ow_spec *spec);
+double ow_class_run_time_s(struct ow_core *core, const struct ow_job_spec *spec);
 /* How long a task of the class may wait for its start without missing an SLO of its class. */
 double ow_class_slack_s(struct ow_core *core, int class_index);
 /* The shortest SLO for the start of a job of such an age that can still be met, in seconds from its
--- a/src/core/scheduling/deadline.c
+++ b/src/core/scheduling/deadline.c
@@ -11,50 +11,50 @@
 /* ... and a deadline is given up only when not even so many times that is left. */
 static const double HOPEFUL_RUN = 0.8;
 
-bool ow_deadline_is_set(const struct ow_run *run)
+bool ow_deadline_is_set(const struct ow_execution *execution)
 {
-    return run->job->spec->submission->deadline_s > 0;
+    return execution->job->spec->submission->deadline_s > 0;
 }
 
 /* Seconds until the deadline; negative once it has passed. */
-static double seconds_left(const struct ow_leader *leader, const struct ow_run *run)
+static double seconds_left(const struct ow_leader *leader, const struct ow_execution *execution)
 {
-    double age_s = leader->core->now - run->accepted_at;
-    return run->job->spec->submission->deadline_s - age_s;
+    double age_s = leader->core->now - execution->accepted_at;
+    return execution->job->spec->submission->deadline_s - age_s;
 }
 
-bool ow_deadline_is_missed(const struct ow_leader *leader, const struct ow_run *run)
+bool ow_deadline_is_missed(const struct ow_leader *leader, const struct ow_execution *execution)
 {
-    if (!ow_deadline_is_set(run))
+    if (!ow_deadline_is_set(execution))
         return false;
-    double run_s = ow_class_run_s(leader->core, run->job->spec);
-    return seconds_left(leader, run) < HOPEFUL_RUN * run_s;
+    double run_time_s = ow_class_run_time_s(leader->core, execution->job->spec);
+    return seconds_left(leader, execution) < HOPEFUL_RUN * run_time_s;
 }
 
 bool ow_deadline_allows_delay(const struct ow_leader *leader, const struct ow_attempt *attempt,
                               double delay_s)
 {
-    const struct ow_run *run = attempt->job->run;
+    const struct ow_execution *execution = attempt->job->execution;
     double ran_s = attempt->running_at > 0 ? leader->core->now - attempt->running_at : 0;
-    double remaining_s = MAX(0, ow_class_run_s(leader->core, run->job->spec) - ran_s);
-    return seconds_left(leader, run) >= HOPEFUL_RUN * remaining_s + delay_s;
+    double remaining_s = MAX(0, ow_class_run_time_s(leader->core, execution->job->spec) - ran_s);
+    return seconds_left(leader, execution) >= HOPEFUL_RUN * remaining_s + delay_s;
 }
 
 bool ow_deadline_is_kept(const struct ow_leader *leader, const struct ow_attempt *attempt)
 {
-    return ow_deadline_is_set(attempt->job->run) && ow_deadline_allows_delay(leader, attempt, 0);
+    return ow_deadline_is_set(attempt->job->execution) && ow_deadline_allows_delay(leader, attempt, 0);
 }
 
-double ow_deadline_latest_start_s(const struct ow_leader *leader, const struct ow_run *run)
+double ow_deadline_latest_start_s(const struct ow_leader *leader, const struct ow_execution *execution)
 {
-    const struct ow_spec *spec = run->job->spec;
-    if (!ow_deadline_is_set(run))
+    const struct ow_job_spec *spec = execution->job->spec;
+    if (!ow_deadline_is_set(execution))
         return INFINITY;
-    return MAX(0, spec->submission->deadline_s - CAUTIOUS_RUN * ow_class_run_s(leader->core, spec));
+    return MAX(0, spec->submission->deadline_s - CAUTIOUS_RUN * ow_class_run_time_s(leader->core, spec));
 }
 
-double ow_deadline_slack_s(const struct ow_leader *leader, const struct ow_run *run)
+double ow_deadline_slack_s(const struct ow_leader *leader, const struct ow_execution *execution)
 {
-    double class_slack_s = ow_class_slack_s(leader->core, run->job->spec->class_index);
-    return MIN(ow_deadline_latest_start_s(leader, run), class_slack_s);
+    double class_slack_s = ow_class_slack_s(leader->core, execution->job->spec->class_index);
+    return MIN(ow_deadline_latest_start_s(leader, execution), class_slack_s);
 }
--- a/src/core/scheduling/deadline.h
+++ b/src/core/scheduling/deadline.h
@@ -5,12 +5,12 @@
 #ifndef OW_CORE_SCHEDULING_DEADLINE_H
 #define OW_CORE_SCHEDULING_DEADLINE_H
 
-#include "core/run.h"
+#include "core/execution.h"
 
 /* Whether the job was submitted with a deadline. */
-bool ow_deadline_is_set(const struct ow_run *run);
+bool ow_deadline_is_set(const struct ow_execution *execution);
 /* Whether the job has a deadline that it can't meet any more. */
-bool ow_deadline_is_missed(const struct ow_leader *leader, const struct ow_run *run);
+bool ow_deadline_is_missed(const struct ow_leader *leader, const struct ow_execution *execution);
 /* Whether the task's job has a deadline that the task will have kept, as it runs now. */
 bool ow_deadline_is_kept(const struct ow_leader *leader, const struct ow_attempt *attempt);
 /* Whether the task would still keep its job's deadline if it were `delay_s` seconds behind. */
@@ -18,9 +18,9 @@
                               double delay_s);
 /* How long after its acceptance a task of the run may start without the job missing its deadline; INFINITY
    without one. */
-double ow_deadline_latest_start_s(const struct ow_leader *leader, const struct ow_run *run);
+double ow_deadline_latest_start_s(const struct ow_leader *leader, const struct ow_execution *execution);
 /* The same for the deadline and for the SLOs of its class. Without either it is the slack of a class
    without SLOs. */
-double ow_deadline_slack_s(const struct ow_leader *leader, const struct ow_run *run);
+double ow_deadline_slack_s(const struct ow_leader *leader, const struct ow_execution *execution);
 
 #endif
--- a/src/core/scheduling/gang_selection.c
+++ b/src/core/scheduling/gang_selection.c
@@ -23,12 +23,13 @@
 }
 
 /* How many members the zone rules admit in the zone, beside those picked already. */
-static uint32_t zone_admits(const struct ow_run *run, const GArray *picks, int zone, int only_zone)
+static uint32_t zone_admits(const struct ow_execution *execution, const GArray *picks, int zone,
+                            int only_zone)
 {
-    const struct ow_submission *submission = run->job->spec->submission;
+    const struct ow_submission *submission = execution->job->spec->submission;
     if (submission->one_zone && only_zone != OW_NO_NAME && zone != only_zone)
         return 0;
-    uint32_t admits = ow_placement_zone_admits(run, zone);
+    uint32_t admits = ow_placement_zone_admits(execution, zone);
     if (!submission->spread)
         return admits;
     for (guint i = 0; i < picks->len; i++) {
@@ -40,12 +41,13 @@
 }
 
 /* Picks machines for as many members as the candidates have slots for, in their order. */
-static struct selection select_in_order(const struct ow_run *run, const GArray *candidates, int only_zone)
+static struct selection select_in_order(const struct ow_execution *execution, const GArray *candidates,
+                                        int only_zone)
 {
-    struct selection selection = {.picks = ow_gang_selection_new(), .members_left = run->count};
+    struct selection selection = {.picks = ow_gang_selection_new(), .members_left = execution->count};
     for (guint i = 0; i < candidates->len && selection.members_left > 0; i++) {
         const struct ow_candidate *candidate = &g_array_index(candidates, struct ow_candidate, i);
-        uint32_t admitted = zone_admits(run, selection.picks, candidate->machine->zone, only_zone);
+        uint32_t admitted = zone_admits(execution, selection.picks, candidate->machine->zone, only_zone);
         uint32_t members = MIN(selection.members_left, MIN(candidate->slots, admitted));
         if (members == 0)
             continue;
@@ -86,11 +88,11 @@
     return false;
 }
 
-uint32_t ow_gang_select(const struct ow_run *run, const GArray *candidates, GArray *picks)
+uint32_t ow_gang_select(const struct ow_execution *execution, const GArray *candidates, GArray *picks)
 {
-    struct selection best = {.picks = picks, .members_left = run->count + 1, .cost = INFINITY};
-    if (!run->job->spec->submission->one_zone || candidates->len == 0) {
-        struct selection selection = select_in_order(run, candidates, OW_NO_NAME);
+    struct selection best = {.picks = picks, .members_left = execution->count + 1, .cost = INFINITY};
+    if (!execution->job->spec->submission->one_zone || candidates->len == 0) {
+        struct selection selection = select_in_order(execution, candidates, OW_NO_NAME);
         keep_if_better(&best, &selection);
         return best.members_left;
     }
@@ -98,7 +100,7 @@
         int zone = g_array_index(candidates, struct ow_candidate, i).machine->zone;
         if (zone != OW_NO_NAME && is_zone_before(candidates, i, zone))
             continue;
-        struct selection selection = select_in_order(run, candidates, zone);
+        struct selection selection = select_in_order(execution, candidates, zone);
         keep_if_better(&best, &selection);
     }
     return best.members_left;
@@ -114,20 +116,20 @@
     g_array_insert_vals(candidates, index, candidate, 1);
 }
 
-GArray *ow_gang_candidates_with_preemption(struct ow_leader *leader, const struct ow_run *run)
+GArray *ow_gang_candidates_with_preemption(struct ow_leader *leader, const struct ow_execution *execution)
 {
     GArray *candidates = g_array_new(FALSE, FALSE, sizeof(struct ow_candidate));
-    const struct ow_spec *spec = run->job->spec;
+    const struct ow_job_spec *spec = execution->job->spec;
     const GPtrArray *machines = ow_shortlist_with_preemption(leader, spec->class_index);
     for (guint i = 0; i < machines->len; i++) {
         struct ow_machine *machine = g_ptr_array_index(machines, i);
-        if (!ow_placement_is_permitted(leader, run, machine))
+        if (!ow_placement_is_permitted(leader, execution, machine))
             continue;
-        uint32_t slots = MIN(ow_preempt_slots(leader, run, machine), run->count);
+        uint32_t slots = MIN(ow_preempt_slots(leader, execution, machine), execution->count);
         if (slots == 0)
             continue;
-        double cost = ow_placement_cost(leader, run, machine);
-        cost += ow_preempt_loss(leader, run, machine, slots);
+        double cost = ow_placement_cost(leader, execution, machine);
+        cost += ow_preempt_loss(leader, execution, machine, slots);
         struct ow_candidate candidate = {.machine = machine, .slots = slots, .cost = cost};
         insert_by_cost(candidates, &candidate);
     }
--- a/src/core/scheduling/gpu_reserve.c
+++ b/src/core/scheduling/gpu_reserve.c
@@ -3,7 +3,7 @@
 #include "core/leader_state.h"
 #include "core/machines/machine.h"
 #include "core/machines/machine_registry.h"
-#include "core/run.h"
+#include "core/execution.h"
 #include "core/scheduling/classes.h"
 #include "core/scheduling/deadline.h"
 #include "core/scheduling/image_demand.h"
@@ -22,23 +22,23 @@
 };
 
 /* GPUs that complete the run's waiting work in the time that its class leaves to wait. */
-static double gpus_wanted_by(struct ow_leader *leader, const struct ow_run *run)
+static double gpus_wanted_by(struct ow_leader *leader, const struct ow_execution *execution)
 {
-    const struct ow_spec *spec = run->job->spec;
-    double gpus = (run->count - run->done) * spec->submission->need.gpus;
-    if (gpus <= 0 || ow_job_over(run->job))
+    const struct ow_job_spec *spec = execution->job->spec;
+    double gpus = (execution->count - execution->done) * spec->submission->need.gpus;
+    if (gpus <= 0 || ow_job_over(execution->job))
         return 0;
-    double slack_s = MAX(ow_deadline_slack_s(leader, run), 1);
+    double slack_s = MAX(ow_deadline_slack_s(leader, execution), 1);
     double fetch_s = FETCH_SHARE * ow_image_slowest_fetch_seconds(leader, spec);
-    double task_s = ow_class_run_s(leader->core, spec) + fetch_s;
+    double task_s = ow_class_run_time_s(leader->core, spec) + fetch_s;
     return gpus * MIN(1, task_s / slack_s);
 }
 
 static double gpus_wanted(struct ow_leader *leader)
 {
     double wanted = 0;
-    for (guint i = 0; i < leader->runs->len; i++)
-        wanted += gpus_wanted_by(leader, g_ptr_array_index(leader->runs, i));
+    for (guint i = 0; i < leader->executions->len; i++)
+        wanted += gpus_wanted_by(leader, g_ptr_array_index(leader->executions, i));
     return GPU_MARGIN * wanted;
 }
 
@@ -60,7 +60,7 @@
     for (int fitness = GPU_FITNESS_IN_USE; fitness >= GPU_FITNESS_OTHER_WORK; fitness--) {
         for (guint i = 0; i < leader->machines->len; i++) {
             struct ow_machine *machine = g_ptr_array_index(leader->machines, i);
-            const struct ow_machine_type *type = ow_machine_spec(leader, machine);
+            const struct ow_machine_type *type = ow_machine_type_of(leader, machine);
             if (type == NULL || type->size.gpus <= 0 || (int)gpu_fitness(machine) != fitness)
                 continue;
             machine->gpus_kept = wanted > 0;
--- a/src/core/scheduling/image_demand.c
+++ b/src/core/scheduling/image_demand.c
@@ -6,13 +6,13 @@
 #include "core/scheduling/classes.h"
 #include "core/scheduling/placement.h"
 
-static bool fits_type(const struct ow_spec *spec, int index, const struct ow_machine_type *type)
+static bool fits_type(const struct ow_job_spec *spec, int index, const struct ow_machine_type *type)
 {
     return (spec->types & (UINT64_C(1) << index)) != 0 &&
            ow_placement_slots_on_empty(type, &spec->submission->need) > 0;
 }
 
-double ow_image_slowest_fetch_seconds(const struct ow_leader *leader, const struct ow_spec *spec)
+double ow_image_slowest_fetch_seconds(const struct ow_leader *leader, const struct ow_job_spec *spec)
 {
     double slowest = 0;
     for (int i = 0; i < OW_MAX_TYPES; i++) {
@@ -43,22 +43,22 @@
 }
 
 /* Gangs don't count: they start as a whole wherever there is capacity. */
-static void add_waiting_work(struct ow_leader *leader, const struct ow_run *run)
+static void add_waiting_work(struct ow_leader *leader, const struct ow_execution *execution)
 {
-    const struct ow_spec *spec = run->job->spec;
-    uint32_t pending = spec->submission->gang ? 0 : ow_run_pending(run);
+    const struct ow_job_spec *spec = execution->job->spec;
+    uint32_t pending = spec->submission->gang ? 0 : ow_execution_pending(execution);
     if (pending == 0)
         return;
     struct ow_image_demand *demand = find_or_add(leader, spec->image);
     demand->spec = spec;
-    demand->work_s += pending * ow_class_run_s(leader->core, spec);
+    demand->work_s += pending * ow_class_run_time_s(leader->core, spec);
 }
 
 static void add_slots(struct ow_leader *leader, const struct ow_machine *machine)
 {
     if (!ow_machine_is_usable(leader, machine))
         return;
-    const struct ow_machine_type *type = ow_machine_spec(leader, machine);
+    const struct ow_machine_type *type = ow_machine_type_of(leader, machine);
     for (guint i = 0; i < machine->images->len; i++) {
         int image = g_array_index(machine->images, struct ow_image_copy, i).image;
         struct ow_image_demand *demand = find_or_add(leader, image);
@@ -71,8 +71,8 @@
 void ow_image_demand_update(struct ow_leader *leader)
 {
     g_array_set_size(leader->cycle.image_demand, 0);
-    for (guint i = 0; i < leader->runs->len; i++)
-        add_waiting_work(leader, g_ptr_array_index(leader->runs, i));
+    for (guint i = 0; i < leader->executions->len; i++)
+        add_waiting_work(leader, g_ptr_array_index(leader->executions, i));
     for (guint i = 0; i < leader->machines->len; i++)
         add_slots(leader, g_ptr_array_index(leader->machines, i));
 }
--- a/src/core/scheduling/image_demand.h
+++ b/src/core/scheduling/image_demand.h
@@ -2,13 +2,13 @@
 #ifndef OW_CORE_SCHEDULING_IMAGE_DEMAND_H
 #define OW_CORE_SCHEDULING_IMAGE_DEMAND_H
 
-#include "core/run.h"
+#include "core/execution.h"
 
 /* The work that waits for an image and the slots where it is, computed once a cycle. */
 struct ow_image_demand {
-    const struct ow_spec *spec; /* of one of the jobs that wait for it; NULL: none */
-    double work_s;              /* seconds of waiting work */
-    double slots;               /* on machines that have the image or fetch it, free or not */
+    const struct ow_job_spec *spec; /* of one of the jobs that wait for it; NULL: none */
+    double work_s;                  /* seconds of waiting work */
+    double slots;                   /* on machines that have the image or fetch it, free or not */
 };
 
 /* The empty table of a leader, by image index; freed with g_array_free(). */
@@ -18,6 +18,6 @@
 /* The demand for the image. Valid until the next call. */
 const struct ow_image_demand *ow_image_demand_of(struct ow_leader *leader, int image);
 /* Seconds that the slowest machine type which fits the job takes to fetch its image. */
-double ow_image_slowest_fetch_seconds(const struct ow_leader *leader, const struct ow_spec *spec);
+double ow_image_slowest_fetch_seconds(const struct ow_leader *leader, const struct ow_job_spec *spec);
 
 #endif
--- a/src/core/scheduling/placement.c
+++ b/src/core/scheduling/placement.c
@@ -4,14 +4,14 @@
 #include "core/machines/machine.h"
 #include "core/machines/machine_registry.h"
 #include "core/records/recorder.h"
-#include "core/run.h"
+#include "core/execution.h"
 
 #include <math.h>
 
 /* Sums of fractions drift: so much more than what is free still fits, in CPUs, GPUs or gigabytes. */
 static const double AMOUNT_TOLERANCE = 1e-6;
 
-bool ow_placement_is_allowed(const struct ow_leader *leader, const struct ow_spec *spec,
+bool ow_placement_is_allowed(const struct ow_leader *leader, const struct ow_job_spec *spec,
                              const struct ow_machine *machine)
 {
     (void)leader;
@@ -24,15 +24,15 @@
     return spec->submission->spot || !machine->spot;
 }
 
-bool ow_placement_is_permitted(const struct ow_leader *leader, const struct ow_run *run,
+bool ow_placement_is_permitted(const struct ow_leader *leader, const struct ow_execution *execution,
                                const struct ow_machine *machine)
 {
     if (!ow_machine_is_usable(leader, machine))
         return false;
-    if (!ow_placement_is_allowed(leader, run->job->spec, machine))
+    if (!ow_placement_is_allowed(leader, execution->job->spec, machine))
         return false;
-    return leader->core->now > run->failed_machines_until ||
-           !g_hash_table_contains(run->failed_machines, machine);
+    return leader->core->now > execution->failed_machines_until ||
+           !g_hash_table_contains(execution->failed_machines, machine);
 }
 
 /* How often `need` fits in `free`. */
@@ -68,10 +68,10 @@
     return free_gpus * leader->cycle.gpu_cpus;
 }
 
-uint32_t ow_placement_slots_beside(const struct ow_leader *leader, const struct ow_spec *spec,
+uint32_t ow_placement_slots_beside(const struct ow_leader *leader, const struct ow_job_spec *spec,
                                    const struct ow_machine *machine, const struct ow_amounts *used)
 {
-    const struct ow_machine_type *type = ow_machine_spec(leader, machine);
+    const struct ow_machine_type *type = ow_machine_type_of(leader, machine);
     if (type == NULL)
         return 0;
     struct ow_amounts taken = *used;
@@ -89,21 +89,21 @@
     return slots <= 0 ? 0 : (uint32_t)slots;
 }
 
-uint32_t ow_placement_slots(const struct ow_leader *leader, const struct ow_spec *spec,
+uint32_t ow_placement_slots(const struct ow_leader *leader, const struct ow_job_spec *spec,
                             const struct ow_machine *machine)
 {
     return ow_placement_slots_beside(leader, spec, machine, &machine->used);
 }
 
-uint32_t ow_placement_zone_admits(const struct ow_run *run, int zone)
+uint32_t ow_placement_zone_admits(const struct ow_execution *execution, int zone)
 {
-    const struct ow_submission *submission = run->job->spec->submission;
+    const struct ow_submission *submission = execution->job->spec->submission;
     if (!submission->one_zone && !submission->spread)
-        return run->count;
+        return execution->count;
     uint32_t in_zone = 0;
     /* Rule 6: against all attempts that may still exist, also of tasks that are done or on their way out. */
-    for (guint i = 0; i < run->attempts->len; i++) {
-        const struct ow_attempt *attempt = g_ptr_array_index(run->attempts, i);
+    for (guint i = 0; i < execution->attempts->len; i++) {
+        const struct ow_attempt *attempt = g_ptr_array_index(execution->attempts, i);
         int attempt_zone = attempt->machine->zone;
         if (attempt_zone == OW_NO_NAME || (submission->one_zone && attempt_zone != zone))
             return 0;
@@ -111,29 +111,30 @@
             in_zone++;
     }
     if (!submission->spread)
-        return run->count;
-    uint32_t limit = (run->count + 1) / 2;
+        return execution->count;
+    uint32_t limit = (execution->count + 1) / 2;
     return in_zone >= limit ? 0 : limit - in_zone;
 }
 
-uint32_t ow_placement_next_pending(struct ow_run *run)
+uint32_t ow_placement_next_pending(struct ow_execution *execution)
 {
-    while (run->cursor < run->count &&
-           (run->tasks[run->cursor].done || run->tasks[run->cursor].attempt != NULL))
-        run->cursor++;
-    return run->cursor;
+    while (execution->cursor < execution->count &&
+           (execution->tasks[execution->cursor].done || execution->tasks[execution->cursor].attempt != NULL))
+        execution->cursor++;
+    return execution->cursor;
 }
 
-void ow_placement_start_task(struct ow_leader *leader, struct ow_run *run, uint32_t task, uint64_t number,
-                             struct ow_machine *machine)
+void ow_placement_start_task(struct ow_leader *leader, struct ow_execution *execution, uint32_t task,
+                             uint64_t number, struct ow_machine *machine)
 {
-    struct ow_chunk *chunk = ow_run_chunk(run, task);
+    struct ow_chunk *chunk = ow_execution_chunk(execution, task);
     chunk->last_attempt = MAX(chunk->last_attempt, number);
-    struct ow_attempt *attempt = ow_attempt_new(leader, run, task, number, machine, machine->incarnation);
+    struct ow_attempt *attempt =
+        ow_attempt_new(leader, execution, task, number, machine, machine->incarnation);
     /* A replica has no end: what is not stopped for others must be complete some day. */
-    attempt->not_preemptible = (run->starves || run->aged) && !ow_run_is_service(run);
-    ow_machine_image_use(leader, machine, run->job->spec, false);
-    ow_recorder_chunk(leader, run, task, true);
-    g_debug("task %s/%u attempt %" G_GUINT64_FORMAT " placed on %s", run->job->id, task, number,
+    attempt->not_preemptible = (execution->starves || execution->aged) && !ow_execution_is_service(execution);
+    ow_machine_image_use(leader, machine, execution->job->spec, false);
+    ow_recorder_chunk(leader, execution, task, true);
+    g_debug("task %s/%u attempt %" G_GUINT64_FORMAT " placed on %s", execution->job->id, task, number,
             machine->name);
 }
--- a/src/core/scheduling/placement_cost.c
+++ b/src/core/scheduling/placement_cost.c
@@ -38,7 +38,7 @@
 
 /* Whether a more urgent class of gangs needs the better part of such a machine for a single task: what is
    put there is likely to be stopped for it. */
-static bool is_wanted_by_gangs(const struct ow_leader *leader, const struct ow_spec *spec,
+static bool is_wanted_by_gangs(const struct ow_leader *leader, const struct ow_job_spec *spec,
                                const struct ow_machine *machine, const struct ow_machine_type *type)
 {
     const GArray *classes = leader->core->classes;
@@ -54,23 +54,23 @@
 
 /* Seconds that a task with a deadline is expected to lose on a spot machine. Without one it takes its
  * chances. */
-static double spot_loss_s(const struct ow_leader *leader, const struct ow_run *run,
+static double spot_loss_s(const struct ow_leader *leader, const struct ow_execution *execution,
                           const struct ow_machine *machine)
 {
-    if (!machine->spot || !ow_deadline_is_set(run) || ow_deadline_is_missed(leader, run))
+    if (!machine->spot || !ow_deadline_is_set(execution) || ow_deadline_is_missed(leader, execution))
         return 0;
-    double run_s = ow_class_run_s(leader->core, run->job->spec);
-    double age_s = leader->core->now - run->accepted_at;
-    bool has_time_for_another = age_s + run_s <= ow_deadline_latest_start_s(leader, run);
-    double loss_s = run_s + (has_time_for_another ? 0 : DEADLINE_LOSS_S);
-    return ow_spot_risk_within(leader, run_s) * loss_s;
+    double run_time_s = ow_class_run_time_s(leader->core, execution->job->spec);
+    double age_s = leader->core->now - execution->accepted_at;
+    bool has_time_for_another = age_s + run_time_s <= ow_deadline_latest_start_s(leader, execution);
+    double loss_s = run_time_s + (has_time_for_another ? 0 : DEADLINE_LOSS_S);
+    return ow_spot_risk_within(leader, run_time_s) * loss_s;
 }
 
-double ow_placement_cost(const struct ow_leader *leader, const struct ow_run *run,
+double ow_placement_cost(const struct ow_leader *leader, const struct ow_execution *execution,
                          const struct ow_machine *machine)
 {
-    const struct ow_spec *spec = run->job->spec;
-    const struct ow_machine_type *type = ow_machine_spec(leader, machine);
+    const struct ow_job_spec *spec = execution->job->spec;
+    const struct ow_machine_type *type = ow_machine_type_of(leader, machine);
     double cost = ow_machine_fetch_seconds(leader, machine, spec);
     cost += spec->submission->estimate_s * MAX(0, machine->slowness - SLOWNESS_TOLERANCE);
     /* Less urgent work gets only what GPUs leave over, which is nobody else's loss. */
@@ -79,25 +79,25 @@
         cost += GPU_WASTE_S;
     if (is_wanted_by_gangs(leader, spec, machine, type))
         cost += GANG_DEMAND_S;
-    cost += spot_loss_s(leader, run, machine);
+    cost += spot_loss_s(leader, execution, machine);
     /* Rent, then the tightest fit. */
     cost += machine->spot ? type->spot_price : type->price;
     double cpus_left = type->size.cpus - machine->used.cpus - spec->submission->need.cpus;
     return cost + cpus_left / type->size.cpus;
 }
 
-bool ow_placement_waits_for_cheap(const struct ow_leader *leader, const struct ow_run *run)
+bool ow_placement_waits_for_cheap(const struct ow_leader *leader, const struct ow_execution *execution)
 {
-    const struct ow_spec *spec = run->job->spec;
+    const struct ow_job_spec *spec = execution->job->spec;
     /* More urgent work waits for no rent, whether or not anybody has set an SLO for it. */
     if (!spec->submission->spot || spec->submission->rank != OW_RANK_LOW)
         return false;
-    if (ow_class_has_slo(leader->core, spec->class_index) || run->starves || run->aged)
+    if (ow_class_has_slo(leader->core, spec->class_index) || execution->starves || execution->aged)
         return false;
     /* The age of the job does not count: when every controller has restarted all jobs may be old, and would
        go on expensive machines at once; but what has waited too long goes there however often they restart.
      */
-    return leader->core->now - run->job->first_seen_at < CHEAP_WAIT_S;
+    return leader->core->now - execution->job->first_seen_at < CHEAP_WAIT_S;
 }
 
 /* Whether the class has an SLO and makes proper use of machines of the type. */
@@ -116,7 +116,7 @@
 
 bool ow_placement_is_expensive(const struct ow_leader *leader, const struct ow_machine *machine)
 {
-    const struct ow_machine_type *type = ow_machine_spec(leader, machine);
+    const struct ow_machine_type *type = ow_machine_type_of(leader, machine);
     if (machine->spot || type->spot_price <= 0 || type->spot_price >= type->price)
         return false;
     if (leader->core->settings->slos->len == 0)
--- a/src/core/scheduling/placement_cost.h
+++ b/src/core/scheduling/placement_cost.h
@@ -2,13 +2,13 @@
 #ifndef OW_CORE_SCHEDULING_PLACEMENT_COST_H
 #define OW_CORE_SCHEDULING_PLACEMENT_COST_H
 
-#include "core/run.h"
+#include "core/execution.h"
 
 /* The cost of running a task of the run there. The machine's type must be known. */
-double ow_placement_cost(const struct ow_leader *leader, const struct ow_run *run,
+double ow_placement_cost(const struct ow_leader *leader, const struct ow_execution *execution,
                          const struct ow_machine *machine);
 /* Whether the run's tasks wait for cheap machines for now. */
-bool ow_placement_waits_for_cheap(const struct ow_leader *leader, const struct ow_run *run);
+bool ow_placement_waits_for_cheap(const struct ow_leader *leader, const struct ow_execution *execution);
 /* Whether classes have SLOs, and none of them has proper use for such machines: they cost what work
    without SLOs is not worth while there are cheaper ones of their type. */
 bool ow_placement_is_expensive(const struct ow_leader *leader, const struct ow_machine *machine);
--- a/src/core/scheduling/preempt.c
+++ b/src/core/scheduling/preempt.c
@@ -2,7 +2,7 @@
 #include "core/scheduling/preempt.h"
 #include "core/leader_state.h"
 #include "core/machines/machine.h"
-#include "core/run.h"
+#include "core/execution.h"
 #include "core/scheduling/deadline.h"
 #include "core/scheduling/placement.h"
 #include "core/teams.h"
@@ -18,15 +18,15 @@
 
 /* Lower ranks may be stopped for higher ones. What another team runs beyond its guarantee may be stopped to
    give a team its own; we do so for work at least as urgent as what is stopped. */
-static bool may_stop(const struct ow_leader *leader, const struct ow_run *run,
+static bool may_stop(const struct ow_leader *leader, const struct ow_execution *execution,
                      const struct ow_attempt *attempt)
 {
-    const struct ow_spec *spec = run->job->spec;
-    const struct ow_spec *other = attempt->job->spec;
+    const struct ow_job_spec *spec = execution->job->spec;
+    const struct ow_job_spec *other = attempt->job->spec;
     if (attempt->incarnation != attempt->machine->incarnation || attempt->not_preemptible)
         return false;
     /* Who can't be in time any more takes nothing from who still can. */
-    if (ow_deadline_is_missed(leader, run) && ow_deadline_is_kept(leader, attempt))
+    if (ow_deadline_is_missed(leader, execution) && ow_deadline_is_kept(leader, attempt))
         return false;
     if (other->submission->rank > spec->submission->rank)
         return true;
@@ -57,7 +57,7 @@
 }
 
 /* Slots for the job on the machine as they would be with some attempts gone. */
-static uint32_t slots_without(const struct ow_leader *leader, const struct ow_spec *spec,
+static uint32_t slots_without(const struct ow_leader *leader, const struct ow_job_spec *spec,
                               const struct ow_machine *machine, const struct ow_amounts *gone)
 {
     struct ow_amounts used = machine->used;
@@ -70,7 +70,7 @@
     ow_amounts_add(sum, &attempt->job->spec->submission->need, 1);
 }
 
-int ow_preempt_top_rank(const struct ow_leader *leader, const struct ow_spec *spec)
+int ow_preempt_top_rank(const struct ow_leader *leader, const struct ow_job_spec *spec)
 {
     int rank = (int)spec->submission->rank;
     bool demand_guaranteed = leader->teams.demand_guaranteed[spec->team];
@@ -79,7 +79,7 @@
     return rank + 1;
 }
 
-uint32_t ow_preempt_slots_upper_bound(const struct ow_leader *leader, const struct ow_spec *spec,
+uint32_t ow_preempt_slots_upper_bound(const struct ow_leader *leader, const struct ow_job_spec *spec,
                                       const struct ow_machine *machine, int from)
 {
     struct ow_amounts most = machine->stopping;
@@ -88,17 +88,17 @@
     return slots_without(leader, spec, machine, &most);
 }
 
-uint32_t ow_preempt_slots(const struct ow_leader *leader, const struct ow_run *run,
+uint32_t ow_preempt_slots(const struct ow_leader *leader, const struct ow_execution *execution,
                           const struct ow_machine *machine)
 {
-    const struct ow_spec *spec = run->job->spec;
+    const struct ow_job_spec *spec = execution->job->spec;
     struct ow_amounts gone = {0};
     /* Most machines are full of work that may not be stopped: for them the attempts are not visited. */
     if (ow_preempt_slots_upper_bound(leader, spec, machine, ow_preempt_top_rank(leader, spec)) == 0)
         return 0;
     for (guint i = 0; i < machine->attempts->len; i++) {
         const struct ow_attempt *attempt = g_ptr_array_index(machine->attempts, i);
-        if (attempt->stop || may_stop(leader, run, attempt))
+        if (attempt->stop || may_stop(leader, execution, attempt))
             add_need(&gone, attempt);
     }
     return slots_without(leader, spec, machine, &gone);
@@ -120,10 +120,10 @@
 
 /* The victims that free `slots` slots, or NULL if all of them don't; the caller frees the array. Work already
    being stopped comes first and costs nothing. */
-static GArray *choose_victims(const struct ow_leader *leader, const struct ow_run *run,
+static GArray *choose_victims(const struct ow_leader *leader, const struct ow_execution *execution,
                               const struct ow_machine *machine, uint32_t slots)
 {
-    const struct ow_spec *spec = run->job->spec;
+    const struct ow_job_spec *spec = execution->job->spec;
     GArray *victims = g_array_new(FALSE, FALSE, sizeof(struct victim));
     struct ow_amounts gone = {0};
     for (guint i = 0; i < machine->attempts->len; i++) {
@@ -131,7 +131,7 @@
         struct victim victim = {attempt, loss_s(leader, attempt)};
         if (attempt->stop)
             add_need(&gone, attempt);
-        else if (may_stop(leader, run, attempt))
+        else if (may_stop(leader, execution, attempt))
             g_array_append_val(victims, victim);
     }
     g_array_sort(victims, compare_losses);
@@ -159,10 +159,10 @@
     return true;
 }
 
-double ow_preempt_loss(const struct ow_leader *leader, const struct ow_run *run,
+double ow_preempt_loss(const struct ow_leader *leader, const struct ow_execution *execution,
                        const struct ow_machine *machine, uint32_t slots)
 {
-    GArray *victims = choose_victims(leader, run, machine, slots);
+    GArray *victims = choose_victims(leader, execution, machine, slots);
     double loss = 0;
     if (victims == NULL)
         return INFINITY;
@@ -175,13 +175,13 @@
     return loss;
 }
 
-bool ow_preempt_make_room(struct ow_leader *leader, const struct ow_run *run, struct ow_machine *machine,
-                          uint32_t slots)
+bool ow_preempt_make_room(struct ow_leader *leader, const struct ow_execution *execution,
+                          struct ow_machine *machine, uint32_t slots)
 {
-    GArray *victims = choose_victims(leader, run, machine, slots);
+    GArray *victims = choose_victims(leader, execution, machine, slots);
     if (victims == NULL)
         return false;
-    char *why = g_strdup_printf("room for job %s", run->job->id);
+    char *why = g_strdup_printf("room for job %s", execution->job->id);
     for (guint i = 0; i < victims->len; i++) {
         struct ow_attempt *attempt = g_array_index(victims, struct victim, i).attempt;
         const struct ow_submission *submission = attempt->job->spec->submission;
@@ -190,7 +190,7 @@
         /* The tasks of a gang stop in one round, or their saving fails. One stopped before may have ended
            another that was chosen, too. */
         if (submission->gang) {
-            ow_run_stop(leader, attempt->job->run, grace, why);
+            ow_execution_stop(leader, attempt->job->execution, grace, why);
             break;
         }
         ow_attempt_stop(leader, attempt, grace, why);
--- a/src/core/scheduling/queue.c
+++ b/src/core/scheduling/queue.c
@@ -30,7 +30,7 @@
 static const double PROMOTION_LEAST_S = 40;
 
 struct queue_entry {
-    struct ow_run *run;
+    struct ow_execution *execution;
     int rank;
     bool borrowing;       /* beyond its team's guarantee */
     unsigned missed_slos; /* for its start */
@@ -43,27 +43,27 @@
     double gpus;
 };
 
-bool ow_queue_is_promoted(const struct ow_run *run)
+bool ow_queue_is_promoted(const struct ow_execution *execution)
 {
-    return run->starves || run->aged;
+    return execution->starves || execution->aged;
 }
 
-int ow_queue_rank(const struct ow_run *run)
+int ow_queue_rank(const struct ow_execution *execution)
 {
-    return ow_queue_is_promoted(run) ? OW_RANK_CRITICAL : (int)run->job->spec->submission->rank;
+    return ow_queue_is_promoted(execution) ? OW_RANK_CRITICAL : (int)execution->job->spec->submission->rank;
 }
 
 /* Whether the team stays within its guarantee with the job's waiting tasks. */
-static bool is_guaranteed(struct ow_leader *leader, const struct ow_run *run)
+static bool is_guaranteed(struct ow_leader *leader, const struct ow_execution *execution)
 {
-    const struct ow_spec *spec = run->job->spec;
+    const struct ow_job_spec *spec = execution->job->spec;
     struct ow_amounts amounts = *ow_team_usage(leader, spec->team);
-    ow_amounts_add(&amounts, &spec->submission->need, ow_run_pending(run));
+    ow_amounts_add(&amounts, &spec->submission->need, ow_execution_pending(execution));
     return ow_team_has_guarantee_for(leader, spec->team, &spec->submission->need) &&
            ow_team_guarantee_covers(leader, spec->team, &amounts);
 }
 
-static int compare_revisions(const struct ow_run *a, const struct ow_run *b)
+static int compare_revisions(const struct ow_execution *a, const struct ow_execution *b)
 {
     if (a->job->accepted_revision == b->job->accepted_revision)
         return 0;
@@ -83,7 +83,7 @@
         return first->missed_slos < second->missed_slos ? -1 : 1;
     if (first->queue_time != second->queue_time)
         return first->queue_time < second->queue_time ? -1 : 1;
-    return compare_revisions(first->run, second->run);
+    return compare_revisions(first->execution, second->execution);
 }
 
 static struct fleet_capacity fleet_capacity(const struct ow_leader *leader)
@@ -91,7 +91,7 @@
     struct fleet_capacity capacity = {0};
     for (guint i = 0; i < leader->machines->len; i++) {
         const struct ow_machine *machine = g_ptr_array_index(leader->machines, i);
-        const struct ow_machine_type *type = ow_machine_spec(leader, machine);
+        const struct ow_machine_type *type = ow_machine_type_of(leader, machine);
         if (!ow_machine_is_usable(leader, machine))
             continue;
         capacity.cpus += type->size.cpus;
@@ -111,64 +111,66 @@
 /* An array's queue time is its arrival, delayed by the time that its waiting work needs of the whole fleet: a
    short one passes a long one, and each is reached in the end. One with a deadline can be passed for as long
    as the deadline allows. A gang keeps its place. */
-static double queue_time(struct ow_leader *leader, const struct ow_run *run,
+static double queue_time(struct ow_leader *leader, const struct ow_execution *execution,
                          const struct fleet_capacity *capacity)
 {
-    const struct ow_spec *spec = run->job->spec;
+    const struct ow_job_spec *spec = execution->job->spec;
     if (spec->submission->gang)
-        return run->accepted_at;
+        return execution->accepted_at;
     double share = fleet_share(&spec->submission->need, capacity);
-    double delay = SIZE_WEIGHT * ow_run_pending(run) * ow_class_run_s(leader->core, spec) * share;
-    if (ow_deadline_is_set(run)) {
-        double limit_s = MIN(ow_deadline_latest_start_s(leader, run), DEADLINE_DELAY_LIMIT_S);
-        return run->accepted_at + MIN(DEADLINE_SIZE_WEIGHT * delay, limit_s);
+    double delay =
+        SIZE_WEIGHT * ow_execution_pending(execution) * ow_class_run_time_s(leader->core, spec) * share;
+    if (ow_deadline_is_set(execution)) {
+        double limit_s = MIN(ow_deadline_latest_start_s(leader, execution), DEADLINE_DELAY_LIMIT_S);
+        return execution->accepted_at + MIN(DEADLINE_SIZE_WEIGHT * delay, limit_s);
     }
-    return run->accepted_at + MIN(delay, SIZE_DELAY_LIMIT_S);
+    return execution->accepted_at + MIN(delay, SIZE_DELAY_LIMIT_S);
 }
 
 /* Sets whether the run starves or is old. */
-static void update_age(const struct ow_leader *leader, struct ow_run *run)
+static void update_age(const struct ow_leader *leader, struct ow_execution *execution)
 {
-    bool service = ow_run_is_service(run);
-    double age = leader->core->now - (service ? run->missing_since : run->accepted_at);
-    double promotion_s = run->job->spec->submission->gang ? PROMOTION_GANG_S : PROMOTION_S;
-    double begin_s = BEGIN_S - ow_image_slowest_fetch_seconds(leader, run->job->spec);
+    bool service = ow_execution_is_service(execution);
+    double age = leader->core->now - (service ? execution->missing_since : execution->accepted_at);
+    double promotion_s = execution->job->spec->submission->gang ? PROMOTION_GANG_S : PROMOTION_S;
+    double begin_s = BEGIN_S - ow_image_slowest_fetch_seconds(leader, execution->job->spec);
     double patience = CLAMP(begin_s, PROMOTION_LEAST_S, promotion_s);
     /* A service is never complete: its age would put it before everybody for ever. What counts is how long a
        replica has been missed. */
     if (service) {
-        run->starves = age > patience;
-        run->aged = false;
+        execution->starves = age > patience;
+        execution->aged = false;
         return;
     }
-    run->starves = run->attempts->len == 0 && run->done == 0 && age > patience;
+    execution->starves = execution->attempts->len == 0 && execution->done == 0 && age > patience;
     /* Its owner does not expect a job with a deadline before it: until then others may pass it. */
-    run->aged = age > AGED_S + MIN(run->job->spec->submission->deadline_s, DEADLINE_DELAY_LIMIT_S);
+    execution->aged =
+        age > AGED_S + MIN(execution->job->spec->submission->deadline_s, DEADLINE_DELAY_LIMIT_S);
 }
 
-static unsigned missed_slos(struct ow_leader *leader, const struct ow_run *run)
+static unsigned missed_slos(struct ow_leader *leader, const struct ow_execution *execution)
 {
-    double age = leader->core->now - run->accepted_at;
+    double age = leader->core->now - execution->accepted_at;
     /* A service's age says nothing of how long its replica has been missed. */
-    if (ow_run_is_service(run))
+    if (ow_execution_is_service(execution))
         return 0;
     /* Of those that starve, who can still begin in time goes first: where all wait too long, nobody would. */
-    if (run->starves)
+    if (execution->starves)
         return age < BEGIN_S ? 0 : 1;
-    unsigned missed = ow_class_missed(leader->core, run->job->spec->class_index, age);
-    return missed + (ow_deadline_is_missed(leader, run) ? 1 : 0);
+    unsigned missed = ow_class_missed(leader->core, execution->job->spec->class_index, age);
+    return missed + (ow_deadline_is_missed(leader, execution) ? 1 : 0);
 }
 
 /* Updates since when a task of the run waits; returns whether the run belongs in the queue. */
-static bool is_waiting(const struct ow_leader *leader, struct ow_run *run)
+static bool is_waiting(const struct ow_leader *leader, struct ow_execution *execution)
 {
-    if (ow_run_pending(run) == 0) {
-        run->missing_since = 0;
+    if (ow_execution_pending(execution) == 0) {
+        execution->missing_since = 0;
         return false;
     }
-    if (run->missing_since == 0)
-        run->missing_since = leader->core->now;
-    return run->ready_at <= leader->core->now;
+    if (execution->missing_since == 0)
+        execution->missing_since = leader->core->now;
+    return execution->ready_at <= leader->core->now;
 }
 
 /* The waiting runs as sorted struct queue_entry; the caller frees the array. */
@@ -176,17 +178,17 @@
 {
     GArray *entries = g_array_new(FALSE, FALSE, sizeof(struct queue_entry));
     struct fleet_capacity capacity = fleet_capacity(leader);
-    for (guint i = 0; i < leader->runs->len; i++) {
-        struct ow_run *run = g_ptr_array_index(leader->runs, i);
-        if (!is_waiting(leader, run))
+    for (guint i = 0; i < leader->executions->len; i++) {
+        struct ow_execution *execution = g_ptr_array_index(leader->executions, i);
+        if (!is_waiting(leader, execution))
             continue;
-        update_age(leader, run);
+        update_age(leader, execution);
         struct queue_entry entry = {
-            .run = run,
-            .rank = ow_queue_rank(run),
-            .borrowing = !is_guaranteed(leader, run),
-            .missed_slos = missed_slos(leader, run),
-            .queue_time = queue_time(leader, run, &capacity),
+            .execution = execution,
+            .rank = ow_queue_rank(execution),
+            .borrowing = !is_guaranteed(leader, execution),
+            .missed_slos = missed_slos(leader, execution),
+            .queue_time = queue_time(leader, execution, &capacity),
         };
         g_array_append_val(entries, entry);
     }
@@ -199,7 +201,7 @@
 {
     guint index = start;
     while (index < entries->len &&
-           ow_queue_is_promoted(g_array_index(entries, struct queue_entry, index).run) != promoted)
+           ow_queue_is_promoted(g_array_index(entries, struct queue_entry, index).execution) != promoted)
         index++;
     return index;
 }
@@ -208,26 +210,26 @@
    nobody would be in time under much load. */
 static GPtrArray *interleave_promoted(const GArray *entries)
 {
-    GPtrArray *runs = g_ptr_array_new();
+    GPtrArray *executions = g_ptr_array_new();
     guint next_promoted = 0;
     guint next_other = 0;
     bool promoted = true;
-    while (runs->len < entries->len) {
+    while (executions->len < entries->len) {
         guint *next = promoted ? &next_promoted : &next_other;
         *next = next_entry(entries, *next, promoted);
         if (*next < entries->len) {
-            g_ptr_array_add(runs, g_array_index(entries, struct queue_entry, *next).run);
+            g_ptr_array_add(executions, g_array_index(entries, struct queue_entry, *next).execution);
             ++*next;
         }
         promoted = !promoted;
     }
-    return runs;
+    return executions;
 }
 
 GPtrArray *ow_queue_sorted(struct ow_leader *leader)
 {
     GArray *entries = sorted_entries(leader);
-    GPtrArray *runs = interleave_promoted(entries);
+    GPtrArray *executions = interleave_promoted(entries);
     g_array_free(entries, TRUE);
-    return runs;
+    return executions;
 }
--- a/src/core/scheduling/queue.h
+++ b/src/core/scheduling/queue.h
@@ -3,14 +3,14 @@
 #ifndef OW_CORE_SCHEDULING_QUEUE_H
 #define OW_CORE_SCHEDULING_QUEUE_H
 
-#include "core/run.h"
+#include "core/execution.h"
 
-/* The runs with waiting tasks in queue order, as struct ow_run *; the caller frees the array. It also updates
-   how long each run has missed tasks, and whether it starves or is old. */
+/* The runs with waiting tasks in queue order, as struct ow_execution *; the caller frees the array. It also
+   updates how long each run has missed tasks, and whether it starves or is old. */
 GPtrArray *ow_queue_sorted(struct ow_leader *leader);
 /* Whether the run was promoted to the front of the queue because it has waited too long. */
-bool ow_queue_is_promoted(const struct ow_run *run);
+bool ow_queue_is_promoted(const struct ow_execution *execution);
 /* The rank by which the run is queued: that of its job, or the most urgent one if it is promoted. */
-int ow_queue_rank(const struct ow_run *run);
+int ow_queue_rank(const struct ow_execution *execution);
 
 #endif
--- a/src/core/scheduling/reason.c
+++ b/src/core/scheduling/reason.c
@@ -3,7 +3,7 @@
 #include "core/leader_state.h"
 #include "core/machines/machine.h"
 #include "core/machines/machine_registry.h"
-#include "core/run.h"
+#include "core/execution.h"
 #include "core/scheduling/placement.h"
 #include "core/scheduling/placement_cost.h"
 #include "core/scheduling/reservation.h"
@@ -24,7 +24,7 @@
     return g_array_new(FALSE, FALSE, sizeof(struct allowance));
 }
 
-static struct allowance allowed_machines(struct ow_leader *leader, const struct ow_spec *spec)
+static struct allowance allowed_machines(struct ow_leader *leader, const struct ow_job_spec *spec)
 {
     for (guint i = 0; i < leader->cycle.allowances->len; i++) {
         const struct allowance *allowance = &g_array_index(leader->cycle.allowances, struct allowance, i);
@@ -48,24 +48,24 @@
 }
 
 /* A gang's holds are counted up to its size: members may hold several machines. */
-static char *gang_reason(const struct ow_run *run)
+static char *gang_reason(const struct ow_execution *execution)
 {
     uint32_t held = 0;
-    if (run->reservation != NULL)
-        held = MIN(run->reservation->holds->len, run->count);
+    if (execution->reservation != NULL)
+        held = MIN(execution->reservation->holds->len, execution->count);
     return g_strdup_printf("short of room for all %u tasks at once; holds room for %u and keeps its place",
-                           run->count, held);
+                           execution->count, held);
 }
 
 /* The reason of a run with waiting tasks; the caller frees it. */
-static char *waits_for(struct ow_leader *leader, const struct ow_run *run, uint32_t pending)
+static char *waits_for(struct ow_leader *leader, const struct ow_execution *execution, uint32_t pending)
 {
-    const struct ow_spec *spec = run->job->spec;
+    const struct ow_job_spec *spec = execution->job->spec;
     bool gang = spec->submission->gang;
-    uint32_t wanted = gang ? run->count : 1;
-    if (run->ready_at > leader->core->now)
+    uint32_t wanted = gang ? execution->count : 1;
+    if (execution->ready_at > leader->core->now)
         return g_strdup("paused after failures; it is tried again soon");
-    if (gang && run->attempts->len > 0)
+    if (gang && execution->attempts->len > 0)
         return g_strdup("waits until every task of its last attempt is proven gone");
     if (ow_team_admits(leader, spec, wanted) < wanted)
         return g_strdup_printf("team %s is at its limit", spec->submission->team);
@@ -79,21 +79,21 @@
         return g_strdup_printf("none of the %u machines that it allows can take tasks now",
                                allowance.allowed);
     if (gang)
-        return gang_reason(run);
-    if (ow_run_is_service(run))
-        return g_strdup_printf("%u of %u replicas wait for room on %u machines", pending, run->count,
+        return gang_reason(execution);
+    if (ow_execution_is_service(execution))
+        return g_strdup_printf("%u of %u replicas wait for room on %u machines", pending, execution->count,
                                allowance.usable);
-    if (ow_placement_waits_for_cheap(leader, run))
+    if (ow_placement_waits_for_cheap(leader, execution))
         return g_strdup_printf("%u tasks wait for room on cheap machines; before long they go on any",
                                pending);
     return g_strdup_printf("%u tasks wait for room on %u machines, behind earlier or more urgent work",
                            pending, allowance.usable);
 }
 
-void ow_reason_waits(struct ow_leader *leader, struct ow_run *run)
+void ow_reason_waits(struct ow_leader *leader, struct ow_execution *execution)
 {
-    uint32_t pending = ow_run_pending(run);
-    char *reason = pending > 0 ? waits_for(leader, run, pending) : NULL;
-    ow_job_set_reason(run->job, reason);
+    uint32_t pending = ow_execution_pending(execution);
+    char *reason = pending > 0 ? waits_for(leader, execution, pending) : NULL;
+    ow_job_set_reason(execution->job, reason);
     g_free(reason);
 }
--- a/src/core/scheduling/reason.h
+++ b/src/core/scheduling/reason.h
@@ -5,12 +5,12 @@
 #include <glib.h>
 
 struct ow_leader;
-struct ow_run;
+struct ow_execution;
 
 /* The empty cache of a leader, of machine counts by demand; emptied at each cycle, freed with
    g_array_free(). */
 GArray *ow_reason_new_allowances(void);
 /* Sets the reason of the run's job, or clears it if no task waits. */
-void ow_reason_waits(struct ow_leader *leader, struct ow_run *run);
+void ow_reason_waits(struct ow_leader *leader, struct ow_execution *execution);
 
 #endif
--- a/src/core/scheduling/replica_spread.c
+++ b/src/core/scheduling/replica_spread.c
@@ -1,7 +1,7 @@
 #include "core/scheduling/replica_spread.h"
 
 #include "core/machines/machine.h"
-#include "core/run.h"
+#include "core/execution.h"
 
 static guint count_at(GHashTable *counts, const void *key)
 {
@@ -19,11 +19,11 @@
     count_one(spread->in_zone, GINT_TO_POINTER(machine->zone));
 }
 
-struct ow_replica_spread ow_replica_spread_of(const struct ow_run *run)
+struct ow_replica_spread ow_replica_spread_of(const struct ow_execution *execution)
 {
     struct ow_replica_spread spread = {g_hash_table_new(NULL, NULL), g_hash_table_new(NULL, NULL)};
-    for (guint i = 0; i < run->attempts->len; i++) {
-        const struct ow_attempt *attempt = g_ptr_array_index(run->attempts, i);
+    for (guint i = 0; i < execution->attempts->len; i++) {
+        const struct ow_attempt *attempt = g_ptr_array_index(execution->attempts, i);
         ow_replica_spread_add(&spread, attempt->machine);
     }
     return spread;
--- a/src/core/scheduling/replica_spread.h
+++ b/src/core/scheduling/replica_spread.h
@@ -6,7 +6,7 @@
 #include <glib.h>
 
 struct ow_machine;
-struct ow_run;
+struct ow_execution;
 
 struct ow_replica_spread {
     GHashTable *on_machine; /* machine -> count */
@@ -14,7 +14,7 @@
 };
 
 /* Counts the attempts of the run. Freed with ow_replica_spread_clear. */
-struct ow_replica_spread ow_replica_spread_of(const struct ow_run *run);
+struct ow_replica_spread ow_replica_spread_of(const struct ow_execution *execution);
 void ow_replica_spread_clear(struct ow_replica_spread *spread);
 /* Counts one more replica on the machine. */
 void ow_replica_spread_add(struct ow_replica_spread *spread, struct ow_machine *machine);
--- a/src/core/scheduling/reservation.c
+++ b/src/core/scheduling/reservation.c
@@ -6,7 +6,7 @@
 #include "core/scheduling/reservation.h"
 #include "core/leader_state.h"
 #include "core/machines/machine.h"
-#include "core/run.h"
+#include "core/execution.h"
 #include "core/scheduling/candidates.h"
 #include "core/scheduling/gang_selection.h"
 #include "core/scheduling/gang_turn.h"
@@ -28,15 +28,15 @@
 /* A gang that has given up its holds tries again after this share of the waiting limit. */
 static const double RETRY_SHARE = 0.25;
 
-static struct ow_reservation *find_or_add(struct ow_leader *leader, struct ow_run *run)
+static struct ow_reservation *find_or_add(struct ow_leader *leader, struct ow_execution *execution)
 {
-    if (run->reservation != NULL)
-        return run->reservation;
+    if (execution->reservation != NULL)
+        return execution->reservation;
     struct ow_reservation *reservation = g_new0(struct ow_reservation, 1);
     reservation->opened_at = leader->core->now;
     reservation->short_since = leader->core->now;
     reservation->holds = g_array_new(FALSE, FALSE, sizeof(struct ow_hold));
-    run->reservation = reservation;
+    execution->reservation = reservation;
     return reservation;
 }
 
@@ -53,9 +53,9 @@
     return false;
 }
 
-bool ow_reservation_conflicts(const struct ow_run *run, const struct ow_machine *machine)
+bool ow_reservation_conflicts(const struct ow_execution *execution, const struct ow_machine *machine)
 {
-    unsigned own = has_hold_on(run->reservation, machine) ? 1 : 0;
+    unsigned own = has_hold_on(execution->reservation, machine) ? 1 : 0;
     return machine->holders > own;
 }
 
@@ -140,59 +140,60 @@
 }
 
 /* While the window is open every member collects further candidates. */
-static void collect_candidates(const struct ow_leader *leader, struct ow_run *run, const GArray *candidates)
+static void collect_candidates(const struct ow_leader *leader, struct ow_execution *execution,
+                               const GArray *candidates)
 {
-    guint members = MIN(run->count, candidates->len);
+    guint members = MIN(execution->count, candidates->len);
     guint limit = MIN(candidates->len, leader->core->tuning->candidates);
     for (guint member = 0; member < members; member++) {
         for (guint i = 0; i < limit; i++) {
             struct ow_machine *machine = g_array_index(candidates, struct ow_candidate, i).machine;
-            add_hold(run->reservation, machine, member, false, leader->core->now);
+            add_hold(execution->reservation, machine, member, false, leader->core->now);
         }
     }
 }
 
 /* ---- one try ---- */
 
-static void start_all(struct ow_leader *leader, struct ow_run *run, const GArray *picks)
+static void start_all(struct ow_leader *leader, struct ow_execution *execution, const GArray *picks)
 {
-    uint64_t number = ow_run_next_attempt(run);
+    uint64_t number = ow_execution_next_attempt(execution);
     uint32_t task = 0;
     for (guint i = 0; i < picks->len; i++) {
         const struct ow_gang_pick *pick = &g_array_index(picks, struct ow_gang_pick, i);
         for (uint32_t n = 0; n < pick->members; n++) {
-            ow_placement_start_task(leader, run, task, number, pick->machine);
+            ow_placement_start_task(leader, execution, task, number, pick->machine);
             task++;
         }
     }
-    g_info("gang %s: all %u members start in one round, attempt %" G_GUINT64_FORMAT, run->job->id, run->count,
-           number);
+    g_info("gang %s: all %u members start in one round, attempt %" G_GUINT64_FORMAT, execution->job->id,
+           execution->count, number);
     /* Holds that were not picked are cancelled with the reservation. */
-    g_clear_pointer(&run->reservation, ow_reservation_free);
+    g_clear_pointer(&execution->reservation, ow_reservation_free);
 }
 
 /* Stops less urgent work if that makes capacity for every member, and holds it; returns whether it does. */
-static bool preempt_for_all(struct ow_leader *leader, struct ow_run *run)
+static bool preempt_for_all(struct ow_leader *leader, struct ow_execution *execution)
 {
-    GArray *candidates = ow_gang_candidates_with_preemption(leader, run);
+    GArray *candidates = ow_gang_candidates_with_preemption(leader, execution);
     GArray *picks = ow_gang_selection_new();
-    bool all = ow_gang_select(run, candidates, picks) == 0;
+    bool all = ow_gang_select(execution, candidates, picks) == 0;
     for (guint i = 0; all && i < picks->len; i++) {
         const struct ow_gang_pick *pick = &g_array_index(picks, struct ow_gang_pick, i);
-        ow_preempt_make_room(leader, run, pick->machine, pick->members);
+        ow_preempt_make_room(leader, execution, pick->machine, pick->members);
     }
     /* Every member has its machine: the other holds are cancelled. */
     if (all)
-        hold_picks(leader, run->reservation, picks);
+        hold_picks(leader, execution->reservation, picks);
     g_array_free(picks, TRUE);
     g_array_free(candidates, TRUE);
     return all;
 }
 
 /* Drops the holds of a gang that has been short for longer than the limit. */
-static void give_up_after_limit(const struct ow_leader *leader, struct ow_run *run)
+static void give_up_after_limit(const struct ow_leader *leader, struct ow_execution *execution)
 {
-    struct ow_reservation *reservation = run->reservation;
+    struct ow_reservation *reservation = execution->reservation;
     double now = leader->core->now;
     double limit_s = leader->core->tuning->waiting_limit_s;
     if (reservation->given_up || now - reservation->short_since <= limit_s)
@@ -200,25 +201,25 @@
     reservation->given_up = true;
     reservation->again_at = now + RETRY_SHARE * limit_s;
     drop_holds(reservation);
-    g_info("gang %s: holds dropped after %.0f s, its place is kept", run->job->id, limit_s);
+    g_info("gang %s: holds dropped after %.0f s, its place is kept", execution->job->id, limit_s);
 }
 
 /* Updates the holds of a gang of which some members have no machine. */
-static void hold_while_short(const struct ow_leader *leader, struct ow_run *run, const GArray *candidates,
-                             const GArray *picks)
+static void hold_while_short(const struct ow_leader *leader, struct ow_execution *execution,
+                             const GArray *candidates, const GArray *picks)
 {
-    struct ow_reservation *reservation = run->reservation;
+    struct ow_reservation *reservation = execution->reservation;
     double now = leader->core->now;
     if (now < reservation->opened_at + leader->core->tuning->window_s) {
         hold_picks(leader, reservation, picks);
-        collect_candidates(leader, run, candidates);
+        collect_candidates(leader, execution, candidates);
         return;
     }
     if (!reservation->closed) {
         reservation->closed = true;
         reservation->short_since = now;
     }
-    give_up_after_limit(leader, run);
+    give_up_after_limit(leader, execution);
     if (reservation->given_up && now < reservation->again_at)
         return;
     if (reservation->given_up) {
@@ -229,38 +230,38 @@
 }
 
 /* Stops work for a gang that is short, or updates its holds if that does not help. */
-static void wait_for_capacity(struct ow_leader *leader, struct ow_run *run, const GArray *candidates,
-                              const GArray *picks)
+static void wait_for_capacity(struct ow_leader *leader, struct ow_execution *execution,
+                              const GArray *candidates, const GArray *picks)
 {
-    struct ow_reservation *reservation = run->reservation;
+    struct ow_reservation *reservation = execution->reservation;
     double now = leader->core->now;
     /* Stopping work is considered again only after a while; until then what was picked stays held. */
     bool considered_lately = now < reservation->stops_at + STOPS_INTERVAL_S;
     if (considered_lately && reservation->stops)
         return;
     if (!considered_lately) {
-        reservation->stops = preempt_for_all(leader, run);
+        reservation->stops = preempt_for_all(leader, execution);
         reservation->stops_at = now;
     }
     if (!reservation->stops)
-        hold_while_short(leader, run, candidates, picks);
+        hold_while_short(leader, execution, candidates, picks);
 }
 
-void ow_reservation_try(struct ow_leader *leader, struct ow_run *run)
+void ow_reservation_try(struct ow_leader *leader, struct ow_execution *execution)
 {
-    struct ow_reservation *reservation = find_or_add(leader, run);
+    struct ow_reservation *reservation = find_or_add(leader, execution);
     drop_old_holds(leader, reservation);
     /* Rule 4: nothing of a gang starts while an earlier attempt is not accounted for. */
-    if (run->attempts->len > 0)
+    if (execution->attempts->len > 0)
         return;
-    if (ow_team_admits(leader, run->job->spec, run->count) < run->count)
+    if (ow_team_admits(leader, execution->job->spec, execution->count) < execution->count)
         return;
-    GArray *candidates = ow_candidates_find(leader, run);
+    GArray *candidates = ow_candidates_find(leader, execution);
     GArray *picks = ow_gang_selection_new();
-    if (ow_gang_select(run, candidates, picks) == 0)
-        start_all(leader, run, picks);
+    if (ow_gang_select(execution, candidates, picks) == 0)
+        start_all(leader, execution, picks);
     else
-        wait_for_capacity(leader, run, candidates, picks);
+        wait_for_capacity(leader, execution, candidates, picks);
     g_array_free(picks, TRUE);
     g_array_free(candidates, TRUE);
 }
@@ -269,14 +270,14 @@
    is taken if there is no other, and a large gang would otherwise idle a zone while it fills. A gang alone
    may use what work is stopped for, and what it holds while it starves: smaller ones that starve would
    otherwise pass it for ever. */
-void ow_reservation_apply_holds(struct ow_leader *leader, const struct ow_run *run)
+void ow_reservation_apply_holds(struct ow_leader *leader, const struct ow_execution *execution)
 {
-    if (run->reservation == NULL)
+    if (execution->reservation == NULL)
         return;
-    const struct ow_amounts *need = &run->job->spec->submission->need;
-    bool firm = run->reservation->stops || run->starves || ow_gang_turn_take(leader, run);
-    for (guint i = 0; i < run->reservation->holds->len; i++) {
-        const struct ow_hold *hold = &g_array_index(run->reservation->holds, struct ow_hold, i);
+    const struct ow_amounts *need = &execution->job->spec->submission->need;
+    bool firm = execution->reservation->stops || execution->starves || ow_gang_turn_take(leader, execution);
+    for (guint i = 0; i < execution->reservation->holds->len; i++) {
+        const struct ow_hold *hold = &g_array_index(execution->reservation->holds, struct ow_hold, i);
         if (!hold->picked)
             continue;
         struct ow_machine *machine = hold->machine;
--- a/src/core/scheduling/reservation.h
+++ b/src/core/scheduling/reservation.h
@@ -3,7 +3,7 @@
 #ifndef OW_CORE_SCHEDULING_RESERVATION_H
 #define OW_CORE_SCHEDULING_RESERVATION_H
 
-#include "core/run.h"
+#include "core/execution.h"
 
 struct ow_reservation {
     double opened_at;   /* when the window to collect holds opened */
@@ -17,14 +17,14 @@
 };
 
 /* Starts the gang if there is capacity for all of it, else updates its holds. */
-void ow_reservation_try(struct ow_leader *leader, struct ow_run *run);
+void ow_reservation_try(struct ow_leader *leader, struct ow_execution *execution);
 /* Whether the machine is held for another waiting gang. */
-bool ow_reservation_conflicts(const struct ow_run *run, const struct ow_machine *machine);
+bool ow_reservation_conflicts(const struct ow_execution *execution, const struct ow_machine *machine);
 /* Drops the holds on a machine that is gone. `reservation` may be NULL. */
 void ow_reservation_forget(struct ow_reservation *reservation, const struct ow_machine *machine);
 /* Frees the reservation with its holds. `reservation` may be NULL. */
 void ow_reservation_free(struct ow_reservation *reservation);
 /* Subtracts the run's holds from the capacity that jobs behind it in the queue see. */
-void ow_reservation_apply_holds(struct ow_leader *leader, const struct ow_run *run);
+void ow_reservation_apply_holds(struct ow_leader *leader, const struct ow_execution *execution);
 
 #endif
--- a/src/core/scheduling/schedule.c
+++ b/src/core/scheduling/schedule.c
@@ -3,7 +3,7 @@
 #include "core/leader_state.h"
 #include "core/machines/machine.h"
 #include "core/records/recorder.h"
-#include "core/run.h"
+#include "core/execution.h"
 #include "core/scheduling/array_preemption.h"
 #include "core/scheduling/array_start.h"
 #include "core/scheduling/gpu_reserve.h"
@@ -16,31 +16,31 @@
 #include "core/teams.h"
 
 /* The last record of the job was carried out although the answer was lost. */
-static void close_done_job(struct ow_leader *leader, struct ow_run *run)
+static void close_done_job(struct ow_leader *leader, struct ow_execution *execution)
 {
-    struct ow_job *job = run->job;
-    ow_run_stop(leader, run, 0, "its job is done");
+    struct ow_job *job = execution->job;
+    ow_execution_stop(leader, execution, 0, "its job is done");
     /* What may still be on a machine counts until it is gone. */
-    if (run->attempts->len > 0)
+    if (execution->attempts->len > 0)
         return;
-    ow_run_drop(leader, run);
+    ow_execution_drop(leader, execution);
     ow_jobs_close(leader->core->jobs, job);
 }
 
 /* Creates the job's run if it has none, and ends what is over. */
 static void update_job(struct ow_leader *leader, struct ow_job *job)
 {
-    struct ow_run *run = ow_run_find_or_add(leader, job);
+    struct ow_execution *execution = ow_execution_find_or_add(leader, job);
     if (job->state == OW_JOB_DONE) {
-        close_done_job(leader, run);
+        close_done_job(leader, execution);
         return;
     }
     if (job->state == OW_JOB_CANCELLED)
-        ow_run_stop(leader, run, 0, "its job is cancelled");
-    if (run->attempts->len > 0)
+        ow_execution_stop(leader, execution, 0, "its job is cancelled");
+    if (execution->attempts->len > 0)
         return;
-    if (job->state == OW_JOB_CANCELLED || run->done == run->count)
-        ow_recorder_finish(leader, run);
+    if (job->state == OW_JOB_CANCELLED || execution->done == execution->count)
+        ow_recorder_finish(leader, execution);
 }
 
 /* Takes a job that needs GPUs into what the cycle knows of GPU jobs. */
@@ -69,7 +69,7 @@
 /* Which teams may claim their guarantee and which have to give back, for the whole pass. */
 static void update_teams(struct ow_leader *leader)
 {
-    int count = ow_names_count(leader->core->names.teams);
+    int count = ow_interner_count(leader->core->interners.teams);
     leader->teams.demand_guaranteed = g_renew(bool, leader->teams.demand_guaranteed, count);
     leader->teams.is_borrowing = g_renew(bool, leader->teams.is_borrowing, count);
     for (int team = 0; team < count; team++) {
@@ -109,46 +109,46 @@
 }
 
 /* Starts what can be started of the run, and holds or makes capacity for the rest. */
-static void schedule_run(struct ow_leader *leader, struct ow_run *run)
+static void schedule_execution(struct ow_leader *leader, struct ow_execution *execution)
 {
-    if (run->job->spec->submission->gang) {
-        ow_reservation_try(leader, run);
-        ow_reservation_apply_holds(leader, run);
+    if (execution->job->spec->submission->gang) {
+        ow_reservation_try(leader, execution);
+        ow_reservation_apply_holds(leader, execution);
         return;
     }
-    if (ow_run_is_service(run))
-        ow_service_replicas_start(leader, run);
+    if (ow_execution_is_service(execution))
+        ow_service_replicas_start(leader, execution);
     else
-        ow_array_start(leader, run);
-    if (ow_run_pending(run) > 0)
-        ow_array_preempt(leader, run);
+        ow_array_start(leader, execution);
+    if (ow_execution_pending(execution) > 0)
+        ow_array_preempt(leader, execution);
 }
 
 /* Runs that are paused have no place in the queue, but their teams ask why they wait. */
-static void explain_paused_runs(struct ow_leader *leader)
+static void explain_paused_executions(struct ow_leader *leader)
 {
-    for (guint i = 0; i < leader->runs->len; i++) {
-        struct ow_run *run = g_ptr_array_index(leader->runs, i);
-        if (run->ready_at > leader->core->now)
-            ow_reason_waits(leader, run);
+    for (guint i = 0; i < leader->executions->len; i++) {
+        struct ow_execution *execution = g_ptr_array_index(leader->executions, i);
+        if (execution->ready_at > leader->core->now)
+            ow_reason_waits(leader, execution);
     }
 }
 
 void ow_schedule_cycle(struct ow_leader *leader)
 {
     begin_cycle(leader);
-    GPtrArray *runs = ow_queue_sorted(leader);
-    const struct ow_run *previous = NULL; /* the last run that was not promoted */
-    for (guint i = 0; i < runs->len; i++) {
-        struct ow_run *run = g_ptr_array_index(runs, i);
-        if (!ow_queue_is_promoted(run)) {
-            if (previous != NULL && ow_queue_rank(run) != ow_queue_rank(previous))
+    GPtrArray *executions = ow_queue_sorted(leader);
+    const struct ow_execution *previous = NULL; /* the last run that was not promoted */
+    for (guint i = 0; i < executions->len; i++) {
+        struct ow_execution *execution = g_ptr_array_index(executions, i);
+        if (!ow_queue_is_promoted(execution)) {
+            if (previous != NULL && ow_queue_rank(execution) != ow_queue_rank(previous))
                 harden_held(leader);
-            previous = run;
+            previous = execution;
         }
-        schedule_run(leader, run);
-        ow_reason_waits(leader, run);
+        schedule_execution(leader, execution);
+        ow_reason_waits(leader, execution);
     }
-    g_ptr_array_free(runs, TRUE);
-    explain_paused_runs(leader);
+    g_ptr_array_free(executions, TRUE);
+    explain_paused_executions(leader);
 }
--- a/src/core/scheduling/service_moves.c
+++ b/src/core/scheduling/service_moves.c
@@ -4,7 +4,7 @@
 #include "core/leader_state.h"
 #include "core/machines/machine.h"
 #include "core/machines/machine_registry.h"
-#include "core/run.h"
+#include "core/execution.h"
 #include "core/scheduling/placement.h"
 #include "core/scheduling/replica_spread.h"
 
@@ -28,21 +28,21 @@
 }
 
 /* How many of the service's replicas are missed now. */
-static uint32_t not_serving(const struct ow_run *run)
+static uint32_t not_serving(const struct ow_execution *execution)
 {
     uint32_t serving = 0;
-    for (guint i = 0; i < run->attempts->len; i++) {
-        if (is_serving(g_ptr_array_index(run->attempts, i)))
+    for (guint i = 0; i < execution->attempts->len; i++) {
+        if (is_serving(g_ptr_array_index(execution->attempts, i)))
             serving++;
     }
-    return run->count - serving;
+    return execution->count - serving;
 }
 
-static bool has_attempt_on(const struct ow_run *run, const struct ow_machine *machine)
+static bool has_attempt_on(const struct ow_execution *execution, const struct ow_machine *machine)
 {
     for (guint i = 0; i < machine->attempts->len; i++) {
         const struct ow_attempt *attempt = g_ptr_array_index(machine->attempts, i);
-        if (attempt->job == run->job)
+        if (attempt->job == execution->job)
             return true;
     }
     return false;
@@ -56,20 +56,22 @@
 }
 
 /* Whether a replica of the service could start on the machine at once, apart from the others. */
-static bool is_place_for(struct ow_leader *leader, const struct ow_run *run, const struct ow_machine *machine)
+static bool is_place_for(struct ow_leader *leader, const struct ow_execution *execution,
+                         const struct ow_machine *machine)
 {
-    const struct ow_spec *spec = run->job->spec;
-    return has_image(machine, spec->image) && ow_placement_is_permitted(leader, run, machine) &&
-           ow_placement_slots(leader, spec, machine) > 0 && !has_attempt_on(run, machine);
+    const struct ow_job_spec *spec = execution->job->spec;
+    return has_image(machine, spec->image) && ow_placement_is_permitted(leader, execution, machine) &&
+           ow_placement_slots(leader, spec, machine) > 0 && !has_attempt_on(execution, machine);
 }
 
 /* A machine where a replica could start at once, apart from the others of its service and outside a zone
    (OW_NO_NAME: in any); NULL: none has capacity and the image. */
-static struct ow_machine *find_place(struct ow_leader *leader, const struct ow_run *run, int not_in_zone)
+static struct ow_machine *find_place(struct ow_leader *leader, const struct ow_execution *execution,
+                                     int not_in_zone)
 {
     for (guint i = 0; i < leader->machines->len; i++) {
         struct ow_machine *machine = g_ptr_array_index(leader->machines, i);
-        if (machine->zone != not_in_zone && is_place_for(leader, run, machine))
+        if (machine->zone != not_in_zone && is_place_for(leader, execution, machine))
             return machine;
     }
     return NULL;
@@ -85,7 +87,7 @@
 
 static bool is_movable(const struct ow_attempt *attempt)
 {
-    return ow_run_is_service(attempt->job->run) && !attempt->stop && !ow_job_over(attempt->job);
+    return ow_execution_is_service(attempt->job->execution) && !attempt->stop && !ow_job_over(attempt->job);
 }
 
 /* A machine whose reports no longer arrive although it answers commands: its lease is not renewed, so its
@@ -110,11 +112,11 @@
 }
 
 /* The service's replicas on machines that are about to go. */
-static uint32_t leaving(const struct ow_leader *leader, const struct ow_run *run)
+static uint32_t leaving(const struct ow_leader *leader, const struct ow_execution *execution)
 {
     uint32_t count = 0;
-    for (guint i = 0; i < run->attempts->len; i++) {
-        const struct ow_attempt *attempt = g_ptr_array_index(run->attempts, i);
+    for (guint i = 0; i < execution->attempts->len; i++) {
+        const struct ow_attempt *attempt = g_ptr_array_index(execution->attempts, i);
         if (!attempt->stop && leaves_at(leader, attempt->machine) > 0)
             count++;
     }
@@ -123,9 +125,10 @@
 
 /* Whether the service can do without one more replica for a moment: one at a time is missed, unless the
    machines that are about to go leave no time for that. */
-static bool may_miss_one_more(const struct ow_leader *leader, const struct ow_run *run, double left_s)
+static bool may_miss_one_more(const struct ow_leader *leader, const struct ow_execution *execution,
+                              double left_s)
 {
-    return not_serving(run) < MOVES_MOST || leaving(leader, run) * MOVE_S > left_s - LAST_MOVE_S;
+    return not_serving(execution) < MOVES_MOST || leaving(leader, execution) * MOVE_S > left_s - LAST_MOVE_S;
 }
 
 /* Whether a replica is stopped at the last moment although it has to wait for its image elsewhere. One whose
@@ -134,7 +137,7 @@
 static bool is_worth_a_fetch(const struct ow_leader *leader, const struct ow_attempt *attempt)
 {
     const struct ow_machine *machine = attempt->machine;
-    const struct ow_machine_type *type = ow_machine_spec(leader, machine);
+    const struct ow_machine_type *type = ow_machine_type_of(leader, machine);
     if (machine->reclaim_at > 0)
         return true;
     if (type == NULL || type->fetch_gb_per_s <= 0)
@@ -154,8 +157,8 @@
         struct ow_attempt *attempt = g_ptr_array_index(machine->attempts, i - 1);
         if (!is_movable(attempt))
             continue;
-        struct ow_machine *place = find_place(leader, attempt->job->run, OW_NO_NAME);
-        if (place != NULL && may_miss_one_more(leader, attempt->job->run, left))
+        struct ow_machine *place = find_place(leader, attempt->job->execution, OW_NO_NAME);
+        if (place != NULL && may_miss_one_more(leader, attempt->job->execution, left))
             move_to(leader, attempt, place, "its machine is about to go; it moves");
         else if (left < LAST_MOVE_S && is_worth_a_fetch(leader, attempt))
             ow_attempt_stop(leader, attempt, 0, "its machine is about to go, and no other one has its image");
@@ -166,7 +169,7 @@
 {
     for (guint i = 0; i < machine->attempts->len; i++) {
         const struct ow_attempt *attempt = g_ptr_array_index(machine->attempts, i);
-        if (!ow_run_is_service(attempt->job->run))
+        if (!ow_execution_is_service(attempt->job->execution))
             return false;
     }
     return true;
@@ -182,9 +185,9 @@
         if (i > machine->attempts->len)
             continue;
         struct ow_attempt *attempt = g_ptr_array_index(machine->attempts, i - 1);
-        if (!is_movable(attempt) || not_serving(attempt->job->run) >= MOVES_MOST)
+        if (!is_movable(attempt) || not_serving(attempt->job->execution) >= MOVES_MOST)
             continue;
-        struct ow_machine *place = find_place(leader, attempt->job->run, OW_NO_NAME);
+        struct ow_machine *place = find_place(leader, attempt->job->execution, OW_NO_NAME);
         if (place != NULL)
             move_to(leader, attempt, place, "its machine is faulty; it moves");
     }
@@ -192,50 +195,51 @@
 
 /* A replica whose loss would come together with another one's: on one machine with it, or in the only zone
    that the service has left; that zone is returned, too. NULL: there is none. */
-static struct ow_attempt *crowded(const struct ow_run *run, int *not_in_zone)
+static struct ow_attempt *crowded(const struct ow_execution *execution, int *not_in_zone)
 {
-    const struct ow_spec *spec = run->job->spec;
-    struct ow_replica_spread spread = ow_replica_spread_of(run);
+    const struct ow_job_spec *spec = execution->job->spec;
+    struct ow_replica_spread spread = ow_replica_spread_of(execution);
     struct ow_attempt *found = NULL;
     *not_in_zone = OW_NO_NAME;
-    for (guint i = 0; i < run->attempts->len && found == NULL; i++) {
-        struct ow_attempt *attempt = g_ptr_array_index(run->attempts, i);
+    for (guint i = 0; i < execution->attempts->len && found == NULL; i++) {
+        struct ow_attempt *attempt = g_ptr_array_index(execution->attempts, i);
         if (ow_replica_spread_on_machine(&spread, attempt->machine) > 1)
             found = attempt;
     }
-    bool one_zone = run->attempts->len > 1 && ow_replica_spread_zones(&spread) == 1;
+    bool one_zone = execution->attempts->len > 1 && ow_replica_spread_zones(&spread) == 1;
     if (found == NULL && one_zone && !spec->submission->one_zone && spec->zone == OW_NO_NAME) {
-        found = g_ptr_array_index(run->attempts, 0);
+        found = g_ptr_array_index(execution->attempts, 0);
         *not_in_zone = found->machine->zone;
     }
     ow_replica_spread_clear(&spread);
     return found;
 }
 
-static bool has_been_calm(const struct ow_leader *leader, const struct ow_run *run)
+static bool has_been_calm(const struct ow_leader *leader, const struct ow_execution *execution)
 {
-    for (guint i = 0; i < run->attempts->len; i++) {
-        const struct ow_attempt *attempt = g_ptr_array_index(run->attempts, i);
+    for (guint i = 0; i < execution->attempts->len; i++) {
+        const struct ow_attempt *attempt = g_ptr_array_index(execution->attempts, i);
         if (leader->core->now - attempt->placed_at < CALM_S)
             return false;
     }
-    return leader->core->now - leader->ready_at >= CALM_S && not_serving(run) == 0;
+    return leader->core->now - leader->ready_at >= CALM_S && not_serving(execution) == 0;
 }
 
 /* Where capacity was short, replicas may have been placed together: one at a time they are separated again.
  */
-static void separate(struct ow_leader *leader, struct ow_run *run)
+static void separate(struct ow_leader *leader, struct ow_execution *execution)
 {
     int not_in_zone;
-    if (!ow_run_is_service(run) || ow_job_over(run->job) || leader->core->now < run->separate_at)
+    if (!ow_execution_is_service(execution) || ow_job_over(execution->job) ||
+        leader->core->now < execution->separate_at)
         return;
-    run->separate_at = leader->core->now + SEPARATE_S;
-    if (!has_been_calm(leader, run))
+    execution->separate_at = leader->core->now + SEPARATE_S;
+    if (!has_been_calm(leader, execution))
         return;
-    struct ow_attempt *attempt = crowded(run, &not_in_zone);
+    struct ow_attempt *attempt = crowded(execution, &not_in_zone);
     if (attempt == NULL)
         return;
-    struct ow_machine *place = find_place(leader, run, not_in_zone);
+    struct ow_machine *place = find_place(leader, execution, not_in_zone);
     if (place != NULL)
         move_to(leader, attempt, place, "it stands together with others of its service; it moves");
 }
@@ -249,6 +253,6 @@
         else if (leader->core->now < machine->quarantine_until)
             move_off_faulty(leader, machine);
     }
-    for (guint i = 0; i < leader->runs->len; i++)
-        separate(leader, g_ptr_array_index(leader->runs, i));
+    for (guint i = 0; i < leader->executions->len; i++)
+        separate(leader, g_ptr_array_index(leader->executions, i));
 }
--- a/src/core/scheduling/service_replicas.c
+++ b/src/core/scheduling/service_replicas.c
@@ -4,7 +4,7 @@
 #include "core/leader_state.h"
 #include "core/machines/machine.h"
 #include "core/machines/machine_registry.h"
-#include "core/run.h"
+#include "core/execution.h"
 #include "core/scheduling/candidates.h"
 #include "core/scheduling/placement.h"
 #include "core/scheduling/replica_spread.h"
@@ -21,11 +21,11 @@
 static const double CROWDING_COST_MOST_S = 2;
 
 /* What the job's own rules admit in each zone, by zone index. */
-static GArray *zones_admit(const struct ow_leader *leader, const struct ow_run *run)
+static GArray *zones_admit(const struct ow_leader *leader, const struct ow_execution *execution)
 {
     GArray *admitted = g_array_new(FALSE, FALSE, sizeof(uint32_t));
-    for (int zone = 0; zone < ow_names_count(leader->core->names.zones); zone++) {
-        uint32_t count = ow_placement_zone_admits(run, zone);
+    for (int zone = 0; zone < ow_interner_count(leader->core->interners.zones); zone++) {
+        uint32_t count = ow_placement_zone_admits(execution, zone);
         g_array_append_val(admitted, count);
     }
     return admitted;
@@ -41,7 +41,7 @@
         double cost_s = 0;
         for (guint k = 0; k < attempts->len && cost_s < CROWDING_COST_MOST_S; k++) {
             const struct ow_attempt *attempt = g_ptr_array_index(attempts, k);
-            if (ow_run_is_service(attempt->job->run))
+            if (ow_execution_is_service(attempt->job->execution))
                 cost_s += CROWDING_COST_S;
         }
         candidate->cost += MIN(cost_s, CROWDING_COST_MOST_S);
@@ -78,35 +78,35 @@
     return best;
 }
 
-static void place_replica(struct ow_leader *leader, struct ow_run *run, uint64_t number,
+static void place_replica(struct ow_leader *leader, struct ow_execution *execution, uint64_t number,
                           struct ow_machine *machine)
 {
-    uint32_t task = ow_placement_next_pending(run);
-    g_info("service %s: replica %u placed on %s", run->job->id, task, machine->name);
-    ow_placement_start_task(leader, run, task, number, machine);
+    uint32_t task = ow_placement_next_pending(execution);
+    g_info("service %s: replica %u placed on %s", execution->job->id, task, machine->name);
+    ow_placement_start_task(leader, execution, task, number, machine);
 }
 
-void ow_service_replicas_start(struct ow_leader *leader, struct ow_run *run)
+void ow_service_replicas_start(struct ow_leader *leader, struct ow_execution *execution)
 {
-    uint32_t wanted = ow_team_admits(leader, run->job->spec, ow_run_pending(run));
+    uint32_t wanted = ow_team_admits(leader, execution->job->spec, ow_execution_pending(execution));
     if (wanted == 0)
         return;
-    GArray *candidates = ow_candidates_find(leader, run);
+    GArray *candidates = ow_candidates_find(leader, execution);
     int only_zone = OW_NO_NAME;
-    if (run->job->spec->submission->one_zone)
-        only_zone = ow_candidates_best_zone(run, candidates);
-    uint64_t number = ow_run_next_attempt(run);
-    struct ow_replica_spread spread = ow_replica_spread_of(run);
+    if (execution->job->spec->submission->one_zone)
+        only_zone = ow_candidates_best_zone(execution, candidates);
+    uint64_t number = ow_execution_next_attempt(execution);
+    struct ow_replica_spread spread = ow_replica_spread_of(execution);
     add_crowding_costs(candidates);
     for (; wanted > 0; wanted--) {
-        GArray *admitted = zones_admit(leader, run);
+        GArray *admitted = zones_admit(leader, execution);
         struct ow_candidate *candidate = best_candidate(&spread, candidates, admitted, only_zone);
         g_array_free(admitted, TRUE);
         if (candidate == NULL)
             break;
         candidate->slots--;
         ow_replica_spread_add(&spread, candidate->machine);
-        place_replica(leader, run, number, candidate->machine);
+        place_replica(leader, execution, number, candidate->machine);
     }
     ow_replica_spread_clear(&spread);
     g_array_free(candidates, TRUE);
--- a/src/core/scheduling/service_replicas.h
+++ b/src/core/scheduling/service_replicas.h
@@ -3,9 +3,9 @@
 #define OW_CORE_SCHEDULING_SERVICE_REPLICAS_H
 
 struct ow_leader;
-struct ow_run;
+struct ow_execution;
 
 /* Starts the missing replicas of a service. */
-void ow_service_replicas_start(struct ow_leader *leader, struct ow_run *run);
+void ow_service_replicas_start(struct ow_leader *leader, struct ow_execution *execution);
 
 #endif
--- a/src/core/scheduling/shortlist.c
+++ b/src/core/scheduling/shortlist.c
@@ -5,7 +5,7 @@
 #include "core/leader_state.h"
 #include "core/machines/machine.h"
 #include "core/machines/machine_registry.h"
-#include "core/run.h"
+#include "core/execution.h"
 #include "core/scheduling/placement.h"
 #include "core/scheduling/preempt.h"
 
@@ -61,17 +61,18 @@
 void ow_shortlists_begin(struct ow_leader *leader)
 {
     g_array_set_size(leader->cycle.shortlists, 0);
-    for (guint i = 0; i < leader->runs->len; i++) {
-        const struct ow_run *run = g_ptr_array_index(leader->runs, i);
-        if (ow_run_pending(run) > 0)
-            widen(list_of(leader, run->job->spec->class_index), run->job->spec->submission,
-                  ow_preempt_top_rank(leader, run->job->spec));
+    for (guint i = 0; i < leader->executions->len; i++) {
+        const struct ow_execution *execution = g_ptr_array_index(leader->executions, i);
+        if (ow_execution_pending(execution) > 0)
+            widen(list_of(leader, execution->job->spec->class_index), execution->job->spec->submission,
+                  ow_preempt_top_rank(leader, execution->job->spec));
     }
 }
 
 /* Slots on the machine for a job with the least need of its class. */
 static uint32_t slots_for_least(const struct ow_leader *leader, const struct shortlist *list,
-                                const struct ow_spec *spec, const struct ow_machine *machine, bool with_stops)
+                                const struct ow_job_spec *spec, const struct ow_machine *machine,
+                                bool with_stops)
 {
     if (with_stops)
         return ow_preempt_slots_upper_bound(leader, spec, machine, list->stops_from);
@@ -81,7 +82,7 @@
 static GPtrArray *list_machines(struct ow_leader *leader, const struct shortlist *list, bool with_stops)
 {
     struct ow_submission least = list->least;
-    struct ow_spec spec = {.submission = &least};
+    struct ow_job_spec spec = {.submission = &least};
     GPtrArray *found = g_ptr_array_new();
     for (guint i = 0; list->wanted && i < leader->machines->len; i++) {
         struct ow_machine *machine = g_ptr_array_index(leader->machines, i);
