--- a/src/core/teams.c
+++ b/src/core/teams.c
@@ -1,7 +1,7 @@
 /* What teams use, are guaranteed and are limited to. */
 #include "core/teams.h"
 #include "core/leader_state.h"
-#include "core/run.h"
+#include "core/execution.h"
 
 #include <string.h>
 
@@ -22,7 +22,7 @@
 
 const struct ow_team_settings *ow_team_settings_of(const struct ow_leader *leader, int team)
 {
-    const char *name = ow_names_text(leader->core->names.teams, team);
+    const char *name = ow_interner_text(leader->core->interners.teams, team);
     const GArray *teams = leader->core->settings->teams;
     for (guint i = 0; i < teams->len; i++) {
         const struct ow_team_settings *settings = &g_array_index(teams, struct ow_team_settings, i);
@@ -43,7 +43,7 @@
     return (uint32_t)MIN((double)wanted, left);
 }
 
-uint32_t ow_team_admits(struct ow_leader *leader, const struct ow_spec *spec, uint32_t wanted)
+uint32_t ow_team_admits(struct ow_leader *leader, const struct ow_job_spec *spec, uint32_t wanted)
 {
     const struct ow_amounts *used = ow_team_usage(leader, spec->team);
     const struct ow_amounts *need = &spec->submission->need;
@@ -85,10 +85,11 @@
 bool ow_team_demand_is_guaranteed(const struct ow_leader *leader, int team)
 {
     struct ow_amounts demand = {0};
-    for (guint i = 0; i < leader->runs->len; i++) {
-        const struct ow_run *run = g_ptr_array_index(leader->runs, i);
-        if (run->job->spec->team == team && !ow_job_over(run->job))
-            ow_amounts_add(&demand, &run->job->spec->submission->need, run->count - run->done);
+    for (guint i = 0; i < leader->executions->len; i++) {
+        const struct ow_execution *execution = g_ptr_array_index(leader->executions, i);
+        if (execution->job->spec->team == team && !ow_job_over(execution->job))
+            ow_amounts_add(&demand, &execution->job->spec->submission->need,
+                           execution->count - execution->done);
     }
     return ow_team_guarantee_covers(leader, team, &demand);
 }
--- a/src/io/daemon.c
+++ b/src/io/daemon.c
@@ -150,7 +150,8 @@
      */
     if (ow_loop_is_saturated(daemon->loop))
         ow_http_client_read_from(daemon->client, daemon->settings->store_endpoint);
-    GPtrArray *effects = ow_control_run(daemon->manager, now, (double)g_get_real_time() / G_USEC_PER_SEC);
+    GPtrArray *effects =
+        ow_shard_manager_step(daemon->manager, now, (double)g_get_real_time() / G_USEC_PER_SEC);
     for (guint i = 0; i < effects->len; i++)
         carry_out(daemon, g_ptr_array_index(effects, i));
     g_ptr_array_free(effects, TRUE);
--- a/src/sharding/shard.c
+++ b/src/sharding/shard.c
@@ -132,9 +132,9 @@
     }
 }
 
-void ow_shard_run(struct ow_shard *shard, double now, double time_of_day, GPtrArray *out)
+void ow_shard_step(struct ow_shard *shard, double now, double time_of_day, GPtrArray *out)
 {
-    GPtrArray *effects = ow_core_run(shard->core, now, time_of_day);
+    GPtrArray *effects = ow_core_step(shard->core, now, time_of_day);
     enum ow_lease_verdict verdict = ow_lease_guard_check(&shard->guard, now);
     for (guint i = 0; i < effects->len; i++) {
         struct ow_effect *effect = g_ptr_array_index(effects, i);
--- a/src/sharding/shard.h
+++ b/src/sharding/shard.h
@@ -31,7 +31,7 @@
 /* Hands the core an event, which is taken over: an answer to one of its requests is translated first. */
 void ow_shard_push(struct ow_shard *shard, struct ow_event *event);
 /* Runs the core and appends its effects, translated, to `out`. */
-void ow_shard_run(struct ow_shard *shard, double now, double time_of_day, GPtrArray *out);
+void ow_shard_step(struct ow_shard *shard, double now, double time_of_day, GPtrArray *out);
 /* The process goes on after a pause that may have outlived the shard's lease. */
 void ow_shard_resumed(struct ow_shard *shard, double now);
 
--- a/src/sharding/shard_manager.c
+++ b/src/sharding/shard_manager.c
@@ -120,12 +120,12 @@
                           rank * manager->sharding_settings->candidacy_step_s);
 }
 
-static void run_shard(struct ow_shard_manager *manager, struct ow_shard *shard, double time_of_day,
-                      GPtrArray *out)
+static void step_shard(struct ow_shard_manager *manager, struct ow_shard *shard, double time_of_day,
+                       GPtrArray *out)
 {
     GPtrArray *effects = g_ptr_array_new();
     set_candidacy(manager, shard);
-    ow_shard_run(shard, manager->now, time_of_day, effects);
+    ow_shard_step(shard, manager->now, time_of_day, effects);
     for (guint i = 0; i < effects->len; i++) {
         struct ow_effect *effect = g_ptr_array_index(effects, i);
         if (ow_request_router_forward(manager->router, shard, effect, manager->now, out))
@@ -151,10 +151,10 @@
     ow_handover_update(&shard->handover, shard->name, &view, manager->now);
 }
 
-GPtrArray *ow_control_run(struct ow_shard_manager *manager, double now, double time_of_day)
+GPtrArray *ow_shard_manager_step(struct ow_shard_manager *manager, double now, double time_of_day)
 {
     if (manager->core != NULL)
-        return ow_core_run(manager->core, now, time_of_day);
+        return ow_core_step(manager->core, now, time_of_day);
     GPtrArray *out = g_ptr_array_new_with_free_func(ow_effect_free);
     manager->now = now;
     struct ow_event *event;
@@ -163,7 +163,7 @@
     tick_membership(manager, out);
     ow_map_agreement_tick(&manager->agreement, now, OW_OWN_INDEX << OW_SHARD_TAG_BITS, out);
     for (guint i = 0; i < manager->shards->len; i++) {
-        run_shard(manager, ow_managed_shard(manager, i), time_of_day, out);
+        step_shard(manager, ow_managed_shard(manager, i), time_of_day, out);
         update_handover(manager, ow_managed_shard(manager, i));
     }
     ow_request_router_sweep(manager->router, now);
--- a/src/sharding/shard_manager.h
+++ b/src/sharding/shard_manager.h
@@ -16,8 +16,8 @@
 void ow_shard_manager_free(struct ow_shard_manager *manager);
 /* Queues an event, which is taken over. */
 void ow_shard_manager_push(struct ow_shard_manager *manager, struct ow_event *event);
-/* As ow_core_run(). */
-GPtrArray *ow_control_run(struct ow_shard_manager *manager, double now, double time_of_day);
+/* As ow_core_step(). */
+GPtrArray *ow_shard_manager_step(struct ow_shard_manager *manager, double now, double time_of_day);
 /* How long until it wants to run again, if nothing comes in. */
 double ow_shard_manager_idle_seconds(const struct ow_shard_manager *manager);
 /* Whether users should be sent here. */
--- a/tests/failure_setup.c
+++ b/tests/failure_setup.c
@@ -6,7 +6,7 @@
 struct world *failure_world(int machines)
 {
     struct world *w = world_with_machines(machines);
-    w->run_s = 300;
+    w->run_time_s = 300;
     return w;
 }
 
--- a/tests/test_cancellation_races.c
+++ b/tests/test_cancellation_races.c
@@ -9,7 +9,7 @@
     (void)state;
     for (int offset = 0; offset < 40; offset++) {
         struct world *w = world_with_machines(2);
-        w->run_s = 1;
+        w->run_time_s = 1;
         w->store_slow_s = offset % 2 == 0 ? 0 : 0.2;
         world_submit(w, offset % WORLD_CONTROLLERS, world_job("run-1", 2, 1));
         world_run(w, 1 + 0.1 * offset);
@@ -97,7 +97,7 @@
 {
     (void)state;
     struct world *w = failure_world(3);
-    w->run_s = 8;
+    w->run_time_s = 8;
     struct canceller canceller = {.id = "run-3", .controller = 0};
     for (int i = 1; i <= 6; i++) {
         char id[16];
--- a/tests/test_deadlines.c
+++ b/tests/test_deadlines.c
@@ -18,7 +18,7 @@
 static struct world *busy_world(double seconds)
 {
     struct world *w = world_with_one_controller_and_machines(1);
-    w->run_s = seconds;
+    w->run_time_s = seconds;
     world_start_job(w, array_with_deadline(1, 5, 0));
     return w;
 }
@@ -69,7 +69,7 @@
  * ten, until the job runs; returns whether it does in time. */
 static bool starts_among_feasible_ones(struct world *w, const char *id, double seconds)
 {
-    w->run_s = 10;
+    w->run_time_s = 10;
     double end = w->now + seconds;
     for (int n = 100; w->now < end && world_running(w, id) == 0; n++) {
         world_submit(w, 0, array_with_deadline(n, 5, 1000));
@@ -101,7 +101,7 @@
 static bool survives_urgent_work(double urgent_deadline_s)
 {
     struct world *w = world_with_one_controller_and_machines(1);
-    w->run_s = 60;
+    w->run_time_s = 60;
     world_start_settled_job(w, array_with_deadline(1, 60, 500));
     struct ow_submission *urgent = array_with_deadline(2, 20, urgent_deadline_s);
     urgent->rank = OW_RANK_URGENT;
@@ -131,7 +131,7 @@
     world_add_machine(w, "spot", "big", "east", true);
     world_add_machine(w, "ordinary", "big", "east", false);
     world_run(w, 6);
-    w->run_s = 60;
+    w->run_time_s = 60;
     return world_start_job(w, array_with_deadline(1, 60, deadline_s))->name;
 }
 
--- a/tests/test_election.c
+++ b/tests/test_election.c
@@ -71,7 +71,7 @@
     int leader = world_leader(w);
     uint64_t fencing_token = world_fencing_token(w, leader);
     world_submit(w, 0, world_job("run-1", 2, 1));
-    w->run_s = 60;
+    w->run_time_s = 60;
     assert_true(world_until(w, 10, world_some_running, "run-1"));
     w->store_down = true;
     world_run(w, 45);
--- a/tests/test_failover.c
+++ b/tests/test_failover.c
@@ -15,7 +15,7 @@
 {
     (void)state;
     struct world *w = world_with_machines(2);
-    w->run_s = 100;
+    w->run_time_s = 100;
     world_start_job(w, world_job("run-1", 1, 1));
     struct world_machine *machine = world_where(w, "run-1");
     world_kill_controllers(w);
@@ -30,7 +30,7 @@
 {
     (void)state;
     struct world *w = world_with_machines(2);
-    w->run_s = 100;
+    w->run_time_s = 100;
     world_start_job(w, world_job("run-1", 1, 1));
     /* Work elsewhere, so that the machine with room is not returned as idle. */
     struct ow_submission *other = world_job("run-2", 1, 1);
@@ -52,7 +52,7 @@
 {
     (void)state;
     struct world *w = world_with_machines(2);
-    w->run_s = 200;
+    w->run_time_s = 200;
     w->cloud_down = true;
     struct world_machine *machine = world_start_settled_job(w, world_job("run-1", 1, 1));
     int old = world_leader(w);
@@ -76,7 +76,7 @@
 {
     (void)state;
     struct world *w = world_with_machines(2);
-    w->run_s = 200;
+    w->run_time_s = 200;
     w->cloud_down = true;
     struct world_machine *machine = world_start_settled_job(w, world_job("run-1", 1, 1));
     uint64_t fencing_token = machine->fencing_token;
@@ -146,7 +146,7 @@
 {
     (void)state;
     struct world *w = world_with_machines(2);
-    w->run_s = 200;
+    w->run_time_s = 200;
     w->cloud_down = true;
     struct ow_submission *first = world_job("run-1", 2, 4), *second = world_job("run-2", 1, 4);
     world_set_team(first, "tight");
@@ -180,7 +180,7 @@
 {
     (void)state;
     struct world *w = world_with_machines(2);
-    w->run_s = 200;
+    w->run_time_s = 200;
     world_submit(w, 0, world_job("run-1", 2, 16)); /* machines with work are not returned as idle */
     for (int i = 0; i < 3; i++) {
         char name[16];
@@ -210,7 +210,7 @@
     struct world_machine *slow = world_add_machine(w, "slow", "big", "east", false);
     slow->up_at = slow->renewed_at = w->now + 24;
     world_run(w, 4);
-    w->run_s = 300;
+    w->run_time_s = 300;
     world_submit(w, 0, world_job("run-1", 2, 16));
     world_run(w, 40);
     assert_false(slow->gone);
--- a/tests/test_fleet.c
+++ b/tests/test_fleet.c
@@ -112,7 +112,7 @@
     (void)state;
     struct world *w = fleet_world();
     w->capacity = 0;
-    w->run_s = 100;
+    w->run_time_s = 100;
     int jobs = 0;
     for (int i = 0; i < 8; i++)
         jobs = hand_in(w, jobs);
@@ -133,7 +133,7 @@
 {
     (void)state;
     struct world *w = fleet_world();
-    w->run_s = 30;
+    w->run_time_s = 30;
     int jobs = hand_in(w, 0);
     world_run(w, 15);
     restart_all(w);
--- a/tests/test_gangs.c
+++ b/tests/test_gangs.c
@@ -9,7 +9,7 @@
     world_add_machine(w, "m-0", "big", "east", false);
     world_add_machine(w, "m-1", "big", "east", false);
     world_run(w, 3);
-    w->run_s = 50;
+    w->run_time_s = 50;
     world_start_job(w, world_gang("run-1", 2, 10));
     world_run(w, 0.2);
     assert_int_equal(world_running(w, "run-1"), 2);
@@ -29,11 +29,11 @@
     world_run(w, 3);
     w->cloud_down = false;
     world_run(w, 4);
-    w->run_s = 20;
+    w->run_time_s = 20;
     world_start_job(w, world_job("run-1", 1, 16));  /* fills one machine */
     world_submit(w, 0, world_gang("run-2", 2, 16)); /* needs both */
     world_run(w, 1);
-    w->run_s = 200;
+    w->run_time_s = 200;
     world_submit(w, 0, world_job("run-3", 16, 1)); /* fits the free machine, but was submitted later */
     world_run(w, 10);
     assert_int_equal(world_running(w, "run-2"), 0);
@@ -52,7 +52,7 @@
     world_add_machine(w, "m-0", "big", "east", false);
     world_add_machine(w, "m-1", "big", "east", false);
     world_run(w, 6);
-    w->run_s = 300;
+    w->run_time_s = 300;
     world_start_job(w, world_job("run-1", 1, 16));
     world_submit(w, 0, world_gang("run-2", 2, 16));
     world_run(w, 1);
@@ -72,7 +72,7 @@
     world_add_machine(w, "m-1", "big", "west", false);
     world_add_machine(w, "m-2", "big", "west", false);
     world_run(w, 6);
-    w->run_s = 50;
+    w->run_time_s = 50;
     struct ow_submission *submission = world_gang("run-1", 2, 16);
     submission->one_zone = true;
     world_start_job(w, submission);
@@ -85,7 +85,7 @@
 {
     (void)state;
     struct world *w = world_with_one_controller_and_machines(1);
-    w->run_s = 300;
+    w->run_time_s = 300;
     struct ow_submission *low = world_job("run-1", 16, 1), *peer = world_gang("run-2", 1, 12),
                          *urgent = world_gang("run-3", 1, 12);
     low->rank = OW_RANK_LOW;
@@ -104,7 +104,7 @@
 {
     (void)state;
     struct world *w = world_with_one_controller_and_machines(2);
-    w->run_s = 100;
+    w->run_time_s = 100;
     world_start_job(w, world_gang("run-1", 2, 16));
     world_run(w, 2);
     struct world_machine *machine = world_machine(w, "m-0");
--- a/tests/test_isolation.c
+++ b/tests/test_isolation.c
@@ -23,7 +23,7 @@
     /* The task has survived on its machine. */
     assert_true(world_where(w, "run-1") == machine);
     assert_int_equal(machine->starts, 1);
-    w->run_s = 1;
+    w->run_time_s = 1;
     world_submit(w, world_leader(w), world_job("run-3", 1, 1));
     assert_true(world_until(w, 20, world_all_done, "run-3"));
     assert_int_equal(world_running(w, "run-2"), 0);
@@ -67,7 +67,7 @@
     (void)state;
     for (int step = 0; step < 30; step++) {
         struct world *w = world_with_capacity(2, 6);
-        w->run_s = 4;
+        w->run_time_s = 4;
         world_submit(w, 0, world_job("run-1", 3, 1));
         world_run(w, 0.1);
         /* The leader crashes, its successor crashes during the election, and both restart at once. */
@@ -97,7 +97,7 @@
     struct world *w = world_with_capacity(4, 6);
     uint64_t polls[JOBS];
     char id[16];
-    w->run_s = 1;
+    w->run_time_s = 1;
     for (int i = 0; i < JOBS; i++) {
         g_snprintf(id, sizeof id, "run-%d", i);
         world_submit(w, i % WORLD_CONTROLLERS, world_job(id, 1, 0.2));
@@ -133,7 +133,7 @@
     w->cloud_down = true; /* no machine is deleted or provisioned */
     for (guint i = 0; i < w->machines->len; i++)
         world_machine_at(w, i)->faulty = true;
-    w->run_s = 1;
+    w->run_time_s = 1;
     world_submit(w, 0, world_job("run-1", 1, 1));
     world_run(w, 20);
     for (guint i = 0; i < w->machines->len; i++)
--- a/tests/test_large_fleet.c
+++ b/tests/test_large_fleet.c
@@ -20,7 +20,7 @@
         world_add_machine(w, name, "big", "east", false);
     }
     world_run(w, 20);
-    w->run_s = 600;
+    w->run_time_s = 600;
     return w;
 }
 
--- a/tests/test_leader_changes.c
+++ b/tests/test_leader_changes.c
@@ -27,7 +27,7 @@
 {
     (void)state;
     struct world *w = failure_world(2);
-    w->run_s = 15;
+    w->run_time_s = 15;
     struct world_machine *machine = failure_start_job(w, world_job("run-1", 1, 1));
     machine->stopped_reporting = true;
     /* A new leader queries it at its own address and gets responses to every command. */
@@ -63,12 +63,12 @@
     world_kill_controller(w, world_leader(w));
     world_run(w, 15);
     machine->hangs = false;
-    w->run_s = 3;
+    w->run_time_s = 3;
     world_run(w, 5);
     world_start_controllers(w);
     world_delete_machine(machine);
     world_run(w, 60);
-    w->run_s = 3;
+    w->run_time_s = 3;
     for (guint i = 0; i < w->machines->len; i++) {
         struct world_machine *other = world_machine_at(w, i);
         for (guint k = 0; k < other->tasks->len; k++)
@@ -86,7 +86,7 @@
     world_kill_controllers(w);
     world_run(w, 30);
     assert_int_equal(world_running(w, "run-1"), 0);
-    w->run_s = 3;
+    w->run_time_s = 3;
     world_start_controllers(w);
     assert_true(world_until(w, 30, world_all_done, "run-1"));
     world_finish(w);
--- a/tests/test_limits.c
+++ b/tests/test_limits.c
@@ -6,7 +6,7 @@
 {
     (void)state;
     struct world *w = world_with_machines(6);
-    w->run_s = 20;
+    w->run_time_s = 20;
     world_submit_interleaved(w, "run-1", 200);
     w->value_kb = 0.8;
     w->txn_ops = 3;
--- a/tests/test_placement.c
+++ b/tests/test_placement.c
@@ -10,7 +10,7 @@
 {
     (void)state;
     struct world *w = world_with_one_controller_and_machines(1);
-    w->run_s = 30;
+    w->run_time_s = 30;
     struct ow_submission *submission = world_job("run-1", 3, 8);
     submission->one_zone = true;
     world_start_job(w, submission);
@@ -31,7 +31,7 @@
         world_add_machine(w, name, "big", i < 2 ? "east" : "west", false);
     }
     world_run(w, 6);
-    w->run_s = 50;
+    w->run_time_s = 50;
     struct ow_submission *submission = world_gang("run-1", 3, 4), *array = world_job("run-2", 4, 1);
     submission->spread = true;
     array->spread = true;
@@ -55,7 +55,7 @@
     world_add_machine(w, "m-2", "big", "west", false);
     world_add_machine(w, "m-3", "big", "east", false);
     world_run(w, 6);
-    w->run_s = 50;
+    w->run_time_s = 50;
     struct ow_submission *submission = world_job("run-1", 1, 8);
     submission->spot = false;
     submission->zone = g_strdup("east");
@@ -80,7 +80,7 @@
     give_guarantee(w, 1, 8);
     world_add_machine(w, "m-0", "big", "east", false);
     world_run(w, 6);
-    w->run_s = 300;
+    w->run_time_s = 300;
     world_start_job(w, world_job("run-1", 16, 1)); /* team open, 12 CPUs beyond its guarantee */
     struct ow_submission *submission = world_job("run-2", 8, 1);
     world_set_team(submission, "tight");
@@ -96,7 +96,7 @@
 {
     (void)state;
     struct world *w = world_with_one_controller_and_machines(1);
-    w->run_s = 50;
+    w->run_time_s = 50;
     struct ow_submission *submission = world_job("run-1", 12, 1);
     world_set_team(submission, "tight");
     world_start_job(w, submission);
@@ -109,7 +109,7 @@
 {
     (void)state;
     struct world *w = world_with_one_controller_and_machines(4);
-    w->run_s = 0.5;
+    w->run_time_s = 0.5;
     world_submit(w, 0, world_job("run-1", 700, 0.1));
     assert_true(world_until(w, 120, world_all_done, "run-1"));
     /* The progress records are deleted with the job. */
@@ -132,7 +132,7 @@
     world_kill_controller(w, 0); /* settings are read at the start */
     world_start_controller(w, 0);
     world_run(w, 6);
-    w->run_s = 20;
+    w->run_time_s = 20;
     for (int i = 0; i < 8; i++) {
         g_snprintf(id, sizeof id, "run-%d", i);
         world_submit(w, 0, world_job(id, 12, 0.5));
@@ -172,7 +172,7 @@
 {
     (void)state;
     struct world *w = world_with_capacity(2, 0);
-    w->run_s = 300;
+    w->run_time_s = 300;
     world_submit(w, 0, world_job("run-9", 2, 11));
     world_run(w, 6);
     for (int i = 0; i < 6; i++) {
@@ -203,10 +203,10 @@
     g_array_append_val(w->settings[0].slos, start);
     world_add_machines(w, 6);
     world_run(w, 6);
-    w->run_s = 20;
+    w->run_time_s = 20;
     world_submit(w, 0, world_job("run-1", 6, 16));
     assert_true(world_until(w, 60, world_all_done, "run-1"));
-    w->run_s = 1;
+    w->run_time_s = 1;
     for (double end = w->now + seconds; w->now < end;) {
         char id[16];
         g_snprintf(id, sizeof id, "run-%d", 100 + (int)w->now);
--- a/tests/test_reconciliation.c
+++ b/tests/test_reconciliation.c
@@ -9,7 +9,7 @@
     struct world_machine *unresponsive = world_start_long_job(w);
     unresponsive->unresponsive = true;
     /* A gang that needs a whole machine may pick it before the fault shows: it must not wait for it. */
-    w->run_s = 2;
+    w->run_time_s = 2;
     world_submit(w, 0, world_gang("run-2", 2, 16));
     assert_true(world_until(w, 40, world_is_gone, unresponsive));
     assert_true(world_until(w, 40, world_all_done, "run-2"));
@@ -24,7 +24,7 @@
     struct world *w = world_with_capacity(2, 6);
     struct world_machine *unresponsive = world_start_long_job(w);
     unresponsive->unresponsive = true;
-    w->run_s = 1;
+    w->run_time_s = 1;
     world_submit(w, 0, world_job("run-2", 1, 1)); /* fits best beside the other task */
     world_run(w, 5);
     assert_false(unresponsive->gone);
@@ -119,7 +119,7 @@
     machine->heartbeat_at = w->now;
     world_run(w, 1.5);
     world_delete_machine(machine);
-    w->run_s = 1;
+    w->run_time_s = 1;
     assert_true(world_until(w, 40, world_all_done, "run-1"));
     world_send_copy(w, world_leader(w), copy);
     world_run(w, 0.5);
@@ -140,7 +140,7 @@
     world_run(w, 10);
     struct ow_heartbeat *copy = world_last_heartbeat(machine);
     copy->seq += 100;
-    w->run_s = 2;
+    w->run_time_s = 2;
     world_reboot(w, machine);
     assert_true(world_until(w, 60, world_all_done, "run-1"));
     world_send_copy(w, world_leader(w), copy);
--- a/tests/test_records.c
+++ b/tests/test_records.c
@@ -3,7 +3,7 @@
 #include "core/rate_limiter.h"
 #include "core/api/job.h"
 #include "core/records/store_limits.h"
-#include "core/names.h"
+#include "core/interner.h"
 #include "wire/json.h"
 #include "wire/records_json.h"
 #include "world.h"
@@ -87,8 +87,8 @@
 static void test_older_record_is_ignored(void **state)
 {
     (void)state;
-    struct ow_name_tables names = {ow_names_new(), ow_names_new(), ow_names_new(), ow_names_new(),
-                                   ow_names_new()};
+    struct ow_interners names = {ow_interner_new(), ow_interner_new(), ow_interner_new(), ow_interner_new(),
+                                 ow_interner_new()};
     struct ow_jobs *jobs = ow_jobs_new(&names);
     assert_non_null(ow_jobs_apply(jobs, "run-1", 5, OW_JOB_QUEUED, world_job("run-1", 1, 1), 0, 0));
     assert_int_equal(ow_jobs_open(jobs)->len, 1);
@@ -98,23 +98,23 @@
     assert_int_equal(ow_jobs_find(jobs, "run-1")->state, OW_JOB_DONE);
     assert_int_equal(ow_jobs_open(jobs)->len, 0);
     ow_jobs_free(jobs);
-    ow_names_free(names.classes);
-    ow_names_free(names.teams);
-    ow_names_free(names.images);
-    ow_names_free(names.zones);
-    ow_names_free(names.types);
+    ow_interner_free(names.classes);
+    ow_interner_free(names.teams);
+    ow_interner_free(names.images);
+    ow_interner_free(names.zones);
+    ow_interner_free(names.types);
 }
 
 static void test_names(void **state)
 {
     (void)state;
-    struct ow_names *names = ow_names_new();
-    assert_int_equal(ow_names_add(names, "a"), 0);
-    assert_int_equal(ow_names_add(names, "b"), 1);
-    assert_int_equal(ow_names_add(names, "a"), 0);
-    assert_int_equal(ow_names_find(names, "c"), OW_NO_NAME);
-    assert_string_equal(ow_names_text(names, 1), "b");
-    ow_names_free(names);
+    struct ow_interner *names = ow_interner_new();
+    assert_int_equal(ow_interner_intern(names, "a"), 0);
+    assert_int_equal(ow_interner_intern(names, "b"), 1);
+    assert_int_equal(ow_interner_intern(names, "a"), 0);
+    assert_int_equal(ow_interner_find(names, "c"), OW_NO_NAME);
+    assert_string_equal(ow_interner_text(names, 1), "b");
+    ow_interner_free(names);
 }
 
 static void test_rate_limiter(void **state)
--- a/tests/test_replica_moves.c
+++ b/tests/test_replica_moves.c
@@ -17,7 +17,7 @@
     /* Another machine that has the image. */
     world_add_machine(w, "m-0", "big", "east", false);
     struct ow_submission *other = world_job("run-2", 16, 1);
-    w->run_s = 2;
+    w->run_time_s = 2;
     world_submit(w, 0, other);
     world_run(w, 12);
     old->reclaim_notice_s = 12;
@@ -91,10 +91,10 @@
     struct ow_submission *other = world_job("run-2", 96, 1);
     other->spot = false;
     world_add_machines(w, 6);
-    w->run_s = 2;
+    w->run_time_s = 2;
     world_submit(w, 0, other);
     assert_true(world_until(w, 30, world_all_done, "run-2"));
-    w->run_s = 200;
+    w->run_time_s = 200;
     take_spot_machines(w, 8);
     assert_int_equal(replicas_on_spot(w, "run-1"), 0);
     world_run(w, 2);
@@ -119,7 +119,7 @@
     struct world *w = world_with_capacity(3, 4);
     struct world_machine *faulty = world_add_machine(w, "w-0", "big", "west", false);
     w->capacity = 0;
-    w->run_s = 200;
+    w->run_time_s = 200;
     world_run(w, 4);
     world_submit(w, 0, world_service("run-1", 3, 1));
     world_run(w, 6);
@@ -144,7 +144,7 @@
     (void)state;
     struct world *w = world_with_capacity(1, 4);
     w->capacity = 0;
-    w->run_s = 200;
+    w->run_time_s = 200;
     world_submit(w, 0, world_service("run-1", 2, 1));
     world_run(w, 6);
     assert_int_equal(world_tasks_on(world_machine(w, "m-0"), "run-1"), 2);
@@ -168,7 +168,7 @@
 {
     (void)state;
     struct world *w = world_with_service(4, 3);
-    w->run_s = 200;
+    w->run_time_s = 200;
     world_submit(w, 0, world_job("run-9", 4, 12));
     world_run(w, 6);
     struct world_machine *machine = world_where(w, "run-1");
--- a/tests/test_safety.c
+++ b/tests/test_safety.c
@@ -28,7 +28,7 @@
 {
     (void)state;
     struct world *w = world_with_machines(2);
-    w->run_s = 100;
+    w->run_time_s = 100;
     w->cloud_down = true; /* no proof by deletion */
     struct world_machine *machine = world_start_settled_job(w, world_job("run-1", 1, 1));
     machine->cut = true;
@@ -46,7 +46,7 @@
 {
     (void)state;
     struct world *w = world_with_machines(2);
-    w->run_s = 100;
+    w->run_time_s = 100;
     struct world_machine *machine = world_start_settled_job(w, world_job("run-1", 1, 1));
     machine->reclaim_notice_s = 1;
     machine->heartbeat_at = w->now;
@@ -64,7 +64,7 @@
     struct world *w = world_with_machines(1);
     struct world_machine *machine = world_machine(w, "m-0");
     w->hold_directs = true; /* direct commands are delayed; responses to reports arrive */
-    w->run_s = 1;
+    w->run_time_s = 1;
     world_submit(w, 0, world_job("run-1", 1, 1));
     assert_true(world_until(w, 30, world_all_done, "run-1"));
     world_run(w, 10);
@@ -81,7 +81,7 @@
 {
     (void)state;
     struct world *w = world_with_machines(1);
-    w->run_s = 1;
+    w->run_time_s = 1;
     world_start_job(w, world_job("run-1", 1, 1));
     w->hold_txns = true;
     world_run(w, 8);
@@ -103,7 +103,7 @@
 {
     (void)state;
     struct world *w = world_with_machines(2);
-    w->run_s = 200;
+    w->run_time_s = 200;
     w->capacity = 2;
     int leader = world_leader(w);
     w->keep_held = true;
@@ -132,7 +132,7 @@
     (void)state;
     struct world *w = world_with_machines(1);
     struct world_machine *machine = world_machine(w, "m-0");
-    w->run_s = 200;
+    w->run_time_s = 200;
     machine->cut = true;
     world_submit(w, 0, world_job("run-1", 2, 1));
     world_run(w, 2);
@@ -157,7 +157,7 @@
 {
     (void)state;
     struct world *w = world_with_machines(1);
-    w->run_s = 200;
+    w->run_time_s = 200;
     world_start_job(w, world_job("run-1", 1, 1));
     struct world_machine *machine = world_machine(w, "m-0");
     machine->cut = true;
@@ -177,7 +177,7 @@
 {
     (void)state;
     struct world *w = world_with_machines(2);
-    w->run_s = 3;
+    w->run_time_s = 3;
     world_submit(w, 0, world_job("run-1", 4, 1));
     world_run(w, 0.1);
     w->hold_txns = true;
@@ -194,7 +194,7 @@
 {
     (void)state;
     struct world *w = world_with_machines(2);
-    w->run_s = 2;
+    w->run_time_s = 2;
     world_submit(w, 0, world_job("run-1", 3, 1));
     world_run(w, 0.3);
     w->lose_txn_answers = true;
@@ -223,7 +223,7 @@
     struct world *w = world_with_machines(2);
     struct world_machine *faulty = world_machine(w, "m-0");
     faulty->faulty = true;
-    w->run_s = 1;
+    w->run_time_s = 1;
     for (int i = 1; i <= 6; i++) {
         char id[16];
         g_snprintf(id, sizeof id, "run-%d", i);
--- a/tests/test_services.c
+++ b/tests/test_services.c
@@ -75,7 +75,7 @@
 {
     (void)state;
     struct world *w = world_with_machines(2);
-    w->run_s = 200;
+    w->run_time_s = 200;
     struct ow_submission *low = world_job("run-9", 32, 1);
     low->rank = OW_RANK_LOW;
     world_submit(w, 0, low);
@@ -129,7 +129,7 @@
 {
     (void)state;
     struct world *w = world_with_service(4, 3);
-    w->run_s = 200;
+    w->run_time_s = 200;
     world_submit(w, 0, world_job("run-9", 4, 12));
     world_run(w, 6);
     w->hold_directs = true;
@@ -170,7 +170,7 @@
     (void)state;
     struct world *w = world_with_capacity(2, 4);
     w->capacity = 0;
-    w->run_s = 200;
+    w->run_time_s = 200;
     world_add_machine(w, "w-0", "big", "west", false);
     struct ow_submission *low = world_job("run-9", 48, 1);
     low->rank = OW_RANK_LOW;
@@ -191,7 +191,7 @@
     (void)state;
     struct world *w = world_with_capacity(4, 4);
     w->capacity = 0;
-    w->run_s = 200;
+    w->run_time_s = 200;
     world_add_group(w, "w", 4, "west", false);
     struct ow_submission *low = world_job("run-9", 128, 1);
     low->rank = OW_RANK_LOW;
--- a/tests/test_shard_jobs.c
+++ b/tests/test_shard_jobs.c
@@ -10,7 +10,7 @@
 {
     (void)state;
     struct world *w = world_with_shards(2);
-    w->run_s = 100;
+    w->run_time_s = 100;
     world_accept(w, 0, world_job_in("run-1", "east", 1));
     world_accept(w, 1, world_job_in("run-2", "west", 1));
     for (int i = 0; i < WORLD_CONTROLLERS; i++) {
@@ -32,7 +32,7 @@
 {
     (void)state;
     struct world *w = world_with_shards(2);
-    w->run_s = 100;
+    w->run_time_s = 100;
     uint64_t first = world_submit(w, 0, world_job_in("run-1", "east", 1));
     uint64_t second = world_submit(w, 1, world_job_in("run-1", "west", 1));
     world_run(w, 3);
@@ -50,7 +50,7 @@
 {
     (void)state;
     struct world *w = world_with_shards(2);
-    w->run_s = 100;
+    w->run_time_s = 100;
     world_accept(w, 0, world_job_in("run-1", "east", 1));
     for (int i = 0; i < WORLD_CONTROLLERS; i++) {
         struct ow_submission *impossible = world_job("run-1", 1, 1e6);
@@ -99,7 +99,7 @@
 {
     (void)state;
     struct world *w = world_with_shards(2);
-    w->run_s = 100;
+    w->run_time_s = 100;
     world_accept(w, 0, world_job_in("run-1", "west", 2));
     int elsewhere = world_shard_leader(w, EAST);
     uint64_t request = world_cancel(w, elsewhere, "run-1");
@@ -117,7 +117,7 @@
 {
     (void)state;
     struct world *w = world_with_shards(1);
-    w->run_s = 200;
+    w->run_time_s = 200;
     world_accept(w, 0, world_job_in("run-1", "east", 60));
     for (int i = 2; i <= 4; i++) {
         char id[16];
@@ -133,7 +133,7 @@
 {
     (void)state;
     struct world *w = world_with_shards(2);
-    w->run_s = 100;
+    w->run_time_s = 100;
     for (int i = 0; i < 2; i++) {
         struct ow_submission *job = world_job_in(i == 0 ? "run-1" : "run-2", i == 0 ? "east" : "west", 8);
         world_set_team(job, "tight");
@@ -164,7 +164,7 @@
 {
     (void)state;
     struct world *w = world_with_shards(1);
-    w->run_s = 200;
+    w->run_time_s = 200;
     world_run(w, 20);
     world_accept(w, 0, world_job_in("run-1", "east", 60));
     world_accept(w, 0, world_job_in("run-2", "east", 60));
--- a/tests/test_shards.c
+++ b/tests/test_shards.c
@@ -50,7 +50,7 @@
 {
     (void)state;
     struct world *w = world_with_shards(2);
-    w->run_s = 60;
+    w->run_time_s = 60;
     int old = world_shard_leader(w, EAST);
     uint64_t fencing_token = shard_fencing_token(w, EAST);
     uint64_t west_fencing_token = shard_fencing_token(w, WEST);
@@ -124,7 +124,7 @@
 {
     (void)state;
     struct world *w = world_with_shards(2);
-    w->run_s = 200;
+    w->run_time_s = 200;
     world_accept(w, 0, world_job_in("run-1", "east", 2));
     uint64_t fencing_token = shard_fencing_token(w, EAST);
     w->store_down = true;
@@ -200,7 +200,7 @@
 {
     (void)state;
     struct world *w = world_with_shards(2);
-    w->run_s = 100;
+    w->run_time_s = 100;
     int old = world_shard_leader(w, EAST);
     world_accept(w, old, world_job_in("run-1", "east", 2));
     for (int i = 0; i < WORLD_CONTROLLERS; i++)
--- a/tests/test_starvation.c
+++ b/tests/test_starvation.c
@@ -54,7 +54,7 @@
 static struct world *world_with_staggered_gangs(void)
 {
     struct world *w = world_with_one_controller_and_machines(4);
-    w->run_s = 10;
+    w->run_time_s = 10;
     for (int n = 50; n < 56; n++) {
         world_submit(w, 0, small_gang(n));
         world_run(w, 2.4);
@@ -66,7 +66,7 @@
 static struct world *world_with_waiting_arrays(struct ow_submission *(*next)(int n))
 {
     struct world *w = world_with_one_controller_and_machines(2);
-    w->run_s = 5;
+    w->run_time_s = 5;
     for (int n = 50; n < 60; n++)
         world_submit(w, 0, next(n));
     world_run(w, 1);
@@ -115,7 +115,7 @@
 {
     (void)state;
     struct world *w = world_with_one_controller_and_machines(4);
-    w->run_s = 10;
+    w->run_time_s = 10;
     for (int n = 100; n < 220; n++)
         world_submit(w, 0, small_gang(n));
     world_run(w, 165);
@@ -156,7 +156,7 @@
     static char another[] = "another";
     struct ow_slo slo = {.kind = OW_SLO_WAIT, .class_name = another, .within_s = 30, .share = 1};
     g_array_append_val(w->settings[0].slos, slo);
-    w->run_s = 1000;
+    w->run_time_s = 1000;
     world_submit(w, 0, numbered(1, 1, 4, false, OW_RANK_LOW));
     world_submit(w, 0, numbered(2, 2, 10, false, OW_RANK_STANDARD));
     assert_true(world_until(w, 10, world_some_running, "run-2"));
--- a/tests/test_upgrade.c
+++ b/tests/test_upgrade.c
@@ -66,7 +66,7 @@
 static void run_rolling_upgrade(double away_s, int crash)
 {
     struct world *w = world_of_old_controllers(6);
-    w->run_s = 60;
+    w->run_time_s = 60;
     world_submit_interleaved(w, "run-1", 200);
     for (int i = 0; i < WORLD_CONTROLLERS; i++) {
         upgrade(w, i, away_s);
@@ -148,7 +148,7 @@
     (void)state;
     for (int step = 0; step < 30; step++) {
         struct world *w = world_of_old_controllers(6);
-        w->run_s = 60;
+        w->run_time_s = 60;
         world_submit_interleaved(w, "run-1", 200);
         for (int i = 0; i < WORLD_CONTROLLERS; i++)
             upgrade(w, i, 0.3);
@@ -189,7 +189,7 @@
 {
     (void)state;
     struct world *w = world_of_old_controllers(6);
-    w->run_s = 200;
+    w->run_time_s = 200;
     world_submit_interleaved(w, "run-1", 200);
     assert_true(largest_progress(w) > 614);
     for (int i = 0; i < WORLD_CONTROLLERS; i++)
@@ -210,7 +210,7 @@
 {
     (void)state;
     struct world *w = world_of_old_controllers(4);
-    w->run_s = 20;
+    w->run_time_s = 20;
     upgrade(w, 0, 0.3);
     upgrade(w, 1, 0.3);
     world_run(w, 10);
@@ -232,7 +232,7 @@
     (void)state;
     for (int first = 0; first < WORLD_CONTROLLERS; first++) {
         struct world *w = world_of_old_controllers(3);
-        w->run_s = 300;
+        w->run_time_s = 300;
         world_submit(w, 0, world_job("run-1", 6, 1));
         world_run(w, 6);
         upgrade(w, first, 0.3);
@@ -254,7 +254,7 @@
 {
     (void)state;
     struct world *w = world_of_old_controllers(6);
-    w->run_s = 60;
+    w->run_time_s = 60;
     world_submit_interleaved(w, "run-1", 200);
     for (int i = 0; i < WORLD_CONTROLLERS; i++)
         upgrade(w, i, 0.3);
@@ -264,7 +264,7 @@
     w->value_kb = 0.6;
     w->txn_ops = 4;
     end_tasks_gradually(w, 40);
-    w->run_s = 10;
+    w->run_time_s = 10;
     for (int i = 0; i < 10; i++) {
         char id[OW_ID_MAX + 1];
         g_snprintf(id, sizeof id, "run-%d", 100 + i);
--- a/tests/test_user_api.c
+++ b/tests/test_user_api.c
@@ -114,7 +114,7 @@
 {
     (void)state;
     struct world *w = world_with_controllers(3, 1);
-    w->run_s = 100;
+    w->run_time_s = 100;
     world_submit(w, 0, world_job("run-1", 1, 1));
     world_run(w, 3);
     int asked = (world_leader(w) + 1) % WORLD_CONTROLLERS, other = (world_leader(w) + 2) % WORLD_CONTROLLERS;
@@ -142,7 +142,7 @@
 {
     (void)state;
     struct world *w = world_with_controllers(3, 1);
-    w->run_s = 2;
+    w->run_time_s = 2;
     world_start_job(w, world_job("run-1", 1, 1));
     w->hold_txns = true;
     world_run(w, 4);
@@ -162,7 +162,7 @@
 {
     (void)state;
     struct world *w = world_with_controllers(3, 1);
-    w->run_s = 2;
+    w->run_time_s = 2;
     world_start_job(w, world_job("run-1", 1, 1));
     assert_true(world_until(w, 10, world_none_running, "run-1"));
     uint64_t late = world_cancel(w, 1, "run-1");
--- a/tests/world.c
+++ b/tests/world.c
@@ -70,7 +70,7 @@
     world_state_init(w);
     world_workers_init(w);
     w->denied_controller = w->isolated_controller = w->workerless_controller = w->slow_controller = -1;
-    w->run_s = 5;
+    w->run_time_s = 5;
     w->queue = g_ptr_array_new();
     world_users_init(w);
     w->violations = g_string_new(NULL);
@@ -232,7 +232,7 @@
     for (int i = 0; i < WORLD_CONTROLLERS; i++) {
         if (w->controllers[i] == NULL || w->frozen[i])
             continue;
-        GPtrArray *effects = ow_control_run(w->controllers[i], w->now, w->now + TIME_OF_DAY);
+        GPtrArray *effects = ow_shard_manager_step(w->controllers[i], w->now, w->now + TIME_OF_DAY);
         for (guint k = 0; k < effects->len; k++)
             carry_out(w, i, g_ptr_array_index(effects, k));
         g_ptr_array_free(effects, TRUE);
--- a/tests/world.h
+++ b/tests/world.h
@@ -126,7 +126,7 @@
     GArray *late;      /* delayed direct commands */
     bool hold_directs; /* direct commands are delayed while it is set */
     bool no_sockets;   /* controllers have no free sockets for direct commands */
-    double run_s;      /* the run time of tasks */
+    double run_time_s; /* the run time of tasks */
 
     GPtrArray *queue;         /* events to be delivered to controllers */
     GHashTable *answers;      /* request -> struct world_answer */
--- a/tests/world_setup.c
+++ b/tests/world_setup.c
@@ -75,7 +75,7 @@
 
 struct world_machine *world_start_long_job(struct world *w)
 {
-    w->run_s = 100;
+    w->run_time_s = 100;
     return world_start_settled_job(w, world_job("run-1", 1, 1));
 }
 
--- a/tests/world_workers.c
+++ b/tests/world_workers.c
@@ -191,7 +191,7 @@
         world_check_over(w, task->job);
         task->phase = OW_PHASE_RUNNING;
         const struct world_requirements *requirements = world_requirements_of(w, task->job);
-        task->phase_at = requirements != NULL && requirements->service ? INFINITY : w->now + w->run_s;
+        task->phase_at = requirements != NULL && requirements->service ? INFINITY : w->now + w->run_time_s;
     } else {
         task->phase = OW_PHASE_EXITED;
         task->cause = machine->faulty ? OW_CAUSE_ERROR : OW_CAUSE_DONE;
