--- a/tests/decision_digest.c
+++ b/tests/decision_digest.c
@@ -22,11 +22,12 @@
     bool dump;
 };
 
-static void add_effect(void *data, const struct world *w, int controller, const struct ow_effect *effect)
+static void add_effect(void *data, const struct sim_cluster *cluster, int controller,
+                       const struct ow_effect *effect)
 {
     struct day_digest *digest = data;
     GString *line = g_string_new(NULL);
-    g_string_printf(line, "%.2f %s ", w->now, w->settings[controller].controller_name);
+    g_string_printf(line, "%.2f %s ", cluster->now, cluster->settings[controller].controller_name);
     effect_line_append(line, effect);
     g_string_append_c(line, '\n');
     g_checksum_update(digest->checksum, (const guchar *)line->str, (gssize)line->len);
@@ -39,7 +40,7 @@
 static void print_day(guint32 seed, bool divided, bool dump)
 {
     struct day_digest digest = {.checksum = g_checksum_new(G_CHECKSUM_SHA256), .dump = dump};
-    struct world_observer observer = {add_effect, &digest};
+    struct sim_observer observer = {add_effect, &digest};
     chaos_day_play(seed, divided, &observer);
     printf("%s %u %s %u\n", divided ? "sharded" : "plain", seed, g_checksum_get_string(digest.checksum),
            digest.effects);
--- a/tests/failure_setup.c
+++ b/tests/failure_setup.c
@@ -3,39 +3,39 @@
 
 #include "check.h"
 
-struct world *failure_world(int machines)
+struct sim_cluster *failure_sim(int machines)
 {
-    struct world *w = world_with_machines(machines);
-    w->run_time_s = 300;
-    return w;
+    struct sim_cluster *cluster = sim_with_machines(machines);
+    cluster->run_time_s = 300;
+    return cluster;
 }
 
-struct world_machine *failure_start_job(struct world *w, struct ow_submission *job)
+struct sim_machine *failure_start_job(struct sim_cluster *cluster, struct ow_submission *job)
 {
     char id[OW_ID_MAX + 1];
     g_strlcpy(id, job->id, sizeof id);
-    world_submit(w, world_follower(w), job);
-    assert_true(world_until(w, 10, world_some_running, id));
-    world_run(w, 4);
-    return world_where(w, id);
+    sim_submit(cluster, sim_follower(cluster), job);
+    assert_true(sim_until(cluster, 10, sim_some_running, id));
+    sim_run(cluster, 4);
+    return sim_where(cluster, id);
 }
 
-static void cancel_step(struct world *w, struct canceller *canceller)
+static void cancel_step(struct sim_cluster *cluster, struct canceller *canceller)
 {
     if (canceller->answered_at > 0)
         return;
-    if (canceller->request != 0 && world_status(w, canceller->request) == 200)
-        canceller->answered_at = w->now;
-    else if (w->now >= canceller->asked_at + 1) {
-        canceller->asked_at = w->now;
-        canceller->request = world_cancel(w, canceller->controller, canceller->id);
+    if (canceller->request != 0 && sim_status(cluster, canceller->request) == 200)
+        canceller->answered_at = cluster->now;
+    else if (cluster->now >= canceller->asked_at + 1) {
+        canceller->asked_at = cluster->now;
+        canceller->request = sim_cancel(cluster, canceller->controller, canceller->id);
     }
 }
 
-void run_cancelling(struct world *w, struct canceller *canceller, double seconds)
+void run_cancelling(struct sim_cluster *cluster, struct canceller *canceller, double seconds)
 {
-    for (double end = w->now + seconds; w->now < end;) {
-        cancel_step(w, canceller);
-        world_run(w, 0.1);
+    for (double end = cluster->now + seconds; cluster->now < end;) {
+        cancel_step(cluster, canceller);
+        sim_run(cluster, 0.1);
     }
 }
--- a/tests/failure_setup.h
+++ b/tests/failure_setup.h
@@ -4,7 +4,7 @@
 #ifndef OW_TESTS_FAILURE_SETUP_H
 #define OW_TESTS_FAILURE_SETUP_H
 
-#include "world.h"
+#include "sim_cluster.h"
 
 /** A user who repeats a cancellation every second until it is confirmed. */
 struct canceller {
@@ -16,10 +16,10 @@
 };
 
 /** A cluster with all controllers and these machines, on which tasks run for 300 s. */
-struct world *failure_world(int machines);
+struct sim_cluster *failure_sim(int machines);
 /** Submits the job to a controller that does not lead and waits until it runs; returns its machine. */
-struct world_machine *failure_start_job(struct world *w, struct ow_submission *job);
+struct sim_machine *failure_start_job(struct sim_cluster *cluster, struct ow_submission *job);
 /** Runs the cluster while the user cancels the job. */
-void run_cancelling(struct world *w, struct canceller *canceller, double seconds);
+void run_cancelling(struct sim_cluster *cluster, struct canceller *canceller, double seconds);
 
 #endif
--- a/tests/world_cloud.c
+++ b/tests/sim_cloud.c
@@ -1,5 +1,5 @@
 /* The simulated cloud. */
-#include "world_parts.h"
+#include "sim_parts.h"
 
 #include <string.h>
 
@@ -27,14 +27,14 @@
 }
 
 /* A page of the list, in the order of creation. */
-static GArray *list_machines(struct world *w, const char *after, bool *more)
+static GArray *list_machines(struct sim_cluster *cluster, const char *after, bool *more)
 {
     GArray *list = g_array_new(FALSE, TRUE, sizeof(struct ow_listed_machine));
     g_array_set_clear_func(list, ow_listed_machine_clear);
     bool begun = after == NULL;
     *more = false;
-    for (guint i = 0; i < w->machines->len && !*more; i++) {
-        const struct world_machine *machine = world_machine_at(w, i);
+    for (guint i = 0; i < cluster->machines->len && !*more; i++) {
+        const struct sim_machine *machine = sim_machine_at(cluster, i);
         if (!begun) {
             begun = strcmp(machine->name, after) == 0;
             continue;
@@ -45,7 +45,8 @@
                                            g_strdup(machine->type),
                                            g_strdup(machine->zone),
                                            machine->spot,
-                                           w->now < machine->up_at ? OW_LISTED_BOOTING : OW_LISTED_RUNNING,
+                                           cluster->now < machine->up_at ? OW_LISTED_BOOTING
+                                                                         : OW_LISTED_RUNNING,
                                            10};
         if (machine->gone || *more)
             ow_listed_machine_clear(&listed);
@@ -55,15 +56,16 @@
     return list;
 }
 
-static void rent(struct world *w, const struct ow_cloud_request *request, struct ow_cloud_reply *reply)
+static void rent(struct sim_cluster *cluster, const struct ow_cloud_request *request,
+                 struct ow_cloud_reply *reply)
 {
     GPtrArray *names = g_ptr_array_new();
-    for (unsigned i = 0; i < request->count && w->capacity > 0; i++, w->capacity--) {
+    for (unsigned i = 0; i < request->count && cluster->capacity > 0; i++, cluster->capacity--) {
         char name[32];
-        g_snprintf(name, sizeof name, "r-%03u", ++w->provisioned);
-        struct world_machine *machine =
-            world_add_machine(w, name, request->type, request->zone, request->spot);
-        machine->up_at = machine->renewed_at = w->now + 5;
+        g_snprintf(name, sizeof name, "r-%03u", ++cluster->provisioned);
+        struct sim_machine *machine =
+            sim_add_machine(cluster, name, request->type, request->zone, request->spot);
+        machine->up_at = machine->renewed_at = cluster->now + 5;
         g_ptr_array_add(names, g_strdup(name));
     }
     reply->status = names->len > 0 ? 200 : 503;
@@ -71,32 +73,32 @@
     reply->provisioned = (char **)g_ptr_array_free(names, FALSE);
 }
 
-static void delete_machines(struct world *w, const GPtrArray *names)
+static void delete_machines(struct sim_cluster *cluster, const GPtrArray *names)
 {
     for (guint i = 0; i < names->len; i++) {
-        struct world_machine *machine = world_machine(w, g_ptr_array_index(names, i));
+        struct sim_machine *machine = sim_machine(cluster, g_ptr_array_index(names, i));
         if (machine == NULL)
             continue;
-        world_delete_machine(machine);
+        sim_delete_machine(machine);
     }
 }
 
-void world_cloud_take(struct world *w, int controller, const struct ow_cloud_request *request)
+void sim_cloud_take(struct sim_cluster *cluster, int controller, const struct ow_cloud_request *request)
 {
-    struct ow_event *event = world_command(OW_EVENT_CLOUD, request->tag);
-    event->cloud.status = w->cloud_down ? 503 : 200;
-    w->cloud_calls++;
-    if (w->cloud_down) {
-        world_deliver(w, controller, w->controller_nonce[controller], 0.1, event);
+    struct ow_event *event = sim_command(OW_EVENT_CLOUD, request->tag);
+    event->cloud.status = cluster->cloud_down ? 503 : 200;
+    cluster->cloud_calls++;
+    if (cluster->cloud_down) {
+        sim_deliver(cluster, controller, cluster->controller_nonce[controller], 0.1, event);
         return;
     }
     if (request->op == OW_CLOUD_TYPES)
         event->cloud.types = machine_types();
     else if (request->op == OW_CLOUD_LIST)
-        event->cloud.listed = list_machines(w, request->after, &event->cloud.more);
+        event->cloud.listed = list_machines(cluster, request->after, &event->cloud.more);
     else if (request->op == OW_CLOUD_PROVISION)
-        rent(w, request, &event->cloud);
+        rent(cluster, request, &event->cloud);
     else
-        delete_machines(w, request->machines);
-    world_deliver(w, controller, w->controller_nonce[controller], 0.1, event);
+        delete_machines(cluster, request->machines);
+    sim_deliver(cluster, controller, cluster->controller_nonce[controller], 0.1, event);
 }
--- /dev/null
+++ b/tests/sim_leases.c
@@ -0,0 +1,39 @@
+/* The leases of the simulated key-value store. */
+#include "sim_store_parts.h"
+
+static void end_lease(struct sim_cluster *cluster, uint64_t lease)
+{
+    GHashTableIter iter;
+    void *key, *value;
+    cluster->revision++;
+    g_hash_table_iter_init(&iter, cluster->keys);
+    while (g_hash_table_iter_next(&iter, &key, &value)) {
+        if (((struct sim_value *)value)->lease != lease)
+            continue;
+        sim_log_change(cluster, key, NULL);
+        g_hash_table_iter_remove(&iter);
+    }
+}
+
+void sim_expire_leases(struct sim_cluster *cluster)
+{
+    GHashTableIter iter;
+    void *id, *until;
+    g_hash_table_iter_init(&iter, cluster->leases);
+    while (!cluster->store_down && g_hash_table_iter_next(&iter, &id, &until)) {
+        if (*(double *)until >= cluster->now)
+            continue;
+        uint64_t lease = *(uint64_t *)id;
+        g_hash_table_iter_remove(&iter);
+        end_lease(cluster, lease);
+    }
+}
+
+void sim_extend_leases(struct sim_cluster *cluster)
+{
+    GHashTableIter iter;
+    void *id, *until;
+    g_hash_table_iter_init(&iter, cluster->leases);
+    while (cluster->store_down && g_hash_table_iter_next(&iter, &id, &until))
+        *(double *)until = cluster->now + cluster->tuning.leader_lease_s;
+}
--- /dev/null
+++ b/tests/sim_queries.c
@@ -0,0 +1,117 @@
+/* Queries of the tasks and jobs in the simulated cluster. */
+#include "sim_parts.h"
+
+#include "core/records/records.h"
+
+#include <string.h>
+
+unsigned sim_tasks_on(const struct sim_machine *machine, const char *job)
+{
+    unsigned count = 0;
+    for (guint k = 0; k < machine->tasks->len; k++) {
+        const struct sim_task *task = &g_array_index(machine->tasks, struct sim_task, k);
+        count += task->phase != OW_PHASE_EXITED && strcmp(task->job, job) == 0 ? 1 : 0;
+    }
+    return count;
+}
+
+unsigned sim_running(struct sim_cluster *cluster, const char *job)
+{
+    unsigned count = 0;
+    for (guint i = 0; i < cluster->machines->len; i++) {
+        const struct sim_machine *machine = sim_machine_at(cluster, i);
+        count += machine->gone ? 0 : sim_tasks_on(machine, job);
+    }
+    return count;
+}
+
+unsigned sim_total_starts(const struct sim_cluster *cluster)
+{
+    unsigned starts = 0;
+    for (guint i = 0; i < cluster->machines->len; i++)
+        starts += sim_machine_at(cluster, i)->starts;
+    return starts;
+}
+
+bool sim_some_running(struct sim_cluster *cluster, const void *job)
+{
+    return sim_running(cluster, job) > 0;
+}
+
+bool sim_none_running(struct sim_cluster *cluster, const void *job)
+{
+    return sim_running(cluster, job) == 0;
+}
+
+bool sim_all_done(struct sim_cluster *cluster, const void *job)
+{
+    char *key = g_strconcat(OW_KEY_JOBS, job, NULL);
+    const char *text = sim_value_text(cluster, key);
+    g_free(key);
+    return text != NULL && strcmp(text, "{\"e\":2}") == 0;
+}
+
+struct sim_machine *sim_where(struct sim_cluster *cluster, const char *job)
+{
+    for (guint i = 0; i < cluster->machines->len; i++) {
+        struct sim_machine *machine = sim_machine_at(cluster, i);
+        if (!machine->gone && sim_tasks_on(machine, job) > 0)
+            return machine;
+    }
+    return NULL;
+}
+
+bool sim_is_gone(struct sim_cluster *cluster, const void *machine)
+{
+    (void)cluster;
+    return ((const struct sim_machine *)machine)->gone;
+}
+
+bool sim_runs_on_another(struct sim_cluster *cluster, const void *machine)
+{
+    const struct sim_machine *m = sim_where(cluster, "run-1");
+    return m != NULL && m != machine;
+}
+
+unsigned sim_running_in(struct sim_cluster *cluster, const char *job, const char *zone)
+{
+    unsigned count = 0;
+    for (guint i = 0; i < cluster->machines->len; i++) {
+        const struct sim_machine *machine = sim_machine_at(cluster, i);
+        count += strcmp(machine->zone, zone) == 0 ? sim_tasks_on(machine, job) : 0;
+    }
+    return count;
+}
+
+bool sim_three_running(struct sim_cluster *cluster, const void *job)
+{
+    return sim_running(cluster, job) == 3;
+}
+
+int sim_follower(const struct sim_cluster *cluster)
+{
+    return (sim_leader(cluster) + 1) % SIM_CONTROLLERS;
+}
+
+/* CPUs of a machine that its tasks leave free. */
+static double free_cpus(struct sim_cluster *cluster, const struct sim_machine *machine)
+{
+    double cpus = strcmp(machine->type, "big") == 0 ? 16 : 8;
+    for (guint k = 0; k < machine->tasks->len; k++) {
+        const struct sim_task *task = &g_array_index(machine->tasks, struct sim_task, k);
+        const struct sim_requirements *requirements = g_hash_table_lookup(cluster->requirements, task->job);
+        cpus -= task->phase != OW_PHASE_EXITED ? requirements->cpus : 0;
+    }
+    return cpus;
+}
+
+bool sim_has_room_for(struct sim_cluster *cluster, const struct sim_requirements *requirements)
+{
+    for (guint i = 0; i < cluster->machines->len; i++) {
+        const struct sim_machine *machine = sim_machine_at(cluster, i);
+        if (!machine->gone && cluster->now > machine->up_at + 10 &&
+            free_cpus(cluster, machine) >= requirements->tasks * requirements->cpus)
+            return true;
+    }
+    return false;
+}
--- /dev/null
+++ b/tests/sim_values.c
@@ -0,0 +1,155 @@
+/* The simulated key-value store's values, log of changes and transactions. */
+#include "sim_store_parts.h"
+
+#include "core/records/records.h"
+#include "wire/json.h"
+
+#include <string.h>
+
+void sim_value_free(void *item)
+{
+    struct sim_value *value = item;
+    g_free(value->text);
+    g_free(value);
+}
+
+void sim_log_change(struct sim_cluster *cluster, const char *key, const char *text)
+{
+    struct sim_event change = {g_strdup(key), g_strdup(text), cluster->revision};
+    g_array_append_val(cluster->log, change);
+}
+
+static uint64_t version_of(struct sim_cluster *cluster, const char *key)
+{
+    const struct sim_value *value = g_hash_table_lookup(cluster->keys, key);
+    return value != NULL ? value->version : 0;
+}
+
+static bool lease_alive(struct sim_cluster *cluster, uint64_t lease)
+{
+    return lease == 0 || g_hash_table_contains(cluster->leases, &lease);
+}
+
+static void put(struct sim_cluster *cluster, const struct ow_store_mutation *change)
+{
+    sim_log_change(cluster, change->key, change->value);
+    if (change->value == NULL) {
+        g_hash_table_remove(cluster->keys, change->key);
+        return;
+    }
+    struct sim_value *value = g_new0(struct sim_value, 1);
+    *value = (struct sim_value){g_strdup(change->value), cluster->revision, change->lease};
+    g_hash_table_replace(cluster->keys, g_strdup(change->key), value);
+}
+
+/* Records in finer chunks, which a controller of the first format would drop when it rewrites the value. */
+static void check_format(struct sim_cluster *cluster, const struct ow_store_mutation *change)
+{
+    bool old = false;
+    for (int i = 0; i < SIM_CONTROLLERS; i++)
+        old = old || cluster->old_controller[i];
+    if (!old || change->value == NULL || !g_str_has_prefix(change->key, OW_KEY_PROGRESS))
+        return;
+    json_t *record_value = json_loads(change->value, 0, NULL);
+    const char *name;
+    json_t *record;
+    json_object_foreach(record_value, name, record)
+    {
+        if (strchr(name, '.') != NULL)
+            g_string_append_printf(cluster->violations, "%s is written beside an old controller; ", name);
+    }
+    json_decref(record_value);
+}
+
+/* The status of the transaction, carried out if it is 200. */
+int sim_apply_txn(struct sim_cluster *cluster, const struct ow_store_request *request, char ***failed)
+{
+    GPtrArray *failed_keys = g_ptr_array_new();
+    bool large =
+        request->mutations->len > cluster->txn_ops || request->comparisons->len > 4 * cluster->txn_ops;
+    for (guint i = 0; i < request->comparisons->len; i++) {
+        const struct ow_store_comparison *comparison =
+            &g_array_index(request->comparisons, struct ow_store_comparison, i);
+        if (version_of(cluster, comparison->key) != comparison->version)
+            g_ptr_array_add(failed_keys, g_strdup(comparison->key));
+    }
+    for (guint i = 0; i < request->mutations->len; i++) {
+        const struct ow_store_mutation *change =
+            &g_array_index(request->mutations, struct ow_store_mutation, i);
+        large = large || (change->value != NULL && strlen(change->value) > 1024 * cluster->value_kb);
+        check_format(cluster, change);
+    }
+    cluster->too_large += large ? 1 : 0;
+    bool ok = failed_keys->len == 0;
+    g_ptr_array_add(failed_keys, NULL);
+    *failed = (char **)g_ptr_array_free(failed_keys, FALSE);
+    if (large)
+        return 400;
+    for (guint i = 0; ok && i < request->mutations->len; i++)
+        if (!lease_alive(cluster, g_array_index(request->mutations, struct ow_store_mutation, i).lease))
+            return 400;
+    if (!ok)
+        return 409;
+    cluster->revision++;
+    for (guint i = 0; i < request->mutations->len; i++)
+        put(cluster, &g_array_index(request->mutations, struct ow_store_mutation, i));
+    return 200;
+}
+
+static void item_clear(void *item)
+{
+    struct ow_store_item *i = item;
+    g_free(i->key);
+    json_decref(i->value);
+}
+
+GArray *sim_new_items(void)
+{
+    GArray *items = g_array_new(FALSE, FALSE, sizeof(struct ow_store_item));
+    g_array_set_clear_func(items, item_clear);
+    return items;
+}
+
+void sim_add_item(GArray *items, const char *key, const char *text, uint64_t version)
+{
+    struct ow_store_item item = {g_strdup(key), text != NULL ? json_loads(text, JSON_DECODE_ANY, NULL) : NULL,
+                                 version};
+    g_array_append_val(items, item);
+}
+
+GArray *sim_changes_since(struct sim_cluster *cluster, const char *prefix, uint64_t since)
+{
+    GArray *items = sim_new_items();
+    guint first = cluster->log->len;
+    while (first > 0 && g_array_index(cluster->log, struct sim_event, first - 1).version > since)
+        first--;
+    for (guint i = first; i < cluster->log->len; i++) {
+        const struct sim_event *change = &g_array_index(cluster->log, struct sim_event, i);
+        if (g_str_has_prefix(change->key, prefix))
+            sim_add_item(items, change->key, change->text, change->version);
+    }
+    return items;
+}
+
+const char *sim_value_text(struct sim_cluster *cluster, const char *key)
+{
+    const struct sim_value *value = g_hash_table_lookup(cluster->keys, key);
+    return value != NULL ? value->text : NULL;
+}
+
+char *sim_progress(struct sim_cluster *cluster, const char *name)
+{
+    GHashTableIter iter;
+    void *key, *value;
+    char *found = NULL;
+    g_hash_table_iter_init(&iter, cluster->keys);
+    while (found == NULL && g_hash_table_iter_next(&iter, &key, &value)) {
+        if (!g_str_has_prefix(key, OW_KEY_PROGRESS))
+            continue;
+        json_t *record_value = json_loads(((struct sim_value *)value)->text, 0, NULL);
+        json_t *record = json_object_get(record_value, name);
+        found = record != NULL ? wj_text(record) : NULL;
+        json_decref(record_value);
+    }
+    return found;
+}
--- a/tests/test_deadlines.c
+++ b/tests/test_deadlines.c
@@ -1,6 +1,6 @@
 /* Deadlines: who can still meet one goes before who can't, and nobody starves for it. */
 #include "check.h"
-#include "world.h"
+#include "sim_cluster.h"
 
 enum { MACHINE_CPUS = 16 };
 
@@ -8,107 +8,108 @@
 {
     char id[16];
     g_snprintf(id, sizeof id, "run-%d", n);
-    struct ow_submission *submission = world_job(id, 1, MACHINE_CPUS);
+    struct ow_submission *submission = sim_job(id, 1, MACHINE_CPUS);
     submission->estimate_s = estimate_s;
     submission->deadline_s = deadline_s;
     return submission;
 }
 
 /* A single machine that is busy for `seconds`. */
-static struct world *busy_world(double seconds)
+static struct sim_cluster *busy_sim(double seconds)
 {
-    struct world *w = world_with_one_controller_and_machines(1);
-    w->run_time_s = seconds;
-    world_start_job(w, array_with_deadline(1, 5, 0));
-    return w;
+    struct sim_cluster *cluster = sim_with_one_controller_and_machines(1);
+    cluster->run_time_s = seconds;
+    sim_start_job(cluster, array_with_deadline(1, 5, 0));
+    return cluster;
 }
 
-static void assert_starts_first(struct world *w, const char *first, const char *second)
+static void assert_starts_first(struct sim_cluster *cluster, const char *first, const char *second)
 {
-    assert_true(world_until(w, 40, world_some_running, first));
-    assert_int_equal(world_running(w, second), 0);
+    assert_true(sim_until(cluster, 40, sim_some_running, first));
+    assert_int_equal(sim_running(cluster, second), 0);
 }
 
 static void test_feasible_deadline_goes_before_a_missed_one(void **state)
 {
     (void)state;
-    struct world *w = busy_world(20);
-    world_submit(w, 0, array_with_deadline(2, 20, 15)); /* it would take until 20 s after its submission */
-    world_run(w, 1);
-    world_submit(w, 0, array_with_deadline(3, 20, 90));
-    assert_starts_first(w, "run-3", "run-2");
-    assert_true(world_until(w, 60, world_all_done, "run-2"));
-    world_finish(w);
+    struct sim_cluster *cluster = busy_sim(20);
+    sim_submit(cluster, 0,
+               array_with_deadline(2, 20, 15)); /* it would take until 20 s after its submission */
+    sim_run(cluster, 1);
+    sim_submit(cluster, 0, array_with_deadline(3, 20, 90));
+    assert_starts_first(cluster, "run-3", "run-2");
+    assert_true(sim_until(cluster, 60, sim_all_done, "run-2"));
+    sim_finish(cluster);
 }
 
 /* Without the missed deadline the order is that of arrival. */
 static void test_no_deadline_changes_nothing(void **state)
 {
     (void)state;
-    struct world *w = busy_world(20);
-    world_submit(w, 0, array_with_deadline(2, 20, 0));
-    world_run(w, 1);
-    world_submit(w, 0, array_with_deadline(3, 20, 0));
-    assert_starts_first(w, "run-2", "run-3");
-    world_finish(w);
+    struct sim_cluster *cluster = busy_sim(20);
+    sim_submit(cluster, 0, array_with_deadline(2, 20, 0));
+    sim_run(cluster, 1);
+    sim_submit(cluster, 0, array_with_deadline(3, 20, 0));
+    assert_starts_first(cluster, "run-2", "run-3");
+    sim_finish(cluster);
 }
 
 /* Of two that can be in time, the one with less work passes the one that can wait for it. */
 static void test_short_job_passes_one_that_can_wait(void **state)
 {
     (void)state;
-    struct world *w = busy_world(20);
-    world_submit(w, 0, array_with_deadline(2, 40, 2000));
-    world_run(w, 1);
-    world_submit(w, 0, array_with_deadline(3, 5, 100));
-    assert_starts_first(w, "run-3", "run-2");
-    world_finish(w);
+    struct sim_cluster *cluster = busy_sim(20);
+    sim_submit(cluster, 0, array_with_deadline(2, 40, 2000));
+    sim_run(cluster, 1);
+    sim_submit(cluster, 0, array_with_deadline(3, 5, 100));
+    assert_starts_first(cluster, "run-3", "run-2");
+    sim_finish(cluster);
 }
 
 /* Submits a job with a deadline that it can meet every eight seconds, each of which takes the machine for
  * ten, until the job runs; returns whether it does in time. */
-static bool starts_among_feasible_ones(struct world *w, const char *id, double seconds)
+static bool starts_among_feasible_ones(struct sim_cluster *cluster, const char *id, double seconds)
 {
-    w->run_time_s = 10;
-    double end = w->now + seconds;
-    for (int n = 100; w->now < end && world_running(w, id) == 0; n++) {
-        world_submit(w, 0, array_with_deadline(n, 5, 1000));
-        world_run(w, 8);
+    cluster->run_time_s = 10;
+    double end = cluster->now + seconds;
+    for (int n = 100; cluster->now < end && sim_running(cluster, id) == 0; n++) {
+        sim_submit(cluster, 0, array_with_deadline(n, 5, 1000));
+        sim_run(cluster, 8);
     }
-    return world_running(w, id) > 0;
+    return sim_running(cluster, id) > 0;
 }
 
 static void test_overdue_job_starts_in_the_end(void **state)
 {
     (void)state;
-    struct world *w = busy_world(20);
-    world_submit(w, 0, array_with_deadline(2, 30, 10));
-    assert_true(starts_among_feasible_ones(w, "run-2", 240));
-    world_finish(w);
+    struct sim_cluster *cluster = busy_sim(20);
+    sim_submit(cluster, 0, array_with_deadline(2, 30, 10));
+    assert_true(starts_among_feasible_ones(cluster, "run-2", 240));
+    sim_finish(cluster);
 }
 
 static void test_job_with_a_far_deadline_starts_in_the_end(void **state)
 {
     (void)state;
-    struct world *w = busy_world(20);
-    world_submit(w, 0, array_with_deadline(2, 1000, 1e9));
-    assert_true(starts_among_feasible_ones(w, "run-2", 240));
-    world_finish(w);
+    struct sim_cluster *cluster = busy_sim(20);
+    sim_submit(cluster, 0, array_with_deadline(2, 1000, 1e9));
+    assert_true(starts_among_feasible_ones(cluster, "run-2", 240));
+    sim_finish(cluster);
 }
 
 /* Starts "run-1", which keeps its deadline, and submits urgent work beside it; returns whether run-1 runs on.
  */
 static bool survives_urgent_work(double urgent_deadline_s)
 {
-    struct world *w = world_with_one_controller_and_machines(1);
-    w->run_time_s = 60;
-    world_start_settled_job(w, array_with_deadline(1, 60, 500));
+    struct sim_cluster *cluster = sim_with_one_controller_and_machines(1);
+    cluster->run_time_s = 60;
+    sim_start_settled_job(cluster, array_with_deadline(1, 60, 500));
     struct ow_submission *urgent = array_with_deadline(2, 20, urgent_deadline_s);
     urgent->rank = OW_RANK_URGENT;
-    world_submit(w, 0, urgent);
-    world_run(w, 15);
-    bool survives = world_running(w, "run-1") == 1;
-    world_finish(w);
+    sim_submit(cluster, 0, urgent);
+    sim_run(cluster, 15);
+    bool survives = sim_running(cluster, "run-1") == 1;
+    sim_finish(cluster);
     return survives;
 }
 
@@ -122,28 +123,28 @@
 }
 
 /* The machine that a job starts on, of a spot machine and an ordinary one, while others are taken back. */
-static const char *choice_under_notices(struct world *w, double deadline_s)
+static const char *choice_under_notices(struct sim_cluster *cluster, double deadline_s)
 {
-    world_add_group(w, "taken", 4, "east", true);
-    world_run(w, 6);
+    sim_add_group(cluster, "taken", 4, "east", true);
+    sim_run(cluster, 6);
     for (int i = 0; i < 4; i++)
-        world_machine_at(w, (guint)i)->reclaim_notice_s = 1000;
-    world_add_machine(w, "spot", "big", "east", true);
-    world_add_machine(w, "ordinary", "big", "east", false);
-    world_run(w, 6);
-    w->run_time_s = 60;
-    return world_start_job(w, array_with_deadline(1, 60, deadline_s))->name;
+        sim_machine_at(cluster, (guint)i)->reclaim_notice_s = 1000;
+    sim_add_machine(cluster, "spot", "big", "east", true);
+    sim_add_machine(cluster, "ordinary", "big", "east", false);
+    sim_run(cluster, 6);
+    cluster->run_time_s = 60;
+    return sim_start_job(cluster, array_with_deadline(1, 60, deadline_s))->name;
 }
 
 static void test_deadline_keeps_off_spot_machines_that_are_taken_often(void **state)
 {
     (void)state;
-    struct world *w = world_with_one_controller();
-    assert_string_equal(choice_under_notices(w, 100), "ordinary");
-    world_finish(w);
-    w = world_with_one_controller();
-    assert_string_equal(choice_under_notices(w, 0), "spot");
-    world_finish(w);
+    struct sim_cluster *cluster = sim_with_one_controller();
+    assert_string_equal(choice_under_notices(cluster, 100), "ordinary");
+    sim_finish(cluster);
+    cluster = sim_with_one_controller();
+    assert_string_equal(choice_under_notices(cluster, 0), "spot");
+    sim_finish(cluster);
 }
 
 int main(void)
--- a/tests/test_election.c
+++ b/tests/test_election.c
@@ -1,106 +1,107 @@
 /* Election of a leader, its term, and the health of controllers while the key-value store fails. */
 #include "check.h"
-#include "world.h"
+#include "sim_cluster.h"
 
 static void test_new_leader_is_elected_after_a_crash(void **state)
 {
     (void)state;
-    struct world *w = world_with_controllers(3, 1);
-    int first = world_leader(w);
+    struct sim_cluster *cluster = sim_with_controllers(3, 1);
+    int first = sim_leader(cluster);
     assert_true(first >= 0);
-    uint64_t fencing_token = world_fencing_token(w, first);
-    for (int i = 0; i < WORLD_CONTROLLERS; i++)
-        assert_true(i == first || world_fencing_token(w, i) == 0);
-    world_kill_controller(w, first);
-    world_run(w, 8);
-    int second = world_leader(w);
+    uint64_t fencing_token = sim_fencing_token(cluster, first);
+    for (int i = 0; i < SIM_CONTROLLERS; i++)
+        assert_true(i == first || sim_fencing_token(cluster, i) == 0);
+    sim_kill_controller(cluster, first);
+    sim_run(cluster, 8);
+    int second = sim_leader(cluster);
     assert_true(second >= 0 && second != first);
-    assert_true(world_fencing_token(w, second) > fencing_token);
-    world_finish(w);
+    assert_true(sim_fencing_token(cluster, second) > fencing_token);
+    sim_finish(cluster);
 }
 
 static void test_lost_link_to_the_leader_triggers_an_election(void **state)
 {
     (void)state;
-    struct world *w = world_with_controllers(3, 1);
-    world_run(w, 8);
-    int first = world_leader(w), other = (first + 1) % WORLD_CONTROLLERS;
-    world_kill_controller(w, first);
-    world_lose_link(w, other, first);
-    world_run(w, 0.5);
-    assert_int_equal(world_leader(w), other);
+    struct sim_cluster *cluster = sim_with_controllers(3, 1);
+    sim_run(cluster, 8);
+    int first = sim_leader(cluster), other = (first + 1) % SIM_CONTROLLERS;
+    sim_kill_controller(cluster, first);
+    sim_lose_link(cluster, other, first);
+    sim_run(cluster, 0.5);
+    assert_int_equal(sim_leader(cluster), other);
     /* Two controllers without a link must not depose each other in turn. */
-    world_start_controller(w, first);
-    world_run(w, 2);
-    uint64_t fencing_token = world_fencing_token(w, other);
-    world_lose_link(w, first, other);
-    world_run(w, 1);
-    assert_true(world_fencing_token(w, other) == fencing_token);
-    world_finish(w);
+    sim_start_controller(cluster, first);
+    sim_run(cluster, 2);
+    uint64_t fencing_token = sim_fencing_token(cluster, other);
+    sim_lose_link(cluster, first, other);
+    sim_run(cluster, 1);
+    assert_true(sim_fencing_token(cluster, other) == fencing_token);
+    sim_finish(cluster);
 }
 
 static void test_restarted_leader_is_elected_at_once(void **state)
 {
     (void)state;
-    struct world *w = world_with_controllers(1, 1);
-    uint64_t fencing_token = world_fencing_token(w, 0);
-    world_kill_controller(w, 0);
-    world_start_controller(w, 0);
-    world_run(w, 1);
-    assert_true(world_fencing_token(w, 0) > fencing_token);
-    world_finish(w);
+    struct sim_cluster *cluster = sim_with_controllers(1, 1);
+    uint64_t fencing_token = sim_fencing_token(cluster, 0);
+    sim_kill_controller(cluster, 0);
+    sim_start_controller(cluster, 0);
+    sim_run(cluster, 1);
+    assert_true(sim_fencing_token(cluster, 0) > fencing_token);
+    sim_finish(cluster);
 }
 
 static void test_lost_election_response_is_read_back(void **state)
 {
     (void)state;
-    struct world *w = world_new();
-    w->lose_txn_answers = true;
-    world_start_controller(w, 0);
-    world_run(w, 2);
-    w->lose_txn_answers = false;
-    world_run(w, 2);
-    assert_true(world_fencing_token(w, 0) > 0);
-    world_finish(w);
+    struct sim_cluster *cluster = sim_new();
+    cluster->lose_txn_answers = true;
+    sim_start_controller(cluster, 0);
+    sim_run(cluster, 2);
+    cluster->lose_txn_answers = false;
+    sim_run(cluster, 2);
+    assert_true(sim_fencing_token(cluster, 0) > 0);
+    sim_finish(cluster);
 }
 
 static void test_leader_keeps_its_term_through_an_outage(void **state)
 {
     (void)state;
-    struct world *w = world_with_controllers(3, 2);
-    int leader = world_leader(w);
-    uint64_t fencing_token = world_fencing_token(w, leader);
-    world_submit(w, 0, world_job("run-1", 2, 1));
-    w->run_time_s = 60;
-    assert_true(world_until(w, 10, world_some_running, "run-1"));
-    w->store_down = true;
-    world_run(w, 45);
+    struct sim_cluster *cluster = sim_with_controllers(3, 2);
+    int leader = sim_leader(cluster);
+    uint64_t fencing_token = sim_fencing_token(cluster, leader);
+    sim_submit(cluster, 0, sim_job("run-1", 2, 1));
+    cluster->run_time_s = 60;
+    assert_true(sim_until(cluster, 10, sim_some_running, "run-1"));
+    cluster->store_down = true;
+    sim_run(cluster, 45);
     /* Rule 8: workers are answered all along, so their tasks outlive the outage. */
-    assert_int_equal(world_running(w, "run-1"), 2);
-    w->store_down = false;
-    world_run(w, 2);
-    assert_true(world_fencing_token(w, leader) == fencing_token);
-    world_finish(w);
+    assert_int_equal(sim_running(cluster, "run-1"), 2);
+    cluster->store_down = false;
+    sim_run(cluster, 2);
+    assert_true(sim_fencing_token(cluster, leader) == fencing_token);
+    sim_finish(cluster);
 }
 
 static void test_health_distinguishes_an_outage_from_a_denied_controller(void **state)
 {
     (void)state;
-    struct world *w = world_with_controllers(3, 1);
-    w->denied_controller = 2;
-    world_poll(w, 2, "run-1"); /* so that it notices */
-    world_run(w, 5);
-    assert_false(ow_shard_manager_is_ready(w->controllers[2]));
-    assert_true(ow_shard_manager_is_ready(w->controllers[0]) && ow_shard_manager_is_ready(w->controllers[1]));
-    w->denied_controller = -1;
-    w->store_down = true;
-    world_run(w, 18);
-    world_kill_controller(w, 0);
-    world_start_controller(w, 0);
-    world_run(w, 2);
-    for (int i = 0; i < WORLD_CONTROLLERS; i++)
-        assert_true(ow_shard_manager_is_ready(w->controllers[i]));
-    world_finish(w);
+    struct sim_cluster *cluster = sim_with_controllers(3, 1);
+    cluster->denied_controller = 2;
+    sim_poll(cluster, 2, "run-1"); /* so that it notices */
+    sim_run(cluster, 5);
+    assert_false(ow_shard_manager_is_ready(cluster->controllers[2]));
+    assert_true(ow_shard_manager_is_ready(cluster->controllers[0]) &&
+                ow_shard_manager_is_ready(cluster->controllers[1]));
+    cluster->denied_controller = -1;
+    cluster->store_down = true;
+    sim_run(cluster, 18);
+    sim_kill_controller(cluster, 0);
+    sim_start_controller(cluster, 0);
+    sim_run(cluster, 2);
+    for (int i = 0; i < SIM_CONTROLLERS; i++)
+        assert_true(ow_shard_manager_is_ready(cluster->controllers[i]));
+    sim_finish(cluster);
 }
 
 int main(void)
--- a/tests/test_failover.c
+++ b/tests/test_failover.c
@@ -1,49 +1,49 @@
 /* The safety rules of docs/design.md on failovers and fencing tokens: each test fails without the guard that
  * it names. */
 #include "check.h"
-#include "world.h"
+#include "sim_cluster.h"
 
 #include <string.h>
 
-static bool job_runs(struct world *w, const void *job)
+static bool job_runs(struct sim_cluster *cluster, const void *job)
 {
-    return world_where(w, job) != NULL;
+    return sim_where(cluster, job) != NULL;
 }
 
 /* Tasks recorded on a machine that is deleted before another leader takes over. */
 static void test_failover_recovers_tasks_of_a_deleted_machine(void **state)
 {
     (void)state;
-    struct world *w = world_with_machines(2);
-    w->run_time_s = 100;
-    world_start_job(w, world_job("run-1", 1, 1));
-    struct world_machine *machine = world_where(w, "run-1");
-    world_kill_controllers(w);
-    world_delete_machine(machine);
-    world_start_controllers(w);
-    assert_true(world_until(w, 22, job_runs, "run-1"));
-    world_finish(w);
+    struct sim_cluster *cluster = sim_with_machines(2);
+    cluster->run_time_s = 100;
+    sim_start_job(cluster, sim_job("run-1", 1, 1));
+    struct sim_machine *machine = sim_where(cluster, "run-1");
+    sim_kill_controllers(cluster);
+    sim_delete_machine(machine);
+    sim_start_controllers(cluster);
+    assert_true(sim_until(cluster, 22, job_runs, "run-1"));
+    sim_finish(cluster);
 }
 
 /* The same when the other controllers know the machine from the previous leader. */
 static void test_tasks_recover_when_machine_and_leader_fail_together(void **state)
 {
     (void)state;
-    struct world *w = world_with_machines(2);
-    w->run_time_s = 100;
-    world_start_job(w, world_job("run-1", 1, 1));
+    struct sim_cluster *cluster = sim_with_machines(2);
+    cluster->run_time_s = 100;
+    sim_start_job(cluster, sim_job("run-1", 1, 1));
     /* Work elsewhere, so that the machine with room is not returned as idle. */
-    struct ow_submission *other = world_job("run-2", 1, 1);
+    struct ow_submission *other = sim_job("run-2", 1, 1);
     other->zone = g_strdup("west");
-    world_add_machine(w, "m-9", "big", "west", false);
-    world_submit(w, 0, other);
-    world_run(w, 5);
-    assert_int_equal(world_running(w, "run-2"), 1);
-    struct world_machine *machine = world_where(w, "run-1");
-    world_kill_controller(w, world_leader(w));
-    world_delete_machine(machine);
-    assert_true(world_until(w, 33, job_runs, "run-1"));
-    world_finish(w);
+    sim_add_machine(cluster, "m-9", "big", "west", false);
+    sim_submit(cluster, 0, other);
+    sim_run(cluster, 5);
+    assert_int_equal(sim_running(cluster, "run-2"), 1);
+    struct sim_machine *machine = sim_where(cluster, "run-1");
+    sim_kill_controller(cluster, sim_leader(cluster));
+    sim_delete_machine(machine);
+    assert_true(sim_until(cluster, 33, job_runs, "run-1"));
+    sim_finish(cluster);
 }
 
 /* Rule 2, fencing: a deposed leader may still renew the machine's lease until the machine has seen the new
@@ -51,23 +51,23 @@
 static void test_machine_with_a_stale_fencing_token_keeps_its_tasks(void **state)
 {
     (void)state;
-    struct world *w = world_with_machines(2);
-    w->run_time_s = 200;
-    w->cloud_down = true;
-    struct world_machine *machine = world_start_settled_job(w, world_job("run-1", 1, 1));
-    int old = world_leader(w);
+    struct sim_cluster *cluster = sim_with_machines(2);
+    cluster->run_time_s = 200;
+    cluster->cloud_down = true;
+    struct sim_machine *machine = sim_start_settled_job(cluster, sim_job("run-1", 1, 1));
+    int old = sim_leader(cluster);
     machine->cut = true;
-    world_kill_controller(w, old);
+    sim_kill_controller(cluster, old);
     /* No controller renews the machine's lease here, but the new leader can't know: an isolated old leader
      * might. */
-    machine->renewed_at = w->now + 1000;
-    world_run(w, 60);
-    assert_true(world_leader(w) != old);
-    assert_false(world_runs_on_another(w, machine));
+    machine->renewed_at = cluster->now + 1000;
+    sim_run(cluster, 60);
+    assert_true(sim_leader(cluster) != old);
+    assert_false(sim_runs_on_another(cluster, machine));
     machine->cut = false;
-    world_run(w, 10);
-    assert_true(world_where(w, "run-1") == machine);
-    world_finish(w);
+    sim_run(cluster, 10);
+    assert_true(sim_where(cluster, "run-1") == machine);
+    sim_finish(cluster);
 }
 
 /* Rules 2 and 4: after a heartbeat from before the new fencing token an older leader may still change the
@@ -75,126 +75,126 @@
 static void test_heartbeat_with_a_stale_fencing_token_frees_no_task(void **state)
 {
     (void)state;
-    struct world *w = world_with_machines(2);
-    w->run_time_s = 200;
-    w->cloud_down = true;
-    struct world_machine *machine = world_start_settled_job(w, world_job("run-1", 1, 1));
+    struct sim_cluster *cluster = sim_with_machines(2);
+    cluster->run_time_s = 200;
+    cluster->cloud_down = true;
+    struct sim_machine *machine = sim_start_settled_job(cluster, sim_job("run-1", 1, 1));
     uint64_t fencing_token = machine->fencing_token;
-    for (guint i = 0; i < w->machines->len; i++)
-        world_machine_at(w, i)->cut = true;
-    machine->renewed_at = w->now + 1000;
-    world_kill_controller(w, world_leader(w));
-    world_run(w, 8);
-    int controller = world_leader(w);
-    world_heartbeat(w, controller, machine, machine->seq + 1, fencing_token);
-    world_submit(w, controller, world_job("run-2", 1, 1));
-    world_run(w, 3);
-    char *first = world_progress(w, "run-1/0");
+    for (guint i = 0; i < cluster->machines->len; i++)
+        sim_machine_at(cluster, i)->cut = true;
+    machine->renewed_at = cluster->now + 1000;
+    sim_kill_controller(cluster, sim_leader(cluster));
+    sim_run(cluster, 8);
+    int controller = sim_leader(cluster);
+    sim_heartbeat(cluster, controller, machine, machine->seq + 1, fencing_token);
+    sim_submit(cluster, controller, sim_job("run-2", 1, 1));
+    sim_run(cluster, 3);
+    char *first = sim_progress(cluster, "run-1/0");
     assert_non_null(first);
     assert_non_null(strstr(first, machine->name));
-    assert_null(world_progress(w, "run-2/0"));
+    assert_null(sim_progress(cluster, "run-2/0"));
     g_free(first);
-    world_finish(w);
+    sim_finish(cluster);
 }
 
 /* A delayed transaction of a leader that was deposed meanwhile is rejected. */
 static void test_write_of_a_deposed_leader_is_rejected(void **state)
 {
     (void)state;
-    struct world *w = world_with_machines(1);
-    int old = world_leader(w);
-    w->keep_held = true;
-    w->hold_next = 1;
-    w->hold_controller = old;
-    world_submit(w, (old + 1) % WORLD_CONTROLLERS, world_job("run-1", 1, 1));
-    world_run(w, 0.4);
-    assert_int_equal(w->held->len, 1);
-    w->denied_controller = old;
-    world_machine(w, "m-0")->cut = true; /* so that the new leader has nothing to write */
-    world_run(w, 12);
-    assert_true(world_leader(w) != old);
-    w->keep_held = false;
-    world_run(w, 1);
-    assert_int_equal(w->held->len, 0);
-    assert_null(world_progress(w, "run-1/0"));
-    world_finish(w);
+    struct sim_cluster *cluster = sim_with_machines(1);
+    int old = sim_leader(cluster);
+    cluster->keep_held = true;
+    cluster->hold_next = 1;
+    cluster->hold_controller = old;
+    sim_submit(cluster, (old + 1) % SIM_CONTROLLERS, sim_job("run-1", 1, 1));
+    sim_run(cluster, 0.4);
+    assert_int_equal(cluster->held->len, 1);
+    cluster->denied_controller = old;
+    sim_machine(cluster, "m-0")->cut = true; /* so that the new leader has nothing to write */
+    sim_run(cluster, 12);
+    assert_true(sim_leader(cluster) != old);
+    cluster->keep_held = false;
+    sim_run(cluster, 1);
+    assert_int_equal(cluster->held->len, 0);
+    assert_null(sim_progress(cluster, "run-1/0"));
+    sim_finish(cluster);
 }
 
 /* Rule 4: a new leader starts nothing on a machine before it has its report under the new fencing token. */
 static void test_no_launch_before_the_machine_heartbeats_the_new_fencing_token(void **state)
 {
     (void)state;
-    struct world *w = world_with_machines(1);
-    w->cloud_down = true;
-    struct world_machine *machine = world_machine(w, "m-0");
+    struct sim_cluster *cluster = sim_with_machines(1);
+    cluster->cloud_down = true;
+    struct sim_machine *machine = sim_machine(cluster, "m-0");
     uint64_t before = machine->fencing_token;
     machine->cut = true;
-    world_kill_controller(w, world_leader(w));
-    world_run(w, 8);
-    int controller = world_leader(w);
-    world_submit(w, controller, world_job("run-1", 1, 1));
-    world_run(w, 5);
+    sim_kill_controller(cluster, sim_leader(cluster));
+    sim_run(cluster, 8);
+    int controller = sim_leader(cluster);
+    sim_submit(cluster, controller, sim_job("run-1", 1, 1));
+    sim_run(cluster, 5);
     assert_int_equal(machine->starts, 0);
     machine->cut = false;
-    assert_true(world_until(w, 15, world_some_running, "run-1"));
+    assert_true(sim_until(cluster, 15, sim_some_running, "run-1"));
     assert_true(machine->fencing_token > before);
-    world_finish(w);
+    sim_finish(cluster);
 }
 
 /* Rule 4: attempts of an earlier leader count against the team's limit until they are accounted for. */
 static void test_inherited_attempts_count_against_the_limit(void **state)
 {
     (void)state;
-    struct world *w = world_with_machines(2);
-    w->run_time_s = 200;
-    w->cloud_down = true;
-    struct ow_submission *first = world_job("run-1", 2, 4), *second = world_job("run-2", 1, 4);
-    world_set_team(first, "tight");
-    world_set_team(second, "tight");
-    struct world_machine *machine = world_start_settled_job(w, first);
+    struct sim_cluster *cluster = sim_with_machines(2);
+    cluster->run_time_s = 200;
+    cluster->cloud_down = true;
+    struct ow_submission *first = sim_job("run-1", 2, 4), *second = sim_job("run-2", 1, 4);
+    sim_set_team(first, "tight");
+    sim_set_team(second, "tight");
+    struct sim_machine *machine = sim_start_settled_job(cluster, first);
     machine->cut = true;
-    machine->renewed_at = w->now + 1000;
-    world_kill_controller(w, world_leader(w));
-    world_run(w, 8);
-    world_submit(w, world_leader(w), second);
-    world_run(w, 20);
-    assert_int_equal(world_running(w, "run-2"), 0);
-    world_finish(w);
+    machine->renewed_at = cluster->now + 1000;
+    sim_kill_controller(cluster, sim_leader(cluster));
+    sim_run(cluster, 8);
+    sim_submit(cluster, sim_leader(cluster), second);
+    sim_run(cluster, 20);
+    assert_int_equal(sim_running(cluster, "run-2"), 0);
+    sim_finish(cluster);
 }
 
 /* A leader that sees a higher fencing token steps down. */
 static void test_higher_fencing_token_deposes_the_leader(void **state)
 {
     (void)state;
-    struct world *w = world_with_machines(1);
-    int leader = world_leader(w);
-    w->store_down = true; /* it can't read who leads */
-    world_machine(w, "m-0")->fencing_token = 1000000;
-    world_run(w, 5);
-    assert_true(world_fencing_token(w, leader) == 0);
-    world_free(w);
+    struct sim_cluster *cluster = sim_with_machines(1);
+    int leader = sim_leader(cluster);
+    cluster->store_down = true; /* it can't read who leads */
+    sim_machine(cluster, "m-0")->fencing_token = 1000000;
+    sim_run(cluster, 5);
+    assert_true(sim_fencing_token(cluster, leader) == 0);
+    sim_free(cluster);
 }
 
 /* The successor of a leader whose fleet boots: it asks the machines that are up, and none of the others. */
 static void test_successor_does_not_ask_machines_that_boot(void **state)
 {
     (void)state;
-    struct world *w = world_with_machines(2);
-    w->run_time_s = 200;
-    world_submit(w, 0, world_job("run-1", 2, 16)); /* machines with work are not returned as idle */
+    struct sim_cluster *cluster = sim_with_machines(2);
+    cluster->run_time_s = 200;
+    sim_submit(cluster, 0, sim_job("run-1", 2, 16)); /* machines with work are not returned as idle */
     for (int i = 0; i < 3; i++) {
         char name[16];
         g_snprintf(name, sizeof name, "booting-%d", i);
-        world_add_machine(w, name, "big", "east", false)->up_at = w->now + 100;
+        sim_add_machine(cluster, name, "big", "east", false)->up_at = cluster->now + 100;
     }
-    world_run(w, 20); /* the cloud's list tells their addresses, and the leader its peers */
-    w->cloud_down = true;
-    w->directs = 0;
-    world_kill_controller(w, world_leader(w));
-    world_run(w, 10);
-    assert_true(world_leader(w) >= 0);
-    assert_int_equal(w->directs, 2);
-    world_finish(w);
+    sim_run(cluster, 20); /* the cloud's list tells their addresses, and the leader its peers */
+    cluster->cloud_down = true;
+    cluster->directs = 0;
+    sim_kill_controller(cluster, sim_leader(cluster));
+    sim_run(cluster, 10);
+    assert_true(sim_leader(cluster) >= 0);
+    assert_int_equal(cluster->directs, 2);
+    sim_finish(cluster);
 }
 
 /* A machine that boots for longer than an unresponsive one is left alone is not returned when it reports at
@@ -202,20 +202,21 @@
 static void test_slow_boot_is_not_taken_for_unresponsive(void **state)
 {
     (void)state;
-    struct world *w = world_new();
-    for (int i = 0; i < WORLD_CONTROLLERS; i++)
-        w->settings[i].lease_s = 6; /* an unresponsive machine without tasks is left alone for three leases */
-    world_start_controllers(w);
-    world_add_machines(w, 1);
-    struct world_machine *slow = world_add_machine(w, "slow", "big", "east", false);
-    slow->up_at = slow->renewed_at = w->now + 24;
-    world_run(w, 4);
-    w->run_time_s = 300;
-    world_submit(w, 0, world_job("run-1", 2, 16));
-    world_run(w, 40);
+    struct sim_cluster *cluster = sim_new();
+    for (int i = 0; i < SIM_CONTROLLERS; i++)
+        cluster->settings[i].lease_s =
+            6; /* an unresponsive machine without tasks is left alone for three leases */
+    sim_start_controllers(cluster);
+    sim_add_machines(cluster, 1);
+    struct sim_machine *slow = sim_add_machine(cluster, "slow", "big", "east", false);
+    slow->up_at = slow->renewed_at = cluster->now + 24;
+    sim_run(cluster, 4);
+    cluster->run_time_s = 300;
+    sim_submit(cluster, 0, sim_job("run-1", 2, 16));
+    sim_run(cluster, 40);
     assert_false(slow->gone);
     assert_int_equal(slow->starts, 1);
-    world_finish(w);
+    sim_finish(cluster);
 }
 
 int main(void)
--- a/tests/test_isolation.c
+++ b/tests/test_isolation.c
@@ -1,92 +1,92 @@
 /* Isolated controllers, immediate restarts and scarce machines or sockets: every job is answered and
  * completes. */
 #include "check.h"
-#include "world.h"
+#include "sim_cluster.h"
 
 static void test_isolated_leader_steps_down(void **state)
 {
     (void)state;
-    struct world *w = world_with_capacity(2, 6);
-    struct world_machine *machine = world_start_long_job(w);
-    int old = world_leader(w);
-    w->isolated_controller = old;
-    world_run(w, 4);
-    uint64_t poll = world_poll(w, old, "run-1");
-    world_submit(w, old, world_job("run-2", 1, 1));
-    world_run(w, 4);
-    assert_false(ow_shard_manager_is_ready(w->controllers[old]));
-    const struct world_answer *answer = world_answer(w, poll);
+    struct sim_cluster *cluster = sim_with_capacity(2, 6);
+    struct sim_machine *machine = sim_start_long_job(cluster);
+    int old = sim_leader(cluster);
+    cluster->isolated_controller = old;
+    sim_run(cluster, 4);
+    uint64_t poll = sim_poll(cluster, old, "run-1");
+    sim_submit(cluster, old, sim_job("run-2", 1, 1));
+    sim_run(cluster, 4);
+    assert_false(ow_shard_manager_is_ready(cluster->controllers[old]));
+    const struct sim_answer *answer = sim_answer(cluster, poll);
     assert_true(answer != NULL && answer->status == 503);
-    assert_true(world_until(w, 20, world_some_running, "run-1"));
-    world_run(w, 10);
-    assert_true(world_leader(w) != old && world_fencing_token(w, old) == 0);
+    assert_true(sim_until(cluster, 20, sim_some_running, "run-1"));
+    sim_run(cluster, 10);
+    assert_true(sim_leader(cluster) != old && sim_fencing_token(cluster, old) == 0);
     /* The task has survived on its machine. */
-    assert_true(world_where(w, "run-1") == machine);
+    assert_true(sim_where(cluster, "run-1") == machine);
     assert_int_equal(machine->starts, 1);
-    w->run_time_s = 1;
-    world_submit(w, world_leader(w), world_job("run-3", 1, 1));
-    assert_true(world_until(w, 20, world_all_done, "run-3"));
-    assert_int_equal(world_running(w, "run-2"), 0);
-    w->isolated_controller = -1;
-    world_run(w, 10);
-    assert_true(ow_shard_manager_is_ready(w->controllers[old]));
-    world_finish(w);
+    cluster->run_time_s = 1;
+    sim_submit(cluster, sim_leader(cluster), sim_job("run-3", 1, 1));
+    assert_true(sim_until(cluster, 20, sim_all_done, "run-3"));
+    assert_int_equal(sim_running(cluster, "run-2"), 0);
+    cluster->isolated_controller = -1;
+    sim_run(cluster, 10);
+    assert_true(ow_shard_manager_is_ready(cluster->controllers[old]));
+    sim_finish(cluster);
 }
 
 static void test_isolated_follower_is_unhealthy(void **state)
 {
     (void)state;
-    struct world *w = world_with_capacity(1, 6);
-    int other = (world_leader(w) + 1) % WORLD_CONTROLLERS;
-    w->isolated_controller = other;
-    world_run(w, 8);
-    assert_false(ow_shard_manager_is_ready(w->controllers[other]));
-    assert_true(ow_shard_manager_is_ready(w->controllers[world_leader(w)]));
-    w->isolated_controller = -1;
-    world_run(w, 8);
-    assert_true(ow_shard_manager_is_ready(w->controllers[other]));
-    world_finish(w);
+    struct sim_cluster *cluster = sim_with_capacity(1, 6);
+    int other = (sim_leader(cluster) + 1) % SIM_CONTROLLERS;
+    cluster->isolated_controller = other;
+    sim_run(cluster, 8);
+    assert_false(ow_shard_manager_is_ready(cluster->controllers[other]));
+    assert_true(ow_shard_manager_is_ready(cluster->controllers[sim_leader(cluster)]));
+    cluster->isolated_controller = -1;
+    sim_run(cluster, 8);
+    assert_true(ow_shard_manager_is_ready(cluster->controllers[other]));
+    sim_finish(cluster);
 }
 
 /* A leader that no worker can reach steps down even if the key-value store is available to it. */
 static void test_leader_without_workers_steps_down(void **state)
 {
     (void)state;
-    struct world *w = world_with_capacity(2, 6);
-    struct world_machine *machine = world_start_long_job(w);
-    int old = world_leader(w);
-    w->workerless_controller = old;
-    world_run(w, 18);
-    assert_true(world_leader(w) >= 0 && world_leader(w) != old);
-    assert_true(world_where(w, "run-1") == machine);
-    world_finish(w);
+    struct sim_cluster *cluster = sim_with_capacity(2, 6);
+    struct sim_machine *machine = sim_start_long_job(cluster);
+    int old = sim_leader(cluster);
+    cluster->workerless_controller = old;
+    sim_run(cluster, 18);
+    assert_true(sim_leader(cluster) >= 0 && sim_leader(cluster) != old);
+    assert_true(sim_where(cluster, "run-1") == machine);
+    sim_finish(cluster);
 }
 
 static void test_immediate_restarts_during_an_election(void **state)
 {
     (void)state;
     for (int step = 0; step < 30; step++) {
-        struct world *w = world_with_capacity(2, 6);
-        w->run_time_s = 4;
-        world_submit(w, 0, world_job("run-1", 3, 1));
-        world_run(w, 0.1);
+        struct sim_cluster *cluster = sim_with_capacity(2, 6);
+        cluster->run_time_s = 4;
+        sim_submit(cluster, 0, sim_job("run-1", 3, 1));
+        sim_run(cluster, 0.1);
         /* The leader crashes, its successor crashes during the election, and both restart at once. */
-        int old = world_leader(w), next = (old + 1) % WORLD_CONTROLLERS;
-        w->lose_txn_answers = step % 3 == 0;
-        world_kill_controller(w, old);
-        world_lose_link(w, next, old);
-        world_start_controller(w, old);
-        world_run(w, 0.05 * step);
-        world_kill_controller(w, next);
-        world_start_controller(w, next);
-        w->lose_txn_answers = false;
-        world_run(w, 0.1);
-        world_submit(w, next, world_job("run-1", 3, 1));
-        world_submit(w, old, world_job("run-2", 2, 1));
-        assert_true(world_until(w, 60, world_all_done, "run-1"));
-        world_submit(w, next, world_job("run-2", 2, 1));
-        assert_true(world_until(w, 60, world_all_done, "run-2"));
-        world_finish(w);
+        int old = sim_leader(cluster), next = (old + 1) % SIM_CONTROLLERS;
+        cluster->lose_txn_answers = step % 3 == 0;
+        sim_kill_controller(cluster, old);
+        sim_lose_link(cluster, next, old);
+        sim_start_controller(cluster, old);
+        sim_run(cluster, 0.05 * step);
+        sim_kill_controller(cluster, next);
+        sim_start_controller(cluster, next);
+        cluster->lose_txn_answers = false;
+        sim_run(cluster, 0.1);
+        sim_submit(cluster, next, sim_job("run-1", 3, 1));
+        sim_submit(cluster, old, sim_job("run-2", 2, 1));
+        assert_true(sim_until(cluster, 60, sim_all_done, "run-1"));
+        sim_submit(cluster, next, sim_job("run-2", 2, 1));
+        assert_true(sim_until(cluster, 60, sim_all_done, "run-2"));
+        sim_finish(cluster);
     }
 }
 
@@ -94,52 +94,52 @@
 {
     (void)state;
     enum { JOBS = 300 };
-    struct world *w = world_with_capacity(4, 6);
+    struct sim_cluster *cluster = sim_with_capacity(4, 6);
     uint64_t polls[JOBS];
     char id[16];
-    w->run_time_s = 1;
+    cluster->run_time_s = 1;
     for (int i = 0; i < JOBS; i++) {
         g_snprintf(id, sizeof id, "run-%d", i);
-        world_submit(w, i % WORLD_CONTROLLERS, world_job(id, 1, 0.2));
+        sim_submit(cluster, i % SIM_CONTROLLERS, sim_job(id, 1, 0.2));
         if (i % 20 == 19)
-            world_run(w, 0.5);
+            sim_run(cluster, 0.5);
     }
-    world_run(w, 20);
-    for (int round = 0; round < WORLD_CONTROLLERS; round++) {
-        int controller = world_leader(w);
-        world_kill_controller(w, controller);
-        world_run(w, 2);
-        world_start_controller(w, controller);
-        world_run(w, 8);
+    sim_run(cluster, 20);
+    for (int round = 0; round < SIM_CONTROLLERS; round++) {
+        int controller = sim_leader(cluster);
+        sim_kill_controller(cluster, controller);
+        sim_run(cluster, 2);
+        sim_start_controller(cluster, controller);
+        sim_run(cluster, 8);
     }
     for (int i = 0; i < JOBS; i++) {
         g_snprintf(id, sizeof id, "run-%d", i);
-        polls[i] = world_poll(w, i % WORLD_CONTROLLERS, id);
+        polls[i] = sim_poll(cluster, i % SIM_CONTROLLERS, id);
     }
-    world_run(w, 2);
+    sim_run(cluster, 2);
     for (int i = 0; i < JOBS; i++) {
-        const struct world_answer *answer = world_answer(w, polls[i]);
+        const struct sim_answer *answer = sim_answer(cluster, polls[i]);
         assert_true(answer != NULL && answer->status == 200 && answer->state == OW_JOB_DONE);
     }
-    world_finish(w);
+    sim_finish(cluster);
 }
 
 /* A job that has failed on each of the few machines is retried on them. */
 static void test_job_is_retried_on_machines_that_failed_it(void **state)
 {
     (void)state;
-    struct world *w = world_with_capacity(2, 6);
-    w->capacity = 0;
-    w->cloud_down = true; /* no machine is deleted or provisioned */
-    for (guint i = 0; i < w->machines->len; i++)
-        world_machine_at(w, i)->faulty = true;
-    w->run_time_s = 1;
-    world_submit(w, 0, world_job("run-1", 1, 1));
-    world_run(w, 20);
-    for (guint i = 0; i < w->machines->len; i++)
-        world_machine_at(w, i)->faulty = false;
-    assert_true(world_until(w, 75, world_all_done, "run-1"));
-    world_finish(w);
+    struct sim_cluster *cluster = sim_with_capacity(2, 6);
+    cluster->capacity = 0;
+    cluster->cloud_down = true; /* no machine is deleted or provisioned */
+    for (guint i = 0; i < cluster->machines->len; i++)
+        sim_machine_at(cluster, i)->faulty = true;
+    cluster->run_time_s = 1;
+    sim_submit(cluster, 0, sim_job("run-1", 1, 1));
+    sim_run(cluster, 20);
+    for (guint i = 0; i < cluster->machines->len; i++)
+        sim_machine_at(cluster, i)->faulty = false;
+    assert_true(sim_until(cluster, 75, sim_all_done, "run-1"));
+    sim_finish(cluster);
 }
 
 /* Without free sockets, commands are sent with the responses to reports, and no machine counts as
@@ -147,16 +147,16 @@
 static void test_work_continues_without_free_sockets(void **state)
 {
     (void)state;
-    struct world *w = world_with_capacity(3, 6);
-    w->no_sockets = true;
-    world_submit(w, 0, world_gang("run-1", 3, 16));
-    assert_true(world_until(w, 40, world_all_done, "run-1"));
-    world_run(w, 15);
-    for (guint i = 0; i < w->machines->len; i++)
-        assert_int_equal(world_machine_at(w, i)->incarnation, 1);
-    world_submit(w, 0, world_job("run-2", 4, 1));
-    assert_true(world_until(w, 40, world_all_done, "run-2"));
-    world_finish(w);
+    struct sim_cluster *cluster = sim_with_capacity(3, 6);
+    cluster->no_sockets = true;
+    sim_submit(cluster, 0, sim_gang("run-1", 3, 16));
+    assert_true(sim_until(cluster, 40, sim_all_done, "run-1"));
+    sim_run(cluster, 15);
+    for (guint i = 0; i < cluster->machines->len; i++)
+        assert_int_equal(sim_machine_at(cluster, i)->incarnation, 1);
+    sim_submit(cluster, 0, sim_job("run-2", 4, 1));
+    assert_true(sim_until(cluster, 40, sim_all_done, "run-2"));
+    sim_finish(cluster);
 }
 
 /* A controller that was cut off for long has missed more changes than it takes in at once: it reads the table
@@ -164,22 +164,22 @@
 static void test_too_many_missed_changes_are_read_by_pages(void **state)
 {
     (void)state;
-    struct world *w = world_with_machines(2);
-    int follower = world_follower(w);
-    w->isolated_controller = follower;
-    w->changes_most = 5;
+    struct sim_cluster *cluster = sim_with_machines(2);
+    int follower = sim_follower(cluster);
+    cluster->isolated_controller = follower;
+    cluster->changes_most = 5;
     char id[16];
     for (int n = 1; n <= 12; n++) {
         g_snprintf(id, sizeof id, "run-%d", n);
-        world_submit(w, world_leader(w), world_job(id, 1, 1));
-        world_run(w, 1);
+        sim_submit(cluster, sim_leader(cluster), sim_job(id, 1, 1));
+        sim_run(cluster, 1);
     }
-    w->isolated_controller = -1;
-    world_run(w, 20);
-    uint64_t request = world_poll(w, follower, id);
-    world_run(w, 3);
-    assert_int_equal(world_status(w, request), 200);
-    world_finish(w);
+    cluster->isolated_controller = -1;
+    sim_run(cluster, 20);
+    uint64_t request = sim_poll(cluster, follower, id);
+    sim_run(cluster, 3);
+    assert_int_equal(sim_status(cluster, request), 200);
+    sim_finish(cluster);
 }
 
 int main(void)
--- a/tests/test_large_fleet.c
+++ b/tests/test_large_fleet.c
@@ -1,58 +1,58 @@
 /* A fleet of 5,000 machines: no list may be cut, and the work and the messages grow with the machines alone.
  */
 #include "check.h"
-#include "world.h"
+#include "sim_cluster.h"
 
 enum { MACHINES = 5000 };
 /* Direct commands to each machine in a phase of a test, on average. */
 static const double DIRECTS_MOST = 4;
 
-static struct world *large_world(void)
+static struct sim_cluster *large_sim(void)
 {
-    struct world *w = world_new();
-    world_set_large_rates(w);
-    for (int i = 0; i < WORLD_CONTROLLERS; i++)
-        w->settings[i].sockets = 2 * MACHINES;
-    world_start_controllers(w);
+    struct sim_cluster *cluster = sim_new();
+    sim_set_large_rates(cluster);
+    for (int i = 0; i < SIM_CONTROLLERS; i++)
+        cluster->settings[i].sockets = 2 * MACHINES;
+    sim_start_controllers(cluster);
     for (int i = 0; i < MACHINES; i++) {
         char name[16];
         g_snprintf(name, sizeof name, "m-%05d", i);
-        world_add_machine(w, name, "big", "east", false);
+        sim_add_machine(cluster, name, "big", "east", false);
     }
-    world_run(w, 20);
-    w->run_time_s = 600;
-    return w;
+    sim_run(cluster, 20);
+    cluster->run_time_s = 600;
+    return cluster;
 }
 
 /* One task on every machine. */
-static void fill(struct world *w)
+static void fill(struct sim_cluster *cluster)
 {
-    world_submit(w, 0, world_job("run-1", MACHINES, 16));
-    world_run(w, 25);
-    assert_int_equal(world_running(w, "run-1"), MACHINES);
+    sim_submit(cluster, 0, sim_job("run-1", MACHINES, 16));
+    sim_run(cluster, 25);
+    assert_int_equal(sim_running(cluster, "run-1"), MACHINES);
     for (int i = 0; i < MACHINES; i++)
-        assert_int_equal(world_machine_at(w, (guint)i)->starts, 1);
+        assert_int_equal(sim_machine_at(cluster, (guint)i)->starts, 1);
 }
 
 /* The cloud's list has ten pages, and the array a task for every machine; the cancellation ends them all. */
 static void test_array_on_all_machines_is_cancelled(void **state)
 {
     (void)state;
-    struct world *w = large_world();
-    fill(w);
-    w->directs = 0;
-    uint64_t request = world_cancel(w, 1, "run-1");
-    assert_true(world_until(w, 20, world_none_running, "run-1"));
-    world_run(w, 2);
-    assert_int_equal(world_answer(w, request)->state, OW_JOB_CANCELLED);
-    assert_true(w->directs <= DIRECTS_MOST * MACHINES);
-    world_finish(w);
+    struct sim_cluster *cluster = large_sim();
+    fill(cluster);
+    cluster->directs = 0;
+    uint64_t request = sim_cancel(cluster, 1, "run-1");
+    assert_true(sim_until(cluster, 20, sim_none_running, "run-1"));
+    sim_run(cluster, 2);
+    assert_int_equal(sim_answer(cluster, request)->state, OW_JOB_CANCELLED);
+    assert_true(cluster->directs <= DIRECTS_MOST * MACHINES);
+    sim_finish(cluster);
 }
 
-static void set_reporting(struct world *w, bool reporting)
+static void set_reporting(struct sim_cluster *cluster, bool reporting)
 {
     for (int i = 0; i < MACHINES; i++)
-        world_machine_at(w, (guint)i)->stopped_reporting = !reporting;
+        sim_machine_at(cluster, (guint)i)->stopped_reporting = !reporting;
 }
 
 /* The successor reaches every machine with what the leader told it alone: no heartbeat comes, and no list of
@@ -61,23 +61,23 @@
 static void test_successor_reaches_all_machines_by_the_leaders_list(void **state)
 {
     (void)state;
-    struct world *w = large_world();
-    fill(w);
-    w->cloud_down = true;
-    w->directs = 0;
-    set_reporting(w, false);
-    uint64_t old_fencing_token = world_machine_at(w, 0)->fencing_token;
-    world_kill_controller(w, world_leader(w));
-    world_run(w, 15);
-    assert_true(world_leader(w) >= 0);
+    struct sim_cluster *cluster = large_sim();
+    fill(cluster);
+    cluster->cloud_down = true;
+    cluster->directs = 0;
+    set_reporting(cluster, false);
+    uint64_t old_fencing_token = sim_machine_at(cluster, 0)->fencing_token;
+    sim_kill_controller(cluster, sim_leader(cluster));
+    sim_run(cluster, 15);
+    assert_true(sim_leader(cluster) >= 0);
     for (int i = 0; i < MACHINES; i++)
-        assert_true(world_machine_at(w, (guint)i)->fencing_token > old_fencing_token);
-    set_reporting(w, true);
-    world_run(w, 20);
-    assert_int_equal(world_running(w, "run-1"), MACHINES);
-    assert_int_equal(world_total_starts(w), MACHINES);
-    assert_true(w->directs <= DIRECTS_MOST * MACHINES);
-    world_finish(w);
+        assert_true(sim_machine_at(cluster, (guint)i)->fencing_token > old_fencing_token);
+    set_reporting(cluster, true);
+    sim_run(cluster, 20);
+    assert_int_equal(sim_running(cluster, "run-1"), MACHINES);
+    assert_int_equal(sim_total_starts(cluster), MACHINES);
+    assert_true(cluster->directs <= DIRECTS_MOST * MACHINES);
+    sim_finish(cluster);
 }
 
 int main(void)
--- a/tests/test_leader_changes.c
+++ b/tests/test_leader_changes.c
@@ -1,50 +1,50 @@
 /* Leader changes together with lost machines, expired leases and tasks that end (docs/meetings.md). */
 #include "check.h"
 #include "failure_setup.h"
-#include "world.h"
+#include "sim_cluster.h"
 
 /* A fencing token that was released is never reused: launches sent under it may still be in flight. */
 static void test_returning_leader_takes_a_new_fencing_token(void **state)
 {
     (void)state;
-    struct world *w = failure_world(2);
-    int old = world_leader(w);
-    uint64_t before = world_fencing_token(w, old);
-    w->isolated_controller = old;
-    w->store_down = true; /* its key stays: leases don't expire in an outage */
-    world_run(w, 30);
-    assert_int_equal(world_fencing_token(w, old), 0);
-    w->isolated_controller = -1;
-    w->store_down = false;
-    world_run(w, 8);
-    assert_int_equal(world_leader(w), old);
-    assert_true(world_fencing_token(w, old) > before);
-    world_finish(w);
+    struct sim_cluster *cluster = failure_sim(2);
+    int old = sim_leader(cluster);
+    uint64_t before = sim_fencing_token(cluster, old);
+    cluster->isolated_controller = old;
+    cluster->store_down = true; /* its key stays: leases don't expire in an outage */
+    sim_run(cluster, 30);
+    assert_int_equal(sim_fencing_token(cluster, old), 0);
+    cluster->isolated_controller = -1;
+    cluster->store_down = false;
+    sim_run(cluster, 8);
+    assert_int_equal(sim_leader(cluster), old);
+    assert_true(sim_fencing_token(cluster, old) > before);
+    sim_finish(cluster);
 }
 
 /* Its reports reach no controller, so its lease expires repeatedly although it answers commands. */
 static void test_machine_that_stopped_reporting_gets_no_new_tasks(void **state)
 {
     (void)state;
-    struct world *w = failure_world(2);
-    w->run_time_s = 15;
-    struct world_machine *machine = failure_start_job(w, world_job("run-1", 1, 1));
+    struct sim_cluster *cluster = failure_sim(2);
+    cluster->run_time_s = 15;
+    struct sim_machine *machine = failure_start_job(cluster, sim_job("run-1", 1, 1));
     machine->stopped_reporting = true;
     /* A new leader queries it at its own address and gets responses to every command. */
-    world_kill_controller(w, world_leader(w));
-    world_run(w, 6);
+    sim_kill_controller(cluster, sim_leader(cluster));
+    sim_run(cluster, 6);
     unsigned before = machine->starts;
     for (int i = 2; i < 32; i++) {
         char id[16];
         g_snprintf(id, sizeof id, "run-%d", i);
-        world_submit(w, world_leader(w), world_job(id, 1, 0.5));
-        world_run(w, 1);
+        sim_submit(cluster, sim_leader(cluster), sim_job(id, 1, 0.5));
+        sim_run(cluster, 1);
         before = i == 10 ? machine->starts : before;
     }
     assert_int_equal(machine->starts, before);
-    assert_true(world_until(w, 120, world_all_done, "run-31"));
-    assert_true(world_until(w, 70, world_all_done, "run-1"));
-    world_finish(w);
+    assert_true(sim_until(cluster, 120, sim_all_done, "run-31"));
+    assert_true(sim_until(cluster, 70, sim_all_done, "run-1"));
+    sim_finish(cluster);
 }
 
 /* Tasks bound to one zone lose their machine during a failover: none starts in another zone before they have
@@ -52,44 +52,44 @@
 static void test_one_zone_array_survives_a_machine_loss(void **state)
 {
     (void)state;
-    struct world *w = failure_world(1);
-    w->capacity = 4;
-    world_add_machine(w, "w-0", "big", "west", false);
-    world_add_machine(w, "w-1", "big", "west", false);
-    struct ow_submission *job = world_job("run-1", 4, 8);
+    struct sim_cluster *cluster = failure_sim(1);
+    cluster->capacity = 4;
+    sim_add_machine(cluster, "w-0", "big", "west", false);
+    sim_add_machine(cluster, "w-1", "big", "west", false);
+    struct ow_submission *job = sim_job("run-1", 4, 8);
     job->one_zone = true;
-    struct world_machine *machine = failure_start_job(w, job);
+    struct sim_machine *machine = failure_start_job(cluster, job);
     machine->hangs = true;
-    world_kill_controller(w, world_leader(w));
-    world_run(w, 15);
+    sim_kill_controller(cluster, sim_leader(cluster));
+    sim_run(cluster, 15);
     machine->hangs = false;
-    w->run_time_s = 3;
-    world_run(w, 5);
-    world_start_controllers(w);
-    world_delete_machine(machine);
-    world_run(w, 60);
-    w->run_time_s = 3;
-    for (guint i = 0; i < w->machines->len; i++) {
-        struct world_machine *other = world_machine_at(w, i);
+    cluster->run_time_s = 3;
+    sim_run(cluster, 5);
+    sim_start_controllers(cluster);
+    sim_delete_machine(machine);
+    sim_run(cluster, 60);
+    cluster->run_time_s = 3;
+    for (guint i = 0; i < cluster->machines->len; i++) {
+        struct sim_machine *other = sim_machine_at(cluster, i);
         for (guint k = 0; k < other->tasks->len; k++)
-            g_array_index(other->tasks, struct world_task, k).phase_at = w->now;
+            g_array_index(other->tasks, struct sim_task, k).phase_at = cluster->now;
     }
-    assert_true(world_until(w, 60, world_all_done, "run-1"));
-    world_finish(w);
+    assert_true(sim_until(cluster, 60, sim_all_done, "run-1"));
+    sim_finish(cluster);
 }
 
 static void test_all_controllers_down_for_longer_than_a_lease(void **state)
 {
     (void)state;
-    struct world *w = failure_world(2);
-    failure_start_job(w, world_job("run-1", 3, 1));
-    world_kill_controllers(w);
-    world_run(w, 30);
-    assert_int_equal(world_running(w, "run-1"), 0);
-    w->run_time_s = 3;
-    world_start_controllers(w);
-    assert_true(world_until(w, 30, world_all_done, "run-1"));
-    world_finish(w);
+    struct sim_cluster *cluster = failure_sim(2);
+    failure_start_job(cluster, sim_job("run-1", 3, 1));
+    sim_kill_controllers(cluster);
+    sim_run(cluster, 30);
+    assert_int_equal(sim_running(cluster, "run-1"), 0);
+    cluster->run_time_s = 3;
+    sim_start_controllers(cluster);
+    assert_true(sim_until(cluster, 30, sim_all_done, "run-1"));
+    sim_finish(cluster);
 }
 
 /* Tasks that end far apart: a result recorded under one leader counts under the next, and no task runs twice.
@@ -97,28 +97,28 @@
 static void test_recorded_results_survive_leader_changes(void **state)
 {
     (void)state;
-    struct world *w = failure_world(3);
-    failure_start_job(w, world_job("run-1", 3, 1));
-    struct world_task *tasks[3];
+    struct sim_cluster *cluster = failure_sim(3);
+    failure_start_job(cluster, sim_job("run-1", 3, 1));
+    struct sim_task *tasks[3];
     guint count = 0;
-    for (guint i = 0; i < w->machines->len; i++) {
-        struct world_machine *machine = world_machine_at(w, i);
+    for (guint i = 0; i < cluster->machines->len; i++) {
+        struct sim_machine *machine = sim_machine_at(cluster, i);
         for (guint k = 0; k < machine->tasks->len; k++)
-            tasks[count++] = &g_array_index(machine->tasks, struct world_task, k);
+            tasks[count++] = &g_array_index(machine->tasks, struct sim_task, k);
     }
     assert_int_equal(count, 3);
     for (guint i = 0; i < count; i++)
-        tasks[i]->phase_at = w->now + 2 + 15 * i;
+        tasks[i]->phase_at = cluster->now + 2 + 15 * i;
     for (int i = 0; i < 3; i++) {
-        world_run(w, 9);
-        int old = world_leader(w);
-        world_kill_controller(w, old);
-        world_run(w, 6);
-        world_start_controller(w, old);
-        assert_int_equal(world_job_state(w, "run-1") == OW_JOB_DONE, i == 2);
+        sim_run(cluster, 9);
+        int old = sim_leader(cluster);
+        sim_kill_controller(cluster, old);
+        sim_run(cluster, 6);
+        sim_start_controller(cluster, old);
+        assert_int_equal(sim_job_state(cluster, "run-1") == OW_JOB_DONE, i == 2);
     }
-    assert_int_equal(world_total_starts(w), 3);
-    world_finish(w);
+    assert_int_equal(sim_total_starts(cluster), 3);
+    sim_finish(cluster);
 }
 
 int main(void)
--- a/tests/test_limits.c
+++ b/tests/test_limits.c
@@ -1,23 +1,23 @@
 /* Limits of the key-value store that fall without notice, and submissions that exceed them. */
 #include "check.h"
-#include "world.h"
+#include "sim_cluster.h"
 
 static void test_unannounced_lower_limits(void **state)
 {
     (void)state;
-    struct world *w = world_with_machines(6);
-    w->run_time_s = 20;
-    world_submit_interleaved(w, "run-1", 200);
-    w->value_kb = 0.8;
-    w->txn_ops = 3;
-    world_submit(w, 1, world_job("run-2", 40, 0.4));
-    assert_true(world_until(w, 10, world_some_running, "run-2"));
-    assert_true(world_until(w, 90, world_all_done, "run-1"));
-    assert_true(world_until(w, 60, world_all_done, "run-2"));
+    struct sim_cluster *cluster = sim_with_machines(6);
+    cluster->run_time_s = 20;
+    sim_submit_interleaved(cluster, "run-1", 200);
+    cluster->value_kb = 0.8;
+    cluster->txn_ops = 3;
+    sim_submit(cluster, 1, sim_job("run-2", 40, 0.4));
+    assert_true(sim_until(cluster, 10, sim_some_running, "run-2"));
+    assert_true(sim_until(cluster, 90, sim_all_done, "run-1"));
+    assert_true(sim_until(cluster, 60, sim_all_done, "run-2"));
     /* Each refusal halves the size of the next attempt, so that retries are bounded. */
-    assert_true(w->too_large > 0 && w->too_large < 20);
-    assert_string_equal(w->violations->str, "");
-    world_free(w);
+    assert_true(cluster->too_large > 0 && cluster->too_large < 20);
+    assert_string_equal(cluster->violations->str, "");
+    sim_free(cluster);
 }
 
 /* Transactions are refused for their number of changes; the limit of a single value has fallen less, and a
@@ -25,29 +25,29 @@
 static void test_lower_txn_ops_does_not_lower_the_value_size(void **state)
 {
     (void)state;
-    struct world *w = world_new();
-    for (int i = 0; i < WORLD_CONTROLLERS; i++) {
-        w->settings[i].txn_ops = 64;
-        world_start_controller(w, i);
+    struct sim_cluster *cluster = sim_new();
+    for (int i = 0; i < SIM_CONTROLLERS; i++) {
+        cluster->settings[i].txn_ops = 64;
+        sim_start_controller(cluster, i);
     }
-    world_add_machines(w, 6);
-    world_run(w, 8);
-    w->capacity = 4;
-    w->txn_ops = 1;
-    w->value_kb = 1;
+    sim_add_machines(cluster, 6);
+    sim_run(cluster, 8);
+    cluster->capacity = 4;
+    cluster->txn_ops = 1;
+    cluster->value_kb = 1;
     for (int i = 0; i < 40; i++) {
         char id[OW_ID_MAX + 1];
         g_snprintf(id, sizeof id, "run-%d", 100 + i);
-        world_submit(w, world_leader(w), world_job(id, 1, 0.4));
+        sim_submit(cluster, sim_leader(cluster), sim_job(id, 1, 0.4));
     }
-    world_run(w, 30);
-    assert_true(w->too_large > 0);
-    uint64_t asked = world_submit(w, world_leader(w), world_job("run-1", 2, 0.4));
-    world_run(w, 2);
-    assert_int_equal(world_status(w, asked), 201);
-    assert_true(world_until(w, 30, world_all_done, "run-1"));
-    assert_string_equal(w->violations->str, "");
-    world_free(w);
+    sim_run(cluster, 30);
+    assert_true(cluster->too_large > 0);
+    uint64_t asked = sim_submit(cluster, sim_leader(cluster), sim_job("run-1", 2, 0.4));
+    sim_run(cluster, 2);
+    assert_int_equal(sim_status(cluster, asked), 201);
+    assert_true(sim_until(cluster, 30, sim_all_done, "run-1"));
+    assert_string_equal(cluster->violations->str, "");
+    sim_free(cluster);
 }
 
 /* A repeat of a job that another controller has accepted is recognized by its id, whatever the limit of this
@@ -55,23 +55,23 @@
 static void test_known_job_is_not_rejected_for_its_size(void **state)
 {
     (void)state;
-    struct world *w = world_with_machines(2);
-    int here = (world_leader(w) + 1) % WORLD_CONTROLLERS;
-    double value_kb = w->value_kb;
-    w->value_kb = 0.1;
-    world_submit(w, here, world_job("run-1", 1, 1));
-    world_run(w, 2);
-    w->value_kb = value_kb;
-    w->silent_watches = true;
-    w->peers_cut = true;
-    uint64_t accepted = world_submit(w, world_leader(w), world_job("run-2", 1, 1));
-    world_run(w, 1);
-    assert_int_equal(world_status(w, accepted), 201);
-    uint64_t repeated = world_submit(w, here, world_job("run-2", 1, 1));
-    world_run(w, 2);
-    assert_int_equal(world_status(w, repeated), 200);
-    assert_string_equal(w->violations->str, "");
-    world_free(w);
+    struct sim_cluster *cluster = sim_with_machines(2);
+    int here = (sim_leader(cluster) + 1) % SIM_CONTROLLERS;
+    double value_kb = cluster->value_kb;
+    cluster->value_kb = 0.1;
+    sim_submit(cluster, here, sim_job("run-1", 1, 1));
+    sim_run(cluster, 2);
+    cluster->value_kb = value_kb;
+    cluster->silent_watches = true;
+    cluster->peers_cut = true;
+    uint64_t accepted = sim_submit(cluster, sim_leader(cluster), sim_job("run-2", 1, 1));
+    sim_run(cluster, 1);
+    assert_int_equal(sim_status(cluster, accepted), 201);
+    uint64_t repeated = sim_submit(cluster, here, sim_job("run-2", 1, 1));
+    sim_run(cluster, 2);
+    assert_int_equal(sim_status(cluster, repeated), 200);
+    assert_string_equal(cluster->violations->str, "");
+    sim_free(cluster);
 }
 
 /* The limit has fallen below the size of a job's record, without notice: the submission is rejected at once.
@@ -79,29 +79,29 @@
 static void test_submission_refused_by_the_state_service_is_rejected(void **state)
 {
     (void)state;
-    struct world *w = world_with_machines(1);
-    w->value_kb = 0.1;
-    uint64_t asked = world_submit(w, 0, world_job("run-1", 1, 1));
-    world_run(w, 2);
-    assert_int_equal(world_status(w, asked), 422);
-    world_free(w);
+    struct sim_cluster *cluster = sim_with_machines(1);
+    cluster->value_kb = 0.1;
+    uint64_t asked = sim_submit(cluster, 0, sim_job("run-1", 1, 1));
+    sim_run(cluster, 2);
+    assert_int_equal(sim_status(cluster, asked), 422);
+    sim_free(cluster);
 }
 
 static void test_oversized_submission_is_rejected(void **state)
 {
     (void)state;
-    struct world *w = world_with_machines(1);
-    struct ow_submission *submission = world_job("run-1", 1, 1);
+    struct sim_cluster *cluster = sim_with_machines(1);
+    struct ow_submission *submission = sim_job("run-1", 1, 1);
     GPtrArray *types = g_ptr_array_new();
     for (int i = 0; i < 200; i++)
         g_ptr_array_add(types, g_strdup_printf("a-type-with-a-rather-long-name-and-a-number-%d", i));
     g_ptr_array_add(types, g_strdup("big"));
     g_ptr_array_add(types, NULL);
     submission->types = (char **)g_ptr_array_free(types, FALSE);
-    uint64_t asked = world_submit(w, 0, submission);
-    world_run(w, 1);
-    assert_int_equal(world_answer(w, asked)->status, 422);
-    world_finish(w);
+    uint64_t asked = sim_submit(cluster, 0, submission);
+    sim_run(cluster, 1);
+    assert_int_equal(sim_answer(cluster, asked)->status, 422);
+    sim_finish(cluster);
 }
 
 int main(void)
--- a/tests/test_production_format.c
+++ b/tests/test_production_format.c
@@ -1,7 +1,7 @@
 /* Records and messages of the production version. Production's own code wrote the files in
  * fixtures/production. */
 #include "check.h"
-#include "world.h"
+#include "sim_cluster.h"
 
 #include "core/records/records.h"
 #include "wire/json.h"
--- a/tests/test_records.c
+++ b/tests/test_records.c
@@ -6,7 +6,7 @@
 #include "core/interner.h"
 #include "wire/json.h"
 #include "wire/records_json.h"
-#include "world.h"
+#include "sim_cluster.h"
 
 #include <string.h>
 
@@ -90,11 +90,11 @@
     struct ow_interners names = {ow_interner_new(), ow_interner_new(), ow_interner_new(), ow_interner_new(),
                                  ow_interner_new()};
     struct ow_jobs *jobs = ow_jobs_new(&names);
-    assert_non_null(ow_jobs_apply(jobs, "run-1", 5, OW_JOB_QUEUED, world_job("run-1", 1, 1), 0, 0));
+    assert_non_null(ow_jobs_apply(jobs, "run-1", 5, OW_JOB_QUEUED, sim_job("run-1", 1, 1), 0, 0));
     assert_int_equal(ow_jobs_open(jobs)->len, 1);
     assert_non_null(ow_jobs_apply(jobs, "run-1", 9, OW_JOB_DONE, NULL, 0, 0));
     /* A list page that was read earlier arrives late: a job that has ended must stay ended. */
-    assert_null(ow_jobs_apply(jobs, "run-1", 5, OW_JOB_QUEUED, world_job("run-1", 1, 1), 0, 0));
+    assert_null(ow_jobs_apply(jobs, "run-1", 5, OW_JOB_QUEUED, sim_job("run-1", 1, 1), 0, 0));
     assert_int_equal(ow_jobs_find(jobs, "run-1")->state, OW_JOB_DONE);
     assert_int_equal(ow_jobs_open(jobs)->len, 0);
     ow_jobs_free(jobs);
--- a/tests/test_replica_moves.c
+++ b/tests/test_replica_moves.c
@@ -1,6 +1,6 @@
 /* Services: replicas move off machines that are reclaimed, faulty, shared or about to lose their lease. */
 #include "check.h"
-#include "world.h"
+#include "sim_cluster.h"
 
 /* A spot machine is about to be reclaimed: its replica moves while it is still running, once there is a place
  * for it.
@@ -8,63 +8,63 @@
 static void test_replica_moves_off_a_preempted_spot_machine(void **state)
 {
     (void)state;
-    struct world *w = world_with_capacity(0, 4);
-    world_add_machine(w, "s-0", "big", "east", true);
-    struct ow_submission *service = world_service("run-1", 1, 1);
+    struct sim_cluster *cluster = sim_with_capacity(0, 4);
+    sim_add_machine(cluster, "s-0", "big", "east", true);
+    struct ow_submission *service = sim_service("run-1", 1, 1);
     service->spot = true;
-    world_start_job(w, service);
-    struct world_machine *old = world_where(w, "run-1");
+    sim_start_job(cluster, service);
+    struct sim_machine *old = sim_where(cluster, "run-1");
     /* Another machine that has the image. */
-    world_add_machine(w, "m-0", "big", "east", false);
-    struct ow_submission *other = world_job("run-2", 16, 1);
-    w->run_time_s = 2;
-    world_submit(w, 0, other);
-    world_run(w, 12);
+    sim_add_machine(cluster, "m-0", "big", "east", false);
+    struct ow_submission *other = sim_job("run-2", 16, 1);
+    cluster->run_time_s = 2;
+    sim_submit(cluster, 0, other);
+    sim_run(cluster, 12);
     old->reclaim_notice_s = 12;
-    old->heartbeat_at = w->now;
-    world_run(w, 4);
-    assert_true(world_where(w, "run-1") != NULL && world_where(w, "run-1") != old);
-    world_finish(w);
+    old->heartbeat_at = cluster->now;
+    sim_run(cluster, 4);
+    assert_true(sim_where(cluster, "run-1") != NULL && sim_where(cluster, "run-1") != old);
+    sim_finish(cluster);
 }
 
-static unsigned replicas_on_spot(struct world *w, const char *job)
+static unsigned replicas_on_spot(struct sim_cluster *cluster, const char *job)
 {
     unsigned count = 0;
-    for (guint i = 0; i < w->machines->len; i++) {
-        const struct world_machine *machine = world_machine_at(w, i);
-        count += machine->spot && !machine->gone ? world_tasks_on(machine, job) : 0;
+    for (guint i = 0; i < cluster->machines->len; i++) {
+        const struct sim_machine *machine = sim_machine_at(cluster, i);
+        count += machine->spot && !machine->gone ? sim_tasks_on(machine, job) : 0;
     }
     return count;
 }
 
 /* Every spot machine reports its remaining time each second until it is reclaimed. */
-static void take_spot_machines(struct world *w, int reclaim_notice_s)
+static void take_spot_machines(struct sim_cluster *cluster, int reclaim_notice_s)
 {
     for (int left = reclaim_notice_s; left > 0; left--) {
-        for (guint i = 0; i < w->machines->len; i++) {
-            struct world_machine *machine = world_machine_at(w, i);
+        for (guint i = 0; i < cluster->machines->len; i++) {
+            struct sim_machine *machine = sim_machine_at(cluster, i);
             if (!machine->spot)
                 continue;
             machine->reclaim_notice_s = left;
-            machine->heartbeat_at = w->now;
+            machine->heartbeat_at = cluster->now;
         }
-        world_run(w, 1);
+        sim_run(cluster, 1);
     }
 }
 
 /* A service whose replicas run on spot machines, one on each. */
-static struct world *with_replicas_on_spot_machines(uint32_t replicas)
+static struct sim_cluster *with_replicas_on_spot_machines(uint32_t replicas)
 {
-    struct world *w = world_with_capacity(0, 4);
-    struct ow_submission *service = world_service("run-1", replicas, 1);
-    w->capacity = 0;
+    struct sim_cluster *cluster = sim_with_capacity(0, 4);
+    struct ow_submission *service = sim_service("run-1", replicas, 1);
+    cluster->capacity = 0;
     service->spot = true;
-    world_add_group(w, "s", (int)replicas, "east", true);
-    world_run(w, 4);
-    world_submit(w, 0, service);
-    world_run(w, 6);
-    assert_int_equal(replicas_on_spot(w, "run-1"), replicas);
-    return w;
+    sim_add_group(cluster, "s", (int)replicas, "east", true);
+    sim_run(cluster, 4);
+    sim_submit(cluster, 0, service);
+    sim_run(cluster, 6);
+    assert_int_equal(replicas_on_spot(cluster, "run-1"), replicas);
+    return cluster;
 }
 
 /* No other machine has the image. The replica is still stopped before its machine is reclaimed: proof that it
@@ -72,14 +72,14 @@
 static void test_replica_moves_to_a_machine_without_its_image(void **state)
 {
     (void)state;
-    struct world *w = with_replicas_on_spot_machines(1);
-    struct world_machine *old = world_machine(w, "s-0");
-    world_add_machine(w, "m-0", "big", "east", false);
-    world_run(w, 4);
-    take_spot_machines(w, 7);
-    assert_int_equal(world_tasks_on(old, "run-1"), 0);
-    assert_int_equal(world_tasks_on(world_machine(w, "m-0"), "run-1"), 1);
-    world_finish(w);
+    struct sim_cluster *cluster = with_replicas_on_spot_machines(1);
+    struct sim_machine *old = sim_machine(cluster, "s-0");
+    sim_add_machine(cluster, "m-0", "big", "east", false);
+    sim_run(cluster, 4);
+    take_spot_machines(cluster, 7);
+    assert_int_equal(sim_tasks_on(old, "run-1"), 0);
+    assert_int_equal(sim_tasks_on(sim_machine(cluster, "m-0"), "run-1"), 1);
+    sim_finish(cluster);
 }
 
 /* All machines of a service are reclaimed at once, and soon: there is no time to move the replicas one by
@@ -87,25 +87,25 @@
 static void test_all_replicas_move_before_a_spot_reclaim(void **state)
 {
     (void)state;
-    struct world *w = with_replicas_on_spot_machines(6);
-    struct ow_submission *other = world_job("run-2", 96, 1);
+    struct sim_cluster *cluster = with_replicas_on_spot_machines(6);
+    struct ow_submission *other = sim_job("run-2", 96, 1);
     other->spot = false;
-    world_add_machines(w, 6);
-    w->run_time_s = 2;
-    world_submit(w, 0, other);
-    assert_true(world_until(w, 30, world_all_done, "run-2"));
-    w->run_time_s = 200;
-    take_spot_machines(w, 8);
-    assert_int_equal(replicas_on_spot(w, "run-1"), 0);
-    world_run(w, 2);
-    assert_int_equal(world_running(w, "run-1"), 6);
-    world_finish(w);
+    sim_add_machines(cluster, 6);
+    cluster->run_time_s = 2;
+    sim_submit(cluster, 0, other);
+    assert_true(sim_until(cluster, 30, sim_all_done, "run-2"));
+    cluster->run_time_s = 200;
+    take_spot_machines(cluster, 8);
+    assert_int_equal(replicas_on_spot(cluster, "run-1"), 0);
+    sim_run(cluster, 2);
+    assert_int_equal(sim_running(cluster, "run-1"), 6);
+    sim_finish(cluster);
 }
 
 /* A job with its own class that may only run in the west zone. */
 static struct ow_submission *western_job(const char *id)
 {
-    struct ow_submission *submission = world_job(id, 1, 1);
+    struct ow_submission *submission = sim_job(id, 1, 1);
     g_free(submission->class_name);
     submission->class_name = g_strdup(id);
     submission->zone = g_strdup("west");
@@ -116,50 +116,50 @@
 static void test_replica_moves_off_a_faulty_machine(void **state)
 {
     (void)state;
-    struct world *w = world_with_capacity(3, 4);
-    struct world_machine *faulty = world_add_machine(w, "w-0", "big", "west", false);
-    w->capacity = 0;
-    w->run_time_s = 200;
-    world_run(w, 4);
-    world_submit(w, 0, world_service("run-1", 3, 1));
-    world_run(w, 6);
-    assert_int_equal(world_tasks_on(faulty, "run-1"), 1);
+    struct sim_cluster *cluster = sim_with_capacity(3, 4);
+    struct sim_machine *faulty = sim_add_machine(cluster, "w-0", "big", "west", false);
+    cluster->capacity = 0;
+    cluster->run_time_s = 200;
+    sim_run(cluster, 4);
+    sim_submit(cluster, 0, sim_service("run-1", 3, 1));
+    sim_run(cluster, 6);
+    assert_int_equal(sim_tasks_on(faulty, "run-1"), 1);
     /* The machine without a replica has the image and is not idle. */
-    struct ow_submission *other = world_job("run-9", 3, 15);
+    struct ow_submission *other = sim_job("run-9", 3, 15);
     other->zone = g_strdup("east");
-    world_submit(w, 0, other);
-    world_run(w, 6);
+    sim_submit(cluster, 0, other);
+    sim_run(cluster, 6);
     faulty->faulty = true;
-    world_submit(w, 0, western_job("run-2"));
-    world_run(w, 26);
-    world_submit(w, 0, western_job("run-3"));
-    assert_true(world_until(w, 40, world_is_gone, faulty));
-    assert_true(world_until(w, 4, world_three_running, "run-1"));
-    world_finish(w);
+    sim_submit(cluster, 0, western_job("run-2"));
+    sim_run(cluster, 26);
+    sim_submit(cluster, 0, western_job("run-3"));
+    assert_true(sim_until(cluster, 40, sim_is_gone, faulty));
+    assert_true(sim_until(cluster, 4, sim_three_running, "run-1"));
+    sim_finish(cluster);
 }
 
 /* Capacity was short, and two replicas share a machine. Once there is another machine one of them moves. */
 static void test_replicas_separate_when_capacity_returns(void **state)
 {
     (void)state;
-    struct world *w = world_with_capacity(1, 4);
-    w->capacity = 0;
-    w->run_time_s = 200;
-    world_submit(w, 0, world_service("run-1", 2, 1));
-    world_run(w, 6);
-    assert_int_equal(world_tasks_on(world_machine(w, "m-0"), "run-1"), 2);
-    world_add_machine(w, "n-0", "big", "west", false);
-    world_submit(w, 0, world_job("run-2", 20, 1));
-    world_run(w, 90);
-    assert_int_equal(world_tasks_on(world_machine(w, "m-0"), "run-1"), 1);
-    assert_int_equal(world_tasks_on(world_machine(w, "n-0"), "run-1"), 1);
-    world_finish(w);
+    struct sim_cluster *cluster = sim_with_capacity(1, 4);
+    cluster->capacity = 0;
+    cluster->run_time_s = 200;
+    sim_submit(cluster, 0, sim_service("run-1", 2, 1));
+    sim_run(cluster, 6);
+    assert_int_equal(sim_tasks_on(sim_machine(cluster, "m-0"), "run-1"), 2);
+    sim_add_machine(cluster, "n-0", "big", "west", false);
+    sim_submit(cluster, 0, sim_job("run-2", 20, 1));
+    sim_run(cluster, 90);
+    assert_int_equal(sim_tasks_on(sim_machine(cluster, "m-0"), "run-1"), 1);
+    assert_int_equal(sim_tasks_on(sim_machine(cluster, "n-0"), "run-1"), 1);
+    sim_finish(cluster);
 }
 
-static bool has_no_replica(struct world *w, const void *machine)
+static bool has_no_replica(struct sim_cluster *cluster, const void *machine)
 {
-    (void)w;
-    return world_tasks_on(machine, "run-1") == 0;
+    (void)cluster;
+    return sim_tasks_on(machine, "run-1") == 0;
 }
 
 /* A machine whose reports don't arrive loses its lease, although it answers commands: its replica moves
@@ -167,19 +167,19 @@
 static void test_replica_moves_before_its_machine_loses_its_lease(void **state)
 {
     (void)state;
-    struct world *w = world_with_service(4, 3);
-    w->run_time_s = 200;
-    world_submit(w, 0, world_job("run-9", 4, 12));
-    world_run(w, 6);
-    struct world_machine *machine = world_where(w, "run-1");
+    struct sim_cluster *cluster = sim_with_service(4, 3);
+    cluster->run_time_s = 200;
+    sim_submit(cluster, 0, sim_job("run-9", 4, 12));
+    sim_run(cluster, 6);
+    struct sim_machine *machine = sim_where(cluster, "run-1");
     unsigned starts = machine->starts;
     machine->stopped_reporting = true;
-    double lost_at = w->now + w->settings[0].lease_s;
-    assert_true(world_until(w, w->settings[0].lease_s, has_no_replica, machine));
-    assert_true(world_until(w, 4, world_three_running, "run-1"));
-    assert_true(w->now < lost_at - 2);
+    double lost_at = cluster->now + cluster->settings[0].lease_s;
+    assert_true(sim_until(cluster, cluster->settings[0].lease_s, has_no_replica, machine));
+    assert_true(sim_until(cluster, 4, sim_three_running, "run-1"));
+    assert_true(cluster->now < lost_at - 2);
     assert_int_equal(machine->starts, starts);
-    world_finish(w);
+    sim_finish(cluster);
 }
 
 /* Nobody else has the image, and it takes long to fetch: the machine may report again in time, so its replica
@@ -187,25 +187,25 @@
 static void test_replica_with_a_large_image_waits_for_its_machine(void **state)
 {
     (void)state;
-    struct world *w = world_with_machines(1);
-    w->capacity = 0;
-    struct ow_submission *service = world_service("run-1", 1, 1);
+    struct sim_cluster *cluster = sim_with_machines(1);
+    cluster->capacity = 0;
+    struct ow_submission *service = sim_service("run-1", 1, 1);
     service->image_gb = 60;
-    world_submit(w, 0, service);
-    assert_true(world_until(w, 10, world_some_running, "run-1"));
-    struct world_machine *machine = world_where(w, "run-1");
-    world_add_machine(w, "n-0", "big", "west", false);
-    world_run(w, 4);
-    machine->heartbeat_at = w->now;
-    world_run(w, 0.5);
+    sim_submit(cluster, 0, service);
+    assert_true(sim_until(cluster, 10, sim_some_running, "run-1"));
+    struct sim_machine *machine = sim_where(cluster, "run-1");
+    sim_add_machine(cluster, "n-0", "big", "west", false);
+    sim_run(cluster, 4);
+    machine->heartbeat_at = cluster->now;
+    sim_run(cluster, 0.5);
     machine->stopped_reporting = true;
-    world_run(w, w->settings[0].lease_s - 2);
+    sim_run(cluster, cluster->settings[0].lease_s - 2);
     machine->stopped_reporting = false;
-    machine->heartbeat_at = w->now;
-    world_run(w, 10);
-    assert_int_equal(world_tasks_on(machine, "run-1"), 1);
+    machine->heartbeat_at = cluster->now;
+    sim_run(cluster, 10);
+    assert_int_equal(sim_tasks_on(machine, "run-1"), 1);
     assert_int_equal(machine->starts, 1);
-    world_finish(w);
+    sim_finish(cluster);
 }
 
 int main(void)
--- a/tests/test_shard_settings.c
+++ b/tests/test_shard_settings.c
@@ -2,7 +2,7 @@
 #include "check.h"
 #include "sharding/shard_map.h"
 #include "sharding/shard_settings.h"
-#include "world.h"
+#include "sim_cluster.h"
 
 #include <string.h>
 
@@ -11,51 +11,52 @@
 static void test_controller_with_other_settings_leads_nothing(void **state)
 {
     (void)state;
-    struct world *w = world_with_shards(1);
-    world_kill_controllers(w);
-    ((struct ow_shard_settings *)g_ptr_array_index(w->sharding->shards, EAST))->share = 0.4;
-    world_start_controller(w, 0);
-    world_run(w, 30);
-    assert_int_equal(world_fencing_token(w, 0), 0);
-    const char *difference = ow_shard_manager_difference(w->controllers[0]);
+    struct sim_cluster *cluster = sim_with_shards(1);
+    sim_kill_controllers(cluster);
+    ((struct ow_shard_settings *)g_ptr_array_index(cluster->sharding->shards, EAST))->share = 0.4;
+    sim_start_controller(cluster, 0);
+    sim_run(cluster, 30);
+    assert_int_equal(sim_fencing_token(cluster, 0), 0);
+    const char *difference = ow_shard_manager_difference(cluster->controllers[0]);
     assert_non_null(difference);
     assert_non_null(
         strstr(difference, "shard east: share of team open: \"0.4\" here, \"0.5\" in the stored map"));
-    world_finish(w);
+    sim_finish(cluster);
 }
 
 /* The records of a fleet in use would be lost from sight. */
 static void test_fleet_in_use_is_not_divided(void **state)
 {
     (void)state;
-    struct world *w = world_with_controllers(WORLD_CONTROLLERS, 1);
-    struct world *divided = world_with_shards(0);
-    world_kill_controllers(w);
-    w->sharding = g_steal_pointer(&divided->sharding);
-    world_kill_controllers(divided);
-    world_start_controllers(w);
-    world_run(w, 10);
-    for (int i = 0; i < WORLD_CONTROLLERS; i++) {
-        assert_int_equal(world_fencing_token(w, i), 0);
-        assert_non_null(strstr(ow_shard_manager_difference(w->controllers[i]), "in use without shards"));
+    struct sim_cluster *cluster = sim_with_controllers(SIM_CONTROLLERS, 1);
+    struct sim_cluster *divided = sim_with_shards(0);
+    sim_kill_controllers(cluster);
+    cluster->sharding = g_steal_pointer(&divided->sharding);
+    sim_kill_controllers(divided);
+    sim_start_controllers(cluster);
+    sim_run(cluster, 10);
+    for (int i = 0; i < SIM_CONTROLLERS; i++) {
+        assert_int_equal(sim_fencing_token(cluster, i), 0);
+        assert_non_null(
+            strstr(ow_shard_manager_difference(cluster->controllers[i]), "in use without shards"));
     }
-    world_finish(w);
-    world_free(divided);
+    sim_finish(cluster);
+    sim_free(divided);
 }
 
 /* A controller that does not know of shards must not lead the machines of a divided fleet. */
 static void test_undivided_controller_leads_nothing_of_a_divided_fleet(void **state)
 {
     (void)state;
-    struct world *w = world_with_shards(1);
-    struct ow_sharding_settings *sharding = g_steal_pointer(&w->sharding);
-    world_kill_controller(w, 0);
-    world_start_controller(w, 0);
-    world_run(w, 30);
-    assert_int_equal(world_fencing_token(w, 0), 0);
-    world_kill_controllers(w);
-    w->sharding = sharding;
-    world_finish(w);
+    struct sim_cluster *cluster = sim_with_shards(1);
+    struct ow_sharding_settings *sharding = g_steal_pointer(&cluster->sharding);
+    sim_kill_controller(cluster, 0);
+    sim_start_controller(cluster, 0);
+    sim_run(cluster, 30);
+    assert_int_equal(sim_fencing_token(cluster, 0), 0);
+    sim_kill_controllers(cluster);
+    cluster->sharding = sharding;
+    sim_finish(cluster);
 }
 
 static void test_machines_belong_to_one_shard(void **state)
@@ -85,13 +86,13 @@
 static void test_parts_never_exceed_the_whole(void **state)
 {
     (void)state;
-    struct world *w = world_with_shards(0);
-    const struct ow_settings *whole = &w->settings[0];
-    ((struct ow_shard_settings *)g_ptr_array_index(w->sharding->shards, EAST))->share = 1;
-    ((struct ow_shard_settings *)g_ptr_array_index(w->sharding->shards, WEST))->share = 0;
+    struct sim_cluster *cluster = sim_with_shards(0);
+    const struct ow_settings *whole = &cluster->settings[0];
+    ((struct ow_shard_settings *)g_ptr_array_index(cluster->sharding->shards, EAST))->share = 1;
+    ((struct ow_shard_settings *)g_ptr_array_index(cluster->sharding->shards, WEST))->share = 0;
     double store_rps = 0, write_rps = 0, cloud_rps = 0, limit = 0;
     for (guint shard = 0; shard < SHARDS; shard++) {
-        struct ow_settings *part = ow_shard_settings_new(w->sharding, shard, whole);
+        struct ow_settings *part = ow_shard_settings_new(cluster->sharding, shard, whole);
         const struct ow_team_settings *tight = &g_array_index(part->teams, struct ow_team_settings, 1);
         assert_true(tight->cpus_max > 0);
         assert_true(tight->gpus_max == 0);
@@ -104,7 +105,7 @@
     assert_true(store_rps <= whole->store_rps && write_rps <= whole->store_write_rps);
     assert_true(cloud_rps <= whole->cloud_rps);
     assert_true(limit <= 8.001);
-    world_finish(w);
+    sim_finish(cluster);
 }
 
 int main(void)
--- a/tests/test_shards.c
+++ b/tests/test_shards.c
@@ -1,33 +1,33 @@
 /* A fleet divided into shards, on the simulated cluster: who leads what, and handovers. */
 #include "check.h"
-#include "world.h"
+#include "sim_cluster.h"
 
 enum { EAST, WEST };
 
-static const struct ow_shard *shard_view(const struct world *w, int controller, guint shard)
+static const struct ow_shard *shard_view(const struct sim_cluster *cluster, int controller, guint shard)
 {
-    return g_ptr_array_index(ow_shard_manager_shards(w->controllers[controller]), shard);
+    return g_ptr_array_index(ow_shard_manager_shards(cluster->controllers[controller]), shard);
 }
 
-static uint64_t shard_fencing_token(const struct world *w, guint shard)
+static uint64_t shard_fencing_token(const struct sim_cluster *cluster, guint shard)
 {
-    return shard_view(w, world_shard_leader(w, shard), shard)->status.fencing_token;
+    return shard_view(cluster, sim_shard_leader(cluster, shard), shard)->status.fencing_token;
 }
 
 /* The controllers that believe that they lead the shard, stopped ones left out. */
-static int count_leaders(const struct world *w, guint shard)
+static int count_leaders(const struct sim_cluster *cluster, guint shard)
 {
     int count = 0;
-    for (int i = 0; i < WORLD_CONTROLLERS; i++)
-        if (w->controllers[i] != NULL && !w->frozen[i])
-            count += shard_view(w, i, shard)->status.fencing_token != 0 ? 1 : 0;
+    for (int i = 0; i < SIM_CONTROLLERS; i++)
+        if (cluster->controllers[i] != NULL && !cluster->frozen[i])
+            count += shard_view(cluster, i, shard)->status.fencing_token != 0 ? 1 : 0;
     return count;
 }
 
-static bool handed_over(struct world *w, const void *old_fencing_token)
+static bool handed_over(struct sim_cluster *cluster, const void *old_fencing_token)
 {
-    return world_shard_leader(w, EAST) >= 0 &&
-           shard_fencing_token(w, EAST) > *(const uint64_t *)old_fencing_token;
+    return sim_shard_leader(cluster, EAST) >= 0 &&
+           shard_fencing_token(cluster, EAST) > *(const uint64_t *)old_fencing_token;
 }
 
 /* ---- who leads ---- */
@@ -35,59 +35,60 @@
 static void test_shards_are_led_by_different_controllers(void **state)
 {
     (void)state;
-    struct world *w = world_with_shards(2);
-    assert_int_equal(count_leaders(w, EAST), 1);
-    assert_int_equal(count_leaders(w, WEST), 1);
-    assert_int_not_equal(world_shard_leader(w, EAST), world_shard_leader(w, WEST));
-    assert_int_not_equal(shard_fencing_token(w, EAST), shard_fencing_token(w, WEST));
+    struct sim_cluster *cluster = sim_with_shards(2);
+    assert_int_equal(count_leaders(cluster, EAST), 1);
+    assert_int_equal(count_leaders(cluster, WEST), 1);
+    assert_int_not_equal(sim_shard_leader(cluster, EAST), sim_shard_leader(cluster, WEST));
+    assert_int_not_equal(shard_fencing_token(cluster, EAST), shard_fencing_token(cluster, WEST));
     /* Each machine has seen the fencing token of its own shard. */
-    assert_int_equal(world_machine(w, "east-0")->fencing_token, shard_fencing_token(w, EAST));
-    assert_int_equal(world_machine(w, "west-1")->fencing_token, shard_fencing_token(w, WEST));
-    world_finish(w);
+    assert_int_equal(sim_machine(cluster, "east-0")->fencing_token, shard_fencing_token(cluster, EAST));
+    assert_int_equal(sim_machine(cluster, "west-1")->fencing_token, shard_fencing_token(cluster, WEST));
+    sim_finish(cluster);
 }
 
 static void test_ended_controller_hands_over_and_gets_nothing_back(void **state)
 {
     (void)state;
-    struct world *w = world_with_shards(2);
-    w->run_time_s = 60;
-    int old = world_shard_leader(w, EAST);
-    uint64_t fencing_token = shard_fencing_token(w, EAST);
-    uint64_t west_fencing_token = shard_fencing_token(w, WEST);
-    world_accept(w, 0, world_job_in("run-1", "east", 2));
-    world_kill_controller(w, old);
-    assert_true(world_until(w, 15, handed_over, &fencing_token));
-    int successor = world_shard_leader(w, EAST);
+    struct sim_cluster *cluster = sim_with_shards(2);
+    cluster->run_time_s = 60;
+    int old = sim_shard_leader(cluster, EAST);
+    uint64_t fencing_token = shard_fencing_token(cluster, EAST);
+    uint64_t west_fencing_token = shard_fencing_token(cluster, WEST);
+    sim_accept(cluster, 0, sim_job_in("run-1", "east", 2));
+    sim_kill_controller(cluster, old);
+    assert_true(sim_until(cluster, 15, handed_over, &fencing_token));
+    int successor = sim_shard_leader(cluster, EAST);
     /* Its tasks ran on through the handover, and new ones start. */
-    world_accept(w, successor, world_job_in("run-2", "east", 1));
-    assert_int_equal(world_running(w, "run-1"), 2);
-    assert_int_equal(world_running(w, "run-2"), 1);
-    assert_int_equal(shard_fencing_token(w, WEST), west_fencing_token);
+    sim_accept(cluster, successor, sim_job_in("run-2", "east", 1));
+    assert_int_equal(sim_running(cluster, "run-1"), 2);
+    assert_int_equal(sim_running(cluster, "run-2"), 1);
+    assert_int_equal(shard_fencing_token(cluster, WEST), west_fencing_token);
     /* When it is back, work does not bounce. */
-    fencing_token = shard_fencing_token(w, EAST);
-    world_start_controller(w, old);
-    world_run(w, 20);
-    assert_int_equal(world_shard_leader(w, EAST), successor);
-    assert_int_equal(shard_fencing_token(w, EAST), fencing_token);
-    world_finish(w);
+    fencing_token = shard_fencing_token(cluster, EAST);
+    sim_start_controller(cluster, old);
+    sim_run(cluster, 20);
+    assert_int_equal(sim_shard_leader(cluster, EAST), successor);
+    assert_int_equal(shard_fencing_token(cluster, EAST), fencing_token);
+    sim_finish(cluster);
 }
 
 /* A lost link is no evidence: before the lease has ended nobody is replaced. */
 static void test_lost_link_moves_nothing(void **state)
 {
     (void)state;
-    struct world *w = world_with_shards(1);
-    world_run(w, 10);
-    int old = world_shard_leader(w, EAST);
-    uint64_t fencing_token = shard_fencing_token(w, EAST);
-    world_lose_link(w, (old + 1) % WORLD_CONTROLLERS, old);
-    w->peers_cut = true;
-    world_run(w, 30);
-    assert_int_equal(shard_fencing_token(w, EAST), fencing_token);
-    int other = (old + 1) % WORLD_CONTROLLERS;
-    const struct ow_member *member = g_ptr_array_index(ow_shard_manager_members(w->controllers[other]), 0);
+    struct sim_cluster *cluster = sim_with_shards(1);
+    sim_run(cluster, 10);
+    int old = sim_shard_leader(cluster, EAST);
+    uint64_t fencing_token = shard_fencing_token(cluster, EAST);
+    sim_lose_link(cluster, (old + 1) % SIM_CONTROLLERS, old);
+    cluster->peers_cut = true;
+    sim_run(cluster, 30);
+    assert_int_equal(shard_fencing_token(cluster, EAST), fencing_token);
+    int other = (old + 1) % SIM_CONTROLLERS;
+    const struct ow_member *member =
+        g_ptr_array_index(ow_shard_manager_members(cluster->controllers[other]), 0);
     assert_int_equal(member->state, OW_MEMBER_SUSPECTED);
-    world_finish(w);
+    sim_finish(cluster);
 }
 
 /* The same for a fleet of the default shard alone, whose records and messages are those of a fleet without
@@ -95,45 +96,45 @@
 static void test_default_shard_keeps_keys_and_leader(void **state)
 {
     (void)state;
-    struct world *w = world_new();
-    world_divide(w);
-    g_ptr_array_set_size(w->sharding->shards, 1);
-    struct ow_shard_settings *only = g_ptr_array_index(w->sharding->shards, 0);
+    struct sim_cluster *cluster = sim_new();
+    sim_divide(cluster);
+    g_ptr_array_set_size(cluster->sharding->shards, 1);
+    struct ow_shard_settings *only = g_ptr_array_index(cluster->sharding->shards, 0);
     g_free(only->name);
     only->name = g_strdup("default");
     only->share = 1;
     g_strfreev(only->zones);
     only->zones = g_strsplit("east west", " ", 0);
-    world_start_controllers(w);
-    world_add_group(w, "east", 1, "east", false);
-    world_run(w, 20);
-    world_accept(w, 0, world_job("run-1", 1, 1));
-    assert_non_null(world_value_text(w, "coordinator"));
-    assert_non_null(world_value_text(w, "j/run-1"));
-    int old = world_shard_leader(w, 0);
-    uint64_t fencing_token = shard_fencing_token(w, 0);
-    world_lose_link(w, (old + 1) % WORLD_CONTROLLERS, old);
-    world_run(w, 10);
-    assert_int_equal(world_shard_leader(w, 0), old);
-    assert_int_equal(shard_fencing_token(w, 0), fencing_token);
-    world_finish(w);
+    sim_start_controllers(cluster);
+    sim_add_group(cluster, "east", 1, "east", false);
+    sim_run(cluster, 20);
+    sim_accept(cluster, 0, sim_job("run-1", 1, 1));
+    assert_non_null(sim_value_text(cluster, "coordinator"));
+    assert_non_null(sim_value_text(cluster, "j/run-1"));
+    int old = sim_shard_leader(cluster, 0);
+    uint64_t fencing_token = shard_fencing_token(cluster, 0);
+    sim_lose_link(cluster, (old + 1) % SIM_CONTROLLERS, old);
+    sim_run(cluster, 10);
+    assert_int_equal(sim_shard_leader(cluster, 0), old);
+    assert_int_equal(shard_fencing_token(cluster, 0), fencing_token);
+    sim_finish(cluster);
 }
 
 /* The key-value store fails for all: nobody is condemned, and tasks run on. */
 static void test_outage_condemns_nobody(void **state)
 {
     (void)state;
-    struct world *w = world_with_shards(2);
-    w->run_time_s = 200;
-    world_accept(w, 0, world_job_in("run-1", "east", 2));
-    uint64_t fencing_token = shard_fencing_token(w, EAST);
-    w->store_down = true;
-    world_run(w, 60);
-    w->store_down = false;
-    world_run(w, 10);
-    assert_int_equal(shard_fencing_token(w, EAST), fencing_token);
-    assert_int_equal(world_running(w, "run-1"), 2);
-    world_finish(w);
+    struct sim_cluster *cluster = sim_with_shards(2);
+    cluster->run_time_s = 200;
+    sim_accept(cluster, 0, sim_job_in("run-1", "east", 2));
+    uint64_t fencing_token = shard_fencing_token(cluster, EAST);
+    cluster->store_down = true;
+    sim_run(cluster, 60);
+    cluster->store_down = false;
+    sim_run(cluster, 10);
+    assert_int_equal(shard_fencing_token(cluster, EAST), fencing_token);
+    assert_int_equal(sim_running(cluster, "run-1"), 2);
+    sim_finish(cluster);
 }
 
 /* ---- a frozen controller ---- */
@@ -141,25 +142,25 @@
 static void test_frozen_leader_never_shares_its_machines(void **state)
 {
     (void)state;
-    struct world *w = world_with_shards(2);
-    int old = world_shard_leader(w, EAST);
-    uint64_t fencing_token = shard_fencing_token(w, EAST);
-    world_accept(w, (old + 1) % WORLD_CONTROLLERS, world_job_in("run-1", "east", 3));
-    world_freeze(w, old);
-    world_run(w, 30);
-    assert_true(shard_fencing_token(w, EAST) > fencing_token);
-    uint64_t successor_fencing_token = shard_fencing_token(w, EAST);
-    world_accept(w, (old + 1) % WORLD_CONTROLLERS, world_job_in("run-2", "east", 3));
-    unsigned directs = w->directs;
-    world_thaw(w, old);
+    struct sim_cluster *cluster = sim_with_shards(2);
+    int old = sim_shard_leader(cluster, EAST);
+    uint64_t fencing_token = shard_fencing_token(cluster, EAST);
+    sim_accept(cluster, (old + 1) % SIM_CONTROLLERS, sim_job_in("run-1", "east", 3));
+    sim_freeze(cluster, old);
+    sim_run(cluster, 30);
+    assert_true(shard_fencing_token(cluster, EAST) > fencing_token);
+    uint64_t successor_fencing_token = shard_fencing_token(cluster, EAST);
+    sim_accept(cluster, (old + 1) % SIM_CONTROLLERS, sim_job_in("run-2", "east", 3));
+    unsigned directs = cluster->directs;
+    sim_thaw(cluster, old);
     /* Its first run after the pause has much that is due, and sends none of it. */
-    world_run(w, 0.05);
-    assert_true(w->directs - directs <= 2);
-    world_run(w, 10);
-    assert_int_equal(count_leaders(w, EAST), 1);
-    assert_int_equal(shard_fencing_token(w, EAST), successor_fencing_token);
-    assert_int_equal(world_machine(w, "east-0")->fencing_token, successor_fencing_token);
-    world_finish(w);
+    sim_run(cluster, 0.05);
+    assert_true(cluster->directs - directs <= 2);
+    sim_run(cluster, 10);
+    assert_int_equal(count_leaders(cluster, EAST), 1);
+    assert_int_equal(shard_fencing_token(cluster, EAST), successor_fencing_token);
+    assert_int_equal(sim_machine(cluster, "east-0")->fencing_token, successor_fencing_token);
+    sim_finish(cluster);
 }
 
 /* Workers of a leader that stands still turn to its successor only when they have waited for its answer. With
@@ -168,30 +169,30 @@
 static void test_successor_waits_for_workers_of_a_frozen_leader(void **state)
 {
     (void)state;
-    struct world *w = world_new();
-    for (int i = 0; i < WORLD_CONTROLLERS; i++)
-        w->settings[i].heartbeat_interval_s = 1;
-    w->tuning.leader_lease_s = 2;
-    world_divide(w);
-    world_start_controllers(w);
-    world_add_group(w, "east", 3, "east", false);
-    world_add_group(w, "west", 3, "west", false);
-    world_run(w, 10);
-    int old = world_shard_leader(w, EAST);
-    uint64_t fencing_token = shard_fencing_token(w, EAST);
-    world_freeze(w, old);
-    assert_true(world_until(w, 4, handed_over, &fencing_token));
-    fencing_token = shard_fencing_token(w, EAST);
-    world_run(w, 2.9); /* the workers still wait for the one that stands still */
-    world_thaw(w, old);
-    world_run(w, 20);
-    assert_int_equal(shard_fencing_token(w, EAST), fencing_token);
-    world_finish(w);
+    struct sim_cluster *cluster = sim_new();
+    for (int i = 0; i < SIM_CONTROLLERS; i++)
+        cluster->settings[i].heartbeat_interval_s = 1;
+    cluster->tuning.leader_lease_s = 2;
+    sim_divide(cluster);
+    sim_start_controllers(cluster);
+    sim_add_group(cluster, "east", 3, "east", false);
+    sim_add_group(cluster, "west", 3, "west", false);
+    sim_run(cluster, 10);
+    int old = sim_shard_leader(cluster, EAST);
+    uint64_t fencing_token = shard_fencing_token(cluster, EAST);
+    sim_freeze(cluster, old);
+    assert_true(sim_until(cluster, 4, handed_over, &fencing_token));
+    fencing_token = shard_fencing_token(cluster, EAST);
+    sim_run(cluster, 2.9); /* the workers still wait for the one that stands still */
+    sim_thaw(cluster, old);
+    sim_run(cluster, 20);
+    assert_int_equal(shard_fencing_token(cluster, EAST), fencing_token);
+    sim_finish(cluster);
 }
 
-static unsigned withheld(const struct world *w, int controller, guint shard)
+static unsigned withheld(const struct sim_cluster *cluster, int controller, guint shard)
 {
-    return shard_view(w, controller, shard)->withheld;
+    return shard_view(cluster, controller, shard)->withheld;
 }
 
 /* A leader that goes on after a pause longer than its lease, while nobody has taken its place: it sends
@@ -199,27 +200,29 @@
 static void test_nothing_leaves_after_a_pause_before_the_lease_is_proven(void **state)
 {
     (void)state;
-    struct world *w = world_with_shards(2);
-    w->run_time_s = 100;
-    int old = world_shard_leader(w, EAST);
-    world_accept(w, old, world_job_in("run-1", "east", 2));
-    for (int i = 0; i < WORLD_CONTROLLERS; i++)
+    struct sim_cluster *cluster = sim_with_shards(2);
+    cluster->run_time_s = 100;
+    int old = sim_shard_leader(cluster, EAST);
+    sim_accept(cluster, old, sim_job_in("run-1", "east", 2));
+    for (int i = 0; i < SIM_CONTROLLERS; i++)
         if (i != old)
-            world_kill_controller(w, i);
-    world_freeze(w, old);
-    world_run(w, 8);
-    world_thaw(w, old);
-    w->store_slow_s = 1;
-    unsigned before = withheld(w, old, EAST);
-    assert_int_equal(ow_lease_guard_check(&shard_view(w, old, EAST)->guard, w->now), OW_LEASE_UNPROVEN);
+            sim_kill_controller(cluster, i);
+    sim_freeze(cluster, old);
+    sim_run(cluster, 8);
+    sim_thaw(cluster, old);
+    cluster->store_slow_s = 1;
+    unsigned before = withheld(cluster, old, EAST);
+    assert_int_equal(ow_lease_guard_check(&shard_view(cluster, old, EAST)->guard, cluster->now),
+                     OW_LEASE_UNPROVEN);
     /* Reports come in, and what would be answered is not. */
-    world_heartbeat(w, old, world_machine(w, "east-0"), 1000, world_machine(w, "east-0")->fencing_token);
-    world_run(w, 0.6);
-    assert_true(withheld(w, old, EAST) > before);
-    w->store_slow_s = 0;
-    world_run(w, 20);
-    assert_int_equal(count_leaders(w, EAST), 1);
-    world_finish(w);
+    sim_heartbeat(cluster, old, sim_machine(cluster, "east-0"), 1000,
+                  sim_machine(cluster, "east-0")->fencing_token);
+    sim_run(cluster, 0.6);
+    assert_true(withheld(cluster, old, EAST) > before);
+    cluster->store_slow_s = 0;
+    sim_run(cluster, 20);
+    assert_int_equal(count_leaders(cluster, EAST), 1);
+    sim_finish(cluster);
 }
 
 int main(void)
