--- a/src/agent/agent.c
+++ b/src/agent/agent.c
@@ -6,6 +6,7 @@
 #include "io/http_server.h"
 #include "io/http_status.h"
 #include "io/net.h"
+#include "model/worker.h"
 #include "wire/agent_json.h"
 #include "wire/user_json.h"
 #include "wire/words.h"
--- a/src/agent/options.h
+++ b/src/agent/options.h
@@ -2,7 +2,10 @@
 #ifndef OW_AGENT_OPTIONS_H
 #define OW_AGENT_OPTIONS_H
 
-#include "core/types.h"
+#include "model/resources.h"
+
+#include <glib.h>
+#include <stdbool.h>
 
 struct agent_controller {
     char *name, *endpoint;
@@ -13,7 +16,7 @@
     char *listen;    /* ADDRESS:PORT that direct commands come to */
     char *advertise; /* how controllers reach that; the same unless there is something in between */
     bool spot;
-    struct ow_amounts size;
+    struct ow_resources size;
     double heartbeat_interval_s, lease_s;
     GArray *controllers; /* struct agent_controller */
     char *state_dir;     /* the agent's own: incarnation, lock */
--- a/src/agent/supervisor.h
+++ b/src/agent/supervisor.h
@@ -5,7 +5,9 @@
 
 #include "agent/history.h"
 #include "agent/lease.h"
-#include "core/types.h"
+#include <glib.h>
+#include <stdbool.h>
+#include <stdint.h>
 
 #include <sys/types.h>
 
--- a/src/agent/tasks.c
+++ b/src/agent/tasks.c
@@ -1,5 +1,7 @@
 #include "agent/tasks.h"
 
+#include "model/resources.h"
+#include "model/worker.h"
 #include "wire/agent_json.h"
 
 #include <inttypes.h>
@@ -80,13 +82,13 @@
 }
 
 /* Whether what is free is enough. */
-static bool fits(const struct agent_tasks *tasks, const struct ow_amounts *need)
+static bool fits(const struct agent_tasks *tasks, const struct ow_resources *need)
 {
-    struct ow_amounts left = tasks->options->size;
+    struct ow_resources left = tasks->options->size;
     for (guint i = 0; i < tasks->list->len; i++) {
         const struct task *task = g_ptr_array_index(tasks->list, i);
         if (task->supervisor != NULL)
-            ow_amounts_add(&left, &task->description->submission->need, -1);
+            ow_resources_add(&left, &task->description->submission->need, -1);
     }
     return need->cpus <= left.cpus && need->gpus <= left.gpus && need->memory_gb <= left.memory_gb;
 }
--- a/src/agent/tasks.h
+++ b/src/agent/tasks.h
@@ -3,8 +3,8 @@
 #ifndef OW_AGENT_TASKS_H
 #define OW_AGENT_TASKS_H
 
-#include "agent/options.h"
 #include "agent/incarnation.h"
+#include "agent/options.h"
 #include "agent/supervisor.h"
 
 struct agent_tasks;
--- a/src/config/operators_file.h
+++ b/src/config/operators_file.h
@@ -2,8 +2,8 @@
 #ifndef OW_CONFIG_OPERATORS_FILE_H
 #define OW_CONFIG_OPERATORS_FILE_H
 
+#include "model/settings.h"
 #include "sharding/sharding_settings.h"
-#include "core/settings.h"
 
 #include <stdbool.h>
 
--- a/src/config/sharding_file.c
+++ b/src/config/sharding_file.c
@@ -1,6 +1,6 @@
 #include "config/sharding_file.h"
 
-#include "core/types.h"
+#include "model/submission.h"
 
 #include <math.h>
 #include <stddef.h>
--- a/src/core/api/cancellation_ack.c
+++ b/src/core/api/cancellation_ack.c
@@ -3,7 +3,9 @@
 #include "core/api/job_answer.h"
 #include "core/core_state.h"
 #include "core/election/election.h"
-#include "core/leader.h"
+#include "core/leader/leader.h"
+#include "model/peer.h"
+#include "model/submission.h"
 
 /* How long a user waits for the leader's acknowledgement before being asked to repeat the request, and how
  * often the cancellation is sent. */
--- a/src/core/api/feasibility.c
+++ b/src/core/api/feasibility.c
@@ -1,6 +1,9 @@
 #include "core/api/feasibility.h"
 
 #include "core/core_state.h"
+#include "model/cloud.h"
+#include "model/resources.h"
+#include "model/submission.h"
 
 #include <string.h>
 
@@ -9,7 +12,7 @@
     return g_strv_contains((const char *const *)names, name);
 }
 
-static bool fits(const struct ow_amounts *need, const struct ow_amounts *size)
+static bool fits(const struct ow_resources *need, const struct ow_resources *size)
 {
     return need->cpus <= size->cpus && need->gpus <= size->gpus && need->memory_gb <= size->memory_gb;
 }
--- a/src/core/api/job_answer.c
+++ b/src/core/api/job_answer.c
@@ -2,6 +2,8 @@
 
 #include "core/api/cancellation_ack.h"
 #include "core/core_state.h"
+#include "model/effect.h"
+#include "model/submission.h"
 
 /* When a user whose request could not be handled is to come again. */
 enum { RETRY_AFTER_S = 1 };
--- a/src/core/api/job_answer.h
+++ b/src/core/api/job_answer.h
@@ -3,7 +3,10 @@
 #ifndef OW_CORE_API_JOB_ANSWER_H
 #define OW_CORE_API_JOB_ANSWER_H
 
-#include "core/types.h"
+#include "model/submission.h"
+
+#include <stdbool.h>
+#include <stdint.h>
 
 struct ow_core;
 struct ow_job;
--- a/src/core/api/poll.c
+++ b/src/core/api/poll.c
@@ -1,8 +1,8 @@
 #include "core/api/poll.h"
 
 #include "core/api/job_answer.h"
-#include "core/api/job_cache.h"
 #include "core/core_state.h"
+#include "core/jobs/job_cache.h"
 
 void ow_poll_job(struct ow_core *core, uint64_t request, const char *id)
 {
--- a/src/core/api/submit.c
+++ b/src/core/api/submit.c
@@ -2,10 +2,12 @@
 
 #include "core/api/feasibility.h"
 #include "core/api/job_answer.h"
-#include "core/api/job_cache.h"
 #include "core/api/poll.h"
 #include "core/core_state.h"
-#include "core/records/records.h"
+#include "core/jobs/job_cache.h"
+#include "model/event.h"
+#include "model/records.h"
+#include "model/submission.h"
 #include "wire/records_json.h"
 
 #include <string.h>
--- a/src/core/api/submit.h
+++ b/src/core/api/submit.h
@@ -2,7 +2,9 @@
 #ifndef OW_CORE_API_SUBMIT_H
 #define OW_CORE_API_SUBMIT_H
 
-#include "core/types.h"
+#include "model/submission.h"
+
+#include <stdint.h>
 
 struct ow_core;
 
--- a/src/core/api/team_usage.c
+++ b/src/core/api/team_usage.c
@@ -1,6 +1,9 @@
 #include "core/api/team_usage.h"
 
 #include "core/core_state.h"
+#include "model/effect.h"
+#include "model/resources.h"
+#include "model/submission.h"
 
 #include <string.h>
 
@@ -15,8 +18,8 @@
     view->jobs++;
     if (waiting > 0)
         view->waiting_jobs++;
-    ow_amounts_add(&view->running, &submission->need, running);
-    ow_amounts_add(&view->waiting, &submission->need, waiting);
+    ow_resources_add(&view->running, &submission->need, running);
+    ow_resources_add(&view->waiting, &submission->need, waiting);
 }
 
 void ow_team_usage_answer(struct ow_core *core, uint64_t request)
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -2,8 +2,13 @@
 #ifndef OW_CORE_CORE_H
 #define OW_CORE_CORE_H
 
-#include "core/effects.h"
-#include "core/settings.h"
+#include "model/event.h"
+#include "model/settings.h"
+#include "model/submission.h"
+
+#include <glib.h>
+#include <stdbool.h>
+#include <stdint.h>
 
 struct ow_core;
 
--- a/src/core/core_state.c
+++ b/src/core/core_state.c
@@ -2,16 +2,11 @@
  */
 #include "core/core_state.h"
 
-#include "core/leader.h"
-
-struct ow_effect *ow_effect_new(enum ow_effect_kind kind, uint64_t request)
-{
-    struct ow_effect *effect = g_new0(struct ow_effect, 1);
-    effect->kind = kind;
-    effect->request = request;
-    effect->done = effect->running = OW_UNCOUNTED;
-    return effect;
-}
+#include "core/leader/leader.h"
+#include "model/cloud.h"
+#include "model/effect.h"
+#include "model/event.h"
+#include "model/peer.h"
 
 void ow_core_emit(struct ow_core *core, struct ow_effect *effect)
 {
--- a/src/core/core_state.h
+++ b/src/core/core_state.h
@@ -2,14 +2,21 @@
 #ifndef OW_CORE_CORE_STATE_H
 #define OW_CORE_CORE_STATE_H
 
-#include "core/api/job.h"
-#include "core/effects.h"
+#include "core/health.h"
+#include "core/jobs/job.h"
 #include "core/pending_calls.h"
-#include "core/rate_limiter.h"
 #include "core/records/store_limits.h"
-#include "core/settings.h"
-#include "core/health.h"
 #include "core/type_discovery.h"
+#include "model/cloud.h"
+#include "model/effect.h"
+#include "model/event.h"
+#include "model/peer.h"
+#include "model/settings.h"
+#include "util/rate_limiter.h"
+
+#include <glib.h>
+#include <stdbool.h>
+#include <stdint.h>
 
 struct ow_cancellation_ack;
 struct ow_job_cache;
@@ -59,8 +66,6 @@
 
 /* Queues an effect for the caller of the core, which it then belongs to. */
 void ow_core_emit(struct ow_core *core, struct ow_effect *effect);
-/* A new effect that answers or carries `request` (0: none), without counts of tasks; owned by the caller. */
-struct ow_effect *ow_effect_new(enum ow_effect_kind kind, uint64_t request);
 /* Answers a user's request with an error; `text` is copied. */
 void ow_core_reject_request(struct ow_core *core, uint64_t request, int status, const char *text,
                             int retry_after_s);
--- a/src/core/election/election_state.c
+++ b/src/core/election/election_state.c
@@ -1,7 +1,7 @@
 #include "core/election/election_state.h"
 
 #include "core/core_state.h"
-#include "core/leader.h"
+#include "core/leader/leader.h"
 
 #include <glib.h>
 
--- a/src/core/election/leader_key.c
+++ b/src/core/election/leader_key.c
@@ -2,7 +2,8 @@
 
 #include "core/core_state.h"
 #include "core/election/election_state.h"
-#include "core/records/records.h"
+#include "model/event.h"
+#include "model/records.h"
 #include "wire/records_json.h"
 
 /* How long one watch lasts, and the time from the end of one to the next. */
--- a/src/core/election/leader_lease.c
+++ b/src/core/election/leader_lease.c
@@ -3,7 +3,8 @@
 #include "core/core_state.h"
 #include "core/election/election_state.h"
 #include "core/election/leader_key.h"
-#include "core/records/records.h"
+#include "model/event.h"
+#include "model/records.h"
 #include "wire/records_json.h"
 
 static void on_lease(void *owner, void *data, const struct ow_event *answer)
--- a/src/core/election/succession.c
+++ b/src/core/election/succession.c
@@ -1,9 +1,9 @@
 #include "core/election/succession.h"
 
-#include "core/api/job_cache.h"
 #include "core/core_state.h"
 #include "core/election/election_state.h"
-#include "core/records/records.h"
+#include "core/jobs/job_cache.h"
+#include "model/records.h"
 
 /* Slack for clocks that drift, for messages under way, and for a worker's last heartbeat. */
 static const double CLOCK_DRIFT = 0.002, MARGIN_S = 3;
--- a/src/core/health.c
+++ b/src/core/health.c
@@ -1,8 +1,9 @@
 #include "core/health.h"
 
-#include "core/api/job_cache.h"
 #include "core/core_state.h"
-#include "core/records/records.h"
+#include "core/jobs/job_cache.h"
+#include "model/event.h"
+#include "model/records.h"
 
 /* How long without a good answer until the key-value store is probed. */
 static const double PROBE_S = 2;
--- a/src/core/attempt.c
+++ b/src/core/jobs/attempt.c
@@ -1,13 +1,16 @@
 /* Attempts at the tasks of runs. */
-#include "core/attempt.h"
-#include "core/leader_state.h"
+#include "core/jobs/attempt.h"
+#include "core/jobs/execution.h"
+#include "core/jobs/quota.h"
+#include "core/leader/leader_state.h"
 #include "core/machines/machine.h"
 #include "core/machines/machine_health.h"
 #include "core/machines/worker_commands.h"
 #include "core/records/recorder.h"
-#include "core/execution.h"
 #include "core/scheduling/classes.h"
-#include "core/teams.h"
+#include "model/resources.h"
+#include "model/submission.h"
+#include "model/worker.h"
 
 #include <string.h>
 
@@ -32,9 +35,9 @@
     execution->tasks[task].attempt = attempt;
     g_ptr_array_add(execution->attempts, attempt);
     g_ptr_array_add(machine->attempts, attempt);
-    ow_amounts_add(&machine->used, &submission->need, 1);
-    ow_amounts_add(&machine->used_by[submission->rank], &submission->need, 1);
-    ow_amounts_add(ow_team_usage(leader, execution->job->spec->team), &submission->need, 1);
+    ow_resources_add(&machine->used, &submission->need, 1);
+    ow_resources_add(&machine->used_by[submission->rank], &submission->need, 1);
+    ow_resources_add(ow_team_usage(leader, execution->job->spec->team), &submission->need, 1);
     return attempt;
 }
 
@@ -44,15 +47,15 @@
     struct ow_machine *machine = attempt->machine;
     const struct ow_submission *submission = attempt->job->spec->submission;
     g_ptr_array_remove_fast(machine->attempts, attempt);
-    ow_amounts_add(&machine->used, &submission->need, -1);
-    ow_amounts_add(&machine->used_by[submission->rank], &submission->need, -1);
+    ow_resources_add(&machine->used, &submission->need, -1);
+    ow_resources_add(&machine->used_by[submission->rank], &submission->need, -1);
     if (attempt->stop)
-        ow_amounts_add(&machine->stopping, &submission->need, -1);
+        ow_resources_add(&machine->stopping, &submission->need, -1);
     if (machine->attempts->len > 0)
         return;
     /* Sums of fractions drift. */
-    machine->used = (struct ow_amounts){0};
-    machine->stopping = (struct ow_amounts){0};
+    machine->used = (struct ow_resources){0};
+    machine->stopping = (struct ow_resources){0};
     memset(machine->used_by, 0, sizeof machine->used_by);
     machine->idle_since = leader->core->now;
 }
@@ -63,7 +66,7 @@
     struct ow_execution *execution = attempt->job->execution;
     g_ptr_array_remove_fast(execution->attempts, attempt);
     detach_from_machine(leader, attempt);
-    ow_amounts_add(ow_team_usage(leader, spec->team), &spec->submission->need, -1);
+    ow_resources_add(ow_team_usage(leader, spec->team), &spec->submission->need, -1);
     if (attempt->state == OW_ATTEMPT_SEEN && attempt->phase == OW_PHASE_RUNNING)
         execution->running--;
     execution->tasks[attempt->task].attempt = NULL;
@@ -169,7 +172,7 @@
     if (!attempt->stop) {
         g_info("task %s/%u on %s is stopped, grace %.1f s: %s", attempt->job->id, attempt->task,
                machine->name, grace_s, why);
-        ow_amounts_add(&machine->stopping, &attempt->job->spec->submission->need, 1);
+        ow_resources_add(&machine->stopping, &attempt->job->spec->submission->need, 1);
     }
     attempt->stop = true;
     attempt->stop_grace_s = grace_s;
--- a/src/core/attempt.h
+++ b/src/core/jobs/attempt.h
@@ -1,10 +1,13 @@
 /* Attempts at the tasks of runs: one exists from its placement until it is proven gone. attempt.c owns them
  * and keeps the resource sums of machines and teams in step. */
-#ifndef OW_CORE_ATTEMPT_H
-#define OW_CORE_ATTEMPT_H
+#ifndef OW_CORE_JOBS_ATTEMPT_H
+#define OW_CORE_JOBS_ATTEMPT_H
 
-#include "core/api/job.h"
-#include "core/types.h"
+#include "core/jobs/job.h"
+#include "model/worker.h"
+
+#include <stdbool.h>
+#include <stdint.h>
 
 struct ow_leader;
 struct ow_machine;
--- a/src/core/execution.c
+++ b/src/core/jobs/execution.c
@@ -1,12 +1,12 @@
 /* Runs of jobs. */
-#include "core/execution.h"
-#include "core/leader_state.h"
+#include "core/jobs/execution.h"
+#include "core/jobs/quota.h"
+#include "core/leader/leader_state.h"
 #include "core/records/record_values.h"
 #include "core/records/recorder.h"
 #include "core/scheduling/classes.h"
 #include "core/scheduling/deadline.h"
 #include "core/scheduling/reservation.h"
-#include "core/teams.h"
 
 /* An team with a guarantee for all its demand waits for capacity to come free by itself for this share of
    what its SLOs leave, before others are stopped for it: stopped work is lost work. */
--- a/src/core/execution.h
+++ b/src/core/jobs/execution.h
@@ -1,11 +1,15 @@
 /* Runs of jobs: the leader's view of a job whose tasks may still exist. execution.c owns runs, with their
  * tasks and chunks. */
-#ifndef OW_CORE_EXECUTION_H
-#define OW_CORE_EXECUTION_H
+#ifndef OW_CORE_JOBS_EXECUTION_H
+#define OW_CORE_JOBS_EXECUTION_H
 
-#include "core/api/job.h"
-#include "core/attempt.h"
-#include "core/types.h"
+#include "core/jobs/attempt.h"
+#include "core/jobs/job.h"
+#include "model/submission.h"
+
+#include <glib.h>
+#include <stdbool.h>
+#include <stdint.h>
 
 struct ow_leader;
 struct ow_record_value;
--- a/src/core/api/job.c
+++ b/src/core/jobs/job.c
@@ -1,4 +1,6 @@
-#include "core/api/job.h"
+#include "core/jobs/job.h"
+#include "model/cloud.h"
+#include "model/submission.h"
 
 struct ow_jobs {
     struct ow_interners *names;
--- a/src/core/api/job.h
+++ b/src/core/jobs/job.h
@@ -1,9 +1,13 @@
 /* The job table: every job ever accepted, by id. Final jobs keep little more than their id. */
-#ifndef OW_CORE_API_JOB_H
-#define OW_CORE_API_JOB_H
+#ifndef OW_CORE_JOBS_JOB_H
+#define OW_CORE_JOBS_JOB_H
 
-#include "core/interner.h"
-#include "core/types.h"
+#include "model/submission.h"
+#include "util/interner.h"
+
+#include <glib.h>
+#include <stdbool.h>
+#include <stdint.h>
 
 struct ow_execution;
 
--- a/src/core/api/job_cache.c
+++ b/src/core/jobs/job_cache.c
@@ -1,8 +1,9 @@
-#include "core/api/job_cache.h"
+#include "core/jobs/job_cache.h"
 
 #include "core/core_state.h"
-#include "core/leader.h"
-#include "core/records/records.h"
+#include "core/leader/leader.h"
+#include "model/event.h"
+#include "model/records.h"
 #include "wire/records_json.h"
 
 #include <string.h>
--- a/src/core/api/job_cache.h
+++ b/src/core/jobs/job_cache.h
@@ -1,6 +1,6 @@
 /* This controller's copy of the job table, kept current from the key-value store. */
-#ifndef OW_CORE_API_JOB_CACHE_H
-#define OW_CORE_API_JOB_CACHE_H
+#ifndef OW_CORE_JOBS_JOB_CACHE_H
+#define OW_CORE_JOBS_JOB_CACHE_H
 
 #include <stdbool.h>
 #include <stdint.h>
--- a/src/core/teams.c
+++ b/src/core/jobs/quota.c
@@ -1,19 +1,20 @@
 /* What teams use, are guaranteed and are limited to. */
-#include "core/teams.h"
-#include "core/leader_state.h"
-#include "core/execution.h"
+#include "core/jobs/quota.h"
+#include "core/jobs/execution.h"
+#include "core/leader/leader_state.h"
+#include "model/resources.h"
 
 #include <string.h>
 
 /* Sums of fractions drift: so much more than a limit or guarantee still lies within it, in CPUs or GPUs. */
 static const double AMOUNT_TOLERANCE = 1e-6;
 
-struct ow_amounts *ow_team_usage(struct ow_leader *leader, int team)
+struct ow_resources *ow_team_usage(struct ow_leader *leader, int team)
 {
     guint wanted = (guint)team + 1;
     if (wanted > leader->teams.count) {
         guint added = wanted - leader->teams.count;
-        leader->teams.used = g_renew(struct ow_amounts, leader->teams.used, wanted);
+        leader->teams.used = g_renew(struct ow_resources, leader->teams.used, wanted);
         memset(leader->teams.used + leader->teams.count, 0, added * sizeof *leader->teams.used);
         leader->teams.count = wanted;
     }
@@ -45,8 +46,8 @@
 
 uint32_t ow_team_admits(struct ow_leader *leader, const struct ow_job_spec *spec, uint32_t wanted)
 {
-    const struct ow_amounts *used = ow_team_usage(leader, spec->team);
-    const struct ow_amounts *need = &spec->submission->need;
+    const struct ow_resources *used = ow_team_usage(leader, spec->team);
+    const struct ow_resources *need = &spec->submission->need;
     const struct ow_team_settings *settings = ow_team_settings_of(leader, spec->team);
     if (settings == NULL)
         return 0;
@@ -61,14 +62,15 @@
 }
 
 /* Whether any of the amounts is of a resource of which the team is guaranteed some. */
-static bool has_guaranteed_resource(const struct ow_team_settings *settings, const struct ow_amounts *amounts)
+static bool has_guaranteed_resource(const struct ow_team_settings *settings,
+                                    const struct ow_resources *amounts)
 {
     if (settings->gpus > 0 && amounts->gpus > 0)
         return true;
     return settings->cpus > 0 && amounts->cpus > 0;
 }
 
-bool ow_team_guarantee_covers(const struct ow_leader *leader, int team, const struct ow_amounts *amounts)
+bool ow_team_guarantee_covers(const struct ow_leader *leader, int team, const struct ow_resources *amounts)
 {
     const struct ow_team_settings *settings = ow_team_settings_of(leader, team);
     if (settings == NULL || !has_guaranteed_resource(settings, amounts))
@@ -76,7 +78,7 @@
     return !exceeds(settings->gpus, amounts->gpus) && !exceeds(settings->cpus, amounts->cpus);
 }
 
-bool ow_team_has_guarantee_for(const struct ow_leader *leader, int team, const struct ow_amounts *need)
+bool ow_team_has_guarantee_for(const struct ow_leader *leader, int team, const struct ow_resources *need)
 {
     const struct ow_team_settings *settings = ow_team_settings_of(leader, team);
     return settings != NULL && has_guaranteed_resource(settings, need);
@@ -84,12 +86,12 @@
 
 bool ow_team_demand_is_guaranteed(const struct ow_leader *leader, int team)
 {
-    struct ow_amounts demand = {0};
+    struct ow_resources demand = {0};
     for (guint i = 0; i < leader->executions->len; i++) {
         const struct ow_execution *execution = g_ptr_array_index(leader->executions, i);
         if (execution->job->spec->team == team && !ow_job_over(execution->job))
-            ow_amounts_add(&demand, &execution->job->spec->submission->need,
-                           execution->count - execution->done);
+            ow_resources_add(&demand, &execution->job->spec->submission->need,
+                             execution->count - execution->done);
     }
     return ow_team_guarantee_covers(leader, team, &demand);
 }
@@ -97,7 +99,7 @@
 bool ow_team_is_borrowing(struct ow_leader *leader, int team)
 {
     const struct ow_team_settings *settings = ow_team_settings_of(leader, team);
-    const struct ow_amounts *used = ow_team_usage(leader, team);
+    const struct ow_resources *used = ow_team_usage(leader, team);
     if (settings == NULL)
         return false;
     return exceeds(settings->gpus, used->gpus) || exceeds(settings->cpus, used->cpus);
--- a/src/core/teams.h
+++ b/src/core/jobs/quota.h
@@ -1,24 +1,27 @@
 /* What teams use, are guaranteed and are limited to. `team` is a name index. teams.c owns the sums, which
  * attempt.c keeps in step with the attempts. */
-#ifndef OW_CORE_TEAMS_H
-#define OW_CORE_TEAMS_H
+#ifndef OW_CORE_JOBS_QUOTA_H
+#define OW_CORE_JOBS_QUOTA_H
 
-#include "core/api/job.h"
-#include "core/settings.h"
-#include "core/types.h"
+#include "core/jobs/job.h"
+#include "model/resources.h"
+#include "model/settings.h"
+
+#include <stdbool.h>
+#include <stdint.h>
 
 struct ow_leader;
 
 /* The team's settings, owned by the settings, or NULL if they name no such team. */
 const struct ow_team_settings *ow_team_settings_of(const struct ow_leader *leader, int team);
 /* What the team's attempts use. Valid until the next call. */
-struct ow_amounts *ow_team_usage(struct ow_leader *leader, int team);
+struct ow_resources *ow_team_usage(struct ow_leader *leader, int team);
 /* Whether the amounts lie within what the team is guaranteed. A resource of which it is guaranteed none is
    left out; one that is guaranteed must be among them. */
-bool ow_team_guarantee_covers(const struct ow_leader *leader, int team, const struct ow_amounts *amounts);
+bool ow_team_guarantee_covers(const struct ow_leader *leader, int team, const struct ow_resources *amounts);
 /* Whether such tasks need anything of which the team is guaranteed some: only then guarantees concern them.
  */
-bool ow_team_has_guarantee_for(const struct ow_leader *leader, int team, const struct ow_amounts *need);
+bool ow_team_has_guarantee_for(const struct ow_leader *leader, int team, const struct ow_resources *need);
 /* Whether all unfinished jobs of the team together fit within its guarantee: they need not wait for others.
  */
 bool ow_team_demand_is_guaranteed(const struct ow_leader *leader, int team);
--- a/src/core/leader.h
+++ b/src/core/leader/leader.h
@@ -1,8 +1,11 @@
 /* The leader's part of a controller: it exists only while this controller holds the key. */
-#ifndef OW_CORE_LEADER_H
-#define OW_CORE_LEADER_H
+#ifndef OW_CORE_LEADER_LEADER_H
+#define OW_CORE_LEADER_LEADER_H
 
-#include "core/effects.h"
+#include "model/worker.h"
+
+#include <stdbool.h>
+#include <stdint.h>
 
 struct ow_core;
 struct ow_job;
--- a/src/core/leader_state.h
+++ b/src/core/leader/leader_state.h
@@ -1,10 +1,15 @@
 /* The state of a leader, which exists only while this controller holds the leader's key. Only the modules of
  * the leader include this; everybody else uses leader.h. Each field is changed by the module named at it. */
-#ifndef OW_CORE_LEADER_STATE_H
-#define OW_CORE_LEADER_STATE_H
+#ifndef OW_CORE_LEADER_LEADER_STATE_H
+#define OW_CORE_LEADER_LEADER_STATE_H
 
 #include "core/core_state.h"
-#include "core/leader.h"
+#include "core/leader/leader.h"
+#include "model/resources.h"
+
+#include <glib.h>
+#include <stdbool.h>
+#include <stdint.h>
 
 struct ow_recorder;
 
@@ -27,7 +32,7 @@
  * cycle.
  */
 struct ow_team_state {
-    struct ow_amounts *used; /* `count` of them, grown as teams come */
+    struct ow_resources *used; /* `count` of them, grown as teams come */
     guint count;
     bool *demand_guaranteed; /* ow_team_demand_is_guaranteed() */
     bool *is_borrowing;      /* ow_team_is_borrowing() */
--- a/src/core/machines/fleet.c
+++ b/src/core/machines/fleet.c
@@ -1,10 +1,12 @@
 /* The machines that are provisioned: the cloud's list, and the return of those that are not needed. */
 #include "core/machines/fleet.h"
-#include "core/leader_state.h"
+#include "core/leader/leader_state.h"
 #include "core/machines/headroom.h"
+#include "core/machines/instance_offers.h"
 #include "core/machines/machine.h"
 #include "core/machines/machine_registry.h"
-#include "core/machines/instance_offers.h"
+#include "model/cloud.h"
+#include "model/event.h"
 
 #include <math.h>
 
--- a/src/core/machines/headroom.c
+++ b/src/core/machines/headroom.c
@@ -1,12 +1,13 @@
 /* Room kept ready for classes that can't wait for a machine to boot. */
 #include "core/machines/headroom.h"
-#include "core/leader_state.h"
+#include "core/jobs/execution.h"
+#include "core/leader/leader_state.h"
+#include "core/machines/instance_offers.h"
 #include "core/machines/machine.h"
 #include "core/machines/machine_registry.h"
-#include "core/machines/instance_offers.h"
-#include "core/execution.h"
 #include "core/scheduling/classes.h"
 #include "core/scheduling/placement.h"
+#include "model/cloud.h"
 
 #include <math.h>
 
--- a/src/core/machines/instance_offers.c
+++ b/src/core/machines/instance_offers.c
@@ -1,9 +1,11 @@
 /* Kinds of machines: which has been refused lately, and which is worth renting for a job. */
 #include "core/machines/instance_offers.h"
-#include "core/leader_state.h"
+#include "core/leader/leader_state.h"
 #include "core/machines/machine.h"
 #include "core/scheduling/classes.h"
 #include "core/scheduling/placement.h"
+#include "model/cloud.h"
+#include "model/resources.h"
 
 #include <math.h>
 
@@ -70,13 +72,13 @@
     return type->zones == NULL || g_strv_contains((const char *const *)type->zones, zone);
 }
 
-static bool improper(const struct ow_machine_type *type, const struct ow_amounts *need)
+static bool improper(const struct ow_machine_type *type, const struct ow_resources *need)
 {
     return type->size.gpus > 0 && need->gpus <= 0;
 }
 
 /* Hourly rent for a task. */
-static double price_of(const struct ow_machine_type *type, const struct ow_amounts *need, bool spot)
+static double price_of(const struct ow_machine_type *type, const struct ow_resources *need, bool spot)
 {
     uint32_t slots = ow_placement_slots_on_empty(type, need);
     double rent = spot ? type->spot_price : type->price;
@@ -84,7 +86,7 @@
 }
 
 /* The cheapest ordinary machine without GPUs, whether or not it is to be had. */
-static double proper_price(const struct ow_leader *leader, const struct ow_amounts *need, uint64_t types)
+static double proper_price(const struct ow_leader *leader, const struct ow_resources *need, uint64_t types)
 {
     double best = INFINITY;
     for (int i = 0; i < OW_MAX_TYPES; i++) {
--- a/src/core/machines/instance_offers.h
+++ b/src/core/machines/instance_offers.h
@@ -5,6 +5,10 @@
 
 #include "core/machines/machine.h"
 #include "core/scheduling/classes.h"
+#include "model/cloud.h"
+
+#include <glib.h>
+#include <stdbool.h>
 
 struct ow_leader;
 
--- a/src/core/machines/machine.h
+++ b/src/core/machines/machine.h
@@ -4,8 +4,14 @@
 #ifndef OW_CORE_MACHINES_MACHINE_H
 #define OW_CORE_MACHINES_MACHINE_H
 
-#include "core/api/job.h"
-#include "core/types.h"
+#include "core/jobs/job.h"
+#include "model/cloud.h"
+#include "model/resources.h"
+#include "model/submission.h"
+
+#include <glib.h>
+#include <stdbool.h>
+#include <stdint.h>
 
 /* A container image that a machine has or is fetching. */
 struct ow_image_copy {
@@ -48,12 +54,12 @@
     uint32_t heartbeat_generation; /* the leader's count of heartbeats at its newest one */
 
     /* Load: attempt.c, reconciliation.c and machine_registry.c. */
-    GPtrArray *attempts;                        /* struct ow_attempt, not owned */
-    struct ow_amounts used;                     /* by attempts that may exist */
-    struct ow_amounts used_by[OW_RANK_LOW + 1]; /* the same by rank */
-    struct ow_amounts stopping;                 /* the part of `used` that is being stopped */
-    struct ow_amounts unknown_tasks_use;        /* by reported tasks that are in no record */
-    GArray *images;                             /* struct ow_image_copy */
+    GPtrArray *attempts;                          /* struct ow_attempt, not owned */
+    struct ow_resources used;                     /* by attempts that may exist */
+    struct ow_resources used_by[OW_RANK_LOW + 1]; /* the same by rank */
+    struct ow_resources stopping;                 /* the part of `used` that is being stopped */
+    struct ow_resources unknown_tasks_use;        /* by reported tasks that are in no record */
+    GArray *images;                               /* struct ow_image_copy */
     double idle_since;
 
     /* Direct commands: worker_commands.c. */
@@ -72,10 +78,10 @@
     double slowness;        /* observed run time divided by the estimate; 1: as expected */
 
     /* Scratch of the scheduling cycle: schedule.c, gpu_reserve.c, array_preemption.c and reservation.c. */
-    bool gpus_kept;                   /* waiting work needs its GPUs: other work stays off */
-    struct ow_amounts held;           /* kept from every job behind in the queue */
-    struct ow_amounts held_for_gangs; /* the same, but a gang that can start at once may take it */
-    unsigned holders;                 /* gangs with a hold on it; outlives the cycle */
+    bool gpus_kept;                     /* waiting work needs its GPUs: other work stays off */
+    struct ow_resources held;           /* kept from every job behind in the queue */
+    struct ow_resources held_for_gangs; /* the same, but a gang that can start at once may take it */
+    unsigned holders;                   /* gangs with a hold on it; outlives the cycle */
 };
 
 #endif
--- a/src/core/machines/machine_health.c
+++ b/src/core/machines/machine_health.c
@@ -1,14 +1,17 @@
 /* Machines that are silent, faulty or about to be reclaimed, and attempts that must be gone by a certain
  * time. */
 #include "core/machines/machine_health.h"
-#include "core/leader_state.h"
+#include "core/jobs/execution.h"
+#include "core/leader/leader_state.h"
 #include "core/machines/fleet.h"
 #include "core/machines/machine.h"
 #include "core/machines/machine_registry.h"
 #include "core/machines/spot_risk.h"
 #include "core/machines/worker_commands.h"
-#include "core/execution.h"
 #include "core/scheduling/service_moves.h"
+#include "model/cloud.h"
+#include "model/submission.h"
+#include "model/worker.h"
 
 static const double DRIFT = 0.002, MARGIN_S = 1.5;
 /* Recorded tasks on a machine that neither reports nor is listed: by then it would have reported. */
--- a/src/core/machines/machine_registry.c
+++ b/src/core/machines/machine_registry.c
@@ -1,10 +1,12 @@
 /* The machine registry: what is known of every machine. */
 #include "core/machines/machine_registry.h"
-#include "core/leader_state.h"
+#include "core/jobs/execution.h"
+#include "core/leader/leader_state.h"
 #include "core/machines/machine.h"
 #include "core/machines/worker_commands.h"
-#include "core/execution.h"
 #include "core/scheduling/reservation.h"
+#include "model/cloud.h"
+#include "model/worker.h"
 
 #include <string.h>
 
--- a/src/core/machines/machine_registry.h
+++ b/src/core/machines/machine_registry.h
@@ -3,8 +3,12 @@
 #ifndef OW_CORE_MACHINES_MACHINE_REGISTRY_H
 #define OW_CORE_MACHINES_MACHINE_REGISTRY_H
 
-#include "core/leader_state.h"
+#include "core/leader/leader_state.h"
 #include "core/machines/machine.h"
+#include "model/cloud.h"
+
+#include <stdbool.h>
+#include <stdint.h>
 
 /* The machine's type, owned by the controller, or NULL while its type is unknown. */
 static inline const struct ow_machine_type *ow_machine_type_of(const struct ow_leader *leader,
--- a/src/core/machines/reconciliation.c
+++ b/src/core/machines/reconciliation.c
@@ -1,12 +1,16 @@
 /* What workers report, and what it proves. */
 #include "core/machines/reconciliation.h"
-#include "core/leader_state.h"
+#include "core/jobs/execution.h"
+#include "core/leader/leader_state.h"
 #include "core/machines/machine.h"
 #include "core/machines/machine_registry.h"
 #include "core/machines/spot_risk.h"
 #include "core/machines/worker_commands.h"
 #include "core/records/recorder.h"
-#include "core/execution.h"
+#include "model/cloud.h"
+#include "model/resources.h"
+#include "model/submission.h"
+#include "model/worker.h"
 
 #include <string.h>
 
@@ -86,13 +90,13 @@
     }
     const struct ow_job_spec *spec = job != NULL ? job->spec : NULL;
     const struct ow_machine_type *type = ow_machine_type_of(leader, machine);
-    const struct ow_amounts *need = NULL;
+    const struct ow_resources *need = NULL;
     if (spec != NULL)
         need = &spec->submission->need;
     else if (type != NULL)
         need = &type->size;
     if (need != NULL)
-        ow_amounts_add(&machine->unknown_tasks_use, need, 1);
+        ow_resources_add(&machine->unknown_tasks_use, need, 1);
     g_info("task %s/%u attempt %" G_GUINT64_FORMAT " on %s is unaccounted for and is stopped",
            task_status->job, task_status->task, task_status->attempt, machine->name);
     add_command(commands, OW_WORKER_STOP, task_status);
@@ -256,7 +260,7 @@
     if (!machine->fenced)
         note_fenced(leader, machine);
     machine->heartbeat_generation = ++leader->heartbeat_generation;
-    machine->unknown_tasks_use = (struct ow_amounts){0};
+    machine->unknown_tasks_use = (struct ow_resources){0};
     apply_reclaim_notice(leader, machine, heartbeat->reclaim_notice_s);
     for (guint i = 0; i < heartbeat->tasks->len; i++)
         apply_task_status(leader, machine, &g_array_index(heartbeat->tasks, struct ow_task_status, i),
--- a/src/core/machines/reconciliation.h
+++ b/src/core/machines/reconciliation.h
@@ -3,7 +3,9 @@
 #ifndef OW_CORE_MACHINES_RECONCILIATION_H
 #define OW_CORE_MACHINES_RECONCILIATION_H
 
-#include "core/types.h"
+#include "model/worker.h"
+
+#include <glib.h>
 
 struct ow_leader;
 struct ow_machine;
--- a/src/core/machines/scale_out.c
+++ b/src/core/machines/scale_out.c
@@ -1,18 +1,21 @@
 /* Renting for work that waits. */
 #include "core/machines/scale_out.h"
-#include "core/leader_state.h"
+#include "core/jobs/execution.h"
+#include "core/jobs/quota.h"
+#include "core/leader/leader_state.h"
 #include "core/machines/fleet.h"
 #include "core/machines/headroom.h"
+#include "core/machines/instance_offers.h"
 #include "core/machines/machine.h"
 #include "core/machines/machine_registry.h"
-#include "core/machines/instance_offers.h"
-#include "core/execution.h"
 #include "core/scheduling/classes.h"
 #include "core/scheduling/deadline.h"
 #include "core/scheduling/placement.h"
 #include "core/scheduling/placement_cost.h"
 #include "core/scheduling/queue.h"
-#include "core/teams.h"
+#include "model/cloud.h"
+#include "model/event.h"
+#include "model/resources.h"
 
 #include <math.h>
 
@@ -74,7 +77,7 @@
     if (!ow_placement_is_allowed(leader, spec, &expected->machine))
         return 0;
     uint32_t slots = MIN(wanted, ow_placement_slots(leader, spec, &expected->machine));
-    ow_amounts_add(&expected->machine.used, &spec->submission->need, slots);
+    ow_resources_add(&expected->machine.used, &spec->submission->need, slots);
     return slots;
 }
 
@@ -145,7 +148,7 @@
                     struct backlog *ahead, double *waits_out)
 {
     const struct ow_job_spec *spec = execution->job->spec;
-    const struct ow_amounts *need = &spec->submission->need;
+    const struct ow_resources *need = &spec->submission->need;
     bool gpu = need->gpus > 0;
     double run_time_s = ow_class_run_time_s(leader->core, spec);
     double *work = gpu ? &ahead->gpu_s : &ahead->cpu_s;
--- a/src/core/machines/worker_commands.c
+++ b/src/core/machines/worker_commands.c
@@ -1,11 +1,14 @@
 /* Commands to workers: launches whose record has committed, and stops. */
 #include "core/machines/worker_commands.h"
 #include "core/election/election.h"
-#include "core/leader_state.h"
+#include "core/jobs/execution.h"
+#include "core/leader/leader_state.h"
 #include "core/machines/machine.h"
 #include "core/machines/machine_registry.h"
 #include "core/machines/reconciliation.h"
-#include "core/execution.h"
+#include "model/effect.h"
+#include "model/event.h"
+#include "model/worker.h"
 
 enum { COMMANDS_MAX = 400 };
 /* Direct commands to machines that may not answer, at a time: so many, and in proportion to our share of a
--- a/src/core/leader_broadcast.c
+++ b/src/core/peers/leader_broadcast.c
@@ -1,8 +1,9 @@
 /* What the leader tells the other controllers. */
-#include "core/leader_broadcast.h"
-#include "core/leader_state.h"
+#include "core/peers/leader_broadcast.h"
+#include "core/jobs/execution.h"
+#include "core/leader/leader_state.h"
 #include "core/machines/machine.h"
-#include "core/execution.h"
+#include "model/peer.h"
 
 #include <string.h>
 
--- a/src/core/leader_broadcast.h
+++ b/src/core/peers/leader_broadcast.h
@@ -1,6 +1,6 @@
 /* What the leader tells the other controllers: how its jobs fare, and where its machines listen. */
-#ifndef OW_CORE_LEADER_BROADCAST_H
-#define OW_CORE_LEADER_BROADCAST_H
+#ifndef OW_CORE_PEERS_LEADER_BROADCAST_H
+#define OW_CORE_PEERS_LEADER_BROADCAST_H
 
 struct ow_leader;
 
--- a/src/core/machine_hints.c
+++ b/src/core/peers/machine_hints.c
@@ -1,5 +1,6 @@
 /* Where machines listen, as the leader last told. */
-#include "core/machine_hints.h"
+#include "core/peers/machine_hints.h"
+#include "model/peer.h"
 
 struct ow_machine_hints {
     GArray *machines;       /* struct ow_peer_machine: the last complete list */
--- a/src/core/machine_hints.h
+++ b/src/core/peers/machine_hints.h
@@ -1,9 +1,11 @@
 /* Where machines listen, as the leader last told: whoever takes over next reaches them before the cloud's
  * list is there. The list comes whole, or in parts of which none is used until all have come. */
-#ifndef OW_CORE_MACHINE_HINTS_H
-#define OW_CORE_MACHINE_HINTS_H
+#ifndef OW_CORE_PEERS_MACHINE_HINTS_H
+#define OW_CORE_PEERS_MACHINE_HINTS_H
 
-#include "core/effects.h"
+#include "model/peer.h"
+
+#include <glib.h>
 
 struct ow_machine_hints;
 
--- a/src/core/peer_messages.c
+++ b/src/core/peers/peer_messages.c
@@ -1,11 +1,12 @@
-#include "core/peer_messages.h"
+#include "core/peers/peer_messages.h"
 
 #include "core/api/cancellation_ack.h"
-#include "core/api/job_cache.h"
 #include "core/core_state.h"
 #include "core/election/election.h"
 #include "core/health.h"
-#include "core/machine_hints.h"
+#include "core/jobs/job_cache.h"
+#include "core/peers/machine_hints.h"
+#include "model/peer.h"
 
 static const double HELLO_S = 1;
 /* A worker's report counts as recent for so long. */
--- a/src/core/peer_messages.h
+++ b/src/core/peers/peer_messages.h
@@ -1,6 +1,6 @@
 /* Messages from and to the other controllers. */
-#ifndef OW_CORE_PEER_MESSAGES_H
-#define OW_CORE_PEER_MESSAGES_H
+#ifndef OW_CORE_PEERS_PEER_MESSAGES_H
+#define OW_CORE_PEERS_PEER_MESSAGES_H
 
 struct ow_core;
 struct ow_peer_message;
--- a/src/core/pending_calls.c
+++ b/src/core/pending_calls.c
@@ -1,4 +1,5 @@
 #include "core/pending_calls.h"
+#include "model/event.h"
 
 #include <glib.h>
 
--- a/src/core/records/record_format.c
+++ b/src/core/records/record_format.c
@@ -3,8 +3,9 @@
  * service, and the gate only once every controller has been heard to speak it: one that does never comes back
  * as an earlier version. */
 #include "core/records/record_format.h"
-#include "core/leader_state.h"
-#include "core/records/records.h"
+#include "core/leader/leader_state.h"
+#include "model/event.h"
+#include "model/records.h"
 #include "wire/records_json.h"
 
 static const double LOOK_S = 1;
--- a/src/core/records/record_values.c
+++ b/src/core/records/record_values.c
@@ -2,11 +2,11 @@
  * changes together is written together. A chunk stays in its record value until its job is over, or until the
  * record value outgrows a value. */
 #include "core/records/record_values.h"
-#include "core/leader_state.h"
+#include "core/jobs/execution.h"
+#include "core/leader/leader_state.h"
 #include "core/machines/machine.h"
 #include "core/records/recorder.h"
-#include "core/records/records.h"
-#include "core/execution.h"
+#include "model/records.h"
 #include "wire/records_json.h"
 
 #include <string.h>
--- a/src/core/records/record_values.h
+++ b/src/core/records/record_values.h
@@ -3,7 +3,11 @@
 #ifndef OW_CORE_RECORDS_RECORD_VALUES_H
 #define OW_CORE_RECORDS_RECORD_VALUES_H
 
-#include "core/execution.h"
+#include "core/jobs/execution.h"
+
+#include <glib.h>
+#include <stdbool.h>
+#include <stdint.h>
 
 struct ow_write;
 
--- a/src/core/records/recorder.c
+++ b/src/core/records/recorder.c
@@ -3,13 +3,15 @@
  * changes nothing. One transaction is under way at a time. */
 #include "core/records/recorder.h"
 
-#include "core/leader_state.h"
+#include "core/jobs/execution.h"
+#include "core/leader/leader_state.h"
 #include "core/records/record_values.h"
 #include "core/records/recorder_state.h"
-#include "core/records/records.h"
 #include "core/records/transaction.h"
 #include "core/records/transaction_reply.h"
-#include "core/execution.h"
+#include "model/event.h"
+#include "model/records.h"
+#include "model/submission.h"
 
 /* How long values wait that still hold records of jobs that are over. */
 static const double TIDY_S = 10;
--- a/src/core/records/recorder_state.h
+++ b/src/core/records/recorder_state.h
@@ -3,8 +3,8 @@
 #ifndef OW_CORE_RECORDS_RECORDER_STATE_H
 #define OW_CORE_RECORDS_RECORDER_STATE_H
 
-#include "core/rate_limiter.h"
 #include "core/records/write_queue.h"
+#include "util/rate_limiter.h"
 
 #include <glib.h>
 #include <stdbool.h>
--- a/src/core/records/store_limits.c
+++ b/src/core/records/store_limits.c
@@ -1,6 +1,6 @@
 #include "core/records/store_limits.h"
 
-#include "core/records/records.h"
+#include "model/records.h"
 
 /* What one task takes in a progress record at most: a machine with its incarnation, the task and its attempt,
    or a mark among those that are done. Beside them a record has its name and its frame. */
--- a/src/core/records/store_limits.h
+++ b/src/core/records/store_limits.h
@@ -3,7 +3,7 @@
 #ifndef OW_CORE_RECORDS_STORE_LIMITS_H
 #define OW_CORE_RECORDS_STORE_LIMITS_H
 
-#include "core/settings.h"
+#include "model/settings.h"
 
 #include <stdbool.h>
 #include <stddef.h>
--- a/src/core/records/transaction.c
+++ b/src/core/records/transaction.c
@@ -1,10 +1,11 @@
 #include "core/records/transaction.h"
 
-#include "core/leader_state.h"
+#include "core/jobs/execution.h"
+#include "core/leader/leader_state.h"
 #include "core/records/record_values.h"
 #include "core/records/recorder_state.h"
-#include "core/records/records.h"
-#include "core/execution.h"
+#include "model/records.h"
+#include "model/submission.h"
 #include "wire/records_json.h"
 
 #include <string.h>
--- a/src/core/records/transaction_reply.c
+++ b/src/core/records/transaction_reply.c
@@ -1,14 +1,16 @@
 #include "core/records/transaction_reply.h"
 
-#include "core/api/job_cache.h"
 #include "core/election/election.h"
-#include "core/leader_state.h"
+#include "core/jobs/execution.h"
+#include "core/jobs/job_cache.h"
+#include "core/leader/leader_state.h"
 #include "core/machines/machine.h"
 #include "core/machines/worker_commands.h"
 #include "core/records/record_values.h"
 #include "core/records/recorder_state.h"
-#include "core/records/records.h"
-#include "core/execution.h"
+#include "model/event.h"
+#include "model/records.h"
+#include "model/submission.h"
 
 #include <string.h>
 
--- a/src/core/scheduling/array_preemption.c
+++ b/src/core/scheduling/array_preemption.c
@@ -1,13 +1,15 @@
 /* Stopping less urgent work for arrays and services. */
 #include "core/scheduling/array_preemption.h"
-#include "core/leader_state.h"
+#include "core/jobs/execution.h"
+#include "core/jobs/quota.h"
+#include "core/leader/leader_state.h"
 #include "core/machines/machine.h"
-#include "core/execution.h"
 #include "core/scheduling/candidates.h"
 #include "core/scheduling/placement.h"
 #include "core/scheduling/preempt.h"
 #include "core/scheduling/shortlist.h"
-#include "core/teams.h"
+#include "model/resources.h"
+#include "model/submission.h"
 
 /* Whether other work may be stopped for the run at all. */
 static bool may_preempt(const struct ow_leader *leader, const struct ow_execution *execution)
@@ -67,7 +69,7 @@
     uint32_t slots = MIN(wanted, ow_preempt_slots(leader, execution, machine));
     if (slots == 0 || !ow_preempt_make_room(leader, execution, machine, slots))
         return 0;
-    ow_amounts_add(&machine->held, &spec->submission->need, slots);
+    ow_resources_add(&machine->held, &spec->submission->need, slots);
     return slots;
 }
 
--- a/src/core/scheduling/array_start.c
+++ b/src/core/scheduling/array_start.c
@@ -1,15 +1,16 @@
 /* Starting the tasks of arrays. */
 #include "core/scheduling/array_start.h"
-#include "core/leader_state.h"
+#include "core/jobs/execution.h"
+#include "core/jobs/quota.h"
+#include "core/leader/leader_state.h"
 #include "core/machines/machine.h"
 #include "core/machines/machine_registry.h"
-#include "core/execution.h"
 #include "core/scheduling/candidates.h"
 #include "core/scheduling/classes.h"
 #include "core/scheduling/deadline.h"
 #include "core/scheduling/image_demand.h"
 #include "core/scheduling/placement.h"
-#include "core/teams.h"
+#include "model/cloud.h"
 
 /* The share of a class's slack that tasks may wait for a machine with their image, if a fetch is expensive.
  */
--- a/src/core/scheduling/candidates.c
+++ b/src/core/scheduling/candidates.c
@@ -1,6 +1,6 @@
 /* The machines on which tasks of a run could be started. */
 #include "core/scheduling/candidates.h"
-#include "core/leader_state.h"
+#include "core/leader/leader_state.h"
 #include "core/machines/machine.h"
 #include "core/scheduling/placement.h"
 #include "core/scheduling/placement_cost.h"
--- a/src/core/scheduling/candidates.h
+++ b/src/core/scheduling/candidates.h
@@ -2,7 +2,11 @@
 #ifndef OW_CORE_SCHEDULING_CANDIDATES_H
 #define OW_CORE_SCHEDULING_CANDIDATES_H
 
-#include "core/execution.h"
+#include "core/jobs/execution.h"
+
+#include <glib.h>
+#include <stdbool.h>
+#include <stdint.h>
 
 /* A machine on which tasks of a run could be started. */
 struct ow_candidate {
--- a/src/core/scheduling/classes.c
+++ b/src/core/scheduling/classes.c
@@ -3,6 +3,7 @@
 
 #include "core/core_state.h"
 #include "core/health.h"
+#include "model/submission.h"
 
 #include <math.h>
 #include <string.h>
--- a/src/core/scheduling/classes.h
+++ b/src/core/scheduling/classes.h
@@ -2,14 +2,19 @@
 #ifndef OW_CORE_SCHEDULING_CLASSES_H
 #define OW_CORE_SCHEDULING_CLASSES_H
 
-#include "core/api/job.h"
+#include "core/jobs/job.h"
+#include "model/resources.h"
+#include "model/submission.h"
+
+#include <stdbool.h>
+#include <stdint.h>
 
 struct ow_core;
 
 struct ow_class {
     double ratio; /* run time against the owners' estimates, as seen lately */
     bool seen;
-    struct ow_amounts need; /* of the last job */
+    struct ow_resources need; /* of the last job */
     double estimate_s, image_gb;
     uint32_t largest; /* tasks of the largest gang or service */
     bool gang, spot, service;
--- a/src/core/scheduling/deadline.c
+++ b/src/core/scheduling/deadline.c
@@ -1,6 +1,6 @@
 /* Deadlines of jobs. */
 #include "core/scheduling/deadline.h"
-#include "core/leader_state.h"
+#include "core/leader/leader_state.h"
 #include "core/scheduling/classes.h"
 
 #include <math.h>
--- a/src/core/scheduling/deadline.h
+++ b/src/core/scheduling/deadline.h
@@ -5,7 +5,9 @@
 #ifndef OW_CORE_SCHEDULING_DEADLINE_H
 #define OW_CORE_SCHEDULING_DEADLINE_H
 
-#include "core/execution.h"
+#include "core/jobs/execution.h"
+
+#include <stdbool.h>
 
 /* Whether the job was submitted with a deadline. */
 bool ow_deadline_is_set(const struct ow_execution *execution);
--- a/src/core/scheduling/gang_selection.c
+++ b/src/core/scheduling/gang_selection.c
@@ -1,12 +1,13 @@
 /* Selecting machines for the members of a gang. */
 #include "core/scheduling/gang_selection.h"
-#include "core/leader_state.h"
+#include "core/leader/leader_state.h"
 #include "core/machines/machine.h"
 #include "core/scheduling/candidates.h"
 #include "core/scheduling/placement.h"
 #include "core/scheduling/placement_cost.h"
 #include "core/scheduling/preempt.h"
 #include "core/scheduling/shortlist.h"
+#include "model/submission.h"
 
 #include <math.h>
 
--- a/src/core/scheduling/gang_selection.h
+++ b/src/core/scheduling/gang_selection.h
@@ -2,7 +2,10 @@
 #ifndef OW_CORE_SCHEDULING_GANG_SELECTION_H
 #define OW_CORE_SCHEDULING_GANG_SELECTION_H
 
-#include "core/execution.h"
+#include "core/jobs/execution.h"
+
+#include <glib.h>
+#include <stdint.h>
 
 /* A machine selected for some members of a gang. */
 struct ow_gang_pick {
--- a/src/core/scheduling/gang_turn.h
+++ b/src/core/scheduling/gang_turn.h
@@ -2,7 +2,9 @@
 #ifndef OW_CORE_SCHEDULING_GANG_TURN_H
 #define OW_CORE_SCHEDULING_GANG_TURN_H
 
-#include "core/execution.h"
+#include "core/jobs/execution.h"
+
+#include <stdbool.h>
 
 /* Whether the gang takes its turn in this pass: one gang at most does, the first in the queue that asks. */
 bool ow_gang_turn_take(struct ow_leader *leader, const struct ow_execution *execution);
--- a/src/core/scheduling/gpu_reserve.c
+++ b/src/core/scheduling/gpu_reserve.c
@@ -1,12 +1,13 @@
 /* Which GPU machines are kept for jobs that need GPUs. */
 #include "core/scheduling/gpu_reserve.h"
-#include "core/leader_state.h"
+#include "core/jobs/execution.h"
+#include "core/leader/leader_state.h"
 #include "core/machines/machine.h"
 #include "core/machines/machine_registry.h"
-#include "core/execution.h"
 #include "core/scheduling/classes.h"
 #include "core/scheduling/deadline.h"
 #include "core/scheduling/image_demand.h"
+#include "model/cloud.h"
 
 /* What is kept for GPU jobs as a multiple of what they need now. */
 static const double GPU_MARGIN = 1.2;
--- a/src/core/scheduling/image_demand.c
+++ b/src/core/scheduling/image_demand.c
@@ -1,10 +1,11 @@
 /* How long fetching a container image takes, and how much work waits for it. */
 #include "core/scheduling/image_demand.h"
-#include "core/leader_state.h"
+#include "core/leader/leader_state.h"
 #include "core/machines/machine.h"
 #include "core/machines/machine_registry.h"
 #include "core/scheduling/classes.h"
 #include "core/scheduling/placement.h"
+#include "model/cloud.h"
 
 static bool fits_type(const struct ow_job_spec *spec, int index, const struct ow_machine_type *type)
 {
--- a/src/core/scheduling/image_demand.h
+++ b/src/core/scheduling/image_demand.h
@@ -2,7 +2,9 @@
 #ifndef OW_CORE_SCHEDULING_IMAGE_DEMAND_H
 #define OW_CORE_SCHEDULING_IMAGE_DEMAND_H
 
-#include "core/execution.h"
+#include "core/jobs/execution.h"
+
+#include <glib.h>
 
 /* The work that waits for an image and the slots where it is, computed once a cycle. */
 struct ow_image_demand {
--- a/src/core/scheduling/placement.c
+++ b/src/core/scheduling/placement.c
@@ -1,10 +1,13 @@
 /* Where a task may run, and placing it there. */
 #include "core/scheduling/placement.h"
-#include "core/leader_state.h"
+#include "core/jobs/execution.h"
+#include "core/leader/leader_state.h"
 #include "core/machines/machine.h"
 #include "core/machines/machine_registry.h"
 #include "core/records/recorder.h"
-#include "core/execution.h"
+#include "model/cloud.h"
+#include "model/resources.h"
+#include "model/submission.h"
 
 #include <math.h>
 
@@ -43,7 +46,7 @@
     return floor((free + AMOUNT_TOLERANCE) / need);
 }
 
-static double fit_amounts(const struct ow_amounts *free, const struct ow_amounts *need)
+static double fit_amounts(const struct ow_resources *free, const struct ow_resources *need)
 {
     double cpus = fit(free->cpus, need->cpus);
     double gpus = fit(free->gpus, need->gpus);
@@ -51,7 +54,7 @@
     return MIN(MIN(cpus, gpus), memory);
 }
 
-uint32_t ow_placement_slots_on_empty(const struct ow_machine_type *type, const struct ow_amounts *need)
+uint32_t ow_placement_slots_on_empty(const struct ow_machine_type *type, const struct ow_resources *need)
 {
     return (uint32_t)fit_amounts(&type->size, need);
 }
@@ -69,17 +72,17 @@
 }
 
 uint32_t ow_placement_slots_beside(const struct ow_leader *leader, const struct ow_job_spec *spec,
-                                   const struct ow_machine *machine, const struct ow_amounts *used)
+                                   const struct ow_machine *machine, const struct ow_resources *used)
 {
     const struct ow_machine_type *type = ow_machine_type_of(leader, machine);
     if (type == NULL)
         return 0;
-    struct ow_amounts taken = *used;
-    ow_amounts_add(&taken, &machine->unknown_tasks_use, 1);
-    ow_amounts_add(&taken, &machine->held, 1);
+    struct ow_resources taken = *used;
+    ow_resources_add(&taken, &machine->unknown_tasks_use, 1);
+    ow_resources_add(&taken, &machine->held, 1);
     if (!spec->submission->gang)
-        ow_amounts_add(&taken, &machine->held_for_gangs, 1);
-    struct ow_amounts free = {
+        ow_resources_add(&taken, &machine->held_for_gangs, 1);
+    struct ow_resources free = {
         .cpus = type->size.cpus - taken.cpus,
         .gpus = type->size.gpus - taken.gpus,
         .memory_gb = type->size.memory_gb - taken.memory_gb,
--- a/src/core/scheduling/placement_cost.c
+++ b/src/core/scheduling/placement_cost.c
@@ -1,12 +1,14 @@
 /* How well a machine suits a job. */
 #include "core/scheduling/placement_cost.h"
-#include "core/leader_state.h"
+#include "core/leader/leader_state.h"
 #include "core/machines/machine.h"
 #include "core/machines/machine_registry.h"
 #include "core/machines/spot_risk.h"
 #include "core/scheduling/classes.h"
 #include "core/scheduling/deadline.h"
 #include "core/scheduling/placement.h"
+#include "model/cloud.h"
+#include "model/submission.h"
 
 /* Seconds that a job which needs no GPUs is worth waiting rather than taking a machine with GPUs. */
 static const double GPU_WASTE_S = 20;
--- a/src/core/scheduling/placement_cost.h
+++ b/src/core/scheduling/placement_cost.h
@@ -2,7 +2,9 @@
 #ifndef OW_CORE_SCHEDULING_PLACEMENT_COST_H
 #define OW_CORE_SCHEDULING_PLACEMENT_COST_H
 
-#include "core/execution.h"
+#include "core/jobs/execution.h"
+
+#include <stdbool.h>
 
 /* The cost of running a task of the run there. The machine's type must be known. */
 double ow_placement_cost(const struct ow_leader *leader, const struct ow_execution *execution,
--- a/src/core/scheduling/preempt.c
+++ b/src/core/scheduling/preempt.c
@@ -1,11 +1,13 @@
 /* Stopping work to free capacity, where the rules allow it: the cheapest loss first. */
 #include "core/scheduling/preempt.h"
-#include "core/leader_state.h"
+#include "core/jobs/execution.h"
+#include "core/jobs/quota.h"
+#include "core/leader/leader_state.h"
 #include "core/machines/machine.h"
-#include "core/execution.h"
 #include "core/scheduling/deadline.h"
 #include "core/scheduling/placement.h"
-#include "core/teams.h"
+#include "model/resources.h"
+#include "model/submission.h"
 
 #include <math.h>
 
@@ -58,16 +60,16 @@
 
 /* Slots for the job on the machine as they would be with some attempts gone. */
 static uint32_t slots_without(const struct ow_leader *leader, const struct ow_job_spec *spec,
-                              const struct ow_machine *machine, const struct ow_amounts *gone)
+                              const struct ow_machine *machine, const struct ow_resources *gone)
 {
-    struct ow_amounts used = machine->used;
-    ow_amounts_add(&used, gone, -1);
+    struct ow_resources used = machine->used;
+    ow_resources_add(&used, gone, -1);
     return ow_placement_slots_beside(leader, spec, machine, &used);
 }
 
-static void add_need(struct ow_amounts *sum, const struct ow_attempt *attempt)
+static void add_need(struct ow_resources *sum, const struct ow_attempt *attempt)
 {
-    ow_amounts_add(sum, &attempt->job->spec->submission->need, 1);
+    ow_resources_add(sum, &attempt->job->spec->submission->need, 1);
 }
 
 int ow_preempt_top_rank(const struct ow_leader *leader, const struct ow_job_spec *spec)
@@ -82,9 +84,9 @@
 uint32_t ow_preempt_slots_upper_bound(const struct ow_leader *leader, const struct ow_job_spec *spec,
                                       const struct ow_machine *machine, int from)
 {
-    struct ow_amounts most = machine->stopping;
+    struct ow_resources most = machine->stopping;
     for (int rank = from; rank <= OW_RANK_LOW; rank++)
-        ow_amounts_add(&most, &machine->used_by[rank], 1);
+        ow_resources_add(&most, &machine->used_by[rank], 1);
     return slots_without(leader, spec, machine, &most);
 }
 
@@ -92,7 +94,7 @@
                           const struct ow_machine *machine)
 {
     const struct ow_job_spec *spec = execution->job->spec;
-    struct ow_amounts gone = {0};
+    struct ow_resources gone = {0};
     /* Most machines are full of work that may not be stopped: for them the attempts are not visited. */
     if (ow_preempt_slots_upper_bound(leader, spec, machine, ow_preempt_top_rank(leader, spec)) == 0)
         return 0;
@@ -125,7 +127,7 @@
 {
     const struct ow_job_spec *spec = execution->job->spec;
     GArray *victims = g_array_new(FALSE, FALSE, sizeof(struct victim));
-    struct ow_amounts gone = {0};
+    struct ow_resources gone = {0};
     for (guint i = 0; i < machine->attempts->len; i++) {
         struct ow_attempt *attempt = g_ptr_array_index(machine->attempts, i);
         struct victim victim = {attempt, loss_s(leader, attempt)};
--- a/src/core/scheduling/preempt.h
+++ b/src/core/scheduling/preempt.h
@@ -3,7 +3,10 @@
 #ifndef OW_CORE_SCHEDULING_PREEMPT_H
 #define OW_CORE_SCHEDULING_PREEMPT_H
 
-#include "core/execution.h"
+#include "core/jobs/execution.h"
+
+#include <stdbool.h>
+#include <stdint.h>
 
 /* The most urgent rank whose work may be stopped for the job. */
 int ow_preempt_top_rank(const struct ow_leader *leader, const struct ow_job_spec *spec);
--- a/src/core/scheduling/queue.c
+++ b/src/core/scheduling/queue.c
@@ -1,12 +1,15 @@
 /* The order of the queue. */
 #include "core/scheduling/queue.h"
-#include "core/leader_state.h"
+#include "core/jobs/quota.h"
+#include "core/leader/leader_state.h"
 #include "core/machines/machine.h"
 #include "core/machines/machine_registry.h"
 #include "core/scheduling/classes.h"
 #include "core/scheduling/deadline.h"
 #include "core/scheduling/image_demand.h"
-#include "core/teams.h"
+#include "model/cloud.h"
+#include "model/resources.h"
+#include "model/submission.h"
 
 /* How far the size of an array counts against its age. */
 static const double SIZE_WEIGHT = 5;
@@ -57,8 +60,8 @@
 static bool is_guaranteed(struct ow_leader *leader, const struct ow_execution *execution)
 {
     const struct ow_job_spec *spec = execution->job->spec;
-    struct ow_amounts amounts = *ow_team_usage(leader, spec->team);
-    ow_amounts_add(&amounts, &spec->submission->need, ow_execution_pending(execution));
+    struct ow_resources amounts = *ow_team_usage(leader, spec->team);
+    ow_resources_add(&amounts, &spec->submission->need, ow_execution_pending(execution));
     return ow_team_has_guarantee_for(leader, spec->team, &spec->submission->need) &&
            ow_team_guarantee_covers(leader, spec->team, &amounts);
 }
@@ -101,7 +104,7 @@
 }
 
 /* The share of the fleet that one such task takes. */
-static double fleet_share(const struct ow_amounts *need, const struct fleet_capacity *capacity)
+static double fleet_share(const struct ow_resources *need, const struct fleet_capacity *capacity)
 {
     if (need->gpus > 0)
         return need->gpus / MAX(capacity->gpus, 1);
--- a/src/core/scheduling/queue.h
+++ b/src/core/scheduling/queue.h
@@ -3,7 +3,10 @@
 #ifndef OW_CORE_SCHEDULING_QUEUE_H
 #define OW_CORE_SCHEDULING_QUEUE_H
 
-#include "core/execution.h"
+#include "core/jobs/execution.h"
+
+#include <glib.h>
+#include <stdbool.h>
 
 /* The runs with waiting tasks in queue order, as struct ow_execution *; the caller frees the array. It also
    updates how long each run has missed tasks, and whether it starves or is old. */
--- a/src/core/scheduling/reason.c
+++ b/src/core/scheduling/reason.c
@@ -1,13 +1,14 @@
 /* Why a job waits, in words for its team. */
 #include "core/scheduling/reason.h"
-#include "core/leader_state.h"
+#include "core/jobs/execution.h"
+#include "core/jobs/quota.h"
+#include "core/leader/leader_state.h"
 #include "core/machines/machine.h"
 #include "core/machines/machine_registry.h"
-#include "core/execution.h"
 #include "core/scheduling/placement.h"
 #include "core/scheduling/placement_cost.h"
 #include "core/scheduling/reservation.h"
-#include "core/teams.h"
+#include "model/cloud.h"
 
 /* How many machines jobs with such demands allow: counted once a cycle. */
 struct allowance {
--- a/src/core/scheduling/replica_spread.c
+++ b/src/core/scheduling/replica_spread.c
@@ -1,7 +1,7 @@
 #include "core/scheduling/replica_spread.h"
 
+#include "core/jobs/execution.h"
 #include "core/machines/machine.h"
-#include "core/execution.h"
 
 static guint count_at(GHashTable *counts, const void *key)
 {
--- a/src/core/scheduling/reservation.c
+++ b/src/core/scheduling/reservation.c
@@ -4,15 +4,16 @@
  * machine stands in as many lists as it has slots for members. The window closes as soon as every member has
  * a candidate, which in the leader's own view of the fleet is often at once. */
 #include "core/scheduling/reservation.h"
-#include "core/leader_state.h"
+#include "core/jobs/execution.h"
+#include "core/jobs/quota.h"
+#include "core/leader/leader_state.h"
 #include "core/machines/machine.h"
-#include "core/execution.h"
 #include "core/scheduling/candidates.h"
 #include "core/scheduling/gang_selection.h"
 #include "core/scheduling/gang_turn.h"
 #include "core/scheduling/placement.h"
 #include "core/scheduling/preempt.h"
-#include "core/teams.h"
+#include "model/resources.h"
 
 /* Capacity for one member of a gang on a machine. */
 struct ow_hold {
@@ -274,13 +275,13 @@
 {
     if (execution->reservation == NULL)
         return;
-    const struct ow_amounts *need = &execution->job->spec->submission->need;
+    const struct ow_resources *need = &execution->job->spec->submission->need;
     bool firm = execution->reservation->stops || execution->starves || ow_gang_turn_take(leader, execution);
     for (guint i = 0; i < execution->reservation->holds->len; i++) {
         const struct ow_hold *hold = &g_array_index(execution->reservation->holds, struct ow_hold, i);
         if (!hold->picked)
             continue;
         struct ow_machine *machine = hold->machine;
-        ow_amounts_add(firm ? &machine->held : &machine->held_for_gangs, need, 1);
+        ow_resources_add(firm ? &machine->held : &machine->held_for_gangs, need, 1);
     }
 }
--- a/src/core/scheduling/reservation.h
+++ b/src/core/scheduling/reservation.h
@@ -3,7 +3,10 @@
 #ifndef OW_CORE_SCHEDULING_RESERVATION_H
 #define OW_CORE_SCHEDULING_RESERVATION_H
 
-#include "core/execution.h"
+#include "core/jobs/execution.h"
+
+#include <glib.h>
+#include <stdbool.h>
 
 struct ow_reservation {
     double opened_at;   /* when the window to collect holds opened */
--- a/src/core/scheduling/schedule.c
+++ b/src/core/scheduling/schedule.c
@@ -1,9 +1,10 @@
 /* The scheduling cycle: what is started or held for each waiting run, and the completion of jobs. */
 #include "core/scheduling/schedule.h"
-#include "core/leader_state.h"
+#include "core/jobs/execution.h"
+#include "core/jobs/quota.h"
+#include "core/leader/leader_state.h"
 #include "core/machines/machine.h"
 #include "core/records/recorder.h"
-#include "core/execution.h"
 #include "core/scheduling/array_preemption.h"
 #include "core/scheduling/array_start.h"
 #include "core/scheduling/gpu_reserve.h"
@@ -13,7 +14,8 @@
 #include "core/scheduling/reservation.h"
 #include "core/scheduling/service_replicas.h"
 #include "core/scheduling/shortlist.h"
-#include "core/teams.h"
+#include "model/resources.h"
+#include "model/submission.h"
 
 /* The last record of the job was carried out although the answer was lost. */
 static void close_done_job(struct ow_leader *leader, struct ow_execution *execution)
@@ -46,7 +48,7 @@
 /* Takes a job that needs GPUs into what the cycle knows of GPU jobs. */
 static void observe_gpu_need(struct ow_leader *leader, const struct ow_submission *submission)
 {
-    const struct ow_amounts *need = &submission->need;
+    const struct ow_resources *need = &submission->need;
     if (need->gpus <= 0)
         return;
     leader->cycle.gpu_cpus = MAX(leader->cycle.gpu_cpus, need->cpus / need->gpus);
@@ -82,8 +84,8 @@
 {
     for (guint i = 0; i < leader->machines->len; i++) {
         struct ow_machine *machine = g_ptr_array_index(leader->machines, i);
-        machine->held = (struct ow_amounts){0};
-        machine->held_for_gangs = (struct ow_amounts){0};
+        machine->held = (struct ow_resources){0};
+        machine->held_for_gangs = (struct ow_resources){0};
     }
 }
 
@@ -92,8 +94,8 @@
 {
     for (guint i = 0; i < leader->machines->len; i++) {
         struct ow_machine *machine = g_ptr_array_index(leader->machines, i);
-        ow_amounts_add(&machine->held, &machine->held_for_gangs, 1);
-        machine->held_for_gangs = (struct ow_amounts){0};
+        ow_resources_add(&machine->held, &machine->held_for_gangs, 1);
+        machine->held_for_gangs = (struct ow_resources){0};
     }
 }
 
--- a/src/core/scheduling/service_moves.c
+++ b/src/core/scheduling/service_moves.c
@@ -1,12 +1,15 @@
 /* Moving replicas of services. */
 #include "core/scheduling/service_moves.h"
 
-#include "core/leader_state.h"
+#include "core/jobs/execution.h"
+#include "core/leader/leader_state.h"
 #include "core/machines/machine.h"
 #include "core/machines/machine_registry.h"
-#include "core/execution.h"
 #include "core/scheduling/placement.h"
 #include "core/scheduling/replica_spread.h"
+#include "model/cloud.h"
+#include "model/resources.h"
+#include "model/worker.h"
 
 /* Replicas of one service that are moved at a time. */
 enum { MOVES_MOST = 1 };
@@ -81,7 +84,7 @@
 static void move_to(struct ow_leader *leader, struct ow_attempt *attempt, struct ow_machine *place,
                     const char *why)
 {
-    ow_amounts_add(&place->held, &attempt->job->spec->submission->need, 1);
+    ow_resources_add(&place->held, &attempt->job->spec->submission->need, 1);
     ow_attempt_stop(leader, attempt, 0, why);
 }
 
--- a/src/core/scheduling/service_replicas.c
+++ b/src/core/scheduling/service_replicas.c
@@ -1,14 +1,14 @@
 /* Services: replicas that run until their job is cancelled, apart from one another. */
 #include "core/scheduling/service_replicas.h"
 
-#include "core/leader_state.h"
+#include "core/jobs/execution.h"
+#include "core/jobs/quota.h"
+#include "core/leader/leader_state.h"
 #include "core/machines/machine.h"
 #include "core/machines/machine_registry.h"
-#include "core/execution.h"
 #include "core/scheduling/candidates.h"
 #include "core/scheduling/placement.h"
 #include "core/scheduling/replica_spread.h"
-#include "core/teams.h"
 
 #include <math.h>
 
--- a/src/core/scheduling/shortlist.c
+++ b/src/core/scheduling/shortlist.c
@@ -2,12 +2,13 @@
  * Listed once a cycle, so that a cycle costs machines times classes and not machines times waiting jobs.
  * Capacity only shrinks while a cycle lasts; what a stop frees at once is found by the next one. */
 #include "core/scheduling/shortlist.h"
-#include "core/leader_state.h"
+#include "core/jobs/execution.h"
+#include "core/leader/leader_state.h"
 #include "core/machines/machine.h"
 #include "core/machines/machine_registry.h"
-#include "core/execution.h"
 #include "core/scheduling/placement.h"
 #include "core/scheduling/preempt.h"
+#include "model/submission.h"
 
 struct shortlist {
     bool wanted; /* a job of the class waits */
--- a/src/core/type_discovery.c
+++ b/src/core/type_discovery.c
@@ -1,7 +1,9 @@
 #include "core/type_discovery.h"
 
 #include "core/core_state.h"
-#include "core/records/records.h"
+#include "model/cloud.h"
+#include "model/event.h"
+#include "model/records.h"
 #include "wire/cloud_json.h"
 
 static const double RETRY_S = 1.5;
--- a/src/io/daemon.c
+++ b/src/io/daemon.c
@@ -1,7 +1,10 @@
 #include "io/daemon.h"
 
-#include "io/rng.h"
 #include "io/daemon_state.h"
+#include "io/rng.h"
+#include "model/effect.h"
+#include "model/event.h"
+#include "model/peer.h"
 
 #include <string.h>
 
--- a/src/io/daemon.h
+++ b/src/io/daemon.h
@@ -2,8 +2,8 @@
 #ifndef OW_IO_DAEMON_H
 #define OW_IO_DAEMON_H
 
-#include "sharding/sharding_settings.h"
 #include "io/loop.h"
+#include "sharding/sharding_settings.h"
 
 struct ow_daemon;
 
--- a/src/io/daemon_state.h
+++ b/src/io/daemon_state.h
@@ -2,13 +2,17 @@
 #ifndef OW_IO_DAEMON_STATE_H
 #define OW_IO_DAEMON_STATE_H
 
-#include "sharding/shard_manager.h"
-#include "core/settings.h"
 #include "io/http_client.h"
 #include "io/http_server.h"
 #include "io/http_status.h"
 #include "io/loop.h"
 #include "io/peer_link.h"
+#include "model/effect.h"
+#include "model/settings.h"
+#include "sharding/shard_manager.h"
+
+#include <glib.h>
+#include <stdint.h>
 
 struct ow_daemon {
     struct ow_loop *loop;
--- a/src/io/incoming.c
+++ b/src/io/incoming.c
@@ -2,6 +2,10 @@
  * read; and the core's answers to them. */
 #include "io/daemon_state.h"
 
+#include "model/effect.h"
+#include "model/event.h"
+#include "model/submission.h"
+#include "model/worker.h"
 #include "wire/sharding_json.h"
 #include "wire/user_json.h"
 #include "wire/words.h"
--- a/src/io/outgoing.c
+++ b/src/io/outgoing.c
@@ -1,6 +1,9 @@
 /* Requests to the key-value store, the cloud and workers, and what becomes of their responses. */
 #include "io/daemon_state.h"
 
+#include "model/cloud.h"
+#include "model/effect.h"
+#include "model/event.h"
 #include "wire/cloud_json.h"
 #include "wire/store_json.h"
 #include "wire/words.h"
--- a/src/io/peer_link.c
+++ b/src/io/peer_link.c
@@ -1,6 +1,7 @@
 #include "io/peer_link.h"
 
 #include "io/net.h"
+#include "model/peer.h"
 #include "wire/peer_xdr.h"
 
 #include <arpa/inet.h>
--- a/src/io/peer_link.h
+++ b/src/io/peer_link.h
@@ -2,8 +2,8 @@
 #ifndef OW_IO_PEER_LINK_H
 #define OW_IO_PEER_LINK_H
 
-#include "core/effects.h"
 #include "io/loop.h"
+#include "model/peer.h"
 
 struct ow_peer_links;
 
--- a/src/main.c
+++ b/src/main.c
@@ -2,11 +2,11 @@
 #include "config/cmdline.h"
 #include "config/operators_file.h"
 #include "config/settings_file.h"
-#include "sharding/sharding_settings.h"
 #include "io/client.h"
+#include "io/daemon.h"
 #include "io/log.h"
 #include "io/net.h"
-#include "io/daemon.h"
+#include "sharding/sharding_settings.h"
 
 #include <stdio.h>
 #include <stdlib.h>
--- a/src/core/effects.c
+++ b/src/model/peer.c
@@ -1,4 +1,4 @@
-#include "core/effects.h"
+#include "model/peer.h"
 
 static void peer_job_clear(void *item)
 {
@@ -73,58 +73,3 @@
     g_free(message->target);
     g_free(message);
 }
-
-void ow_cloud_request_free(struct ow_cloud_request *request)
-{
-    if (request == NULL)
-        return;
-    g_free(request->after);
-    g_free(request->name);
-    g_free(request->type);
-    g_free(request->zone);
-    if (request->machines != NULL)
-        g_ptr_array_free(request->machines, TRUE);
-    g_free(request);
-}
-
-void ow_cloud_reply_clear(struct ow_cloud_reply *reply)
-{
-    if (reply->types != NULL)
-        g_array_free(reply->types, TRUE);
-    if (reply->listed != NULL)
-        g_array_free(reply->listed, TRUE);
-    g_strfreev(reply->provisioned);
-}
-
-void ow_effect_free(void *item)
-{
-    struct ow_effect *effect = item;
-    g_free(effect->text);
-    if (effect->commands != NULL)
-        g_array_free(effect->commands, TRUE);
-    if (effect->teams != NULL)
-        g_array_free(effect->teams, TRUE);
-    ow_store_request_free(effect->store);
-    ow_cloud_request_free(effect->cloud);
-    ow_peer_message_free(effect->peer);
-    g_free(effect);
-}
-
-struct ow_event *ow_event_new(enum ow_event_kind kind, uint64_t request)
-{
-    struct ow_event *event = g_new0(struct ow_event, 1);
-    event->kind = kind;
-    event->request = request;
-    return event;
-}
-
-void ow_event_free(void *item)
-{
-    struct ow_event *event = item;
-    ow_heartbeat_free(event->heartbeat);
-    ow_submission_free(event->submission);
-    ow_store_reply_clear(&event->store);
-    ow_cloud_reply_clear(&event->cloud);
-    ow_peer_message_free(event->peer);
-    g_free(event);
-}
--- a/src/core/records/records.h
+++ b/src/model/records.h
@@ -8,10 +8,13 @@
  *                    "<id>/<chunk>.<tasks>" where a run has not 256 tasks: what is done, which
  *                    attempts may exist, and where. Of a record found in two values the newer value's counts
  */
-#ifndef OW_CORE_RECORDS_RECORDS_H
-#define OW_CORE_RECORDS_RECORDS_H
+#ifndef OW_MODEL_RECORDS_H
+#define OW_MODEL_RECORDS_H
 
-#include "core/types.h"
+#include "model/submission.h"
+
+#include <glib.h>
+#include <stdint.h>
 
 #define OW_KEY_LEADER "coordinator"
 #define OW_KEY_TYPES "types"
--- a/src/core/settings.c
+++ b/src/model/settings.c
@@ -1,4 +1,4 @@
-#include "core/settings.h"
+#include "model/settings.h"
 
 struct ow_tuning ow_tuning_default(void)
 {
--- a/src/core/settings.h
+++ b/src/model/settings.h
@@ -1,6 +1,6 @@
 /* What the platform's settings and the operators say, checked. Plain data, shared by all parts. */
-#ifndef OW_CORE_SETTINGS_H
-#define OW_CORE_SETTINGS_H
+#ifndef OW_MODEL_SETTINGS_H
+#define OW_MODEL_SETTINGS_H
 
 #include <glib.h>
 
--- a/src/core/store.c
+++ b/src/model/store.c
@@ -1,4 +1,4 @@
-#include "core/store.h"
+#include "model/store.h"
 
 #include <string.h>
 
--- a/src/core/store.h
+++ b/src/model/store.h
@@ -1,6 +1,6 @@
 /* What the core asks of the key-value store, and what it hears back. Plain data. */
-#ifndef OW_CORE_STORE_H
-#define OW_CORE_STORE_H
+#ifndef OW_MODEL_STORE_H
+#define OW_MODEL_STORE_H
 
 #include <glib.h>
 #include <stdbool.h>
--- a/src/sharding/effect_guard.c
+++ b/src/sharding/effect_guard.c
@@ -1,4 +1,8 @@
 #include "sharding/effect_guard.h"
+#include "model/cloud.h"
+#include "model/effect.h"
+#include "model/event.h"
+#include "model/worker.h"
 
 enum { STATUS_UNAVAILABLE = 503, RETRY_S = 1 };
 
--- a/src/sharding/indirect_probe.c
+++ b/src/sharding/indirect_probe.c
@@ -1,3 +1,4 @@
+#include "model/peer.h"
 #include "sharding/membership_state.h"
 
 static void send_step(struct ow_membership *membership, enum ow_probe_step step, const char *addressee,
--- a/src/sharding/map_agreement.c
+++ b/src/sharding/map_agreement.c
@@ -1,9 +1,10 @@
 #include "sharding/map_agreement.h"
 
+#include "model/effect.h"
+#include "model/records.h"
 #include "sharding/shard_map.h"
-#include "core/records/records.h"
-#include "wire/sharding_json.h"
 #include "wire/records_json.h"
+#include "wire/sharding_json.h"
 
 #include <string.h>
 
--- a/src/sharding/map_agreement.h
+++ b/src/sharding/map_agreement.h
@@ -5,7 +5,9 @@
 #ifndef OW_SHARDING_MAP_AGREEMENT_H
 #define OW_SHARDING_MAP_AGREEMENT_H
 
-#include "core/effects.h"
+#include <glib.h>
+#include <stdbool.h>
+#include <stdint.h>
 
 enum ow_agreement_state {
     OW_AGREEMENT_READING,  /* the stored map is not known yet */
@@ -14,6 +16,8 @@
     OW_AGREEMENT_DIFFERS, /* this controller leads nothing anew; what it leads it goes on leading */
 };
 
+struct ow_store_reply;
+
 struct ow_map_agreement {
     enum ow_agreement_state state;
     GHashTable *values; /* ours: name -> value, owned */
--- a/src/sharding/membership.c
+++ b/src/sharding/membership.c
@@ -1,3 +1,4 @@
+#include "model/peer.h"
 #include "sharding/membership_state.h"
 
 #include <string.h>
--- a/src/sharding/membership.h
+++ b/src/sharding/membership.h
@@ -4,9 +4,13 @@
 #ifndef OW_SHARDING_MEMBERSHIP_H
 #define OW_SHARDING_MEMBERSHIP_H
 
-#include "sharding/sharding_settings.h"
+#include "model/peer.h"
 #include "sharding/phi_detector.h"
-#include "core/effects.h"
+#include "sharding/sharding_settings.h"
+
+#include <glib.h>
+#include <stdbool.h>
+#include <stdint.h>
 
 enum ow_member_state {
     OW_MEMBER_UNHEARD, /* no heartbeat has come since this controller started */
--- a/src/sharding/membership_state.h
+++ b/src/sharding/membership_state.h
@@ -2,8 +2,12 @@
 #ifndef OW_SHARDING_MEMBERSHIP_STATE_H
 #define OW_SHARDING_MEMBERSHIP_STATE_H
 
+#include "model/peer.h"
 #include "sharding/membership.h"
 
+#include <glib.h>
+#include <stdint.h>
+
 struct ow_membership {
     const struct ow_sharding_settings *sharding;
     const char *self;
--- a/src/sharding/peer_heartbeats.c
+++ b/src/sharding/peer_heartbeats.c
@@ -1,3 +1,4 @@
+#include "model/peer.h"
 #include "sharding/membership_state.h"
 
 struct ow_peer_message *ow_peer_heartbeat_new(struct ow_membership *membership, const GArray *own_shards)
--- a/src/sharding/request_router.c
+++ b/src/sharding/request_router.c
@@ -1,5 +1,8 @@
 #include "sharding/request_router.h"
 
+#include "model/effect.h"
+#include "model/event.h"
+#include "model/submission.h"
 #include "sharding/shard_map.h"
 #include "sharding/shard_question.h"
 
--- a/src/sharding/request_router.h
+++ b/src/sharding/request_router.h
@@ -4,8 +4,13 @@
 #ifndef OW_SHARDING_REQUEST_ROUTER_H
 #define OW_SHARDING_REQUEST_ROUTER_H
 
+#include "model/effect.h"
+#include "model/event.h"
 #include "sharding/shard.h"
 
+#include <glib.h>
+#include <stdbool.h>
+
 struct ow_request_router;
 
 /* `shards` (struct ow_shard) must outlive it. */
--- a/src/sharding/shard.c
+++ b/src/sharding/shard.c
@@ -1,5 +1,8 @@
 #include "sharding/shard.h"
 
+#include "model/cloud.h"
+#include "model/effect.h"
+#include "model/event.h"
 #include "sharding/effect_guard.h"
 #include "sharding/shard_keys.h"
 #include "sharding/shard_map.h"
--- a/src/sharding/shard.h
+++ b/src/sharding/shard.h
@@ -3,9 +3,13 @@
 #ifndef OW_SHARDING_SHARD_H
 #define OW_SHARDING_SHARD_H
 
+#include "core/core.h"
+#include "model/event.h"
 #include "sharding/handover.h"
 #include "sharding/lease_guard.h"
-#include "core/core.h"
+
+#include <glib.h>
+#include <stdint.h>
 
 struct ow_shard {
     unsigned index;
--- a/src/sharding/shard_dispatch.c
+++ b/src/sharding/shard_dispatch.c
@@ -1,3 +1,6 @@
+#include "model/effect.h"
+#include "model/event.h"
+#include "model/peer.h"
 #include "sharding/shard_manager_state.h"
 #include "sharding/shard_map.h"
 
--- a/src/sharding/shard_keys.c
+++ b/src/sharding/shard_keys.c
@@ -1,6 +1,6 @@
 #include "sharding/shard_keys.h"
 
-#include "core/records/records.h"
+#include "model/records.h"
 
 #include <string.h>
 
--- a/src/sharding/shard_keys.h
+++ b/src/sharding/shard_keys.h
@@ -2,7 +2,9 @@
 #ifndef OW_SHARDING_SHARD_KEYS_H
 #define OW_SHARDING_SHARD_KEYS_H
 
-#include "core/store.h"
+#include "model/store.h"
+
+#include <glib.h>
 
 /* The shard of this name has no prefix: its records are those of a fleet without shards. It has no others
  * beside it. */
--- a/src/sharding/shard_manager.c
+++ b/src/sharding/shard_manager.c
@@ -1,8 +1,11 @@
 #include "sharding/shard_manager.h"
 
+#include "model/effect.h"
+#include "model/event.h"
+#include "model/peer.h"
 #include "sharding/candidacy.h"
-#include "sharding/shard_manager_state.h"
 #include "sharding/shard_keys.h"
+#include "sharding/shard_manager_state.h"
 #include "sharding/shard_map.h"
 
 #include <string.h>
--- a/src/sharding/shard_manager.h
+++ b/src/sharding/shard_manager.h
@@ -4,9 +4,14 @@
 #ifndef OW_SHARDING_SHARD_MANAGER_H
 #define OW_SHARDING_SHARD_MANAGER_H
 
+#include "model/event.h"
 #include "sharding/membership.h"
 #include "sharding/shard.h"
 
+#include <glib.h>
+#include <stdbool.h>
+#include <stdint.h>
+
 struct ow_shard_manager;
 
 /* `settings`, `rules` and `manager` must outlive it. `nonce` is a number that no other process has. */
--- a/src/sharding/shard_manager_state.h
+++ b/src/sharding/shard_manager_state.h
@@ -3,9 +3,13 @@
 #ifndef OW_SHARDING_SHARD_MANAGER_STATE_H
 #define OW_SHARDING_SHARD_MANAGER_STATE_H
 
-#include "sharding/shard_manager.h"
+#include "model/event.h"
 #include "sharding/map_agreement.h"
 #include "sharding/request_router.h"
+#include "sharding/shard_manager.h"
+
+#include <glib.h>
+#include <stdint.h>
 
 /* The index that tags of our own requests carry instead of a shard's. */
 #define OW_OWN_INDEX ((uint64_t)OW_SHARDS_MAX)
--- a/src/sharding/shard_map.c
+++ b/src/sharding/shard_map.c
@@ -1,4 +1,5 @@
 #include "sharding/shard_map.h"
+#include "model/submission.h"
 
 #include <string.h>
 
--- a/src/sharding/shard_map.h
+++ b/src/sharding/shard_map.h
@@ -3,8 +3,11 @@
 #ifndef OW_SHARDING_SHARD_MAP_H
 #define OW_SHARDING_SHARD_MAP_H
 
+#include "model/submission.h"
 #include "sharding/sharding_settings.h"
-#include "core/types.h"
+
+#include <glib.h>
+#include <stdint.h>
 
 /* The shard that every machine of this zone and type belongs to; -1: none, which the settings' check rules
    out for the zones of the platform. */
--- a/src/sharding/shard_question.c
+++ b/src/sharding/shard_question.c
@@ -1,4 +1,6 @@
 #include "sharding/shard_question.h"
+#include "model/effect.h"
+#include "model/resources.h"
 
 enum { STATUS_NOT_FOUND = 404, STATUS_UNAVAILABLE = 503, RETRY_S = 1 };
 
@@ -25,8 +27,8 @@
     for (guint i = 0; i < sums->len && i < teams->len; i++) {
         struct ow_team_view *sum = &g_array_index(sums, struct ow_team_view, i);
         const struct ow_team_view *part = &g_array_index(teams, struct ow_team_view, i);
-        ow_amounts_add(&sum->running, &part->running, 1);
-        ow_amounts_add(&sum->waiting, &part->waiting, 1);
+        ow_resources_add(&sum->running, &part->running, 1);
+        ow_resources_add(&sum->waiting, &part->waiting, 1);
         sum->jobs += part->jobs;
         sum->waiting_jobs += part->waiting_jobs;
     }
--- a/src/sharding/shard_question.h
+++ b/src/sharding/shard_question.h
@@ -3,7 +3,10 @@
 #ifndef OW_SHARDING_SHARD_QUESTION_H
 #define OW_SHARDING_SHARD_QUESTION_H
 
-#include "core/effects.h"
+#include "model/effect.h"
+#include "model/submission.h"
+
+#include <stdint.h>
 
 /* What is done once all shards have been asked about a job. */
 enum ow_question_purpose {
--- a/src/sharding/sharding_settings.h
+++ b/src/sharding/sharding_settings.h
@@ -3,8 +3,9 @@
 #ifndef OW_SHARDING_SHARDING_SETTINGS_H
 #define OW_SHARDING_SHARDING_SETTINGS_H
 
-#include "core/settings.h"
+#include "model/settings.h"
 
+#include <glib.h>
 #include <stdbool.h>
 
 enum { OW_SHARDS_MAX = 32 };
--- a/src/core/interner.c
+++ b/src/util/interner.c
@@ -1,4 +1,4 @@
-#include "core/interner.h"
+#include "util/interner.h"
 
 #include <glib.h>
 
--- a/src/core/interner.h
+++ b/src/util/interner.h
@@ -1,6 +1,6 @@
 /* Names become dense indices when they enter the core. One table per kind of name. */
-#ifndef OW_CORE_INTERNER_H
-#define OW_CORE_INTERNER_H
+#ifndef OW_UTIL_INTERNER_H
+#define OW_UTIL_INTERNER_H
 
 #include <stdint.h>
 
--- a/src/core/rate_limiter.c
+++ b/src/util/rate_limiter.c
@@ -1,4 +1,4 @@
-#include "core/rate_limiter.h"
+#include "util/rate_limiter.h"
 
 #include <glib.h>
 
--- a/src/core/rate_limiter.h
+++ b/src/util/rate_limiter.h
@@ -1,6 +1,6 @@
 /* A token bucket: how much may be asked of an outside service now. */
-#ifndef OW_CORE_RATE_LIMITER_H
-#define OW_CORE_RATE_LIMITER_H
+#ifndef OW_UTIL_RATE_LIMITER_H
+#define OW_UTIL_RATE_LIMITER_H
 
 #include <stdbool.h>
 
--- a/src/wire/agent_json.c
+++ b/src/wire/agent_json.c
@@ -1,5 +1,7 @@
 #include "wire/agent_json.h"
 
+#include "model/submission.h"
+#include "model/worker.h"
 #include "wire/json.h"
 #include "wire/user_json.h"
 #include "wire/words.h"
--- a/src/wire/agent_json.h
+++ b/src/wire/agent_json.h
@@ -2,8 +2,12 @@
 #ifndef OW_WIRE_AGENT_JSON_H
 #define OW_WIRE_AGENT_JSON_H
 
-#include "core/types.h"
+#include "model/submission.h"
+#include "model/worker.h"
 
+#include <glib.h>
+#include <stdbool.h>
+#include <stdint.h>
 #include <stddef.h>
 
 /* Commands for a worker, from the answer to a heartbeat or from a request to its own address. */
--- a/src/wire/cloud_json.c
+++ b/src/wire/cloud_json.c
@@ -1,5 +1,6 @@
 #include "wire/cloud_json.h"
 
+#include "model/cloud.h"
 #include "wire/json.h"
 #include "wire/words.h"
 
--- a/src/wire/cloud_json.h
+++ b/src/wire/cloud_json.h
@@ -2,7 +2,9 @@
 #ifndef OW_WIRE_CLOUD_JSON_H
 #define OW_WIRE_CLOUD_JSON_H
 
-#include "core/types.h"
+#include <glib.h>
+#include <stdbool.h>
+#include <stdint.h>
 
 #include <jansson.h>
 #include <stddef.h>
--- a/src/wire/peer_body.c
+++ b/src/wire/peer_body.c
@@ -1,4 +1,5 @@
 #include "wire/peer_body.h"
+#include "model/peer.h"
 
 xdrproc_t wire_peer_body_coder(unsigned kind)
 {
--- a/src/wire/peer_body.h
+++ b/src/wire/peer_body.h
@@ -3,7 +3,7 @@
 #ifndef OW_WIRE_PEER_BODY_H
 #define OW_WIRE_PEER_BODY_H
 
-#include "core/effects.h"
+#include "model/peer.h"
 #include "peer.h" /* made by rpcgen from peer.x */
 
 /* The body of a message: one of these, by its kind. */
--- a/src/wire/peer_xdr.c
+++ b/src/wire/peer_xdr.c
@@ -1,5 +1,6 @@
 #include "wire/peer_xdr.h"
 
+#include "model/peer.h"
 #include "wire/peer_body.h"
 
 #include <arpa/inet.h>
--- a/src/wire/peer_xdr.h
+++ b/src/wire/peer_xdr.h
@@ -2,8 +2,10 @@
 #ifndef OW_WIRE_PEER_XDR_H
 #define OW_WIRE_PEER_XDR_H
 
-#include "core/effects.h"
+#include "model/peer.h"
 
+#include <glib.h>
+#include <stdbool.h>
 #include <stddef.h>
 
 /* Bytes of a message at most. */
--- a/src/wire/records_json.c
+++ b/src/wire/records_json.c
@@ -1,5 +1,6 @@
 #include "wire/records_json.h"
 
+#include "model/submission.h"
 #include "wire/cloud_json.h"
 #include "wire/json.h"
 #include "wire/user_json.h"
--- a/src/wire/records_json.h
+++ b/src/wire/records_json.h
@@ -2,7 +2,11 @@
 #ifndef OW_WIRE_RECORDS_JSON_H
 #define OW_WIRE_RECORDS_JSON_H
 
-#include "core/records/records.h"
+#include "model/records.h"
+
+#include <glib.h>
+#include <stdbool.h>
+#include <stdint.h>
 
 struct json_t;
 
--- a/src/wire/sharding_json.c
+++ b/src/wire/sharding_json.c
@@ -1,5 +1,6 @@
 #include "wire/sharding_json.h"
 
+#include "model/peer.h"
 #include "sharding/shard_manager.h"
 #include "wire/json.h"
 
--- a/src/wire/store_json.h
+++ b/src/wire/store_json.h
@@ -2,7 +2,7 @@
 #ifndef OW_WIRE_STORE_JSON_H
 #define OW_WIRE_STORE_JSON_H
 
-#include "core/store.h"
+#include "model/store.h"
 
 #include <stddef.h>
 
--- a/src/wire/user_json.c
+++ b/src/wire/user_json.c
@@ -1,5 +1,8 @@
 #include "wire/user_json.h"
 
+#include "model/effect.h"
+#include "model/resources.h"
+#include "model/submission.h"
 #include "wire/json.h"
 #include "wire/words.h"
 
@@ -239,7 +242,7 @@
     return wj_take_text(object);
 }
 
-static json_t *amounts_json(const struct ow_amounts *amounts)
+static json_t *amounts_json(const struct ow_resources *amounts)
 {
     return json_pack("{s:f,s:f,s:f}", W_CPUS, amounts->cpus, W_GPUS, amounts->gpus, W_MEMORY,
                      amounts->memory_gb);
--- a/src/wire/user_json.h
+++ b/src/wire/user_json.h
@@ -2,8 +2,10 @@
 #ifndef OW_WIRE_USER_JSON_H
 #define OW_WIRE_USER_JSON_H
 
-#include "core/effects.h"
+#include "model/submission.h"
 
+#include <glib.h>
+#include <stdbool.h>
 #include <jansson.h>
 #include <stddef.h>
 
--- a/src/wire/worker_json.h
+++ b/src/wire/worker_json.h
@@ -2,8 +2,11 @@
 #ifndef OW_WIRE_WORKER_JSON_H
 #define OW_WIRE_WORKER_JSON_H
 
-#include "core/types.h"
+#include "model/worker.h"
 
+#include <glib.h>
+#include <stdbool.h>
+#include <stdint.h>
 #include <stddef.h>
 
 /* Reads "<job>/<task>"; `job` holds OW_ID_MAX + 1 bytes. */
--- a/tests/chaos_day.c
+++ b/tests/chaos_day.c
@@ -2,6 +2,8 @@
 #include "chaos_day.h"
 
 #include "check.h"
+#include "model/submission.h"
+#include "model/worker.h"
 
 #include <string.h>
 
--- a/tests/decision_digest.c
+++ b/tests/decision_digest.c
@@ -7,6 +7,7 @@
  */
 #include "chaos_day.h"
 #include "effect_line.h"
+#include "model/effect.h"
 
 #include <stdio.h>
 #include <stdlib.h>
--- a/tests/effect_line.c
+++ b/tests/effect_line.c
@@ -1,6 +1,9 @@
 /* The effects of controllers as text, encoded as for the wire. */
 #include "effect_line.h"
 
+#include "model/cloud.h"
+#include "model/effect.h"
+#include "model/peer.h"
 #include "wire/cloud_json.h"
 #include "wire/peer_xdr.h"
 #include "wire/store_json.h"
--- a/tests/effect_line.h
+++ b/tests/effect_line.h
@@ -2,7 +2,7 @@
 #ifndef OW_TESTS_EFFECT_LINE_H
 #define OW_TESTS_EFFECT_LINE_H
 
-#include "core/effects.h"
+#include "model/effect.h"
 
 /** Appends the effect as one line, without its end: its kind, whom it goes to, and the body that is sent; a
  * peer message in hexadecimal. What never leaves the process, such as the tags of requests, is left out. */
--- a/tests/failure_setup.c
+++ b/tests/failure_setup.c
@@ -2,6 +2,7 @@
 #include "failure_setup.h"
 
 #include "check.h"
+#include "model/submission.h"
 
 struct sim_cluster *failure_sim(int machines)
 {
--- a/tests/failure_setup.h
+++ b/tests/failure_setup.h
@@ -5,6 +5,7 @@
 #define OW_TESTS_FAILURE_SETUP_H
 
 #include "sim_cluster.h"
+#include "model/submission.h"
 
 /** A user who repeats a cancellation every second until it is confirmed. */
 struct canceller {
--- a/tests/sim_checks.c
+++ b/tests/sim_checks.c
@@ -1,5 +1,7 @@
 /* The checks of the safety rules on the simulated machines: each breach is recorded as a violation. */
 #include "sim_parts.h"
+#include "model/submission.h"
+#include "model/worker.h"
 
 #include <string.h>
 
--- a/tests/sim_cloud.c
+++ b/tests/sim_cloud.c
@@ -1,5 +1,7 @@
 /* The simulated cloud. */
 #include "sim_parts.h"
+#include "model/cloud.h"
+#include "model/event.h"
 
 #include <string.h>
 
--- a/tests/sim_cluster.c
+++ b/tests/sim_cluster.c
@@ -3,7 +3,10 @@
 
 #include "check.h"
 
-#include "core/records/records.h"
+#include "model/effect.h"
+#include "model/event.h"
+#include "model/peer.h"
+#include "model/records.h"
 #include "wire/peer_xdr.h"
 
 #include <string.h>
--- a/tests/sim_cluster.h
+++ b/tests/sim_cluster.h
@@ -6,6 +6,9 @@
 #ifndef OW_TESTS_SIM_CLUSTER_H
 #define OW_TESTS_SIM_CLUSTER_H
 
+#include "model/effect.h"
+#include "model/submission.h"
+#include "model/worker.h"
 #include "sharding/shard_manager.h"
 
 #include <stdbool.h>
--- a/tests/sim_machines.c
+++ b/tests/sim_machines.c
@@ -1,5 +1,7 @@
 /* The simulated machines: their creation and deletion, and their heartbeats. */
 #include "sim_parts.h"
+#include "model/event.h"
+#include "model/worker.h"
 
 struct sim_machine *sim_machine(struct sim_cluster *cluster, const char *name)
 {
--- a/tests/sim_parts.h
+++ b/tests/sim_parts.h
@@ -3,6 +3,10 @@
 #define OW_TESTS_SIM_PARTS_H
 
 #include "sim_cluster.h"
+#include "model/cloud.h"
+#include "model/effect.h"
+#include "model/event.h"
+#include "model/worker.h"
 
 /* sim_cluster.c */
 void sim_deliver(struct sim_cluster *cluster, int controller, uint64_t nonce, double after_s,
--- a/tests/sim_queries.c
+++ b/tests/sim_queries.c
@@ -1,7 +1,8 @@
 /* Queries of the tasks and jobs in the simulated cluster. */
 #include "sim_parts.h"
 
-#include "core/records/records.h"
+#include "model/records.h"
+#include "model/worker.h"
 
 #include <string.h>
 
--- a/tests/sim_shards.c
+++ b/tests/sim_shards.c
@@ -2,6 +2,7 @@
 #include "sim_parts.h"
 
 #include "check.h"
+#include "model/submission.h"
 
 static void add_shard(struct ow_sharding_settings *sharding, const char *zone)
 {
--- a/tests/sim_store.c
+++ b/tests/sim_store.c
@@ -1,5 +1,7 @@
 /* The simulated key-value store: requests, watches and leases. */
 #include "sim_store_parts.h"
+#include "model/effect.h"
+#include "model/event.h"
 
 #include <string.h>
 
--- a/tests/sim_users.c
+++ b/tests/sim_users.c
@@ -2,6 +2,10 @@
 #include "sim_parts.h"
 
 #include "check.h"
+#include "model/effect.h"
+#include "model/event.h"
+#include "model/resources.h"
+#include "model/submission.h"
 
 static void answer_free(void *item)
 {
@@ -148,7 +152,7 @@
     submission->team = g_strdup("open");
     submission->rank = OW_RANK_STANDARD;
     submission->tasks = tasks;
-    submission->need = (struct ow_amounts){cpus, 0, 1};
+    submission->need = (struct ow_resources){cpus, 0, 1};
     submission->image = g_strdup("img");
     submission->image_gb = 1;
     submission->spot = true;
--- a/tests/sim_values.c
+++ b/tests/sim_values.c
@@ -1,7 +1,7 @@
 /* The simulated key-value store's values, log of changes and transactions. */
 #include "sim_store_parts.h"
 
-#include "core/records/records.h"
+#include "model/records.h"
 #include "wire/json.h"
 
 #include <string.h>
--- a/tests/sim_workers.c
+++ b/tests/sim_workers.c
@@ -1,5 +1,8 @@
 /* The simulated workers: they carry out commands and report. */
 #include "sim_parts.h"
+#include "model/effect.h"
+#include "model/event.h"
+#include "model/worker.h"
 
 #include <math.h>
 #include <stdlib.h>
--- a/tests/test_agent.c
+++ b/tests/test_agent.c
@@ -2,6 +2,7 @@
 #include "agent/heartbeat.h"
 #include "agent_setup.h"
 #include "check.h"
+#include "model/worker.h"
 #include "wire/agent_json.h"
 #include "wire/worker_json.h"
 
--- a/tests/test_agent_tasks.c
+++ b/tests/test_agent_tasks.c
@@ -3,6 +3,7 @@
 #include "agent/tasks.h"
 #include "agent_setup.h"
 #include "check.h"
+#include "model/worker.h"
 #include "wire/agent_json.h"
 
 #include <signal.h>
--- a/tests/test_cancellation.c
+++ b/tests/test_cancellation.c
@@ -4,7 +4,10 @@
 #include "failure_setup.h"
 #include "sim_cluster.h"
 
-#include "core/records/records.h"
+#include "model/event.h"
+#include "model/peer.h"
+#include "model/records.h"
+#include "model/submission.h"
 
 #include <string.h>
 
--- a/tests/test_cancellation_races.c
+++ b/tests/test_cancellation_races.c
@@ -3,6 +3,7 @@
 #include "check.h"
 #include "failure_setup.h"
 #include "sim_cluster.h"
+#include "model/submission.h"
 
 static void test_cancellation_races_with_the_last_task_exit(void **state)
 {
--- a/tests/test_candidacy.c
+++ b/tests/test_candidacy.c
@@ -1,5 +1,6 @@
 /* Who runs for a shard that nobody leads. */
 #include "check.h"
+#include "model/peer.h"
 #include "sharding/candidacy.h"
 
 #include <string.h>
--- a/tests/test_deadlines.c
+++ b/tests/test_deadlines.c
@@ -1,6 +1,7 @@
 /* Deadlines: who can still meet one goes before who can't, and nobody starves for it. */
 #include "check.h"
 #include "sim_cluster.h"
+#include "model/submission.h"
 
 enum { MACHINE_CPUS = 16 };
 
--- a/tests/test_failover.c
+++ b/tests/test_failover.c
@@ -2,6 +2,7 @@
  * it names. */
 #include "check.h"
 #include "sim_cluster.h"
+#include "model/submission.h"
 
 #include <string.h>
 
--- a/tests/test_fleet.c
+++ b/tests/test_fleet.c
@@ -4,6 +4,7 @@
 #include "check.h"
 #include "core/machines/machine_registry.h"
 #include "sim_cluster.h"
+#include "model/submission.h"
 
 enum { MACHINES = 2000, GANGS = 40, SCANS = 40, BILLS = 30 };
 /* Checks of each machine in ten seconds: a hundred rounds, with some lists for each of three classes. */
--- a/tests/test_gangs.c
+++ b/tests/test_gangs.c
@@ -1,6 +1,8 @@
 /* Scheduling of gangs: reservations, queue order, zones and preemption. */
 #include "check.h"
 #include "sim_cluster.h"
+#include "model/submission.h"
+#include "model/worker.h"
 
 static void test_gang_members_start_together_with_one_attempt(void **state)
 {
--- a/tests/test_isolation.c
+++ b/tests/test_isolation.c
@@ -2,6 +2,7 @@
  * completes. */
 #include "check.h"
 #include "sim_cluster.h"
+#include "model/submission.h"
 
 static void test_isolated_leader_steps_down(void **state)
 {
--- a/tests/test_large_fleet.c
+++ b/tests/test_large_fleet.c
@@ -2,6 +2,7 @@
  */
 #include "check.h"
 #include "sim_cluster.h"
+#include "model/submission.h"
 
 enum { MACHINES = 5000 };
 /* Direct commands to each machine in a phase of a test, on average. */
--- a/tests/test_leader_changes.c
+++ b/tests/test_leader_changes.c
@@ -2,6 +2,7 @@
 #include "check.h"
 #include "failure_setup.h"
 #include "sim_cluster.h"
+#include "model/submission.h"
 
 /* A fencing token that was released is never reused: launches sent under it may still be in flight. */
 static void test_returning_leader_takes_a_new_fencing_token(void **state)
--- a/tests/test_lease_guard.c
+++ b/tests/test_lease_guard.c
@@ -1,6 +1,10 @@
 /* What a leader may send by its own clock, and what is taken out of its effects when its lease does not cover
  * them. */
 #include "check.h"
+#include "model/cloud.h"
+#include "model/effect.h"
+#include "model/event.h"
+#include "model/worker.h"
 #include "sharding/effect_guard.h"
 #include "sharding/lease_guard.h"
 
--- a/tests/test_limits.c
+++ b/tests/test_limits.c
@@ -1,6 +1,7 @@
 /* Limits of the key-value store that fall without notice, and submissions that exceed them. */
 #include "check.h"
 #include "sim_cluster.h"
+#include "model/submission.h"
 
 static void test_unannounced_lower_limits(void **state)
 {
--- a/tests/test_peer_lists.c
+++ b/tests/test_peer_lists.c
@@ -1,7 +1,8 @@
 /* Lists between controllers that are too long for one message: they go in parts, and no part is taken for the
  * whole list. */
 #include "check.h"
-#include "core/machine_hints.h"
+#include "core/peers/machine_hints.h"
+#include "model/peer.h"
 #include "wire/peer_xdr.h"
 
 enum { FRAME_LENGTH_BYTES = 4, PART_MACHINES_MOST = 1000, WHOLE_MACHINES_MOST = 4000 };
--- a/tests/test_placement.c
+++ b/tests/test_placement.c
@@ -2,6 +2,7 @@
  * large arrays. */
 #include "check.h"
 #include "sim_cluster.h"
+#include "model/submission.h"
 
 #include <string.h>
 
--- a/tests/test_production_format.c
+++ b/tests/test_production_format.c
@@ -3,7 +3,9 @@
 #include "check.h"
 #include "sim_cluster.h"
 
-#include "core/records/records.h"
+#include "model/peer.h"
+#include "model/records.h"
+#include "model/submission.h"
 #include "wire/json.h"
 #include "wire/peer_xdr.h"
 #include "wire/records_json.h"
--- a/tests/test_reconciliation.c
+++ b/tests/test_reconciliation.c
@@ -1,6 +1,7 @@
 /* Unresponsive machines, and reports that are duplicated, late or out of sequence. */
 #include "check.h"
 #include "sim_cluster.h"
+#include "model/worker.h"
 
 static void test_unresponsive_machine_is_avoided_and_deleted(void **state)
 {
--- a/tests/test_records.c
+++ b/tests/test_records.c
@@ -1,12 +1,13 @@
 /* Records in the key-value store: they survive encoding and decoding, and stay small. */
 #include "check.h"
-#include "core/rate_limiter.h"
-#include "core/api/job.h"
+#include "core/jobs/job.h"
 #include "core/records/store_limits.h"
-#include "core/interner.h"
+#include "util/interner.h"
+#include "util/rate_limiter.h"
 #include "wire/json.h"
 #include "wire/records_json.h"
 #include "sim_cluster.h"
+#include "model/submission.h"
 
 #include <string.h>
 
--- a/tests/test_replica_moves.c
+++ b/tests/test_replica_moves.c
@@ -1,6 +1,7 @@
 /* Services: replicas move off machines that are reclaimed, faulty, shared or about to lose their lease. */
 #include "check.h"
 #include "sim_cluster.h"
+#include "model/submission.h"
 
 /* A spot machine is about to be reclaimed: its replica moves while it is still running, once there is a place
  * for it.
--- a/tests/test_safety.c
+++ b/tests/test_safety.c
@@ -2,6 +2,7 @@
  * the guard that it names. */
 #include "check.h"
 #include "sim_cluster.h"
+#include "model/submission.h"
 
 /* Rule 1: no launch before its record has committed. */
 static void test_no_launch_before_its_record_commits(void **state)
--- a/tests/test_shard_jobs.c
+++ b/tests/test_shard_jobs.c
@@ -1,6 +1,7 @@
 /* A fleet divided into shards, on the simulated cluster: where jobs go, and what their users are told. */
 #include "check.h"
 #include "sim_cluster.h"
+#include "model/submission.h"
 
 #include <string.h>
 
--- a/tests/test_sharding_wire.c
+++ b/tests/test_sharding_wire.c
@@ -1,8 +1,9 @@
 /* Messages between the controllers of a divided fleet, and its stored map. */
 #include "check.h"
-#include "wire/sharding_json.h"
+#include "model/peer.h"
 #include "wire/json.h"
 #include "wire/peer_xdr.h"
+#include "wire/sharding_json.h"
 
 #include <string.h>
 
--- a/tests/test_starvation.c
+++ b/tests/test_starvation.c
@@ -1,6 +1,7 @@
 /* Starvation: every job starts in the end, whatever else is submitted. */
 #include "check.h"
 #include "sim_cluster.h"
+#include "model/submission.h"
 
 #include <string.h>
 
--- a/tests/test_suspicion.c
+++ b/tests/test_suspicion.c
@@ -1,6 +1,7 @@
 /* Failure detection between controllers: heartbeats, probes through others, suspicion; and who runs for a
  * shard. */
 #include "check.h"
+#include "model/peer.h"
 #include "sharding/membership.h"
 
 #include <string.h>
--- a/tests/test_upgrade.c
+++ b/tests/test_upgrade.c
@@ -2,7 +2,9 @@
 #include "check.h"
 #include "sim_cluster.h"
 
-#include "core/records/records.h"
+#include "model/records.h"
+#include "model/submission.h"
+#include "model/worker.h"
 
 #include <string.h>
 
--- a/tests/test_user_api.c
+++ b/tests/test_user_api.c
@@ -1,6 +1,7 @@
 /* Answers to users' requests: repeats, rejections, fresh reads, and outages of the key-value store. */
 #include "check.h"
 #include "sim_cluster.h"
+#include "model/submission.h"
 
 #include <string.h>
 
--- a/tests/test_wire.c
+++ b/tests/test_wire.c
@@ -1,6 +1,10 @@
 /* Messages of users, workers, the cloud and peers: valid ones are parsed completely, invalid ones are
  * rejected. */
 #include "check.h"
+#include "model/cloud.h"
+#include "model/peer.h"
+#include "model/submission.h"
+#include "model/worker.h"
 #include "wire/cloud_json.h"
 #include "wire/peer_xdr.h"
 #include "wire/user_json.h"
