--- a/src/agent/agent.c
+++ b/src/agent/agent.c
@@ -4,7 +4,7 @@
 #include "agent/tasks.h"
 #include "io/http_client.h"
 #include "io/http_server.h"
-#include "io/http_status.h"
+#include "model/http_status.h"
 #include "io/net.h"
 #include "model/worker.h"
 #include "wire/agent_json.h"
--- a/src/io/client.c
+++ b/src/io/client.c
@@ -1,7 +1,7 @@
 #include "io/client.h"
 
 #include "io/http_client.h"
-#include "io/http_status.h"
+#include "model/http_status.h"
 #include "io/net.h"
 #include "wire/json.h"
 #include "wire/words.h"
--- a/src/io/daemon_state.h
+++ b/src/io/daemon_state.h
@@ -4,7 +4,7 @@
 
 #include "io/http_client.h"
 #include "io/http_server.h"
-#include "io/http_status.h"
+#include "model/http_status.h"
 #include "io/loop.h"
 #include "io/peer_link.h"
 #include "model/effect.h"
--- a/src/io/http_client.c
+++ b/src/io/http_client.c
@@ -1,7 +1,7 @@
 #include "io/http_client.h"
 
 #include "io/http_parse.h"
-#include "io/http_status.h"
+#include "model/http_status.h"
 #include "io/idle_connections.h"
 #include "io/net.h"
 
--- a/src/io/http_connection.c
+++ b/src/io/http_connection.c
@@ -1,6 +1,6 @@
 #include "io/http_connection.h"
 
-#include "io/http_status.h"
+#include "model/http_status.h"
 #include "io/net.h"
 
 #include <errno.h>
