--- a/src/agent/options.c
+++ b/src/agent/options.c
@@ -1,6 +1,6 @@
 #include "agent/options.h"
 
-#include "io/net.h"
+#include "util/endpoint.h"
 
 #include <stdio.h>
 #include <string.h>
@@ -21,7 +21,7 @@
 {
     for (; words != NULL && *words != NULL; words++) {
         const char *equals = strchr(*words, '=');
-        if (equals == NULL || equals == *words || !ow_net_endpoint_valid(equals + 1)) {
+        if (equals == NULL || equals == *words || !ow_endpoint_is_valid(equals + 1)) {
             fprintf(stderr, "ospreywell-agent: %s: is not NAME=ADDRESS:PORT\n", *words);
             return false;
         }
@@ -37,7 +37,7 @@
 {
     if (options->machine == NULL || options->type == NULL || options->zone == NULL)
         return "--machine, --type and --zone are needed";
-    if (!ow_net_endpoint_valid(options->listen) || !ow_net_endpoint_valid(options->advertise))
+    if (!ow_endpoint_is_valid(options->listen) || !ow_endpoint_is_valid(options->advertise))
         return "--listen and --advertise must be ADDRESS:PORT";
     if (options->state_dir == NULL || options->jobs_dir == NULL)
         return "--state and --jobs are needed";
--- a/src/config/settings_file.c
+++ b/src/config/settings_file.c
@@ -1,7 +1,7 @@
 #include "config/settings_file.h"
 
 #include "config/toml_doc.h"
-#include "io/net.h"
+#include "util/endpoint.h"
 
 #include <math.h>
 #include <stdarg.h>
@@ -44,7 +44,7 @@
 static char *endpoint(struct reader *reader, const char *path)
 {
     char *value = text(reader, path);
-    if (reader->fault == NULL && !ow_net_endpoint_valid(value))
+    if (reader->fault == NULL && !ow_endpoint_is_valid(value))
         fail(reader, path, "is not an address with a port");
     return value;
 }
--- a/src/io/client.c
+++ b/src/io/client.c
@@ -2,8 +2,8 @@
 
 #include "io/http_client.h"
 #include "model/http_status.h"
-#include "io/net.h"
 #include "wire/json.h"
+#include "util/endpoint.h"
 #include "wire/words.h"
 
 #include <glib.h>
@@ -201,7 +201,7 @@
 {
     const char *verb = words[0], *what = words[1];
     bool one = what != NULL && words[2] == NULL;
-    if (!ow_net_endpoint_valid(server)) {
+    if (!ow_endpoint_is_valid(server)) {
         fprintf(stderr, "ospreywell: --server ADDRESS:PORT or OSPREYWELL_SERVER is needed\n");
         return OW_CLIENT_USAGE;
     }
--- a/src/io/net.c
+++ b/src/io/net.c
@@ -1,45 +1,21 @@
 #include "io/net.h"
 
-#include <arpa/inet.h>
+#include "util/endpoint.h"
+
 #include <errno.h>
 #include <netinet/in.h>
 #include <netinet/tcp.h>
-#include <stdlib.h>
-#include <string.h>
 #include <sys/socket.h>
 #include <unistd.h>
 
-/* Connections that may wait to be accepted; bytes of an address; the largest port. */
-enum { LISTEN_BACKLOG = 4096, HOST_BYTES = 64, PORT_MAX = 65535 };
-
-static bool parse_endpoint(const char *endpoint, struct sockaddr_in *addr)
-{
-    const char *colon = endpoint != NULL ? strrchr(endpoint, ':') : NULL;
-    char host[HOST_BYTES];
-    if (colon == NULL || (size_t)(colon - endpoint) >= sizeof host)
-        return false;
-    memcpy(host, endpoint, (size_t)(colon - endpoint));
-    host[colon - endpoint] = '\0';
-    guint64 port = 0;
-    if (!g_ascii_string_to_unsigned(colon + 1, 10, 1, PORT_MAX, &port, NULL))
-        return false;
-    memset(addr, 0, sizeof *addr);
-    addr->sin_family = AF_INET;
-    addr->sin_port = htons((uint16_t)port);
-    return inet_pton(AF_INET, host, &addr->sin_addr) == 1;
-}
-
-bool ow_net_endpoint_valid(const char *endpoint)
-{
-    struct sockaddr_in addr;
-    return parse_endpoint(endpoint, &addr);
-}
+/* Connections that may wait to be accepted. */
+enum { LISTEN_BACKLOG = 4096 };
 
 /* A socket for the endpoint, whose address is stored; -1: it is no endpoint, or there is no socket to be had.
  */
 static int new_socket(const char *endpoint, struct sockaddr_in *addr)
 {
-    if (!parse_endpoint(endpoint, addr))
+    if (!ow_endpoint_parse(endpoint, addr))
         return -1;
     int fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
     if (fd >= 0) {
@@ -69,7 +45,7 @@
 
 void ow_net_set_source(const char *endpoint)
 {
-    if (!parse_endpoint(endpoint, &source))
+    if (!ow_endpoint_parse(endpoint, &source))
         source.sin_family = 0;
     source.sin_port = 0;
 }
--- a/src/io/net.h
+++ b/src/io/net.h
@@ -17,8 +17,6 @@
 int ow_net_accept(int listener);
 /* 0 when the connection is established, otherwise an errno. */
 int ow_net_connect_error(int fd);
-/* Whether this is an IPv4 address and a port, ADDRESS:PORT. NULL is not. */
-bool ow_net_endpoint_valid(const char *endpoint);
 
 /* Writes what the socket accepts now of `out` from `*sent` on; once all is written, both are emptied. False
    when the connection is broken. */
