--- a/src/io/daemon.c
+++ b/src/io/daemon.c
@@ -19,6 +19,8 @@
    left, and at least this share. */
 static const double CLIENT_SHARE_LEAST = 0.05;
 
+G_DEFINE_QUARK(ow - daemon - error - quark, ow_daemon_error)
+
 /* ---- links to other controllers ---- */
 
 static void take_peer(void *owner, struct ow_peer_message *message)
@@ -98,7 +100,7 @@
 
 struct ow_daemon *ow_daemon_new(struct ow_loop *loop, const struct ow_settings *settings,
                                 const struct ow_tuning *tuning, const struct ow_sharding_settings *sharding,
-                                char **fault)
+                                GError **error)
 {
     struct ow_daemon *daemon = g_new0(struct ow_daemon, 1);
     daemon->sockets = MAX(settings->sockets, SOCKETS_LEAST) - RESERVED_SOCKETS;
@@ -118,8 +120,8 @@
     daemon->manager = ow_shard_manager_new(settings, tuning, sharding, ow_rng_nonce());
     ow_loop_on_wake(loop, handle_wake, daemon);
     if (daemon->server == NULL || daemon->peers == NULL) {
-        *fault = g_strdup_printf("cannot listen on %s",
-                                 daemon->server == NULL ? settings->front : settings->peer_listen);
+        g_set_error(error, OW_DAEMON_ERROR, OW_DAEMON_ERROR_LISTEN, "cannot listen on %s",
+                    daemon->server == NULL ? settings->front : settings->peer_listen);
         ow_daemon_free(daemon);
         return NULL;
     }
--- a/src/main.c
+++ b/src/main.c
@@ -31,14 +31,14 @@
 /* Serves as a controller; returns only if it can't begin. */
 static int serve(const struct ow_cmdline *cmdline, const struct configuration *configuration)
 {
-    char *fault = NULL;
+    g_autoptr(GError) error = NULL;
     if (configuration->sharding->enabled)
         ow_net_set_source(configuration->settings->front);
     struct ow_loop *loop = ow_loop_new();
     struct ow_daemon *daemon =
-        ow_daemon_new(loop, configuration->settings, &configuration->tuning, configuration->sharding, &fault);
+        ow_daemon_new(loop, configuration->settings, &configuration->tuning, configuration->sharding, &error);
     if (daemon == NULL)
-        return print_error(cmdline->config, fault);
+        return print_error(cmdline->config, g_strdup(error->message));
     ow_loop_run(loop, ow_daemon_round, daemon);
     return STATUS_DONE;
 }
