--- a/src/agent/agent.c
+++ b/src/agent/agent.c
@@ -55,14 +55,14 @@
         .tasks = g_array_new(FALSE, FALSE, sizeof(struct ow_task_status)),
     };
     agent_tasks_status(agent->tasks, heartbeat.tasks);
-    char *text = wire_heartbeat(&heartbeat);
+    char *text = wire_heartbeat_encode(&heartbeat);
     g_array_free(heartbeat.tasks, TRUE);
     return text;
 }
 
 /* ---- whom it obeys ---- */
 
-static void record_orders(const struct agent *agent, const struct ow_worker_orders *orders, const char *via,
+static void record_orders(const struct agent *agent, const struct wire_command_batch *orders, const char *via,
                           bool accepted)
 {
     agent_history_add(&agent->history, "orders",
@@ -81,7 +81,7 @@
     agent_heartbeat_fencing_token_changed(&agent->heartbeat_timer, ow_loop_now(agent->loop));
 }
 
-static void obey(struct agent *agent, const struct ow_worker_orders *orders)
+static void obey(struct agent *agent, const struct wire_command_batch *orders)
 {
     observe_fencing_token(agent, orders->fencing_token);
     if (orders->commands->len == 0)
@@ -115,17 +115,17 @@
 static void answer_error(struct agent *agent, const struct ow_http_request *request, int status,
                          const char *text)
 {
-    char *body = wire_error(text);
+    char *body = wire_error_encode(text);
     ow_http_server_answer(agent->server, request->id, status, NULL, body, strlen(body));
     g_free(body);
 }
 
 static void take_direct(struct agent *agent, const struct ow_http_request *request)
 {
-    struct ow_worker_orders *orders = wire_worker_orders_parse(request->body, request->body_size);
+    struct wire_command_batch *orders = wire_worker_commands_decode(request->body, request->body_size);
     if (orders == NULL || !orders->has_fencing_token || !orders->has_incarnation) {
         answer_error(agent, request, OW_HTTP_STATUS_BAD_REQUEST, "no commands with token and session");
-        wire_worker_orders_free(orders);
+        wire_command_batch_free(orders);
         return;
     }
     bool accepted = orders->fencing_token >= agent->incarnation.fencing_token &&
@@ -134,7 +134,7 @@
     if (accepted)
         obey(agent, orders);
     answer_heartbeat(agent, request, accepted ? OW_HTTP_STATUS_OK : OW_HTTP_STATUS_CONFLICT);
-    wire_worker_orders_free(orders);
+    wire_command_batch_free(orders);
 }
 
 static void handle_request(void *owner, const struct ow_http_request *request)
@@ -167,10 +167,10 @@
 /* An answer of who may be entitled; one with an older fencing token, or none, is as good as none. */
 static void take_orders(struct agent *agent, const char *body, size_t size)
 {
-    struct ow_worker_orders *orders = wire_worker_orders_parse(body, size);
+    struct wire_command_batch *orders = wire_worker_commands_decode(body, size);
     agent_heartbeat_accepted(&agent->heartbeat_timer);
     if (orders == NULL || !orders->has_fencing_token) {
-        wire_worker_orders_free(orders);
+        wire_command_batch_free(orders);
         return;
     }
     bool in_time = agent_clock() - agent->heartbeat_clock <= HEARTBEAT_TIMEOUT_S;
@@ -181,7 +181,7 @@
         agent_lease_renew(agent->lease, agent->heartbeat_clock);
         obey(agent, orders);
     }
-    wire_worker_orders_free(orders);
+    wire_command_batch_free(orders);
 }
 
 static void take_answer(void *owner, uint64_t tag, int status, const char *body, size_t size)
@@ -193,7 +193,7 @@
     if (status == OW_HTTP_STATUS_OK) {
         take_orders(agent, body, size);
     } else if (status == OW_HTTP_STATUS_MISDIRECTED) {
-        char *name = wire_misdirected_parse(body, size);
+        char *name = wire_redirect_decode(body, size);
         agent_heartbeat_misdirected(&agent->heartbeat_timer, name, now, g_random_double_range(0, 0.5));
         g_free(name);
     } else {
--- a/src/agent/tasks.c
+++ b/src/agent/tasks.c
@@ -13,8 +13,8 @@
 /* A task that the agent knows, until it is told to clear it. */
 struct task {
     struct ow_task_status heartbeat;
-    struct agent_supervisor *supervisor;    /* NULL: it has ended, or never began */
-    struct ow_job_description *description; /* while there is a supervisor */
+    struct agent_supervisor *supervisor;      /* NULL: it has ended, or never began */
+    struct wire_job_description *description; /* while there is a supervisor */
     bool told_to_stop, may_checkpoint;
 };
 
@@ -94,15 +94,15 @@
 }
 
 /* What the job's user has uploaded, or NULL. */
-static struct ow_job_description *read_description(const struct agent_tasks *tasks, const char *job)
+static struct wire_job_description *read_description(const struct agent_tasks *tasks, const char *job)
 {
     char *name = g_strconcat(job, ".json", NULL);
     char *path = g_build_filename(tasks->options->jobs_dir, name, NULL);
     char *text = NULL;
     gsize size = 0;
-    struct ow_job_description *description = NULL;
+    struct wire_job_description *description = NULL;
     if (g_file_get_contents(path, &text, &size, NULL))
-        description = wire_job_description_parse(text, size);
+        description = wire_job_description_decode(text, size);
     g_free(text);
     g_free(path);
     g_free(name);
@@ -111,7 +111,7 @@
 
 /* Why the launch is refused; OW_CAUSE_NONE: it is not. */
 static enum ow_cause refusal(const struct agent_tasks *tasks, const struct ow_worker_command *command,
-                             const struct ow_job_description *description)
+                             const struct wire_job_description *description)
 {
     if (description == NULL || command->task >= description->submission->tasks)
         return OW_CAUSE_UNKNOWN;
@@ -129,7 +129,8 @@
                       task->heartbeat.job, task->heartbeat.task, task->heartbeat.attempt, (int)cause);
 }
 
-static void start(const struct agent_tasks *tasks, struct task *task, struct ow_job_description *description)
+static void start(const struct agent_tasks *tasks, struct task *task,
+                  struct wire_job_description *description)
 {
     struct agent_task_command run = {
         .job = task->heartbeat.job,
@@ -159,7 +160,7 @@
     g_strlcpy(task->heartbeat.job, command->job, sizeof task->heartbeat.job);
     task->heartbeat.task = command->task;
     task->heartbeat.attempt = command->attempt;
-    struct ow_job_description *description = read_description(tasks, command->job);
+    struct wire_job_description *description = read_description(tasks, command->job);
     enum ow_cause cause = refusal(tasks, command, description);
     g_ptr_array_add(tasks->list, task);
     if (cause == OW_CAUSE_NONE) {
--- a/src/core/api/cancel.c
+++ b/src/core/api/cancel.c
@@ -95,7 +95,7 @@
                                    .accepted_at = core->time_of_day - age_s,
                                    .leader_fencing_token = leader_fencing_token,
                                    .submission = job->spec->submission};
-    char *text = wire_job_record(&record);
+    char *text = wire_job_record_encode(&record);
     if (strlen(text) < core->store_limits.refused_bytes)
         return text;
     /* Accepted when values were larger. Nothing of it will start, so its types don't matter any more. */
@@ -103,7 +103,7 @@
     short_form.types = NULL;
     record.submission = &short_form;
     g_free(text);
-    return wire_job_record(&record);
+    return wire_job_record_encode(&record);
 }
 
 /* The record expects the leader that it names: so it comes before any later failover, whose reading
--- a/src/core/api/submit.c
+++ b/src/core/api/submit.c
@@ -113,7 +113,7 @@
    not met the limit, may have accepted the job before. */
 static char *record_that_fits(struct ow_core *core, uint64_t request, const struct ow_job_record *record)
 {
-    char *text = wire_job_record(record);
+    char *text = wire_job_record_encode(record);
     if (strlen(text) < core->store_limits.refused_bytes)
         return text;
     g_free(text);
--- a/src/core/election/leader_key.c
+++ b/src/core/election/leader_key.c
@@ -38,7 +38,7 @@
 static void handle_key(struct ow_election *election, const struct ow_store_item *item)
 {
     const char *leader_name = NULL, *nonce = NULL;
-    wire_leader_record_parse(item->value, &leader_name, &nonce);
+    wire_leader_record_decode(item->value, &leader_name, &nonce);
     if (item->version != election->key_version)
         election->led_since = election->core->now;
     election->key_version = item->version;
--- a/src/core/election/leader_lease.c
+++ b/src/core/election/leader_lease.c
@@ -53,7 +53,7 @@
 {
     struct ow_store_request *transaction = ow_store_request_new(OW_STORE_TXN, NULL);
     char *nonce = ow_leader_key_nonce(election);
-    char *record = wire_leader_record(election->core->settings->controller_name, nonce);
+    char *record = wire_leader_record_encode(election->core->settings->controller_name, nonce);
     ow_store_compare(transaction, OW_KEY_LEADER, election->key_version);
     ow_store_put(transaction, OW_KEY_LEADER, record, election->lease);
     g_free(nonce);
--- a/src/core/jobs/job_cache.c
+++ b/src/core/jobs/job_cache.c
@@ -74,7 +74,7 @@
         struct ow_job_record record;
         if (item->value == NULL || !g_str_has_prefix(item->key, OW_KEY_JOBS))
             continue;
-        if (!wire_job_record_parse(item->value, &record)) {
+        if (!wire_job_record_decode(item->value, &record)) {
             g_warning("job record %s cannot be read", item->key);
             continue;
         }
--- a/src/core/leader/leader.c
+++ b/src/core/leader/leader.c
@@ -161,7 +161,7 @@
         return;
     /* For controllers that start while the cloud is down. */
     struct ow_store_request *txn = ow_store_request_new(OW_STORE_TXN, NULL);
-    char *record = wire_types_record(answer->cloud.types);
+    char *record = wire_machine_types_encode(answer->cloud.types);
     if (strlen(record) > leader->core->store_limits.value_bytes)
         g_warning(
             "the machine types don't fit a value: who starts while the cloud is down can't accept jobs");
--- a/src/core/records/failover.c
+++ b/src/core/records/failover.c
@@ -25,7 +25,7 @@
 {
     if (leader->core->store_limits.value_bytes >= leader->core->store_limits.value_bytes_now)
         return false;
-    char *text = wj_text(value);
+    char *text = wire_json_print(value);
     bool large = strlen(text) > leader->core->store_limits.value_bytes;
     g_free(text);
     return large;
@@ -79,7 +79,7 @@
 {
     struct ow_progress_record record;
     struct ow_task_range tasks = ow_chunk_task_range(loaded->index, loaded->chunk_tasks, execution->count);
-    if (!wire_progress_record_parse(loaded->value, &record))
+    if (!wire_progress_record_decode(loaded->value, &record))
         g_warning("a progress record of job %s cannot be read in full", execution->job->id);
     for (guint i = execution->attempts->len; i > 0; i--) {
         struct ow_attempt *attempt = g_ptr_array_index(execution->attempts, i - 1);
@@ -149,7 +149,7 @@
                        json_t *value)
 {
     struct loaded_record loaded = {.record_value = record_value, .version = record_value->version};
-    char *id = wire_progress_name_parse(name, &loaded.index, &loaded.chunk_tasks);
+    char *id = wire_progress_name_decode(name, &loaded.index, &loaded.chunk_tasks);
     loaded.job = id != NULL ? ow_jobs_find(leader->core->jobs, id) : NULL;
     g_free(id);
     if (loaded.job == NULL || loaded.job->spec == NULL)
--- a/src/core/records/record_format.c
+++ b/src/core/records/record_format.c
@@ -40,7 +40,7 @@
     struct ow_store_request *txn = ow_store_request_new(OW_STORE_TXN, NULL);
     ow_store_compare(txn, OW_KEY_LEADER, leader->fencing_token);
     ow_store_compare(txn, OW_KEY_FORMAT, 0);
-    ow_store_put(txn, OW_KEY_FORMAT, wire_format_record(OW_FORMAT_FINE), 0);
+    ow_store_put(txn, OW_KEY_FORMAT, wire_format_record_encode(OW_FORMAT_FINE), 0);
     leader->format.busy = true;
     ow_core_call_store(leader->core, txn, on_gate_written, leader, NULL, NULL);
 }
@@ -56,7 +56,7 @@
         leader->format.current = OW_FORMAT_FIRST;
     else if (reply->status == 200 && reply->items->len == 1)
         leader->format.current =
-            wire_format_record_parse(g_array_index(reply->items, struct ow_store_item, 0).value);
+            wire_format_record_decode(g_array_index(reply->items, struct ow_store_item, 0).value);
 }
 
 void ow_record_format_tick(struct ow_leader *leader)
--- a/src/core/records/record_values.c
+++ b/src/core/records/record_values.c
@@ -212,7 +212,7 @@
         g_array_append_val(record.live, live);
     }
     g_array_sort(record.live, by_place);
-    char *value = wire_progress_record(&record);
+    char *value = wire_progress_record_encode(&record);
     wire_progress_record_clear(&record);
     return value;
 }
--- a/src/core/records/transaction.c
+++ b/src/core/records/transaction.c
@@ -105,7 +105,7 @@
         record.state = OW_JOB_CANCELLED;
     char *key = g_strconcat(OW_KEY_JOBS, job->id, NULL);
     ow_store_compare(transaction, key, job->version);
-    ow_store_put(transaction, key, wire_job_record(&record), 0);
+    ow_store_put(transaction, key, wire_job_record_encode(&record), 0);
     g_free(key);
     add_to_sent(leader->recorder, write);
 }
--- a/src/core/type_discovery.c
+++ b/src/core/type_discovery.c
@@ -24,7 +24,7 @@
     if (answer->store.status != 200 || discovery->core->types_known)
         return;
     const struct ow_store_item *item = &g_array_index(answer->store.items, struct ow_store_item, 0);
-    GArray *types = wire_types_from(item->value);
+    GArray *types = wire_machine_types_from_json(item->value);
     if (types == NULL)
         return;
     ow_core_set_machine_types(discovery->core, types);
--- a/src/io/client.c
+++ b/src/io/client.c
@@ -52,14 +52,14 @@
 {
     const char *id = "", *state = "", *reason = NULL;
     uint64_t done = 0, running = 0;
-    wj_string(o, W_ID, &id);
-    wj_string(o, W_STATE, &state);
+    wire_json_get_string(o, W_ID, &id);
+    wire_json_get_string(o, W_STATE, &state);
     printf("%s: %s", id, state);
-    if (wj_count(o, W_DONE_COUNT, &done))
+    if (wire_json_get_count(o, W_DONE_COUNT, &done))
         printf(", %" G_GUINT64_FORMAT " tasks done", done);
-    if (wj_count(o, W_RUNNING_COUNT, &running))
+    if (wire_json_get_count(o, W_RUNNING_COUNT, &running))
         printf(", %" G_GUINT64_FORMAT " running", running);
-    if (wj_string(o, W_REASON, &reason))
+    if (wire_json_get_string(o, W_REASON, &reason))
         printf("\nwaits: %s", reason);
     printf("\n");
 }
@@ -68,9 +68,9 @@
 {
     const json_t *o = json_object_get(team, field);
     double cpus = 0, gpus = 0, memory = 0;
-    wj_number(o, W_CPUS, &cpus);
-    wj_number(o, W_GPUS, &gpus);
-    wj_number(o, W_MEMORY, &memory);
+    wire_json_get_number(o, W_CPUS, &cpus);
+    wire_json_get_number(o, W_GPUS, &gpus);
+    wire_json_get_number(o, W_MEMORY_GB, &memory);
     printf(", %s: %g CPUs, %g GPUs, %g GB", field, cpus, gpus, memory);
 }
 
@@ -82,9 +82,9 @@
     {
         const char *name = "";
         uint64_t jobs = 0, waiting = 0;
-        wj_string(team, W_TEAM, &name);
-        wj_count(team, "jobs", &jobs);
-        wj_count(team, "waiting_jobs", &waiting);
+        wire_json_get_string(team, W_TEAM, &name);
+        wire_json_get_count(team, "jobs", &jobs);
+        wire_json_get_count(team, "waiting_jobs", &waiting);
         printf("%s: %" G_GUINT64_FORMAT " jobs, %" G_GUINT64_FORMAT " with waiting tasks", name, jobs,
                waiting);
         print_amounts(team, "running");
@@ -98,19 +98,19 @@
     size_t i;
     json_t *controller;
     const char *agreement = "";
-    wj_string(o, "agreement", &agreement);
+    wire_json_get_string(o, "agreement", &agreement);
     printf("settings: %s\n", agreement);
     json_array_foreach(json_object_get(o, "controllers"), i, controller)
     {
         const char *name = "", *state = "", *cause = "";
         double since_s = 0, phi = 0;
-        wj_string(controller, "name", &name);
-        wj_string(controller, "state", &state);
-        wj_string(controller, "cause", &cause);
-        wj_number(controller, "since_s", &since_s);
-        wj_number(controller, "phi", &phi);
+        wire_json_get_string(controller, "name", &name);
+        wire_json_get_string(controller, "state", &state);
+        wire_json_get_string(controller, "cause", &cause);
+        wire_json_get_number(controller, "since_s", &since_s);
+        wire_json_get_number(controller, "phi", &phi);
         printf("%s: %s for %.1f s, phi %.1f: %s; leads", name, state, since_s, phi, cause);
-        char **led = wj_strings(json_object_get(controller, "leads"));
+        char **led = wire_json_copy_strings(json_object_get(controller, "leads"));
         for (char **shard = led; shard != NULL && *shard != NULL; shard++)
             printf(" %s", *shard);
         printf("%s\n", led == NULL || *led == NULL ? " nothing" : "");
@@ -123,9 +123,9 @@
 {
     const char *state = "", *cause = "";
     double since_s = 0;
-    wj_string(step, "state", &state);
-    wj_string(step, "cause", &cause);
-    wj_number(step, "since_s", &since_s);
+    wire_json_get_string(step, "state", &state);
+    wire_json_get_string(step, "cause", &cause);
+    wire_json_get_number(step, "since_s", &since_s);
     printf("    %.1f s ago: %s: %s\n", since_s, state, cause);
 }
 
@@ -137,13 +137,13 @@
     {
         const char *name = "", *state = "", *leader = "nobody", *successor = "";
         uint64_t fencing_token = 0, machines = 0, fenced = 0;
-        wj_string(shard, "name", &name);
-        wj_string(shard, "state", &state);
-        wj_string(shard, "leader", &leader);
-        wj_string(shard, "successor", &successor);
-        wj_count(shard, "token", &fencing_token);
-        wj_count(shard, "machines", &machines);
-        wj_count(shard, "fenced", &fenced);
+        wire_json_get_string(shard, "name", &name);
+        wire_json_get_string(shard, "state", &state);
+        wire_json_get_string(shard, "leader", &leader);
+        wire_json_get_string(shard, "successor", &successor);
+        wire_json_get_count(shard, "token", &fencing_token);
+        wire_json_get_count(shard, "machines", &machines);
+        wire_json_get_count(shard, "fenced", &fenced);
         printf("%s: %s, led by %s, next would be %s", name, state, leader, successor);
         if (fencing_token > 0)
             printf("; token %" G_GUINT64_FORMAT ", %" G_GUINT64_FORMAT " of %" G_GUINT64_FORMAT
@@ -159,7 +159,7 @@
 
 static enum ow_client_status print_answer(int status, const GString *answer, print_fn print)
 {
-    json_t *o = wj_object(answer->str, answer->len);
+    json_t *o = wire_json_parse_object(answer->str, answer->len);
     const char *fault = "no readable answer";
     bool ok = (status == OW_HTTP_STATUS_OK || status == OW_HTTP_STATUS_CREATED) && o != NULL;
     if (ok)
@@ -167,7 +167,7 @@
     else if (status == OW_HTTP_STATUS_NONE)
         fprintf(stderr, "ospreywell: the controller does not answer\n");
     else {
-        wj_string(o, "error", &fault);
+        wire_json_get_string(o, "error", &fault);
         fprintf(stderr, "ospreywell: status %d: %s\n", status, fault);
     }
     json_decref(o);
--- a/src/io/incoming.c
+++ b/src/io/incoming.c
@@ -24,14 +24,14 @@
 
 static void answer_error(struct ow_daemon *daemon, uint64_t id, int status, const char *text)
 {
-    answer(daemon, id, status, NULL, wire_error(text));
+    answer(daemon, id, status, NULL, wire_error_encode(text));
 }
 
 static void take_submission(struct ow_daemon *daemon, const struct ow_http_request *request)
 {
     const char *fault = NULL;
     char id[OW_ID_MAX + 1];
-    struct ow_submission *submission = wire_submission_parse(request->body, request->body_size, id, &fault);
+    struct ow_submission *submission = wire_submission_decode(request->body, request->body_size, id, &fault);
     if (submission == NULL && *id == '\0') {
         answer_error(daemon, request->id, OW_HTTP_STATUS_BAD_REQUEST, fault);
         return;
@@ -46,7 +46,7 @@
 
 static void take_heartbeat(struct ow_daemon *daemon, const struct ow_http_request *request)
 {
-    struct ow_heartbeat *heartbeat = wire_heartbeat_parse(request->body, request->body_size);
+    struct ow_heartbeat *heartbeat = wire_heartbeat_decode(request->body, request->body_size);
     if (heartbeat == NULL) {
         answer_error(daemon, request->id, OW_HTTP_STATUS_BAD_REQUEST, "not a report");
         return;
@@ -130,15 +130,15 @@
 
 static void answer_job(struct ow_daemon *daemon, const struct ow_effect *effect)
 {
-    struct ow_job_view view = {effect->id, effect->state, effect->done, effect->running, effect->text};
-    answer(daemon, effect->request, effect->status, NULL, wire_job_view(&view));
+    struct wire_job_view view = {effect->id, effect->state, effect->done, effect->running, effect->text};
+    answer(daemon, effect->request, effect->status, NULL, wire_job_view_encode(&view));
 }
 
 static void answer_refusal(struct ow_daemon *daemon, const struct ow_effect *effect)
 {
     char *headers =
         effect->retry_after_s > 0 ? g_strdup_printf("Retry-After: %d\r\n", effect->retry_after_s) : NULL;
-    answer(daemon, effect->request, effect->status, headers, wire_error(effect->text));
+    answer(daemon, effect->request, effect->status, headers, wire_error_encode(effect->text));
     g_free(headers);
 }
 
@@ -149,17 +149,17 @@
         answer_job(daemon, effect);
         break;
     case OW_EFFECT_TEAMS:
-        answer(daemon, effect->request, effect->status, NULL, wire_teams(effect->teams));
+        answer(daemon, effect->request, effect->status, NULL, wire_teams_encode(effect->teams));
         break;
     case OW_EFFECT_REFUSE:
         answer_refusal(daemon, effect);
         break;
     case OW_EFFECT_WORKER_COMMANDS:
         answer(daemon, effect->request, OW_HTTP_STATUS_OK, NULL,
-               wire_worker_commands(effect->fencing_token, effect->commands));
+               wire_worker_commands_encode(effect->fencing_token, effect->commands));
         break;
     case OW_EFFECT_MISDIRECT:
-        answer(daemon, effect->request, OW_HTTP_STATUS_MISDIRECTED, NULL, wire_misdirected(effect->text));
+        answer(daemon, effect->request, OW_HTTP_STATUS_MISDIRECTED, NULL, wire_redirect_encode(effect->text));
         break;
     default:
         break;
--- a/src/io/outgoing.c
+++ b/src/io/outgoing.c
@@ -52,11 +52,11 @@
     if (status != OW_HTTP_STATUS_OK)
         return event;
     if (pending->operation == OW_CLOUD_TYPES)
-        event->cloud.types = wire_types_parse(body, size);
+        event->cloud.types = wire_machine_types_decode(body, size);
     else if (pending->operation == OW_CLOUD_LIST)
-        event->cloud.listed = wire_list_parse(body, size, &event->cloud.more);
+        event->cloud.listed = wire_machine_list_decode(body, size, &event->cloud.more);
     else if (pending->operation == OW_CLOUD_PROVISION)
-        event->cloud.provisioned = wire_provision_reply_parse(body, size);
+        event->cloud.provisioned = wire_provision_reply_decode(body, size);
     return event;
 }
 
@@ -64,7 +64,7 @@
                                     size_t size)
 {
     struct ow_event *event = ow_event_new(OW_EVENT_STORE, pending->core_tag);
-    wire_store_reply((enum ow_store_op)pending->operation, status, body, size, &event->store);
+    wire_store_reply_decode((enum ow_store_op)pending->operation, status, body, size, &event->store);
     return event;
 }
 
@@ -74,7 +74,7 @@
     struct ow_event *event = ow_event_new(OW_EVENT_DIRECT_REPLY, pending->core_tag);
     event->status = status;
     if (status == OW_HTTP_STATUS_OK || status == OW_HTTP_STATUS_CONFLICT)
-        event->heartbeat = wire_heartbeat_parse(body, size);
+        event->heartbeat = wire_heartbeat_decode(body, size);
     return event;
 }
 
@@ -104,14 +104,14 @@
 
 static void send_store(struct ow_daemon *daemon, const struct ow_effect *effect)
 {
-    struct wire_http http = wire_store_request(effect->store);
+    struct wire_http_request http = wire_store_request_encode(effect->store);
     double timeout = STORE_TIMEOUT_S;
     if (effect->store->op == OW_STORE_WATCH)
         timeout += effect->store->seconds * WATCH_DRIFT + WATCH_MARGIN_S;
     uint64_t tag = add_pending(daemon, TARGET_STORE, (int)effect->store->op, effect->store->tag);
     ow_http_client_send(daemon->client, daemon->settings->store_endpoint, http.method, http.path, http.body,
                         timeout, tag);
-    wire_http_clear(&http);
+    wire_http_request_clear(&http);
 }
 
 static void send_cloud(struct ow_daemon *daemon, const struct ow_effect *effect)
@@ -123,17 +123,17 @@
     if (request->op == OW_CLOUD_TYPES) {
         path = g_strdup(W_PATH_TYPES);
     } else if (request->op == OW_CLOUD_LIST) {
-        path = wire_list_path(request->after);
+        path = wire_machine_list_path(request->after);
     } else if (request->op == OW_CLOUD_PROVISION) {
-        struct ow_provision_request provision_request = {request->name, request->type, request->zone,
-                                                         request->spot, request->count};
+        struct wire_provision_request provision_request = {request->name, request->type, request->zone,
+                                                           request->spot, request->count};
         method = "POST";
         path = g_strdup(W_PATH_MACHINES);
-        body = wire_provision_request(&provision_request);
+        body = wire_provision_request_encode(&provision_request);
     } else {
         method = "POST";
-        path = g_strdup(W_PATH_DELETE);
-        body = wire_delete(request->machines);
+        path = g_strdup(W_PATH_TERMINATE);
+        body = wire_terminate_request_encode(request->machines);
     }
     ow_http_client_send(daemon->client, daemon->settings->cloud_endpoint, method, path, body, CLOUD_TIMEOUT_S,
                         tag);
@@ -163,7 +163,7 @@
         give_up_direct(daemon, effect);
         return;
     }
-    char *body = wire_direct_commands(effect->fencing_token, effect->incarnation, effect->commands);
+    char *body = wire_direct_commands_encode(effect->fencing_token, effect->incarnation, effect->commands);
     uint64_t tag = add_pending(daemon, TARGET_WORKER, NO_OPERATION, effect->request);
     ow_http_client_send(daemon->client, effect->text, "POST", W_PATH_COMMANDS, body, DIRECT_TIMEOUT_S, tag);
     g_free(body);
--- a/src/sharding/map_agreement.c
+++ b/src/sharding/map_agreement.c
@@ -57,7 +57,7 @@
     ow_store_compare(request, OW_KEY_TYPES, 0);
     ow_store_compare(request, OW_KEY_FORMAT, 0);
     ow_store_compare(request, OW_KEY_LEADER, 0);
-    ow_store_put(request, OW_KEY_LEADER, wire_leader_record(DIVIDED_NAME, ""), 0);
+    ow_store_put(request, OW_KEY_LEADER, wire_leader_record_encode(DIVIDED_NAME, ""), 0);
     return request;
 }
 
--- a/src/wire/agent_json.c
+++ b/src/wire/agent_json.c
@@ -17,40 +17,40 @@
     char name[OW_ID_MAX + 16];
     g_snprintf(name, sizeof name, "%s/%u", task->job, task->task);
     json_t *object = json_pack("{s:s,s:I,s:s}", W_TASK, name, W_ATTEMPT, (json_int_t)task->attempt, W_STATE,
-                               w_phases[task->phase]);
+                               wire_phases[task->phase]);
     if (task->phase == OW_PHASE_EXITED)
-        json_object_set_new(object, W_CAUSE, json_string(w_causes[task->cause]));
+        json_object_set_new(object, W_CAUSE, json_string(wire_causes[task->cause]));
     if (task->saved)
-        json_object_set_new(object, W_SAVED, json_true());
+        json_object_set_new(object, W_CHECKPOINT_SAVED, json_true());
     return object;
 }
 
-char *wire_heartbeat(const struct ow_heartbeat *heartbeat)
+char *wire_heartbeat_encode(const struct ow_heartbeat *heartbeat)
 {
     json_t *tasks = json_array();
     for (guint i = 0; i < heartbeat->tasks->len; i++)
         json_array_append_new(tasks, task_json(&g_array_index(heartbeat->tasks, struct ow_task_status, i)));
     json_t *notice = heartbeat->reclaim_notice_s >= 0 ? json_real(heartbeat->reclaim_notice_s) : json_null();
-    return wj_take_text(json_pack(
-        "{s:s,s:s,s:s,s:s,s:b,s:I,s:I,s:I,s:o,s:o}", W_MACHINE, heartbeat->machine, W_ADDR, heartbeat->addr,
-        W_TYPE, heartbeat->type, W_ZONE, heartbeat->zone, W_SPOT, (int)heartbeat->spot, W_INCARNATION,
-        (json_int_t)heartbeat->incarnation, W_SEQ, (json_int_t)heartbeat->seq, W_FENCING_TOKEN,
-        (json_int_t)heartbeat->fencing_token, W_RECLAIM_NOTICE, notice, W_TASKS, tasks));
+    return wire_json_print_and_unref(json_pack(
+        "{s:s,s:s,s:s,s:s,s:b,s:I,s:I,s:I,s:o,s:o}", W_MACHINE, heartbeat->machine, W_ADDRESS,
+        heartbeat->addr, W_TYPE, heartbeat->type, W_ZONE, heartbeat->zone, W_SPOT, (int)heartbeat->spot,
+        W_INCARNATION, (json_int_t)heartbeat->incarnation, W_SEQUENCE, (json_int_t)heartbeat->seq,
+        W_FENCING_TOKEN, (json_int_t)heartbeat->fencing_token, W_RECLAIM_NOTICE_S, notice, W_TASKS, tasks));
 }
 
 static bool parse_command(const json_t *object, struct ow_worker_command *command)
 {
     const char *kind = NULL, *name = NULL;
     memset(command, 0, sizeof *command);
-    if (!wj_string(object, W_OP, &kind) || !wj_string(object, W_TASK, &name) ||
-        !wj_count(object, W_ATTEMPT, &command->attempt))
+    if (!wire_json_get_string(object, W_COMMAND, &kind) || !wire_json_get_string(object, W_TASK, &name) ||
+        !wire_json_get_count(object, W_ATTEMPT, &command->attempt))
         return false;
-    int index = w_index(w_worker_commands, kind);
+    int index = wire_word_index(wire_worker_commands, kind);
     if (index < 0)
         return false;
     command->kind = (enum ow_worker_command_kind)index;
-    wj_number(object, W_GRACE, &command->grace_s);
-    return wire_task_name_parse(name, command->job, &command->task);
+    wire_json_get_number(object, W_GRACE_S, &command->grace_s);
+    return wire_task_name_decode(name, command->job, &command->task);
 }
 
 static bool parse_commands(const json_t *list, GArray *commands)
@@ -69,24 +69,24 @@
     return true;
 }
 
-struct ow_worker_orders *wire_worker_orders_parse(const char *text, size_t size)
+struct wire_command_batch *wire_worker_commands_decode(const char *text, size_t size)
 {
-    json_t *object = wj_object(text, size);
+    json_t *object = wire_json_parse_object(text, size);
     if (object == NULL)
         return NULL;
-    struct ow_worker_orders *orders = g_new0(struct ow_worker_orders, 1);
+    struct wire_command_batch *orders = g_new0(struct wire_command_batch, 1);
     orders->commands = g_array_new(FALSE, FALSE, sizeof(struct ow_worker_command));
-    orders->has_fencing_token = wj_count(object, W_FENCING_TOKEN, &orders->fencing_token);
-    orders->has_incarnation = wj_count(object, W_INCARNATION, &orders->incarnation);
+    orders->has_fencing_token = wire_json_get_count(object, W_FENCING_TOKEN, &orders->fencing_token);
+    orders->has_incarnation = wire_json_get_count(object, W_INCARNATION, &orders->incarnation);
     bool ok = parse_commands(json_object_get(object, W_COMMANDS), orders->commands);
     json_decref(object);
     if (ok)
         return orders;
-    wire_worker_orders_free(orders);
+    wire_command_batch_free(orders);
     return NULL;
 }
 
-void wire_worker_orders_free(struct ow_worker_orders *orders)
+void wire_command_batch_free(struct wire_command_batch *orders)
 {
     if (orders == NULL)
         return;
@@ -94,37 +94,37 @@
     g_free(orders);
 }
 
-char *wire_misdirected_parse(const char *text, size_t size)
+char *wire_redirect_decode(const char *text, size_t size)
 {
-    json_t *object = wj_object(text, size);
+    json_t *object = wire_json_parse_object(text, size);
     const char *name = NULL;
     if (object != NULL)
-        wj_string(object, W_REDIRECT_TO, &name);
+        wire_json_get_string(object, W_REDIRECT_TO, &name);
     char *copy = g_strdup(name);
     json_decref(object);
     return copy;
 }
 
-struct ow_job_description *wire_job_description_parse(const char *text, size_t size)
+struct wire_job_description *wire_job_description_decode(const char *text, size_t size)
 {
     const char *fault = NULL;
     char id[OW_ID_MAX + 1];
-    json_t *object = wj_object(text, size);
-    char **command = object != NULL ? wj_strings(json_object_get(object, F_COMMAND)) : NULL;
+    json_t *object = wire_json_parse_object(text, size);
+    char **command = object != NULL ? wire_json_copy_strings(json_object_get(object, F_COMMAND)) : NULL;
     json_decref(object);
-    struct ow_submission *submission = wire_submission_parse(text, size, id, &fault);
+    struct ow_submission *submission = wire_submission_decode(text, size, id, &fault);
     if (command == NULL || command[0] == NULL || submission == NULL) {
         g_strfreev(command);
         ow_submission_free(submission);
         return NULL;
     }
-    struct ow_job_description *description = g_new0(struct ow_job_description, 1);
+    struct wire_job_description *description = g_new0(struct wire_job_description, 1);
     description->submission = submission;
     description->command = command;
     return description;
 }
 
-void wire_job_description_free(struct ow_job_description *description)
+void wire_job_description_free(struct wire_job_description *description)
 {
     if (description == NULL)
         return;
--- a/src/wire/agent_json.h
+++ b/src/wire/agent_json.h
@@ -11,28 +11,28 @@
 #include <stddef.h>
 
 /* Commands for a worker, from the answer to a heartbeat or from a request to its own address. */
-struct ow_worker_orders {
+struct wire_command_batch {
     bool has_fencing_token, has_incarnation;
     uint64_t fencing_token, incarnation;
     GArray *commands; /* struct ow_worker_command */
 };
 
 /* A worker's report (g_free). */
-char *wire_heartbeat(const struct ow_heartbeat *heartbeat);
+char *wire_heartbeat_encode(const struct ow_heartbeat *heartbeat);
 /* NULL when malformed; a command that is not known makes it so. */
-struct ow_worker_orders *wire_worker_orders_parse(const char *text, size_t size);
-void wire_worker_orders_free(struct ow_worker_orders *orders);
+struct wire_command_batch *wire_worker_commands_decode(const char *text, size_t size);
+void wire_command_batch_free(struct wire_command_batch *orders);
 /* The controller named by a misdirected report's answer (g_free); NULL: none. */
-char *wire_misdirected_parse(const char *text, size_t size);
+char *wire_redirect_decode(const char *text, size_t size);
 
 /* A job as its user uploads it for the machines: its submission and the command that each task runs. */
-struct ow_job_description {
+struct wire_job_description {
     struct ow_submission *submission;
     char **command; /* at least one word */
 };
 
 /* NULL when malformed. */
-struct ow_job_description *wire_job_description_parse(const char *text, size_t size);
-void wire_job_description_free(struct ow_job_description *description);
+struct wire_job_description *wire_job_description_decode(const char *text, size_t size);
+void wire_job_description_free(struct wire_job_description *description);
 
 #endif
--- a/src/wire/cloud_json.c
+++ b/src/wire/cloud_json.c
@@ -9,22 +9,23 @@
 static bool parse_type(const json_t *object, struct ow_machine_type *type)
 {
     const char *name = NULL;
-    if (!wj_string(object, W_NAME, &name) || !wj_number(object, W_CPUS, &type->size.cpus) ||
-        !wj_number(object, W_MEMORY, &type->size.memory_gb))
+    if (!wire_json_get_string(object, W_NAME, &name) ||
+        !wire_json_get_number(object, W_CPUS, &type->size.cpus) ||
+        !wire_json_get_number(object, W_MEMORY_GB, &type->size.memory_gb))
         return false;
-    wj_number(object, W_GPUS, &type->size.gpus);
-    wj_number(object, W_CACHE, &type->cache_gb);
-    wj_number(object, W_FETCH, &type->fetch_gb_per_s);
-    wj_number(object, W_PRICE, &type->price);
+    wire_json_get_number(object, W_GPUS, &type->size.gpus);
+    wire_json_get_number(object, W_CACHE_GB, &type->cache_gb);
+    wire_json_get_number(object, W_FETCH_GB_PER_S, &type->fetch_gb_per_s);
+    wire_json_get_number(object, W_HOURLY_PRICE, &type->price);
     type->spot_price = type->price;
-    wj_number(object, W_SPOT_PRICE, &type->spot_price);
-    wj_number(object, W_BOOT, &type->boot_s);
-    type->zones = wj_strings(json_object_get(object, W_ZONES));
+    wire_json_get_number(object, W_SPOT_HOURLY_PRICE, &type->spot_price);
+    wire_json_get_number(object, W_BOOT_S, &type->boot_s);
+    type->zones = wire_json_copy_strings(json_object_get(object, W_ZONES));
     type->name = g_strdup(name);
     return true;
 }
 
-GArray *wire_types_from(const json_t *object)
+GArray *wire_machine_types_from_json(const json_t *object)
 {
     const json_t *list = json_object_get(object, W_TYPES);
     if (!json_is_array(list))
@@ -42,15 +43,15 @@
     return types;
 }
 
-GArray *wire_types_parse(const char *text, size_t size)
+GArray *wire_machine_types_decode(const char *text, size_t size)
 {
-    json_t *object = wj_object(text, size);
-    GArray *types = object != NULL ? wire_types_from(object) : NULL;
+    json_t *object = wire_json_parse_object(text, size);
+    GArray *types = object != NULL ? wire_machine_types_from_json(object) : NULL;
     json_decref(object);
     return types;
 }
 
-json_t *wire_types_json(const GArray *types)
+json_t *wire_machine_types_to_json(const GArray *types)
 {
     json_t *list = json_array();
     for (guint i = 0; i < types->len; i++) {
@@ -59,51 +60,52 @@
         for (char **zone = type->zones; zone != NULL && *zone != NULL; zone++)
             json_array_append_new(zones, json_string(*zone));
         json_array_append_new(list, json_pack("{s:s,s:f,s:f,s:f,s:f,s:f,s:f,s:f,s:f,s:o}", W_NAME, type->name,
-                                              W_CPUS, type->size.cpus, W_GPUS, type->size.gpus, W_MEMORY,
-                                              type->size.memory_gb, W_CACHE, type->cache_gb, W_FETCH,
-                                              type->fetch_gb_per_s, W_PRICE, type->price, W_SPOT_PRICE,
-                                              type->spot_price, W_BOOT, type->boot_s, W_ZONES, zones));
+                                              W_CPUS, type->size.cpus, W_GPUS, type->size.gpus, W_MEMORY_GB,
+                                              type->size.memory_gb, W_CACHE_GB, type->cache_gb,
+                                              W_FETCH_GB_PER_S, type->fetch_gb_per_s, W_HOURLY_PRICE,
+                                              type->price, W_SPOT_HOURLY_PRICE, type->spot_price, W_BOOT_S,
+                                              type->boot_s, W_ZONES, zones));
     }
     return json_pack("{s:o}", W_TYPES, list);
 }
 
-char *wire_provision_request(const struct ow_provision_request *provision_request)
+char *wire_provision_request_encode(const struct wire_provision_request *provision_request)
 {
-    json_t *object = json_pack("{s:s,s:s,s:s,s:b,s:i}", W_REQUEST, provision_request->request, W_TYPE,
+    json_t *object = json_pack("{s:s,s:s,s:s,s:b,s:i}", W_REQUEST_ID, provision_request->request, W_TYPE,
                                provision_request->type, W_ZONE, provision_request->zone, W_SPOT,
                                (int)provision_request->spot, W_COUNT, (int)provision_request->count);
-    return wj_take_text(object);
+    return wire_json_print_and_unref(object);
 }
 
-char **wire_provision_reply_parse(const char *text, size_t size)
+char **wire_provision_reply_decode(const char *text, size_t size)
 {
-    json_t *object = wj_object(text, size);
-    char **names = object != NULL ? wj_strings(json_object_get(object, W_MACHINES)) : NULL;
+    json_t *object = wire_json_parse_object(text, size);
+    char **names = object != NULL ? wire_json_copy_strings(json_object_get(object, W_MACHINES)) : NULL;
     json_decref(object);
     return names;
 }
 
-char *wire_delete(const GPtrArray *names)
+char *wire_terminate_request_encode(const GPtrArray *names)
 {
     json_t *list = json_array();
     for (guint i = 0; i < names->len; i++)
         json_array_append_new(list, json_string(g_ptr_array_index(names, i)));
     json_t *object = json_pack("{s:o}", W_MACHINES, list);
-    return wj_take_text(object);
+    return wire_json_print_and_unref(object);
 }
 
 static bool parse_listed(const json_t *object, struct ow_listed_machine *machine)
 {
     const char *name = NULL, *addr = "", *type = NULL, *zone = NULL, *state = NULL;
-    if (!wj_string(object, W_ID, &name) || !wj_string(object, W_TYPE, &type) ||
-        !wj_string(object, W_ZONE, &zone) || !wj_string(object, W_STATE, &state))
+    if (!wire_json_get_string(object, W_ID, &name) || !wire_json_get_string(object, W_TYPE, &type) ||
+        !wire_json_get_string(object, W_ZONE, &zone) || !wire_json_get_string(object, W_STATE, &state))
         return false;
-    int s = w_index(w_listed, state);
+    int s = wire_word_index(wire_listed_states, state);
     if (s < 0)
         return false;
-    wj_string(object, W_ADDR, &addr);
-    wj_bool(object, W_SPOT, &machine->spot);
-    wj_number(object, W_AGE, &machine->age_s);
+    wire_json_get_string(object, W_ADDRESS, &addr);
+    wire_json_get_bool(object, W_SPOT, &machine->spot);
+    wire_json_get_number(object, W_AGE_S, &machine->age_s);
     machine->state = (enum ow_listed)s;
     machine->name = g_strdup(name);
     machine->addr = g_strdup(addr);
@@ -112,9 +114,9 @@
     return true;
 }
 
-GArray *wire_list_parse(const char *text, size_t size, bool *more)
+GArray *wire_machine_list_decode(const char *text, size_t size, bool *more)
 {
-    json_t *object = wj_object(text, size);
+    json_t *object = wire_json_parse_object(text, size);
     const json_t *list = json_object_get(object, W_MACHINES);
     if (!json_is_array(list)) {
         json_decref(object);
@@ -131,12 +133,12 @@
             g_array_append_val(machines, machine);
     }
     *more = false;
-    wj_bool(object, W_MORE, more);
+    wire_json_get_bool(object, W_MORE, more);
     json_decref(object);
     return machines;
 }
 
-char *wire_list_path(const char *after)
+char *wire_machine_list_path(const char *after)
 {
     if (after == NULL || *after == '\0')
         return g_strdup_printf("%s?%s=%d", W_PATH_MACHINES, W_LIMIT, LIST_PAGE);
--- a/src/wire/cloud_json.h
+++ b/src/wire/cloud_json.h
@@ -10,14 +10,14 @@
 #include <stddef.h>
 
 /* The cloud's answer with the machine types: struct ow_machine_type each; NULL when malformed. */
-GArray *wire_types_parse(const char *text, size_t size);
+GArray *wire_machine_types_decode(const char *text, size_t size);
 /* The same from a JSON object, which is also the form kept in the key-value store. */
-GArray *wire_types_from(const json_t *object);
+GArray *wire_machine_types_from_json(const json_t *object);
 /* The reverse: a new reference. */
-json_t *wire_types_json(const GArray *types);
+json_t *wire_machine_types_to_json(const GArray *types);
 
 /* A request for machines. */
-struct ow_provision_request {
+struct wire_provision_request {
     const char *request; /* its name, by which the cloud knows a repeat */
     const char *type, *zone;
     bool spot;
@@ -25,15 +25,15 @@
 };
 
 /* The body of a request for machines (g_free). */
-char *wire_provision_request(const struct ow_provision_request *provision_request);
+char *wire_provision_request_encode(const struct wire_provision_request *provision_request);
 /* Names of the machines provisioned (a NULL-ended vector), or NULL. */
-char **wire_provision_reply_parse(const char *text, size_t size);
+char **wire_provision_reply_decode(const char *text, size_t size);
 /* The body of a request that returns machines (g_free). */
-char *wire_delete(const GPtrArray *names);
+char *wire_terminate_request_encode(const GPtrArray *names);
 /* One page of the list of machines: struct ow_listed_machine each; NULL when malformed. *more says whether
    there is another page. */
-GArray *wire_list_parse(const char *text, size_t size, bool *more);
+GArray *wire_machine_list_decode(const char *text, size_t size, bool *more);
 /* The path of the page behind the machine `after`, or of the first one if that is NULL or empty (g_free). */
-char *wire_list_path(const char *after);
+char *wire_machine_list_path(const char *after);
 
 #endif
--- a/src/wire/json.c
+++ b/src/wire/json.c
@@ -4,7 +4,7 @@
 #include <math.h>
 #include <stdlib.h>
 
-json_t *wj_object(const char *text, size_t size)
+json_t *wire_json_parse_object(const char *text, size_t size)
 {
     json_error_t error;
     json_t *value = json_loadb(text, size, JSON_REJECT_DUPLICATES, &error);
@@ -15,7 +15,7 @@
     return value;
 }
 
-char *wj_text(const json_t *value)
+char *wire_json_print(const json_t *value)
 {
     char *text = json_dumps(value, JSON_COMPACT | JSON_ENCODE_ANY);
     char *copy = g_strdup(text);
@@ -23,20 +23,20 @@
     return copy;
 }
 
-char *wj_take_text(json_t *value)
+char *wire_json_print_and_unref(json_t *value)
 {
-    char *text = wj_text(value);
+    char *text = wire_json_print(value);
     json_decref(value);
     return text;
 }
 
-bool wj_absent(const json_t *object, const char *field)
+bool wire_json_is_absent(const json_t *object, const char *field)
 {
     const json_t *value = json_object_get(object, field);
     return value == NULL || json_is_null(value);
 }
 
-bool wj_string(const json_t *object, const char *field, const char **out)
+bool wire_json_get_string(const json_t *object, const char *field, const char **out)
 {
     const json_t *value = json_object_get(object, field);
     if (!json_is_string(value))
@@ -45,7 +45,7 @@
     return true;
 }
 
-bool wj_number(const json_t *object, const char *field, double *out)
+bool wire_json_get_number(const json_t *object, const char *field, double *out)
 {
     const json_t *value = json_object_get(object, field);
     if (!json_is_number(value) || !isfinite(json_number_value(value)))
@@ -54,7 +54,7 @@
     return true;
 }
 
-bool wj_count(const json_t *object, const char *field, uint64_t *out)
+bool wire_json_get_count(const json_t *object, const char *field, uint64_t *out)
 {
     const json_t *value = json_object_get(object, field);
     if (!json_is_integer(value) || json_integer_value(value) < 0)
@@ -63,7 +63,7 @@
     return true;
 }
 
-bool wj_bool(const json_t *object, const char *field, bool *out)
+bool wire_json_get_bool(const json_t *object, const char *field, bool *out)
 {
     const json_t *value = json_object_get(object, field);
     if (!json_is_boolean(value))
@@ -80,7 +80,7 @@
     return true;
 }
 
-char **wj_strings(const json_t *array)
+char **wire_json_copy_strings(const json_t *array)
 {
     if (!json_is_array(array) || !all_strings(array))
         return NULL;
--- a/src/wire/records_json.c
+++ b/src/wire/records_json.c
@@ -21,33 +21,33 @@
 #define F_CONTROLLER "node"
 #define F_NONCE "nonce"
 
-char *wire_job_record(const struct ow_job_record *record)
+char *wire_job_record_encode(const struct ow_job_record *record)
 {
     json_t *object = json_object();
     if (record->state == OW_JOB_DONE || record->state == OW_JOB_CANCELLED)
         json_object_set_new(object, F_STATE, json_integer(record->state));
     if (record->submission != NULL)
-        json_object_set_new(object, F_SUBMISSION, wire_submission_json(record->submission));
+        json_object_set_new(object, F_SUBMISSION, wire_submission_to_json(record->submission));
     if (record->accepted_at > 0)
         json_object_set_new(object, F_ACCEPTED, json_integer((json_int_t)record->accepted_at));
     if (record->leader_fencing_token > 0)
         json_object_set_new(object, F_LEADER_FENCING_TOKEN,
                             json_integer((json_int_t)record->leader_fencing_token));
-    return wj_take_text(object);
+    return wire_json_print_and_unref(object);
 }
 
-bool wire_job_record_parse(const json_t *value, struct ow_job_record *out)
+bool wire_job_record_decode(const json_t *value, struct ow_job_record *out)
 {
     uint64_t state = OW_JOB_QUEUED;
     const char *fault = NULL;
     memset(out, 0, sizeof *out);
-    bool over = wj_count(value, F_STATE, &state);
+    bool over = wire_json_get_count(value, F_STATE, &state);
     out->state = (enum ow_job_state)state;
-    wj_number(value, F_ACCEPTED, &out->accepted_at);
-    wj_count(value, F_LEADER_FENCING_TOKEN, &out->leader_fencing_token);
+    wire_json_get_number(value, F_ACCEPTED, &out->accepted_at);
+    wire_json_get_count(value, F_LEADER_FENCING_TOKEN, &out->leader_fencing_token);
     const json_t *submission = json_object_get(value, F_SUBMISSION);
     if (submission != NULL)
-        out->submission = wire_submission_from(submission, &fault);
+        out->submission = wire_submission_from_json(submission, &fault);
     return over ? state == OW_JOB_DONE || state == OW_JOB_CANCELLED : out->submission != NULL;
 }
 
@@ -100,7 +100,7 @@
     return g_string_free(text, FALSE);
 }
 
-char *wire_progress_record(const struct ow_progress_record *record)
+char *wire_progress_record_encode(const struct ow_progress_record *record)
 {
     json_t *live = json_object();
     for (guint i = 0; i < record->live->len;) {
@@ -118,7 +118,7 @@
     json_t *object =
         json_pack("{s:I,s:s,s:o}", F_LAST, (json_int_t)record->last_attempt, F_DONE, done, F_LIVE, live);
     g_free(done);
-    return wj_take_text(object);
+    return wire_json_print_and_unref(object);
 }
 
 static bool parse_range(const char **text, uint32_t *from, uint32_t *to)
@@ -168,15 +168,15 @@
     return true;
 }
 
-bool wire_progress_record_parse(const json_t *value, struct ow_progress_record *out)
+bool wire_progress_record_decode(const json_t *value, struct ow_progress_record *out)
 {
     const char *done = "";
     out->last_attempt = 0;
     out->done = g_array_new(FALSE, FALSE, sizeof(uint32_t));
     out->live = g_array_new(FALSE, FALSE, sizeof(struct ow_live_record));
     out->machine_names = g_ptr_array_new_with_free_func(g_free);
-    wj_string(value, F_DONE, &done);
-    bool ok = wj_count(value, F_LAST, &out->last_attempt) && parse_done(done, out->done);
+    wire_json_get_string(value, F_DONE, &done);
+    bool ok = wire_json_get_count(value, F_LAST, &out->last_attempt) && parse_done(done, out->done);
     const char *place;
     json_t *tasks;
     json_object_foreach(json_object_get(value, F_LIVE), place, tasks)
@@ -217,7 +217,7 @@
     g_string_append(text, text->len == 0 ? "{}" : "}");
 }
 
-char *wire_progress_name_parse(const char *name, uint32_t *chunk, uint32_t *tasks)
+char *wire_progress_name_decode(const char *name, uint32_t *chunk, uint32_t *tasks)
 {
     const char *slash = strrchr(name, '/');
     guint64 index = 0, size = OW_CHUNK_TASKS;
@@ -232,31 +232,31 @@
     return ok ? g_strndup(name, (gsize)(slash - name)) : NULL;
 }
 
-char *wire_format_record(unsigned format)
+char *wire_format_record_encode(unsigned format)
 {
-    return wj_take_text(json_pack("{s:I}", F_FORMAT, (json_int_t)format));
+    return wire_json_print_and_unref(json_pack("{s:I}", F_FORMAT, (json_int_t)format));
 }
 
-unsigned wire_format_record_parse(const json_t *value)
+unsigned wire_format_record_decode(const json_t *value)
 {
     uint64_t format = OW_FORMAT_FIRST;
-    wj_count(value, F_FORMAT, &format);
+    wire_json_get_count(value, F_FORMAT, &format);
     return (unsigned)format;
 }
 
-char *wire_leader_record(const char *controller, const char *nonce)
+char *wire_leader_record_encode(const char *controller, const char *nonce)
 {
-    return wj_take_text(json_pack("{s:s,s:s}", F_CONTROLLER, controller, F_NONCE, nonce));
+    return wire_json_print_and_unref(json_pack("{s:s,s:s}", F_CONTROLLER, controller, F_NONCE, nonce));
 }
 
-void wire_leader_record_parse(const json_t *value, const char **controller, const char **nonce)
+void wire_leader_record_decode(const json_t *value, const char **controller, const char **nonce)
 {
     *controller = *nonce = NULL;
-    wj_string(value, F_CONTROLLER, controller);
-    wj_string(value, F_NONCE, nonce);
+    wire_json_get_string(value, F_CONTROLLER, controller);
+    wire_json_get_string(value, F_NONCE, nonce);
 }
 
-char *wire_types_record(const GArray *types)
+char *wire_machine_types_encode(const GArray *types)
 {
-    return wj_take_text(wire_types_json(types));
+    return wire_json_print_and_unref(wire_machine_types_to_json(types));
 }
--- a/src/wire/records_json.h
+++ b/src/wire/records_json.h
@@ -13,14 +13,14 @@
 /* All texts are the caller's (g_free). */
 
 /* A job: its submission, or how it ended. */
-char *wire_job_record(const struct ow_job_record *record);
+char *wire_job_record_encode(const struct ow_job_record *record);
 /* False if it can't be read. The submission is the caller's. */
-bool wire_job_record_parse(const struct json_t *value, struct ow_job_record *out);
+bool wire_job_record_decode(const struct json_t *value, struct ow_job_record *out);
 
 /* What is done, and which attempts may exist, of the tasks of one chunk. */
-char *wire_progress_record(const struct ow_progress_record *record);
+char *wire_progress_record_encode(const struct ow_progress_record *record);
 /* False if it can't be read in full; *out then holds what could be. */
-bool wire_progress_record_parse(const struct json_t *value, struct ow_progress_record *out);
+bool wire_progress_record_decode(const struct json_t *value, struct ow_progress_record *out);
 /* Frees what it holds. */
 void wire_progress_record_clear(struct ow_progress_record *record);
 
@@ -31,19 +31,19 @@
 void wire_progress_value_end(GString *text);
 /* The job's id, which the caller frees, the chunk of a record's name and how many tasks such chunks have;
    NULL if it is none. */
-char *wire_progress_name_parse(const char *name, uint32_t *chunk, uint32_t *tasks);
+char *wire_progress_name_decode(const char *name, uint32_t *chunk, uint32_t *tasks);
 
 /* Who leads. `nonce` tells two processes of the same name apart. */
-char *wire_leader_record(const char *controller, const char *nonce);
+char *wire_leader_record_encode(const char *controller, const char *nonce);
 /* Both may come back NULL; the texts stay the value's. */
-void wire_leader_record_parse(const struct json_t *value, const char **controller, const char **nonce);
+void wire_leader_record_decode(const struct json_t *value, const char **controller, const char **nonce);
 
 /* The newest format of records that every controller reads. */
-char *wire_format_record(unsigned format);
+char *wire_format_record_encode(unsigned format);
 /* The first format if there is none in it. */
-unsigned wire_format_record_parse(const struct json_t *value);
+unsigned wire_format_record_decode(const struct json_t *value);
 
 /* The machine types: struct ow_machine_type each. */
-char *wire_types_record(const GArray *types);
+char *wire_machine_types_encode(const GArray *types);
 
 #endif
--- a/src/wire/sharding_json.c
+++ b/src/wire/sharding_json.c
@@ -36,14 +36,14 @@
     g_hash_table_iter_init(&iter, values);
     while (g_hash_table_iter_next(&iter, &name, &value))
         json_object_set_new(object, name, json_string(value));
-    return wj_take_text(json_pack("{s:i,s:o}", F_FORMAT, MAP_FORMAT, F_VALUES, object));
+    return wire_json_print_and_unref(json_pack("{s:i,s:o}", F_FORMAT, MAP_FORMAT, F_VALUES, object));
 }
 
 GHashTable *wire_shard_map_parse(const json_t *value)
 {
     uint64_t format = 0;
     json_t *object = json_object_get(value, F_VALUES);
-    if (!wj_count(value, F_FORMAT, &format) || format != MAP_FORMAT || !json_is_object(object))
+    if (!wire_json_get_count(value, F_FORMAT, &format) || format != MAP_FORMAT || !json_is_object(object))
         return NULL;
     GHashTable *values = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     const char *name;
@@ -81,9 +81,9 @@
                                               (int)member->suspicions, F_LEADS, led_shards(member)));
     }
     const char *difference = ow_shard_manager_difference(manager);
-    return wj_take_text(json_pack("{s:o,s:s,s:i}", F_CONTROLLERS, list, F_AGREEMENT,
-                                  difference != NULL ? difference : "agreed", F_DROPPED,
-                                  (int)ow_shard_manager_dropped(manager)));
+    return wire_json_print_and_unref(json_pack("{s:o,s:s,s:i}", F_CONTROLLERS, list, F_AGREEMENT,
+                                               difference != NULL ? difference : "agreed", F_DROPPED,
+                                               (int)ow_shard_manager_dropped(manager)));
 }
 
 static json_t *steps_json(const struct ow_handover *handover, double now)
@@ -118,5 +118,5 @@
     json_t *list = json_array();
     for (guint i = 0; i < shards->len; i++)
         json_array_append_new(list, shard_json(manager, g_ptr_array_index(shards, i)));
-    return wj_take_text(json_pack("{s:o}", F_SHARDS, list));
+    return wire_json_print_and_unref(json_pack("{s:o}", F_SHARDS, list));
 }
--- a/src/wire/store_json.c
+++ b/src/wire/store_json.c
@@ -29,7 +29,8 @@
             json_object_set_new(object, W_LEASE, json_integer((json_int_t)change->lease));
         json_array_append_new(mutations, object);
     }
-    return wj_take_text(json_pack("{s:o,s:o}", W_IF, comparisons, W_THEN, mutations));
+    return wire_json_print_and_unref(
+        json_pack("{s:o,s:o}", W_COMPARISONS, comparisons, W_MUTATIONS, mutations));
 }
 
 static char *list_path(const struct ow_store_request *request)
@@ -40,9 +41,9 @@
                            request->after, W_LIMIT, LIST_PAGE);
 }
 
-struct wire_http wire_store_request(const struct ow_store_request *request)
+struct wire_http_request wire_store_request_encode(const struct ow_store_request *request)
 {
-    struct wire_http http = {.method = "GET"};
+    struct wire_http_request http = {.method = "GET"};
     switch (request->op) {
     case OW_STORE_GET:
         http.path = g_strdup_printf("%s/%s", W_PATH_KEYS, request->key);
@@ -57,23 +58,23 @@
         break;
     case OW_STORE_WATCH:
         http.path = g_strdup_printf("%s?%s=%s&%s=%" PRIu64 "&%s=%d", W_PATH_WATCH, W_PREFIX, request->key,
-                                    W_AFTER, request->number, W_WAIT, (int)(request->seconds * 1000.0));
+                                    W_AFTER, request->number, W_WATCH_MS, (int)(request->seconds * 1000.0));
         break;
     case OW_STORE_GRANT_LEASE:
         http.method = "POST";
         http.path = g_strdup(W_PATH_LEASES);
-        http.body = wj_take_text(json_pack("{s:i}", W_TTL, (int)(request->seconds * 1000.0)));
+        http.body = wire_json_print_and_unref(json_pack("{s:i}", W_TTL_MS, (int)(request->seconds * 1000.0)));
         break;
     case OW_STORE_KEEP_ALIVE:
         http.method = "POST";
-        http.path = g_strdup_printf("%s/%" PRIu64 "/%s", W_PATH_LEASES, request->number, W_PATH_RENEW);
+        http.path = g_strdup_printf("%s/%" PRIu64 "/%s", W_PATH_LEASES, request->number, W_PATH_KEEP_ALIVE);
         http.body = g_strdup("{}");
         break;
     }
     return http;
 }
 
-void wire_http_clear(struct wire_http *http)
+void wire_http_request_clear(struct wire_http_request *http)
 {
     g_free(http->path);
     g_free(http->body);
@@ -90,7 +91,8 @@
 {
     const char *key = NULL;
     struct ow_store_item item = {0};
-    if (!wj_string(object, key_field, &key) || !wj_count(object, W_VERSION, &item.version))
+    if (!wire_json_get_string(object, key_field, &key) ||
+        !wire_json_get_count(object, W_VERSION, &item.version))
         return false;
     item.key = g_strdup(key);
     item.value = json_incref(json_object_get(object, W_VALUE));
@@ -104,9 +106,9 @@
         return add_item(items, object, W_PUT);
     const char *key = NULL;
     struct ow_store_item item = {0};
-    if (!wj_string(object, W_DELETE, &key))
+    if (!wire_json_get_string(object, W_DELETE, &key))
         return false;
-    wj_count(object, W_VERSION, &item.version);
+    wire_json_get_count(object, W_VERSION, &item.version);
     item.key = g_strdup(key);
     g_array_append_val(items, item);
     return true;
@@ -126,37 +128,38 @@
 
 static bool read_success(enum ow_store_op op, const json_t *object, struct ow_store_reply *out)
 {
-    wj_count(object, W_REVISION, &out->revision);
+    wire_json_get_count(object, W_REVISION, &out->revision);
     switch (op) {
     case OW_STORE_GET:
         return add_item(out->items, object, W_KEY);
     case OW_STORE_LIST:
-        wj_bool(object, W_MORE, &out->more);
+        wire_json_get_bool(object, W_MORE, &out->more);
         return json_object_get(object, W_REVISION) != NULL && read_items(object, W_ITEMS, false, out->items);
     case OW_STORE_WATCH:
         return json_object_get(object, W_REVISION) != NULL && read_items(object, W_EVENTS, true, out->items);
     case OW_STORE_TXN:
         return json_object_get(object, W_REVISION) != NULL;
     case OW_STORE_GRANT_LEASE:
-        return wj_count(object, W_LEASE, &out->lease);
+        return wire_json_get_count(object, W_LEASE, &out->lease);
     case OW_STORE_KEEP_ALIVE:
         return true;
     }
     return false;
 }
 
-void wire_store_reply(enum ow_store_op op, int status, const char *body, size_t size,
-                      struct ow_store_reply *out)
+void wire_store_reply_decode(enum ow_store_op op, int status, const char *body, size_t size,
+                             struct ow_store_reply *out)
 {
     out->status = status;
     out->items = g_array_new(FALSE, FALSE, sizeof(struct ow_store_item));
     g_array_set_clear_func(out->items, item_clear);
-    json_t *object = status == 200 || status == 409 || status == 404 ? wj_object(body, size) : NULL;
+    json_t *object =
+        status == 200 || status == 409 || status == 404 ? wire_json_parse_object(body, size) : NULL;
     if (status == 200 && op != OW_STORE_KEEP_ALIVE && (object == NULL || !read_success(op, object, out)))
         out->status = 0;
     if (status == 409 && object != NULL)
-        out->failed = wj_strings(json_object_get(object, W_FAILED));
+        out->failed = wire_json_copy_strings(json_object_get(object, W_FAILED_KEYS));
     if (status == 404 && object != NULL)
-        wj_count(object, W_REVISION, &out->revision);
+        wire_json_get_count(object, W_REVISION, &out->revision);
     json_decref(object);
 }
--- a/src/wire/user_json.c
+++ b/src/wire/user_json.c
@@ -31,7 +31,7 @@
 static bool take_name(const json_t *object, const char *field, char **out)
 {
     const char *text = NULL;
-    if (!wj_string(object, field, &text) || !name_ok(text))
+    if (!wire_json_get_string(object, field, &text) || !name_ok(text))
         return false;
     *out = g_strdup(text);
     return true;
@@ -40,31 +40,31 @@
 static bool take_word(const json_t *object, const char *field, const char *const *table, int *out)
 {
     const char *text = NULL;
-    if (!wj_string(object, field, &text))
+    if (!wire_json_get_string(object, field, &text))
         return false;
-    *out = w_index(table, text);
+    *out = wire_word_index(table, text);
     return *out >= 0;
 }
 
 static bool take_amount(const json_t *object, const char *field, double least, double *out)
 {
-    return wj_number(object, field, out) && *out >= least && *out <= AMOUNT_MAX;
+    return wire_json_get_number(object, field, out) && *out >= least && *out <= AMOUNT_MAX;
 }
 
 static bool take_optional_amount(const json_t *object, const char *field, double *out)
 {
-    return wj_absent(object, field) || take_amount(object, field, 0, out);
+    return wire_json_is_absent(object, field) || take_amount(object, field, 0, out);
 }
 
 static bool take_flag(const json_t *object, const char *field, bool *out)
 {
-    return wj_bool(object, field, out);
+    return wire_json_get_bool(object, field, out);
 }
 
 static bool take_tasks(const json_t *object, uint32_t *out)
 {
     uint64_t count = 0;
-    if (!wj_count(object, W_TASKS, &count) || count < 1 || count > OW_MAX_TASKS)
+    if (!wire_json_get_count(object, W_TASKS, &count) || count < 1 || count > OW_MAX_TASKS)
         return false;
     *out = (uint32_t)count;
     return true;
@@ -72,9 +72,9 @@
 
 static bool take_types(const json_t *object, char ***out)
 {
-    if (wj_absent(object, W_TYPES))
+    if (wire_json_is_absent(object, W_TYPES))
         return true;
-    char **list = wj_strings(json_object_get(object, W_TYPES));
+    char **list = wire_json_copy_strings(json_object_get(object, W_TYPES));
     if (list == NULL)
         return false;
     *out = list;
@@ -89,7 +89,7 @@
 static bool take_id(const json_t *object, char **out)
 {
     const char *id = NULL;
-    if (!wj_string(object, W_ID, &id) || !wire_job_id_valid(id))
+    if (!wire_json_get_string(object, W_ID, &id) || !wire_job_id_valid(id))
         return false;
     *out = g_strdup(id);
     return true;
@@ -106,9 +106,9 @@
         return W_CLASS ": missing or not a name";
     if (!take_name(object, W_TEAM, &submission->team))
         return W_TEAM ": missing or not a name";
-    if (!take_word(object, W_KIND, w_kinds, &kind))
+    if (!take_word(object, W_KIND, wire_kinds, &kind))
         return W_KIND ": missing or unknown";
-    if (!take_word(object, W_RANK, w_ranks, &rank))
+    if (!take_word(object, W_RANK, wire_ranks, &rank))
         return W_RANK ": missing or unknown";
     if (!take_tasks(object, &submission->tasks))
         return W_TASKS ": missing or not from 1 to 100000";
@@ -124,8 +124,8 @@
         return W_CPUS ": missing or out of range";
     if (!take_amount(object, W_GPUS, 0, &submission->need.gpus))
         return W_GPUS ": missing or out of range";
-    if (!take_amount(object, W_MEMORY, 0, &submission->need.memory_gb))
-        return W_MEMORY ": missing or out of range";
+    if (!take_amount(object, W_MEMORY_GB, 0, &submission->need.memory_gb))
+        return W_MEMORY_GB ": missing or out of range";
     if (!take_name(object, W_IMAGE, &submission->image))
         return W_IMAGE ": missing or not a name";
     if (!take_amount(object, W_IMAGE_GB, 0, &submission->image_gb))
@@ -137,7 +137,7 @@
 {
     if (!take_types(object, &submission->types))
         return W_TYPES ": not a list of names";
-    if (!wj_absent(object, W_ZONE) && !take_name(object, W_ZONE, &submission->zone))
+    if (!wire_json_is_absent(object, W_ZONE) && !take_name(object, W_ZONE, &submission->zone))
         return W_ZONE ": not a name";
     if (!take_flag(object, W_ONE_ZONE, &submission->one_zone))
         return W_ONE_ZONE ": missing or not true or false";
@@ -150,14 +150,14 @@
 
 static const char *time_fault(const json_t *object, struct ow_submission *submission)
 {
-    if (!take_amount(object, W_ESTIMATE, 0, &submission->estimate_s))
-        return W_ESTIMATE ": missing or out of range";
-    if (!take_amount(object, W_CHECKPOINT_INTERVAL, 0, &submission->checkpoint_interval_s))
-        return W_CHECKPOINT_INTERVAL ": missing or out of range";
-    if (!take_amount(object, W_CHECKPOINT_DURATION, 0, &submission->checkpoint_duration_s))
-        return W_CHECKPOINT_DURATION ": missing or out of range";
-    if (!take_optional_amount(object, W_DEADLINE, &submission->deadline_s))
-        return W_DEADLINE ": out of range";
+    if (!take_amount(object, W_ESTIMATE_S, 0, &submission->estimate_s))
+        return W_ESTIMATE_S ": missing or out of range";
+    if (!take_amount(object, W_CHECKPOINT_INTERVAL_S, 0, &submission->checkpoint_interval_s))
+        return W_CHECKPOINT_INTERVAL_S ": missing or out of range";
+    if (!take_amount(object, W_CHECKPOINT_DURATION_S, 0, &submission->checkpoint_duration_s))
+        return W_CHECKPOINT_DURATION_S ": missing or out of range";
+    if (!take_optional_amount(object, W_DEADLINE_S, &submission->deadline_s))
+        return W_DEADLINE_S ": out of range";
     return NULL;
 }
 
@@ -171,7 +171,7 @@
     return fault;
 }
 
-struct ow_submission *wire_submission_from(const json_t *object, const char **fault)
+struct ow_submission *wire_submission_from_json(const json_t *object, const char **fault)
 {
     struct ow_submission *submission = g_new0(struct ow_submission, 1);
     *fault = first_fault(object, submission);
@@ -185,22 +185,22 @@
 static const char *estimate_fault(const struct ow_submission *submission)
 {
     if (submission->kind == OW_KIND_SERVICE)
-        return submission->estimate_s == 0 ? NULL : W_ESTIMATE ": must be 0 for a service";
-    return submission->estimate_s > 0 ? NULL : W_ESTIMATE ": must be above 0";
+        return submission->estimate_s == 0 ? NULL : W_ESTIMATE_S ": must be 0 for a service";
+    return submission->estimate_s > 0 ? NULL : W_ESTIMATE_S ": must be above 0";
 }
 
-struct ow_submission *wire_submission_parse(const char *text, size_t size, char *id, const char **fault)
+struct ow_submission *wire_submission_decode(const char *text, size_t size, char *id, const char **fault)
 {
-    json_t *object = wj_object(text, size);
+    json_t *object = wire_json_parse_object(text, size);
     const char *named = NULL;
     *id = '\0';
     if (object == NULL) {
         *fault = "not a JSON object";
         return NULL;
     }
-    if (wj_string(object, W_ID, &named) && wire_job_id_valid(named))
+    if (wire_json_get_string(object, W_ID, &named) && wire_job_id_valid(named))
         g_strlcpy(id, named, OW_ID_MAX + 1);
-    struct ow_submission *submission = wire_submission_from(object, fault);
+    struct ow_submission *submission = wire_submission_from_json(object, fault);
     json_decref(object);
     /* Checked on submission alone: what is stored was accepted, and stays readable. */
     if (submission != NULL)
@@ -210,7 +210,7 @@
     return submission;
 }
 
-json_t *wire_submission_json(const struct ow_submission *submission)
+json_t *wire_submission_to_json(const struct ow_submission *submission)
 {
     json_t *types = json_null();
     if (submission->types != NULL) {
@@ -218,37 +218,37 @@
         for (char **name = submission->types; *name != NULL; name++)
             json_array_append_new(types, json_string(*name));
     }
-    return json_pack("{s:s,s:s,s:s,s:s,s:s,s:I,s:f,s:f,s:f,s:s,s:f,s:o,s:s?,s:b,s:b,s:b,s:f,s:f,s:f,s:f}",
-                     W_ID, submission->id, W_CLASS, submission->class_name, W_TEAM, submission->team, W_KIND,
-                     w_kinds[submission->kind], W_RANK, w_ranks[submission->rank], W_TASKS,
-                     (json_int_t)submission->tasks, W_CPUS, submission->need.cpus, W_GPUS,
-                     submission->need.gpus, W_MEMORY, submission->need.memory_gb, W_IMAGE, submission->image,
-                     W_IMAGE_GB, submission->image_gb, W_TYPES, types, W_ZONE, submission->zone, W_ONE_ZONE,
-                     (int)submission->one_zone, W_SPREAD, (int)submission->spread, W_SPOT,
-                     (int)submission->spot, W_ESTIMATE, submission->estimate_s, W_CHECKPOINT_INTERVAL,
-                     submission->checkpoint_interval_s, W_CHECKPOINT_DURATION,
-                     submission->checkpoint_duration_s, W_DEADLINE, submission->deadline_s);
+    return json_pack(
+        "{s:s,s:s,s:s,s:s,s:s,s:I,s:f,s:f,s:f,s:s,s:f,s:o,s:s?,s:b,s:b,s:b,s:f,s:f,s:f,s:f}", W_ID,
+        submission->id, W_CLASS, submission->class_name, W_TEAM, submission->team, W_KIND,
+        wire_kinds[submission->kind], W_RANK, wire_ranks[submission->rank], W_TASKS,
+        (json_int_t)submission->tasks, W_CPUS, submission->need.cpus, W_GPUS, submission->need.gpus,
+        W_MEMORY_GB, submission->need.memory_gb, W_IMAGE, submission->image, W_IMAGE_GB, submission->image_gb,
+        W_TYPES, types, W_ZONE, submission->zone, W_ONE_ZONE, (int)submission->one_zone, W_SPREAD,
+        (int)submission->spread, W_SPOT, (int)submission->spot, W_ESTIMATE_S, submission->estimate_s,
+        W_CHECKPOINT_INTERVAL_S, submission->checkpoint_interval_s, W_CHECKPOINT_DURATION_S,
+        submission->checkpoint_duration_s, W_DEADLINE_S, submission->deadline_s);
 }
 
-char *wire_job_view(const struct ow_job_view *view)
+char *wire_job_view_encode(const struct wire_job_view *view)
 {
-    json_t *object = json_pack("{s:s,s:s}", W_ID, view->id, W_STATE, w_job_states[view->state]);
+    json_t *object = json_pack("{s:s,s:s}", W_ID, view->id, W_STATE, wire_job_states[view->state]);
     if (view->done != OW_UNCOUNTED)
         json_object_set_new(object, W_DONE_COUNT, json_integer(view->done));
     if (view->running != OW_UNCOUNTED)
         json_object_set_new(object, W_RUNNING_COUNT, json_integer(view->running));
     if (view->reason != NULL)
         json_object_set_new(object, W_REASON, json_string(view->reason));
-    return wj_take_text(object);
+    return wire_json_print_and_unref(object);
 }
 
 static json_t *amounts_json(const struct ow_resources *amounts)
 {
-    return json_pack("{s:f,s:f,s:f}", W_CPUS, amounts->cpus, W_GPUS, amounts->gpus, W_MEMORY,
+    return json_pack("{s:f,s:f,s:f}", W_CPUS, amounts->cpus, W_GPUS, amounts->gpus, W_MEMORY_GB,
                      amounts->memory_gb);
 }
 
-char *wire_teams(const GArray *teams)
+char *wire_teams_encode(const GArray *teams)
 {
     json_t *list = json_array();
     for (guint i = 0; i < teams->len; i++) {
@@ -259,11 +259,11 @@
                                               amounts_json(&team->waiting)));
     }
     json_t *object = json_pack("{s:o}", "teams", list);
-    return wj_take_text(object);
+    return wire_json_print_and_unref(object);
 }
 
-char *wire_error(const char *message)
+char *wire_error_encode(const char *message)
 {
     json_t *object = json_pack("{s:s}", "error", message);
-    return wj_take_text(object);
+    return wire_json_print_and_unref(object);
 }
--- a/src/wire/worker_json.c
+++ b/src/wire/worker_json.c
@@ -8,7 +8,7 @@
 
 #include <string.h>
 
-bool wire_task_name_parse(const char *text, char *job, uint32_t *task)
+bool wire_task_name_decode(const char *text, char *job, uint32_t *task)
 {
     const char *slash = strrchr(text, '/');
     if (slash == NULL || slash - text > OW_ID_MAX)
@@ -26,16 +26,17 @@
 {
     const char *name = NULL, *phase = NULL, *cause = "";
     memset(out, 0, sizeof *out);
-    if (!wj_string(object, W_TASK, &name) || !wire_task_name_parse(name, out->job, &out->task) ||
-        !wj_count(object, W_ATTEMPT, &out->attempt) || !wj_string(object, W_STATE, &phase))
+    if (!wire_json_get_string(object, W_TASK, &name) || !wire_task_name_decode(name, out->job, &out->task) ||
+        !wire_json_get_count(object, W_ATTEMPT, &out->attempt) ||
+        !wire_json_get_string(object, W_STATE, &phase))
         return false;
-    int p = w_index(w_phases, phase);
+    int p = wire_word_index(wire_phases, phase);
     if (p < 0)
         return false;
     out->phase = (enum ow_phase)p;
-    wj_string(object, W_CAUSE, &cause);
-    wj_bool(object, W_SAVED, &out->saved);
-    int c = w_index(w_causes, cause);
+    wire_json_get_string(object, W_CAUSE, &cause);
+    wire_json_get_bool(object, W_CHECKPOINT_SAVED, &out->saved);
+    int c = wire_word_index(wire_causes, cause);
     /* A cause we do not know still says that the task has ended. */
     out->cause = c < 0 ? OW_CAUSE_ERROR : (enum ow_cause)c;
     return true;
@@ -59,23 +60,24 @@
     return true;
 }
 
-struct ow_heartbeat *wire_heartbeat_parse(const char *text, size_t size)
+struct ow_heartbeat *wire_heartbeat_decode(const char *text, size_t size)
 {
-    json_t *object = wj_object(text, size);
+    json_t *object = wire_json_parse_object(text, size);
     if (object == NULL)
         return NULL;
     struct ow_heartbeat *heartbeat = g_new0(struct ow_heartbeat, 1);
     const char *machine = NULL, *addr = NULL, *type = NULL, *zone = NULL;
     heartbeat->tasks = g_array_new(FALSE, FALSE, sizeof(struct ow_task_status));
     heartbeat->reclaim_notice_s = -1;
-    bool ok = wj_string(object, W_MACHINE, &machine) && wj_string(object, W_ADDR, &addr) &&
-              wj_string(object, W_TYPE, &type) && wj_string(object, W_ZONE, &zone) &&
-              wj_count(object, W_INCARNATION, &heartbeat->incarnation) &&
-              wj_count(object, W_SEQ, &heartbeat->seq) && parse_tasks(object, heartbeat->tasks);
+    bool ok =
+        wire_json_get_string(object, W_MACHINE, &machine) && wire_json_get_string(object, W_ADDRESS, &addr) &&
+        wire_json_get_string(object, W_TYPE, &type) && wire_json_get_string(object, W_ZONE, &zone) &&
+        wire_json_get_count(object, W_INCARNATION, &heartbeat->incarnation) &&
+        wire_json_get_count(object, W_SEQUENCE, &heartbeat->seq) && parse_tasks(object, heartbeat->tasks);
     if (ok) {
-        wj_bool(object, W_SPOT, &heartbeat->spot);
-        wj_count(object, W_FENCING_TOKEN, &heartbeat->fencing_token);
-        wj_number(object, W_RECLAIM_NOTICE, &heartbeat->reclaim_notice_s);
+        wire_json_get_bool(object, W_SPOT, &heartbeat->spot);
+        wire_json_get_count(object, W_FENCING_TOKEN, &heartbeat->fencing_token);
+        wire_json_get_number(object, W_RECLAIM_NOTICE_S, &heartbeat->reclaim_notice_s);
         heartbeat->machine = g_strdup(machine);
         heartbeat->addr = g_strdup(addr);
         heartbeat->type = g_strdup(type);
@@ -95,28 +97,30 @@
         const struct ow_worker_command *command = &g_array_index(commands, struct ow_worker_command, i);
         char name[OW_ID_MAX + 16];
         g_snprintf(name, sizeof name, "%s/%u", command->job, command->task);
-        json_t *object = json_pack("{s:s,s:s,s:I}", W_OP, w_worker_commands[command->kind], W_TASK, name,
-                                   W_ATTEMPT, (json_int_t)command->attempt);
+        json_t *object = json_pack("{s:s,s:s,s:I}", W_COMMAND, wire_worker_commands[command->kind], W_TASK,
+                                   name, W_ATTEMPT, (json_int_t)command->attempt);
         if (command->kind == OW_WORKER_STOP)
-            json_object_set_new(object, W_GRACE, json_real(command->grace_s));
+            json_object_set_new(object, W_GRACE_S, json_real(command->grace_s));
         json_array_append_new(list, object);
     }
     return list;
 }
 
-char *wire_worker_commands(uint64_t fencing_token, const GArray *commands)
+char *wire_worker_commands_encode(uint64_t fencing_token, const GArray *commands)
 {
-    return wj_take_text(json_pack("{s:I,s:o}", W_FENCING_TOKEN, (json_int_t)fencing_token, W_COMMANDS,
-                                  commands_json(commands)));
+    return wire_json_print_and_unref(json_pack("{s:I,s:o}", W_FENCING_TOKEN, (json_int_t)fencing_token,
+                                               W_COMMANDS, commands_json(commands)));
 }
 
-char *wire_direct_commands(uint64_t fencing_token, uint64_t incarnation, const GArray *commands)
+char *wire_direct_commands_encode(uint64_t fencing_token, uint64_t incarnation, const GArray *commands)
 {
-    return wj_take_text(json_pack("{s:I,s:I,s:o}", W_FENCING_TOKEN, (json_int_t)fencing_token, W_INCARNATION,
-                                  (json_int_t)incarnation, W_COMMANDS, commands_json(commands)));
+    return wire_json_print_and_unref(json_pack("{s:I,s:I,s:o}", W_FENCING_TOKEN, (json_int_t)fencing_token,
+                                               W_INCARNATION, (json_int_t)incarnation, W_COMMANDS,
+                                               commands_json(commands)));
 }
 
-char *wire_misdirected(const char *controller)
+char *wire_redirect_encode(const char *controller)
 {
-    return wj_take_text(controller != NULL ? json_pack("{s:s}", W_REDIRECT_TO, controller) : json_object());
+    return wire_json_print_and_unref(controller != NULL ? json_pack("{s:s}", W_REDIRECT_TO, controller)
+                                                        : json_object());
 }
--- a/tests/effect_line.c
+++ b/tests/effect_line.c
@@ -27,13 +27,13 @@
 
 static char *job_body(const struct ow_effect *effect)
 {
-    struct ow_job_view view = {effect->id, effect->state, effect->done, effect->running, effect->text};
-    return wire_job_view(&view);
+    struct wire_job_view view = {effect->id, effect->state, effect->done, effect->running, effect->text};
+    return wire_job_view_encode(&view);
 }
 
 static void append_refusal(GString *line, const struct ow_effect *effect)
 {
-    append_answer(line, effect, "refusal", wire_error(effect->text));
+    append_answer(line, effect, "refusal", wire_error_encode(effect->text));
     if (effect->retry_after_s > 0)
         g_string_append_printf(line, " retry-after %d", effect->retry_after_s);
 }
@@ -41,21 +41,22 @@
 static void append_direct(GString *line, const struct ow_effect *effect)
 {
     g_string_append_printf(line, "direct %s", effect->text);
-    append_body(line, wire_direct_commands(effect->fencing_token, effect->incarnation, effect->commands));
+    append_body(line,
+                wire_direct_commands_encode(effect->fencing_token, effect->incarnation, effect->commands));
 }
 
 static void append_store_request(GString *line, const struct ow_store_request *request)
 {
-    struct wire_http http = wire_store_request(request);
+    struct wire_http_request http = wire_store_request_encode(request);
     g_string_append_printf(line, "state %s %s", http.method, http.path);
     append_body(line, g_strdup(http.body));
-    wire_http_clear(&http);
+    wire_http_request_clear(&http);
 }
 
 static void append_cloud_request(GString *line, const struct ow_cloud_request *request)
 {
-    struct ow_provision_request provision_request = {request->name, request->type, request->zone,
-                                                     request->spot, request->count};
+    struct wire_provision_request provision_request = {request->name, request->type, request->zone,
+                                                       request->spot, request->count};
     g_string_append(line, "cloud");
     switch (request->op) {
     case OW_CLOUD_TYPES:
@@ -63,15 +64,15 @@
         break;
     case OW_CLOUD_LIST:
         g_string_append(line, " GET");
-        append_body(line, wire_list_path(request->after));
+        append_body(line, wire_machine_list_path(request->after));
         break;
     case OW_CLOUD_PROVISION:
         g_string_append(line, " POST " W_PATH_MACHINES);
-        append_body(line, wire_provision_request(&provision_request));
+        append_body(line, wire_provision_request_encode(&provision_request));
         break;
     case OW_CLOUD_TERMINATE:
-        g_string_append(line, " POST " W_PATH_DELETE);
-        append_body(line, wire_delete(request->machines));
+        g_string_append(line, " POST " W_PATH_TERMINATE);
+        append_body(line, wire_terminate_request_encode(request->machines));
         break;
     }
 }
@@ -94,17 +95,17 @@
         append_answer(line, effect, "job", job_body(effect));
         break;
     case OW_EFFECT_TEAMS:
-        append_answer(line, effect, "teams", wire_teams(effect->teams));
+        append_answer(line, effect, "teams", wire_teams_encode(effect->teams));
         break;
     case OW_EFFECT_REFUSE:
         append_refusal(line, effect);
         break;
     case OW_EFFECT_WORKER_COMMANDS:
         append_answer(line, effect, "commands",
-                      wire_worker_commands(effect->fencing_token, effect->commands));
+                      wire_worker_commands_encode(effect->fencing_token, effect->commands));
         break;
     case OW_EFFECT_MISDIRECT:
-        append_answer(line, effect, "misdirected", wire_misdirected(effect->text));
+        append_answer(line, effect, "misdirected", wire_redirect_encode(effect->text));
         break;
     case OW_EFFECT_DIRECT:
         append_direct(line, effect);
--- a/tests/sim_values.c
+++ b/tests/sim_values.c
@@ -148,7 +148,7 @@
             continue;
         json_t *record_value = json_loads(((struct sim_value *)value)->text, 0, NULL);
         json_t *record = json_object_get(record_value, name);
-        found = record != NULL ? wj_text(record) : NULL;
+        found = record != NULL ? wire_json_print(record) : NULL;
         json_decref(record_value);
     }
     return found;
--- a/tests/test_agent.c
+++ b/tests/test_agent.c
@@ -96,8 +96,8 @@
     struct ow_task_status stopped = {"run-2", 0, 1, OW_PHASE_EXITED, OW_CAUSE_STOPPED, true};
     g_array_append_val(heartbeat.tasks, running);
     g_array_append_val(heartbeat.tasks, stopped);
-    char *text = wire_heartbeat(&heartbeat);
-    struct ow_heartbeat *read = wire_heartbeat_parse(text, strlen(text));
+    char *text = wire_heartbeat_encode(&heartbeat);
+    struct ow_heartbeat *read = wire_heartbeat_decode(text, strlen(text));
     assert_non_null(read);
     assert_string_equal(read->machine, "m-1");
     assert_true(read->spot && read->incarnation == 3 && read->seq == 8 && read->fencing_token == 41 &&
@@ -118,18 +118,18 @@
     GArray *commands = g_array_new(FALSE, TRUE, sizeof(struct ow_worker_command));
     struct ow_worker_command stop = {OW_WORKER_STOP, "run-7", 12, 5, 2.5};
     g_array_append_val(commands, stop);
-    char *direct = wire_direct_commands(9, 2, commands);
-    struct ow_worker_orders *orders = wire_worker_orders_parse(direct, strlen(direct));
+    char *direct = wire_direct_commands_encode(9, 2, commands);
+    struct wire_command_batch *orders = wire_worker_commands_decode(direct, strlen(direct));
     assert_true(orders->has_fencing_token && orders->fencing_token == 9 && orders->has_incarnation &&
                 orders->incarnation == 2);
     const struct ow_worker_command *read = &g_array_index(orders->commands, struct ow_worker_command, 0);
     assert_int_equal(read->kind, OW_WORKER_STOP);
     assert_string_equal(read->job, "run-7");
     assert_true(read->task == 12 && read->attempt == 5 && read->grace_s == 2.5);
-    wire_worker_orders_free(orders);
+    wire_command_batch_free(orders);
     g_free(direct);
-    char *misdirected = wire_misdirected("two");
-    char *name = wire_misdirected_parse(misdirected, strlen(misdirected));
+    char *misdirected = wire_redirect_encode("two");
+    char *name = wire_redirect_decode(misdirected, strlen(misdirected));
     assert_string_equal(name, "two");
     g_free(name);
     g_free(misdirected);
@@ -138,7 +138,7 @@
     static const char *const malformed[] = {"", "[]", "{\"crest\":1}", "{\"crest\":1,\"calls\":[{}]}",
                                             unknown};
     for (guint i = 0; i < G_N_ELEMENTS(malformed); i++)
-        assert_null(wire_worker_orders_parse(malformed[i], strlen(malformed[i])));
+        assert_null(wire_worker_commands_decode(malformed[i], strlen(malformed[i])));
     g_array_free(commands, TRUE);
 }
 
--- a/tests/test_production_format.c
+++ b/tests/test_production_format.c
@@ -33,28 +33,28 @@
     (void)state;
     struct ow_job_record record;
     json_t *value = fixture_json("job-queued.json");
-    assert_true(wire_job_record_parse(value, &record));
+    assert_true(wire_job_record_decode(value, &record));
     assert_true(record.state == OW_JOB_QUEUED && record.accepted_at == 1700001000 &&
                 record.submission->tasks == 300);
     ow_submission_free(record.submission);
     json_decref(value);
     value = fixture_json("job-cancelled.json");
-    assert_true(wire_job_record_parse(value, &record));
+    assert_true(wire_job_record_decode(value, &record));
     assert_true(record.state == OW_JOB_CANCELLED && record.leader_fencing_token == 42 &&
                 record.submission->gang);
     ow_submission_free(record.submission);
     json_decref(value);
     value = fixture_json("job-ended.json");
-    assert_true(wire_job_record_parse(value, &record));
+    assert_true(wire_job_record_decode(value, &record));
     assert_true(record.state == OW_JOB_CANCELLED && record.submission == NULL);
     json_decref(value);
     value = fixture_json("job-done.json");
-    assert_true(wire_job_record_parse(value, &record));
+    assert_true(wire_job_record_decode(value, &record));
     assert_true(record.state == OW_JOB_DONE && record.submission == NULL);
     json_decref(value);
     const char *controller = NULL, *nonce = NULL;
     value = fixture_json("coordinator.json");
-    wire_leader_record_parse(value, &controller, &nonce);
+    wire_leader_record_decode(value, &controller, &nonce);
     assert_string_equal(controller, "node-0");
     assert_string_equal(nonce, "0123456789abcdef");
     json_decref(value);
@@ -122,10 +122,10 @@
     {
         struct ow_progress_record record;
         uint32_t chunk = 0, tasks = 0;
-        char *job = wire_progress_name_parse(name, &chunk, &tasks);
+        char *job = wire_progress_name_decode(name, &chunk, &tasks);
         assert_int_equal(tasks, OW_CHUNK_TASKS);
-        assert_true(wire_progress_record_parse(value, &record));
-        char *record_text = wire_progress_record(&record);
+        assert_true(wire_progress_record_decode(value, &record));
+        char *record_text = wire_progress_record_encode(&record);
         wire_progress_value_add(again, job, chunk, tasks, record_text);
         wire_progress_record_clear(&record);
         g_free(record_text);
@@ -141,8 +141,8 @@
     const char *const jobs[] = {"job-queued.json", "job-cancelled.json", "job-ended.json", "job-done.json"};
     for (int i = 0; i < 4; i++) {
         value = fixture_json(jobs[i]);
-        assert_true(wire_job_record_parse(value, &record));
-        char *ours = wire_job_record(&record), *theirs = g_strchomp(fixture(jobs[i]));
+        assert_true(wire_job_record_decode(value, &record));
+        char *ours = wire_job_record_encode(&record), *theirs = g_strchomp(fixture(jobs[i]));
         assert_string_equal(ours, theirs);
         ow_submission_free(record.submission);
         json_decref(value);
--- a/tests/test_records.c
+++ b/tests/test_records.c
@@ -32,13 +32,13 @@
     add_live(record.live, 8, 4, "n-1", 1);
     add_live(record.live, 9, 9, "n-1", 2);
     add_live(record.live, 10, 9, "n-2", 1);
-    char *text = wire_progress_record(&record);
+    char *text = wire_progress_record_encode(&record);
     assert_string_equal(
         text,
         "{\"a\":9,\"d\":\"0-5,15-39\",\"l\":{\"n-1 1\":\"6-7@9,8@4\",\"n-1 2\":\"9@9\",\"n-2 1\":\"10@9\"}}");
-    json_t *value = wj_object(text, strlen(text));
+    json_t *value = wire_json_parse_object(text, strlen(text));
     struct ow_progress_record again;
-    assert_true(wire_progress_record_parse(value, &again));
+    assert_true(wire_progress_record_decode(value, &again));
     assert_true(again.last_attempt == 9 && again.done->len == record.done->len && again.live->len == 5);
     for (guint i = 0; i < 5; i++) {
         const struct ow_live_record *written = &g_array_index(record.live, struct ow_live_record, i);
@@ -64,7 +64,7 @@
         g_snprintf(name, sizeof name, "n-%06u", task);
         add_live(record.live, task, 1000 + task % 7, g_intern_string(name), 1);
     }
-    char *text = wire_progress_record(&record);
+    char *text = wire_progress_record_encode(&record);
     assert_true(strlen(text) < VALUE_LIMIT);
     g_free(text);
     wire_progress_record_clear(&record);
@@ -74,14 +74,14 @@
 {
     (void)state;
     struct ow_job_record done = {.state = OW_JOB_DONE}, back;
-    char *text = wire_job_record(&done);
-    json_t *value = wj_object(text, strlen(text));
-    assert_true(wire_job_record_parse(value, &back));
+    char *text = wire_job_record_encode(&done);
+    json_t *value = wire_json_parse_object(text, strlen(text));
+    assert_true(wire_job_record_decode(value, &back));
     assert_true(back.state == OW_JOB_DONE && back.submission == NULL);
     json_decref(value);
     g_free(text);
-    value = wj_object("{\"e\":1}", 7);
-    assert_false(wire_job_record_parse(value, &back));
+    value = wire_json_parse_object("{\"e\":1}", 7);
+    assert_false(wire_job_record_decode(value, &back));
     json_decref(value);
 }
 
--- a/tests/test_sharding_wire.c
+++ b/tests/test_sharding_wire.c
@@ -145,7 +145,7 @@
     g_hash_table_insert(values, "shards", "north south");
     g_hash_table_insert(values, "election lease_s", "4");
     char *text = wire_shard_map(values);
-    json_t *object = wj_object(text, strlen(text));
+    json_t *object = wire_json_parse_object(text, strlen(text));
     GHashTable *read = wire_shard_map_parse(object);
     assert_int_equal(g_hash_table_size(read), 2);
     assert_string_equal(g_hash_table_lookup(read, "shards"), "north south");
@@ -156,7 +156,7 @@
     static const char *const unreadable[] = {"{}", "{\"v\":2,\"values\":{}}", "{\"v\":1,\"values\":[]}",
                                              "{\"v\":1,\"values\":{\"a\":1}}"};
     for (guint i = 0; i < G_N_ELEMENTS(unreadable); i++) {
-        object = wj_object(unreadable[i], strlen(unreadable[i]));
+        object = wire_json_parse_object(unreadable[i], strlen(unreadable[i]));
         assert_null(wire_shard_map_parse(object));
         json_decref(object);
     }
--- a/tests/test_wire.c
+++ b/tests/test_wire.c
@@ -25,7 +25,7 @@
 {
     const char *fault = NULL;
     char id[OW_ID_MAX + 1];
-    struct ow_submission *submission = wire_submission_parse(text, strlen(text), id, &fault);
+    struct ow_submission *submission = wire_submission_decode(text, strlen(text), id, &fault);
     assert_true((submission == NULL) == (fault != NULL));
     assert_true(submission == NULL || strcmp(id, submission->id) == 0);
     return submission;
@@ -37,8 +37,8 @@
     const char *fault = NULL;
     struct ow_submission *submission = parse_job(JOB);
     assert_non_null(submission);
-    json_t *stored = wire_submission_json(submission);
-    struct ow_submission *again = wire_submission_from(stored, &fault);
+    json_t *stored = wire_submission_to_json(submission);
+    struct ow_submission *again = wire_submission_from_json(stored, &fault);
     assert_non_null(again);
     assert_true(again->gang && again->tasks == 16 && again->rank == OW_RANK_URGENT && again->zone == NULL);
     assert_true(again->need.gpus == 1 && again->one_zone && again->spot && again->deadline_s == 900);
@@ -74,7 +74,7 @@
         char *text = g_strconcat(parts[0], "\"dusk_s\":", values[i], parts[1], NULL);
         const char *fault = NULL;
         char id[OW_ID_MAX + 1];
-        assert_null(wire_submission_parse(text, strlen(text), id, &fault));
+        assert_null(wire_submission_decode(text, strlen(text), id, &fault));
         assert_true(g_str_has_prefix(fault, "dusk_s"));
         g_free(text);
         g_strfreev(parts);
@@ -151,7 +151,7 @@
 static void test_heartbeats(void **state)
 {
     (void)state;
-    struct ow_heartbeat *parsed = wire_heartbeat_parse(heartbeat, strlen(heartbeat));
+    struct ow_heartbeat *parsed = wire_heartbeat_decode(heartbeat, strlen(heartbeat));
     assert_non_null(parsed);
     assert_true(parsed->incarnation == 1 && parsed->seq == 88 && parsed->fencing_token == 41 &&
                 parsed->reclaim_notice_s == 7.5 && parsed->tasks->len == 2);
@@ -162,7 +162,7 @@
     /* A task that can't be parsed must not look like one that has ended. */
     char **parts = g_strsplit(heartbeat, "run-000398/0", 2);
     char *text = g_strjoinv("run-000398", parts);
-    assert_null(wire_heartbeat_parse(text, strlen(text)));
+    assert_null(wire_heartbeat_decode(text, strlen(text)));
     g_free(text);
     g_strfreev(parts);
 }
@@ -174,7 +174,7 @@
     struct ow_worker_command command = {
         .kind = OW_WORKER_STOP, .job = "run-7", .task = 1, .attempt = 3, .grace_s = 2};
     g_array_append_val(commands, command);
-    char *text = wire_direct_commands(41, 2, commands);
+    char *text = wire_direct_commands_encode(41, 2, commands);
     assert_string_equal(
         text, "{\"crest\":41,\"stint\":2,\"calls\":[{\"call\":\"stop\",\"talon\":\"run-7/1\",\"dive\":3,"
               "\"glide_s\":2.0}]}");
@@ -189,13 +189,13 @@
         "{\"perches\":[{\"ref\":\"n-7\",\"addr\":\"10.1.0.2:9000\",\"breed\":\"g8\",\"range\":\"a\","
         "\"windfall\":true,\"stance\":\"running\",\"age_s\":61.5},{\"ref\":\"n-8\"}],\"has_next\":true}";
     bool more = false;
-    GArray *machines = wire_list_parse(list, strlen(list), &more);
+    GArray *machines = wire_machine_list_decode(list, strlen(list), &more);
     assert_non_null(machines);
     assert_true(more && machines->len == 1);
     assert_true(g_array_index(machines, struct ow_listed_machine, 0).state == OW_LISTED_RUNNING);
     g_array_free(machines, TRUE);
-    assert_null(wire_list_parse("{}", 2, &more));
-    assert_null(wire_types_parse("[]", 2));
+    assert_null(wire_machine_list_decode("{}", 2, &more));
+    assert_null(wire_machine_types_decode("[]", 2));
 }
 
 static struct ow_peer_message *through_xdr(struct ow_peer_message *message)
