--- a/src/main.c
+++ b/src/main.c
@@ -7,6 +7,7 @@
 #include "io/log.h"
 #include "io/net.h"
 #include "sharding/sharding_settings.h"
+#include "sharding/sharding_settings_check.h"
 
 #include <stdio.h>
 #include <stdlib.h>
@@ -47,10 +48,13 @@
 static char *load_operators(const char *path, struct configuration *configuration)
 {
     char *fault = NULL;
+    g_autoptr(GError) error = NULL;
     if (!ow_operators_load(path, &configuration->tuning, configuration->sharding, &fault))
         return fault;
-    return ow_sharding_settings_check(configuration->sharding, configuration->settings,
-                                      &configuration->tuning);
+    if (ow_sharding_settings_check(configuration->sharding, configuration->settings, &configuration->tuning,
+                                   &error))
+        return NULL;
+    return g_strdup(error->message);
 }
 
 /* Checks the files, and serves unless only that is wanted. */
--- a/src/sharding/sharding_settings.h
+++ b/src/sharding/sharding_settings.h
@@ -56,9 +56,5 @@
 /* What the shard has of the team's guarantee and limit, from 0 to 1. */
 double ow_sharding_settings_share(const struct ow_sharding_settings *sharding, const char *team,
                                   const struct ow_shard_settings *shard);
-/* NULL if the settings are consistent with those of the platform and the rules; otherwise what is wrong and
-   in which line (g_free). */
-char *ow_sharding_settings_check(const struct ow_sharding_settings *sharding,
-                                 const struct ow_settings *platform, const struct ow_tuning *tuning);
 
 #endif
--- a/tests/test_sharding_settings.c
+++ b/tests/test_sharding_settings.c
@@ -1,6 +1,7 @@
 /* The <control> element: what is read, and what is refused with its line and name. */
 #include "check.h"
 #include "config/operators_file.h"
+#include "sharding/sharding_settings_check.h"
 
 #include <glib.h>
 #include <glib/gstdio.h>
@@ -53,8 +54,16 @@
     struct ow_sharding_settings *sharding = ow_sharding_settings_new();
     open_platform(&platform);
     char *fault = load(text, &platform.tuning, sharding);
-    if (fault == NULL)
-        fault = ow_sharding_settings_check(sharding, &platform.settings, &platform.tuning);
+    if (fault == NULL) {
+        g_autoptr(GError) error = NULL;
+        bool is_consistent =
+            ow_sharding_settings_check(sharding, &platform.settings, &platform.tuning, &error);
+        assert_int_equal(is_consistent, error == NULL);
+        if (error != NULL) {
+            assert_true(error->domain == OW_SHARDING_SETTINGS_ERROR);
+            fault = g_strdup(error->message);
+        }
+    }
     ow_sharding_settings_free(sharding);
     close_platform(&platform);
     return fault;
