--- a/src/core/api/submit.c
+++ b/src/core/api/submit.c
@@ -5,6 +5,7 @@
 #include "core/api/poll.h"
 #include "core/core_state.h"
 #include "core/jobs/job_cache.h"
+#include "core/jobs/job_change.h"
 #include "model/event.h"
 #include "model/records.h"
 #include "model/submission.h"
@@ -72,7 +73,7 @@
            submission->deadline_s);
     ow_jobs_apply(core->jobs, id, revision, OW_JOB_QUEUED, submission, core->now, 0);
     ow_job_answer(core, request, 201, ow_jobs_find(core->jobs, id));
-    ow_core_announce_job_change(core, revision);
+    ow_job_change_announce(core, revision);
 }
 
 /* A value that is refused on its own is refused for ever: its user is told so instead of being asked to come
--- a/src/core/core.c
+++ b/src/core/core.c
@@ -8,14 +8,16 @@
 #include "core/api/team_usage.h"
 #include "core/core_state.h"
 #include "core/election/election.h"
-#include "core/health.h"
 #include "core/jobs/job_cache.h"
 #include "core/leader/leader.h"
 #include "core/leader/leader_state.h"
 #include "core/machines/machine.h"
 #include "core/peers/machine_hints.h"
 #include "core/peers/peer_messages.h"
+#include "core/peers/peer_status.h"
+#include "core/readiness.h"
 #include "core/scheduling/classes.h"
+#include "core/store_health.h"
 #include "core/type_discovery.h"
 #include "model/effect.h"
 #include "model/event.h"
@@ -25,6 +27,25 @@
 static const double IDLE_S = 0.05;
 /* Workers report every interval, give or take a quarter. */
 static const double SETTLING_HEARTBEATS = 1.25;
+
+/* ---- what the election brings about ---- */
+
+static void begin_to_lead(struct ow_core *core, uint64_t fencing_token)
+{
+    core->leader = ow_leader_new(core, fencing_token);
+}
+
+static void end_leading(struct ow_core *core)
+{
+    ow_leader_free(core->leader);
+    core->leader = NULL;
+}
+
+static const struct ow_election_callbacks election_callbacks = {
+    .begin_to_lead = begin_to_lead,
+    .end_leading = end_leading,
+};
+
 /* ---- life ---- */
 
 struct ow_core *ow_core_new(const struct ow_settings *settings, const struct ow_tuning *tuning,
@@ -36,19 +57,19 @@
     core->nonce = nonce;
     core->may_lead = true;
     core->store_limits = ow_store_limits_of(settings);
-    core->peer_formats = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     core->pending_calls = ow_pending_calls_new();
     core->interners = (struct ow_interners){ow_interner_new(), ow_interner_new(), ow_interner_new(),
                                             ow_interner_new(), ow_interner_new()};
     core->classes = g_array_new(FALSE, FALSE, sizeof(struct ow_class));
     core->jobs = ow_jobs_new(&core->interners);
     core->job_cache = ow_job_cache_new(core);
-    core->election = ow_election_new(core);
+    core->election = ow_election_new(core, &election_callbacks);
     core->cancellation_ack = ow_cancellation_ack_new(core);
-    core->peers_ok = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+    core->store_health = ow_store_health_new(core);
+    core->peer_status = ow_peer_status_new();
     core->machine_hints = ow_machine_hints_new();
     core->effects = g_ptr_array_new_with_free_func(ow_effect_free);
-    core->type_discovery.core = core;
+    core->type_discovery = ow_type_discovery_new(core);
     for (int i = 0; i < OW_EVENT_QUEUES; i++)
         g_queue_init(&core->queues[i]);
     return core;
@@ -72,8 +93,9 @@
     ow_interner_free(core->interners.zones);
     ow_interner_free(core->interners.types);
     g_array_free(core->classes, TRUE);
-    g_hash_table_destroy(core->peers_ok);
-    g_hash_table_destroy(core->peer_formats);
+    ow_store_health_free(core->store_health);
+    ow_peer_status_free(core->peer_status);
+    ow_type_discovery_free(core->type_discovery);
     ow_machine_hints_free(core->machine_hints);
     g_ptr_array_free(core->effects, TRUE);
     g_free(core);
@@ -119,7 +141,7 @@
         ow_pending_calls_answer(core->pending_calls, event->request, event);
         break;
     case OW_EVENT_STORE:
-        ow_health_note_store_reply(core, event->store.status);
+        ow_store_health_note_reply(core->store_health, event->store.status);
         ow_pending_calls_answer(core->pending_calls, event->request, event);
         break;
     case OW_EVENT_PEER:
@@ -158,8 +180,8 @@
         ow_leader_tick(core->leader);
     ow_job_cache_tick(core->job_cache);
     ow_cancellation_ack_tick(core->cancellation_ack);
-    ow_type_discovery_tick(&core->type_discovery);
-    ow_health_probe_store(core, &core->health_probe);
+    ow_type_discovery_tick(core->type_discovery);
+    ow_store_health_probe(core->store_health);
     ow_peer_messages_send_hello(core);
 }
 
@@ -185,7 +207,7 @@
 
 bool ow_core_is_ready(const struct ow_core *core)
 {
-    return ow_health_is_ready(core);
+    return ow_readiness_is_ready(core);
 }
 
 uint64_t ow_core_fencing_token(const struct ow_core *core)
--- a/src/core/core_state.c
+++ b/src/core/core_state.c
@@ -2,7 +2,6 @@
  */
 #include "core/core_state.h"
 
-#include "core/leader/leader.h"
 #include "model/cloud.h"
 #include "model/effect.h"
 #include "model/event.h"
@@ -56,17 +55,6 @@
     ow_core_emit(core, effect);
 }
 
-void ow_core_announce_job_change(struct ow_core *core, uint64_t revision)
-{
-    if (core->leader != NULL) {
-        ow_leader_request_cycle(core->leader);
-        return;
-    }
-    struct ow_peer_message *message = ow_peer_message_new(OW_PEER_JOB_CHANGED);
-    message->number = revision;
-    ow_core_send_to_peers(core, message);
-}
-
 static struct ow_machine_type *copy_type(const struct ow_machine_type *type)
 {
     struct ow_machine_type *copy = g_new(struct ow_machine_type, 1);
--- a/src/core/core_state.h
+++ b/src/core/core_state.h
@@ -2,11 +2,9 @@
 #ifndef OW_CORE_CORE_STATE_H
 #define OW_CORE_CORE_STATE_H
 
-#include "core/health.h"
 #include "core/jobs/job.h"
 #include "core/pending_calls.h"
 #include "core/records/store_limits.h"
-#include "core/type_discovery.h"
 #include "model/cloud.h"
 #include "model/effect.h"
 #include "model/event.h"
@@ -23,6 +21,9 @@
 struct ow_election;
 struct ow_leader;
 struct ow_machine_hints;
+struct ow_peer_status;
+struct ow_store_health;
+struct ow_type_discovery;
 
 /* One queue for each kind of event, worked off in the order of the kinds. */
 enum { OW_EVENT_QUEUES = OW_EVENT_SUBMIT + 1 };
@@ -31,9 +32,7 @@
     const struct ow_settings *settings;
     const struct ow_tuning *tuning;
     struct ow_store_limits store_limits;
-    GHashTable
-        *peer_formats; /* peer name -> GUINT_TO_POINTER: the format of messages and records it speaks */
-    uint64_t nonce;    /* tells this process from others of the same name */
+    uint64_t nonce; /* tells this process from others of the same name */
     double now;
     double time_of_day; /* roughly: nothing that must be safe rests on it */
     GPtrArray *effects;
@@ -47,21 +46,15 @@
     struct ow_election *election;
     struct ow_leader *leader; /* NULL while another controller leads */
     struct ow_cancellation_ack *cancellation_ack;
-    double store_ok_at;         /* the last answer of the key-value store that was no failure */
-    double store_failing_since; /* 0: the last answer was good */
-    double store_refused_at;    /* its last refusal: it can be reached, but may serve others */
-    bool store_silent;          /* the last failure was no answer, rather than a refusal */
-    GHashTable *peers_ok; /* peer name -> double *: when it last said that its key-value store answers */
+    struct ow_store_health *store_health;
+    struct ow_peer_status *peer_status;
     double last_worker_heartbeat_at;        /* the last heartbeat that came here; 0: none yet */
-    double peer_receives_heartbeats_at;     /* when a peer last said that workers come to it */
-    double last_peer_message_at;            /* the last message of any peer; 0: none yet */
     struct ow_machine_hints *machine_hints; /* from the leader's last message */
     double hello_at;
     bool may_lead;                  /* false: this controller never takes the leader's key */
     double election_delay_s;        /* how long it leaves a missing key to others before it takes it */
     GQueue queues[OW_EVENT_QUEUES]; /* struct ow_event, one queue for each kind */
-    struct ow_type_discovery type_discovery;
-    struct ow_health_probe health_probe;
+    struct ow_type_discovery *type_discovery;
 };
 
 /* Queues an effect for the caller of the core, which it then belongs to. */
@@ -78,8 +71,6 @@
                         void *owner, void *data, void (*free_data)(void *));
 /* Sends a message to all peers, taking it over. */
 void ow_core_send_to_peers(struct ow_core *core, struct ow_peer_message *message);
-/* Tells the leader, here or elsewhere, that a job's record has changed. */
-void ow_core_announce_job_change(struct ow_core *core, uint64_t revision);
 /* Copies the machine types into the table; types that it already has are replaced. */
 void ow_core_set_machine_types(struct ow_core *core, const GArray *types);
 /* Frees the machine types in the table. */
--- a/src/core/election/election.c
+++ b/src/core/election/election.c
@@ -9,10 +9,11 @@
 /* How long a leader that has stepped down for the workers' sake leaves the key to others. */
 static const double YIELD_S = 15;
 
-struct ow_election *ow_election_new(struct ow_core *core)
+struct ow_election *ow_election_new(struct ow_core *core, const struct ow_election_callbacks *callbacks)
 {
     struct ow_election *election = g_new0(struct ow_election, 1);
     election->core = core;
+    election->callbacks = callbacks;
     return election;
 }
 
--- a/src/core/election/election.h
+++ b/src/core/election/election.h
@@ -3,14 +3,17 @@
 #ifndef OW_CORE_ELECTION_ELECTION_H
 #define OW_CORE_ELECTION_ELECTION_H
 
+#include "core/election/election_callbacks.h"
+
 #include <stdbool.h>
 #include <stdint.h>
 
 struct ow_core;
 struct ow_election;
 
-/* An election in which this controller has not taken part yet; freed by ow_election_free(). */
-struct ow_election *ow_election_new(struct ow_core *core);
+/** An election in which this controller has not taken part yet; freed by ow_election_free(). `core` and
+ * `callbacks` must outlive it. */
+struct ow_election *ow_election_new(struct ow_core *core, const struct ow_election_callbacks *callbacks);
 void ow_election_free(struct ow_election *election);
 /* Sends what is due: reads, watches and writes of the key, and renewals of its lease. */
 void ow_election_tick(struct ow_election *election);
--- a/src/core/election/election_state.c
+++ b/src/core/election/election_state.c
@@ -1,7 +1,7 @@
 #include "core/election/election_state.h"
 
 #include "core/core_state.h"
-#include "core/leader/leader.h"
+#include "core/election/election_callbacks.h"
 
 #include <glib.h>
 
@@ -38,15 +38,14 @@
     election->revision = fencing_token;
     ow_election_set_leader_name(election, NULL);
     g_info("leader with token %" G_GUINT64_FORMAT, fencing_token);
-    core->leader = ow_leader_new(core, fencing_token);
+    election->callbacks->begin_to_lead(core, fencing_token);
 }
 
 void ow_election_step_down(struct ow_election *election, const char *why)
 {
     if (election->stage == OW_ELECTION_LEADING) {
         g_info("no longer leader: %s", why);
-        ow_leader_free(election->core->leader);
-        election->core->leader = NULL;
+        election->callbacks->end_leading(election->core);
     }
     ow_election_set_leader_name(election, NULL);
     ow_election_look_again(election, 0);
--- a/src/core/election/election_state.h
+++ b/src/core/election/election_state.h
@@ -7,6 +7,7 @@
 #include <stdint.h>
 
 struct ow_core;
+struct ow_election_callbacks;
 
 enum ow_election_stage {
     OW_ELECTION_LOOKING, /* another controller may lead: its key is read and watched */
@@ -17,6 +18,7 @@
 
 struct ow_election {
     struct ow_core *core;
+    const struct ow_election_callbacks *callbacks;
     enum ow_election_stage stage;
     bool busy;     /* a request of the present stage is under way */
     double act_at; /* no request of the stage before this time */
--- a/src/core/election/succession.c
+++ b/src/core/election/succession.c
@@ -3,6 +3,8 @@
 #include "core/core_state.h"
 #include "core/election/election_state.h"
 #include "core/jobs/job_cache.h"
+#include "core/peers/peer_status.h"
+#include "core/store_health.h"
 #include "model/records.h"
 
 /* Slack for clocks that drift, for messages under way, and for a worker's last heartbeat. */
@@ -36,16 +38,13 @@
     if (settings->peers->len == 0)
         return false;
     double patience_s = settings->cancel_s - settings->lease_s * (1 + CLOCK_DRIFT) - MARGIN_S;
-    double answered_at = MAX(core->store_ok_at, core->store_refused_at);
-    double heard_at = MAX(election->began_at, answered_at);
+    double heard_at = MAX(election->began_at, ow_store_health_last_reachable_at(core->store_health));
     return core->now - heard_at > MAX(patience_s, 2 * core->tuning->leader_lease_s);
 }
 
 static bool leader_format_is_outdated(const struct ow_election *election)
 {
-    const struct ow_core *core = election->core;
-    void *stored = g_hash_table_lookup(core->peer_formats, election->leader_name);
-    guint format = GPOINTER_TO_UINT(stored);
+    unsigned format = ow_peer_status_format(election->core->peer_status, election->leader_name);
     return format != 0 && format < OW_FORMAT_FINE;
 }
 
@@ -57,9 +56,8 @@
         return false;
     if (!ow_job_cache_loaded(core->job_cache) || !leader_format_is_outdated(election))
         return false;
-    const double *heard_at = g_hash_table_lookup(core->peers_ok, election->leader_name);
-    if (heard_at == NULL || now - *heard_at >= PEER_FRESH_S)
+    if (!ow_peer_status_store_answers(core->peer_status, election->leader_name, now, PEER_FRESH_S))
         return false;
-    bool store_is_healthy = core->store_failing_since == 0 && now - core->store_ok_at < PEER_FRESH_S;
-    return store_is_healthy && now - election->led_since > OUTDATED_LEADER_S;
+    bool is_store_healthy = ow_store_health_has_answered_within(core->store_health, PEER_FRESH_S);
+    return is_store_healthy && now - election->led_since > OUTDATED_LEADER_S;
 }
--- a/src/core/jobs/job_cache.c
+++ b/src/core/jobs/job_cache.c
@@ -1,7 +1,7 @@
 #include "core/jobs/job_cache.h"
 
 #include "core/core_state.h"
-#include "core/leader/leader.h"
+#include "core/leader/leader_state.h"
 #include "model/event.h"
 #include "model/records.h"
 #include "wire/records_json.h"
--- a/src/core/leader/leader.c
+++ b/src/core/leader/leader.c
@@ -11,6 +11,7 @@
 #include "core/machines/scale_out.h"
 #include "core/machines/worker_commands.h"
 #include "core/peers/leader_broadcast.h"
+#include "core/peers/peer_status.h"
 #include "core/records/failover.h"
 #include "core/records/record_format.h"
 #include "core/records/record_values.h"
@@ -200,7 +201,8 @@
     double heartbeat_interval_s = leader->core->settings->heartbeat_interval_s;
     double patience_s =
         MAX(LOST_HEARTBEATS * heartbeat_interval_s, HEARTBEAT_TIMEOUT_S + heartbeat_interval_s);
-    return expected >= LOST_LEAST && now - leader->core->peer_receives_heartbeats_at < LOST_MESSAGE_S &&
+    return expected >= LOST_LEAST &&
+           ow_peer_status_receives_heartbeats(leader->core->peer_status, now, LOST_MESSAGE_S) &&
            now - last_message_at > patience_s;
 }
 
@@ -228,11 +230,6 @@
     return true;
 }
 
-void ow_leader_request_cycle(struct ow_leader *leader)
-{
-    leader->cycle.due = true;
-}
-
 static bool cycle_is_due(const struct ow_leader *leader)
 {
     double now = leader->core->now;
--- a/src/core/leader/leader.h
+++ b/src/core/leader/leader.h
@@ -22,8 +22,6 @@
 /* Applies a committed cancellation: its stops are queued. False while something of the job may still start,
    or before the leader is ready and knows all its tasks. */
 bool ow_leader_cancel(struct ow_leader *leader, struct ow_job *job);
-/* Jobs have changed: a scheduling cycle is due. */
-void ow_leader_request_cycle(struct ow_leader *leader);
 /* Does all the work that is due. */
 void ow_leader_tick(struct ow_leader *leader);
 
--- a/src/core/leader/leader_state.h
+++ b/src/core/leader/leader_state.h
@@ -4,7 +4,6 @@
 #define OW_CORE_LEADER_LEADER_STATE_H
 
 #include "core/core_state.h"
-#include "core/leader/leader.h"
 #include "model/resources.h"
 
 #include <glib.h>
@@ -116,4 +115,7 @@
     struct ow_leader_timers periodic;
 };
 
+/** Something that a scheduling cycle depends on has changed: one is due. */
+void ow_leader_request_cycle(struct ow_leader *leader);
+
 #endif
--- a/src/core/peers/peer_messages.c
+++ b/src/core/peers/peer_messages.c
@@ -3,9 +3,10 @@
 #include "core/api/cancellation_ack.h"
 #include "core/core_state.h"
 #include "core/election/election.h"
-#include "core/health.h"
 #include "core/jobs/job_cache.h"
 #include "core/peers/machine_hints.h"
+#include "core/peers/peer_status.h"
+#include "core/store_health.h"
 #include "model/peer.h"
 
 static const double HELLO_S = 1;
@@ -14,20 +15,11 @@
 
 static void handle_hello(struct ow_core *core, const struct ow_peer_message *message)
 {
-    if (message->sender != NULL)
-        g_hash_table_replace(core->peer_formats, g_strdup(message->sender),
-                             GUINT_TO_POINTER(message->version));
+    ow_peer_status_note_hello(core->peer_status, message, core->now);
     if (message->number > 0) {
         const char *leader_name = message->leads ? message->sender : NULL;
         ow_election_observe_fencing_token(core->election, message->number, leader_name);
     }
-    if (message->receives_heartbeats)
-        core->peer_receives_heartbeats_at = core->now;
-    if (message->store_ok && message->sender != NULL) {
-        double *heard_at = g_new(double, 1);
-        *heard_at = core->now;
-        g_hash_table_replace(core->peers_ok, g_strdup(message->sender), heard_at);
-    }
 }
 
 static void handle_job_summary(struct ow_core *core, const struct ow_peer_job *summary)
@@ -53,7 +45,7 @@
 void ow_peer_messages_handle(struct ow_core *core, struct ow_peer_message *message)
 {
     if (message->kind != OW_PEER_LINK_LOST)
-        core->last_peer_message_at = core->now;
+        ow_peer_status_note_message(core->peer_status, core->now);
     switch (message->kind) {
     case OW_PEER_HELLO:
         handle_hello(core, message);
@@ -92,7 +84,7 @@
     message->sender = g_strdup(core->settings->controller_name);
     message->number = ow_election_fencing_token(core->election);
     message->leads = message->number > 0;
-    message->store_ok = ow_health_store_is_ok(core);
+    message->store_ok = ow_store_health_is_ok(core->store_health);
     message->receives_heartbeats =
         core->last_worker_heartbeat_at > 0 && core->now - core->last_worker_heartbeat_at < WORKER_RECENT_S;
     ow_core_send_to_peers(core, message);
--- /dev/null
+++ b/src/core/peers/peer_status.h
@@ -0,0 +1,34 @@
+/** @file
+ * What the other controllers last said of themselves in their hello messages, and when each was heard.
+ * Owns `struct ow_peer_status`; all times are by the core's clock, in seconds.
+ */
+#ifndef OW_CORE_PEERS_PEER_STATUS_H
+#define OW_CORE_PEERS_PEER_STATUS_H
+
+#include <stdbool.h>
+
+struct ow_peer_message;
+struct ow_peer_status;
+
+/** No peer has been heard yet; freed by ow_peer_status_free(). */
+struct ow_peer_status *ow_peer_status_new(void);
+/** Frees it. */
+void ow_peer_status_free(struct ow_peer_status *status);
+/** A message of any kind has come from a peer. */
+void ow_peer_status_note_message(struct ow_peer_status *status, double now);
+/** Takes in a message of kind OW_PEER_HELLO, which stays the caller's. */
+void ow_peer_status_note_hello(struct ow_peer_status *status, const struct ow_peer_message *message,
+                               double now);
+/** The format of messages and records that the controller of this name speaks; 0: not known. */
+unsigned ow_peer_status_format(const struct ow_peer_status *status, const char *controller_name);
+/** Whether the controller has said less than `within_s` seconds ago that the key-value store answers it. */
+bool ow_peer_status_store_answers(const struct ow_peer_status *status, const char *controller_name,
+                                  double now, double within_s);
+/** Whether any other controller has recently said that the key-value store answers it. */
+bool ow_peer_status_any_store_answers(const struct ow_peer_status *status, double now);
+/** Whether any message of a peer has come recently. */
+bool ow_peer_status_heard_recently(const struct ow_peer_status *status, double now);
+/** Whether a peer has said less than `within_s` seconds ago that workers report to it. */
+bool ow_peer_status_receives_heartbeats(const struct ow_peer_status *status, double now, double within_s);
+
+#endif
--- /dev/null
+++ b/src/core/readiness.c
@@ -0,0 +1,30 @@
+#include "core/readiness.h"
+
+#include "core/core_state.h"
+#include "core/jobs/job_cache.h"
+#include "core/peers/peer_status.h"
+#include "core/store_health.h"
+
+/* Whether neither the key-value store nor any other controller is in reach. In an outage the key-value store
+   refuses. One that answers nothing at all is out of our reach, and if no other controller is in reach
+   either, it is this controller that is cut off. */
+static bool is_cut_off(const struct ow_core *core)
+{
+    bool has_peers = core->settings->peers->len > 0;
+    return ow_store_health_is_silent(core->store_health) && has_peers &&
+           !ow_peer_status_heard_recently(core->peer_status, core->now);
+}
+
+bool ow_readiness_is_ready(const struct ow_core *core)
+{
+    bool is_starting = !ow_job_cache_loaded(core->job_cache) || !core->types_known;
+    bool is_store_lost = ow_store_health_is_lost(core->store_health);
+    if (!is_starting && !is_store_lost)
+        return true;
+    if (is_store_lost && is_cut_off(core))
+        return false;
+    /* In an outage of the key-value store every controller is as good as the next, also one that has just
+       started: left out by the load balancer it would be missed for seconds after the outage. If it fails for
+       this one alone, users are better off elsewhere. */
+    return !ow_peer_status_any_store_answers(core->peer_status, core->now);
+}
--- a/src/core/records/record_format.c
+++ b/src/core/records/record_format.c
@@ -4,6 +4,7 @@
  * as an earlier version. */
 #include "core/records/record_format.h"
 #include "core/leader/leader_state.h"
+#include "core/peers/peer_status.h"
 #include "model/event.h"
 #include "model/records.h"
 #include "wire/records_json.h"
@@ -15,7 +16,7 @@
     for (guint i = 0; i < core->settings->peers->len; i++) {
         const struct ow_peer_settings *peer =
             &g_array_index(core->settings->peers, struct ow_peer_settings, i);
-        if (GPOINTER_TO_UINT(g_hash_table_lookup(core->peer_formats, peer->node)) < format)
+        if (ow_peer_status_format(core->peer_status, peer->node) < format)
             return false;
     }
     return true;
--- a/src/core/scheduling/classes.c
+++ b/src/core/scheduling/classes.c
@@ -2,7 +2,7 @@
 #include "core/scheduling/classes.h"
 
 #include "core/core_state.h"
-#include "core/health.h"
+#include "core/store_health.h"
 #include "model/submission.h"
 
 #include <math.h>
@@ -94,7 +94,7 @@
 {
     const struct ow_class *class = ow_class_of(core, class_index);
     /* While the key-value store is away nothing can be accepted: that shows nothing of the class. */
-    if (class->service || !class->seen || !ow_health_store_is_ok(core))
+    if (class->service || !class->seen || !ow_store_health_is_ok(core->store_health))
         return false;
     double limit_s = MAX(QUIET_LEAST_S, QUIET_INTERVALS * class->arrival_interval_s);
     return core->now - class->last_arrival_at > limit_s;
--- /dev/null
+++ b/src/core/store_health.c
@@ -0,0 +1,97 @@
+#include "core/store_health.h"
+
+#include "core/core_state.h"
+#include "model/event.h"
+#include "model/records.h"
+
+/* HTTP: the key-value store is there, but does not serve at present. */
+enum { STATUS_UNAVAILABLE = 503 };
+/* How long without a good answer until the key-value store is probed. */
+static const double PROBE_AFTER_S = 2;
+/* A good answer counts as recent for so long. */
+static const double ANSWER_RECENT_S = 12;
+/* After failing for so long the key-value store counts as lost. */
+static const double LOST_AFTER_S = 2;
+
+struct ow_store_health {
+    struct ow_core *core;
+    double ok_at;         /* the last answer that was no failure; 0: none yet */
+    double failing_since; /* 0: the last answer was good */
+    double refused_at;    /* the last refusal: it can be reached, but may serve others */
+    bool is_silent;       /* the last failure was no answer, rather than a refusal */
+    bool is_probing;      /* a probe is under way */
+    double probed_at;     /* when the last probe was sent */
+};
+
+struct ow_store_health *ow_store_health_new(struct ow_core *core)
+{
+    struct ow_store_health *health = g_new0(struct ow_store_health, 1);
+    health->core = core;
+    return health;
+}
+
+void ow_store_health_free(struct ow_store_health *health)
+{
+    g_free(health);
+}
+
+void ow_store_health_note_reply(struct ow_store_health *health, int status)
+{
+    double now = health->core->now;
+    bool has_failed = status == 0 || status == STATUS_UNAVAILABLE;
+    health->is_silent = status == 0;
+    if (status == STATUS_UNAVAILABLE)
+        health->refused_at = now;
+    if (!has_failed) {
+        health->ok_at = now;
+        health->failing_since = 0;
+        return;
+    }
+    if (health->failing_since == 0)
+        health->failing_since = now;
+}
+
+static void on_probe(void *owner, void *data, const struct ow_event *answer)
+{
+    struct ow_store_health *health = owner;
+    (void)data;
+    (void)answer; /* that there is one has been noted by then */
+    health->is_probing = false;
+}
+
+void ow_store_health_probe(struct ow_store_health *health)
+{
+    double now = health->core->now;
+    if (health->is_probing || now < MAX(health->ok_at, health->probed_at) + PROBE_AFTER_S)
+        return;
+    health->is_probing = true;
+    health->probed_at = now;
+    struct ow_store_request *request = ow_store_request_new(OW_STORE_GET, OW_KEY_LEADER);
+    ow_core_call_store(health->core, request, on_probe, health, NULL, NULL);
+}
+
+bool ow_store_health_has_answered_within(const struct ow_store_health *health, double within_s)
+{
+    return health->failing_since == 0 && health->core->now - health->ok_at < within_s;
+}
+
+bool ow_store_health_is_ok(const struct ow_store_health *health)
+{
+    /* An open watch says nothing: it gives no answer in an outage nor in quiet times. */
+    return health->ok_at > 0 && ow_store_health_has_answered_within(health, ANSWER_RECENT_S);
+}
+
+double ow_store_health_last_reachable_at(const struct ow_store_health *health)
+{
+    return MAX(health->ok_at, health->refused_at);
+}
+
+bool ow_store_health_is_lost(const struct ow_store_health *health)
+{
+    return health->failing_since > 0 && health->core->now - health->failing_since > LOST_AFTER_S;
+}
+
+bool ow_store_health_is_silent(const struct ow_store_health *health)
+{
+    return health->is_silent;
+}
--- a/src/core/type_discovery.c
+++ b/src/core/type_discovery.c
@@ -6,13 +6,32 @@
 #include "model/records.h"
 #include "wire/cloud_json.h"
 
+/* The least time between two tries. */
 static const double RETRY_S = 1.5;
 
+struct ow_type_discovery {
+    struct ow_core *core;
+    bool is_asking;  /* a call to the cloud is under way */
+    double asked_at; /* when the last one was sent */
+};
+
+struct ow_type_discovery *ow_type_discovery_new(struct ow_core *core)
+{
+    struct ow_type_discovery *discovery = g_new0(struct ow_type_discovery, 1);
+    discovery->core = core;
+    return discovery;
+}
+
+void ow_type_discovery_free(struct ow_type_discovery *discovery)
+{
+    g_free(discovery);
+}
+
 static void on_cloud_types(void *owner, void *data, const struct ow_event *answer)
 {
     struct ow_type_discovery *discovery = owner;
     (void)data;
-    discovery->busy = false;
+    discovery->is_asking = false;
     if (answer->cloud.status == 200 && answer->cloud.types != NULL)
         ow_core_set_machine_types(discovery->core, answer->cloud.types);
 }
@@ -24,25 +43,33 @@
     if (answer->store.status != 200 || discovery->core->types_known)
         return;
     const struct ow_store_item *item = &g_array_index(answer->store.items, struct ow_store_item, 0);
-    GArray *types = wire_machine_types_from_json(item->value);
-    if (types == NULL)
-        return;
-    ow_core_set_machine_types(discovery->core, types);
-    g_array_free(types, TRUE);
+    g_autoptr(GArray) types = wire_machine_types_from_json(item->value);
+    if (types != NULL)
+        ow_core_set_machine_types(discovery->core, types);
+}
+
+static void ask_cloud(struct ow_type_discovery *discovery)
+{
+    struct ow_cloud_request *request = g_new0(struct ow_cloud_request, 1);
+    request->op = OW_CLOUD_TYPES;
+    discovery->asked_at = discovery->core->now;
+    discovery->is_asking = true;
+    ow_core_call_cloud(discovery->core, request, on_cloud_types, discovery, NULL, NULL);
+}
+
+static void read_stored_types(struct ow_type_discovery *discovery)
+{
+    struct ow_store_request *request = ow_store_request_new(OW_STORE_GET, OW_KEY_TYPES);
+    ow_core_call_store(discovery->core, request, on_stored_types, discovery, NULL, NULL);
 }
 
 void ow_type_discovery_tick(struct ow_type_discovery *discovery)
 {
-    struct ow_core *core = discovery->core;
-    if (core->types_known || core->leader != NULL || discovery->busy)
+    const struct ow_core *core = discovery->core;
+    if (core->types_known || core->leader != NULL || discovery->is_asking)
         return;
     if (core->now < discovery->asked_at + RETRY_S)
         return;
-    struct ow_cloud_request *cloud_request = g_new0(struct ow_cloud_request, 1);
-    cloud_request->op = OW_CLOUD_TYPES;
-    discovery->asked_at = core->now;
-    discovery->busy = true;
-    ow_core_call_cloud(core, cloud_request, on_cloud_types, discovery, NULL, NULL);
-    struct ow_store_request *store_request = ow_store_request_new(OW_STORE_GET, OW_KEY_TYPES);
-    ow_core_call_store(core, store_request, on_stored_types, discovery, NULL, NULL);
+    ask_cloud(discovery);
+    read_stored_types(discovery);
 }
