--- a/src/core/api/cancel.c
+++ b/src/core/api/cancel.c
@@ -43,7 +43,7 @@
 
 static bool leader_has_changed(const struct ow_store_reply *reply)
 {
-    return reply->failed != NULL && g_strv_contains((const char *const *)reply->failed, OW_KEY_LEADER);
+    return ow_store_reply_failed_on(reply, OW_KEY_LEADER);
 }
 
 static void handle_conflict(struct ow_core *core, const struct cancel_call *call,
--- a/src/core/election/leader_key.c
+++ b/src/core/election/leader_key.c
@@ -39,15 +39,15 @@
 {
     const char *leader_name = NULL, *nonce = NULL;
     wire_leader_record_decode(item->value, &leader_name, &nonce);
-    if (item->version != election->key_version)
+    if (item->mod_revision != election->key_version)
         election->led_since = election->core->now;
-    election->key_version = item->version;
+    election->key_version = item->mod_revision;
     election->key_known = true;
     election->key_missing = false;
     election->has_waited = false;
-    if (is_own_write(election, item->version, leader_name, nonce)) {
+    if (is_own_write(election, item->mod_revision, leader_name, nonce)) {
         /* The answer to our own write was lost, but it was carried out. */
-        ow_election_begin_to_lead(election, item->version);
+        ow_election_begin_to_lead(election, item->mod_revision);
         return;
     }
     if (ow_leader_key_is_own_name(election, leader_name)) {
@@ -58,7 +58,7 @@
         return;
     }
     ow_election_set_leader_name(election, leader_name);
-    election->seen_fencing_token = MAX(election->seen_fencing_token, item->version);
+    election->seen_fencing_token = MAX(election->seen_fencing_token, item->mod_revision);
 }
 
 /* How often a controller that may not lead looks whether anybody does. */
@@ -93,7 +93,7 @@
         return;
     if (reply->status == 200 && reply->items->len == 1) {
         const struct ow_store_item *item = &g_array_index(reply->items, struct ow_store_item, 0);
-        election->revision = MAX(election->revision, item->version);
+        election->revision = MAX(election->revision, item->mod_revision);
         handle_key(election, item);
     } else if (reply->status == 404) {
         election->revision = MAX(election->revision, reply->revision);
@@ -121,7 +121,7 @@
 
 static void handle_change(struct ow_election *election, const struct ow_store_item *item)
 {
-    if (item->version < election->key_version)
+    if (item->mod_revision < election->key_version)
         return;
     if (item->value == NULL)
         handle_missing_key(election);
@@ -149,8 +149,8 @@
 void ow_leader_key_watch(struct ow_election *election)
 {
     struct ow_store_request *request = ow_store_request_new(OW_STORE_WATCH, OW_KEY_LEADER);
-    request->number = election->revision;
-    request->seconds = WATCH_S;
+    request->since_revision = election->revision;
+    request->duration_s = WATCH_S;
     election->watching = true;
     ow_core_call_store(election->core, request, on_watch, election, NULL, NULL);
 }
--- a/src/core/election/leader_lease.c
+++ b/src/core/election/leader_lease.c
@@ -25,7 +25,7 @@
 void ow_leader_lease_obtain(struct ow_election *election)
 {
     struct ow_store_request *request = ow_store_request_new(OW_STORE_GRANT_LEASE, NULL);
-    request->seconds = election->core->tuning->leader_lease_s;
+    request->duration_s = election->core->tuning->leader_lease_s;
     election->busy = true;
     ow_core_call_store(election->core, request, on_lease, election, NULL, NULL);
 }
@@ -86,7 +86,7 @@
     struct ow_store_request *request = ow_store_request_new(OW_STORE_KEEP_ALIVE, NULL);
     uint64_t *lease = g_new(uint64_t, 1);
     *lease = election->lease;
-    request->number = election->lease;
+    request->lease = election->lease;
     election->renewing = true;
     ow_core_call_store(election->core, request, on_renewed, election, lease, g_free);
 }
--- a/src/core/jobs/job_cache.c
+++ b/src/core/jobs/job_cache.c
@@ -79,7 +79,7 @@
             continue;
         }
         struct ow_job *job = ow_jobs_apply(job_cache->core->jobs, item->key + strlen(OW_KEY_JOBS),
-                                           item->version, record.state, record.submission,
+                                           item->mod_revision, record.state, record.submission,
                                            job_cache->core->now, age_s(job_cache->core, record.accepted_at));
         if (job != NULL)
             job->cancel_fencing_token = record.leader_fencing_token;
@@ -153,8 +153,8 @@
 static void send_watch(struct ow_job_cache *job_cache, double hold_s, ow_call_fn fn)
 {
     struct ow_store_request *request = ow_store_request_new(OW_STORE_WATCH, OW_KEY_JOBS);
-    request->number = job_cache->revision;
-    request->seconds = hold_s;
+    request->since_revision = job_cache->revision;
+    request->duration_s = hold_s;
     ow_core_call_store(job_cache->core, request, fn, job_cache, NULL, NULL);
 }
 
@@ -171,7 +171,7 @@
     if (job_cache->list_after == NULL)
         job_cache->list_revision = reply->revision;
     apply_items(job_cache, reply->items);
-    if (reply->more && reply->items->len > 0) {
+    if (reply->has_more && reply->items->len > 0) {
         const struct ow_store_item *last =
             &g_array_index(reply->items, struct ow_store_item, reply->items->len - 1);
         g_free(job_cache->list_after);
@@ -188,7 +188,7 @@
 static void load(struct ow_job_cache *job_cache)
 {
     struct ow_store_request *request = ow_store_request_new(OW_STORE_LIST, OW_KEY_JOBS);
-    request->after = g_strdup(job_cache->list_after);
+    request->start_after_key = g_strdup(job_cache->list_after);
     job_cache->loading = true;
     ow_core_call_store(job_cache->core, request, on_page, job_cache, NULL, NULL);
 }
--- a/src/core/records/failover.c
+++ b/src/core/records/failover.c
@@ -168,7 +168,7 @@
     const char *name;
     json_t *value;
     bool tidy = true;
-    record_value->version = item->version;
+    record_value->version = item->mod_revision;
     json_object_foreach(item->value, name, value)
     {
         tidy = keep_named(leader, record_value, name, value) && tidy;
@@ -214,7 +214,7 @@
     }
     for (guint i = 0; i < reply->items->len; i++)
         load_record_value(leader, &g_array_index(reply->items, struct ow_store_item, i));
-    if (reply->more && reply->items->len > 0) {
+    if (reply->has_more && reply->items->len > 0) {
         const struct ow_store_item *last =
             &g_array_index(reply->items, struct ow_store_item, reply->items->len - 1);
         g_free(leader->failover.after);
@@ -258,6 +258,6 @@
         return;
     }
     struct ow_store_request *request = ow_store_request_new(OW_STORE_LIST, OW_KEY_PROGRESS);
-    request->after = g_strdup(leader->failover.after);
+    request->start_after_key = g_strdup(leader->failover.after);
     ow_core_call_store(leader->core, request, on_page, leader, NULL, NULL);
 }
--- a/src/core/records/transaction_reply.c
+++ b/src/core/records/transaction_reply.c
@@ -9,6 +9,7 @@
 #include "core/records/record_values.h"
 #include "core/records/recorder_state.h"
 #include "model/event.h"
+#include "model/http_status.h"
 #include "model/records.h"
 #include "model/submission.h"
 
@@ -114,7 +115,7 @@
         return;
     record_value->version = 0;
     if (status == 200)
-        record_value->version = g_array_index(answer->store.items, struct ow_store_item, 0).version;
+        record_value->version = g_array_index(answer->store.items, struct ow_store_item, 0).mod_revision;
 }
 
 static void read_version(struct ow_leader *leader, const char *key)
@@ -207,16 +208,14 @@
 
 static bool leader_key_has_changed(const struct ow_store_reply *reply)
 {
-    if (reply->status != 409 || reply->failed == NULL)
-        return false;
-    return g_strv_contains((const char *const *)reply->failed, OW_KEY_LEADER);
+    return reply->status == OW_HTTP_STATUS_CONFLICT && ow_store_reply_failed_on(reply, OW_KEY_LEADER);
 }
 
 static void check_failed_versions(struct ow_leader *leader, const struct ow_store_reply *reply)
 {
-    if (reply->failed == NULL)
+    if (reply->failed_keys == NULL)
         return;
-    for (char **key = reply->failed; *key != NULL; key++)
+    for (char **key = reply->failed_keys; *key != NULL; key++)
         check_version(leader, *key);
 }
 
--- a/src/io/outgoing.c
+++ b/src/io/outgoing.c
@@ -107,7 +107,7 @@
     struct wire_http_request http = wire_store_request_encode(effect->store);
     double timeout = STORE_TIMEOUT_S;
     if (effect->store->op == OW_STORE_WATCH)
-        timeout += effect->store->seconds * WATCH_DRIFT + WATCH_MARGIN_S;
+        timeout += effect->store->duration_s * WATCH_DRIFT + WATCH_MARGIN_S;
     uint64_t tag = add_pending(daemon, TARGET_STORE, (int)effect->store->op, effect->store->tag);
     ow_http_client_send(daemon->client, daemon->settings->store_endpoint, http.method, http.path, http.body,
                         timeout, tag);
--- a/src/model/store.c
+++ b/src/model/store.c
@@ -9,9 +9,9 @@
 
 static void mutation_clear(void *item)
 {
-    struct ow_store_mutation *change = item;
-    g_free(change->key);
-    g_free(change->value);
+    struct ow_store_mutation *mutation = item;
+    g_free(mutation->key);
+    g_free(mutation->value);
 }
 
 struct ow_store_request *ow_store_request_new(enum ow_store_op op, const char *key)
@@ -33,7 +33,7 @@
     if (request == NULL)
         return;
     g_free(request->key);
-    g_free(request->after);
+    g_free(request->start_after_key);
     if (request->comparisons != NULL)
         g_array_free(request->comparisons, TRUE);
     if (request->mutations != NULL)
@@ -41,16 +41,16 @@
     g_free(request);
 }
 
-void ow_store_compare(struct ow_store_request *request, const char *key, uint64_t version)
+void ow_store_compare(struct ow_store_request *request, const char *key, uint64_t mod_revision)
 {
-    struct ow_store_comparison comparison = {g_strdup(key), version};
+    struct ow_store_comparison comparison = {.key = g_strdup(key), .mod_revision = mod_revision};
     g_array_append_val(request->comparisons, comparison);
 }
 
 void ow_store_put(struct ow_store_request *request, const char *key, char *value, uint64_t lease)
 {
-    struct ow_store_mutation change = {g_strdup(key), value, lease};
-    g_array_append_val(request->mutations, change);
+    struct ow_store_mutation mutation = {.key = g_strdup(key), .value = value, .lease = lease};
+    g_array_append_val(request->mutations, mutation);
 }
 
 size_t ow_store_largest_value(const struct ow_store_request *request)
@@ -63,11 +63,16 @@
     return largest;
 }
 
+bool ow_store_reply_failed_on(const struct ow_store_reply *reply, const char *key)
+{
+    return reply->failed_keys != NULL && g_strv_contains((const char *const *)reply->failed_keys, key);
+}
+
 void ow_store_reply_clear(struct ow_store_reply *reply)
 {
     if (reply->items != NULL)
         g_array_free(reply->items, TRUE);
-    g_strfreev(reply->failed);
+    g_strfreev(reply->failed_keys);
     reply->items = NULL;
-    reply->failed = NULL;
+    reply->failed_keys = NULL;
 }
--- a/src/model/store.h
+++ b/src/model/store.h
@@ -1,68 +1,93 @@
-/* What the core asks of the key-value store, and what it hears back. Plain data. */
+/** @file
+ * Requests to the key-value store and its replies, as plain data.
+ *
+ * The store gives every change a revision. A key remembers the revision of its last change (`mod_revision`),
+ * and a transaction compares against it: all of its mutations are carried out in one step, or none of them.
+ * Nothing here sends anything: wire/store_json.h turns requests into HTTP and responses into replies.
+ */
 #ifndef OW_MODEL_STORE_H
 #define OW_MODEL_STORE_H
 
 #include <glib.h>
 #include <stdbool.h>
+#include <stddef.h>
 #include <stdint.h>
 
 struct json_t;
 
+/** What a request asks for. */
 enum ow_store_op {
-    OW_STORE_GET,
-    OW_STORE_LIST,
-    OW_STORE_TXN,
-    OW_STORE_WATCH,
-    OW_STORE_GRANT_LEASE,
-    OW_STORE_KEEP_ALIVE,
+    OW_STORE_GET,         /**< one key */
+    OW_STORE_LIST,        /**< a page of the keys with a prefix */
+    OW_STORE_TXN,         /**< mutations that are carried out if all comparisons hold */
+    OW_STORE_WATCH,       /**< changes of keys with a prefix, held open until there are some */
+    OW_STORE_GRANT_LEASE, /**< a new lease */
+    OW_STORE_KEEP_ALIVE,  /**< renewal of a lease */
 };
 
+/** Holds if the key's last change has this revision. */
 struct ow_store_comparison {
-    char *key;
-    uint64_t version; /* 0: must not exist */
+    char *key;             /**< owned */
+    uint64_t mod_revision; /**< 0: the key must not exist */
 };
 
+/** A put or a delete. */
 struct ow_store_mutation {
-    char *key;
-    char *value;    /* JSON text; NULL: delete */
-    uint64_t lease; /* 0: none */
+    char *key;      /**< owned */
+    char *value;    /**< owned; JSON text; NULL: delete */
+    uint64_t lease; /**< the key is deleted when this lease expires; 0: never */
 };
 
+/** A request; which fields count depends on `op`. */
 struct ow_store_request {
-    uint64_t tag;
+    uint64_t tag; /**< the caller's name for it, which the reply repeats */
     enum ow_store_op op;
-    char *key;           /* get; prefix of a list or a watch */
-    char *after;         /* list: begin after this key */
-    uint64_t number;     /* watch: since this revision; renew: the lease */
-    double seconds;      /* watch: how long it may stay open; lease: its life */
-    GArray *comparisons; /* struct ow_store_comparison, or NULL */
-    GArray *mutations;   /* struct ow_store_mutation, or NULL */
+    char *key;               /**< owned; get: the key; list and watch: the prefix; else NULL */
+    char *start_after_key;   /**< owned; list: only keys beyond this one; NULL: from the first */
+    uint64_t since_revision; /**< watch: only changes after this revision */
+    uint64_t lease;          /**< keep-alive: the lease to renew */
+    double duration_s;       /**< watch: how long it may stay open; grant: the lease's time to live */
+    GArray *comparisons;     /**< transaction: struct ow_store_comparison, owned; else NULL */
+    GArray *mutations;       /**< transaction: struct ow_store_mutation, owned; else NULL */
 };
 
+/** A new request. `key` is copied and may be NULL. */
 struct ow_store_request *ow_store_request_new(enum ow_store_op op, const char *key);
+/** Frees the request with all that it owns; NULL is allowed. */
 void ow_store_request_free(struct ow_store_request *request);
-void ow_store_compare(struct ow_store_request *request, const char *key, uint64_t version);
-/* Takes over `value`, which is NULL for a deletion. */
+typedef struct ow_store_request ow_store_request;
+G_DEFINE_AUTOPTR_CLEANUP_FUNC(ow_store_request, ow_store_request_free)
+/** Adds a comparison to a transaction. `key` is copied; `mod_revision` 0: the key must not exist. */
+void ow_store_compare(struct ow_store_request *request, const char *key, uint64_t mod_revision);
+/** Adds a mutation to a transaction. `key` is copied, `value` is taken over; NULL deletes the key. */
 void ow_store_put(struct ow_store_request *request, const char *key, char *value, uint64_t lease);
-/* Bytes of the largest value that the transaction writes. */
+/** The size in bytes of the largest value that a transaction writes; 0 if it only deletes. */
 size_t ow_store_largest_value(const struct ow_store_request *request);
 
+/** A key as it was read, or a change of it. */
 struct ow_store_item {
-    char *key;
-    struct json_t *value; /* NULL: deleted */
-    uint64_t version;
+    char *key;             /**< owned */
+    struct json_t *value;  /**< one reference is owned; NULL: the key was deleted */
+    uint64_t mod_revision; /**< of its last change */
 };
 
+/** A reply. */
 struct ow_store_reply {
-    uint64_t tag;
-    int status; /* 0: no response, the request might have been carried out */
-    uint64_t revision;
-    uint64_t lease;
-    bool more;
-    GArray *items; /* struct ow_store_item; of a get, a list or a watch */
-    char **failed; /* keys whose condition failed, or NULL */
+    uint64_t tag; /**< of the request */
+    /** enum ow_http_status, or another one. NONE: no response, so the request may have been carried out, or
+       may still be. BAD_REQUEST: a transaction or a value in it is too large. CONFLICT: a comparison did not
+       hold and nothing was changed. */
+    int status;
+    uint64_t revision;  /**< of the store at the reply; of a transaction: the revision that it made */
+    uint64_t lease;     /**< grant: the new lease */
+    bool has_more;      /**< list: there are further pages */
+    GArray *items;      /**< get, list and watch: struct ow_store_item, owned; else NULL or empty */
+    char **failed_keys; /**< conflict: keys whose comparison did not hold, owned; NULL: not told */
 };
 
+/** Whether the reply names `key` among those whose comparison did not hold. */
+bool ow_store_reply_failed_on(const struct ow_store_reply *reply, const char *key);
+/** Frees what the reply owns, not the reply itself. */
 void ow_store_reply_clear(struct ow_store_reply *reply);
 
 #endif
--- a/src/sharding/map_agreement.c
+++ b/src/sharding/map_agreement.c
@@ -79,7 +79,7 @@
 {
     const struct ow_store_item *item = &g_array_index(reply->items, struct ow_store_item, 0);
     GHashTable *stored = wire_shard_map_parse(item->value);
-    agreement->version = item->version;
+    agreement->version = item->mod_revision;
     if (stored == NULL) {
         conclude(agreement, g_strdup("the stored shard map can't be read"));
         return;
@@ -91,7 +91,7 @@
 /* Our map was not stored: another controller's was, or the fleet has been in use without shards. */
 static void explain_conflict(struct ow_map_agreement *agreement, const struct ow_store_reply *reply)
 {
-    bool map_exists = reply->failed != NULL && g_strv_contains((const char *const *)reply->failed, MAP_KEY);
+    bool map_exists = ow_store_reply_failed_on(reply, MAP_KEY);
     if (!map_exists)
         conclude(agreement,
                  g_strdup("the fleet is in use without shards, and can't be divided while its records "
--- a/src/sharding/shard_keys.c
+++ b/src/sharding/shard_keys.c
@@ -25,8 +25,8 @@
         return;
     if (request->key != NULL)
         qualify(&request->key, prefix);
-    if (request->after != NULL)
-        qualify(&request->after, prefix);
+    if (request->start_after_key != NULL)
+        qualify(&request->start_after_key, prefix);
     for (guint i = 0; request->comparisons != NULL && i < request->comparisons->len; i++) {
         struct ow_store_comparison *comparison =
             &g_array_index(request->comparisons, struct ow_store_comparison, i);
@@ -50,7 +50,7 @@
         return;
     for (guint i = 0; reply->items != NULL && i < reply->items->len; i++)
         strip(g_array_index(reply->items, struct ow_store_item, i).key, prefix);
-    for (char **failed = reply->failed; failed != NULL && *failed != NULL; failed++)
+    for (char **failed = reply->failed_keys; failed != NULL && *failed != NULL; failed++)
         strip(*failed, prefix);
 }
 
@@ -61,7 +61,7 @@
         return NULL;
     const struct ow_store_comparison *comparison =
         &g_array_index(request->comparisons, struct ow_store_comparison, 0);
-    bool is_new = comparison->version == 0 && g_str_has_prefix(comparison->key, OW_KEY_JOBS);
+    bool is_new = comparison->mod_revision == 0 && g_str_has_prefix(comparison->key, OW_KEY_JOBS);
     return is_new ? comparison->key : NULL;
 }
 
--- a/src/wire/store_json.c
+++ b/src/wire/store_json.c
@@ -1,5 +1,6 @@
 #include "wire/store_json.h"
 
+#include "model/http_status.h"
 #include "wire/json.h"
 #include "wire/words.h"
 
@@ -14,7 +15,7 @@
         const struct ow_store_comparison *comparison =
             &g_array_index(request->comparisons, struct ow_store_comparison, i);
         json_array_append_new(comparisons, json_pack("{s:s,s:I}", W_KEY, comparison->key, W_VERSION,
-                                                     (json_int_t)comparison->version));
+                                                     (json_int_t)comparison->mod_revision));
     }
     for (guint i = 0; i < request->mutations->len; i++) {
         const struct ow_store_mutation *change =
@@ -35,10 +36,10 @@
 
 static char *list_path(const struct ow_store_request *request)
 {
-    if (request->after == NULL)
+    if (request->start_after_key == NULL)
         return g_strdup_printf("%s?%s=%s&%s=%d", W_PATH_KEYS, W_PREFIX, request->key, W_LIMIT, LIST_PAGE);
     return g_strdup_printf("%s?%s=%s&%s=%s&%s=%d", W_PATH_KEYS, W_PREFIX, request->key, W_AFTER,
-                           request->after, W_LIMIT, LIST_PAGE);
+                           request->start_after_key, W_LIMIT, LIST_PAGE);
 }
 
 struct wire_http_request wire_store_request_encode(const struct ow_store_request *request)
@@ -57,17 +58,19 @@
         http.body = txn_body(request);
         break;
     case OW_STORE_WATCH:
-        http.path = g_strdup_printf("%s?%s=%s&%s=%" PRIu64 "&%s=%d", W_PATH_WATCH, W_PREFIX, request->key,
-                                    W_AFTER, request->number, W_WATCH_MS, (int)(request->seconds * 1000.0));
+        http.path =
+            g_strdup_printf("%s?%s=%s&%s=%" PRIu64 "&%s=%d", W_PATH_WATCH, W_PREFIX, request->key, W_AFTER,
+                            request->since_revision, W_WATCH_MS, (int)(request->duration_s * 1000.0));
         break;
     case OW_STORE_GRANT_LEASE:
         http.method = "POST";
         http.path = g_strdup(W_PATH_LEASES);
-        http.body = wire_json_print_and_unref(json_pack("{s:i}", W_TTL_MS, (int)(request->seconds * 1000.0)));
+        http.body =
+            wire_json_print_and_unref(json_pack("{s:i}", W_TTL_MS, (int)(request->duration_s * 1000.0)));
         break;
     case OW_STORE_KEEP_ALIVE:
         http.method = "POST";
-        http.path = g_strdup_printf("%s/%" PRIu64 "/%s", W_PATH_LEASES, request->number, W_PATH_KEEP_ALIVE);
+        http.path = g_strdup_printf("%s/%" PRIu64 "/%s", W_PATH_LEASES, request->lease, W_PATH_KEEP_ALIVE);
         http.body = g_strdup("{}");
         break;
     }
@@ -92,7 +95,7 @@
     const char *key = NULL;
     struct ow_store_item item = {0};
     if (!wire_json_get_string(object, key_field, &key) ||
-        !wire_json_get_count(object, W_VERSION, &item.version))
+        !wire_json_get_count(object, W_VERSION, &item.mod_revision))
         return false;
     item.key = g_strdup(key);
     item.value = json_incref(json_object_get(object, W_VALUE));
@@ -108,7 +111,7 @@
     struct ow_store_item item = {0};
     if (!wire_json_get_string(object, W_DELETE, &key))
         return false;
-    wire_json_get_count(object, W_VERSION, &item.version);
+    wire_json_get_count(object, W_VERSION, &item.mod_revision);
     item.key = g_strdup(key);
     g_array_append_val(items, item);
     return true;
@@ -133,7 +136,7 @@
     case OW_STORE_GET:
         return add_item(out->items, object, W_KEY);
     case OW_STORE_LIST:
-        wire_json_get_bool(object, W_MORE, &out->more);
+        wire_json_get_bool(object, W_MORE, &out->has_more);
         return json_object_get(object, W_REVISION) != NULL && read_items(object, W_ITEMS, false, out->items);
     case OW_STORE_WATCH:
         return json_object_get(object, W_REVISION) != NULL && read_items(object, W_EVENTS, true, out->items);
@@ -154,12 +157,15 @@
     out->items = g_array_new(FALSE, FALSE, sizeof(struct ow_store_item));
     g_array_set_clear_func(out->items, item_clear);
     json_t *object =
-        status == 200 || status == 409 || status == 404 ? wire_json_parse_object(body, size) : NULL;
-    if (status == 200 && op != OW_STORE_KEEP_ALIVE && (object == NULL || !read_success(op, object, out)))
-        out->status = 0;
-    if (status == 409 && object != NULL)
-        out->failed = wire_json_copy_strings(json_object_get(object, W_FAILED_KEYS));
-    if (status == 404 && object != NULL)
+        status == OW_HTTP_STATUS_OK || status == OW_HTTP_STATUS_CONFLICT || status == OW_HTTP_STATUS_NOT_FOUND
+            ? wire_json_parse_object(body, size)
+            : NULL;
+    if (status == OW_HTTP_STATUS_OK && op != OW_STORE_KEEP_ALIVE &&
+        (object == NULL || !read_success(op, object, out)))
+        out->status = OW_HTTP_STATUS_NONE;
+    if (status == OW_HTTP_STATUS_CONFLICT && object != NULL)
+        out->failed_keys = wire_json_copy_strings(json_object_get(object, W_FAILED_KEYS));
+    if (status == OW_HTTP_STATUS_NOT_FOUND && object != NULL)
         wire_json_get_count(object, W_REVISION, &out->revision);
     json_decref(object);
 }
--- a/tests/sim_store.c
+++ b/tests/sim_store.c
@@ -118,7 +118,7 @@
     g_hash_table_iter_init(&iter, cluster->keys);
     while (g_hash_table_iter_next(&iter, &key, NULL))
         if (g_str_has_prefix(key, request->key) &&
-            (request->after == NULL || strcmp(key, request->after) > 0))
+            (request->start_after_key == NULL || strcmp(key, request->start_after_key) > 0))
             g_ptr_array_add(keys, key);
     g_ptr_array_sort(keys, by_key);
     while (items->len < keys->len && items->len < PAGE_ITEMS && bytes < PAGE_BYTES) {
@@ -144,8 +144,8 @@
 static void do_follow(struct sim_cluster *cluster, int controller, uint64_t nonce,
                       const struct ow_store_request *request)
 {
-    GArray *items = sim_changes_since(cluster, request->key, request->number);
-    if (items->len > 0 || request->seconds <= 0) {
+    GArray *items = sim_changes_since(cluster, request->key, request->since_revision);
+    if (items->len > 0 || request->duration_s <= 0) {
         answer_changes(cluster, controller, nonce, request->tag, items);
         return;
     }
@@ -154,9 +154,9 @@
     *follow = (struct follow){controller,
                               nonce,
                               request->tag,
-                              request->number,
+                              request->since_revision,
                               g_strdup(request->key),
-                              cluster->now + request->seconds};
+                              cluster->now + request->duration_s};
     g_ptr_array_add(cluster->follows, follow);
 }
 
@@ -166,7 +166,7 @@
     uint64_t *id = g_new(uint64_t, 1);
     double *until = g_new(double, 1);
     *id = ++cluster->last_lease;
-    *until = cluster->now + request->seconds;
+    *until = cluster->now + request->duration_s;
     g_hash_table_replace(cluster->leases, id, until);
     answer_store(cluster, controller, nonce, request->tag, 200, NULL, *id, NULL);
 }
@@ -174,7 +174,7 @@
 static void do_renew(struct sim_cluster *cluster, int controller, uint64_t nonce,
                      const struct ow_store_request *request)
 {
-    double *until = g_hash_table_lookup(cluster->leases, &request->number);
+    double *until = g_hash_table_lookup(cluster->leases, &request->lease);
     if (until != NULL)
         *until = cluster->now + cluster->tuning.leader_lease_s;
     answer_store(cluster, controller, nonce, request->tag, until != NULL ? 200 : 404, NULL, 0, NULL);
--- a/tests/sim_values.c
+++ b/tests/sim_values.c
@@ -70,7 +70,7 @@
     for (guint i = 0; i < request->comparisons->len; i++) {
         const struct ow_store_comparison *comparison =
             &g_array_index(request->comparisons, struct ow_store_comparison, i);
-        if (version_of(cluster, comparison->key) != comparison->version)
+        if (version_of(cluster, comparison->key) != comparison->mod_revision)
             g_ptr_array_add(failed_keys, g_strdup(comparison->key));
     }
     for (guint i = 0; i < request->mutations->len; i++) {
