--- a/src/util/rate_limiter.c
+++ b/src/util/rate_limiter.c
@@ -2,16 +2,24 @@
 
 #include <glib.h>
 
+static const double LEAST_DEPTH = 1.0;
+
 void ow_rate_limiter_init(struct ow_rate_limiter *limiter, double rate, double depth, double now)
 {
-    *limiter =
-        (struct ow_rate_limiter){.rate = rate, .depth = MAX(depth, 1.0), .level = MAX(depth, 1.0), .at = now};
+    double bounded_depth = MAX(depth, LEAST_DEPTH);
+    *limiter = (struct ow_rate_limiter){
+        .rate = rate,
+        .depth = bounded_depth,
+        .level = bounded_depth,
+        .updated_at = now,
+    };
 }
 
 double ow_rate_limiter_level(struct ow_rate_limiter *limiter, double now)
 {
-    limiter->level = MIN(limiter->depth, limiter->level + (now - limiter->at) * limiter->rate);
-    limiter->at = now;
+    double added = (now - limiter->updated_at) * limiter->rate;
+    limiter->level = MIN(limiter->depth, limiter->level + added);
+    limiter->updated_at = now;
     return limiter->level;
 }
 
@@ -32,5 +40,5 @@
 void ow_rate_limiter_empty(struct ow_rate_limiter *limiter, double now)
 {
     limiter->level = 0;
-    limiter->at = now;
+    limiter->updated_at = now;
 }
