--- a/src/agent/tasks.c
+++ b/src/agent/tasks.c
@@ -110,8 +110,8 @@
 }
 
 /* Why the launch is refused; OW_CAUSE_NONE: it is not. */
-static enum ow_cause refusal(const struct agent_tasks *tasks, const struct ow_worker_command *command,
-                             const struct wire_job_description *description)
+static enum ow_exit_cause refusal(const struct agent_tasks *tasks, const struct ow_worker_command *command,
+                                  const struct wire_job_description *description)
 {
     if (description == NULL || command->task >= description->submission->tasks)
         return OW_CAUSE_UNKNOWN;
@@ -120,7 +120,7 @@
     return fits(tasks, &description->submission->need) ? OW_CAUSE_NONE : OW_CAUSE_FULL;
 }
 
-static void end_task(const struct agent_tasks *tasks, struct task *task, enum ow_cause cause)
+static void end_task(const struct agent_tasks *tasks, struct task *task, enum ow_exit_cause cause)
 {
     task->heartbeat.phase = OW_PHASE_EXITED;
     task->heartbeat.cause = cause;
@@ -161,7 +161,7 @@
     task->heartbeat.task = command->task;
     task->heartbeat.attempt = command->attempt;
     struct wire_job_description *description = read_description(tasks, command->job);
-    enum ow_cause cause = refusal(tasks, command, description);
+    enum ow_exit_cause cause = refusal(tasks, command, description);
     g_ptr_array_add(tasks->list, task);
     if (cause == OW_CAUSE_NONE) {
         start(tasks, task, description);
@@ -205,7 +205,7 @@
     }
 }
 
-static enum ow_cause cause_of(const struct task *task, enum agent_task_end end, int status)
+static enum ow_exit_cause cause_of(const struct task *task, enum agent_task_end end, int status)
 {
     if (task->told_to_stop && (end == AGENT_END_STOPPED || end == AGENT_END_KILLED))
         return OW_CAUSE_STOPPED;
--- a/src/core/api/feasibility.c
+++ b/src/core/api/feasibility.c
@@ -58,7 +58,7 @@
 /* Whether what must run at the same time is more than the team may ever use; a limit of 0 is none. */
 static bool over_team_limit(const struct ow_team_settings *team, const struct ow_submission *submission)
 {
-    bool all_at_once = submission->gang || submission->kind == OW_KIND_SERVICE;
+    bool all_at_once = ow_submission_is_gang(submission) || submission->kind == OW_KIND_SERVICE;
     double at_once = all_at_once ? submission->tasks : 1;
     if (team->cpus_max > 0 && submission->need.cpus * at_once > team->cpus_max)
         return true;
--- a/src/core/jobs/attempt.c
+++ b/src/core/jobs/attempt.c
@@ -92,7 +92,7 @@
 {
     mark_done(execution, task);
     execution->failures = 0;
-    if (!execution->job->spec->submission->gang)
+    if (!ow_submission_is_gang(execution->job->spec->submission))
         return;
     for (uint32_t i = 0; i < execution->count; i++) {
         mark_done(execution, i);
@@ -108,7 +108,7 @@
     double ran_s = leader->core->now - attempt->running_at;
     double expected_s = ow_class_run_time_s(leader->core, spec);
     /* A gang is as fast as its slowest machine, which need not be this one. */
-    if (expected_s > 0 && !spec->submission->gang) {
+    if (expected_s > 0 && !ow_submission_is_gang(spec->submission)) {
         double slowness = MIN(ran_s / expected_s, SLOWNESS_MOST);
         machine->slowness += SLOWNESS_WEIGHT * (slowness - machine->slowness);
     }
@@ -132,18 +132,18 @@
 
 /* The attempt at the task has ended without a result. */
 static void take_failure(struct ow_leader *leader, struct ow_execution *execution, uint32_t task,
-                         struct ow_machine *machine, enum ow_cause cause, bool stopped)
+                         struct ow_machine *machine, enum ow_exit_cause cause, bool stopped)
 {
     if (cause == OW_CAUSE_ERROR)
         ow_machine_health_error(leader, machine, execution);
     if (cause == OW_CAUSE_UNKNOWN || cause == OW_CAUSE_FULL || cause == OW_CAUSE_BUSY)
         execution->ready_at = MAX(execution->ready_at, leader->core->now + RETRY_PAUSE_S);
     /* One that is gone, or refused, ends the gang's attempt: the others would wait or fail, too. */
-    if (execution->job->spec->submission->gang && !stopped && !execution->tasks[task].done)
+    if (ow_submission_is_gang(execution->job->spec->submission) && !stopped && !execution->tasks[task].done)
         ow_execution_stop(leader, execution, 0, "another task of the gang is gone");
 }
 
-void ow_attempt_end(struct ow_leader *leader, struct ow_attempt *attempt, enum ow_cause cause,
+void ow_attempt_end(struct ow_leader *leader, struct ow_attempt *attempt, enum ow_exit_cause cause,
                     const char *proof)
 {
     struct ow_execution *execution = attempt->job->execution;
--- a/src/core/jobs/attempt.h
+++ b/src/core/jobs/attempt.h
@@ -29,7 +29,7 @@
     struct ow_machine *machine;
     uint64_t incarnation; /* the worker's incarnation that it belongs to */
     enum ow_attempt_state state;
-    enum ow_phase phase;
+    enum ow_task_phase phase;
     uint64_t in_write;             /* serial of the write that carries its record */
     uint32_t heartbeat_generation; /* of the last heartbeat that lists it */
     double placed_at, running_at;  /* running_at 0: not yet seen running */
@@ -44,7 +44,7 @@
                                   uint64_t number, struct ow_machine *machine, uint64_t incarnation);
 /* Ends and frees an attempt that is proven gone, or of which no launch ever left. `proof` is for the log.
    Other attempts of a gang may end with it. */
-void ow_attempt_end(struct ow_leader *leader, struct ow_attempt *attempt, enum ow_cause cause,
+void ow_attempt_end(struct ow_leader *leader, struct ow_attempt *attempt, enum ow_exit_cause cause,
                     const char *proof);
 /* Frees an attempt without any consequence for its task: an outdated record named it. */
 void ow_attempt_unload(struct ow_leader *leader, struct ow_attempt *attempt);
--- a/src/core/machines/machine.h
+++ b/src/core/machines/machine.h
@@ -35,7 +35,7 @@
     char *name, *addr; /* owned; addr is NULL until known */
     int type, zone;    /* name indices; OW_NO_NAME: not known yet */
     bool spot;         /* the cloud may take it back at short notice */
-    enum ow_listed listed;
+    enum ow_listed_state listed;
     double provisioned_at;
     bool terminating;    /* it is being returned to the cloud */
     double terminate_at; /* the next try to delete it */
--- a/src/core/machines/machine_health.c
+++ b/src/core/machines/machine_health.c
@@ -185,7 +185,7 @@
             left_s < submission->checkpoint_duration_s + CHECKPOINT_MARGIN_S || attempt->stop)
             continue;
         double grace = MIN(left_s, submission->checkpoint_duration_s + CHECKPOINT_GRACE_S);
-        if (submission->gang)
+        if (ow_submission_is_gang(submission))
             ow_execution_stop(leader, attempt->job->execution, grace, "its machine is taken back");
         else
             ow_attempt_stop(leader, attempt, grace, "its machine is taken back");
--- a/src/core/machines/reconciliation.c
+++ b/src/core/machines/reconciliation.c
@@ -102,7 +102,7 @@
     add_command(commands, OW_WORKER_STOP, task_status);
 }
 
-static void apply_phase(struct ow_leader *leader, struct ow_attempt *attempt, enum ow_phase phase)
+static void apply_phase(struct ow_leader *leader, struct ow_attempt *attempt, enum ow_task_phase phase)
 {
     struct ow_execution *execution = attempt->job->execution;
     bool was_running = attempt->state == OW_ATTEMPT_SEEN && attempt->phase == OW_PHASE_RUNNING;
--- a/src/core/scheduling/candidates.c
+++ b/src/core/scheduling/candidates.c
@@ -6,6 +6,7 @@
 #include "core/scheduling/placement_cost.h"
 #include "core/scheduling/reservation.h"
 #include "core/scheduling/shortlist.h"
+#include "model/submission.h"
 
 static gint compare_candidates(gconstpointer a, gconstpointer b)
 {
@@ -38,7 +39,8 @@
             .machine = machine,
             .slots = slots,
             .cost = ow_placement_cost(leader, execution, machine),
-            .conflicted = spec->submission->gang && ow_reservation_conflicts(execution, machine),
+            .conflicted =
+                ow_submission_is_gang(spec->submission) && ow_reservation_conflicts(execution, machine),
         };
         g_array_append_val(candidates, candidate);
     }
--- a/src/core/scheduling/classes.c
+++ b/src/core/scheduling/classes.c
@@ -63,10 +63,10 @@
         class->estimate_s = submission->estimate_s;
     class->image_gb = MAX(class->image_gb, submission->image_gb);
     class->service = submission->kind == OW_KIND_SERVICE;
-    bool together = submission->gang || class->service;
+    bool together = ow_submission_is_gang(submission) || class->service;
     class->largest = MAX(class->largest, together ? submission->tasks : 1);
     class->need = submission->need;
-    class->gang = submission->gang;
+    class->gang = ow_submission_is_gang(submission);
     class->spot = submission->spot;
     class->rank = submission->rank;
     class->types = spec->types;
--- a/src/core/scheduling/image_demand.c
+++ b/src/core/scheduling/image_demand.c
@@ -6,6 +6,7 @@
 #include "core/scheduling/classes.h"
 #include "core/scheduling/placement.h"
 #include "model/cloud.h"
+#include "model/submission.h"
 
 static bool fits_type(const struct ow_job_spec *spec, int index, const struct ow_machine_type *type)
 {
@@ -47,7 +48,7 @@
 static void add_waiting_work(struct ow_leader *leader, const struct ow_execution *execution)
 {
     const struct ow_job_spec *spec = execution->job->spec;
-    uint32_t pending = spec->submission->gang ? 0 : ow_execution_pending(execution);
+    uint32_t pending = ow_submission_is_gang(spec->submission) ? 0 : ow_execution_pending(execution);
     if (pending == 0)
         return;
     struct ow_image_demand *demand = find_or_add(leader, spec->image);
--- a/src/core/scheduling/placement.c
+++ b/src/core/scheduling/placement.c
@@ -80,7 +80,7 @@
     struct ow_resources taken = *used;
     ow_resources_add(&taken, &machine->unknown_tasks_use, 1);
     ow_resources_add(&taken, &machine->held, 1);
-    if (!spec->submission->gang)
+    if (!ow_submission_is_gang(spec->submission))
         ow_resources_add(&taken, &machine->held_for_gangs, 1);
     struct ow_resources free = {
         .cpus = type->size.cpus - taken.cpus,
--- a/src/core/scheduling/preempt.c
+++ b/src/core/scheduling/preempt.c
@@ -191,7 +191,7 @@
             submission->checkpoint_interval_s > 0 ? submission->checkpoint_duration_s + GRACE_MARGIN_S : 0;
         /* The tasks of a gang stop in one round, or their saving fails. One stopped before may have ended
            another that was chosen, too. */
-        if (submission->gang) {
+        if (ow_submission_is_gang(submission)) {
             ow_execution_stop(leader, attempt->job->execution, grace, why);
             break;
         }
--- a/src/core/scheduling/queue.c
+++ b/src/core/scheduling/queue.c
@@ -118,7 +118,7 @@
                          const struct fleet_capacity *capacity)
 {
     const struct ow_job_spec *spec = execution->job->spec;
-    if (spec->submission->gang)
+    if (ow_submission_is_gang(spec->submission))
         return execution->accepted_at;
     double share = fleet_share(&spec->submission->need, capacity);
     double delay =
@@ -135,7 +135,8 @@
 {
     bool service = ow_execution_is_service(execution);
     double age = leader->core->now - (service ? execution->missing_since : execution->accepted_at);
-    double promotion_s = execution->job->spec->submission->gang ? PROMOTION_GANG_S : PROMOTION_S;
+    double promotion_s =
+        ow_submission_is_gang(execution->job->spec->submission) ? PROMOTION_GANG_S : PROMOTION_S;
     double begin_s = BEGIN_S - ow_image_slowest_fetch_seconds(leader, execution->job->spec);
     double patience = CLAMP(begin_s, PROMOTION_LEAST_S, promotion_s);
     /* A service is never complete: its age would put it before everybody for ever. What counts is how long a
--- a/src/core/scheduling/reason.c
+++ b/src/core/scheduling/reason.c
@@ -9,6 +9,7 @@
 #include "core/scheduling/placement_cost.h"
 #include "core/scheduling/reservation.h"
 #include "model/cloud.h"
+#include "model/submission.h"
 
 /* How many machines jobs with such demands allow: counted once a cycle. */
 struct allowance {
@@ -62,7 +63,7 @@
 static char *waits_for(struct ow_leader *leader, const struct ow_execution *execution, uint32_t pending)
 {
     const struct ow_job_spec *spec = execution->job->spec;
-    bool gang = spec->submission->gang;
+    bool gang = ow_submission_is_gang(spec->submission);
     uint32_t wanted = gang ? execution->count : 1;
     if (execution->ready_at > leader->core->now)
         return g_strdup("paused after failures; it is tried again soon");
--- a/src/core/scheduling/schedule.c
+++ b/src/core/scheduling/schedule.c
@@ -113,7 +113,7 @@
 /* Starts what can be started of the run, and holds or makes capacity for the rest. */
 static void schedule_execution(struct ow_leader *leader, struct ow_execution *execution)
 {
-    if (execution->job->spec->submission->gang) {
+    if (ow_submission_is_gang(execution->job->spec->submission)) {
         ow_reservation_try(leader, execution);
         ow_reservation_apply_holds(leader, execution);
         return;
--- a/src/core/scheduling/shortlist.c
+++ b/src/core/scheduling/shortlist.c
@@ -46,7 +46,7 @@
     struct ow_submission *least = &list->least;
     list->stops_from = list->wanted ? MIN(list->stops_from, stops_from) : stops_from;
     if (!list->wanted) {
-        *least = (struct ow_submission){.need = job->need, .rank = job->rank, .gang = job->gang};
+        *least = (struct ow_submission){.need = job->need, .rank = job->rank, .kind = job->kind};
         list->wanted = true;
         return;
     }
@@ -56,7 +56,8 @@
     least->need.memory_gb = MIN(least->need.memory_gb, job->need.memory_gb);
     /* The less urgent are let onto more machines, and gangs onto capacity held for gangs. */
     least->rank = MAX(least->rank, job->rank);
-    least->gang = least->gang || job->gang;
+    if (ow_submission_is_gang(job))
+        least->kind = OW_KIND_GANG;
 }
 
 void ow_shortlists_begin(struct ow_leader *leader)
--- a/src/model/cloud.c
+++ b/src/model/cloud.c
@@ -2,18 +2,18 @@
 
 void ow_machine_type_clear(void *type)
 {
-    struct ow_machine_type *t = type;
-    g_free(t->name);
-    g_strfreev(t->zones);
+    struct ow_machine_type *cleared = type;
+    g_free(cleared->name);
+    g_strfreev(cleared->zones);
 }
 
 void ow_listed_machine_clear(void *machine)
 {
-    struct ow_listed_machine *m = machine;
-    g_free(m->name);
-    g_free(m->addr);
-    g_free(m->type);
-    g_free(m->zone);
+    struct ow_listed_machine *cleared = machine;
+    g_free(cleared->name);
+    g_free(cleared->addr);
+    g_free(cleared->type);
+    g_free(cleared->zone);
 }
 
 void ow_cloud_request_free(struct ow_cloud_request *request)
@@ -24,16 +24,13 @@
     g_free(request->name);
     g_free(request->type);
     g_free(request->zone);
-    if (request->machines != NULL)
-        g_ptr_array_free(request->machines, TRUE);
+    g_clear_pointer(&request->machines, g_ptr_array_unref);
     g_free(request);
 }
 
 void ow_cloud_reply_clear(struct ow_cloud_reply *reply)
 {
-    if (reply->types != NULL)
-        g_array_free(reply->types, TRUE);
-    if (reply->listed != NULL)
-        g_array_free(reply->listed, TRUE);
-    g_strfreev(reply->provisioned);
+    g_clear_pointer(&reply->types, g_array_unref);
+    g_clear_pointer(&reply->listed, g_array_unref);
+    g_clear_pointer(&reply->provisioned, g_strfreev);
 }
--- a/src/model/worker.c
+++ b/src/model/worker.c
@@ -8,7 +8,6 @@
     g_free(heartbeat->addr);
     g_free(heartbeat->type);
     g_free(heartbeat->zone);
-    if (heartbeat->tasks != NULL)
-        g_array_free(heartbeat->tasks, TRUE);
+    g_clear_pointer(&heartbeat->tasks, g_array_unref);
     g_free(heartbeat);
 }
--- a/src/model/worker.h
+++ b/src/model/worker.h
@@ -1,4 +1,6 @@
-/* What workers and controllers say to each other: heartbeats and commands. */
+/** @file
+ * What agents and controllers say to each other: heartbeats and commands. Plain data.
+ */
 #ifndef OW_MODEL_WORKER_H
 #define OW_MODEL_WORKER_H
 
@@ -8,54 +10,72 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/* What a worker says of one task. */
-enum ow_phase {
-    OW_PHASE_FETCHING,
-    OW_PHASE_WAITING,
+/** How far an attempt of a task has come on its machine. */
+enum ow_task_phase {
+    OW_PHASE_FETCHING, /**< its image is on the way */
+    OW_PHASE_WAITING,  /**< a gang's task waits for the others */
     OW_PHASE_RUNNING,
-    OW_PHASE_CHECKPOINTING,
-    OW_PHASE_EXITED
+    OW_PHASE_CHECKPOINTING, /**< it was told to stop and saves a checkpoint */
+    OW_PHASE_EXITED,        /**< it is over; listed until a controller clears it */
 };
 
-enum ow_cause {
-    OW_CAUSE_NONE,
-    OW_CAUSE_DONE,
-    OW_CAUSE_STOPPED,
-    OW_CAUSE_PEERS,
-    OW_CAUSE_INCOMPLETE,
-    OW_CAUSE_ERROR,
-    OW_CAUSE_FULL,
-    OW_CAUSE_BUSY,
-    OW_CAUSE_UNKNOWN,
+/** Why an attempt is over. */
+enum ow_exit_cause {
+    OW_CAUSE_NONE,       /**< it is not over */
+    OW_CAUSE_DONE,       /**< the task is complete */
+    OW_CAUSE_STOPPED,    /**< a command stopped it */
+    OW_CAUSE_PEERS,      /**< a gang's task: another one is gone */
+    OW_CAUSE_INCOMPLETE, /**< a gang's task: the gang was not complete in time */
+    OW_CAUSE_ERROR,      /**< the task failed, or the cause is not one that we know */
+    OW_CAUSE_FULL,       /**< start refused: too little is free on the machine */
+    OW_CAUSE_BUSY,       /**< start refused: the task is there with another attempt */
+    OW_CAUSE_UNKNOWN,    /**< start refused: no such job or task */
 };
 
+/** What a heartbeat says of one attempt of a task. */
 struct ow_task_status {
     char job[OW_ID_MAX + 1];
-    uint32_t task;
+    uint32_t task; /**< its number in the job, from 0 */
     uint64_t attempt;
-    enum ow_phase phase;
-    enum ow_cause cause;
-    bool saved;
+    enum ow_task_phase phase;
+    enum ow_exit_cause cause; /**< OW_CAUSE_NONE unless the phase is OW_PHASE_EXITED */
+    bool saved;               /**< it was stopped, and its checkpoint is complete */
 };
 
+/** A heartbeat of an agent. It owns its texts and the list; none is NULL. */
 struct ow_heartbeat {
-    char *machine, *addr, *type, *zone;
+    char *machine;
+    char *addr; /**< host:port where the agent takes commands */
+    char *type;
+    char *zone;
     bool spot;
-    uint64_t incarnation, seq, fencing_token;
-    double reclaim_notice_s; /* negative: none */
-    GArray *tasks;           /* struct ow_task_status */
+    uint64_t incarnation;    /**< of the agent; grows whenever its lease expires */
+    uint64_t seq;            /**< grows with every message of an incarnation: the greater one is the newer */
+    uint64_t fencing_token;  /**< the highest that the agent has seen; 0: none */
+    double reclaim_notice_s; /**< until the cloud reclaims the machine; negative: no notice */
+    GArray *tasks;           /**< struct ow_task_status: every attempt on the machine */
 };
 
+/** Frees a heartbeat with all that it holds. @param heartbeat may be NULL */
 void ow_heartbeat_free(struct ow_heartbeat *heartbeat);
 
-enum ow_worker_command_kind { OW_WORKER_LAUNCH, OW_WORKER_STOP, OW_WORKER_CLEAR };
+typedef struct ow_heartbeat ow_heartbeat;
+G_DEFINE_AUTOPTR_CLEANUP_FUNC(ow_heartbeat, ow_heartbeat_free)
 
+/** What an agent is told to do with an attempt. */
+enum ow_worker_command_kind {
+    OW_WORKER_LAUNCH,
+    OW_WORKER_STOP,
+    OW_WORKER_CLEAR, /**< forget an attempt that is over */
+};
+
+/** A command for an agent about one attempt of a task. */
 struct ow_worker_command {
     enum ow_worker_command_kind kind;
     char job[OW_ID_MAX + 1];
-    uint32_t task;
+    uint32_t task; /**< its number in the job, from 0 */
     uint64_t attempt;
-    double grace_s;
+    double grace_s; /**< OW_WORKER_STOP: time to save a checkpoint; too little or 0: it exits at once */
 };
 
 #endif
--- a/src/wire/cloud_json.c
+++ b/src/wire/cloud_json.c
@@ -106,7 +106,7 @@
     wire_json_get_string(object, W_ADDRESS, &addr);
     wire_json_get_bool(object, W_SPOT, &machine->spot);
     wire_json_get_number(object, W_AGE_S, &machine->age_s);
-    machine->state = (enum ow_listed)s;
+    machine->state = (enum ow_listed_state)s;
     machine->name = g_strdup(name);
     machine->addr = g_strdup(addr);
     machine->type = g_strdup(type);
--- a/src/wire/user_json.c
+++ b/src/wire/user_json.c
@@ -112,8 +112,7 @@
         return W_RANK ": missing or unknown";
     if (!take_tasks(object, &submission->tasks))
         return W_TASKS ": missing or not from 1 to 100000";
-    submission->kind = (enum ow_kind)kind;
-    submission->gang = submission->kind == OW_KIND_GANG;
+    submission->kind = (enum ow_job_kind)kind;
     submission->rank = (enum ow_rank)rank;
     return NULL;
 }
--- a/src/wire/words.h
+++ b/src/wire/words.h
@@ -96,12 +96,12 @@
 #define W_REASON "reason"
 
 /* Values, in the order of the enums of core/types.h. */
-extern const char *const wire_kinds[];           /* enum ow_kind */
+extern const char *const wire_kinds[];           /* enum ow_job_kind */
 extern const char *const wire_ranks[];           /* enum ow_rank */
-extern const char *const wire_phases[];          /* enum ow_phase */
-extern const char *const wire_causes[];          /* enum ow_cause */
+extern const char *const wire_phases[];          /* enum ow_task_phase */
+extern const char *const wire_causes[];          /* enum ow_exit_cause */
 extern const char *const wire_worker_commands[]; /* enum ow_worker_command_kind */
-extern const char *const wire_listed_states[];   /* enum ow_listed */
+extern const char *const wire_listed_states[];   /* enum ow_listed_state */
 extern const char *const wire_job_states[];      /* enum ow_job_state */
 
 /* The index of `word` in a table ended by NULL, or -1. */
--- a/src/wire/worker_json.c
+++ b/src/wire/worker_json.c
@@ -33,12 +33,12 @@
     int p = wire_word_index(wire_phases, phase);
     if (p < 0)
         return false;
-    out->phase = (enum ow_phase)p;
+    out->phase = (enum ow_task_phase)p;
     wire_json_get_string(object, W_CAUSE, &cause);
     wire_json_get_bool(object, W_CHECKPOINT_SAVED, &out->saved);
     int c = wire_word_index(wire_causes, cause);
     /* A cause we do not know still says that the task has ended. */
-    out->cause = c < 0 ? OW_CAUSE_ERROR : (enum ow_cause)c;
+    out->cause = c < 0 ? OW_CAUSE_ERROR : (enum ow_exit_cause)c;
     return true;
 }
 
--- a/tests/chaos_day.c
+++ b/tests/chaos_day.c
@@ -188,8 +188,7 @@
     for (int attempt = 0; attempt < 200; attempt++) {
         struct ow_submission *submission = sim_job(id, 1 + (uint32_t)i % 4, 2);
         submission->rank = (enum ow_rank)(i % 4);
-        submission->gang = i % 3 == 0;
-        submission->kind = submission->gang ? OW_KIND_GANG : OW_KIND_ARRAY;
+        submission->kind = i % 3 == 0 ? OW_KIND_GANG : OW_KIND_ARRAY;
         submission->one_zone = i % 2 == 0;
         uint64_t request = sim_submit(cluster, attempt % SIM_CONTROLLERS, submission);
         sim_run(cluster, 1);
--- a/tests/sim_cluster.h
+++ b/tests/sim_cluster.h
@@ -21,8 +21,8 @@
     char job[OW_ID_MAX + 1];
     uint32_t task;
     uint64_t attempt;
-    enum ow_phase phase;
-    enum ow_cause cause;
+    enum ow_task_phase phase;
+    enum ow_exit_cause cause;
     bool saved;
     double phase_at; /* the time of its next change of phase */
 };
--- a/tests/sim_users.c
+++ b/tests/sim_users.c
@@ -179,7 +179,6 @@
 struct ow_submission *sim_gang(const char *id, uint32_t tasks, double cpus)
 {
     struct ow_submission *submission = sim_job(id, tasks, cpus);
-    submission->gang = true;
     submission->kind = OW_KIND_GANG;
     return submission;
 }
--- a/tests/test_agent_tasks.c
+++ b/tests/test_agent_tasks.c
@@ -126,7 +126,7 @@
     (void)state;
     static const struct {
         const char *command;
-        enum ow_cause cause;
+        enum ow_exit_cause cause;
     } ends[] = {{"exit 0", OW_CAUSE_DONE},
                 {"exit 1", OW_CAUSE_ERROR},
                 {"exit 75", OW_CAUSE_PEERS},
@@ -159,7 +159,8 @@
     obey(&bench, OW_WORKER_LAUNCH, 9, 1, 0); /* the job has 4 tasks */
     GArray *heartbeats = g_array_new(FALSE, TRUE, sizeof(struct ow_task_status));
     agent_tasks_status(bench.tasks, heartbeats);
-    static const enum ow_cause causes[] = {OW_CAUSE_NONE, OW_CAUSE_BUSY, OW_CAUSE_FULL, OW_CAUSE_UNKNOWN};
+    static const enum ow_exit_cause causes[] = {OW_CAUSE_NONE, OW_CAUSE_BUSY, OW_CAUSE_FULL,
+                                                OW_CAUSE_UNKNOWN};
     assert_int_equal(heartbeats->len, G_N_ELEMENTS(causes));
     for (guint i = 0; i < heartbeats->len; i++)
         assert_int_equal(g_array_index(heartbeats, struct ow_task_status, i).cause, causes[i]);
--- a/tests/test_fleet.c
+++ b/tests/test_fleet.c
@@ -54,7 +54,7 @@
         struct ow_submission *submission =
             job_of_class(n, "sync", 6 + 5 * ((uint32_t)i % 3), 8, 0, OW_RANK_URGENT);
         submission->kind = OW_KIND_GANG;
-        submission->gang = submission->one_zone = true;
+        submission->one_zone = true;
         sim_submit(cluster, i % SIM_CONTROLLERS, submission);
     }
     for (int i = 0; i < SCANS; i++, n++)
--- a/tests/test_production_format.c
+++ b/tests/test_production_format.c
@@ -41,7 +41,7 @@
     value = fixture_json("job-cancelled.json");
     assert_true(wire_job_record_decode(value, &record));
     assert_true(record.state == OW_JOB_CANCELLED && record.leader_fencing_token == 42 &&
-                record.submission->gang);
+                ow_submission_is_gang(record.submission));
     ow_submission_free(record.submission);
     json_decref(value);
     value = fixture_json("job-ended.json");
--- a/tests/test_starvation.c
+++ b/tests/test_starvation.c
@@ -28,7 +28,6 @@
     char id[16];
     g_snprintf(id, sizeof id, "run-%d", n);
     struct ow_submission *submission = sim_job(id, tasks, cpus);
-    submission->gang = is_gang;
     submission->kind = is_gang ? OW_KIND_GANG : OW_KIND_ARRAY;
     submission->one_zone = is_gang;
     submission->rank = rank;
--- a/tests/test_user_api.c
+++ b/tests/test_user_api.c
@@ -101,7 +101,6 @@
     sim_set_team(gang, "tight");
     sim_set_team(array, "tight");
     sim_set_team(stranger, "strangers");
-    gang->gang = true;
     gang->kind = OW_KIND_GANG;
     uint64_t gang_request = sim_submit(cluster, 0, gang), array_request = sim_submit(cluster, 0, array),
              stranger_request = sim_submit(cluster, 0, stranger);
--- a/tests/test_wire.c
+++ b/tests/test_wire.c
@@ -40,7 +40,8 @@
     json_t *stored = wire_submission_to_json(submission);
     struct ow_submission *again = wire_submission_from_json(stored, &fault);
     assert_non_null(again);
-    assert_true(again->gang && again->tasks == 16 && again->rank == OW_RANK_URGENT && again->zone == NULL);
+    assert_true(ow_submission_is_gang(again) && again->tasks == 16 && again->rank == OW_RANK_URGENT &&
+                again->zone == NULL);
     assert_true(again->need.gpus == 1 && again->one_zone && again->spot && again->deadline_s == 900);
     assert_string_equal(again->types[0], "g8");
     json_decref(stored);
