--- a/src/core/core_state.c
+++ b/src/core/core_state.c
@@ -16,9 +16,7 @@
                             int retry_after_s)
 {
     struct ow_effect *effect = ow_effect_new(OW_EFFECT_REFUSE, request);
-    effect->status = status;
-    effect->text = g_strdup(text);
-    effect->retry_after_s = retry_after_s;
+    ow_effect_refuse(effect, status, text, retry_after_s);
     ow_core_emit(core, effect);
 }
 
--- a/src/model/effect.c
+++ b/src/model/effect.c
@@ -1,5 +1,10 @@
 #include "model/effect.h"
 
+#include "model/http_status.h"
+
+/* How long who was refused for now should wait before trying again. */
+enum { RETRY_AFTER_S = 1 };
+
 struct ow_effect *ow_effect_new(enum ow_effect_kind kind, uint64_t request)
 {
     struct ow_effect *effect = g_new0(struct ow_effect, 1);
@@ -9,6 +14,20 @@
     return effect;
 }
 
+void ow_effect_refuse(struct ow_effect *effect, int status, const char *text, int retry_after_s)
+{
+    effect->kind = OW_EFFECT_REFUSE;
+    effect->status = status;
+    g_free(effect->text);
+    effect->text = g_strdup(text);
+    effect->retry_after_s = retry_after_s;
+}
+
+void ow_effect_refuse_temporarily(struct ow_effect *effect, const char *text)
+{
+    ow_effect_refuse(effect, OW_HTTP_STATUS_UNAVAILABLE, text, RETRY_AFTER_S);
+}
+
 void ow_effect_free(void *item)
 {
     struct ow_effect *effect = item;
--- a/src/model/effect.h
+++ b/src/model/effect.h
@@ -51,6 +51,14 @@
 
 /* A new effect that answers or carries `request` (0: none), without counts of tasks; owned by the caller. */
 struct ow_effect *ow_effect_new(enum ow_effect_kind kind, uint64_t request);
+/**
+ * Makes the effect an answer of HTTP status `status` with an error text, which is copied.
+ *
+ * @param retry_after_s after how many seconds the caller may try again; 0: it isn't told.
+ */
+void ow_effect_refuse(struct ow_effect *effect, int status, const char *text, int retry_after_s);
+/** Makes the effect a refusal by 503, to be tried again after a second. The text is copied. */
+void ow_effect_refuse_temporarily(struct ow_effect *effect, const char *text);
 /* Frees an effect with all that it holds; the free function of arrays of effects. */
 void ow_effect_free(void *item);
 
--- a/src/sharding/effect_guard.c
+++ b/src/sharding/effect_guard.c
@@ -2,10 +2,9 @@
 #include "model/cloud.h"
 #include "model/effect.h"
 #include "model/event.h"
+#include "model/http_status.h"
 #include "model/worker.h"
 
-enum { STATUS_UNAVAILABLE = 503, RETRY_S = 1 };
-
 static bool remove_launches(GArray *commands)
 {
     guint before = commands->len;
@@ -15,23 +14,13 @@
     return commands->len != before;
 }
 
-/* The worker turns to another controller, as it does when one is not entitled to act. */
-static void refuse_worker(struct ow_effect *effect)
-{
-    effect->kind = OW_EFFECT_REFUSE;
-    effect->status = STATUS_UNAVAILABLE;
-    g_free(effect->text);
-    effect->text = g_strdup("this controller does not know whether it still leads");
-    effect->retry_after_s = RETRY_S;
-}
-
 static bool guard_cloud(const struct ow_effect *effect, struct ow_event **refusal)
 {
     if (effect->cloud->op == OW_CLOUD_TYPES || effect->cloud->op == OW_CLOUD_LIST)
         return false;
     /* The core takes a 503 for a request that was not carried out, and repeats it. */
     *refusal = ow_event_new(OW_EVENT_CLOUD, effect->cloud->tag);
-    (*refusal)->cloud.status = STATUS_UNAVAILABLE;
+    (*refusal)->cloud.status = OW_HTTP_STATUS_UNAVAILABLE;
     return true;
 }
 
@@ -51,7 +40,8 @@
     case OW_EFFECT_WORKER_COMMANDS:
         if (verdict == OW_LEASE_KEEP_ALIVE)
             return remove_launches(effect->commands);
-        refuse_worker(effect);
+        /* The worker turns to another controller, as it does when one is not entitled to act. */
+        ow_effect_refuse_temporarily(effect, "this controller does not know whether it still leads");
         return true;
     case OW_EFFECT_DIRECT:
         return guard_direct(effect, verdict, refusal);
--- a/src/sharding/lease_guard.c
+++ b/src/sharding/lease_guard.c
@@ -1,6 +1,7 @@
 #include "sharding/lease_guard.h"
 
-enum { STATUS_NONE = 0, STATUS_OK = 200 };
+#include "model/http_status.h"
+
 /* The key-value store's clock may run faster than ours by as much, and some more. */
 static const double CLOCK_DRIFT = 0.002;
 /* An effect may need as long from the check to the wire. */
@@ -20,12 +21,12 @@
 void ow_lease_guard_answered(struct ow_lease_guard *guard, uint64_t tag, int status)
 {
     /* An answer may have lain in a socket during a pause: it counts from when its request was sent. */
-    if (tag != guard->renewal || status == STATUS_NONE)
+    if (tag != guard->renewal || status == OW_HTTP_STATUS_NONE)
         return;
     guard->renewal = 0;
     guard->answered_at = guard->renewal_at;
     /* The lease counts from when it was asked for, not from when the answer came. */
-    if (status == STATUS_OK)
+    if (status == OW_HTTP_STATUS_OK)
         guard->held_until = guard->renewal_at + guard->lease_s * (1 - CLOCK_DRIFT) - MARGIN_S;
 }
 
--- a/src/sharding/map_agreement.c
+++ b/src/sharding/map_agreement.c
@@ -1,6 +1,7 @@
 #include "sharding/map_agreement.h"
 
 #include "model/effect.h"
+#include "model/http_status.h"
 #include "model/records.h"
 #include "sharding/shard_map.h"
 #include "wire/records_json.h"
@@ -13,7 +14,6 @@
 /* Who holds the leader's key of a fleet that is divided: a controller without shards then never takes it. */
 #define DIVIDED_NAME "(divided into shards)"
 
-enum { STATUS_OK = 200, STATUS_NOT_FOUND = 404, STATUS_CONFLICT = 409 };
 /* How often the stored map is compared again, and after a failed request. */
 static const double COMPARE_S = 10, RETRY_S = 0.5;
 
@@ -65,9 +65,7 @@
 {
     if (agreement->busy || now < agreement->next_at)
         return;
-    struct ow_effect *effect = g_new0(struct ow_effect, 1);
-    effect->kind = OW_EFFECT_STORE;
-    effect->request = tag;
+    struct ow_effect *effect = ow_effect_new(OW_EFFECT_STORE, tag);
     effect->store = agreement->state == OW_AGREEMENT_CREATING ? creation(agreement)
                                                               : ow_store_request_new(OW_STORE_GET, MAP_KEY);
     effect->store->tag = tag;
@@ -106,16 +104,16 @@
     bool created = agreement->state == OW_AGREEMENT_CREATING;
     agreement->busy = false;
     agreement->next_at = now + RETRY_S;
-    if (created && reply->status == STATUS_CONFLICT) {
+    if (created && reply->status == OW_HTTP_STATUS_CONFLICT) {
         explain_conflict(agreement, reply);
     } else if (created) {
         /* Also without a response: it is read whether it was stored. */
         agreement->state = OW_AGREEMENT_READING;
-        agreement->next_at = reply->status == STATUS_OK ? now : now + RETRY_S;
-    } else if (reply->status == STATUS_OK && reply->items != NULL && reply->items->len == 1) {
+        agreement->next_at = reply->status == OW_HTTP_STATUS_OK ? now : now + RETRY_S;
+    } else if (reply->status == OW_HTTP_STATUS_OK && reply->items != NULL && reply->items->len == 1) {
         compare(agreement, reply);
         agreement->next_at = now + COMPARE_S;
-    } else if (reply->status == STATUS_NOT_FOUND) {
+    } else if (reply->status == OW_HTTP_STATUS_NOT_FOUND) {
         agreement->state = OW_AGREEMENT_CREATING;
         agreement->next_at = now;
     }
--- a/src/sharding/request_router.c
+++ b/src/sharding/request_router.c
@@ -2,13 +2,13 @@
 
 #include "model/effect.h"
 #include "model/event.h"
+#include "model/http_status.h"
 #include "model/submission.h"
 #include "sharding/shard_map.h"
 #include "sharding/shard_question.h"
 
 #include <string.h>
 
-enum { STATUS_BAD_REQUEST = 400, STATUS_NOT_FOUND = 404, STATUS_UNPROCESSABLE = 422 };
 /* Questions to all shards have numbers of their own, which no request of a user has. */
 static const uint64_t QUESTION_BIT = 1ULL << 63;
 /* Users don't wait longer for an answer. */
@@ -176,8 +176,8 @@
 static bool may_be_elsewhere(const struct ow_effect *effect)
 {
     return effect->kind == OW_EFFECT_REFUSE &&
-           (effect->status == STATUS_BAD_REQUEST || effect->status == STATUS_NOT_FOUND ||
-            effect->status == STATUS_UNPROCESSABLE);
+           (effect->status == OW_HTTP_STATUS_BAD_REQUEST || effect->status == OW_HTTP_STATUS_NOT_FOUND ||
+            effect->status == OW_HTTP_STATUS_UNPROCESSABLE);
 }
 
 static bool forward_submission(struct ow_request_router *router, struct ow_effect *effect, double now)
--- a/src/sharding/shard_dispatch.c
+++ b/src/sharding/shard_dispatch.c
@@ -4,12 +4,9 @@
 #include "sharding/shard_manager_state.h"
 #include "sharding/shard_map.h"
 
-enum { STATUS_UNAVAILABLE = 503, RETRY_S = 1 };
-
 static void add_peer_message(GPtrArray *out, struct ow_peer_message *message)
 {
-    struct ow_effect *effect = g_new0(struct ow_effect, 1);
-    effect->kind = OW_EFFECT_PEER;
+    struct ow_effect *effect = ow_effect_new(OW_EFFECT_PEER, 0);
     effect->peer = message;
     g_ptr_array_add(out, effect);
 }
@@ -23,12 +20,8 @@
 
 static void refuse_heartbeat(uint64_t request, GPtrArray *out)
 {
-    struct ow_effect *effect = g_new0(struct ow_effect, 1);
-    effect->kind = OW_EFFECT_REFUSE;
-    effect->request = request;
-    effect->status = STATUS_UNAVAILABLE;
-    effect->retry_after_s = RETRY_S;
-    effect->text = g_strdup("no shard has machines of this zone");
+    struct ow_effect *effect = ow_effect_new(OW_EFFECT_REFUSE, request);
+    ow_effect_refuse_temporarily(effect, "no shard has machines of this zone");
     g_ptr_array_add(out, effect);
 }
 
--- a/src/sharding/shard_question.c
+++ b/src/sharding/shard_question.c
@@ -1,9 +1,8 @@
 #include "sharding/shard_question.h"
 #include "model/effect.h"
+#include "model/http_status.h"
 #include "model/resources.h"
 
-enum { STATUS_NOT_FOUND = 404, STATUS_UNAVAILABLE = 503, RETRY_S = 1 };
-
 void ow_shard_question_free(void *item)
 {
     struct ow_shard_question *question = item;
@@ -19,7 +18,7 @@
 {
     if (answer->kind == OW_EFFECT_JOB)
         return 2;
-    return answer->status == STATUS_NOT_FOUND ? 0 : 1;
+    return answer->status == OW_HTTP_STATUS_NOT_FOUND ? 0 : 1;
 }
 
 static void add_teams(GArray *sums, const GArray *teams)
@@ -48,15 +47,6 @@
         ow_effect_free(surplus);
 }
 
-static void refuse_for_now(struct ow_effect *effect, const char *text)
-{
-    effect->kind = OW_EFFECT_REFUSE;
-    effect->status = STATUS_UNAVAILABLE;
-    effect->retry_after_s = RETRY_S;
-    g_free(effect->text);
-    effect->text = g_strdup(text);
-}
-
 /* A refusal of a submission stands only when every shard has said that it does not have the job. */
 static struct ow_effect *judge_refusal(struct ow_shard_question *question)
 {
@@ -66,8 +56,8 @@
     ow_effect_free(answer);
     struct ow_effect *refusal = g_steal_pointer(&question->refusal);
     /* The shard was told that another one has the job, which has ended in the meantime or is not read yet. */
-    if (refusal->status == STATUS_NOT_FOUND)
-        refuse_for_now(refusal, "another shard has accepted this job");
+    if (refusal->status == OW_HTTP_STATUS_NOT_FOUND)
+        ow_effect_refuse_temporarily(refusal, "another shard has accepted this job");
     return refusal;
 }
 
