--- a/src/config/operators_file.c
+++ b/src/config/operators_file.c
@@ -1,99 +1,122 @@
 #include "config/operators_file.h"
 
+#include "config/causes.h"
+#include "config/number_field.h"
 #include "config/sharding_file.h"
 
 #include <expat.h>
-#include <math.h>
 #include <stddef.h>
 #include <string.h>
 
-/* A setting: where it stands in the file and in struct ow_tuning, and its range. */
-struct value {
-    const char *element, *attribute;
-    size_t offset;
-    bool whole; /* unsigned; else double */
-    double least, most;
+G_DEFINE_AUTO_CLEANUP_FREE_FUNC(XML_Parser, XML_ParserFree, NULL)
+
+/* A tuning parameter: the element that it is an attribute of, and the attribute. */
+struct tuning_field {
+    const char *element;
+    struct ow_number_field number;
 };
 
-static const struct value values[] = {
-    {"reservation", "window_s", offsetof(struct ow_tuning, window_s), false, 0, 5},
-    {"reservation", "hold_life_s", offsetof(struct ow_tuning, hold_life_s), false, 0.5, 600},
-    {"reservation", "waiting_limit_s", offsetof(struct ow_tuning, waiting_limit_s), false, 1, 86400},
-    {"reservation", "candidates", offsetof(struct ow_tuning, candidates), true, 1, 100},
-    {"election", "lease_s", offsetof(struct ow_tuning, leader_lease_s), false, 1, 60},
+static const struct tuning_field tuning_fields[] = {
+    {"reservation", {"window_s", offsetof(struct ow_tuning, window_s), OW_NUMBER_DOUBLE, 0, 5}},
+    {"reservation", {"hold_life_s", offsetof(struct ow_tuning, hold_life_s), OW_NUMBER_DOUBLE, 0.5, 600}},
+    {"reservation",
+     {"waiting_limit_s", offsetof(struct ow_tuning, waiting_limit_s), OW_NUMBER_DOUBLE, 1, 86400}},
+    {"reservation", {"candidates", offsetof(struct ow_tuning, candidates), OW_NUMBER_UNSIGNED, 1, 100}},
+    {"election", {"lease_s", offsetof(struct ow_tuning, leader_lease_s), OW_NUMBER_DOUBLE, 1, 60}},
 };
 
-/* The state of reading one file. */
+/* The state of reading one file; it stops at the first error. */
 struct reader {
     XML_Parser parser;
     struct ow_tuning *tuning;
     struct ow_sharding_settings *sharding;
-    int depth;
-    char *fault;
+    unsigned depth; /* of the element at hand; the root's is 0 */
+    GError *error;  /* NULL: none so far */
 };
 
-static void fail(struct reader *reader, const char *name, const char *what)
+static unsigned long current_line(const struct reader *reader)
+{
+    return (unsigned long)XML_GetCurrentLineNumber(reader->parser);
+}
+
+/* Ends the reading with the error, which it takes over. The parser may still deliver a callback or two. */
+static void fail_with(struct reader *reader, GError *error)
 {
-    if (reader->fault == NULL)
-        reader->fault = g_strdup_printf("line %lu: %s: %s",
-                                        (unsigned long)XML_GetCurrentLineNumber(reader->parser), name, what);
+    g_prefix_error(&error, "line %lu: ", current_line(reader));
+    if (reader->error == NULL)
+        reader->error = error;
+    else
+        g_error_free(error);
     XML_StopParser(reader->parser, XML_FALSE);
 }
 
-static void take_sharding(struct reader *reader, const char *element, const char **attributes)
+static void fail(struct reader *reader, enum ow_config_error code, const char *name, const char *reason)
 {
-    unsigned long line = (unsigned long)XML_GetCurrentLineNumber(reader->parser);
-    char *fault = ow_sharding_file_take(reader->sharding, element, attributes, line);
-    if (fault != NULL && reader->fault == NULL) {
-        reader->fault = g_strdup_printf("line %lu: %s", line, fault);
-        XML_StopParser(reader->parser, XML_FALSE);
-    }
-    g_free(fault);
+    fail_with(reader, g_error_new(OW_CONFIG_ERROR, (gint)code, "%s: %s", name, reason));
 }
 
-static void take_value(struct reader *reader, const struct value *value, const char *text)
+static void fail_out_of_range(struct reader *reader, const struct ow_number_field *field)
 {
-    char *end = NULL;
-    double number = g_ascii_strtod(text, &end);
-    if (end == text || *end != '\0' || !isfinite(number)) {
-        fail(reader, value->attribute, "is not a number");
-    } else if (number < value->least || number > value->most || (value->whole && number != floor(number))) {
-        char *what = g_strdup_printf("must be %s from %g to %g", value->whole ? "a whole number" : "a number",
-                                     value->least, value->most);
-        fail(reader, value->attribute, what);
-        g_free(what);
-    } else if (value->whole) {
-        *(unsigned *)((char *)reader->tuning + value->offset) = (unsigned)number;
-    } else {
-        *(double *)((char *)reader->tuning + value->offset) = number;
+    const char *kind = field->type == OW_NUMBER_UNSIGNED ? "a whole number" : "a number";
+    fail_with(reader,
+              g_error_new(OW_CONFIG_ERROR, OW_CONFIG_ERROR_OUT_OF_RANGE, "%s: must be %s from %g to %g",
+                          field->name, kind, field->least, field->most));
+}
+
+static void read_number(struct reader *reader, const struct ow_number_field *field, const char *text)
+{
+    double value = 0;
+    if (!ow_number_parse(text, &value))
+        fail(reader, OW_CONFIG_ERROR_MALFORMED_VALUE, field->name, "is not a number");
+    else if (!ow_number_field_is_in_range(field, value) ||
+             (field->type == OW_NUMBER_UNSIGNED && !ow_number_is_whole(value)))
+        fail_out_of_range(reader, field);
+    else
+        ow_number_field_store(field, reader->tuning, value);
+}
+
+/* The tuning parameter of this name, or NULL. */
+static const struct ow_number_field *find_field(const char *element, const char *attribute)
+{
+    for (size_t i = 0; i < G_N_ELEMENTS(tuning_fields); i++) {
+        const struct tuning_field *field = &tuning_fields[i];
+        if (strcmp(field->element, element) == 0 && strcmp(field->number.name, attribute) == 0)
+            return &field->number;
     }
+    return NULL;
 }
 
-static void take_attribute(struct reader *reader, const char *element, const char *name, const char *text)
+/* Reads the attributes of an element outside <control>: name and value in turn, ended by NULL. */
+static void read_tuning(struct reader *reader, const char *element, const char **attributes)
 {
-    for (size_t i = 0; i < G_N_ELEMENTS(values); i++) {
-        if (strcmp(values[i].element, element) == 0 && strcmp(values[i].attribute, name) == 0) {
-            take_value(reader, &values[i], text);
-            return;
-        }
+    for (; *attributes != NULL && reader->error == NULL; attributes += 2) {
+        const struct ow_number_field *field = find_field(element, attributes[0]);
+        if (field != NULL)
+            read_number(reader, field, attributes[1]);
+        else
+            g_warning("operators' settings: %s of %s is not known and is ignored", attributes[0], element);
     }
-    g_warning("operators' settings: %s of %s is not known and is ignored", name, element);
+}
+
+static void read_sharding(struct reader *reader, const char *element, const char **attributes)
+{
+    GError *error = NULL;
+    if (!ow_sharding_file_read_element(reader->sharding, element, attributes, current_line(reader), &error))
+        fail_with(reader, error);
 }
 
 static void XMLCALL on_start(void *owner, const XML_Char *name, const XML_Char **attributes)
 {
     struct reader *reader = owner;
-    if (reader->depth++ == 0) {
-        if (strcmp(name, "ospreywell") != 0)
-            fail(reader, name, "the root must be ospreywell");
+    bool is_root = reader->depth++ == 0;
+    if (is_root && strcmp(name, "ospreywell") != 0)
+        fail(reader, OW_CONFIG_ERROR_SYNTAX, name, "the root must be ospreywell");
+    if (is_root)
         return;
-    }
-    if (ow_sharding_file_knows(name)) {
-        take_sharding(reader, name, attributes);
-        return;
-    }
-    for (; *attributes != NULL && reader->fault == NULL; attributes += 2)
-        take_attribute(reader, name, attributes[0], attributes[1]);
+    if (ow_sharding_file_is_own_element(name))
+        read_sharding(reader, name, attributes);
+    else
+        read_tuning(reader, name, attributes);
 }
 
 static void XMLCALL on_end(void *owner, const XML_Char *name)
@@ -103,39 +126,46 @@
     reader->depth--;
 }
 
+/* No entities: a file of settings needs none, and they can grow without end. */
 static void XMLCALL on_doctype(void *owner, const XML_Char *name, const XML_Char *system, const XML_Char *id,
-                               int internal)
+                               int has_internal_subset)
 {
     (void)system;
     (void)id;
-    (void)internal;
-    /* No entities: a file of settings needs none, and they can grow without end. */
-    fail(owner, name, "a document type is not accepted");
+    (void)has_internal_subset;
+    fail(owner, OW_CONFIG_ERROR_SYNTAX, name, "a document type is not accepted");
+}
+
+/* Parses the text; NULL, or the first error, which the caller frees. */
+static GError *parse(struct reader *reader, const char *text, gsize size)
+{
+    XML_SetUserData(reader->parser, reader);
+    XML_SetElementHandler(reader->parser, on_start, on_end);
+    XML_SetStartDoctypeDeclHandler(reader->parser, on_doctype);
+    if (XML_Parse(reader->parser, text, (int)size, 1) != XML_STATUS_OK && reader->error == NULL)
+        reader->error = g_error_new(OW_CONFIG_ERROR, OW_CONFIG_ERROR_SYNTAX, "line %lu: %s",
+                                    current_line(reader), XML_ErrorString(XML_GetErrorCode(reader->parser)));
+    return reader->error;
 }
 
 bool ow_operators_load(const char *path, struct ow_tuning *tuning, struct ow_sharding_settings *sharding,
-                       char **fault)
+                       GError **error)
 {
-    char *text = NULL;
+    g_autofree char *text = NULL;
+    g_autoptr(GError) unreadable = NULL;
     gsize size = 0;
-    GError *error = NULL;
-    if (!g_file_get_contents(path, &text, &size, &error)) {
-        *fault = g_strdup(error->message);
-        g_error_free(error);
+    if (!g_file_get_contents(path, &text, &size, &unreadable)) {
+        g_set_error_literal(error, OW_CONFIG_ERROR, OW_CONFIG_ERROR_UNREADABLE, unreadable->message);
         return false;
     }
+    g_auto(XML_Parser) parser = XML_ParserCreate(NULL);
     struct ow_tuning changed = *tuning;
-    struct reader reader = {XML_ParserCreate(NULL), &changed, sharding, 0, NULL};
-    XML_SetUserData(reader.parser, &reader);
-    XML_SetElementHandler(reader.parser, on_start, on_end);
-    XML_SetStartDoctypeDeclHandler(reader.parser, on_doctype);
-    if (XML_Parse(reader.parser, text, (int)size, 1) != XML_STATUS_OK && reader.fault == NULL)
-        reader.fault = g_strdup_printf("line %lu: %s", (unsigned long)XML_GetCurrentLineNumber(reader.parser),
-                                       XML_ErrorString(XML_GetErrorCode(reader.parser)));
-    XML_ParserFree(reader.parser);
-    g_free(text);
-    *fault = reader.fault;
-    if (reader.fault == NULL)
-        *tuning = changed;
-    return reader.fault == NULL;
+    struct reader reader = {.parser = parser, .tuning = &changed, .sharding = sharding};
+    GError *cause = parse(&reader, text, size);
+    if (cause != NULL) {
+        g_propagate_error(error, cause);
+        return false;
+    }
+    *tuning = changed;
+    return true;
 }
--- a/src/config/settings_file.c
+++ b/src/config/settings_file.c
@@ -1,78 +1,132 @@
 #include "config/settings_file.h"
 
-#include "config/toml_doc.h"
-#include "util/endpoint.h"
-
-#include <math.h>
-#include <stdarg.h>
-#include <stdlib.h>
-#include <string.h>
-
-/* More than any team has. */
-static const double AMOUNT_MAX = 1e9;
-/* The largest values that are accepted: an hour, and more than any service or controller has. */
-static const double HOUR_S = 3600, RATE_MAX = 1e6, VALUE_KB_MAX = 1e6, OPERATIONS_MAX = 1e4;
-static const double CORES_MAX = 1024, MEMORY_MB_MAX = 1e9, SOCKETS_MAX = 1e7;
-
-/* Reads until the first fault, which it keeps. */
-struct reader {
-    const struct toml_doc *doc;
-    char *fault;
+#include "config/number_field.h"
+#include "config/toml_reader.h"
+
+#include <stddef.h>
+
+/* Bounds that only catch slips of the pen: an hour, and more than any platform, team or controller has. */
+#define HOUR_S 3600
+#define RATE_RPS_MAX 1e6
+#define VALUE_KB_MAX 1e6
+#define OPERATIONS_MAX 1e4
+#define CORES_MAX 1024
+#define MEMORY_MB_MAX 1e9
+#define SOCKETS_MAX 1e7
+#define TEAM_AMOUNT_MAX 1e9
+
+/* ---- single fields ---- */
+
+/* A string: how it is read, and the member that owns it. */
+struct text_field {
+    const char *path;
+    size_t offset;
+    char *(*read)(struct ow_toml_reader *reader, const char *path);
+};
+
+static const struct text_field text_fields[] = {
+    {"host_name", offsetof(struct ow_settings, controller_name), ow_toml_read_text},
+    {"area", offsetof(struct ow_settings, zone), ow_toml_read_text},
+    {"front", offsetof(struct ow_settings, front), ow_toml_read_endpoint},
+    {"peer_listen", offsetof(struct ow_settings, peer_listen), ow_toml_read_endpoint},
+    {"services.cloud", offsetof(struct ow_settings, cloud_endpoint), ow_toml_read_endpoint},
+    {"services.state", offsetof(struct ow_settings, store_endpoint), ow_toml_read_endpoint},
+};
+
+#define SECONDS(path, member, least)                                                                         \
+    {                                                                                                        \
+        path, offsetof(struct ow_settings, member), OW_NUMBER_DOUBLE, least, HOUR_S                          \
+    }
+#define DOUBLE(path, member, least, most)                                                                    \
+    {                                                                                                        \
+        path, offsetof(struct ow_settings, member), OW_NUMBER_DOUBLE, least, most                            \
+    }
+#define UNSIGNED(path, member, least, most)                                                                  \
+    {                                                                                                        \
+        path, offsetof(struct ow_settings, member), OW_NUMBER_UNSIGNED, least, most                          \
+    }
+
+static const struct ow_number_field number_fields[] = {
+    SECONDS("params.workers.report_s", heartbeat_interval_s, 0.1),
+    SECONDS("params.workers.lease_s", lease_s, 1),
+    SECONDS("params.workers.gang_wait_s", gang_wait_s, 1),
+    SECONDS("params.workers.gang_peer_s", gang_peer_s, 0.1),
+    SECONDS("params.workers.cancel_s", cancel_s, 1),
+    DOUBLE("params.state.rps", store_rps, 1, RATE_RPS_MAX),
+    DOUBLE("params.state.write_rps", store_write_rps, 1, RATE_RPS_MAX),
+    DOUBLE("params.state.value_kb", value_kb, 1, VALUE_KB_MAX),
+    UNSIGNED("params.state.txn_ops", txn_ops, 1, OPERATIONS_MAX),
+    DOUBLE("params.cloud.rps", cloud_rps, 0.1, RATE_RPS_MAX),
+    SECONDS("params.cloud.list_lag_s", list_lag_s, 0),
+    DOUBLE("params.quota.core_share", core_share, 0.001, CORES_MAX),
+    DOUBLE("params.quota.memory_mb", memory_mb, 8, MEMORY_MB_MAX),
+    UNSIGNED("params.quota.sockets", sockets, 16, SOCKETS_MAX),
 };
 
-static void fail(struct reader *reader, const char *path, const char *what)
+/* Limits of the key-value store that will apply later. */
+static const struct ow_number_field next_limit_fields[] = {
+    DOUBLE("params.state.next.write_rps", next_write_rps, 1, RATE_RPS_MAX),
+    DOUBLE("params.state.next.value_kb", next_value_kb, 1, VALUE_KB_MAX),
+    UNSIGNED("params.state.next.txn_ops", next_txn_ops, 1, OPERATIONS_MAX),
+};
+
+#undef SECONDS
+#undef DOUBLE
+#undef UNSIGNED
+
+static void read_texts(struct ow_toml_reader *reader, struct ow_settings *settings)
 {
-    if (reader->fault == NULL)
-        reader->fault = g_strdup_printf("%s: %s", path, what);
+    for (size_t i = 0; i < G_N_ELEMENTS(text_fields); i++) {
+        const struct text_field *field = &text_fields[i];
+        G_STRUCT_MEMBER(char *, settings, field->offset) = field->read(reader, field->path);
+    }
 }
 
-static char *path_of(const char *array, size_t index, const char *field)
+static void read_number(struct ow_toml_reader *reader, const struct ow_number_field *field,
+                        struct ow_settings *settings)
 {
-    return g_strdup_printf("%s[%zu].%s", array, index, field);
+    double value = ow_toml_read_number(reader, field->name, field->least, field->most);
+    if (reader->error == NULL)
+        ow_number_field_store(field, settings, value);
 }
 
-static char *text(struct reader *reader, const char *path)
+static void read_numbers(struct ow_toml_reader *reader, struct ow_settings *settings)
 {
-    const char *value = toml_doc_string(reader->doc, path);
-    if (value == NULL)
-        fail(reader, path, toml_doc_kind(reader->doc, path) == TOML_NONE ? "is missing" : "is not a string");
-    else if (*value == '\0')
-        fail(reader, path, "is empty");
-    return g_strdup(value != NULL ? value : "");
+    for (size_t i = 0; i < G_N_ELEMENTS(number_fields); i++)
+        read_number(reader, &number_fields[i], settings);
 }
 
-static char *endpoint(struct reader *reader, const char *path)
+/* Where the file says nothing of the coming limits, those of now stay. */
+static void read_next_limits(struct ow_toml_reader *reader, struct ow_settings *settings)
 {
-    char *value = text(reader, path);
-    if (reader->fault == NULL && !ow_endpoint_is_valid(value))
-        fail(reader, path, "is not an address with a port");
-    return value;
+    settings->next_write_rps = settings->store_write_rps;
+    settings->next_value_kb = settings->value_kb;
+    settings->next_txn_ops = settings->txn_ops;
+    for (size_t i = 0; i < G_N_ELEMENTS(next_limit_fields); i++)
+        if (toml_doc_kind(reader->doc, next_limit_fields[i].name) != TOML_NONE)
+            read_number(reader, &next_limit_fields[i], settings);
 }
 
-static double number(struct reader *reader, const char *path, double least, double most)
+/* ---- lists ---- */
+
+static char *read_item_text(struct ow_toml_reader *reader, const char *array, size_t index, const char *field)
 {
-    double value = 0;
-    if (!toml_doc_number(reader->doc, path, &value))
-        fail(reader, path, toml_doc_kind(reader->doc, path) == TOML_NONE ? "is missing" : "is not a number");
-    else if (!isfinite(value) || value < least || value > most)
-        fail(reader, path, "is out of range");
-    return value;
+    g_autofree char *path = ow_toml_path(array, index, field);
+    return ow_toml_read_text(reader, path);
 }
 
-static char *text_in(struct reader *reader, const char *array, size_t index, const char *field)
+static char *read_item_endpoint(struct ow_toml_reader *reader, const char *array, size_t index,
+                                const char *field)
 {
-    char *path = path_of(array, index, field);
-    char *value = text(reader, path);
-    g_free(path);
-    return value;
+    g_autofree char *path = ow_toml_path(array, index, field);
+    return ow_toml_read_endpoint(reader, path);
 }
 
-static double number_in(struct reader *reader, const char *array, size_t index, const char *field)
+static double read_item_amount(struct ow_toml_reader *reader, const char *array, size_t index,
+                               const char *field)
 {
-    char *path = path_of(array, index, field);
-    double value = number(reader, path, 0, AMOUNT_MAX);
-    g_free(path);
-    return value;
+    g_autofree char *path = ow_toml_path(array, index, field);
+    return ow_toml_read_number(reader, path, 0, TEAM_AMOUNT_MAX);
 }
 
 static void peer_clear(void *item)
@@ -83,16 +137,17 @@
     g_free(peer->endpoint);
 }
 
-static GArray *read_peers(struct reader *reader)
+static GArray *read_peers(struct ow_toml_reader *reader)
 {
+    static const char array[] = "others";
     GArray *peers = g_array_new(FALSE, FALSE, sizeof(struct ow_peer_settings));
     g_array_set_clear_func(peers, peer_clear);
-    for (size_t i = 0; i < toml_doc_count(reader->doc, "others"); i++) {
-        char *path = path_of("others", i, "endpoint");
-        struct ow_peer_settings p = {text_in(reader, "others", i, "host_name"),
-                                     text_in(reader, "others", i, "area"), endpoint(reader, path)};
-        g_free(path);
-        g_array_append_val(peers, p);
+    for (size_t i = 0; i < toml_doc_count(reader->doc, array); i++) {
+        struct ow_peer_settings peer = {0};
+        peer.node = read_item_text(reader, array, i, "host_name");
+        peer.zone = read_item_text(reader, array, i, "area");
+        peer.endpoint = read_item_endpoint(reader, array, i, "endpoint");
+        g_array_append_val(peers, peer);
     }
     return peers;
 }
@@ -102,20 +157,22 @@
     g_free(((struct ow_team_settings *)item)->name);
 }
 
-static GArray *read_teams(struct reader *reader)
+static GArray *read_teams(struct ow_toml_reader *reader)
 {
-    const char *array = "params.teams";
+    static const char array[] = "params.teams";
     GArray *teams = g_array_new(FALSE, FALSE, sizeof(struct ow_team_settings));
     g_array_set_clear_func(teams, team_clear);
     for (size_t i = 0; i < toml_doc_count(reader->doc, array); i++) {
-        struct ow_team_settings t = {text_in(reader, array, i, "name"), number_in(reader, array, i, "cpus"),
-                                     number_in(reader, array, i, "cpus_max"),
-                                     number_in(reader, array, i, "gpus"),
-                                     number_in(reader, array, i, "gpus_max")};
-        g_array_append_val(teams, t);
+        struct ow_team_settings team = {0};
+        team.name = read_item_text(reader, array, i, "name");
+        team.cpus = read_item_amount(reader, array, i, "cpus");
+        team.cpus_max = read_item_amount(reader, array, i, "cpus_max");
+        team.gpus = read_item_amount(reader, array, i, "gpus");
+        team.gpus_max = read_item_amount(reader, array, i, "gpus_max");
+        g_array_append_val(teams, team);
     }
     if (teams->len == 0)
-        fail(reader, array, "is missing or empty");
+        ow_toml_reader_fail(reader, OW_CONFIG_ERROR_MISSING_FIELD, array, "is missing or empty");
     return teams;
 }
 
@@ -124,116 +181,80 @@
     g_free(((struct ow_slo *)item)->class_name);
 }
 
-static enum ow_slo_kind slo_kind(const char *word)
+static enum ow_slo_kind slo_kind_from(const char *word)
 {
     if (g_strcmp0(word, "wait") == 0)
         return OW_SLO_WAIT;
     return g_strcmp0(word, "finished") == 0 ? OW_SLO_FINISHED : OW_SLO_OTHER;
 }
 
-/* Objectives only guide; one that is not understood is passed over. */
-static GArray *read_slos(struct reader *reader)
+/* Reads one SLO; false if it lacks its class or time, or is of a kind that is not known. */
+static bool read_slo(const struct toml_doc *doc, const char *array, size_t index, struct ow_slo *slo)
+{
+    g_autofree char *kind = ow_toml_path(array, index, "kind");
+    g_autofree char *class_name = ow_toml_path(array, index, "class");
+    g_autofree char *within = ow_toml_path(array, index, "within_s");
+    g_autofree char *share = ow_toml_path(array, index, "share");
+    *slo = (struct ow_slo){.kind = slo_kind_from(toml_doc_string(doc, kind)),
+                           .class_name = g_strdup(toml_doc_string(doc, class_name))};
+    toml_doc_number(doc, share, &slo->share);
+    return slo->class_name != NULL && toml_doc_number(doc, within, &slo->within_s) &&
+           slo->kind != OW_SLO_OTHER;
+}
+
+/* SLOs guide decisions and bind nothing, so one that is not understood is ignored and is no error. */
+static GArray *read_slos(const struct toml_doc *doc)
 {
-    const char *array = "params.objectives";
+    static const char array[] = "params.objectives";
     GArray *slos = g_array_new(FALSE, TRUE, sizeof(struct ow_slo));
     g_array_set_clear_func(slos, slo_clear);
-    for (size_t i = 0; i < toml_doc_count(reader->doc, array); i++) {
-        struct ow_slo o = {0};
-        char *kind = path_of(array, i, "kind"), *name = path_of(array, i, "class");
-        char *within = path_of(array, i, "within_s"), *share = path_of(array, i, "share");
-        o.kind = slo_kind(toml_doc_string(reader->doc, kind));
-        o.class_name = g_strdup(toml_doc_string(reader->doc, name));
-        toml_doc_number(reader->doc, share, &o.share);
-        if (o.class_name != NULL && toml_doc_number(reader->doc, within, &o.within_s) &&
-            o.kind != OW_SLO_OTHER)
-            g_array_append_val(slos, o);
+    for (size_t i = 0; i < toml_doc_count(doc, array); i++) {
+        struct ow_slo slo;
+        if (read_slo(doc, array, i, &slo))
+            g_array_append_val(slos, slo);
         else
-            g_free(o.class_name);
-        g_free(kind);
-        g_free(name);
-        g_free(within);
-        g_free(share);
+            slo_clear(&slo);
     }
     return slos;
 }
 
-static char **read_zones(struct reader *reader)
+static char **read_zones(struct ow_toml_reader *reader)
 {
-    size_t count = toml_doc_count(reader->doc, "params.zones");
+    static const char array[] = "params.zones";
+    size_t count = toml_doc_count(reader->doc, array);
     char **zones = g_new0(char *, count + 1);
     for (size_t i = 0; i < count; i++) {
-        char *path = g_strdup_printf("params.zones[%zu]", i);
-        zones[i] = text(reader, path);
-        g_free(path);
+        g_autofree char *path = g_strdup_printf("%s[%zu]", array, i);
+        zones[i] = ow_toml_read_text(reader, path);
     }
     if (count == 0)
-        fail(reader, "params.zones", "is missing or empty");
+        ow_toml_reader_fail(reader, OW_CONFIG_ERROR_MISSING_FIELD, array, "is missing or empty");
     return zones;
 }
 
-static double number_or(struct reader *reader, const char *path, double least, double most, double otherwise)
-{
-    return toml_doc_kind(reader->doc, path) == TOML_NONE ? otherwise : number(reader, path, least, most);
-}
-
-/* Limits of the key-value store that will apply later; those of now where nothing is said. */
-static void read_coming_limits(struct reader *reader, struct ow_settings *settings)
-{
-    settings->next_write_rps =
-        number_or(reader, "params.state.next.write_rps", 1, RATE_MAX, settings->store_write_rps);
-    settings->next_value_kb =
-        number_or(reader, "params.state.next.value_kb", 1, VALUE_KB_MAX, settings->value_kb);
-    settings->next_txn_ops =
-        (unsigned)number_or(reader, "params.state.next.txn_ops", 1, OPERATIONS_MAX, settings->txn_ops);
-}
-
-static void read_bounds(struct reader *reader, struct ow_settings *settings)
-{
-    settings->heartbeat_interval_s = number(reader, "params.workers.report_s", 0.1, HOUR_S);
-    settings->lease_s = number(reader, "params.workers.lease_s", 1, HOUR_S);
-    settings->gang_wait_s = number(reader, "params.workers.gang_wait_s", 1, HOUR_S);
-    settings->gang_peer_s = number(reader, "params.workers.gang_peer_s", 0.1, HOUR_S);
-    settings->cancel_s = number(reader, "params.workers.cancel_s", 1, HOUR_S);
-    settings->store_rps = number(reader, "params.state.rps", 1, RATE_MAX);
-    settings->store_write_rps = number(reader, "params.state.write_rps", 1, RATE_MAX);
-    settings->value_kb = number(reader, "params.state.value_kb", 1, VALUE_KB_MAX);
-    settings->txn_ops = (unsigned)number(reader, "params.state.txn_ops", 1, OPERATIONS_MAX);
-    settings->cloud_rps = number(reader, "params.cloud.rps", 0.1, RATE_MAX);
-    settings->list_lag_s = number(reader, "params.cloud.list_lag_s", 0, HOUR_S);
-    settings->core_share = number(reader, "params.quota.core_share", 0.001, CORES_MAX);
-    settings->memory_mb = number(reader, "params.quota.memory_mb", 8, MEMORY_MB_MAX);
-    settings->sockets = (unsigned)number(reader, "params.quota.sockets", 16, SOCKETS_MAX);
-}
+/* ---- the file ---- */
 
-struct ow_settings *ow_settings_load(const char *path, char **fault)
+struct ow_settings *ow_settings_load(const char *path, GError **error)
 {
-    char *unread = NULL;
-    struct toml_doc *doc = toml_doc_load(path, &unread);
+    g_autoptr(toml_doc) doc = toml_doc_load(path, error);
     if (doc == NULL) {
-        *fault = g_strdup_printf("%s: %s", path, unread);
-        free(unread);
+        g_prefix_error(error, "%s: ", path);
         return NULL;
     }
-    struct reader reader = {doc, NULL};
-    struct ow_settings *settings = g_new0(struct ow_settings, 1);
-    settings->controller_name = text(&reader, "host_name");
-    settings->zone = text(&reader, "area");
-    settings->front = endpoint(&reader, "front");
-    settings->peer_listen = endpoint(&reader, "peer_listen");
-    settings->cloud_endpoint = endpoint(&reader, "services.cloud");
-    settings->store_endpoint = endpoint(&reader, "services.state");
+    struct ow_toml_reader reader = {.doc = doc};
+    g_autoptr(ow_settings) settings = g_new0(struct ow_settings, 1);
+    read_texts(&reader, settings);
     settings->peers = read_peers(&reader);
     settings->teams = read_teams(&reader);
-    settings->slos = read_slos(&reader);
+    settings->slos = read_slos(doc);
     settings->zones = read_zones(&reader);
-    read_bounds(&reader, settings);
-    read_coming_limits(&reader, settings);
-    toml_doc_free(doc);
-    if (reader.fault == NULL)
-        return settings;
-    *fault = reader.fault;
-    ow_settings_free(settings);
-    return NULL;
+    read_numbers(&reader, settings);
+    read_next_limits(&reader, settings);
+    if (reader.error != NULL) {
+        g_propagate_error(error, reader.error);
+        return NULL;
+    }
+    return g_steal_pointer(&settings);
 }
 
 void ow_settings_free(struct ow_settings *settings)
--- a/src/config/sharding_file.c
+++ b/src/config/sharding_file.c
@@ -1,115 +1,113 @@
 #include "config/sharding_file.h"
 
+#include "config/causes.h"
+#include "config/number_field.h"
 #include "model/submission.h"
 
-#include <math.h>
 #include <stddef.h>
 #include <string.h>
 
-/* A numeric attribute of <control>, and its range. */
-struct value {
-    const char *attribute;
-    size_t offset;
-    bool whole; /* unsigned; else double */
-    double least, most;
+/* The numeric attributes of <control>. */
+static const struct ow_number_field control_fields[] = {
+    {"heartbeat_s", offsetof(struct ow_sharding_settings, heartbeat_s), OW_NUMBER_DOUBLE, 0.05, 60},
+    {"suspicion_phi", offsetof(struct ow_sharding_settings, suspicion_phi), OW_NUMBER_DOUBLE, 1, 100},
+    {"probe_timeout_s", offsetof(struct ow_sharding_settings, probe_timeout_s), OW_NUMBER_DOUBLE, 0.05, 60},
+    {"relays", offsetof(struct ow_sharding_settings, relays), OW_NUMBER_UNSIGNED, 0, 100},
+    {"candidacy_step_s", offsetof(struct ow_sharding_settings, candidacy_step_s), OW_NUMBER_DOUBLE, 0, 60},
 };
 
-static const struct value values[] = {
-    {"heartbeat_s", offsetof(struct ow_sharding_settings, heartbeat_s), false, 0.05, 60},
-    {"suspicion_phi", offsetof(struct ow_sharding_settings, suspicion_phi), false, 1, 100},
-    {"probe_timeout_s", offsetof(struct ow_sharding_settings, probe_timeout_s), false, 0.05, 60},
-    {"relays", offsetof(struct ow_sharding_settings, relays), true, 0, 100},
-    {"candidacy_step_s", offsetof(struct ow_sharding_settings, candidacy_step_s), false, 0, 60},
-};
+/* The attribute `share` of a shard or an allotment, stored in a double. */
+static const struct ow_number_field share_field = {"share", 0, OW_NUMBER_DOUBLE, 0, 1};
+
+enum presence { OPTIONAL, REQUIRED };
 
-/* A textual attribute that is read into `text` or, split at blanks, into `words`. */
-struct field {
+/* A textual attribute: it is read into `text` or, split at blanks, into `words`; the other is NULL. */
+struct text_field {
     const char *attribute;
     char **text;
     char ***words;
-    bool required;
+    enum presence presence;
 };
 
-bool ow_sharding_file_knows(const char *element)
+/* The attributes of one kind of element. */
+struct element_fields {
+    const char *element;
+    const struct text_field *texts; /* ended by an empty one */
+    double *share;                  /* where the attribute `share` goes, which is then required; or NULL */
+};
+
+bool ow_sharding_file_is_own_element(const char *element)
 {
     static const char *const elements[] = {"control", "shard", "allotment", "route", NULL};
     return g_strv_contains(elements, element);
 }
 
-static char *read_number(const char *attribute, const char *text, double least, double most, double *number)
-{
-    char *end = NULL;
-    *number = g_ascii_strtod(text, &end);
-    if (end == text || *end != '\0' || !isfinite(*number))
-        return g_strdup_printf("%s: is not a number", attribute);
-    if (*number < least || *number > most)
-        return g_strdup_printf("%s: must be a number from %g to %g", attribute, least, most);
-    return NULL;
-}
+/* ---- values ---- */
 
-static char *take_value(struct ow_sharding_settings *sharding, const struct value *value, const char *text)
+/* Sets the error and returns false, so that a reader can end with it. */
+static bool fail(GError **error, enum ow_config_error code, const char *name, const char *reason)
 {
-    double number = 0;
-    char *fault = read_number(value->attribute, text, value->least, value->most, &number);
-    if (fault != NULL)
-        return fault;
-    if (value->whole && number != floor(number))
-        return g_strdup_printf("%s: must be a whole number", value->attribute);
-    if (value->whole)
-        *(unsigned *)((char *)sharding + value->offset) = (unsigned)number;
-    else
-        *(double *)((char *)sharding + value->offset) = number;
-    return NULL;
+    g_set_error(error, OW_CONFIG_ERROR, (gint)code, "%s: %s", name, reason);
+    return false;
 }
 
-static char *take_sharding(struct ow_sharding_settings *sharding, const char **attributes, unsigned long line)
+static bool read_number(const struct ow_number_field *field, const char *text, void *base, GError **error)
 {
-    if (sharding->enabled)
-        return g_strdup("control: is there twice");
-    sharding->enabled = true;
-    sharding->line = line;
-    for (; *attributes != NULL; attributes += 2) {
-        const struct value *value = NULL;
-        for (size_t i = 0; i < G_N_ELEMENTS(values); i++)
-            if (strcmp(values[i].attribute, attributes[0]) == 0)
-                value = &values[i];
-        if (value == NULL)
-            return g_strdup_printf("%s: is not known in control", attributes[0]);
-        char *fault = take_value(sharding, value, attributes[1]);
-        if (fault != NULL)
-            return fault;
+    double value = 0;
+    if (!ow_number_parse(text, &value))
+        return fail(error, OW_CONFIG_ERROR_MALFORMED_VALUE, field->name, "is not a number");
+    if (!ow_number_field_is_in_range(field, value)) {
+        g_set_error(error, OW_CONFIG_ERROR, OW_CONFIG_ERROR_OUT_OF_RANGE,
+                    "%s: must be a number from %g to %g", field->name, field->least, field->most);
+        return false;
     }
-    return NULL;
+    if (field->type == OW_NUMBER_UNSIGNED && !ow_number_is_whole(value))
+        return fail(error, OW_CONFIG_ERROR_OUT_OF_RANGE, field->name, "must be a whole number");
+    ow_number_field_store(field, base, value);
+    return true;
 }
 
-/* The words of the text, NULL if there are none. */
-static char **split(const char *text)
+/* The words of the text (g_strfreev); NULL if there are none. */
+static char **split_words(const char *text)
 {
-    GPtrArray *words = g_ptr_array_new();
-    char **parts = g_strsplit_set(text, " \t\r\n", -1);
-    for (char **part = parts; *part != NULL; part++)
-        if (**part != '\0')
-            g_ptr_array_add(words, g_strdup(*part));
-    g_strfreev(parts);
-    bool empty = words->len == 0;
-    g_ptr_array_add(words, NULL);
-    char **list = (char **)g_ptr_array_free(words, empty);
-    return empty ? NULL : list;
+    g_auto(GStrv) parts = g_strsplit_set(text, " \t\r\n", -1);
+    g_autoptr(GStrvBuilder) words = g_strv_builder_new();
+    bool is_empty = true;
+    for (char **part = parts; *part != NULL; part++) {
+        if (**part == '\0')
+            continue;
+        g_strv_builder_add(words, *part);
+        is_empty = false;
+    }
+    return is_empty ? NULL : g_strv_builder_end(words);
 }
 
-static char *take_field(const struct field *field, const char *text)
+static bool read_text(const struct text_field *field, const char *text, GError **error)
 {
     if (field->words != NULL) {
-        *field->words = split(text);
-        return *field->words != NULL ? NULL : g_strdup_printf("%s: is empty", field->attribute);
+        *field->words = split_words(text);
+        return *field->words != NULL ||
+               fail(error, OW_CONFIG_ERROR_MISSING_FIELD, field->attribute, "is empty");
+    }
+    if (*text == '\0' || strlen(text) > OW_NAME_MAX) {
+        g_set_error(error, OW_CONFIG_ERROR, OW_CONFIG_ERROR_OUT_OF_RANGE, "%s: must have 1 to %d bytes",
+                    field->attribute, OW_NAME_MAX);
+        return false;
     }
-    if (*text == '\0' || strlen(text) > OW_NAME_MAX)
-        return g_strdup_printf("%s: must have 1 to %d bytes", field->attribute, OW_NAME_MAX);
     *field->text = g_strdup(text);
-    return NULL;
+    return true;
+}
+
+/* ---- the attributes of an element ---- */
+
+static bool fail_unknown(GError **error, const char *attribute, const char *element)
+{
+    g_set_error(error, OW_CONFIG_ERROR, OW_CONFIG_ERROR_UNKNOWN_NAME, "%s: is not known in %s", attribute,
+                element);
+    return false;
 }
 
-static const struct field *find_field(const struct field *fields, const char *attribute)
+static const struct text_field *find_text_field(const struct text_field *fields, const char *attribute)
 {
     for (; fields->attribute != NULL; fields++)
         if (strcmp(fields->attribute, attribute) == 0)
@@ -117,96 +115,136 @@
     return NULL;
 }
 
-/* Whether the element names this attribute. */
-static bool is_given(const char **attributes, const char *name)
+/* Whether the attribute is given; if not, sets the error. */
+static bool require(const char *element, const char **attributes, const char *name, GError **error)
 {
     for (; *attributes != NULL; attributes += 2)
         if (strcmp(attributes[0], name) == 0)
             return true;
+    g_set_error(error, OW_CONFIG_ERROR, OW_CONFIG_ERROR_MISSING_FIELD, "%s: %s is missing", element, name);
     return false;
 }
 
-/* Reads the textual attributes, and the number `share` where there is one. */
-static char *take_fields(const char *element, const struct field *fields, double *share,
-                         const char **attributes)
+static bool require_all(const struct element_fields *fields, const char **attributes, GError **error)
+{
+    for (const struct text_field *field = fields->texts; field->attribute != NULL; field++)
+        if (field->presence == REQUIRED && !require(fields->element, attributes, field->attribute, error))
+            return false;
+    return fields->share == NULL || require(fields->element, attributes, share_field.name, error);
+}
+
+static bool read_attribute(const struct element_fields *fields, const char *name, const char *text,
+                           GError **error)
+{
+    if (fields->share != NULL && strcmp(name, share_field.name) == 0)
+        return read_number(&share_field, text, fields->share, error);
+    const struct text_field *field = find_text_field(fields->texts, name);
+    if (field == NULL)
+        return fail_unknown(error, name, fields->element);
+    return read_text(field, text, error);
+}
+
+static bool read_attributes(const struct element_fields *fields, const char **attributes, GError **error)
+{
+    if (!require_all(fields, attributes, error))
+        return false;
+    for (; *attributes != NULL; attributes += 2)
+        if (!read_attribute(fields, attributes[0], attributes[1], error))
+            return false;
+    return true;
+}
+
+/* ---- the elements ---- */
+
+static const struct ow_number_field *find_control_field(const char *attribute)
+{
+    for (size_t i = 0; i < G_N_ELEMENTS(control_fields); i++)
+        if (strcmp(control_fields[i].name, attribute) == 0)
+            return &control_fields[i];
+    return NULL;
+}
+
+static bool read_control(struct ow_sharding_settings *sharding, const char **attributes, unsigned long line,
+                         GError **error)
 {
-    for (const struct field *field = fields; field->attribute != NULL; field++)
-        if (field->required && !is_given(attributes, field->attribute))
-            return g_strdup_printf("%s: %s is missing", element, field->attribute);
-    if (share != NULL && !is_given(attributes, "share"))
-        return g_strdup_printf("%s: share is missing", element);
+    if (sharding->enabled)
+        return fail(error, OW_CONFIG_ERROR_INCONSISTENT, "control", "is there twice");
+    sharding->enabled = true;
+    sharding->line = line;
     for (; *attributes != NULL; attributes += 2) {
-        const struct field *field = find_field(fields, attributes[0]);
-        char *fault = NULL;
-        if (share != NULL && strcmp(attributes[0], "share") == 0)
-            fault = read_number("share", attributes[1], 0, 1, share);
-        else if (field == NULL)
-            fault = g_strdup_printf("%s: is not known in %s", attributes[0], element);
-        else
-            fault = take_field(field, attributes[1]);
-        if (fault != NULL)
-            return fault;
+        const struct ow_number_field *field = find_control_field(attributes[0]);
+        if (field == NULL)
+            return fail_unknown(error, attributes[0], "control");
+        if (!read_number(field, attributes[1], sharding, error))
+            return false;
     }
-    return NULL;
+    return true;
 }
 
-/* Keys of the key-value store may hold neither blanks nor, for us, a slash. */
-static char *check_name(const char *name)
+/* The name becomes a part of keys in the key-value store, where a slash separates and blanks are refused. */
+static bool check_shard_name(const char *name, GError **error)
 {
-    for (const char *at = name; at != NULL && *at != '\0'; at++)
-        if (!g_ascii_isalnum(*at) && *at != '-' && *at != '_')
-            return g_strdup_printf("shard: name \"%s\" has other characters than letters, digits, - and _",
-                                   name);
-    return NULL;
+    for (const char *at = name; *at != '\0'; at++) {
+        if (g_ascii_isalnum(*at) || *at == '-' || *at == '_')
+            continue;
+        g_set_error(error, OW_CONFIG_ERROR, OW_CONFIG_ERROR_MALFORMED_VALUE,
+                    "shard: name \"%s\" has other characters than letters, digits, - and _", name);
+        return false;
+    }
+    return true;
 }
 
-static char *take_shard(struct ow_sharding_settings *sharding, const char **attributes, unsigned long line)
+static bool read_shard(struct ow_sharding_settings *sharding, const char **attributes, unsigned long line,
+                       GError **error)
 {
     struct ow_shard_settings *shard = g_new0(struct ow_shard_settings, 1);
-    const struct field fields[] = {{"name", &shard->name, NULL, true},
-                                   {"zones", NULL, &shard->zones, true},
-                                   {"types", NULL, &shard->types, false},
-                                   {0}};
+    const struct text_field texts[] = {{"name", &shard->name, NULL, REQUIRED},
+                                       {"zones", NULL, &shard->zones, REQUIRED},
+                                       {"types", NULL, &shard->types, OPTIONAL},
+                                       {0}};
+    const struct element_fields fields = {.element = "shard", .texts = texts, .share = &shard->share};
     shard->line = line;
     g_ptr_array_add(sharding->shards, shard);
-    char *fault = take_fields("shard", fields, &shard->share, attributes);
-    return fault != NULL ? fault : check_name(shard->name);
+    return read_attributes(&fields, attributes, error) && check_shard_name(shard->name, error);
 }
 
-static char *take_allotment(struct ow_sharding_settings *sharding, const char **attributes,
-                            unsigned long line)
+static bool read_allotment(struct ow_sharding_settings *sharding, const char **attributes, unsigned long line,
+                           GError **error)
 {
     struct ow_allotment *allotment = g_new0(struct ow_allotment, 1);
-    const struct field fields[] = {
-        {"team", &allotment->team, NULL, true}, {"shard", &allotment->shard, NULL, true}, {0}};
+    const struct text_field texts[] = {
+        {"team", &allotment->team, NULL, REQUIRED}, {"shard", &allotment->shard, NULL, REQUIRED}, {0}};
+    const struct element_fields fields = {.element = "allotment", .texts = texts, .share = &allotment->share};
     allotment->line = line;
     g_ptr_array_add(sharding->allotments, allotment);
-    return take_fields("allotment", fields, &allotment->share, attributes);
+    return read_attributes(&fields, attributes, error);
 }
 
-static char *take_route(struct ow_sharding_settings *sharding, const char **attributes, unsigned long line)
+static bool read_route(struct ow_sharding_settings *sharding, const char **attributes, unsigned long line,
+                       GError **error)
 {
     struct ow_route *route = g_new0(struct ow_route, 1);
-    const struct field fields[] = {{"class", &route->class_name, NULL, false},
-                                   {"team", &route->team, NULL, false},
-                                   {"zone", &route->zone, NULL, false},
-                                   {"shards", NULL, &route->shards, true},
-                                   {0}};
+    const struct text_field texts[] = {{"class", &route->class_name, NULL, OPTIONAL},
+                                       {"team", &route->team, NULL, OPTIONAL},
+                                       {"zone", &route->zone, NULL, OPTIONAL},
+                                       {"shards", NULL, &route->shards, REQUIRED},
+                                       {0}};
+    const struct element_fields fields = {.element = "route", .texts = texts};
     route->line = line;
     g_ptr_array_add(sharding->routes, route);
-    return take_fields("route", fields, NULL, attributes);
+    return read_attributes(&fields, attributes, error);
 }
 
-char *ow_sharding_file_take(struct ow_sharding_settings *sharding, const char *element,
-                            const char **attributes, unsigned long line)
+bool ow_sharding_file_read_element(struct ow_sharding_settings *sharding, const char *element,
+                                   const char **attributes, unsigned long line, GError **error)
 {
     if (strcmp(element, "control") == 0)
-        return take_sharding(sharding, attributes, line);
+        return read_control(sharding, attributes, line, error);
     if (!sharding->enabled)
-        return g_strdup_printf("%s: belongs inside control", element);
+        return fail(error, OW_CONFIG_ERROR_INCONSISTENT, element, "belongs inside control");
     if (strcmp(element, "shard") == 0)
-        return take_shard(sharding, attributes, line);
+        return read_shard(sharding, attributes, line, error);
     if (strcmp(element, "allotment") == 0)
-        return take_allotment(sharding, attributes, line);
-    return take_route(sharding, attributes, line);
+        return read_allotment(sharding, attributes, line, error);
+    return read_route(sharding, attributes, line, error);
 }
--- a/src/config/toml_doc.cpp
+++ b/src/config/toml_doc.cpp
@@ -1,8 +1,7 @@
 #include "config/toml_doc.h"
 
-#include <cstdlib>
-#include <cstring>
-#include <sstream>
+#include "config/causes.h"
+
 #include <string>
 
 #define TOML_EXCEPTIONS 1
@@ -12,18 +11,25 @@
     toml::table table;
 };
 
+/* The library gives a line to every error of syntax, and none where the file could not be opened. */
+static void set_error(GError **error, const toml::parse_error &cause)
+{
+    const std::string text(cause.description());
+    const unsigned line = cause.source().begin.line;
+    if (line > 0)
+        g_set_error(error, OW_CONFIG_ERROR, OW_CONFIG_ERROR_SYNTAX, "%s (line %u)", text.c_str(), line);
+    else
+        g_set_error_literal(error, OW_CONFIG_ERROR, OW_CONFIG_ERROR_UNREADABLE, text.c_str());
+}
+
 extern "C" {
 
-struct toml_doc *toml_doc_load(const char *path, char **fault)
+struct toml_doc *toml_doc_load(const char *path, GError **error)
 {
     try {
         return new toml_doc{toml::parse_file(path)};
-    } catch (const toml::parse_error &error) {
-        std::ostringstream text;
-        text << error.description();
-        if (error.source().begin.line > 0)
-            text << " (line " << error.source().begin.line << ")";
-        *fault = strdup(text.str().c_str());
+    } catch (const toml::parse_error &cause) {
+        set_error(error, cause);
         return nullptr;
     }
 }
--- a/src/main.c
+++ b/src/main.c
@@ -1,5 +1,5 @@
-/* The program: a controller, a check of its settings, or a client command. */
-#include "config/cmdline.h"
+/* The controller's program: it serves, checks its settings, or sends a client's command. */
+#include "config/command_line.h"
 #include "config/operators_file.h"
 #include "config/settings_file.h"
 #include "io/client.h"
@@ -12,15 +12,8 @@
 #include <stdio.h>
 #include <stdlib.h>
 
-enum { STATUS_DONE = 0, STATUS_FAILED = 1 };
-
-/* Says what is wrong with the file, and frees the fault. */
-static int print_error(const char *file, char *fault)
-{
-    fprintf(stderr, "ospreywell: %s: %s\n", file, fault);
-    g_free(fault);
-    return STATUS_FAILED;
-}
+/* Exit statuses. */
+enum { STATUS_DONE = 0, STATUS_FAILED = 1, STATUS_USAGE = 2 };
 
 /* Everything that the settings files say. */
 struct configuration {
@@ -29,8 +22,15 @@
     struct ow_sharding_settings *sharding;
 };
 
+/* Says on standard error what is wrong with the file. */
+static int print_file_error(const char *path, const char *message)
+{
+    fprintf(stderr, "ospreywell: %s: %s\n", path, message);
+    return STATUS_FAILED;
+}
+
 /* Serves as a controller; returns only if it can't begin. */
-static int serve(const struct ow_cmdline *cmdline, const struct configuration *configuration)
+static int serve(const struct ow_command_line *command_line, const struct configuration *configuration)
 {
     g_autoptr(GError) error = NULL;
     if (configuration->sharding->enabled)
@@ -39,62 +39,74 @@
     struct ow_daemon *daemon =
         ow_daemon_new(loop, configuration->settings, &configuration->tuning, configuration->sharding, &error);
     if (daemon == NULL)
-        return print_error(cmdline->config, g_strdup(error->message));
+        return print_file_error(command_line->config, error->message);
     ow_loop_run(loop, ow_daemon_round, daemon);
     return STATUS_DONE;
 }
 
-/* Reads the operators' settings and checks them against the platform's; what is wrong, or NULL. */
-static char *load_operators(const char *path, struct configuration *configuration)
+/* Reads the operators' settings, and checks them against the platform's. */
+static int load_operators(const char *path, struct configuration *configuration)
 {
-    char *fault = NULL;
     g_autoptr(GError) error = NULL;
-    if (!ow_operators_load(path, &configuration->tuning, configuration->sharding, &fault))
-        return fault;
-    if (ow_sharding_settings_check(configuration->sharding, configuration->settings, &configuration->tuning,
+    if (ow_operators_load(path, &configuration->tuning, configuration->sharding, &error) &&
+        ow_sharding_settings_check(configuration->sharding, configuration->settings, &configuration->tuning,
                                    &error))
-        return NULL;
-    return g_strdup(error->message);
+        return STATUS_DONE;
+    return print_file_error(path, error->message);
 }
 
-/* Checks the files, and serves unless only that is wanted. */
-static int run_configuration(const struct ow_cmdline *cmdline, struct configuration *configuration)
+/* Reads the operators' settings if there are any, and serves unless only a check is wanted. */
+static int run_configuration(const struct ow_command_line *command_line, struct configuration *configuration)
 {
-    char *fault = cmdline->operators != NULL ? load_operators(cmdline->operators, configuration) : NULL;
-    if (fault != NULL)
-        return print_error(cmdline->operators, fault);
-    if (cmdline->action != OW_ACTION_CHECK)
-        return serve(cmdline, configuration);
+    int status = STATUS_DONE;
+    if (command_line->operators != NULL)
+        status = load_operators(command_line->operators, configuration);
+    if (status != STATUS_DONE)
+        return status;
+    if (command_line->action != OW_ACTION_CHECK)
+        return serve(command_line, configuration);
     printf("the settings are in order\n");
     return STATUS_DONE;
 }
 
-/* Reads the settings, and serves unless only a check is wanted. */
-static int with_settings(const struct ow_cmdline *cmdline)
+/* Reads the platform's settings, and goes on with them. */
+static int load_and_run(const struct ow_command_line *command_line)
 {
-    char *fault = NULL;
-    struct configuration configuration = {.settings = ow_settings_load(cmdline->config, &fault),
-                                          .tuning = ow_tuning_default()};
-    if (configuration.settings == NULL)
-        return print_error(cmdline->config, fault);
-    configuration.sharding = ow_sharding_settings_new();
-    int status = run_configuration(cmdline, &configuration);
+    g_autoptr(GError) error = NULL;
+    g_autoptr(ow_settings) settings = ow_settings_load(command_line->config, &error);
+    if (settings == NULL)
+        return print_file_error(command_line->config, error->message);
+    struct configuration configuration = {
+        .settings = settings, .tuning = ow_tuning_default(), .sharding = ow_sharding_settings_new()};
+    int status = run_configuration(command_line, &configuration);
     ow_sharding_settings_free(configuration.sharding);
-    ow_settings_free(configuration.settings);
     return status;
 }
 
+static int run(const struct ow_command_line *command_line)
+{
+    switch (command_line->action) {
+    case OW_ACTION_VERSION:
+        printf("ospreywell %s\n", OW_VERSION);
+        return STATUS_DONE;
+    case OW_ACTION_CLIENT:
+        return ow_client_run(command_line->server, command_line->words);
+    case OW_ACTION_SERVE:
+    case OW_ACTION_CHECK:
+        break;
+    }
+    return load_and_run(command_line);
+}
+
 int main(int argc, char **argv)
 {
-    struct ow_cmdline cmdline;
-    int status = ow_cmdline_parse(argc, argv, &cmdline);
+    struct ow_command_line command_line;
+    g_autoptr(GError) error = NULL;
+    bool is_parsed = ow_command_line_parse(argc, argv, &command_line, &error);
+    if (!is_parsed)
+        fprintf(stderr, "ospreywell: %s\n", error->message);
     ow_log_setup(getenv("LOG_LEVEL"));
-    if (status == STATUS_DONE && cmdline.action == OW_ACTION_VERSION)
-        printf("ospreywell %s\n", OW_VERSION);
-    else if (status == STATUS_DONE && cmdline.action == OW_ACTION_CLIENT)
-        status = ow_client_run(cmdline.server, cmdline.words);
-    else if (status == STATUS_DONE)
-        status = with_settings(&cmdline);
-    ow_cmdline_clear(&cmdline);
+    int status = is_parsed ? run(&command_line) : STATUS_USAGE;
+    ow_command_line_clear(&command_line);
     return status;
 }
--- a/tests/test_settings.c
+++ b/tests/test_settings.c
@@ -1,5 +1,6 @@
 /* Settings and the operators' file: each error names the faulty entry. */
 #include "check.h"
+#include "config/causes.h"
 #include "config/operators_file.h"
 #include "config/settings_file.h"
 
@@ -31,10 +32,10 @@
     return path;
 }
 
-static struct ow_settings *load(const char *text, char **fault)
+static struct ow_settings *load(const char *text, GError **error)
 {
     char *path = write_file(text);
-    struct ow_settings *settings = ow_settings_load(path, fault);
+    struct ow_settings *settings = ow_settings_load(path, error);
     g_unlink(path);
     g_free(path);
     return settings;
@@ -43,8 +44,9 @@
 static void test_good_settings(void **state)
 {
     (void)state;
-    char *fault = NULL;
-    struct ow_settings *settings = load(good, &fault);
+    GError *error = NULL;
+    struct ow_settings *settings = load(good, &error);
+    assert_null(error);
     assert_non_null(settings);
     assert_string_equal(settings->controller_name, "n-0");
     assert_int_equal(settings->peers->len, 1);
@@ -56,20 +58,36 @@
 
 struct change {
     const char *from, *to, *named;
+    enum ow_config_error code;
 };
 
+/* Whether the error is the expected one; frees it. */
+static void expect_error(GError *error, const struct change *change)
+{
+    if (!g_error_matches(error, OW_CONFIG_ERROR, (gint)change->code) ||
+        strstr(error->message, change->named) == NULL)
+        fail_msg("expected \"%s\" (%d), got \"%s\" (%d)", change->named, (int)change->code, error->message,
+                 error->code);
+    g_error_free(error);
+}
+
 static const struct change faults[] = {
-    {"host_name = \"n-0\"", "", "host_name: is missing"},
-    {"host_name = \"n-0\"", "host_name = 4", "host_name: is not a string"},
-    {"front = \"10.0.0.1:8080\"", "front = \"nowhere\"", "front: is not an address"},
-    {"endpoint = \"10.0.0.2:8081\"", "", "others[0].endpoint: is missing"},
-    {"lease_s = 20.0", "", "params.workers.lease_s: is missing"},
-    {"lease_s = 20.0", "lease_s = \"x\"", "params.workers.lease_s: is not a number"},
-    {"lease_s = 20.0", "lease_s = -1.0", "params.workers.lease_s: is out of range"},
-    {"txn_ops = 8", "txn_ops = 0", "params.state.txn_ops: is out of range"},
-    {"cpus_max = 4", "cpus_max = -4", "params.teams[0].cpus_max: is out of range"},
-    {"zones = [\"a\", \"b\"]", "zones = []", "params.zones: is missing or empty"},
-    {"[services]", "[services", "(line"},
+    {"host_name = \"n-0\"", "", "host_name: is missing", OW_CONFIG_ERROR_MISSING_FIELD},
+    {"host_name = \"n-0\"", "host_name = 4", "host_name: is not a string", OW_CONFIG_ERROR_MALFORMED_VALUE},
+    {"front = \"10.0.0.1:8080\"", "front = \"nowhere\"", "front: is not an address",
+     OW_CONFIG_ERROR_MALFORMED_VALUE},
+    {"endpoint = \"10.0.0.2:8081\"", "", "others[0].endpoint: is missing", OW_CONFIG_ERROR_MISSING_FIELD},
+    {"lease_s = 20.0", "", "params.workers.lease_s: is missing", OW_CONFIG_ERROR_MISSING_FIELD},
+    {"lease_s = 20.0", "lease_s = \"x\"", "params.workers.lease_s: is not a number",
+     OW_CONFIG_ERROR_MALFORMED_VALUE},
+    {"lease_s = 20.0", "lease_s = -1.0", "params.workers.lease_s: is out of range",
+     OW_CONFIG_ERROR_OUT_OF_RANGE},
+    {"txn_ops = 8", "txn_ops = 0", "params.state.txn_ops: is out of range", OW_CONFIG_ERROR_OUT_OF_RANGE},
+    {"cpus_max = 4", "cpus_max = -4", "params.teams[0].cpus_max: is out of range",
+     OW_CONFIG_ERROR_OUT_OF_RANGE},
+    {"zones = [\"a\", \"b\"]", "zones = []", "params.zones: is missing or empty",
+     OW_CONFIG_ERROR_MISSING_FIELD},
+    {"[services]", "[services", "(line", OW_CONFIG_ERROR_SYNTAX},
 };
 
 static void test_faults_are_named(void **state)
@@ -77,21 +95,20 @@
     (void)state;
     for (size_t i = 0; i < G_N_ELEMENTS(faults); i++) {
         char **parts = g_strsplit(good, faults[i].from, 2);
-        char *text = g_strjoinv(faults[i].to, parts), *fault = NULL;
-        assert_null(load(text, &fault));
-        if (strstr(fault, faults[i].named) == NULL)
-            fail_msg("expected \"%s\", got \"%s\"", faults[i].named, fault);
-        g_free(fault);
+        char *text = g_strjoinv(faults[i].to, parts);
+        GError *error = NULL;
+        assert_null(load(text, &error));
+        expect_error(error, &faults[i]);
         g_free(text);
         g_strfreev(parts);
     }
 }
 
-static bool load_operators(const char *text, struct ow_tuning *tuning, char **fault)
+static bool load_operators(const char *text, struct ow_tuning *tuning, GError **error)
 {
     char *path = write_file(text);
     struct ow_sharding_settings *sharding = ow_sharding_settings_new();
-    bool ok = ow_operators_load(path, tuning, sharding, fault);
+    bool ok = ow_operators_load(path, tuning, sharding, error);
     ow_sharding_settings_free(sharding);
     g_unlink(path);
     g_free(path);
@@ -101,47 +118,49 @@
 static void test_operators(void **state)
 {
     (void)state;
-    char *fault = NULL;
+    GError *error = NULL;
     struct ow_tuning tuning = ow_tuning_default();
     assert_true(load_operators("<ospreywell>\n<reservation window_s='2.5' candidates='4'/></ospreywell>",
-                               &tuning, &fault));
+                               &tuning, &error));
+    assert_null(error);
     assert_true(tuning.window_s == 2.5 && tuning.candidates == 4 && tuning.hold_life_s == 10);
 }
 
 static const struct change operator_faults[] = {
     {"<ospreywell>\n<reservation window_s='9'/></ospreywell>", NULL,
-     "line 2: window_s: must be a number from 0 to 5"},
+     "line 2: window_s: must be a number from 0 to 5", OW_CONFIG_ERROR_OUT_OF_RANGE},
     {"<ospreywell>\n\n<reservation candidates='1.5'/></ospreywell>", NULL,
-     "line 3: candidates: must be a whole number"},
-    {"<ospreywell><election lease_s='soon'/></ospreywell>", NULL, "line 1: lease_s: is not a number"},
-    {"<other/>", NULL, "line 1: other: the root must be ospreywell"},
-    {"<ospreywell>", NULL, "line 1: no element found"},
-    {"<!DOCTYPE x [<!ENTITY a 'b'>]><ospreywell/>", NULL, "a document type is not accepted"},
+     "line 3: candidates: must be a whole number", OW_CONFIG_ERROR_OUT_OF_RANGE},
+    {"<ospreywell><election lease_s='soon'/></ospreywell>", NULL, "line 1: lease_s: is not a number",
+     OW_CONFIG_ERROR_MALFORMED_VALUE},
+    {"<other/>", NULL, "line 1: other: the root must be ospreywell", OW_CONFIG_ERROR_SYNTAX},
+    {"<ospreywell>", NULL, "line 1: no element found", OW_CONFIG_ERROR_SYNTAX},
+    {"<!DOCTYPE x [<!ENTITY a 'b'>]><ospreywell/>", NULL, "a document type is not accepted",
+     OW_CONFIG_ERROR_SYNTAX},
 };
 
 static void test_operators_faults_are_named(void **state)
 {
     (void)state;
     for (size_t i = 0; i < G_N_ELEMENTS(operator_faults); i++) {
-        char *fault = NULL;
+        GError *error = NULL;
         struct ow_tuning tuning = ow_tuning_default(), before = tuning;
-        assert_false(load_operators(operator_faults[i].from, &tuning, &fault));
-        if (strstr(fault, operator_faults[i].named) == NULL)
-            fail_msg("expected \"%s\", got \"%s\"", operator_faults[i].named, fault);
+        assert_false(load_operators(operator_faults[i].from, &tuning, &error));
+        expect_error(error, &operator_faults[i]);
         /* A file with an error changes nothing. */
         assert_memory_equal(&tuning, &before, sizeof tuning);
-        g_free(fault);
     }
 }
 
 static void test_the_sample_is_the_default(void **state)
 {
     (void)state;
-    char *fault = NULL;
+    GError *error = NULL;
     struct ow_tuning tuning, expected = ow_tuning_default();
     memset(&tuning, 0, sizeof tuning);
     struct ow_sharding_settings *sharding = ow_sharding_settings_new();
-    assert_true(ow_operators_load("deploy/operators.xml", &tuning, sharding, &fault));
+    assert_true(ow_operators_load("deploy/operators.xml", &tuning, sharding, &error));
+    assert_null(error);
     assert_false(sharding->enabled);
     ow_sharding_settings_free(sharding);
     assert_true(tuning.window_s == expected.window_s && tuning.hold_life_s == expected.hold_life_s);
--- a/tests/test_sharding_settings.c
+++ b/tests/test_sharding_settings.c
@@ -12,12 +12,16 @@
 static char *load(const char *text, struct ow_tuning *tuning, struct ow_sharding_settings *sharding)
 {
     char *path = NULL, *fault = NULL;
+    GError *error = NULL;
     int fd = g_file_open_tmp("ospreywell-XXXXXX", &path, NULL);
     assert_true(fd >= 0);
     close(fd);
     assert_true(g_file_set_contents(path, text, -1, NULL));
-    bool ok = ow_operators_load(path, tuning, sharding, &fault);
-    assert_int_equal(ok, fault == NULL);
+    bool ok = ow_operators_load(path, tuning, sharding, &error);
+    assert_int_equal(ok, error == NULL);
+    if (!ok)
+        fault = g_strdup(error->message);
+    g_clear_error(&error);
     g_unlink(path);
     g_free(path);
     return fault;
@@ -191,8 +195,9 @@
     (void)state;
     struct ow_sharding_settings *sharding = ow_sharding_settings_new();
     struct ow_tuning tuning = ow_tuning_default();
-    char *fault = NULL;
-    assert_true(ow_operators_load("deploy/control.xml", &tuning, sharding, &fault));
+    GError *error = NULL;
+    assert_true(ow_operators_load("deploy/control.xml", &tuning, sharding, &error));
+    assert_null(error);
     struct ow_sharding_settings *expected = ow_sharding_settings_new();
     assert_true(sharding->heartbeat_s == expected->heartbeat_s && sharding->relays == expected->relays);
     assert_true(sharding->suspicion_phi == expected->suspicion_phi);
