--- a/src/io/http_parse.c
+++ b/src/io/http_parse.c
@@ -1,27 +1,33 @@
 #include "io/http_parse.h"
 
+#include "io/http_lines.h"
+
 #include <string.h>
 
-/* Bytes. */
-enum { HEAD_LIMIT = 16 * 1024, LINE_LIMIT = 8 * 1024, KEEP_BUFFER = 16 * 1024 };
-/* More digits than any size within the limits has. */
-enum { SIZE_DIGITS_MAX = 9 };
+enum { HEAD_LIMIT_BYTES = 16 * 1024, LINE_LIMIT_BYTES = 8 * 1024 };
+/* A buffer that has grown larger is given back before the next message. */
+enum { KEEP_BUFFER_BYTES = 16 * 1024 };
+/* Informational responses (1xx) come before the proper one; nobody asked to switch to another protocol. */
+enum { STATUS_SWITCHING_PROTOCOLS = 101, STATUS_FINAL_LEAST = 200 };
+
+/* ---- life ---- */
 
-void ow_http_parser_init(struct ow_http_parser *parser, enum ow_http_side side, size_t body_limit)
+void ow_http_parser_init(struct ow_http_parser *parser, enum ow_http_side side, size_t body_limit_bytes)
 {
-    memset(parser, 0, sizeof *parser);
-    parser->side = side;
-    parser->body_limit = body_limit;
-    parser->line = g_string_sized_new(64);
-    parser->target = g_string_sized_new(32);
-    parser->body = g_string_sized_new(0);
+    *parser = (struct ow_http_parser){
+        .side = side,
+        .body_limit_bytes = body_limit_bytes,
+        .line = g_string_sized_new(64),
+        .target = g_string_sized_new(32),
+        .body = g_string_sized_new(0),
+    };
     ow_http_parser_reset(parser);
 }
 
-static void trim_buffer(GString **buffer)
+/* One large body must not keep its memory for the life of a connection. */
+static void empty_buffer(GString **buffer)
 {
-    /* One large body must not keep its memory for the life of a connection. */
-    if ((*buffer)->allocated_len > KEEP_BUFFER) {
+    if ((*buffer)->allocated_len > KEEP_BUFFER_BYTES) {
         g_string_free(*buffer, TRUE);
         *buffer = g_string_sized_new(0);
     }
@@ -31,15 +37,16 @@
 void ow_http_parser_reset(struct ow_http_parser *parser)
 {
     parser->phase = OW_HTTP_PHASE_START;
-    trim_buffer(&parser->line);
-    trim_buffer(&parser->target);
-    trim_buffer(&parser->body);
+    empty_buffer(&parser->line);
+    empty_buffer(&parser->target);
+    empty_buffer(&parser->body);
     parser->head_bytes = 0;
-    parser->left = 0;
-    parser->has_length = parser->chunked = parser->close = false;
+    parser->body_left = 0;
+    parser->has_length = false;
+    parser->is_chunked = false;
+    parser->close = false;
     parser->method[0] = '\0';
     parser->status = 0;
-    parser->minor = 1;
 }
 
 void ow_http_parser_clear(struct ow_http_parser *parser)
@@ -49,153 +56,132 @@
     g_string_free(parser->body, TRUE);
 }
 
-static bool parse_version(struct ow_http_parser *parser, const char *text, size_t size)
+/* ---- lines ---- */
+
+static bool take_request_line(struct ow_http_parser *parser)
 {
-    if (size != 8 || memcmp(text, "HTTP/1.", 7) != 0 || (text[7] != '0' && text[7] != '1'))
+    struct ow_http_request_line line;
+    if (!ow_http_request_line_parse(parser->line->str, &line) || line.method_size >= sizeof parser->method)
         return false;
-    parser->minor = text[7] - '0';
-    parser->close = parser->minor == 0;
+    memcpy(parser->method, line.method, line.method_size);
+    parser->method[line.method_size] = '\0';
+    g_string_append_len(parser->target, line.target, (gssize)line.target_size);
+    parser->close = line.closes;
     return true;
 }
 
-static bool token_char(char c)
+static bool take_status_line(struct ow_http_parser *parser)
 {
-    return g_ascii_isalnum(c) || (c != '\0' && strchr("!#$%&'*+-.^_`|~", c) != NULL);
+    struct ow_http_status_line line;
+    if (!ow_http_status_line_parse(parser->line->str, parser->line->len, &line))
+        return false;
+    parser->status = line.status;
+    parser->close = line.closes;
+    return true;
 }
 
-static bool parse_request_line(struct ow_http_parser *parser)
+/* Two lengths, or a length beside chunks, leave the end of a message open to dispute. */
+static bool has_framing(const struct ow_http_parser *parser)
 {
-    const char *line = parser->line->str;
-    const char *space = strchr(line, ' ');
-    if (space == NULL || space == line || (size_t)(space - line) >= sizeof parser->method)
-        return false;
-    for (const char *c = line; c < space; c++)
-        if (!token_char(*c))
-            return false;
-    memcpy(parser->method, line, (size_t)(space - line));
-    parser->method[space - line] = '\0';
-    const char *target = space + 1;
-    const char *end = strchr(target, ' ');
-    if (end == NULL || end == target || *target != '/')
+    return parser->has_length || parser->is_chunked;
+}
+
+static bool take_content_length(struct ow_http_parser *parser, const char *value)
+{
+    if (has_framing(parser) || !ow_http_length_parse(value, &parser->body_left))
         return false;
-    for (const char *c = target; c < end; c++)
-        if ((unsigned char)*c <= ' ' || *c == 127)
-            return false;
-    g_string_append_len(parser->target, target, end - target);
-    return parse_version(parser, end + 1, strlen(end + 1));
+    parser->has_length = true;
+    return true;
 }
 
-static bool parse_status_line(struct ow_http_parser *parser)
+static bool take_transfer_encoding(struct ow_http_parser *parser, const char *value)
 {
-    const char *line = parser->line->str;
-    if (parser->line->len < 12 || !parse_version(parser, line, 8) || line[8] != ' ')
+    if (has_framing(parser) || g_ascii_strcasecmp(value, "chunked") != 0)
         return false;
-    for (int i = 9; i < 12; i++) {
-        if (!g_ascii_isdigit(line[i]))
-            return false;
-        parser->status = parser->status * 10 + (line[i] - '0');
-    }
-    return line[12] == '\0' || line[12] == ' ';
+    parser->is_chunked = true;
+    return true;
 }
 
-static bool parse_size(const char *text, int base, size_t *out)
+static void take_connection_header(struct ow_http_parser *parser, const char *value)
 {
-    /* Bounded digits: a length that overflows would let a body run past its limit. */
-    size_t value = 0;
-    int digits = 0;
-    for (; g_ascii_isxdigit(*text); text++, digits++) {
-        int d = g_ascii_xdigit_value(*text);
-        if (d >= base || digits >= SIZE_DIGITS_MAX)
-            return false;
-        value = value * (size_t)base + (size_t)d;
-    }
-    while (*text == ' ' || *text == '\t')
-        text++;
-    *out = value;
-    return digits > 0 && (*text == '\0' || (base == 16 && *text == ';'));
+    if (g_ascii_strcasecmp(value, "close") == 0)
+        parser->close = true;
+    else if (g_ascii_strcasecmp(value, "keep-alive") == 0)
+        parser->close = false;
 }
 
-static bool parse_header(struct ow_http_parser *parser)
+static bool take_header(struct ow_http_parser *parser)
 {
-    char *colon = strchr(parser->line->str, ':');
-    if (colon == NULL || colon == parser->line->str)
+    const char *name = NULL;
+    const char *value = NULL;
+    if (!ow_http_header_split(parser->line->str, &name, &value))
         return false;
-    for (const char *c = parser->line->str; c < colon; c++)
-        if (!token_char(*c))
-            return false;
-    *colon = '\0';
-    const char *name = parser->line->str;
-    char *value = g_strstrip(colon + 1);
-    if (g_ascii_strcasecmp(name, "content-length") == 0) {
-        size_t length = 0;
-        /* Two lengths, or a length beside chunks, leave the end of a message open to dispute. */
-        if (parser->has_length || parser->chunked || !parse_size(value, 10, &length))
-            return false;
-        parser->has_length = true;
-        parser->left = length;
-    } else if (g_ascii_strcasecmp(name, "transfer-encoding") == 0) {
-        if (parser->has_length || parser->chunked || g_ascii_strcasecmp(value, "chunked") != 0)
-            return false;
-        parser->chunked = true;
-    } else if (g_ascii_strcasecmp(name, "connection") == 0) {
-        if (g_ascii_strcasecmp(value, "close") == 0)
-            parser->close = true;
-        else if (g_ascii_strcasecmp(value, "keep-alive") == 0)
-            parser->close = false;
-    }
+    if (g_ascii_strcasecmp(name, "content-length") == 0)
+        return take_content_length(parser, value);
+    if (g_ascii_strcasecmp(name, "transfer-encoding") == 0)
+        return take_transfer_encoding(parser, value);
+    if (g_ascii_strcasecmp(name, "connection") == 0)
+        take_connection_header(parser, value);
     return true;
 }
 
-static enum ow_http_result end_of_head(struct ow_http_parser *parser)
+/* ---- phases ---- */
+
+static enum ow_http_result end_head(struct ow_http_parser *parser)
 {
-    if (parser->side == OW_HTTP_RESPONSE && parser->status < 200) {
-        /* Nobody asked for another protocol. */
-        bool switched = parser->status == 101;
+    if (parser->side == OW_HTTP_RESPONSE && parser->status < STATUS_FINAL_LEAST) {
+        bool has_switched = parser->status == STATUS_SWITCHING_PROTOCOLS;
         parser->phase = OW_HTTP_PHASE_START;
         parser->status = 0;
-        return switched ? OW_HTTP_MALFORMED : OW_HTTP_MORE;
+        return has_switched ? OW_HTTP_MALFORMED : OW_HTTP_MORE;
     }
-    if (parser->chunked) {
+    if (parser->is_chunked) {
         parser->phase = OW_HTTP_PHASE_CHUNK_SIZE;
         return OW_HTTP_MORE;
     }
-    if (parser->body_limit != 0 && parser->left > parser->body_limit)
+    if (parser->body_left > parser->body_limit_bytes)
         return OW_HTTP_TOO_LARGE;
     parser->phase = OW_HTTP_PHASE_BODY;
-    return parser->left == 0 ? OW_HTTP_DONE : OW_HTTP_MORE;
+    return parser->body_left == 0 ? OW_HTTP_DONE : OW_HTTP_MORE;
 }
 
-static enum ow_http_result chunk_size(struct ow_http_parser *parser)
+static enum ow_http_result begin_chunk(struct ow_http_parser *parser)
 {
-    if (!parse_size(parser->line->str, 16, &parser->left))
+    if (!ow_http_chunk_size_parse(parser->line->str, &parser->body_left))
         return OW_HTTP_MALFORMED;
-    if (parser->body_limit != 0 && parser->left + parser->body->len > parser->body_limit)
+    if (parser->body_left + parser->body->len > parser->body_limit_bytes)
         return OW_HTTP_TOO_LARGE;
-    parser->phase = parser->left == 0 ? OW_HTTP_PHASE_TRAILERS : OW_HTTP_PHASE_CHUNK_DATA;
+    parser->phase = parser->body_left == 0 ? OW_HTTP_PHASE_TRAILERS : OW_HTTP_PHASE_CHUNK_DATA;
     return OW_HTTP_MORE;
 }
 
+static enum ow_http_result take_first_line(struct ow_http_parser *parser)
+{
+    if (parser->line->len == 0)
+        return OW_HTTP_MORE; /* a stray empty line between messages */
+    parser->phase = OW_HTTP_PHASE_HEADERS;
+    bool is_valid = parser->side == OW_HTTP_REQUEST ? take_request_line(parser) : take_status_line(parser);
+    return is_valid ? OW_HTTP_MORE : OW_HTTP_MALFORMED;
+}
+
+/* A whole line has come, without its end. */
 static enum ow_http_result take_line(struct ow_http_parser *parser)
 {
+    bool is_empty = parser->line->len == 0;
     switch (parser->phase) {
     case OW_HTTP_PHASE_START:
-        if (parser->line->len == 0)
-            return OW_HTTP_MORE; /* a stray empty line between messages */
-        parser->phase = OW_HTTP_PHASE_HEADERS;
-        if (parser->side == OW_HTTP_REQUEST)
-            return parse_request_line(parser) ? OW_HTTP_MORE : OW_HTTP_MALFORMED;
-        return parse_status_line(parser) ? OW_HTTP_MORE : OW_HTTP_MALFORMED;
+        return take_first_line(parser);
     case OW_HTTP_PHASE_HEADERS:
-        if (parser->line->len == 0)
-            return end_of_head(parser);
-        return parse_header(parser) ? OW_HTTP_MORE : OW_HTTP_MALFORMED;
+        if (is_empty)
+            return end_head(parser);
+        return take_header(parser) ? OW_HTTP_MORE : OW_HTTP_MALFORMED;
     case OW_HTTP_PHASE_CHUNK_SIZE:
-        return chunk_size(parser);
+        return begin_chunk(parser);
     case OW_HTTP_PHASE_CHUNK_END:
         parser->phase = OW_HTTP_PHASE_CHUNK_SIZE;
-        return parser->line->len == 0 ? OW_HTTP_MORE : OW_HTTP_MALFORMED;
+        return is_empty ? OW_HTTP_MORE : OW_HTTP_MALFORMED;
     case OW_HTTP_PHASE_TRAILERS:
-        return parser->line->len == 0 ? OW_HTTP_DONE : OW_HTTP_MORE;
+        return is_empty ? OW_HTTP_DONE : OW_HTTP_MORE;
     case OW_HTTP_PHASE_BODY:
     case OW_HTTP_PHASE_CHUNK_DATA:
         break; /* these have no lines */
@@ -203,6 +189,14 @@
     return OW_HTTP_MALFORMED;
 }
 
+/* A head without end must not grow the buffer. Chunk lines count too. */
+static bool exceeds_limits(const struct ow_http_parser *parser, size_t line_part)
+{
+    bool is_in_head = parser->phase == OW_HTTP_PHASE_START || parser->phase == OW_HTTP_PHASE_HEADERS;
+    return parser->line->len + line_part > LINE_LIMIT_BYTES ||
+           (is_in_head && parser->head_bytes > HEAD_LIMIT_BYTES);
+}
+
 static enum ow_http_result feed_line(struct ow_http_parser *parser, const char *data, size_t size,
                                      size_t *used)
 {
@@ -210,9 +204,7 @@
     size_t part = end != NULL ? (size_t)(end - data) : size;
     *used = end != NULL ? part + 1 : part;
     parser->head_bytes += *used;
-    /* A head without end must not grow the buffer. Chunk lines count too. */
-    if (parser->line->len + part > LINE_LIMIT ||
-        (parser->phase <= OW_HTTP_PHASE_HEADERS && parser->head_bytes > HEAD_LIMIT))
+    if (exceeds_limits(parser, part))
         return OW_HTTP_MALFORMED;
     g_string_append_len(parser->line, data, (gssize)part);
     if (end == NULL)
@@ -229,11 +221,11 @@
 static enum ow_http_result feed_body(struct ow_http_parser *parser, const char *data, size_t size,
                                      size_t *used)
 {
-    size_t part = MIN(size, parser->left);
+    size_t part = MIN(size, parser->body_left);
     g_string_append_len(parser->body, data, (gssize)part);
-    parser->left -= part;
+    parser->body_left -= part;
     *used = part;
-    if (parser->left > 0)
+    if (parser->body_left > 0)
         return OW_HTTP_MORE;
     if (parser->phase == OW_HTTP_PHASE_BODY)
         return OW_HTTP_DONE;
@@ -243,15 +235,14 @@
 
 enum ow_http_result ow_http_parse(struct ow_http_parser *parser, const char *data, size_t size, size_t *used)
 {
+    enum ow_http_result result = OW_HTTP_MORE;
     *used = 0;
-    while (*used < size) {
+    while (*used < size && result == OW_HTTP_MORE) {
+        bool is_in_body = parser->phase == OW_HTTP_PHASE_BODY || parser->phase == OW_HTTP_PHASE_CHUNK_DATA;
         size_t step = 0;
-        bool in_body = parser->phase == OW_HTTP_PHASE_BODY || parser->phase == OW_HTTP_PHASE_CHUNK_DATA;
-        enum ow_http_result result = in_body ? feed_body(parser, data + *used, size - *used, &step)
-                                             : feed_line(parser, data + *used, size - *used, &step);
+        result = is_in_body ? feed_body(parser, data + *used, size - *used, &step)
+                            : feed_line(parser, data + *used, size - *used, &step);
         *used += step;
-        if (result != OW_HTTP_MORE)
-            return result;
     }
-    return OW_HTTP_MORE;
+    return result;
 }
--- a/src/io/http_parse.h
+++ b/src/io/http_parse.h
@@ -1,4 +1,20 @@
-/* An incremental, bounded HTTP/1.1 message parser for both sides. It copies what it keeps. */
+/** @file
+ * An incremental, bounded HTTP/1.1 message parser for both sides. It copies what it keeps.
+ *
+ * Bounds: a line has at most 8 KiB, a head at most 16 KiB, a body as many bytes as it was initialized with.
+ * Ambiguous lengths (two of them, or one beside chunks) are malformed, for two readers could see different
+ * messages in them.
+ *
+ * Phases, for a message with a length, with chunks, and without a body:
+ *
+ *     START --first line--> HEADERS --empty line--> BODY --all bytes--> (done)
+ *     START --first line--> HEADERS --empty line--> CHUNK_SIZE
+ *         CHUNK_SIZE --a size--> CHUNK_DATA --all bytes--> CHUNK_END --empty line--> CHUNK_SIZE
+ *         CHUNK_SIZE --size 0--> TRAILERS --empty line--> (done)
+ *     START --first line--> HEADERS --empty line--> (done)
+ *     HEADERS --empty line after an informational response (1xx)--> START
+ *
+ * After (done), or after an error, nothing may be parsed before ow_http_parser_reset. */
 #ifndef OW_IO_HTTP_PARSE_H
 #define OW_IO_HTTP_PARSE_H
 
@@ -6,53 +22,58 @@
 #include <stdbool.h>
 #include <stddef.h>
 
-/* Which messages are read. */
+/** Which messages are read. */
 enum ow_http_side { OW_HTTP_REQUEST, OW_HTTP_RESPONSE };
 
-/* What the bytes so far amount to. */
+/** What the bytes so far amount to. */
 enum ow_http_result {
-    OW_HTTP_MORE,      /* the message is not complete */
-    OW_HTTP_DONE,      /* one whole message is there */
-    OW_HTTP_MALFORMED, /* answer 400 and close */
-    OW_HTTP_TOO_LARGE, /* answer 413 and close */
+    OW_HTTP_MORE,      /**< the message is not complete */
+    OW_HTTP_DONE,      /**< one whole message is there */
+    OW_HTTP_MALFORMED, /**< to be answered with 400, and the connection closed */
+    OW_HTTP_TOO_LARGE, /**< to be answered with 413, and the connection closed */
 };
 
-/* Where in a message the parser is. */
+/** Where in a message the parser is: what the next bytes are. */
 enum ow_http_phase {
-    OW_HTTP_PHASE_START,
-    OW_HTTP_PHASE_HEADERS,
-    OW_HTTP_PHASE_BODY,
-    OW_HTTP_PHASE_CHUNK_SIZE,
-    OW_HTTP_PHASE_CHUNK_DATA,
-    OW_HTTP_PHASE_CHUNK_END,
-    OW_HTTP_PHASE_TRAILERS,
+    OW_HTTP_PHASE_START,      /**< the first line, or a stray empty line before it */
+    OW_HTTP_PHASE_HEADERS,    /**< header lines, or the empty line that ends them */
+    OW_HTTP_PHASE_BODY,       /**< bytes of a body whose length is known */
+    OW_HTTP_PHASE_CHUNK_SIZE, /**< the line before a chunk */
+    OW_HTTP_PHASE_CHUNK_DATA, /**< bytes of a chunk */
+    OW_HTTP_PHASE_CHUNK_END,  /**< the empty line behind a chunk's bytes */
+    OW_HTTP_PHASE_TRAILERS,   /**< lines behind the last chunk, which are ignored, or the empty line that ends
+                                 them */
 };
 
+enum { OW_HTTP_METHOD_BYTES = 16 };
+
+/** The parser with the message that it has read so far. */
 struct ow_http_parser {
     enum ow_http_side side;
-    size_t body_limit; /* 0: none */
+    size_t body_limit_bytes;
     enum ow_http_phase phase;
-    GString *line;     /* the line at hand, as far as it has come */
-    size_t head_bytes; /* of the head so far */
-    size_t left;       /* bytes to come of the body or of the chunk at hand */
-    bool has_length;
-    bool chunked;
+    GString *line;     /**< the line at hand, as far as it has come */
+    size_t head_bytes; /**< of the head so far, line ends included */
+    size_t body_left;  /**< bytes to come of the body or of the chunk at hand */
+    bool has_length;   /**< a Content-Length was there */
+    bool is_chunked;   /**< a Transfer-Encoding was there */
     /* The message. */
-    char method[16];
-    GString *target;
-    int status;
-    int minor;  /* of the HTTP version: 1.0 or 1.1 */
-    bool close; /* the sender closes the connection after it */
+    char method[OW_HTTP_METHOD_BYTES]; /**< of a request */
+    GString *target;                   /**< of a request: path and query */
+    int status;                        /**< of a response */
+    bool close;                        /**< the sender closes the connection after it */
     GString *body;
 };
 
-/* `body_limit` bounds the bytes of a body; 0: unbounded. */
-void ow_http_parser_init(struct ow_http_parser *parser, enum ow_http_side side, size_t body_limit);
-/* Makes it ready for the next message on the same connection. */
+/** Makes the parser ready for a first message.
+ * @param body_limit_bytes of a body at most */
+void ow_http_parser_init(struct ow_http_parser *parser, enum ow_http_side side, size_t body_limit_bytes);
+/** Makes it ready for the next message on the same connection. Large buffers are given back. */
 void ow_http_parser_reset(struct ow_http_parser *parser);
-/* Frees what it holds, not the parser itself. */
+/** Frees what it holds, not the parser itself. */
 void ow_http_parser_clear(struct ow_http_parser *parser);
-/* Takes bytes up to the end of one message; *used tells how many. */
+/** Takes bytes up to the end of one message.
+ * @param used how many of them were taken; those behind it belong to the next message */
 enum ow_http_result ow_http_parse(struct ow_http_parser *parser, const char *data, size_t size, size_t *used);
 
 #endif
--- a/src/io/log.c
+++ b/src/io/log.c
@@ -1,11 +1,12 @@
 #include "io/log.h"
 
 #include <glib.h>
+#include <stdbool.h>
 #include <string.h>
 #include <unistd.h>
 
-/* The one global: GLib's writer has no room for an owner. */
-static GLogLevelFlags shown =
+/* What is shown. The one global: GLib takes a writer once in a process, and never gives it back. */
+static GLogLevelFlags shown_levels =
     G_LOG_LEVEL_ERROR | G_LOG_LEVEL_CRITICAL | G_LOG_LEVEL_WARNING | G_LOG_LEVEL_MESSAGE;
 
 static const char *level_word(GLogLevelFlags level)
@@ -15,29 +16,35 @@
     return level & (G_LOG_LEVEL_INFO | G_LOG_LEVEL_MESSAGE) ? "info" : "error";
 }
 
-static GLogWriterOutput write_line(GLogLevelFlags level, const GLogField *fields, gsize count, gpointer data)
+static void write_line(GLogLevelFlags level, const char *message)
 {
-    (void)data;
-    if ((level & shown) == 0)
+    g_autofree char *line = g_strdup_printf("%s %s\n", level_word(level), message);
+    /* A log that can't be written must not stop the service. */
+    ssize_t written = write(STDERR_FILENO, line, strlen(line));
+    (void)written;
+}
+
+/* The writer of GLib's log (GLogWriterFunc). */
+static GLogWriterOutput write_fields(GLogLevelFlags level, const GLogField *fields, gsize count,
+                                     gpointer owner)
+{
+    (void)owner;
+    if ((level & shown_levels) == 0)
         return G_LOG_WRITER_HANDLED;
     for (gsize i = 0; i < count; i++) {
-        if (strcmp(fields[i].key, "MESSAGE") != 0)
-            continue;
-        GString *line = g_string_new(level_word(level));
-        g_string_append_printf(line, " %s\n", (const char *)fields[i].value);
-        /* A log that can't be written must not stop the service. */
-        ssize_t written = write(STDERR_FILENO, line->str, line->len);
-        (void)written;
-        g_string_free(line, TRUE);
+        if (strcmp(fields[i].key, "MESSAGE") == 0)
+            write_line(level, fields[i].value);
     }
     return G_LOG_WRITER_HANDLED;
 }
 
 void ow_log_setup(const char *level)
 {
-    if (g_strcmp0(level, "info") == 0 || g_strcmp0(level, "debug") == 0)
-        shown |= G_LOG_LEVEL_INFO;
-    if (g_strcmp0(level, "debug") == 0)
-        shown |= G_LOG_LEVEL_DEBUG;
-    g_log_set_writer_func(write_line, NULL, NULL);
+    bool is_debug = g_strcmp0(level, "debug") == 0;
+    bool is_info = g_strcmp0(level, "info") == 0;
+    if (is_info || is_debug)
+        shown_levels |= G_LOG_LEVEL_INFO;
+    if (is_debug)
+        shown_levels |= G_LOG_LEVEL_DEBUG;
+    g_log_set_writer_func(write_fields, NULL, NULL);
 }
