--- a/src/io/daemon.c
+++ b/src/io/daemon.c
@@ -1,6 +1,8 @@
 #include "io/daemon.h"
 
 #include "io/daemon_state.h"
+#include "io/incoming.h"
+#include "io/outgoing.h"
 #include "io/rng.h"
 #include "model/effect.h"
 #include "model/event.h"
@@ -8,22 +10,25 @@
 
 #include <string.h>
 
-/* How often idle connections are looked at, and how long one may be idle. */
-static const double SWEEP_S = 0.1, IDLE_S = 60;
+/* How often idle connections are looked at. */
+static const double SWEEP_S = 0.1;
+/* How long an incoming connection may be idle. */
+static const double IDLE_S = 60;
 enum {
-    BODY_LIMIT_BYTES = 64 * 1024,
-    RESERVED_SOCKETS = 60, /* for the key-value store, the cloud and other controllers */
-    SOCKETS_LEAST = 200,
+    BODY_LIMIT_BYTES = 64 * 1024, /* of a request to us */
+    RESERVED_SOCKETS = 60,        /* for the key-value store, the cloud and other controllers */
+    SOCKETS_MIN = 200,            /* whatever the settings say */
 };
-/* Each machine reports on a connection of its own, and those come first. Ours, for commands, get what is
-   left, and at least this share. */
-static const double CLIENT_SHARE_LEAST = 0.05;
+/* Each machine sends its heartbeats on a connection of its own, and those come first. Ours, for commands, get
+ * what is left, and at least this share. */
+static const double CLIENT_SHARE_MIN = 0.05;
 
 G_DEFINE_QUARK(ow - daemon - error - quark, ow_daemon_error)
 
-/* ---- links to other controllers ---- */
+/* ---- other controllers ---- */
 
-static void take_peer(void *owner, struct ow_peer_message *message)
+/* A message has come; `owner` is the daemon. */
+static void take_peer_message(void *owner, struct ow_peer_message *message)
 {
     struct ow_daemon *daemon = owner;
     struct ow_event *event = ow_event_new(OW_EVENT_PEER, 0);
@@ -31,43 +36,50 @@
     ow_shard_manager_push(daemon->manager, event);
 }
 
-static void handle_peer_link_lost(void *owner, const char *endpoint)
+/* Nobody listens at the endpoint any more; `owner` is the daemon. */
+static void take_link_loss(void *owner, const char *endpoint)
 {
     struct ow_daemon *daemon = owner;
-    for (guint i = 0; i < daemon->settings->peers->len; i++) {
-        const struct ow_peer_settings *peer =
-            &g_array_index(daemon->settings->peers, struct ow_peer_settings, i);
+    const GArray *peers = daemon->settings->peers;
+    for (guint i = 0; i < peers->len; i++) {
+        const struct ow_peer_settings *peer = &g_array_index(peers, struct ow_peer_settings, i);
         if (strcmp(peer->endpoint, endpoint) != 0)
             continue;
         struct ow_peer_message *message = ow_peer_message_new(OW_PEER_LINK_LOST);
         message->sender = g_strdup(peer->node);
-        take_peer(daemon, message);
+        take_peer_message(daemon, message);
     }
 }
 
 /* The endpoint of the controller of this name, or NULL. */
-static const char *peer_endpoint(const struct ow_daemon *daemon, const char *name)
+static const char *find_peer_endpoint(const struct ow_daemon *daemon, const char *name)
 {
-    for (guint i = 0; i < daemon->settings->peers->len; i++) {
-        const struct ow_peer_settings *peer =
-            &g_array_index(daemon->settings->peers, struct ow_peer_settings, i);
+    const GArray *peers = daemon->settings->peers;
+    for (guint i = 0; i < peers->len; i++) {
+        const struct ow_peer_settings *peer = &g_array_index(peers, struct ow_peer_settings, i);
         if (strcmp(peer->node, name) == 0)
             return peer->endpoint;
     }
     return NULL;
 }
 
+/* Sends a message to its addressee, if that is a controller of ours, or to all. */
 static void send_to_peers(struct ow_daemon *daemon, struct ow_peer_message *message)
 {
-    const char *endpoint = message->addressee != NULL ? peer_endpoint(daemon, message->addressee) : NULL;
-    if (message->addressee == NULL || endpoint != NULL)
+    if (message->addressee == NULL) {
+        ow_peer_links_send(daemon->peers, message, NULL);
+        return;
+    }
+    const char *endpoint = find_peer_endpoint(daemon, message->addressee);
+    if (endpoint != NULL)
         ow_peer_links_send(daemon->peers, message, endpoint);
 }
 
 /* ---- the loop ---- */
 
 /* The process goes on after a pause: what waits to be sent may be out of date, and is dropped unless our
-   leases are still ours. It comes before anything else, for the loop would send it at once. */
+ * leases are still ours. It comes before anything else, for the loop would send it at once. `owner` is the
+ * daemon. */
 static void handle_wake(void *owner, double paused_s, double now)
 {
     struct ow_daemon *daemon = owner;
@@ -98,67 +110,105 @@
     }
 }
 
-struct ow_daemon *ow_daemon_new(struct ow_loop *loop, const struct ow_settings *settings,
-                                const struct ow_tuning *tuning, const struct ow_sharding_settings *sharding,
-                                GError **error)
+static void sweep_if_due(struct ow_daemon *daemon, double now)
+{
+    if (now < daemon->sweep_at)
+        return;
+    daemon->sweep_at = now + SWEEP_S;
+    ow_outgoing_bound_sockets(daemon);
+    ow_http_client_sweep(daemon->client, now);
+    ow_http_server_sweep(daemon->server, now);
+    ow_peer_links_sweep(daemon->peers, now);
+}
+
+double ow_daemon_round(void *owner, double now)
+{
+    struct ow_daemon *daemon = owner;
+    sweep_if_due(daemon, now);
+    /* Under load the answer to the renewal of the leader's lease must not wait behind thousands of
+     * heartbeats. */
+    if (ow_loop_is_saturated(daemon->loop))
+        ow_http_client_read_from(daemon->client, daemon->settings->store_endpoint);
+    double time_of_day = (double)g_get_real_time() / G_USEC_PER_SEC;
+    g_autoptr(GPtrArray) effects = ow_shard_manager_step(daemon->manager, now, time_of_day);
+    for (guint i = 0; i < effects->len; i++)
+        carry_out(daemon, g_ptr_array_index(effects, i));
+    return ow_shard_manager_idle_seconds(daemon->manager);
+}
+
+/* ---- life ---- */
+
+/* Shares the sockets that the settings allow. */
+static void share_sockets(struct ow_daemon *daemon)
+{
+    daemon->sockets_max = MAX(daemon->settings->sockets, SOCKETS_MIN) - RESERVED_SOCKETS;
+    daemon->client_sockets_min = (unsigned)(CLIENT_SHARE_MIN * daemon->sockets_max);
+}
+
+static struct ow_http_server *listen_to_requests(struct ow_daemon *daemon)
 {
-    struct ow_daemon *daemon = g_new0(struct ow_daemon, 1);
-    daemon->sockets = MAX(settings->sockets, SOCKETS_LEAST) - RESERVED_SOCKETS;
-    daemon->client_sockets_least = (unsigned)(CLIENT_SHARE_LEAST * daemon->sockets);
-    struct ow_http_server_options options = {
-        .endpoint = settings->front,
+    const struct ow_http_server_options options = {
+        .endpoint = daemon->settings->front,
         .body_limit = BODY_LIMIT_BYTES,
-        .max_connections = daemon->sockets - daemon->client_sockets_least,
+        .max_connections = daemon->sockets_max - daemon->client_sockets_min,
         .idle_s = IDLE_S,
     };
+    return ow_http_server_new(daemon->loop, &options, ow_incoming_handle, daemon);
+}
+
+static struct ow_peer_links *listen_to_peers(struct ow_daemon *daemon)
+{
+    const struct ow_peer_handlers handlers = {
+        .take = take_peer_message,
+        .lost = take_link_loss,
+        .owner = daemon,
+    };
+    return ow_peer_links_new(daemon->loop, daemon->settings->peer_listen, &handlers);
+}
+
+static void connect_to_peers(struct ow_daemon *daemon)
+{
+    const GArray *peers = daemon->settings->peers;
+    for (guint i = 0; i < peers->len; i++)
+        ow_peer_links_add(daemon->peers, g_array_index(peers, struct ow_peer_settings, i).endpoint);
+}
+
+/* Names the first address that could not be listened on. */
+static void set_listen_error(const struct ow_daemon *daemon, GError **error)
+{
+    g_set_error(error, OW_DAEMON_ERROR, OW_DAEMON_ERROR_LISTEN, "cannot listen on %s",
+                daemon->server == NULL ? daemon->settings->front : daemon->settings->peer_listen);
+}
+
+struct ow_daemon *ow_daemon_new(struct ow_loop *loop, const struct ow_settings *settings,
+                                const struct ow_tuning *tuning, const struct ow_sharding_settings *sharding,
+                                GError **error)
+{
+    g_autoptr(ow_daemon) daemon = g_new0(struct ow_daemon, 1);
     daemon->loop = loop;
     daemon->settings = settings;
-    daemon->pending_requests = ow_outgoing_pending_new();
-    daemon->server = ow_http_server_new(loop, &options, ow_incoming_handle, daemon);
-    daemon->peers = ow_peer_links_new(loop, settings->peer_listen, take_peer, handle_peer_link_lost, daemon);
-    daemon->client = ow_http_client_new(loop, daemon->client_sockets_least, ow_outgoing_take_reply, daemon);
+    share_sockets(daemon);
+    daemon->pending_requests = ow_pending_requests_new();
     daemon->manager = ow_shard_manager_new(settings, tuning, sharding, ow_rng_nonce());
+    daemon->client = ow_http_client_new(loop, daemon->client_sockets_min, ow_outgoing_take_reply, daemon);
+    daemon->server = listen_to_requests(daemon);
+    daemon->peers = listen_to_peers(daemon);
     ow_loop_on_wake(loop, handle_wake, daemon);
     if (daemon->server == NULL || daemon->peers == NULL) {
-        g_set_error(error, OW_DAEMON_ERROR, OW_DAEMON_ERROR_LISTEN, "cannot listen on %s",
-                    daemon->server == NULL ? settings->front : settings->peer_listen);
-        ow_daemon_free(daemon);
+        set_listen_error(daemon, error);
         return NULL;
     }
-    for (guint i = 0; i < settings->peers->len; i++)
-        ow_peer_links_add(daemon->peers, g_array_index(settings->peers, struct ow_peer_settings, i).endpoint);
-    return daemon;
+    connect_to_peers(daemon);
+    return g_steal_pointer(&daemon);
 }
 
 void ow_daemon_free(struct ow_daemon *daemon)
 {
+    ow_loop_on_wake(daemon->loop, NULL, NULL);
     ow_http_server_free(daemon->server);
     ow_peer_links_free(daemon->peers);
     ow_http_client_free(daemon->client);
     ow_shard_manager_free(daemon->manager);
-    g_hash_table_destroy(daemon->pending_requests);
+    ow_pending_requests_free(daemon->pending_requests);
     g_free(daemon);
 }
-
-double ow_daemon_round(void *owner, double now)
-{
-    struct ow_daemon *daemon = owner;
-    if (now >= daemon->sweep_at) {
-        daemon->sweep_at = now + SWEEP_S;
-        ow_outgoing_bound_sockets(daemon);
-        ow_http_client_sweep(daemon->client, now);
-        ow_http_server_sweep(daemon->server, now);
-        ow_peer_links_sweep(daemon->peers, now);
-    }
-    /* Under load the answer to the renewal of the leader's lease must not wait behind thousands of
-     * heartbeats.
-     */
-    if (ow_loop_is_saturated(daemon->loop))
-        ow_http_client_read_from(daemon->client, daemon->settings->store_endpoint);
-    GPtrArray *effects =
-        ow_shard_manager_step(daemon->manager, now, (double)g_get_real_time() / G_USEC_PER_SEC);
-    for (guint i = 0; i < effects->len; i++)
-        carry_out(daemon, g_ptr_array_index(effects, i));
-    g_ptr_array_free(effects, TRUE);
-    return ow_shard_manager_idle_seconds(daemon->manager);
-}
--- a/src/io/daemon.h
+++ b/src/io/daemon.h
@@ -1,4 +1,9 @@
-/* The serving process: turns requests into events for the core, and its effects into requests. */
+/** @file
+ * The daemon: the serving process. It turns requests and replies into events for the shard manager, and
+ * carries out the effects that the shard manager answers with.
+ *
+ * It owns the sockets and the shard manager and decides nothing. It has no thread but the one that runs the
+ * loop. */
 #ifndef OW_IO_DAEMON_H
 #define OW_IO_DAEMON_H
 
@@ -7,23 +12,35 @@
 
 #include <glib.h>
 
-struct ow_daemon;
-
 /** The errors of the daemon. */
 #define OW_DAEMON_ERROR (ow_daemon_error_quark())
+/** The domain of the daemon's errors. */
 GQuark ow_daemon_error_quark(void);
 
+/** The codes of OW_DAEMON_ERROR. */
 enum ow_daemon_error {
     OW_DAEMON_ERROR_LISTEN, /**< an address can't be listened on; the message says which */
 };
 
-/* NULL and an error of the domain OW_DAEMON_ERROR if an address can't be listened on. */
+/** The daemon. Owned by who creates it. */
+struct ow_daemon;
+typedef struct ow_daemon ow_daemon;
+
+/** A daemon that listens, and connects to the other controllers, as soon as the loop runs with
+ * ow_daemon_round.
+ * @param loop must outlive the daemon, and may serve only one
+ * @param settings,tuning,sharding must outlive the daemon
+ * @param error set if it can't listen (OW_DAEMON_ERROR); may be NULL
+ * @return NULL if it can't listen */
 struct ow_daemon *ow_daemon_new(struct ow_loop *loop, const struct ow_settings *settings,
                                 const struct ow_tuning *tuning, const struct ow_sharding_settings *sharding,
                                 GError **error);
+/** Closes all sockets. The loop must not run any more. NULL is not allowed. */
 void ow_daemon_free(struct ow_daemon *daemon);
-/* The round of the event loop (ow_round_fn): lets the core run and carries out its effects. `owner` is the
-   service. */
+G_DEFINE_AUTOPTR_CLEANUP_FUNC(ow_daemon, ow_daemon_free)
+
+/** The round of the event loop (ow_round_fn): one step of the shard manager, whose effects are carried out.
+ * @param owner the daemon */
 double ow_daemon_round(void *owner, double now);
 
 #endif
--- a/src/io/http_client.h
+++ b/src/io/http_client.h
@@ -1,37 +1,61 @@
-/* The HTTP client: keeps connections per endpoint and reports every request's end exactly once. */
+/** @file
+ * The HTTP client: keeps connections by endpoint, and tells the end of every request exactly once.
+ *
+ * A request has a connection for itself until it ends; then the connection is kept for a while for the next
+ * request to the same endpoint. io/http_client_connection.h has the states of a connection, which the client
+ * owns and closes. */
 #ifndef OW_IO_HTTP_CLIENT_H
 #define OW_IO_HTTP_CLIENT_H
 
 #include "io/loop.h"
 
+#include <glib.h>
 #include <stdbool.h>
 #include <stddef.h>
 #include <stdint.h>
 
+/** The client. Owned by who creates it. */
 struct ow_http_client;
+typedef struct ow_http_client ow_http_client;
 
-/* Reports the end of the request `tag`. Status 0 (OW_HTTP_STATUS_NONE): no response; the request might have
-   been carried out. The body is valid during the call only. */
+/** Tells the end of a request. It may send new requests, but not free the client.
+ * @param owner that of ow_http_client_new
+ * @param tag of the request
+ * @param status of the response, or one of our own: OW_HTTP_STATUS_NONE without a response (the request might
+ * have been carried out), OW_HTTP_STATUS_CONTENT_TOO_LARGE if the response was longer than the client reads
+ * @param body of the response, ended by a NUL that `size` doesn't count; valid during the call only */
 typedef void (*ow_http_reply_fn)(void *owner, uint64_t tag, int status, const char *body, size_t size);
 
-/* `most` connections are kept open at most; `owner` is handed to `reply`. */
-struct ow_http_client *ow_http_client_new(struct ow_loop *loop, unsigned most, ow_http_reply_fn reply,
-                                          void *owner);
-/* Closes all connections without reporting their requests; NULL is allowed. */
+/** A client without connections.
+ * @param loop must outlive the client
+ * @param connections_max connections that are kept open at most, except for requests that nobody asked room
+ * for
+ * @param reply called from the loop, and from ow_http_client_read_from, _drop_unsent and _sweep
+ * @param owner handed to `reply`; must live until ow_http_client_free */
+struct ow_http_client *ow_http_client_new(struct ow_loop *loop, unsigned connections_max,
+                                          ow_http_reply_fn reply, void *owner);
+/** Closes all connections without telling the ends of their requests. NULL is allowed. */
 void ow_http_client_free(struct ow_http_client *client);
-/* Sends a request to ADDRESS:PORT. `body` is JSON text or NULL. The reply never comes from inside this call.
- */
+G_DEFINE_AUTOPTR_CLEANUP_FUNC(ow_http_client, ow_http_client_free)
+
+/** Sends a request. The reply never comes from inside this call.
+ * @param endpoint ADDRESS:PORT
+ * @param body JSON text, or NULL; copied
+ * @param timeout_s after how long without a response it is given up (by ow_http_client_sweep)
+ * @param tag handed to `reply` */
 void ow_http_client_send(struct ow_http_client *client, const char *endpoint, const char *method,
                          const char *path, const char *body, double timeout_s, uint64_t tag);
-/* Takes in what has come from the endpoint, without waiting for the loop to get there. */
+/** Takes in what has come from the endpoint, without waiting for the loop to get there. */
 void ow_http_client_read_from(struct ow_http_client *client, const char *endpoint);
-/* Closes the connections that still have bytes to send: their requests end without a response. */
+/** Closes the connections that still have bytes to send: their requests end without a response. */
 void ow_http_client_drop_unsent(struct ow_http_client *client);
-/* From now on `most` connections are kept open at most. */
-void ow_http_client_bound(struct ow_http_client *client, unsigned most);
-/* Whether a request to the endpoint stays within the bound. The connection idle for longest makes room. */
+/** From now on so many connections are kept open at most. */
+void ow_http_client_bound(struct ow_http_client *client, unsigned connections_max);
+/** Whether a request to the endpoint stays within the bound. To make room, the connection idle for longest is
+ * closed. */
 bool ow_http_client_has_room(struct ow_http_client *client, const char *endpoint);
-/* Ends requests that are out of time and closes connections long unused. */
+/** Ends requests that are out of time and closes connections long unused; to be called several times a
+ * second. */
 void ow_http_client_sweep(struct ow_http_client *client, double now);
 
 #endif
--- a/src/io/http_connection.c
+++ b/src/io/http_connection.c
@@ -1,13 +1,10 @@
 #include "io/http_connection.h"
 
-#include "model/http_status.h"
 #include "io/net.h"
+#include "model/http_status.h"
 
-#include <errno.h>
 #include <string.h>
 #include <sys/epoll.h>
-#include <sys/socket.h>
-#include <unistd.h>
 
 enum { READ_BYTES = 16 * 1024 };
 
@@ -37,10 +34,11 @@
     }
 }
 
-static void release_connection(struct ow_http_connection *connection)
+/* ---- life ---- */
+
+static void release(struct ow_http_connection *connection)
 {
-    ow_loop_forget(connection->server->loop, &connection->watch);
-    close(connection->watch.fd);
+    ow_loop_close(connection->loop, &connection->watch);
     ow_http_parser_clear(&connection->parser);
     g_string_free(connection->pending, TRUE);
     g_string_free(connection->out, TRUE);
@@ -49,12 +47,25 @@
 
 void ow_http_connection_close(struct ow_http_connection *connection)
 {
-    struct ow_http_server *server = connection->server;
-    g_ptr_array_index(server->slots, connection->slot) = NULL;
-    server->count--;
-    release_connection(connection);
+    connection->handlers->closed(connection->handlers->owner, connection);
+    release(connection);
+}
+
+bool ow_http_connection_is_handling(const struct ow_http_connection *connection)
+{
+    return connection->state == OW_HTTP_CONNECTION_HANDLING ||
+           connection->state == OW_HTTP_CONNECTION_HANDLING_LAST;
+}
+
+/* Whether no more requests are read from the connection. */
+static bool is_ending(const struct ow_http_connection *connection)
+{
+    return connection->state == OW_HTTP_CONNECTION_HANDLING_LAST ||
+           connection->state == OW_HTTP_CONNECTION_DRAINING;
 }
 
+/* ---- writing ---- */
+
 static void append_response(struct ow_http_connection *connection, int status, const char *headers,
                             const char *body, size_t size)
 {
@@ -62,59 +73,64 @@
         connection->out,
         "HTTP/1.1 %d %s\r\nContent-Type: application/json\r\nContent-Length: %zu\r\n%s%s\r\n", status,
         reason_phrase(status), size, headers != NULL ? headers : "",
-        connection->closing ? "Connection: close\r\n" : "");
+        is_ending(connection) ? "Connection: close\r\n" : "");
     g_string_append_len(connection->out, body, (gssize)size);
 }
 
-/* False when the connection is gone. */
-static bool push_out(struct ow_http_connection *connection)
+/* Sends what the socket takes; false when the connection is gone. */
+static bool flush(struct ow_http_connection *connection)
 {
     if (!ow_net_flush(connection->watch.fd, connection->out, &connection->sent) ||
-        (connection->out->len == 0 && connection->closing)) {
+        (connection->out->len == 0 && is_ending(connection))) {
         ow_http_connection_close(connection);
         return false;
     }
-    ow_loop_change(connection->server->loop, &connection->watch,
-                   EPOLLIN | (connection->out->len > 0 ? EPOLLOUT : 0));
+    ow_loop_change(connection->loop, &connection->watch, EPOLLIN | (connection->out->len > 0 ? EPOLLOUT : 0));
     return true;
 }
 
-/* Answers and closes; false when the connection is gone. */
-static bool refuse(struct ow_http_connection *connection, int status, const char *body)
+/* Answers what is no request, and closes; false when the connection is gone. */
+static bool refuse(struct ow_http_connection *connection, enum ow_http_status status, const char *body)
 {
-    connection->closing = true;
-    append_response(connection, status, NULL, body, strlen(body));
-    return push_out(connection);
+    connection->state = OW_HTTP_CONNECTION_DRAINING;
+    append_response(connection, (int)status, NULL, body, strlen(body));
+    return flush(connection);
 }
 
-static void hand_over(struct ow_http_connection *connection)
+/* ---- reading ---- */
+
+/* Keeps bytes for later; false when the connection is gone. Pipelining does not occur: a peer that floods is
+ * cut off rather than buffered. */
+static bool keep_pending(struct ow_http_connection *connection, const char *data, size_t size)
 {
-    struct ow_http_server *server = connection->server;
-    connection->waiting = true;
-    connection->serial = ++server->next_serial;
-    connection->closing = connection->closing || connection->parser.close;
-    struct ow_http_request request = {
-        .id = ((uint64_t)connection->slot << 32) | connection->serial,
-        .method = connection->parser.method,
-        .target = connection->parser.target->str,
-        .body = connection->parser.body->str,
-        .body_size = connection->parser.body->len,
-    };
-    server->handler(server->owner, &request);
+    if (connection->pending->len + size > connection->pending_limit_bytes) {
+        ow_http_connection_close(connection);
+        return false;
+    }
+    g_string_append_len(connection->pending, data, (gssize)size);
+    return true;
 }
 
-/* False when the connection is gone. */
-static bool take_bytes(struct ow_http_connection *connection, const char *data, size_t size)
+/* Hands over the request that the parser holds, with the bytes behind it kept; false when the connection is
+ * gone. */
+static bool hand_over(struct ow_http_connection *connection, const char *rest, size_t rest_size)
 {
-    if (connection->waiting || connection->closing) {
-        /* Pipelining does not occur; a peer that floods is cut off rather than buffered. */
-        if (connection->pending->len + size > connection->server->body_limit) {
-            ow_http_connection_close(connection);
-            return false;
-        }
-        g_string_append_len(connection->pending, data, (gssize)size);
-        return true;
+    /* Under load whoever has given up waiting is not served: that would delay those who still wait. */
+    if (ow_loop_is_saturated(connection->loop) && ow_net_has_hung_up(connection->watch.fd)) {
+        ow_http_connection_close(connection);
+        return false;
     }
+    g_string_append_len(connection->pending, rest, (gssize)rest_size);
+    connection->state =
+        connection->parser.close ? OW_HTTP_CONNECTION_HANDLING_LAST : OW_HTTP_CONNECTION_HANDLING;
+    return connection->handlers->request(connection->handlers->owner, connection);
+}
+
+/* Takes bytes in; false when the connection is gone. */
+static bool take_bytes(struct ow_http_connection *connection, const char *data, size_t size)
+{
+    if (connection->state != OW_HTTP_CONNECTION_READING)
+        return keep_pending(connection, data, size);
     size_t used = 0;
     switch (ow_http_parse(&connection->parser, data, size, &used)) {
     case OW_HTTP_MORE:
@@ -126,25 +142,14 @@
     case OW_HTTP_DONE:
         break;
     }
-    /* Under load whoever has given up waiting is not served: that would delay those who still wait. */
-    if (ow_loop_is_saturated(connection->server->loop) && ow_net_has_hung_up(connection->watch.fd)) {
-        ow_http_connection_close(connection);
-        return false;
-    }
-    if (used < size)
-        g_string_append_len(connection->pending, data + used, (gssize)(size - used));
-    /* The handler may answer at once and with that end the connection. */
-    struct ow_http_server *server = connection->server;
-    uint32_t slot = connection->slot;
-    hand_over(connection);
-    return g_ptr_array_index(server->slots, slot) == connection;
+    return hand_over(connection, data + used, size - used);
 }
 
-static void read_ready(struct ow_http_connection *connection)
+static void read_bytes(struct ow_http_connection *connection)
 {
     char buffer[READ_BYTES];
-    for (;;) {
-        size_t size = 0;
+    size_t size = 0;
+    do {
         enum ow_net_reading reading = ow_net_read(connection->watch.fd, buffer, sizeof buffer, &size);
         if (reading == OW_NET_LATER)
             return;
@@ -152,56 +157,54 @@
             ow_http_connection_close(connection);
             return;
         }
-        connection->active_at = ow_loop_now(connection->server->loop);
-        if (!take_bytes(connection, buffer, size) || size < sizeof buffer)
+        connection->active_at = ow_loop_now(connection->loop);
+        if (!take_bytes(connection, buffer, size))
             return;
-    }
+    } while (size == sizeof buffer);
 }
 
-static void connection_ready(void *owner, uint32_t events)
+static void handle_ready(void *owner, uint32_t events)
 {
     struct ow_http_connection *connection = owner;
-    if (events & EPOLLOUT) {
-        if (!push_out(connection))
-            return;
-    }
+    if ((events & EPOLLOUT) && !flush(connection))
+        return;
     if (events & (EPOLLIN | EPOLLHUP | EPOLLERR))
-        read_ready(connection);
+        read_bytes(connection);
 }
 
-void ow_http_connection_open(struct ow_http_server *server, int fd)
+/* ---- for the server ---- */
+
+struct ow_http_connection *ow_http_connection_new(struct ow_loop *loop, int fd,
+                                                  const struct ow_http_connection_handlers *handlers,
+                                                  size_t body_limit_bytes)
 {
     struct ow_http_connection *connection = g_new0(struct ow_http_connection, 1);
-    connection->server = server;
-    connection->watch = (struct ow_watch){.fd = fd, .ready = connection_ready, .owner = connection};
-    connection->active_at = ow_loop_now(server->loop);
-    ow_http_parser_init(&connection->parser, OW_HTTP_REQUEST, server->body_limit);
+    connection->loop = loop;
+    connection->handlers = handlers;
+    connection->state = OW_HTTP_CONNECTION_READING;
+    connection->watch = (struct ow_watch){.fd = fd, .ready = handle_ready, .owner = connection};
+    connection->active_at = ow_loop_now(loop);
+    ow_http_parser_init(&connection->parser, OW_HTTP_REQUEST, body_limit_bytes);
+    connection->pending_limit_bytes = body_limit_bytes;
     connection->pending = g_string_sized_new(0);
     connection->out = g_string_sized_new(0);
-    if (!ow_loop_watch(server->loop, &connection->watch, EPOLLIN)) {
-        release_connection(connection);
-        return;
+    if (!ow_loop_watch(loop, &connection->watch, EPOLLIN)) {
+        release(connection);
+        return NULL;
     }
-    uint32_t slot = 0;
-    while (slot < server->slots->len && g_ptr_array_index(server->slots, slot) != NULL)
-        slot++;
-    if (slot == server->slots->len)
-        g_ptr_array_add(server->slots, NULL);
-    connection->slot = slot;
-    g_ptr_array_index(server->slots, slot) = connection;
-    server->count++;
+    return connection;
 }
 
 void ow_http_connection_answer(struct ow_http_connection *connection, int status, const char *headers,
                                const char *body, size_t size)
 {
-    connection->waiting = false;
+    bool is_last = connection->state == OW_HTTP_CONNECTION_HANDLING_LAST;
+    connection->state = is_last ? OW_HTTP_CONNECTION_DRAINING : OW_HTTP_CONNECTION_READING;
     append_response(connection, status, headers, body, size);
     ow_http_parser_reset(&connection->parser);
-    if (!push_out(connection) || connection->pending->len == 0 || connection->closing)
+    if (!flush(connection) || connection->pending->len == 0 || is_last)
         return;
-    GString *bytes = connection->pending;
+    g_autoptr(GString) bytes = g_steal_pointer(&connection->pending);
     connection->pending = g_string_sized_new(0);
     take_bytes(connection, bytes->str, bytes->len);
-    g_string_free(bytes, TRUE);
 }
--- a/src/io/http_connection.h
+++ b/src/io/http_connection.h
@@ -1,45 +1,82 @@
-/* One connection of the HTTP server: reads requests, hands them over one at a time and writes the responses.
- * Private to the server. */
+/** @file
+ * One connection of the HTTP server: reads requests, hands them over one at a time and writes the responses.
+ * Private to the HTTP server, which owns the connection.
+ *
+ * States:
+ *
+ *     READING        --a request is complete-->                        HANDLING
+ *     READING        --the same, and it is the sender's last-->        HANDLING_LAST
+ *     READING        --what came is no request, which is answered-->   DRAINING
+ *     HANDLING       --answered-->                                     READING
+ *     HANDLING_LAST  --answered-->                                     DRAINING
+ *     DRAINING       --everything is sent-->                           (closed)
+ *     any            --the other side closes or floods, or the owner calls ow_http_connection_close-->
+ * (closed)
+ *
+ * Bytes that come while a request is with the handler wait until it is answered. */
 #ifndef OW_IO_HTTP_CONNECTION_H
 #define OW_IO_HTTP_CONNECTION_H
 
 #include "io/http_parse.h"
-#include "io/http_server.h"
+#include "io/loop.h"
 
 #include <glib.h>
+#include <stdbool.h>
+#include <stddef.h>
+#include <stdint.h>
 
-struct ow_http_connection {
-    struct ow_http_server *server;
-    struct ow_watch watch;
-    uint32_t slot;    /* its place among the server's connections */
-    uint32_t serial;  /* of the request at hand */
-    double active_at; /* when it last received something */
-    bool waiting;     /* a request is with the handler */
-    bool closing;     /* close once everything is sent */
-    struct ow_http_parser parser;
-    GString *pending; /* bytes that came after the request at hand */
-    GString *out;     /* bytes to be sent */
-    size_t sent;      /* of `out` */
+enum ow_http_connection_state {
+    OW_HTTP_CONNECTION_READING,       /**< a request is awaited, or a part of it is there */
+    OW_HTTP_CONNECTION_HANDLING,      /**< a request is with the handler */
+    OW_HTTP_CONNECTION_HANDLING_LAST, /**< the same, and the connection ends with its answer */
+    OW_HTTP_CONNECTION_DRAINING,      /**< to be closed once everything is sent */
 };
 
-struct ow_http_server {
-    struct ow_loop *loop;
-    struct ow_watch listener;
-    size_t body_limit;
-    unsigned max_connections;
-    unsigned count; /* connections that are open */
-    double idle_s;
-    uint32_t next_serial;
-    ow_http_handler handler;
+struct ow_http_connection;
+
+/** What the owner is told; one such struct serves all its connections. */
+struct ow_http_connection_handlers {
+    /** A request is complete: `connection->parser` holds it until it is answered, which may happen in this
+     * call, and may close the connection.
+     * @return whether the connection still exists */
+    bool (*request)(void *owner, struct ow_http_connection *connection);
+    /** The connection closes: the callee forgets it. It is freed after this call. */
+    void (*closed)(void *owner, struct ow_http_connection *connection);
+    /** Handed to both. */
     void *owner;
-    GPtrArray *slots; /* struct ow_http_connection, or NULL where a slot is free */
 };
 
-/* Serves an accepted connection, whose descriptor it takes over. */
-void ow_http_connection_open(struct ow_http_server *server, int fd);
-/* Closes the connection at once and frees it. */
+/** The owner reads the fields, and writes its own two; all others are written here. */
+struct ow_http_connection {
+    struct ow_loop *loop;
+    const struct ow_http_connection_handlers *handlers;
+    enum ow_http_connection_state state;
+    struct ow_watch watch;
+    double active_at; /**< when it last received something (steady time) */
+    struct ow_http_parser parser;
+    size_t pending_limit_bytes; /**< of `pending` */
+    GString *pending;           /**< bytes that came behind the request at hand */
+    GString *out;               /**< bytes to be sent */
+    size_t sent;                /**< of `out` */
+    /* The owner's. */
+    uint32_t slot;   /**< its place among the server's connections */
+    uint32_t serial; /**< of the request at hand */
+};
+
+/** Serves an accepted connection.
+ * @param fd taken over, also if this fails
+ * @param handlers must outlive the connection
+ * @param body_limit_bytes of a request at most
+ * @return NULL if the loop can't watch the descriptor */
+struct ow_http_connection *ow_http_connection_new(struct ow_loop *loop, int fd,
+                                                  const struct ow_http_connection_handlers *handlers,
+                                                  size_t body_limit_bytes);
+/** Closes the connection at once, tells the owner and frees it. */
 void ow_http_connection_close(struct ow_http_connection *connection);
-/* Answers the request at hand and turns to the next. `headers` as in ow_http_server_answer. */
+/** Whether a request waits for its answer. */
+bool ow_http_connection_is_handling(const struct ow_http_connection *connection);
+/** Answers the request at hand and turns to the next; this may close the connection.
+ * @param headers as in ow_http_server_answer */
 void ow_http_connection_answer(struct ow_http_connection *connection, int status, const char *headers,
                                const char *body, size_t size);
 
--- a/src/io/http_server.c
+++ b/src/io/http_server.c
@@ -4,19 +4,88 @@
 #include "io/net.h"
 
 #include <sys/epoll.h>
-#include <unistd.h>
 
 /* A connection that has said something so lately is not dropped for another. */
 static const double QUIET_S = 1;
+/* A request's id: the slot of its connection above, the serial number of the request below. */
+enum { ID_SLOT_SHIFT = 32 };
 
-/* Room for a new connection at the cost of the one that has been quiet for longest. Workers report every few
-   seconds: it is never theirs while anybody else's stands idle. */
+struct ow_http_server {
+    struct ow_loop *loop;
+    struct ow_http_server_options options;
+    ow_http_handler handler;
+    void *owner; /* of `handler` */
+    struct ow_http_connection_handlers connection_handlers;
+    struct ow_watch listener;
+    GPtrArray *slots;     /* struct ow_http_connection, owned, or NULL where a slot is free */
+    unsigned count;       /* connections that are open */
+    uint32_t last_serial; /* given to a request */
+};
+
+/* ---- connections ---- */
+
+/* The connection in the slot, or NULL. */
+static struct ow_http_connection *connection_at(const struct ow_http_server *server, uint32_t slot)
+{
+    return slot < server->slots->len ? g_ptr_array_index(server->slots, slot) : NULL;
+}
+
+/* A connection has a whole request; `owner` is the server. False when the connection is gone after it. */
+static bool handle_request(void *owner, struct ow_http_connection *connection)
+{
+    struct ow_http_server *server = owner;
+    const struct ow_http_parser *parser = &connection->parser;
+    uint32_t slot = connection->slot;
+    connection->serial = ++server->last_serial;
+    const struct ow_http_request request = {
+        .id = ((ow_request_id)slot << ID_SLOT_SHIFT) | connection->serial,
+        .method = parser->method,
+        .target = parser->target->str,
+        .body = parser->body->str,
+        .body_size = parser->body->len,
+    };
+    server->handler(server->owner, &request);
+    /* The handler may have answered at once and with that ended the connection. */
+    return connection_at(server, slot) == connection;
+}
+
+/* A connection closes; `owner` is the server. */
+static void forget_connection(void *owner, struct ow_http_connection *connection)
+{
+    struct ow_http_server *server = owner;
+    g_ptr_array_index(server->slots, connection->slot) = NULL;
+    server->count--;
+}
+
+static uint32_t free_slot(struct ow_http_server *server)
+{
+    uint32_t slot = 0;
+    while (slot < server->slots->len && g_ptr_array_index(server->slots, slot) != NULL)
+        slot++;
+    if (slot == server->slots->len)
+        g_ptr_array_add(server->slots, NULL);
+    return slot;
+}
+
+static void open_connection(struct ow_http_server *server, int fd)
+{
+    struct ow_http_connection *connection =
+        ow_http_connection_new(server->loop, fd, &server->connection_handlers, server->options.body_limit);
+    if (connection == NULL)
+        return;
+    connection->slot = free_slot(server);
+    g_ptr_array_index(server->slots, connection->slot) = connection;
+    server->count++;
+}
+
+/* Room for a new connection at the cost of the one that has been quiet for longest. Workers send a heartbeat
+ * every few seconds: it is never theirs while anybody else's stands idle. */
 static bool drop_quietest(struct ow_http_server *server)
 {
     struct ow_http_connection *quietest = NULL;
-    for (guint i = 0; i < server->slots->len; i++) {
-        struct ow_http_connection *connection = g_ptr_array_index(server->slots, i);
-        if (connection != NULL && !connection->waiting &&
+    for (uint32_t slot = 0; slot < server->slots->len; slot++) {
+        struct ow_http_connection *connection = connection_at(server, slot);
+        if (connection != NULL && !ow_http_connection_is_handling(connection) &&
             (quietest == NULL || connection->active_at < quietest->active_at))
             quietest = connection;
     }
@@ -26,7 +95,7 @@
     return true;
 }
 
-static void listener_ready(void *owner, uint32_t events)
+static void handle_listener_ready(void *owner, uint32_t events)
 {
     struct ow_http_server *server = owner;
     (void)events;
@@ -35,13 +104,15 @@
         if (fd < 0)
             return;
         /* Past the bound a connection is refused at once, so that the load balancer moves on. */
-        if (server->count >= server->max_connections && !drop_quietest(server))
-            close(fd);
+        if (server->count >= server->options.max_connections && !drop_quietest(server))
+            ow_net_refuse(fd);
         else
-            ow_http_connection_open(server, fd);
+            open_connection(server, fd);
     }
 }
 
+/* ---- the server ---- */
+
 struct ow_http_server *ow_http_server_new(struct ow_loop *loop, const struct ow_http_server_options *options,
                                           ow_http_handler handler, void *owner)
 {
@@ -50,12 +121,13 @@
         return NULL;
     struct ow_http_server *server = g_new0(struct ow_http_server, 1);
     server->loop = loop;
-    server->listener = (struct ow_watch){.fd = fd, .ready = listener_ready, .owner = server};
-    server->body_limit = options->body_limit;
-    server->max_connections = options->max_connections;
-    server->idle_s = options->idle_s;
+    server->options = *options;
+    server->options.endpoint = NULL; /* the caller's */
     server->handler = handler;
     server->owner = owner;
+    server->connection_handlers = (struct ow_http_connection_handlers){
+        .request = handle_request, .closed = forget_connection, .owner = server};
+    server->listener = (struct ow_watch){.fd = fd, .ready = handle_listener_ready, .owner = server};
     server->slots = g_ptr_array_new();
     ow_loop_watch(loop, &server->listener, EPOLLIN);
     return server;
@@ -65,11 +137,12 @@
 {
     if (server == NULL)
         return;
-    for (guint i = 0; i < server->slots->len; i++)
-        if (g_ptr_array_index(server->slots, i) != NULL)
-            ow_http_connection_close(g_ptr_array_index(server->slots, i));
-    ow_loop_forget(server->loop, &server->listener);
-    close(server->listener.fd);
+    for (uint32_t slot = 0; slot < server->slots->len; slot++) {
+        struct ow_http_connection *connection = connection_at(server, slot);
+        if (connection != NULL)
+            ow_http_connection_close(connection);
+    }
+    ow_loop_close(server->loop, &server->listener);
     g_ptr_array_free(server->slots, TRUE);
     g_free(server);
 }
@@ -77,11 +150,10 @@
 void ow_http_server_answer(struct ow_http_server *server, ow_request_id id, int status, const char *headers,
                            const char *body, size_t size)
 {
-    uint32_t slot = (uint32_t)(id >> 32);
-    struct ow_http_connection *connection =
-        slot < server->slots->len ? g_ptr_array_index(server->slots, slot) : NULL;
+    struct ow_http_connection *connection = connection_at(server, (uint32_t)(id >> ID_SLOT_SHIFT));
     /* The asker may have gone and its slot may serve somebody else by now. */
-    if (connection == NULL || !connection->waiting || connection->serial != (uint32_t)id)
+    if (connection == NULL || !ow_http_connection_is_handling(connection) ||
+        connection->serial != (uint32_t)id)
         return;
     ow_http_connection_answer(connection, status, headers, body, size);
 }
@@ -91,20 +163,28 @@
     return server->count;
 }
 
-void ow_http_server_sweep(struct ow_http_server *server, double now)
+void ow_http_server_drop_unsent(struct ow_http_server *server)
 {
-    for (guint i = 0; i < server->slots->len; i++) {
-        struct ow_http_connection *connection = g_ptr_array_index(server->slots, i);
-        if (connection != NULL && !connection->waiting && now - connection->active_at > server->idle_s)
+    for (uint32_t slot = 0; slot < server->slots->len; slot++) {
+        struct ow_http_connection *connection = connection_at(server, slot);
+        if (connection != NULL && connection->out->len > 0)
             ow_http_connection_close(connection);
     }
 }
 
-void ow_http_server_drop_unsent(struct ow_http_server *server)
+/* Whether nothing has come on the connection for too long; a request that is with the handler keeps it. */
+static bool is_idle(const struct ow_http_server *server, const struct ow_http_connection *connection,
+                    double now)
 {
-    for (guint i = 0; i < server->slots->len; i++) {
-        struct ow_http_connection *connection = g_ptr_array_index(server->slots, i);
-        if (connection != NULL && connection->out->len > 0)
+    return !ow_http_connection_is_handling(connection) &&
+           now - connection->active_at > server->options.idle_s;
+}
+
+void ow_http_server_sweep(struct ow_http_server *server, double now)
+{
+    for (uint32_t slot = 0; slot < server->slots->len; slot++) {
+        struct ow_http_connection *connection = connection_at(server, slot);
+        if (connection != NULL && is_idle(server, connection, now))
             ow_http_connection_close(connection);
     }
 }
--- a/src/io/idle_connections.c
+++ b/src/io/idle_connections.c
@@ -1,4 +1,3 @@
-/* Idle connections of the HTTP client. */
 #include "io/idle_connections.h"
 
 #include <glib.h>
--- a/src/io/idle_connections.h
+++ b/src/io/idle_connections.h
@@ -1,20 +1,33 @@
-/* Idle connections of the HTTP client, by the endpoint that they lead to: thousands may be open. */
+/** @file
+ * The idle connections of the HTTP client, by the endpoint that they lead to: thousands may be open.
+ *
+ * The table points to connections that the client owns: whoever frees a connection removes it here first. Of
+ * an endpoint without idle connections nothing is kept. */
 #ifndef OW_IO_IDLE_CONNECTIONS_H
 #define OW_IO_IDLE_CONNECTIONS_H
 
-struct ow_client_connection; /* of http_client.c */
+#include <glib.h>
+
+struct ow_client_connection; /* of io/http_client_connection.h */
+
 struct ow_idle_connections;
+typedef struct ow_idle_connections ow_idle_connections;
 
+/** An empty table, owned by the caller. */
 struct ow_idle_connections *ow_idle_connections_new(void);
-/* Frees the table, not the connections. */
+/** Frees the table, not the connections. */
 void ow_idle_connections_free(struct ow_idle_connections *idle);
-/* The connection, which is not in the table, is idle from now on. */
+G_DEFINE_AUTOPTR_CLEANUP_FUNC(ow_idle_connections, ow_idle_connections_free)
+
+/** The connection, which is not in the table, is idle from now on.
+ * @param endpoint copied */
 void ow_idle_connections_add(struct ow_idle_connections *idle, const char *endpoint,
                              struct ow_client_connection *connection);
-/* The connection gets a request, or is closed; it need not be in the table. */
+/** The connection gets a request, or is closed; it need not be in the table. */
 void ow_idle_connections_remove(struct ow_idle_connections *idle, const char *endpoint,
                                 struct ow_client_connection *connection);
-/* An idle connection to the endpoint, the last one used of several, or NULL. It stays in the table. */
+/** @return an idle connection to the endpoint, the last one used of several, or NULL; it stays in the table
+ */
 struct ow_client_connection *ow_idle_connections_find(const struct ow_idle_connections *idle,
                                                       const char *endpoint);
 
--- a/src/io/incoming.c
+++ b/src/io/incoming.c
@@ -1,9 +1,8 @@
-/* Requests of users and workers: each becomes an event for the core, or is answered at once when it can't be
- * read; and the core's answers to them. */
-#include "io/daemon_state.h"
+#include "io/incoming.h"
 
-#include "model/effect.h"
+#include "io/daemon_state.h"
 #include "model/event.h"
+#include "model/http_status.h"
 #include "model/submission.h"
 #include "model/worker.h"
 #include "wire/sharding_json.h"
@@ -13,30 +12,47 @@
 
 #include <string.h>
 
-/* ---- requests ---- */
+/* ---- answering ---- */
 
-/* Takes over `body`. */
-static void answer(struct ow_daemon *daemon, uint64_t id, int status, const char *headers, char *body)
+/* Answers with a body of JSON text, which is taken over. */
+static void answer(struct ow_daemon *daemon, ow_request_id id, int status, char *body)
 {
-    ow_http_server_answer(daemon->server, id, status, headers, body, strlen(body));
+    ow_http_server_answer(daemon->server, id, status, NULL, body, strlen(body));
     g_free(body);
 }
 
-static void answer_error(struct ow_daemon *daemon, uint64_t id, int status, const char *text)
+static void answer_error(struct ow_daemon *daemon, const struct ow_http_request *request,
+                         enum ow_http_status status, const char *text)
+{
+    answer(daemon, request->id, (int)status, wire_error_encode(text));
+}
+
+/* ---- routes ---- */
+
+static void take_heartbeat(struct ow_daemon *daemon, const struct ow_http_request *request, const char *job)
 {
-    answer(daemon, id, status, NULL, wire_error_encode(text));
+    (void)job;
+    struct ow_heartbeat *heartbeat = wire_heartbeat_decode(request->body, request->body_size);
+    if (heartbeat == NULL) {
+        answer_error(daemon, request, OW_HTTP_STATUS_BAD_REQUEST, "not a report");
+        return;
+    }
+    struct ow_event *event = ow_event_new(OW_EVENT_HEARTBEAT, request->id);
+    event->heartbeat = heartbeat;
+    ow_shard_manager_push(daemon->manager, event);
 }
 
-static void take_submission(struct ow_daemon *daemon, const struct ow_http_request *request)
+static void take_submission(struct ow_daemon *daemon, const struct ow_http_request *request, const char *job)
 {
+    (void)job;
     const char *fault = NULL;
     char id[OW_ID_MAX + 1];
     struct ow_submission *submission = wire_submission_decode(request->body, request->body_size, id, &fault);
     if (submission == NULL && *id == '\0') {
-        answer_error(daemon, request->id, OW_HTTP_STATUS_BAD_REQUEST, fault);
+        answer_error(daemon, request, OW_HTTP_STATUS_BAD_REQUEST, fault);
         return;
     }
-    /* With the id of a job that was accepted it is a repeat, whatever else it says. */
+    /* Under the id of a job that was accepted it is a retry, whatever else it says: the core decides. */
     struct ow_event *event = ow_event_new(OW_EVENT_SUBMIT, request->id);
     event->submission = submission;
     event->fault = fault;
@@ -44,102 +60,146 @@
     ow_shard_manager_push(daemon->manager, event);
 }
 
-static void take_heartbeat(struct ow_daemon *daemon, const struct ow_http_request *request)
+/* Pushes an event about one job. What can't be the id of a job is answered with `invalid_status`. */
+static void push_job_event(struct ow_daemon *daemon, const struct ow_http_request *request, const char *job,
+                           enum ow_event_kind kind, enum ow_http_status invalid_status)
 {
-    struct ow_heartbeat *heartbeat = wire_heartbeat_decode(request->body, request->body_size);
-    if (heartbeat == NULL) {
-        answer_error(daemon, request->id, OW_HTTP_STATUS_BAD_REQUEST, "not a report");
+    if (!wire_job_id_valid(job)) {
+        answer_error(daemon, request, invalid_status, "not the id of a job");
         return;
     }
-    struct ow_event *event = ow_event_new(OW_EVENT_HEARTBEAT, request->id);
-    event->heartbeat = heartbeat;
+    struct ow_event *event = ow_event_new(kind, request->id);
+    g_strlcpy(event->id, job, sizeof event->id);
     ow_shard_manager_push(daemon->manager, event);
 }
 
-static void take_job_request(struct ow_daemon *daemon, const struct ow_http_request *request,
-                             const char *rest)
-{
-    const char *slash = strchr(rest, '/');
-    char *id = slash != NULL ? g_strndup(rest, (gsize)(slash - rest)) : g_strdup(rest);
-    bool cancel = slash != NULL && strcmp(slash + 1, W_PATH_CANCEL) == 0;
-    if ((slash != NULL && !cancel) || strlen(id) > OW_ID_MAX) {
-        answer_error(daemon, request->id, OW_HTTP_STATUS_NOT_FOUND, "no such path");
-    } else if (strcmp(request->method, cancel ? "POST" : "GET") != 0) {
-        answer_error(daemon, request->id, OW_HTTP_STATUS_METHOD_NOT_ALLOWED, "method not allowed");
-    } else if (!wire_job_id_valid(id)) {
-        answer_error(daemon, request->id, cancel ? OW_HTTP_STATUS_BAD_REQUEST : OW_HTTP_STATUS_NOT_FOUND,
-                     "not the id of a job");
-    } else {
-        struct ow_event *event = ow_event_new(cancel ? OW_EVENT_CANCEL : OW_EVENT_POLL, request->id);
-        g_strlcpy(event->id, id, sizeof event->id);
-        ow_shard_manager_push(daemon->manager, event);
-    }
-    g_free(id);
+static void take_poll(struct ow_daemon *daemon, const struct ow_http_request *request, const char *job)
+{
+    push_job_event(daemon, request, job, OW_EVENT_POLL, OW_HTTP_STATUS_NOT_FOUND);
 }
 
-static bool method_is(struct ow_daemon *daemon, const struct ow_http_request *request, const char *method)
+static void take_cancellation(struct ow_daemon *daemon, const struct ow_http_request *request,
+                              const char *job)
 {
-    if (strcmp(request->method, method) == 0)
-        return true;
-    answer_error(daemon, request->id, OW_HTTP_STATUS_METHOD_NOT_ALLOWED, "method not allowed");
-    return false;
+    push_job_event(daemon, request, job, OW_EVENT_CANCEL, OW_HTTP_STATUS_BAD_REQUEST);
 }
 
-/* What operators ask of a fleet that is divided into shards. */
-static void answer_operators(struct ow_daemon *daemon, const struct ow_http_request *request, bool shards)
+static void take_teams_query(struct ow_daemon *daemon, const struct ow_http_request *request, const char *job)
 {
-    if (!ow_shard_manager_is_enabled(daemon->manager)) {
-        answer_error(daemon, request->id, OW_HTTP_STATUS_NOT_FOUND, "the fleet is not divided into shards");
-        return;
+    (void)job;
+    ow_shard_manager_push(daemon->manager, ow_event_new(OW_EVENT_TEAMS, request->id));
+}
+
+/* For the load balancer: whether users should be sent here. */
+static void answer_health(struct ow_daemon *daemon, const struct ow_http_request *request, const char *job)
+{
+    (void)job;
+    bool is_ready = ow_shard_manager_is_ready(daemon->manager);
+    answer(daemon, request->id, is_ready ? OW_HTTP_STATUS_OK : OW_HTTP_STATUS_UNAVAILABLE, g_strdup("{}"));
+}
+
+/* Answers operators with what `describe` says of a fleet that is divided into shards. */
+static void answer_operators(struct ow_daemon *daemon, const struct ow_http_request *request,
+                             char *(*describe)(const struct ow_shard_manager *manager))
+{
+    if (ow_shard_manager_is_enabled(daemon->manager))
+        answer(daemon, request->id, OW_HTTP_STATUS_OK, describe(daemon->manager));
+    else
+        answer_error(daemon, request, OW_HTTP_STATUS_NOT_FOUND, "the fleet is not divided into shards");
+}
+
+static void answer_controllers(struct ow_daemon *daemon, const struct ow_http_request *request,
+                               const char *job)
+{
+    (void)job;
+    answer_operators(daemon, request, wire_controllers);
+}
+
+static void answer_shards(struct ow_daemon *daemon, const struct ow_http_request *request, const char *job)
+{
+    (void)job;
+    answer_operators(daemon, request, wire_shards);
+}
+
+/* What is served: every path has one method. JOB stands for one segment, of OW_ID_MAX bytes at most. */
+struct route {
+    const char *method;
+    const char *path;
+    /* Takes the request; `job` is the segment that stands for JOB, or empty. */
+    void (*take)(struct ow_daemon *daemon, const struct ow_http_request *request, const char *job);
+};
+
+#define JOB "*"
+
+static const struct route routes[] = {
+    {"POST", W_PATH_HEARTBEAT, take_heartbeat},
+    {"POST", W_PATH_JOBS, take_submission},
+    {"GET", W_PATH_JOBS "/" JOB, take_poll},
+    {"POST", W_PATH_JOBS "/" JOB "/" W_PATH_CANCEL, take_cancellation},
+    {"GET", W_PATH_TEAMS, take_teams_query},
+    {"GET", W_PATH_HEALTH, answer_health},
+    {"GET", W_PATH_CONTROLLERS, answer_controllers},
+    {"GET", W_PATH_SHARDS, answer_shards},
+};
+
+/* Whether the path is that of the route; `job` (OW_ID_MAX + 1 bytes) is then filled in. */
+static bool path_matches(const struct route *route, const char *path, char *job)
+{
+    size_t prefix_size = strcspn(route->path, JOB);
+    const char *suffix = route->path + prefix_size;
+    if (strncmp(path, route->path, prefix_size) != 0)
+        return false;
+    path += prefix_size;
+    size_t job_size = 0;
+    if (*suffix != '\0') {
+        suffix += strlen(JOB);
+        job_size = strcspn(path, "/");
     }
-    char *body = shards ? wire_shards(daemon->manager) : wire_controllers(daemon->manager);
-    answer(daemon, request->id, OW_HTTP_STATUS_OK, NULL, body);
+    if (job_size > OW_ID_MAX || strcmp(path + job_size, suffix) != 0)
+        return false;
+    memcpy(job, path, job_size);
+    job[job_size] = '\0';
+    return true;
 }
 
 void ow_incoming_handle(void *owner, const struct ow_http_request *request)
 {
     struct ow_daemon *daemon = owner;
-    char *path = g_strndup(request->target, strcspn(request->target, "?"));
-    if (strcmp(path, W_PATH_HEARTBEAT) == 0) {
-        if (method_is(daemon, request, "POST"))
-            take_heartbeat(daemon, request);
-    } else if (strcmp(path, W_PATH_JOBS) == 0) {
-        if (method_is(daemon, request, "POST"))
-            take_submission(daemon, request);
-    } else if (g_str_has_prefix(path, W_PATH_JOBS "/")) {
-        take_job_request(daemon, request, path + strlen(W_PATH_JOBS "/"));
-    } else if (strcmp(path, W_PATH_HEALTH) == 0) {
-        if (method_is(daemon, request, "GET"))
-            answer(daemon, request->id,
-                   ow_shard_manager_is_ready(daemon->manager) ? OW_HTTP_STATUS_OK
-                                                              : OW_HTTP_STATUS_UNAVAILABLE,
-                   NULL, g_strdup("{}"));
-    } else if (strcmp(path, W_PATH_TEAMS) == 0) {
-        if (method_is(daemon, request, "GET"))
-            ow_shard_manager_push(daemon->manager, ow_event_new(OW_EVENT_TEAMS, request->id));
-    } else if (strcmp(path, W_PATH_CONTROLLERS) == 0 || strcmp(path, W_PATH_SHARDS) == 0) {
-        if (method_is(daemon, request, "GET"))
-            answer_operators(daemon, request, strcmp(path, W_PATH_SHARDS) == 0);
-    } else {
-        answer_error(daemon, request->id, OW_HTTP_STATUS_NOT_FOUND, "no such path");
+    g_autofree char *path = g_strndup(request->target, strcspn(request->target, "?"));
+    for (size_t i = 0; i < G_N_ELEMENTS(routes); i++) {
+        char job[OW_ID_MAX + 1];
+        if (!path_matches(&routes[i], path, job))
+            continue;
+        if (strcmp(request->method, routes[i].method) == 0)
+            routes[i].take(daemon, request, job);
+        else
+            answer_error(daemon, request, OW_HTTP_STATUS_METHOD_NOT_ALLOWED, "method not allowed");
+        return;
     }
-    g_free(path);
+    answer_error(daemon, request, OW_HTTP_STATUS_NOT_FOUND, "no such path");
 }
 
-/* ---- answers ---- */
+/* ---- answers of the core ---- */
 
 static void answer_job(struct ow_daemon *daemon, const struct ow_effect *effect)
 {
-    struct wire_job_view view = {effect->id, effect->state, effect->done, effect->running, effect->text};
-    answer(daemon, effect->request, effect->status, NULL, wire_job_view_encode(&view));
+    const struct wire_job_view view = {
+        .id = effect->id,
+        .state = effect->state,
+        .done = effect->done,
+        .running = effect->running,
+        .reason = effect->text,
+    };
+    answer(daemon, effect->request, effect->status, wire_job_view_encode(&view));
 }
 
 static void answer_refusal(struct ow_daemon *daemon, const struct ow_effect *effect)
 {
-    char *headers =
-        effect->retry_after_s > 0 ? g_strdup_printf("Retry-After: %d\r\n", effect->retry_after_s) : NULL;
-    answer(daemon, effect->request, effect->status, headers, wire_error_encode(effect->text));
-    g_free(headers);
+    g_autofree char *body = wire_error_encode(effect->text);
+    g_autofree char *headers = NULL;
+    if (effect->retry_after_s > 0)
+        headers = g_strdup_printf("Retry-After: %d\r\n", effect->retry_after_s);
+    ow_http_server_answer(daemon->server, effect->request, effect->status, headers, body, strlen(body));
 }
 
 void ow_incoming_answer(struct ow_daemon *daemon, const struct ow_effect *effect)
@@ -149,17 +209,17 @@
         answer_job(daemon, effect);
         break;
     case OW_EFFECT_TEAMS:
-        answer(daemon, effect->request, effect->status, NULL, wire_teams_encode(effect->teams));
+        answer(daemon, effect->request, effect->status, wire_teams_encode(effect->teams));
         break;
     case OW_EFFECT_REFUSE:
         answer_refusal(daemon, effect);
         break;
     case OW_EFFECT_WORKER_COMMANDS:
-        answer(daemon, effect->request, OW_HTTP_STATUS_OK, NULL,
+        answer(daemon, effect->request, OW_HTTP_STATUS_OK,
                wire_worker_commands_encode(effect->fencing_token, effect->commands));
         break;
     case OW_EFFECT_MISDIRECT:
-        answer(daemon, effect->request, OW_HTTP_STATUS_MISDIRECTED, NULL, wire_redirect_encode(effect->text));
+        answer(daemon, effect->request, OW_HTTP_STATUS_MISDIRECTED, wire_redirect_encode(effect->text));
         break;
     default:
         break;
--- a/src/io/loop.c
+++ b/src/io/loop.c
@@ -6,34 +6,35 @@
 #include <unistd.h>
 
 /* Events taken from the system at a time. */
-enum { BATCH = 64 };
+enum { BATCH_EVENTS = 64 };
+
+static const double MS_PER_S = 1000.0, S_PER_NS = 1e-9;
 
 struct ow_loop {
     int epoll_fd;
-    double now;
-    double pause; /* what the last round asked for */
+    double now;     /* the steady time of the batch at hand */
+    double pause_s; /* how long the last round allowed to wait */
     ow_wake_fn wake;
     void *wake_owner;
-    int ready_count;
-    bool saturated; /* the last batch was full */
-    struct epoll_event ready[BATCH];
+    int ready_count;   /* events of the batch at hand; 0 between batches */
+    bool is_saturated; /* the last batch was full */
+    struct epoll_event ready[BATCH_EVENTS];
 };
 
 static double steady_now(void)
 {
-    struct timespec ts;
-    clock_gettime(CLOCK_MONOTONIC, &ts);
-    return (double)ts.tv_sec + (double)ts.tv_nsec * 1e-9;
+    struct timespec time;
+    clock_gettime(CLOCK_MONOTONIC, &time);
+    return (double)time.tv_sec + (double)time.tv_nsec * S_PER_NS;
 }
 
 struct ow_loop *ow_loop_new(void)
 {
-    struct ow_loop *loop = g_new0(struct ow_loop, 1);
-    loop->epoll_fd = epoll_create1(EPOLL_CLOEXEC);
-    if (loop->epoll_fd < 0) {
-        g_free(loop);
+    int epoll_fd = epoll_create1(EPOLL_CLOEXEC);
+    if (epoll_fd < 0)
         return NULL;
-    }
+    struct ow_loop *loop = g_new0(struct ow_loop, 1);
+    loop->epoll_fd = epoll_fd;
     loop->now = steady_now();
     return loop;
 }
@@ -59,53 +60,74 @@
 
 bool ow_loop_watch(struct ow_loop *loop, struct ow_watch *watch, uint32_t events)
 {
-    struct epoll_event ev = {.events = events, .data.ptr = watch};
+    struct epoll_event event = {.events = events, .data.ptr = watch};
     watch->events = events;
-    return epoll_ctl(loop->epoll_fd, EPOLL_CTL_ADD, watch->fd, &ev) == 0;
+    return epoll_ctl(loop->epoll_fd, EPOLL_CTL_ADD, watch->fd, &event) == 0;
 }
 
 void ow_loop_change(struct ow_loop *loop, struct ow_watch *watch, uint32_t events)
 {
     if (watch->events == events)
         return;
-    struct epoll_event ev = {.events = events, .data.ptr = watch};
+    struct epoll_event event = {.events = events, .data.ptr = watch};
     watch->events = events;
-    epoll_ctl(loop->epoll_fd, EPOLL_CTL_MOD, watch->fd, &ev);
+    epoll_ctl(loop->epoll_fd, EPOLL_CTL_MOD, watch->fd, &event);
 }
 
-void ow_loop_forget(struct ow_loop *loop, struct ow_watch *watch)
+/* A callback may close another connection whose event is already fetched: it must not be called with freed
+ * memory. */
+static void drop_fetched_events(struct ow_loop *loop, const struct ow_watch *watch)
 {
-    epoll_ctl(loop->epoll_fd, EPOLL_CTL_DEL, watch->fd, NULL);
-    /* A callback may close another connection whose event is already fetched:
-       it must not be called with freed memory. */
-    for (int i = 0; i < loop->ready_count; i++)
+    for (int i = 0; i < loop->ready_count; i++) {
         if (loop->ready[i].data.ptr == watch)
             loop->ready[i].data.ptr = NULL;
+    }
+}
+
+void ow_loop_close(struct ow_loop *loop, struct ow_watch *watch)
+{
+    if (watch->fd == OW_LOOP_NO_DESCRIPTOR)
+        return;
+    epoll_ctl(loop->epoll_fd, EPOLL_CTL_DEL, watch->fd, NULL);
+    drop_fetched_events(loop, watch);
+    close(watch->fd);
+    watch->fd = OW_LOOP_NO_DESCRIPTOR;
 }
 
 bool ow_loop_is_saturated(const struct ow_loop *loop)
 {
-    return loop->saturated;
+    return loop->is_saturated;
 }
 
-void ow_loop_once(struct ow_loop *loop, ow_round_fn round, void *owner)
+/* Waits for a batch of events, as long as the last round allowed, rounded up to a millisecond. */
+static void fetch_events(struct ow_loop *loop)
 {
-    int pause_ms = (int)(loop->pause * 1000.0) + 1;
+    int pause_ms = (int)(loop->pause_s * MS_PER_S) + 1;
     double before = loop->now;
-    int n = epoll_wait(loop->epoll_fd, loop->ready, BATCH, pause_ms);
+    int count = epoll_wait(loop->epoll_fd, loop->ready, BATCH_EVENTS, pause_ms);
     loop->now = steady_now();
-    /* From the last batch on: the process may have stood still anywhere since. */
+    /* Lateness counts from the last batch on: the process may have stood still anywhere since. */
     if (loop->wake != NULL)
-        loop->wake(loop->wake_owner, loop->now - before - loop->pause, loop->now);
-    loop->ready_count = n > 0 ? n : 0;
-    loop->saturated = n == BATCH;
+        loop->wake(loop->wake_owner, loop->now - before - loop->pause_s, loop->now);
+    loop->ready_count = MAX(count, 0);
+    loop->is_saturated = count == BATCH_EVENTS;
+}
+
+static void call_watches(struct ow_loop *loop)
+{
     for (int i = 0; i < loop->ready_count; i++) {
         struct ow_watch *watch = loop->ready[i].data.ptr;
         if (watch != NULL)
             watch->ready(watch->owner, loop->ready[i].events);
     }
     loop->ready_count = 0;
-    loop->pause = round(owner, loop->now);
+}
+
+void ow_loop_once(struct ow_loop *loop, ow_round_fn round, void *owner)
+{
+    fetch_events(loop);
+    call_watches(loop);
+    loop->pause_s = round(owner, loop->now);
 }
 
 void ow_loop_run(struct ow_loop *loop, ow_round_fn round, void *owner)
--- a/src/io/loop.h
+++ b/src/io/loop.h
@@ -1,49 +1,80 @@
-/* The event loop: epoll, one thread, readiness callbacks and one periodic round. */
+/** @file
+ * The event loop: epoll on one thread, a callback for each descriptor that is ready, and one round after each
+ * batch.
+ *
+ * Invariants:
+ * - All callbacks run on the thread that runs the loop, one after the other; none is called from inside
+ *   ow_loop_watch, ow_loop_change or ow_loop_close.
+ * - A callback may close any watch, its own included: events of that watch that were already fetched are
+ * dropped.
+ * - Descriptors: what ow_net_listen, ow_net_connect and ow_net_accept return belongs to the caller until it
+ * stands in a watch; from then on it belongs to the watch, and ow_loop_close, the one place that closes
+ * descriptors of watches, closes it. The memory of a watch stays its caller's. */
 #ifndef OW_IO_LOOP_H
 #define OW_IO_LOOP_H
 
+#include <glib.h>
 #include <stdbool.h>
 #include <stdint.h>
 
+/** The loop. Whoever creates it frees it, after everything that has watches in it. */
 struct ow_loop;
+typedef struct ow_loop ow_loop;
 
-/* Called with the epoll events that are ready on the watched descriptor. */
+/** A descriptor is ready.
+ * @param owner that of the watch; it lives as long as the watch
+ * @param events the epoll events that are ready */
 typedef void (*ow_ready_fn)(void *owner, uint32_t events);
 
-/* Called once after every batch of ready descriptors, at the steady time `now` in seconds; returns how many
-   seconds may pass until the next round. */
+/** Called once after every batch of ready descriptors.
+ * @param owner what was handed to ow_loop_run or ow_loop_once; it must outlive that call
+ * @param now the steady time of the batch, in seconds
+ * @return for how many seconds the loop may wait for descriptors before the next round */
 typedef double (*ow_round_fn)(void *owner, double now);
 
-/* Called when the loop goes on, before anything else, with how many seconds later than it meant to. */
+/** The loop goes on after waiting; called before the callbacks of the batch.
+ * @param owner what was handed to ow_loop_on_wake; it must live as long as the loop runs
+ * @param late_s how many seconds later it goes on than it meant to, from the last batch on; up to the time
+ * that the last round allowed, negative
+ * @param now the steady time of the batch, in seconds */
 typedef void (*ow_wake_fn)(void *owner, double late_s, double now);
 
-/* NULL if the system has no epoll descriptor to give. */
+/** @return a new loop, or NULL if the system has no epoll descriptor to give */
 struct ow_loop *ow_loop_new(void);
+/** Frees the loop, not the watches. NULL is allowed. */
 void ow_loop_free(struct ow_loop *loop);
-/* Sets the function that is called whenever the loop goes on. */
+G_DEFINE_AUTOPTR_CLEANUP_FUNC(ow_loop, ow_loop_free)
+
+/** Sets the one function that is called whenever the loop goes on; `owner` is handed to it. */
 void ow_loop_on_wake(struct ow_loop *loop, ow_wake_fn wake, void *owner);
-/* The steady time of the batch at hand, in seconds. */
+/** The steady time of the batch at hand, in seconds. */
 double ow_loop_now(const struct ow_loop *loop);
 
-/* A watch is owned by the caller and must live until ow_loop_forget. */
+enum { OW_LOOP_NO_DESCRIPTOR = -1 };
+
+/** A descriptor in the loop. The memory is the caller's and must live until ow_loop_close. */
 struct ow_watch {
-    int fd;
-    uint32_t events; /* the epoll events that are watched for; kept by the loop */
-    ow_ready_fn ready;
-    void *owner; /* handed to `ready` */
+    int fd;            /**< owned by the watch; OW_LOOP_NO_DESCRIPTOR: none */
+    uint32_t events;   /**< the epoll events that are watched for; kept by the loop */
+    ow_ready_fn ready; /**< called when the descriptor is ready */
+    void *owner;       /**< handed to `ready`; must live until ow_loop_close */
 };
 
-/* Begins to watch the descriptor for these epoll events; false if the system refuses. */
+/** Begins to watch the descriptor.
+ * @param events the epoll events to watch for
+ * @return false if the system refuses; the watch must be closed all the same */
 bool ow_loop_watch(struct ow_loop *loop, struct ow_watch *watch, uint32_t events);
-/* Watches for other events from now on. */
+/** Watches for these epoll events from now on, in place of the earlier ones. */
 void ow_loop_change(struct ow_loop *loop, struct ow_watch *watch, uint32_t events);
-/* Ends the watch, and drops its events that are still waiting in the current batch. */
-void ow_loop_forget(struct ow_loop *loop, struct ow_watch *watch);
-/* Whether more descriptors may be ready than the batch at hand has: what comes waits its turn. */
+/** Ends the watch, drops its events that are still waiting in the current batch and closes its descriptor,
+ * which is OW_LOOP_NO_DESCRIPTOR afterwards. Without a descriptor nothing happens. */
+void ow_loop_close(struct ow_loop *loop, struct ow_watch *watch);
+
+/** Whether more descriptors may be ready than the batch at hand has: what comes waits its turn. */
 bool ow_loop_is_saturated(const struct ow_loop *loop);
-/* Runs for ever. */
+/** Repeats ow_loop_once for ever. */
 void ow_loop_run(struct ow_loop *loop, ow_round_fn round, void *owner);
-/* One batch and one round; ow_loop_run repeats it. Tests drive the loop with it. */
+/** One batch of ready descriptors and one round. Tests and the command line client drive the loop with it. */
 void ow_loop_once(struct ow_loop *loop, ow_round_fn round, void *owner);
 
 #endif
--- a/src/io/net.c
+++ b/src/io/net.c
@@ -10,67 +10,71 @@
 
 /* Connections that may wait to be accepted. */
 enum { LISTEN_BACKLOG = 4096 };
+enum { NO_DESCRIPTOR = -1 };
 
-/* A socket for the endpoint, whose address is stored; -1: it is no endpoint, or there is no socket to be had.
- */
-static int new_socket(const char *endpoint, struct sockaddr_in *addr)
+/* Where connections begin; family AF_UNSPEC (0): wherever the system chooses. */
+static struct sockaddr_in source;
+
+static void enable_option(int fd, int level, int option)
+{
+    int one = 1;
+    setsockopt(fd, level, option, &one, sizeof one);
+}
+
+/* A socket for the endpoint, whose address is stored; NO_DESCRIPTOR: it is no endpoint, or there is no socket
+ * to be had. */
+static int new_socket(const char *endpoint, struct sockaddr_in *address)
 {
-    if (!ow_endpoint_parse(endpoint, addr))
-        return -1;
+    if (!ow_endpoint_parse(endpoint, address))
+        return NO_DESCRIPTOR;
     int fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-    if (fd >= 0) {
-        int one = 1;
-        setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &one, sizeof one);
-    }
+    if (fd >= 0)
+        enable_option(fd, IPPROTO_TCP, TCP_NODELAY);
     return fd;
 }
 
 int ow_net_listen(const char *endpoint)
 {
-    struct sockaddr_in addr;
-    int fd = new_socket(endpoint, &addr);
+    struct sockaddr_in address;
+    int fd = new_socket(endpoint, &address);
     if (fd < 0)
-        return -1;
-    int one = 1;
-    setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &one, sizeof one);
-    if (bind(fd, (struct sockaddr *)&addr, sizeof addr) != 0 || listen(fd, LISTEN_BACKLOG) != 0) {
+        return NO_DESCRIPTOR;
+    enable_option(fd, SOL_SOCKET, SO_REUSEADDR);
+    if (bind(fd, (struct sockaddr *)&address, sizeof address) != 0 || listen(fd, LISTEN_BACKLOG) != 0) {
         close(fd);
-        return -1;
+        return NO_DESCRIPTOR;
     }
     return fd;
 }
 
-/* Where connections begin; family 0: wherever the system chooses. */
-static struct sockaddr_in source;
-
 void ow_net_set_source(const char *endpoint)
 {
     if (!ow_endpoint_parse(endpoint, &source))
-        source.sin_family = 0;
+        source.sin_family = AF_UNSPEC;
     source.sin_port = 0;
 }
 
-/* Without it the system chooses the address, which is no reason not to connect. */
+/* Where it fails the system chooses the address, which is no reason not to connect. */
 static void bind_to_source(int fd)
 {
-    int one = 1;
-    if (source.sin_family == 0)
+    if (source.sin_family == AF_UNSPEC)
         return;
-    setsockopt(fd, IPPROTO_IP, IP_BIND_ADDRESS_NO_PORT, &one, sizeof one);
+    /* The port is chosen when connecting: ports are then scarce for each destination, not in all. */
+    enable_option(fd, IPPROTO_IP, IP_BIND_ADDRESS_NO_PORT);
     if (bind(fd, (struct sockaddr *)&source, sizeof source) != 0)
-        g_debug("a connection can't begin at the address that is listened on");
+        g_debug("connection does not begin at the listening address: reason=\"bind failed\"");
 }
 
 int ow_net_connect(const char *endpoint)
 {
-    struct sockaddr_in addr;
-    int fd = new_socket(endpoint, &addr);
+    struct sockaddr_in address;
+    int fd = new_socket(endpoint, &address);
     if (fd < 0)
-        return -1;
+        return NO_DESCRIPTOR;
     bind_to_source(fd);
-    if (connect(fd, (struct sockaddr *)&addr, sizeof addr) != 0 && errno != EINPROGRESS) {
+    if (connect(fd, (struct sockaddr *)&address, sizeof address) != 0 && errno != EINPROGRESS) {
         close(fd);
-        return -1;
+        return NO_DESCRIPTOR;
     }
     return fd;
 }
@@ -78,13 +82,16 @@
 int ow_net_accept(int listener)
 {
     int fd = accept4(listener, NULL, NULL, SOCK_NONBLOCK | SOCK_CLOEXEC);
-    if (fd >= 0) {
-        int one = 1;
-        setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &one, sizeof one);
-    }
+    if (fd >= 0)
+        enable_option(fd, IPPROTO_TCP, TCP_NODELAY);
     return fd;
 }
 
+void ow_net_refuse(int fd)
+{
+    close(fd);
+}
+
 int ow_net_connect_error(int fd)
 {
     int error = 0;
@@ -97,13 +104,13 @@
 bool ow_net_flush(int fd, GString *out, size_t *sent)
 {
     while (*sent < out->len) {
-        ssize_t n = send(fd, out->str + *sent, out->len - *sent, MSG_NOSIGNAL);
-        if (n < 0) {
+        ssize_t count = send(fd, out->str + *sent, out->len - *sent, MSG_NOSIGNAL);
+        if (count < 0) {
             if (errno == EINTR)
                 continue;
             return errno == EAGAIN || errno == EWOULDBLOCK;
         }
-        *sent += (size_t)n;
+        *sent += (size_t)count;
     }
     g_string_truncate(out, 0);
     *sent = 0;
--- a/src/io/net.h
+++ b/src/io/net.h
@@ -1,38 +1,52 @@
-/* Small helpers over non-blocking TCP sockets, and an outgoing byte buffer. */
+/** @file
+ * Small helpers over non-blocking TCP sockets: listening, connecting, accepting, reading, and writing from a
+ * buffer.
+ *
+ * Descriptors: one that is returned here belongs to the caller, who hands it to a watch (ow_loop_watch;
+ * ow_loop_close then closes it) or refuses it with ow_net_refuse. All are non-blocking, close-on-exec, and
+ * send without delay (TCP_NODELAY).
+ *
+ * State: the address at which connections begin is one for the whole process (ow_net_set_source). */
 #ifndef OW_IO_NET_H
 #define OW_IO_NET_H
 
 #include <glib.h>
 #include <stdbool.h>
+#include <stddef.h>
 
-/* A socket that listens on ADDRESS:PORT, or -1. */
+/** @return a socket that listens on ADDRESS:PORT, or -1 */
 int ow_net_listen(const char *endpoint);
-/* From now on connections begin at the address of ADDRESS:PORT, so that others can tell who connects to them.
- */
+/** From now on connections begin at the address of ADDRESS:PORT, so that others can tell who connects to
+ * them. What is no endpoint leaves the choice to the system again. Called once, before the loop runs. */
 void ow_net_set_source(const char *endpoint);
-/* Begins a connection; the socket turns writable once it is established or has failed. -1: it could not
- * begin. */
+/** Begins a connection. @return a socket that turns writable once the connection is established or has failed
+ * (ow_net_connect_error tells which); -1: it could not begin */
 int ow_net_connect(const char *endpoint);
-/* The next connection that waits at the listener, or -1. */
+/** @return the next connection that waits at the listener, or -1: none */
 int ow_net_accept(int listener);
-/* 0 when the connection is established, otherwise an errno. */
+/** Closes an accepted connection at once, in place of serving it. */
+void ow_net_refuse(int fd);
+/** @return 0 when the connection is established, otherwise the errno for which it failed */
 int ow_net_connect_error(int fd);
 
-/* Writes what the socket accepts now of `out` from `*sent` on; once all is written, both are emptied. False
-   when the connection is broken. */
+/** Writes what the socket accepts now of `out`.
+ * @param out the bytes to be sent; emptied once all are written
+ * @param sent how many of them are written so far; moved on, and 0 once all are written
+ * @return false when the connection is broken */
 bool ow_net_flush(int fd, GString *out, size_t *sent);
 
-/* What reading from a socket came to. */
+/** What reading from a socket came to. */
 enum ow_net_reading {
-    OW_NET_DATA,   /* some bytes */
-    OW_NET_LATER,  /* none so far */
-    OW_NET_CLOSED, /* the other side has ended the connection, or it is broken */
+    OW_NET_DATA,   /**< some bytes */
+    OW_NET_LATER,  /**< none so far */
+    OW_NET_CLOSED, /**< the other side has ended the connection, or it is broken */
 };
 
-/* Reads up to `size` bytes; *taken tells how many with OW_NET_DATA, and is 0 otherwise. */
+/** Reads up to `size` bytes.
+ * @param taken how many were read with OW_NET_DATA, 0 otherwise */
 enum ow_net_reading ow_net_read(int fd, char *buffer, size_t size, size_t *taken);
 
-/* Whether the other side has closed the connection, as far as that is known here. */
+/** Whether the other side has closed the connection, as far as that is known here. Takes no bytes. */
 bool ow_net_has_hung_up(int fd);
 
 #endif
--- a/src/io/outgoing.c
+++ b/src/io/outgoing.c
@@ -1,48 +1,62 @@
-/* Requests to the key-value store, the cloud and workers, and what becomes of their responses. */
-#include "io/daemon_state.h"
+#include "io/outgoing.h"
 
+#include "io/daemon_state.h"
 #include "model/cloud.h"
-#include "model/effect.h"
 #include "model/event.h"
+#include "model/http_status.h"
 #include "wire/cloud_json.h"
 #include "wire/store_json.h"
 #include "wire/words.h"
 #include "wire/worker_json.h"
 
 /* How long each may take to respond. */
-static const double STORE_TIMEOUT_S = 1.5, CLOUD_TIMEOUT_S = 8, DIRECT_TIMEOUT_S = 3;
+static const double STORE_TIMEOUT_S = 1.5;
+static const double CLOUD_TIMEOUT_S = 8;
+static const double WORKER_TIMEOUT_S = 3;
 /* A watch may stay open for as long as it was asked to, by the key-value store's clock, and then some. */
-static const double WATCH_DRIFT = 1.01, WATCH_MARGIN_S = 2;
+static const double WATCH_DRIFT = 1.01;
+static const double WATCH_MARGIN_S = 2;
+
+/* ---- pending requests ---- */
+
+enum destination { DESTINATION_STORE, DESTINATION_CLOUD, DESTINATION_WORKER };
 
-enum target { TARGET_STORE, TARGET_CLOUD, TARGET_WORKER };
 enum { NO_OPERATION = 0 };
 
-/* A request that waits for its response. */
+/* A request that waits for its reply. */
 struct pending_request {
-    enum target target;
-    int operation;     /* enum ow_store_op, or that of struct ow_cloud_request, by the target */
+    enum destination destination;
+    int operation;     /* enum ow_store_op, the operation of a struct ow_cloud_request, or NO_OPERATION */
     uint64_t core_tag; /* the core's name for it */
 };
 
-GHashTable *ow_outgoing_pending_new(void)
+struct ow_pending_requests {
+    GHashTable *by_tag; /* uint64_t -> struct pending_request, both owned */
+    uint64_t last_tag;  /* the last one given to the HTTP client */
+};
+
+struct ow_pending_requests *ow_pending_requests_new(void)
+{
+    struct ow_pending_requests *pending = g_new0(struct ow_pending_requests, 1);
+    pending->by_tag = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, g_free);
+    return pending;
+}
+
+void ow_pending_requests_free(struct ow_pending_requests *pending)
 {
-    return g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, g_free);
+    g_hash_table_destroy(pending->by_tag);
+    g_free(pending);
 }
 
-/* The tag under which the HTTP client is to send the request. */
-static uint64_t add_pending(struct ow_daemon *daemon, enum target target, int operation, uint64_t core_tag)
+/* Adds a copy. @return the tag under which the HTTP client is to send the request */
+static uint64_t add_pending(struct ow_pending_requests *pending, const struct pending_request *request)
 {
-    uint64_t *key = g_new(uint64_t, 1);
-    struct pending_request *pending = g_new0(struct pending_request, 1);
-    *key = ++daemon->last_tag;
-    pending->target = target;
-    pending->operation = operation;
-    pending->core_tag = core_tag;
-    g_hash_table_insert(daemon->pending_requests, key, pending);
-    return *key;
+    uint64_t tag = ++pending->last_tag;
+    g_hash_table_insert(pending->by_tag, g_memdup2(&tag, sizeof tag), g_memdup2(request, sizeof *request));
+    return tag;
 }
 
-/* ---- responses ---- */
+/* ---- replies ---- */
 
 static struct ow_event *cloud_event(const struct pending_request *pending, int status, const char *body,
                                     size_t size)
@@ -73,6 +87,7 @@
 {
     struct ow_event *event = ow_event_new(OW_EVENT_DIRECT_REPLY, pending->core_tag);
     event->status = status;
+    /* A worker that refuses the commands tells its state, too. */
     if (status == OW_HTTP_STATUS_OK || status == OW_HTTP_STATUS_CONFLICT)
         event->heartbeat = wire_heartbeat_decode(body, size);
     return event;
@@ -81,12 +96,12 @@
 static struct ow_event *reply_event(const struct pending_request *pending, int status, const char *body,
                                     size_t size)
 {
-    switch (pending->target) {
-    case TARGET_STORE:
+    switch (pending->destination) {
+    case DESTINATION_STORE:
         return store_event(pending, status, body, size);
-    case TARGET_CLOUD:
+    case DESTINATION_CLOUD:
         return cloud_event(pending, status, body, size);
-    case TARGET_WORKER:
+    case DESTINATION_WORKER:
         break;
     }
     return worker_event(pending, status, body, size);
@@ -95,53 +110,81 @@
 void ow_outgoing_take_reply(void *owner, uint64_t tag, int status, const char *body, size_t size)
 {
     struct ow_daemon *daemon = owner;
-    const struct pending_request *pending = g_hash_table_lookup(daemon->pending_requests, &tag);
+    GHashTable *by_tag = daemon->pending_requests->by_tag;
+    const struct pending_request *pending = g_hash_table_lookup(by_tag, &tag);
     ow_shard_manager_push(daemon->manager, reply_event(pending, status, body, size));
-    g_hash_table_remove(daemon->pending_requests, &tag);
+    g_hash_table_remove(by_tag, &tag);
 }
 
 /* ---- requests ---- */
 
-static void send_store(struct ow_daemon *daemon, const struct ow_effect *effect)
+static double store_timeout_s(const struct ow_store_request *request)
 {
-    struct wire_http_request http = wire_store_request_encode(effect->store);
-    double timeout = STORE_TIMEOUT_S;
-    if (effect->store->op == OW_STORE_WATCH)
-        timeout += effect->store->duration_s * WATCH_DRIFT + WATCH_MARGIN_S;
-    uint64_t tag = add_pending(daemon, TARGET_STORE, (int)effect->store->op, effect->store->tag);
+    if (request->op != OW_STORE_WATCH)
+        return STORE_TIMEOUT_S;
+    return STORE_TIMEOUT_S + (request->duration_s * WATCH_DRIFT + WATCH_MARGIN_S);
+}
+
+static void send_store(struct ow_daemon *daemon, const struct ow_store_request *request)
+{
+    const struct pending_request pending = {
+        .destination = DESTINATION_STORE,
+        .operation = (int)request->op,
+        .core_tag = request->tag,
+    };
+    uint64_t tag = add_pending(daemon->pending_requests, &pending);
+    struct wire_http_request http = wire_store_request_encode(request);
     ow_http_client_send(daemon->client, daemon->settings->store_endpoint, http.method, http.path, http.body,
-                        timeout, tag);
+                        store_timeout_s(request), tag);
     wire_http_request_clear(&http);
 }
 
-static void send_cloud(struct ow_daemon *daemon, const struct ow_effect *effect)
+static char *provision_body(const struct ow_cloud_request *request)
 {
-    const struct ow_cloud_request *request = effect->cloud;
-    uint64_t tag = add_pending(daemon, TARGET_CLOUD, (int)request->op, request->tag);
+    const struct wire_provision_request provision_request = {
+        .request = request->name,
+        .type = request->type,
+        .zone = request->zone,
+        .spot = request->spot,
+        .count = request->count,
+    };
+    return wire_provision_request_encode(&provision_request);
+}
+
+static void send_cloud(struct ow_daemon *daemon, const struct ow_cloud_request *request)
+{
+    const struct pending_request pending = {
+        .destination = DESTINATION_CLOUD,
+        .operation = (int)request->op,
+        .core_tag = request->tag,
+    };
+    uint64_t tag = add_pending(daemon->pending_requests, &pending);
     const char *method = "GET";
-    char *path = NULL, *body = NULL;
-    if (request->op == OW_CLOUD_TYPES) {
+    g_autofree char *path = NULL;
+    g_autofree char *body = NULL;
+    switch (request->op) {
+    case OW_CLOUD_TYPES:
         path = g_strdup(W_PATH_TYPES);
-    } else if (request->op == OW_CLOUD_LIST) {
+        break;
+    case OW_CLOUD_LIST:
         path = wire_machine_list_path(request->after);
-    } else if (request->op == OW_CLOUD_PROVISION) {
-        struct wire_provision_request provision_request = {request->name, request->type, request->zone,
-                                                           request->spot, request->count};
+        break;
+    case OW_CLOUD_PROVISION:
         method = "POST";
         path = g_strdup(W_PATH_MACHINES);
-        body = wire_provision_request_encode(&provision_request);
-    } else {
+        body = provision_body(request);
+        break;
+    case OW_CLOUD_TERMINATE:
         method = "POST";
         path = g_strdup(W_PATH_TERMINATE);
         body = wire_terminate_request_encode(request->machines);
+        break;
     }
     ow_http_client_send(daemon->client, daemon->settings->cloud_endpoint, method, path, body, CLOUD_TIMEOUT_S,
                         tag);
-    g_free(path);
-    g_free(body);
 }
 
-/* Without a socket to spare the command goes with the answer to the machine's next heartbeat. */
+/* Without a socket to spare the commands go with the answer to the machine's next heartbeat. */
 static void give_up_direct(struct ow_daemon *daemon, const struct ow_effect *effect)
 {
     struct ow_event *event = ow_event_new(OW_EVENT_DIRECT_REPLY, effect->request);
@@ -149,24 +192,23 @@
     ow_shard_manager_push(daemon->manager, event);
 }
 
-void ow_outgoing_bound_sockets(struct ow_daemon *daemon)
-{
-    unsigned taken = ow_http_server_count(daemon->server);
-    ow_http_client_bound(daemon->client,
-                         MAX(daemon->client_sockets_least, daemon->sockets - MIN(daemon->sockets, taken)));
-}
-
 static void send_direct(struct ow_daemon *daemon, const struct ow_effect *effect)
 {
+    const char *endpoint = effect->text;
     ow_outgoing_bound_sockets(daemon);
-    if (!ow_http_client_has_room(daemon->client, effect->text)) {
+    if (!ow_http_client_has_room(daemon->client, endpoint)) {
         give_up_direct(daemon, effect);
         return;
     }
-    char *body = wire_direct_commands_encode(effect->fencing_token, effect->incarnation, effect->commands);
-    uint64_t tag = add_pending(daemon, TARGET_WORKER, NO_OPERATION, effect->request);
-    ow_http_client_send(daemon->client, effect->text, "POST", W_PATH_COMMANDS, body, DIRECT_TIMEOUT_S, tag);
-    g_free(body);
+    const struct pending_request pending = {
+        .destination = DESTINATION_WORKER,
+        .operation = NO_OPERATION,
+        .core_tag = effect->request,
+    };
+    uint64_t tag = add_pending(daemon->pending_requests, &pending);
+    g_autofree char *body =
+        wire_direct_commands_encode(effect->fencing_token, effect->incarnation, effect->commands);
+    ow_http_client_send(daemon->client, endpoint, "POST", W_PATH_COMMANDS, body, WORKER_TIMEOUT_S, tag);
 }
 
 void ow_outgoing_send(struct ow_daemon *daemon, const struct ow_effect *effect)
@@ -176,12 +218,19 @@
         send_direct(daemon, effect);
         break;
     case OW_EFFECT_STORE:
-        send_store(daemon, effect);
+        send_store(daemon, effect->store);
         break;
     case OW_EFFECT_CLOUD:
-        send_cloud(daemon, effect);
+        send_cloud(daemon, effect->cloud);
         break;
     default:
         break;
     }
 }
+
+void ow_outgoing_bound_sockets(struct ow_daemon *daemon)
+{
+    unsigned incoming = ow_http_server_count(daemon->server);
+    unsigned unused = daemon->sockets_max - MIN(daemon->sockets_max, incoming);
+    ow_http_client_bound(daemon->client, MAX(daemon->client_sockets_min, unused));
+}
--- /dev/null
+++ b/src/io/outgoing.h
@@ -0,0 +1,35 @@
+/** @file
+ * Requests to the key-value store, the cloud and workers, and the events that their replies become. Part of
+ * the daemon.
+ *
+ * Invariant: every request that the HTTP client was given is in the table of pending requests until its reply
+ * is taken. Each ends with exactly one event. */
+#ifndef OW_IO_OUTGOING_H
+#define OW_IO_OUTGOING_H
+
+#include "model/effect.h"
+
+#include <stddef.h>
+#include <stdint.h>
+
+struct ow_daemon;
+
+/** The requests that wait for their replies, by the tag that the HTTP client knows them by. */
+struct ow_pending_requests;
+
+/** An empty table, owned by the caller. */
+struct ow_pending_requests *ow_pending_requests_new(void);
+/** Frees the table. */
+void ow_pending_requests_free(struct ow_pending_requests *pending);
+
+/** Sends the request of an effect to the key-value store, the cloud or a worker. Effects that are no such
+ * request are ignored. Without a socket to spare, a command for a worker ends at once with OW_STATUS_UNSENT.
+ */
+void ow_outgoing_send(struct ow_daemon *daemon, const struct ow_effect *effect);
+/** The reply function of the HTTP client (ow_http_reply_fn): turns a reply into an event.
+ * @param owner the daemon */
+void ow_outgoing_take_reply(void *owner, uint64_t tag, int status, const char *body, size_t size);
+/** Leaves the HTTP client the sockets that incoming connections don't use. */
+void ow_outgoing_bound_sockets(struct ow_daemon *daemon);
+
+#endif
--- a/src/io/peer_link.h
+++ b/src/io/peer_link.h
@@ -1,31 +1,42 @@
-/* Links between controllers: one outgoing connection to each, kept up; whatever comes in is handed over. */
+/** @file
+ * Links between controllers: one outgoing link to each, kept up, on which we only send; and the incoming
+ * links of the others, on which we only receive.
+ *
+ * Nothing is acknowledged: a message may be lost, and none is kept for a controller that is away. The number
+ * of incoming links is bounded. io/peer_outgoing.h and io/peer_incoming.h have the states of the links. */
 #ifndef OW_IO_PEER_LINK_H
 #define OW_IO_PEER_LINK_H
 
 #include "io/loop.h"
-#include "model/peer.h"
+#include "io/peer_handlers.h"
 
-struct ow_peer_links;
-
-/* A message has come in; the callee takes it over. */
-typedef void (*ow_peer_fn)(void *owner, struct ow_peer_message *message);
+#include <glib.h>
 
-/* A link that was established is gone and nobody listens there any more: a hint that the process has ended,
- * no proof.
- */
-typedef void (*ow_peer_lost_fn)(void *owner, const char *endpoint);
+/** The links of this controller. Owned by who creates them. */
+struct ow_peer_links;
+typedef struct ow_peer_links ow_peer_links;
 
-/* NULL if the endpoint can't be listened on. `owner` is handed to both functions. */
-struct ow_peer_links *ow_peer_links_new(struct ow_loop *loop, const char *listen_endpoint, ow_peer_fn take,
-                                        ow_peer_lost_fn lost, void *owner);
-/* NULL is allowed. */
+/** Listens for other controllers.
+ * @param loop must outlive the links
+ * @param listen_endpoint ADDRESS:PORT
+ * @param handlers copied
+ * @return NULL if the endpoint can't be listened on */
+struct ow_peer_links *ow_peer_links_new(struct ow_loop *loop, const char *listen_endpoint,
+                                        const struct ow_peer_handlers *handlers);
+/** Closes all links without telling the owner. NULL is allowed. */
 void ow_peer_links_free(struct ow_peer_links *links);
-/* Keeps a link to this controller up from now on. */
+G_DEFINE_AUTOPTR_CLEANUP_FUNC(ow_peer_links, ow_peer_links_free)
+
+/** Keeps a link to the controller at ADDRESS:PORT up from now on. */
 void ow_peer_links_add(struct ow_peer_links *links, const char *endpoint);
-/* Sends the message to the controller at `endpoint`, or to all if that is NULL, as far as they are connected;
-   nothing is kept for the others. */
+/** Sends a message as far as links are established; it is not kept for the others. A message that is too
+ * large to be encoded is not sent at all, which is logged.
+ * @param message stays the caller's
+ * @param endpoint of the controller that it goes to; NULL: it goes to all */
 void ow_peer_links_send(struct ow_peer_links *links, struct ow_peer_message *message, const char *endpoint);
-/* Opens lost links again and drops those that take nothing; to be called now and then. */
+/** Opens lost links again and drops those that take nothing or are silent; to be called several times a
+ * second.
+ * @param now the steady time in seconds */
 void ow_peer_links_sweep(struct ow_peer_links *links, double now);
 
 #endif
--- /dev/null
+++ b/src/io/peer_outgoing.h
@@ -0,0 +1,37 @@
+/** @file
+ * The outgoing link to one other controller, opened again whenever it is lost. Private to io/peer_link.
+ *
+ * States:
+ *
+ *     CLOSED      --retry_at has come, a connection can begin--> CONNECTING
+ *     CONNECTING  --established-->                               ESTABLISHED
+ *     CONNECTING  --failed, or not established within STALL_S--> CLOSED (tried again after RETRY_S)
+ *     ESTABLISHED --the other side closes, sending fails, or a backlog makes no progress for STALL_S-->
+ *                                                                CLOSED (tried again with the next sweep)
+ *
+ * Invariants: bytes wait to be sent only while ESTABLISHED; there is a descriptor unless CLOSED. Messages to
+ * a controller that is away are dropped, not kept: it will get newer ones. */
+#ifndef OW_IO_PEER_OUTGOING_H
+#define OW_IO_PEER_OUTGOING_H
+
+#include "io/loop.h"
+#include "io/peer_handlers.h"
+
+struct ow_peer_outgoing;
+
+/** Begins to connect.
+ * @param endpoint copied
+ * @param handlers whose `lost` is told when nobody listens any more; must outlive the link */
+struct ow_peer_outgoing *ow_peer_outgoing_new(struct ow_loop *loop, const char *endpoint,
+                                              const struct ow_peer_handlers *handlers);
+/** Closes and frees the link. */
+void ow_peer_outgoing_free(struct ow_peer_outgoing *link);
+/** Where the link leads, ADDRESS:PORT. */
+const char *ow_peer_outgoing_endpoint(const struct ow_peer_outgoing *link);
+/** Sends a frame, as much at once as the socket takes. Left out unless the link is established and its
+ * backlog small enough. */
+void ow_peer_outgoing_send(struct ow_peer_outgoing *link, const GString *frame);
+/** Closes the link if it makes no progress, and opens it if it is closed and its time has come. */
+void ow_peer_outgoing_sweep(struct ow_peer_outgoing *link, double now);
+
+#endif
