--- a/src/core/api/cancellation_ack.c
+++ b/src/core/api/cancellation_ack.c
@@ -84,9 +84,9 @@
                           uint64_t fencing_token)
 {
     struct ow_peer_message *message = ow_peer_message_new(kind);
-    g_strlcpy(message->job, job->id, sizeof message->job);
-    message->revision = job->version;
-    message->number = fencing_token;
+    g_strlcpy(message->cancellation.job, job->id, sizeof message->cancellation.job);
+    message->cancellation.revision = job->version;
+    message->fencing_token = fencing_token;
     ow_core_send_to_peers(core, message);
 }
 
@@ -96,24 +96,25 @@
     /* Committed is committed: it is acted on by whoever leads or thinks so, read or not. */
     if (core->leader == NULL)
         return;
-    struct ow_job *job = ow_jobs_cancel(core->jobs, message->job, message->revision, message->number);
+    struct ow_job *job = ow_jobs_cancel(core->jobs, message->cancellation.job, message->cancellation.revision,
+                                        message->fencing_token);
     if (job->state != OW_JOB_CANCELLED)
         return;
     if (job->cancellation_acked)
         send_to_peers(core, OW_PEER_CANCELLATION_ACK, job, ow_election_fencing_token(core->election));
     else
-        entry_get(acks, message->job);
+        entry_get(acks, message->cancellation.job);
 }
 
 void ow_cancellation_ack_received(struct ow_cancellation_ack *acks, const struct ow_peer_message *message)
 {
-    struct ow_job *job = ow_jobs_find(acks->core->jobs, message->job);
+    struct ow_job *job = ow_jobs_find(acks->core->jobs, message->cancellation.job);
     /* Whoever is asked about a job that we still take to be open reads it, and asks the leader then. */
     if (job == NULL)
         return;
     /* The acknowledgement of a leader that was deposed before the cancellation was recorded is worth nothing:
        the one that counts may not have it. A later one has read it before it became ready. */
-    if (job->state == OW_JOB_CANCELLED && message->number >= job->cancel_fencing_token)
+    if (job->state == OW_JOB_CANCELLED && message->fencing_token >= job->cancel_fencing_token)
         job->cancellation_acked = true;
 }
 
--- a/src/core/jobs/job_change.c
+++ b/src/core/jobs/job_change.c
@@ -11,6 +11,6 @@
         return;
     }
     struct ow_peer_message *message = ow_peer_message_new(OW_PEER_JOB_CHANGED);
-    message->number = revision;
+    message->job_change.revision = revision;
     ow_core_send_to_peers(core, message);
 }
--- a/src/core/peers/leader_broadcast.c
+++ b/src/core/peers/leader_broadcast.c
@@ -26,7 +26,7 @@
 static struct ow_peer_message *new_summary(const struct ow_leader *leader)
 {
     struct ow_peer_message *message = ow_peer_message_new(OW_PEER_SUMMARY);
-    message->number = leader->fencing_token;
+    message->fencing_token = leader->fencing_token;
     return message;
 }
 
@@ -38,7 +38,7 @@
     for (guint i = 0; i < leader->executions->len; i++) {
         const struct ow_job *job =
             ((const struct ow_execution *)g_ptr_array_index(leader->executions, i))->job;
-        if (message->jobs->len >= PART_ENTRIES || bytes + job_bytes(job) > PART_BYTES) {
+        if (message->summary.jobs->len >= PART_ENTRIES || bytes + job_bytes(job) > PART_BYTES) {
             ow_core_send_to_peers(leader->core, message);
             message = new_summary(leader);
             bytes = 0;
@@ -46,7 +46,7 @@
         struct ow_peer_job entry = {
             .done = job->done, .running = job->running, .reason = g_strdup(job->reason)};
         g_strlcpy(entry.id, job->id, sizeof entry.id);
-        g_array_append_val(message->jobs, entry);
+        g_array_append_val(message->summary.jobs, entry);
         bytes += job_bytes(job);
     }
     ow_core_send_to_peers(leader->core, message);
@@ -89,9 +89,9 @@
 static void send_whole_list(struct ow_leader *leader, GArray *machines)
 {
     struct ow_peer_message *message = ow_peer_message_new(OW_PEER_MACHINES);
-    message->number = leader->fencing_token;
-    g_array_free(message->machines, TRUE);
-    message->machines = machines;
+    message->fencing_token = leader->fencing_token;
+    g_array_free(message->machine_list.machines, TRUE);
+    message->machine_list.machines = machines;
     ow_core_send_to_peers(leader->core, message);
 }
 
@@ -103,16 +103,16 @@
     size_t bytes = 0;
     for (guint i = 0; i < machines->len; i++) {
         struct ow_peer_machine *machine = &g_array_index(machines, struct ow_peer_machine, i);
-        if (part == NULL || part->machines->len >= PART_ENTRIES ||
+        if (part == NULL || part->machine_list.machines->len >= PART_ENTRIES ||
             bytes + machine_bytes(machine) > PART_BYTES) {
             part = ow_peer_message_new(OW_PEER_MACHINES_PART);
-            part->number = leader->fencing_token;
-            part->part = parts->len;
+            part->fencing_token = leader->fencing_token;
+            part->machine_list.part_index = parts->len;
             g_ptr_array_add(parts, part);
             bytes = 0;
         }
         bytes += machine_bytes(machine);
-        g_array_append_val(part->machines, *machine);
+        g_array_append_val(part->machine_list.machines, *machine);
         *machine = (struct ow_peer_machine){0};
     }
     return parts;
@@ -124,7 +124,7 @@
     GPtrArray *parts = divide_list(leader, machines);
     for (guint i = 0; i < parts->len; i++) {
         struct ow_peer_message *part = g_ptr_array_index(parts, i);
-        part->part_count = parts->len;
+        part->machine_list.part_count = parts->len;
         ow_core_send_to_peers(leader->core, part);
     }
     g_ptr_array_free(parts, TRUE);
--- a/src/core/peers/machine_hints.c
+++ b/src/core/peers/machine_hints.c
@@ -44,57 +44,57 @@
 }
 
 /* Whether the part continues the list under way, or begins one. */
-static bool is_expected(const struct ow_machine_hints *hints, const struct ow_peer_message *message)
+static bool is_expected(const struct ow_machine_hints *hints, const struct ow_peer_machine_list *part)
 {
-    if (message->part == 0)
+    if (part->part_index == 0)
         return true;
-    return hints->assembled != NULL && message->part == hints->next_part &&
-           message->part_count == hints->part_count;
+    return hints->assembled != NULL && part->part_index == hints->next_part &&
+           part->part_count == hints->part_count;
 }
 
-/* Moves the machines of the message behind those of the parts before it. */
-static void append_part(struct ow_machine_hints *hints, struct ow_peer_message *message)
+/* Moves the machines of the part behind those of the parts before it. */
+static void append_part(struct ow_machine_hints *hints, struct ow_peer_machine_list *part)
 {
-    for (guint i = 0; i < message->machines->len; i++) {
-        struct ow_peer_machine *machine = &g_array_index(message->machines, struct ow_peer_machine, i);
+    for (guint i = 0; i < part->machines->len; i++) {
+        struct ow_peer_machine *machine = &g_array_index(part->machines, struct ow_peer_machine, i);
         g_array_append_val(hints->assembled, *machine);
         *machine = (struct ow_peer_machine){0};
     }
 }
 
-static void take_part(struct ow_machine_hints *hints, struct ow_peer_message *message)
+static void take_part(struct ow_machine_hints *hints, struct ow_peer_machine_list *part)
 {
-    if (message->part >= message->part_count || !is_expected(hints, message)) {
+    if (part->part_index >= part->part_count || !is_expected(hints, part)) {
         g_info("part %u of %u of the list of machines is not the next one: the list is dropped",
-               message->part + 1, message->part_count);
+               part->part_index + 1, part->part_count);
         drop_parts(hints);
         return;
     }
-    if (message->part == 0) {
+    if (part->part_index == 0) {
         drop_parts(hints);
         hints->assembled = ow_peer_machines_new();
-        hints->part_count = message->part_count;
+        hints->part_count = part->part_count;
     }
-    append_part(hints, message);
-    hints->next_part = message->part + 1;
+    append_part(hints, part);
+    hints->next_part = part->part_index + 1;
     if (hints->next_part == hints->part_count)
         use_list(hints, g_steal_pointer(&hints->assembled));
 }
 
 void ow_machine_hints_take(struct ow_machine_hints *hints, struct ow_peer_message *message)
 {
-    if (message->number < hints->fencing_token) {
+    if (message->fencing_token < hints->fencing_token) {
         g_info("a list of machines of an older leader is dropped");
         return;
     }
     /* Parts of two leaders are not parts of one list. */
-    if (message->number > hints->fencing_token)
+    if (message->fencing_token > hints->fencing_token)
         drop_parts(hints);
-    hints->fencing_token = message->number;
+    hints->fencing_token = message->fencing_token;
     if (message->kind == OW_PEER_MACHINES_PART) {
-        take_part(hints, message);
+        take_part(hints, &message->machine_list);
         return;
     }
     drop_parts(hints);
-    use_list(hints, g_steal_pointer(&message->machines));
+    use_list(hints, g_steal_pointer(&message->machine_list.machines));
 }
--- a/src/core/peers/peer_messages.c
+++ b/src/core/peers/peer_messages.c
@@ -16,9 +16,9 @@
 static void handle_hello(struct ow_core *core, const struct ow_peer_message *message)
 {
     ow_peer_status_note_hello(core->peer_status, message, core->now);
-    if (message->number > 0) {
-        const char *leader_name = message->leads ? message->sender : NULL;
-        ow_election_observe_fencing_token(core->election, message->number, leader_name);
+    if (message->fencing_token > 0) {
+        const char *leader_name = message->hello.leads ? message->sender : NULL;
+        ow_election_observe_fencing_token(core->election, message->fencing_token, leader_name);
     }
 }
 
@@ -38,8 +38,8 @@
     /* A leader has counted the tasks of its jobs itself. */
     if (core->leader != NULL)
         return;
-    for (guint i = 0; i < message->jobs->len; i++)
-        handle_job_summary(core, &g_array_index(message->jobs, struct ow_peer_job, i));
+    for (guint i = 0; i < message->summary.jobs->len; i++)
+        handle_job_summary(core, &g_array_index(message->summary.jobs, struct ow_peer_job, i));
 }
 
 void ow_peer_messages_handle(struct ow_core *core, struct ow_peer_message *message)
@@ -54,7 +54,7 @@
         handle_summary(core, message);
         break;
     case OW_PEER_JOB_CHANGED:
-        ow_job_cache_hint(core->job_cache, message->number);
+        ow_job_cache_hint(core->job_cache, message->job_change.revision);
         break;
     case OW_PEER_CANCELLATION:
         ow_cancellation_ack_requested(core->cancellation_ack, message);
@@ -82,10 +82,10 @@
     core->hello_at = core->now + HELLO_S;
     struct ow_peer_message *message = ow_peer_message_new(OW_PEER_HELLO);
     message->sender = g_strdup(core->settings->controller_name);
-    message->number = ow_election_fencing_token(core->election);
-    message->leads = message->number > 0;
-    message->store_ok = ow_store_health_is_ok(core->store_health);
-    message->receives_heartbeats =
+    message->fencing_token = ow_election_fencing_token(core->election);
+    message->hello.leads = message->fencing_token > 0;
+    message->hello.store_ok = ow_store_health_is_ok(core->store_health);
+    message->hello.receives_heartbeats =
         core->last_worker_heartbeat_at > 0 && core->now - core->last_worker_heartbeat_at < WORKER_RECENT_S;
     ow_core_send_to_peers(core, message);
 }
--- a/src/core/peers/peer_status.c
+++ b/src/core/peers/peer_status.c
@@ -44,12 +44,12 @@
 void ow_peer_status_note_hello(struct ow_peer_status *status, const struct ow_peer_message *message,
                                double now)
 {
-    if (message->receives_heartbeats)
+    if (message->hello.receives_heartbeats)
         status->receives_heartbeats_at = now;
     if (message->sender == NULL)
         return;
     g_hash_table_replace(status->formats, g_strdup(message->sender), GUINT_TO_POINTER(message->version));
-    if (message->store_ok)
+    if (message->hello.store_ok)
         note_store_ok(status, message->sender, now);
 }
 
--- a/src/model/peer.c
+++ b/src/model/peer.c
@@ -1,36 +1,41 @@
 #include "model/peer.h"
 
-static void peer_job_clear(void *item)
+static void clear_job(void *job)
 {
-    g_free(((struct ow_peer_job *)item)->reason);
+    struct ow_peer_job *cleared = job;
+    g_free(cleared->reason);
 }
 
-static void peer_machine_clear(void *item)
+static void clear_machine(void *machine)
 {
-    struct ow_peer_machine *machine = item;
-    g_free(machine->name);
-    g_free(machine->addr);
-    g_free(machine->type);
-    g_free(machine->zone);
+    struct ow_peer_machine *cleared = machine;
+    g_free(cleared->name);
+    g_free(cleared->addr);
+    g_free(cleared->type);
+    g_free(cleared->zone);
 }
 
-GArray *ow_peer_machines_new(void)
+static void clear_shard(void *shard)
 {
-    GArray *machines = g_array_new(FALSE, TRUE, sizeof(struct ow_peer_machine));
-    g_array_set_clear_func(machines, peer_machine_clear);
-    return machines;
+    struct ow_peer_shard *cleared = shard;
+    g_free(cleared->name);
 }
 
-static void peer_shard_clear(void *item)
+static GArray *new_list(guint entry_bytes, GDestroyNotify clear_entry)
 {
-    g_free(((struct ow_peer_shard *)item)->name);
+    GArray *list = g_array_new(FALSE, TRUE, entry_bytes);
+    g_array_set_clear_func(list, clear_entry);
+    return list;
+}
+
+GArray *ow_peer_machines_new(void)
+{
+    return new_list(sizeof(struct ow_peer_machine), clear_machine);
 }
 
 GArray *ow_peer_shards_new(void)
 {
-    GArray *shards = g_array_new(FALSE, TRUE, sizeof(struct ow_peer_shard));
-    g_array_set_clear_func(shards, peer_shard_clear);
-    return shards;
+    return new_list(sizeof(struct ow_peer_shard), clear_shard);
 }
 
 void ow_peer_shards_add(GArray *shards, const struct ow_peer_shard *shard)
@@ -44,14 +49,12 @@
 {
     struct ow_peer_message *message = g_new0(struct ow_peer_message, 1);
     message->kind = kind;
-    if (kind == OW_PEER_SUMMARY) {
-        message->jobs = g_array_new(FALSE, TRUE, sizeof(struct ow_peer_job));
-        g_array_set_clear_func(message->jobs, peer_job_clear);
-    } else if (kind == OW_PEER_MACHINES || kind == OW_PEER_MACHINES_PART) {
-        message->machines = ow_peer_machines_new();
-    } else if (kind == OW_PEER_HEARTBEAT) {
-        message->shards = ow_peer_shards_new();
-    }
+    if (kind == OW_PEER_SUMMARY)
+        message->summary.jobs = new_list(sizeof(struct ow_peer_job), clear_job);
+    else if (kind == OW_PEER_MACHINES || kind == OW_PEER_MACHINES_PART)
+        message->machine_list.machines = ow_peer_machines_new();
+    else if (kind == OW_PEER_HEARTBEAT)
+        message->heartbeat.shards = ow_peer_shards_new();
     return message;
 }
 
@@ -59,17 +62,14 @@
 {
     if (message == NULL)
         return;
-    g_free(message->sender);
-    if (message->jobs != NULL)
-        g_array_free(message->jobs, TRUE);
-    if (message->machines != NULL)
-        g_array_free(message->machines, TRUE);
-    if (message->shards != NULL)
-        g_array_free(message->shards, TRUE);
     g_free(message->shard);
     g_free(message->addressee);
-    g_free(message->origin);
-    g_free(message->relay);
-    g_free(message->target);
+    g_free(message->sender);
+    g_clear_pointer(&message->summary.jobs, g_array_unref);
+    g_clear_pointer(&message->machine_list.machines, g_array_unref);
+    g_clear_pointer(&message->heartbeat.shards, g_array_unref);
+    g_free(message->probe.origin);
+    g_free(message->probe.relay);
+    g_free(message->probe.target);
     g_free(message);
 }
--- a/src/sharding/peer_heartbeats.c
+++ b/src/sharding/peer_heartbeats.c
@@ -5,11 +5,11 @@
 {
     struct ow_peer_message *message = ow_peer_message_new(OW_PEER_HEARTBEAT);
     message->sender = g_strdup(membership->self);
-    message->incarnation = membership->incarnation;
-    message->sequence = ++membership->sequence;
-    message->digest = membership->digest;
+    message->heartbeat.incarnation = membership->incarnation;
+    message->heartbeat.sequence = ++membership->sequence;
+    message->heartbeat.digest = membership->digest;
     for (guint i = 0; i < own_shards->len; i++)
-        ow_peer_shards_add(message->shards, &g_array_index(own_shards, struct ow_peer_shard, i));
+        ow_peer_shards_add(message->heartbeat.shards, &g_array_index(own_shards, struct ow_peer_shard, i));
     return message;
 }
 
@@ -36,11 +36,12 @@
 /* Why the heartbeat can't count; NULL: it does. */
 static const char *heartbeat_fault(const struct ow_member *member, const struct ow_peer_message *message)
 {
-    if (message->incarnation == 0)
+    if (message->heartbeat.incarnation == 0)
         return "it names no process";
-    if (is_old_incarnation(member, message->incarnation))
+    if (is_old_incarnation(member, message->heartbeat.incarnation))
         return "it is of an earlier process";
-    if (message->incarnation == member->incarnation && message->sequence <= member->sequence)
+    if (message->heartbeat.incarnation == member->incarnation &&
+        message->heartbeat.sequence <= member->sequence)
         return "it is older than the last one";
     return NULL;
 }
@@ -53,15 +54,16 @@
         ow_membership_drop(membership, now, member->name, fault);
         return;
     }
-    if (message->incarnation != member->incarnation)
-        begin_incarnation(member, message->incarnation);
-    member->sequence = message->sequence;
-    if (message->digest != member->digest && message->digest != membership->digest)
+    if (message->heartbeat.incarnation != member->incarnation)
+        begin_incarnation(member, message->heartbeat.incarnation);
+    member->sequence = message->heartbeat.sequence;
+    if (message->heartbeat.digest != member->digest && message->heartbeat.digest != membership->digest)
         g_warning("controller %s shares shards by other settings than this one", member->name);
-    member->digest = message->digest;
+    member->digest = message->heartbeat.digest;
     g_array_set_size(member->shards, 0);
-    for (guint i = 0; i < message->shards->len; i++)
-        ow_peer_shards_add(member->shards, &g_array_index(message->shards, struct ow_peer_shard, i));
+    for (guint i = 0; i < message->heartbeat.shards->len; i++)
+        ow_peer_shards_add(member->shards,
+                           &g_array_index(message->heartbeat.shards, struct ow_peer_shard, i));
     ow_phi_heartbeat(&member->detector, now);
     if (member->state != OW_MEMBER_ALIVE)
         ow_member_set_state(member, OW_MEMBER_ALIVE, now, g_strdup("its heartbeats arrive"));
--- a/src/wire/peer_xdr.c
+++ b/src/wire/peer_xdr.c
@@ -39,7 +39,7 @@
     xdrproc_t coder = wire_peer_body_coder(message->kind);
     if (coder == NULL)
         return false;
-    void *list = wire_peer_body_fill(message, &body);
+    void *list = wire_peer_body_from_message(message, &body);
     char *encoded = encode(coder, &body, &size);
     char *whole = NULL;
     if (encoded != NULL && message->shard != NULL && wrap_for_shard(message, &encoded, &size))
@@ -81,7 +81,7 @@
         return true;
     bool ok = decode(coder, data, size, &body);
     if (ok)
-        *message = wire_peer_body_read(kind, &body);
+        *message = wire_peer_body_to_message(kind, &body);
     xdr_free(coder, (char *)&body);
     return ok;
 }
--- a/tests/test_cancellation.c
+++ b/tests/test_cancellation.c
@@ -60,9 +60,9 @@
     struct ow_event *event = g_new0(struct ow_event, 1);
     event->kind = OW_EVENT_PEER;
     event->peer = ow_peer_message_new(OW_PEER_CANCELLATION_ACK);
-    g_strlcpy(event->peer->job, job, sizeof event->peer->job);
-    event->peer->revision = revision;
-    event->peer->number = fencing_token;
+    g_strlcpy(event->peer->cancellation.job, job, sizeof event->peer->cancellation.job);
+    event->peer->cancellation.revision = revision;
+    event->peer->fencing_token = fencing_token;
     ow_shard_manager_push(cluster->controllers[controller], event);
 }
 
--- a/tests/test_candidacy.c
+++ b/tests/test_candidacy.c
@@ -41,9 +41,9 @@
     struct ow_peer_shard shard = {.name = names[0], .fencing_token = 1};
     GPtrArray *sent = g_ptr_array_new();
     message->sender = g_strdup(name);
-    message->incarnation = message->sequence = message->digest = 1;
+    message->heartbeat.incarnation = message->heartbeat.sequence = message->heartbeat.digest = 1;
     for (unsigned i = 0; i < count; i++)
-        ow_peer_shards_add(message->shards, &shard);
+        ow_peer_shards_add(message->heartbeat.shards, &shard);
     ow_membership_receive(bench->membership, 1, message, sent);
     ow_peer_message_free(message);
     g_ptr_array_free(sent, TRUE);
--- a/tests/test_peer_lists.c
+++ b/tests/test_peer_lists.c
@@ -21,10 +21,10 @@
                                                 unsigned first, unsigned count)
 {
     struct ow_peer_message *message = ow_peer_message_new(kind);
-    message->number = fencing_token;
+    message->fencing_token = fencing_token;
     for (unsigned i = 0; i < count; i++) {
         struct ow_peer_machine machine = hint(first + i);
-        g_array_append_val(message->machines, machine);
+        g_array_append_val(message->machine_list.machines, machine);
     }
     return message;
 }
@@ -33,8 +33,8 @@
 static struct ow_peer_message *part_of_three(uint64_t fencing_token, uint32_t part)
 {
     struct ow_peer_message *message = machines_message(OW_PEER_MACHINES_PART, fencing_token, part, 1);
-    message->part = part;
-    message->part_count = 3;
+    message->machine_list.part_index = part;
+    message->machine_list.part_count = 3;
     return message;
 }
 
@@ -54,20 +54,20 @@
     (void)state;
     struct ow_peer_message *message =
         machines_message(OW_PEER_MACHINES_PART, UINT64_C(1) << 40, 7, PART_MACHINES_MOST);
-    message->part = 2;
-    message->part_count = 5;
+    message->machine_list.part_index = 2;
+    message->machine_list.part_count = 5;
     GString *frame = g_string_new(NULL);
     assert_true(wire_peer_encode(message, frame));
     ow_peer_message_free(message);
     assert_true(wire_peer_decode(frame->str + FRAME_LENGTH_BYTES, frame->len - FRAME_LENGTH_BYTES, &message));
     assert_non_null(message);
     assert_int_equal(message->kind, OW_PEER_MACHINES_PART);
-    assert_true(message->number == UINT64_C(1) << 40);
-    assert_int_equal(message->part, 2);
-    assert_int_equal(message->part_count, 5);
-    assert_int_equal(message->machines->len, PART_MACHINES_MOST);
+    assert_true(message->fencing_token == UINT64_C(1) << 40);
+    assert_int_equal(message->machine_list.part_index, 2);
+    assert_int_equal(message->machine_list.part_count, 5);
+    assert_int_equal(message->machine_list.machines->len, PART_MACHINES_MOST);
     const struct ow_peer_machine *last =
-        &g_array_index(message->machines, struct ow_peer_machine, PART_MACHINES_MOST - 1);
+        &g_array_index(message->machine_list.machines, struct ow_peer_machine, PART_MACHINES_MOST - 1);
     assert_string_equal(last->name, "m-001006");
     assert_true(last->spot);
     ow_peer_message_free(message);
@@ -148,7 +148,7 @@
     (void)state;
     struct ow_machine_hints *hints = ow_machine_hints_new();
     struct ow_peer_message *message = part_of_three(5, 0);
-    message->part_count = 0;
+    message->machine_list.part_count = 0;
     take(hints, message);
     message = part_of_three(5, 3);
     take(hints, message);
--- a/tests/test_production_format.c
+++ b/tests/test_production_format.c
@@ -84,28 +84,30 @@
 {
     (void)state;
     struct ow_peer_message *message = fixture_message("peer-hello.hex");
-    assert_true(message->kind == OW_PEER_HELLO && message->number == 77 && message->leads &&
-                message->store_ok && !message->receives_heartbeats);
+    assert_true(message->kind == OW_PEER_HELLO && message->fencing_token == 77 && message->hello.leads &&
+                message->hello.store_ok && !message->hello.receives_heartbeats);
     assert_string_equal(message->sender, "node-1");
     ow_peer_message_free(message);
     message = fixture_message("peer-summary.hex");
-    assert_true(message->kind == OW_PEER_SUMMARY && message->jobs->len == 1);
-    assert_string_equal(g_array_index(message->jobs, struct ow_peer_job, 0).reason, "because");
+    assert_true(message->kind == OW_PEER_SUMMARY && message->summary.jobs->len == 1);
+    assert_string_equal(g_array_index(message->summary.jobs, struct ow_peer_job, 0).reason, "because");
     ow_peer_message_free(message);
     message = fixture_message("peer-nudge.hex");
-    assert_true(message->kind == OW_PEER_JOB_CHANGED && message->number == 77);
+    assert_true(message->kind == OW_PEER_JOB_CHANGED && message->job_change.revision == 77);
     ow_peer_message_free(message);
     message = fixture_message("peer-machines.hex");
-    assert_true(message->kind == OW_PEER_MACHINES && message->machines->len == 1);
-    assert_string_equal(g_array_index(message->machines, struct ow_peer_machine, 0).addr, "m-0:9000");
+    assert_true(message->kind == OW_PEER_MACHINES && message->machine_list.machines->len == 1);
+    assert_string_equal(g_array_index(message->machine_list.machines, struct ow_peer_machine, 0).addr,
+                        "m-0:9000");
     ow_peer_message_free(message);
     message = fixture_message("peer-cancellation.hex");
-    assert_true(message->kind == OW_PEER_CANCELLATION && message->number == 77 && message->revision == 99);
-    assert_string_equal(message->job, "run-2");
+    assert_true(message->kind == OW_PEER_CANCELLATION && message->fencing_token == 77 &&
+                message->cancellation.revision == 99);
+    assert_string_equal(message->cancellation.job, "run-2");
     ow_peer_message_free(message);
     message = fixture_message("peer-taken.hex");
-    assert_true(message->kind == OW_PEER_CANCELLATION_ACK && message->number == 77 &&
-                message->revision == 99);
+    assert_true(message->kind == OW_PEER_CANCELLATION_ACK && message->fencing_token == 77 &&
+                message->cancellation.revision == 99);
     ow_peer_message_free(message);
 }
 
--- a/tests/test_sharding_wire.c
+++ b/tests/test_sharding_wire.c
@@ -27,12 +27,12 @@
 {
     struct ow_peer_message *message = ow_peer_message_new(OW_PEER_HEARTBEAT);
     message->sender = g_strdup("controller-1");
-    message->incarnation = UINT64_C(1) << 50;
-    message->sequence = 17;
-    message->digest = 99;
+    message->heartbeat.incarnation = UINT64_C(1) << 50;
+    message->heartbeat.sequence = 17;
+    message->heartbeat.digest = 99;
     for (unsigned i = 0; i < shards; i++) {
         struct ow_peer_shard shard = {"north", 5 + i, true, 12};
-        ow_peer_shards_add(message->shards, &shard);
+        ow_peer_shards_add(message->heartbeat.shards, &shard);
     }
     return message;
 }
@@ -43,10 +43,10 @@
     struct ow_peer_message *message = through_xdr(new_heartbeat(2));
     assert_int_equal(message->kind, OW_PEER_HEARTBEAT);
     assert_string_equal(message->sender, "controller-1");
-    assert_true(message->incarnation == UINT64_C(1) << 50 && message->sequence == 17 &&
-                message->digest == 99);
-    assert_int_equal(message->shards->len, 2);
-    const struct ow_peer_shard *shard = &g_array_index(message->shards, struct ow_peer_shard, 1);
+    assert_true(message->heartbeat.incarnation == UINT64_C(1) << 50 && message->heartbeat.sequence == 17 &&
+                message->heartbeat.digest == 99);
+    assert_int_equal(message->heartbeat.shards->len, 2);
+    const struct ow_peer_shard *shard = &g_array_index(message->heartbeat.shards, struct ow_peer_shard, 1);
     assert_string_equal(shard->name, "north");
     assert_true(shard->fencing_token == 6 && shard->serving && shard->machines == 12);
     assert_null(message->shard);
@@ -68,19 +68,19 @@
 {
     (void)state;
     struct ow_peer_message *message = ow_peer_message_new(OW_PEER_PROBE);
-    message->step = OW_PROBE_ACK;
+    message->probe.step = OW_PROBE_ACK;
     message->sender = g_strdup("a");
-    message->origin = g_strdup("b");
-    message->relay = g_strdup("c");
-    message->target = g_strdup("d");
-    message->number = 7;
+    message->probe.origin = g_strdup("b");
+    message->probe.relay = g_strdup("c");
+    message->probe.target = g_strdup("d");
+    message->probe.number = 7;
     message->addressee = g_strdup("c");
     message = through_xdr(message);
-    assert_int_equal(message->step, OW_PROBE_ACK);
-    assert_string_equal(message->origin, "b");
-    assert_string_equal(message->relay, "c");
-    assert_string_equal(message->target, "d");
-    assert_int_equal(message->number, 7);
+    assert_int_equal(message->probe.step, OW_PROBE_ACK);
+    assert_string_equal(message->probe.origin, "b");
+    assert_string_equal(message->probe.relay, "c");
+    assert_string_equal(message->probe.target, "d");
+    assert_int_equal(message->probe.number, 7);
     assert_null(message->addressee);
     ow_peer_message_free(message);
 }
@@ -89,11 +89,11 @@
 {
     (void)state;
     struct ow_peer_message *message = ow_peer_message_new(OW_PEER_JOB_CHANGED);
-    message->number = 44;
+    message->job_change.revision = 44;
     message->shard = g_strdup("south");
     message = through_xdr(message);
     assert_int_equal(message->kind, OW_PEER_JOB_CHANGED);
-    assert_int_equal(message->number, 44);
+    assert_int_equal(message->job_change.revision, 44);
     assert_string_equal(message->shard, "south");
     ow_peer_message_free(message);
 }
@@ -106,7 +106,7 @@
                                              0, 0, 0, 8,  0, 0, 0, 0, 0, 0, 0, 44};
     struct ow_peer_message *message = ow_peer_message_new(OW_PEER_JOB_CHANGED);
     GString *frame = g_string_new(NULL);
-    message->number = 44;
+    message->job_change.revision = 44;
     assert_true(wire_peer_encode(message, frame));
     assert_int_equal(frame->len, sizeof expected);
     assert_memory_equal(frame->str, expected, sizeof expected);
--- a/tests/test_suspicion.c
+++ b/tests/test_suspicion.c
@@ -55,9 +55,9 @@
 {
     struct ow_peer_message *message = ow_peer_message_new(OW_PEER_HEARTBEAT);
     message->sender = g_strdup(sender);
-    message->incarnation = incarnation;
-    message->sequence = sequence;
-    message->digest = DIGEST;
+    message->heartbeat.incarnation = incarnation;
+    message->heartbeat.sequence = sequence;
+    message->heartbeat.digest = DIGEST;
     return message;
 }
 
@@ -97,7 +97,8 @@
     unsigned count = 0;
     for (guint i = 0; i < bench->sent->len; i++) {
         const struct ow_peer_message *message = g_ptr_array_index(bench->sent, i);
-        if (message->kind == OW_PEER_PROBE && message->step == step && strcmp(message->target, target) == 0)
+        if (message->kind == OW_PEER_PROBE && message->probe.step == step &&
+            strcmp(message->probe.target, target) == 0)
             count++;
     }
     return count;
@@ -107,12 +108,12 @@
                                      const char *relay, const char *target, uint64_t number)
 {
     struct ow_peer_message *message = ow_peer_message_new(OW_PEER_PROBE);
-    message->step = step;
+    message->probe.step = step;
     message->sender = g_strdup(sender);
-    message->origin = g_strdup(origin);
-    message->relay = g_strdup(relay);
-    message->target = g_strdup(target);
-    message->number = number;
+    message->probe.origin = g_strdup(origin);
+    message->probe.relay = g_strdup(relay);
+    message->probe.target = g_strdup(target);
+    message->probe.number = number;
     return message;
 }
 
@@ -235,11 +236,11 @@
     assert_string_equal(ping->addressee, "two");
     receive(&bench, probe(OW_PROBE_ACK, "two", "one", "self", "two", 4));
     const struct ow_peer_message *relayed = g_ptr_array_index(bench.sent, bench.sent->len - 1);
-    assert_int_equal(relayed->step, OW_PROBE_RELAYED);
+    assert_int_equal(relayed->probe.step, OW_PROBE_RELAYED);
     assert_string_equal(relayed->addressee, "one");
     receive(&bench, probe(OW_PROBE_PING, "three", "one", "three", "self", 4));
     const struct ow_peer_message *ack = g_ptr_array_index(bench.sent, bench.sent->len - 1);
-    assert_int_equal(ack->step, OW_PROBE_ACK);
+    assert_int_equal(ack->probe.step, OW_PROBE_ACK);
     assert_string_equal(ack->addressee, "three");
     close_bench(&bench);
 }
--- a/tests/test_wire.c
+++ b/tests/test_wire.c
@@ -215,12 +215,12 @@
     (void)state;
     struct ow_peer_message *message = ow_peer_message_new(OW_PEER_SUMMARY);
     struct ow_peer_job job = {.id = "run-1", .done = 2, .running = 3, .reason = g_strdup("because")};
-    message->number = UINT64_C(1) << 40;
-    g_array_append_val(message->jobs, job);
+    message->fencing_token = UINT64_C(1) << 40;
+    g_array_append_val(message->summary.jobs, job);
     message = through_xdr(message);
     assert_non_null(message);
-    assert_true(message->number == UINT64_C(1) << 40 && message->jobs->len == 1);
-    assert_string_equal(g_array_index(message->jobs, struct ow_peer_job, 0).reason, "because");
+    assert_true(message->fencing_token == UINT64_C(1) << 40 && message->summary.jobs->len == 1);
+    assert_string_equal(g_array_index(message->summary.jobs, struct ow_peer_job, 0).reason, "because");
     ow_peer_message_free(message);
 }
 
@@ -229,15 +229,15 @@
     (void)state;
     for (enum ow_peer_kind kind = OW_PEER_CANCELLATION; kind <= OW_PEER_CANCELLATION_ACK; kind++) {
         struct ow_peer_message *message = ow_peer_message_new(kind);
-        g_strlcpy(message->job, "run-000412", sizeof message->job);
-        message->revision = UINT64_C(1) << 41;
-        message->number = 77;
+        g_strlcpy(message->cancellation.job, "run-000412", sizeof message->cancellation.job);
+        message->cancellation.revision = UINT64_C(1) << 41;
+        message->fencing_token = 77;
         message = through_xdr(message);
         assert_non_null(message);
         assert_int_equal(message->kind, kind);
         assert_int_equal(message->version, 2);
-        assert_string_equal(message->job, "run-000412");
-        assert_true(message->revision == UINT64_C(1) << 41 && message->number == 77);
+        assert_string_equal(message->cancellation.job, "run-000412");
+        assert_true(message->cancellation.revision == UINT64_C(1) << 41 && message->fencing_token == 77);
         ow_peer_message_free(message);
     }
 }
@@ -255,7 +255,7 @@
     assert_true(wire_peer_decode(longer, sizeof longer - 1, &message));
     assert_non_null(message);
     assert_int_equal(message->kind, OW_PEER_JOB_CHANGED);
-    assert_int_equal(message->number, 9);
+    assert_int_equal(message->job_change.revision, 9);
     assert_int_equal(message->version, 2);
     ow_peer_message_free(message);
     /* A message that ends within the known fields is invalid. */
