--- a/src/core/api/cancellation_ack.c
+++ b/src/core/api/cancellation_ack.c
@@ -1,6 +1,6 @@
 #include "core/api/cancellation_ack.h"
 
-#include "core/api/job_answer.h"
+#include "core/api/job_reply.h"
 #include "core/core_state.h"
 #include "core/election/election.h"
 #include "core/leader/leader.h"
@@ -138,7 +138,7 @@
     for (guint i = 0; i < entry->waiting_requests->len; i++) {
         const struct waiting_request *waiting =
             &g_array_index(entry->waiting_requests, struct waiting_request, i);
-        ow_job_answer_acknowledged(core, waiting->request, waiting->status, job);
+        ow_job_reply_send(core, waiting->request, waiting->status, job);
     }
 }
 
--- a/src/core/api/job_answer.c
+++ b/src/core/api/job_answer.c
@@ -1,8 +1,8 @@
 #include "core/api/job_answer.h"
 
 #include "core/api/cancellation_ack.h"
+#include "core/api/job_reply.h"
 #include "core/core_state.h"
-#include "model/effect.h"
 #include "model/submission.h"
 
 /* When a user whose request could not be handled is to come again. */
@@ -26,25 +26,12 @@
     ow_job_answer_retry(core, request, "the state service does not answer");
 }
 
-void ow_job_answer_acknowledged(struct ow_core *core, uint64_t request, int status, const struct ow_job *job)
-{
-    struct ow_effect *effect = ow_effect_new(OW_EFFECT_JOB, request);
-    bool over = ow_job_over(job);
-    effect->status = status;
-    g_strlcpy(effect->id, job->id, sizeof effect->id);
-    effect->state = !over && job->running > 0 ? OW_JOB_RUNNING : job->state;
-    effect->done = over ? OW_UNCOUNTED : job->done;
-    effect->running = over ? OW_UNCOUNTED : job->running;
-    effect->text = g_strdup(job->reason);
-    ow_core_emit(core, effect);
-}
-
 void ow_job_answer(struct ow_core *core, uint64_t request, int status, const struct ow_job *job)
 {
     if (job->state == OW_JOB_CANCELLED && !job->cancellation_acked)
         ow_cancellation_ack_wait(core->cancellation_ack, request, status, job);
     else
-        ow_job_answer_acknowledged(core, request, status, job);
+        ow_job_reply_send(core, request, status, job);
 }
 
 const struct ow_job *ow_job_answer_find(struct ow_core *core, const struct ow_pending_request *pending,
--- a/src/core/api/job_answer.h
+++ b/src/core/api/job_answer.h
@@ -27,8 +27,6 @@
 /* Answers with the state of the job. If it is cancelled, the answer waits until a leader has acknowledged
    that: until then the user may not learn of it, however they ask. */
 void ow_job_answer(struct ow_core *core, uint64_t request, int status, const struct ow_job *job);
-/* The answer itself, once a leader has acknowledged a cancellation. */
-void ow_job_answer_acknowledged(struct ow_core *core, uint64_t request, int status, const struct ow_job *job);
 /* The job that a pending request asks for, after a read for it. If there is none or the read failed (`ok` is
    false), the request is answered, and the result is NULL. */
 const struct ow_job *ow_job_answer_find(struct ow_core *core, const struct ow_pending_request *pending,
--- a/src/core/jobs/attempt.c
+++ b/src/core/jobs/attempt_end.c
@@ -1,18 +1,15 @@
-/* Attempts at the tasks of runs. */
+#include "core/jobs/attempt_end.h"
+
 #include "core/jobs/attempt.h"
+#include "core/jobs/attempt_table.h"
 #include "core/jobs/execution.h"
-#include "core/jobs/quota.h"
 #include "core/leader/leader_state.h"
+#include "core/machines/command_queue.h"
 #include "core/machines/machine.h"
-#include "core/machines/machine_health.h"
-#include "core/machines/worker_commands.h"
+#include "core/machines/machine_faults.h"
 #include "core/records/recorder.h"
 #include "core/scheduling/classes.h"
-#include "model/resources.h"
 #include "model/submission.h"
-#include "model/worker.h"
-
-#include <string.h>
 
 /* Weight of the newest run in a machine's slowness. */
 static const double SLOWNESS_WEIGHT = 0.1;
@@ -21,64 +18,6 @@
 /* A run waits so long after a machine has lost or refused a task of it. */
 static const double RETRY_PAUSE_S = 1;
 
-struct ow_attempt *ow_attempt_new(struct ow_leader *leader, struct ow_execution *execution, uint32_t task,
-                                  uint64_t number, struct ow_machine *machine, uint64_t incarnation)
-{
-    struct ow_attempt *attempt = g_new0(struct ow_attempt, 1);
-    const struct ow_submission *submission = execution->job->spec->submission;
-    attempt->job = execution->job;
-    attempt->task = task;
-    attempt->number = number;
-    attempt->machine = machine;
-    attempt->incarnation = incarnation;
-    attempt->placed_at = leader->core->now;
-    execution->tasks[task].attempt = attempt;
-    g_ptr_array_add(execution->attempts, attempt);
-    g_ptr_array_add(machine->attempts, attempt);
-    ow_resources_add(&machine->used, &submission->need, 1);
-    ow_resources_add(&machine->used_by[submission->rank], &submission->need, 1);
-    ow_resources_add(ow_team_usage(leader, execution->job->spec->team), &submission->need, 1);
-    return attempt;
-}
-
-/* Takes the attempt out of the sums and lists of its machine. */
-static void detach_from_machine(const struct ow_leader *leader, struct ow_attempt *attempt)
-{
-    struct ow_machine *machine = attempt->machine;
-    const struct ow_submission *submission = attempt->job->spec->submission;
-    g_ptr_array_remove_fast(machine->attempts, attempt);
-    ow_resources_add(&machine->used, &submission->need, -1);
-    ow_resources_add(&machine->used_by[submission->rank], &submission->need, -1);
-    if (attempt->stop)
-        ow_resources_add(&machine->stopping, &submission->need, -1);
-    if (machine->attempts->len > 0)
-        return;
-    /* Sums of fractions drift. */
-    machine->used = (struct ow_resources){0};
-    machine->stopping = (struct ow_resources){0};
-    memset(machine->used_by, 0, sizeof machine->used_by);
-    machine->idle_since = leader->core->now;
-}
-
-static void detach(struct ow_leader *leader, struct ow_attempt *attempt)
-{
-    const struct ow_job_spec *spec = attempt->job->spec;
-    struct ow_execution *execution = attempt->job->execution;
-    g_ptr_array_remove_fast(execution->attempts, attempt);
-    detach_from_machine(leader, attempt);
-    ow_resources_add(ow_team_usage(leader, spec->team), &spec->submission->need, -1);
-    if (attempt->state == OW_ATTEMPT_SEEN && attempt->phase == OW_PHASE_RUNNING)
-        execution->running--;
-    execution->tasks[attempt->task].attempt = NULL;
-    execution->cursor = MIN(execution->cursor, attempt->task);
-}
-
-void ow_attempt_unload(struct ow_leader *leader, struct ow_attempt *attempt)
-{
-    detach(leader, attempt);
-    g_free(attempt);
-}
-
 static void mark_done(struct ow_execution *execution, uint32_t task)
 {
     if (execution->tasks[task].done)
@@ -121,7 +60,7 @@
 {
     if (ow_execution_is_service(execution)) {
         /* Its machine keeps the result and would end the replica again: it goes elsewhere. */
-        ow_machine_health_avoid(leader, machine, execution);
+        ow_machine_faults_avoid(leader, machine, execution);
         return;
     }
     machine->errors = 0;
@@ -135,7 +74,7 @@
                          struct ow_machine *machine, enum ow_exit_cause cause, bool stopped)
 {
     if (cause == OW_CAUSE_ERROR)
-        ow_machine_health_error(leader, machine, execution);
+        ow_machine_faults_note_error(leader, machine, execution);
     if (cause == OW_CAUSE_UNKNOWN || cause == OW_CAUSE_FULL || cause == OW_CAUSE_BUSY)
         execution->ready_at = MAX(execution->ready_at, leader->core->now + RETRY_PAUSE_S);
     /* One that is gone, or refused, ends the gang's attempt: the others would wait or fail, too. */
@@ -154,9 +93,8 @@
             attempt->number, machine->name, proof);
     if (cause == OW_CAUSE_DONE && attempt->running_at > 0 && !ow_execution_is_service(execution))
         observe_run_time(leader, attempt);
-    detach(leader, attempt);
-    g_free(attempt);
-    leader->cycle.due = true;
+    ow_attempt_unload(leader, attempt);
+    ow_leader_request_cycle(leader);
     ow_recorder_chunk(leader, execution, task, false);
     if (cause == OW_CAUSE_DONE)
         take_result(leader, execution, task, machine);
@@ -180,5 +118,15 @@
     if (attempt->state == OW_ATTEMPT_PLANNED || attempt->state == OW_ATTEMPT_COMMITTED)
         ow_attempt_end(leader, attempt, OW_CAUSE_STOPPED, "no launch has left");
     else
-        ow_worker_commands_want(leader, machine);
+        ow_command_queue_add(leader, machine);
+}
+
+void ow_execution_stop(struct ow_leader *leader, struct ow_execution *execution, double grace_s,
+                       const char *why)
+{
+    for (guint i = execution->attempts->len; i > 0; i--) {
+        /* Stopping one attempt may end others. */
+        if (i <= execution->attempts->len)
+            ow_attempt_stop(leader, g_ptr_array_index(execution->attempts, i - 1), grace_s, why);
+    }
 }
--- a/src/core/jobs/execution.h
+++ b/src/core/jobs/execution.h
@@ -3,7 +3,6 @@
 #ifndef OW_CORE_JOBS_EXECUTION_H
 #define OW_CORE_JOBS_EXECUTION_H
 
-#include "core/jobs/attempt.h"
 #include "core/jobs/job.h"
 #include "model/submission.h"
 
@@ -11,7 +10,7 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-struct ow_leader;
+struct ow_attempt;
 struct ow_record_value;
 struct ow_reservation;
 
@@ -67,18 +66,9 @@
 /* Replaces the run's chunks by fresh ones of `chunk_tasks` tasks. No chunk of it may be in a record value or
    a write. */
 void ow_execution_divide(struct ow_execution *execution, uint32_t chunk_tasks);
-/* The job's run, which is created if there is none; the leader owns it. The job must have its spec. */
-struct ow_execution *ow_execution_find_or_add(struct ow_leader *leader, struct ow_job *job);
-/* Frees the run with its attempts and reservation; its record values are rewritten without it. */
-void ow_execution_drop(struct ow_leader *leader, struct ow_execution *execution);
-/* Stops all attempts of a run in one round, each with `grace_s` seconds to save its work. */
-void ow_execution_stop(struct ow_leader *leader, struct ow_execution *execution, double grace_s,
-                       const char *why);
 /* Tasks that are neither done nor have an attempt; 0 for a job that is over. */
 uint32_t ow_execution_pending(const struct ow_execution *execution);
 /* The lowest attempt number that no task of the run has used. */
 uint64_t ow_execution_next_attempt(const struct ow_execution *execution);
-/* Whether the run's team is entitled and has waited long enough for others to be stopped for it. */
-bool ow_execution_may_reclaim_quota(const struct ow_leader *leader, const struct ow_execution *execution);
 
 #endif
--- a/src/core/leader/leader.c
+++ b/src/core/leader/leader.c
@@ -1,6 +1,9 @@
 #include "core/leader/leader.h"
 #include "core/election/election.h"
+#include "core/jobs/attempt.h"
+#include "core/jobs/attempt_end.h"
 #include "core/jobs/execution.h"
+#include "core/jobs/execution_table.h"
 #include "core/leader/leader_state.h"
 #include "core/machines/fleet.h"
 #include "core/machines/instance_offers.h"
@@ -15,6 +18,7 @@
 #include "core/records/failover.h"
 #include "core/records/record_format.h"
 #include "core/records/record_values.h"
+#include "core/records/record_writer.h"
 #include "core/records/recorder.h"
 #include "core/scheduling/image_demand.h"
 #include "core/scheduling/reason.h"
@@ -268,7 +272,7 @@
     }
     ow_scale_out_tick(leader);
     ow_fleet_send_terminations(leader);
-    ow_recorder_tick(leader);
+    ow_record_writer_tick(leader);
     ow_worker_commands_send(leader);
     ow_leader_broadcast_tick(leader);
 }
--- /dev/null
+++ b/src/core/machines/command_queue.c
@@ -0,0 +1,45 @@
+#include "core/machines/command_queue.h"
+
+#include "core/leader/leader_state.h"
+#include "core/machines/machine.h"
+
+/* A worker that learns of our fencing token by an answer reports again at once: only if it does not within
+   this time is it sent a direct command. */
+static const double FENCE_BY_HEARTBEAT_S = 1;
+/* Processor time of a direct command with its answer, in seconds of a core, and the part of our share of a
+   core that those to all machines may take: at a failover every worker reports as well, and the lease has to
+   be renewed. */
+static const double DIRECT_COST_S = 100e-6;
+static const double ADD_ALL_SHARE = 0.5;
+
+void ow_command_queue_add(struct ow_leader *leader, struct ow_machine *machine)
+{
+    if (machine->direct_wanted)
+        return;
+    machine->direct_wanted = true;
+    g_ptr_array_add(leader->direct_due, machine);
+}
+
+void ow_command_queue_add_unfenced(struct ow_leader *leader, struct ow_machine *machine)
+{
+    if (!machine->direct_wanted)
+        machine->direct_at = MAX(machine->direct_at, leader->core->now + FENCE_BY_HEARTBEAT_S);
+    ow_command_queue_add(leader, machine);
+}
+
+void ow_command_queue_add_all(struct ow_leader *leader)
+{
+    double interval_s = DIRECT_COST_S / (ADD_ALL_SHARE * leader->core->settings->core_share);
+    for (guint i = 0; i < leader->machines->len; i++) {
+        struct ow_machine *machine = g_ptr_array_index(leader->machines, i);
+        machine->direct_at = leader->core->now + i * interval_s;
+        ow_command_queue_add(leader, machine);
+    }
+}
+
+void ow_command_queue_remove(struct ow_leader *leader, struct ow_machine *machine)
+{
+    if (machine->direct_wanted)
+        g_ptr_array_remove_fast(leader->direct_due, machine);
+    machine->direct_wanted = false;
+}
--- /dev/null
+++ b/src/core/machines/command_queue.h
@@ -0,0 +1,22 @@
+/** @file
+ * Which machines are due a direct command: a call to the machine's own address, with what there is to tell
+ * it, or else to hear from it. worker_commands.h sends them.
+ */
+#ifndef OW_CORE_MACHINES_COMMAND_QUEUE_H
+#define OW_CORE_MACHINES_COMMAND_QUEUE_H
+
+struct ow_leader;
+struct ow_machine;
+
+/** From now on the machine is due a direct command. */
+void ow_command_queue_add(struct ow_leader *leader, struct ow_machine *machine);
+/** The same for a machine that has reported under an older fencing token and is answered under ours: a
+ * command is sent only if it does not report again of itself. */
+void ow_command_queue_add_unfenced(struct ow_leader *leader, struct ow_machine *machine);
+/** The same for every machine, as a new leader does to show them its fencing token; in a large fleet one
+ * after the other, for most of them come with a heartbeat meanwhile. */
+void ow_command_queue_add_all(struct ow_leader *leader);
+/** The machine is due none any more; to be called before it is freed. */
+void ow_command_queue_remove(struct ow_leader *leader, struct ow_machine *machine);
+
+#endif
--- a/src/core/machines/fleet.c
+++ b/src/core/machines/fleet.c
@@ -5,6 +5,7 @@
 #include "core/machines/instance_offers.h"
 #include "core/machines/machine.h"
 #include "core/machines/machine_registry.h"
+#include "core/machines/machine_removal.h"
 #include "model/cloud.h"
 #include "model/event.h"
 
--- a/src/core/machines/machine_health.c
+++ b/src/core/machines/machine_health.c
@@ -1,13 +1,15 @@
 /* Machines that are silent, faulty or about to be reclaimed, and attempts that must be gone by a certain
  * time. */
 #include "core/machines/machine_health.h"
+#include "core/jobs/attempt.h"
+#include "core/jobs/attempt_end.h"
 #include "core/jobs/execution.h"
 #include "core/leader/leader_state.h"
+#include "core/machines/command_queue.h"
 #include "core/machines/fleet.h"
 #include "core/machines/machine.h"
 #include "core/machines/machine_registry.h"
 #include "core/machines/spot_risk.h"
-#include "core/machines/worker_commands.h"
 #include "core/scheduling/service_moves.h"
 #include "model/cloud.h"
 #include "model/submission.h"
@@ -20,11 +22,6 @@
 static const double UNRESPONSIVE_S = 10;
 /* From here on it counts among those whose number shows whether the fault is theirs. */
 static const double COUNTED_UNRESPONSIVE_S = 5;
-/* How long a machine that failed a job is kept from it, and from every job until another job shows which of
-   the two is at fault. */
-static const double FAILED_MACHINE_AVOIDANCE_S = 60, PROBATION_S = 20;
-/* A replica that has run for so long shows that its job is sound. */
-static const double PROVEN_S = 20;
 /* A machine that has not reported after so many boot times and so long is overdue; the boot time of an
    unknown type; and how long a new leader waits before it acts on that. */
 static const double OVERDUE_BOOTS = 3, OVERDUE_MARGIN_S = 20, UNKNOWN_BOOT_S = 60, OVERDUE_READY_S = 30;
@@ -36,7 +33,7 @@
 static const double CHECKPOINT_MARGIN_S = 1, CHECKPOINT_GRACE_S = 2;
 /* Report intervals that a new leader waits before a silent machine counts as fallen silent. */
 static const double MISSED_HEARTBEATS = 2.5;
-enum { ERRORS_TO_QUARANTINE = 2, RUN_FAILURES = 3, UNRESPONSIVE_FEW = 2, SILENT_FEW = 3 };
+enum { UNRESPONSIVE_FEW = 2, SILENT_FEW = 3 };
 
 /* Proof by time: a worker ends its tasks when lease_s has passed since it sent the last heartbeat that was
    answered. Only answers of ours count once it has seen our fencing token: no older one is accepted. And that
@@ -165,7 +162,7 @@
             continue;
         double waited = now - attempt->stop_at;
         if (waited > 1 && !machine->direct_busy)
-            ow_worker_commands_want(leader, machine);
+            ow_command_queue_add(leader, machine);
         if (waited > 0.5 * leader->core->settings->cancel_s) {
             ow_fleet_terminate(leader, machine, "a cancelled task can't be ended otherwise");
             return;
@@ -216,7 +213,7 @@
         if (machine->reclaim_at > 0)
             checkpoint_before_reclaim(leader, machine);
         if (needs_direct_call(leader, machine))
-            ow_worker_commands_want(leader, machine);
+            ow_command_queue_add(leader, machine);
         /* A faulty machine is given back; a sound one is provisioned in its place if it is missed. */
         if (leader->core->now < machine->quarantine_until && machine->attempts->len == 0)
             ow_fleet_terminate(leader, machine, "it is faulty");
@@ -228,72 +225,3 @@
             terminate_if_unresponsive(leader, machine);
     }
 }
-
-static void end_probation(const struct ow_execution *execution)
-{
-    GHashTableIter iter;
-    void *machine;
-    g_hash_table_iter_init(&iter, execution->failed_machines);
-    while (g_hash_table_iter_next(&iter, &machine, NULL))
-        ((struct ow_machine *)machine)->probation_until = 0;
-}
-
-void ow_machine_health_avoid(struct ow_leader *leader, struct ow_machine *machine,
-                             struct ow_execution *execution)
-{
-    /* For a while only: a job must not run out of machines because each of them failed it once. */
-    if (leader->core->now > execution->failed_machines_until)
-        g_hash_table_remove_all(execution->failed_machines);
-    execution->failed_machines_until = leader->core->now + FAILED_MACHINE_AVOIDANCE_S;
-    g_hash_table_add(execution->failed_machines, machine);
-}
-
-/* Whether a replica of the service has served for a while: the job is sound, and what fails is the machines.
- */
-static bool is_proven(const struct ow_leader *leader, const struct ow_execution *execution)
-{
-    for (guint i = 0; ow_execution_is_service(execution) && i < execution->attempts->len; i++) {
-        const struct ow_attempt *attempt = g_ptr_array_index(execution->attempts, i);
-        if (attempt->running_at > 0 && leader->core->now - attempt->running_at > PROVEN_S)
-            return true;
-    }
-    return false;
-}
-
-void ow_machine_health_error(struct ow_leader *leader, struct ow_machine *machine,
-                             struct ow_execution *execution)
-{
-    double now = leader->core->now;
-    ow_machine_health_avoid(leader, machine, execution);
-    /* A service that otherwise serves has no result that would forgive its failures: without this they would
-       add up as long as it lives, and its replicas wait ever longer. */
-    bool proven = is_proven(leader, execution);
-    if (proven)
-        execution->failures = 0;
-    execution->failures = MIN(execution->failures + 1, 1000);
-    guint bad = g_hash_table_size(execution->failed_machines);
-    if (bad >= RUN_FAILURES) {
-        /* It fails wherever it goes: the job is at fault, not the machines. */
-        double pause = MIN(60, 5 << MIN(execution->failures / 4, 4));
-        if (execution->ready_at < now + 1)
-            g_info("job %s fails on %u machines: paused for %.0f s", execution->job->id, bad, pause);
-        execution->ready_at = MAX(execution->ready_at, now + pause);
-        /* Of a proven service the machines are at fault: it must not go back to them at once. */
-        if (!proven) {
-            end_probation(execution);
-            g_hash_table_remove_all(execution->failed_machines);
-            return;
-        }
-    }
-    /* A job with many tasks proves no more against a machine than one with a single task. */
-    machine->errors += machine->failed_job != execution->job ? 1 : 0;
-    machine->failed_job = execution->job;
-    machine->probation_until = now + PROBATION_S;
-    if (machine->errors < ERRORS_TO_QUARANTINE || now < machine->quarantine_until)
-        return;
-    double pause = MIN(240, 30 << MIN(machine->quarantines, 3));
-    machine->quarantines++;
-    machine->quarantine_until = now + pause;
-    machine->errors = ERRORS_TO_QUARANTINE - 1; /* one more job after it is enough */
-    g_info("machine %s fails tasks: nothing is put on it for %.0f s", machine->name, pause);
-}
--- a/src/core/machines/machine_registry.c
+++ b/src/core/machines/machine_registry.c
@@ -1,10 +1,8 @@
 /* The machine registry: what is known of every machine. */
 #include "core/machines/machine_registry.h"
-#include "core/jobs/execution.h"
+#include "core/jobs/attempt.h"
 #include "core/leader/leader_state.h"
 #include "core/machines/machine.h"
-#include "core/machines/worker_commands.h"
-#include "core/scheduling/reservation.h"
 #include "model/cloud.h"
 #include "model/worker.h"
 
@@ -63,21 +61,6 @@
     machine->spot = spot;
 }
 
-void ow_machines_remove(struct ow_leader *leader, struct ow_machine *machine, const char *proof)
-{
-    while (machine->attempts->len > 0)
-        ow_attempt_end(leader, g_ptr_array_index(machine->attempts, 0), OW_CAUSE_NONE, proof);
-    for (guint i = 0; i < leader->executions->len; i++) {
-        struct ow_execution *execution = g_ptr_array_index(leader->executions, i);
-        g_hash_table_remove(execution->failed_machines, machine);
-        ow_reservation_forget(execution->reservation, machine);
-    }
-    ow_worker_commands_forget(leader, machine);
-    g_hash_table_remove(leader->machines_by_name, machine->name);
-    g_ptr_array_remove_fast(leader->machines, machine);
-    leader->cycle.due = true;
-}
-
 bool ow_machine_heard_recently(const struct ow_leader *leader, const struct ow_machine *machine)
 {
     return leader->core->now - machine->last_message_at <
--- a/src/core/machines/machine_registry.h
+++ b/src/core/machines/machine_registry.h
@@ -1,5 +1,5 @@
 /* The machine registry: every machine the leader knows, by name. It owns the machines; they stay valid until
- * ow_machines_remove(). */
+ * ow_machines_remove() of machine_removal.h. */
 #ifndef OW_CORE_MACHINES_MACHINE_REGISTRY_H
 #define OW_CORE_MACHINES_MACHINE_REGISTRY_H
 
@@ -24,9 +24,6 @@
 /* Records address, type and zone, all of which are copied. A NULL or empty `addr` keeps the known address. */
 void ow_machine_describe(struct ow_leader *leader, struct ow_machine *machine, const char *addr,
                          const char *type, const char *zone, bool spot);
-/* Unregisters and frees a machine that is gone for good. Every attempt on it ends; `proof` says in the log
-   why it is known to be gone. */
-void ow_machines_remove(struct ow_leader *leader, struct ow_machine *machine, const char *proof);
 /* Whether a message of any kind came within the last two and a half report intervals. */
 bool ow_machine_heard_recently(const struct ow_leader *leader, const struct ow_machine *machine);
 /* Whether no heartbeat came for two and a half report intervals, even if it answers commands. */
--- a/src/core/machines/reconciliation.c
+++ b/src/core/machines/reconciliation.c
@@ -1,11 +1,13 @@
 /* What workers report, and what it proves. */
 #include "core/machines/reconciliation.h"
+#include "core/jobs/attempt.h"
+#include "core/jobs/attempt_end.h"
 #include "core/jobs/execution.h"
 #include "core/leader/leader_state.h"
+#include "core/machines/command_queue.h"
 #include "core/machines/machine.h"
 #include "core/machines/machine_registry.h"
 #include "core/machines/spot_risk.h"
-#include "core/machines/worker_commands.h"
 #include "core/records/recorder.h"
 #include "model/cloud.h"
 #include "model/resources.h"
@@ -254,7 +256,7 @@
     if (heartbeat->fencing_token != leader->fencing_token || leader->phase != OW_LEADER_READY) {
         /* Until it has seen our fencing token an older leader may still change what it says. */
         if (leader->phase == OW_LEADER_READY)
-            ow_worker_commands_want_fenced(leader, machine);
+            ow_command_queue_add_unfenced(leader, machine);
         return machine;
     }
     if (!machine->fenced)
--- a/src/core/machines/scale_out.c
+++ b/src/core/machines/scale_out.c
@@ -1,5 +1,6 @@
 /* Renting for work that waits. */
 #include "core/machines/scale_out.h"
+#include "core/jobs/attempt.h"
 #include "core/jobs/execution.h"
 #include "core/jobs/quota.h"
 #include "core/leader/leader_state.h"
--- a/src/core/machines/worker_commands.c
+++ b/src/core/machines/worker_commands.c
@@ -1,8 +1,9 @@
 /* Commands to workers: launches whose record has committed, and stops. */
 #include "core/machines/worker_commands.h"
 #include "core/election/election.h"
-#include "core/jobs/execution.h"
+#include "core/jobs/attempt.h"
 #include "core/leader/leader_state.h"
+#include "core/machines/command_queue.h"
 #include "core/machines/machine.h"
 #include "core/machines/machine_registry.h"
 #include "core/machines/reconciliation.h"
@@ -14,14 +15,7 @@
 /* Direct commands to machines that may not answer, at a time: so many, and in proportion to our share of a
  * core. */
 enum { PROBES_LEAST = 64, PROBES_PER_CORE = 1000 };
-/* A worker that learns of our fencing token by an answer reports again at once: only if it does not within
-   this time is it sent a direct command. */
-static const double FENCE_BY_HEARTBEAT_S = 1;
 static const double DIRECT_PAUSE_S = 3, REFUSED_PAUSE_S = 0.5, UNSENT_PAUSE_S = 0.5;
-/* Processor time of a direct command with its answer, in seconds of a core, and the part of our share of a
-   core that those to all machines may take: at a failover every worker reports as well, and the lease has to
-   be renewed. */
-static const double DIRECT_COST_S = 100e-6, WANT_ALL_SHARE = 0.5;
 
 static void add_command(GArray *commands, enum ow_worker_command_kind kind, const struct ow_attempt *attempt)
 {
@@ -122,7 +116,7 @@
     if (answer->status == OW_STATUS_UNSENT) {
         /* Nothing left us, so no launch is unacknowledged, and the machine's connection was not tried. */
         g_array_set_size(machine->direct_launches, 0);
-        ow_worker_commands_want(leader, machine);
+        ow_command_queue_add(leader, machine);
         machine->direct_at = leader->core->now + UNSENT_PAUSE_S;
         return;
     }
@@ -157,38 +151,6 @@
     ow_core_emit(leader->core, effect);
 }
 
-void ow_worker_commands_want(struct ow_leader *leader, struct ow_machine *machine)
-{
-    if (machine->direct_wanted)
-        return;
-    machine->direct_wanted = true;
-    g_ptr_array_add(leader->direct_due, machine);
-}
-
-void ow_worker_commands_want_fenced(struct ow_leader *leader, struct ow_machine *machine)
-{
-    if (!machine->direct_wanted)
-        machine->direct_at = MAX(machine->direct_at, leader->core->now + FENCE_BY_HEARTBEAT_S);
-    ow_worker_commands_want(leader, machine);
-}
-
-void ow_worker_commands_want_all(struct ow_leader *leader)
-{
-    double interval_s = DIRECT_COST_S / (WANT_ALL_SHARE * leader->core->settings->core_share);
-    for (guint i = 0; i < leader->machines->len; i++) {
-        struct ow_machine *machine = g_ptr_array_index(leader->machines, i);
-        machine->direct_at = leader->core->now + i * interval_s;
-        ow_worker_commands_want(leader, machine);
-    }
-}
-
-void ow_worker_commands_forget(struct ow_leader *leader, struct ow_machine *machine)
-{
-    if (machine->direct_wanted)
-        g_ptr_array_remove_fast(leader->direct_due, machine);
-    machine->direct_wanted = false;
-}
-
 /* Whether the machine can be sent a direct command now. */
 static bool is_direct_possible(const struct ow_leader *leader, const struct ow_machine *machine)
 {
--- a/src/core/records/failover.c
+++ b/src/core/records/failover.c
@@ -1,11 +1,14 @@
 /* Rebuilding the leader's picture: records first, then the workers' own reports. */
 #include "core/records/failover.h"
+#include "core/jobs/attempt.h"
+#include "core/jobs/attempt_table.h"
 #include "core/jobs/execution.h"
+#include "core/jobs/execution_table.h"
 #include "core/jobs/job_cache.h"
 #include "core/leader/leader_state.h"
+#include "core/machines/command_queue.h"
 #include "core/machines/machine.h"
 #include "core/machines/machine_registry.h"
-#include "core/machines/worker_commands.h"
 #include "core/peers/machine_hints.h"
 #include "core/records/record_values.h"
 #include "core/records/recorder.h"
@@ -197,7 +200,7 @@
     leader->cycle.due = true;
     use_hints(leader);
     /* Fencing: a worker that has seen our fencing token heeds no older leader any more. */
-    ow_worker_commands_want_all(leader);
+    ow_command_queue_add_all(leader);
     g_info("took over: %u jobs with progress, %u machines known", leader->executions->len,
            leader->machines->len);
 }
--- a/src/core/records/record_values.c
+++ b/src/core/records/record_values.c
@@ -2,10 +2,10 @@
  * changes together is written together. A chunk stays in its record value until its job is over, or until the
  * record value outgrows a value. */
 #include "core/records/record_values.h"
+#include "core/jobs/attempt.h"
 #include "core/jobs/execution.h"
 #include "core/leader/leader_state.h"
 #include "core/machines/machine.h"
-#include "core/records/recorder.h"
 #include "model/records.h"
 #include "wire/records_json.h"
 
@@ -160,28 +160,6 @@
     return record_value->retained->len > 0;
 }
 
-void ow_record_values_refine(struct ow_leader *leader, struct ow_execution *execution)
-{
-    uint32_t tasks = execution->chunk_tasks, finer = MIN(ow_record_values_chunk_tasks(leader), tasks / 2);
-    uint64_t last = 0;
-    for (uint32_t i = 0; i < execution->chunk_count; i++) {
-        struct ow_chunk *chunk = &execution->chunks[i];
-        struct ow_record_value *record_value = ow_record_values_leave(chunk);
-        last = MAX(last, chunk->last_attempt);
-        if (record_value == NULL)
-            continue;
-        ow_record_values_retain(record_value, execution->job,
-                                ow_chunk_task_range(i, tasks, execution->count));
-        ow_recorder_compact(leader, record_value);
-    }
-    ow_execution_divide(execution, finer);
-    for (uint32_t i = 0; i < execution->chunk_count; i++)
-        execution->chunks[i].last_attempt = last;
-    for (uint32_t task = 0; task < execution->count; task += finer)
-        ow_recorder_chunk(leader, execution, task, true);
-    g_info("job %s: recorded in chunks of %u tasks from now on", execution->job->id, finer);
-}
-
 static gint by_place(gconstpointer a, gconstpointer b)
 {
     const struct ow_live_record *x = a, *y = b;
--- a/src/core/records/record_values.h
+++ b/src/core/records/record_values.h
@@ -9,6 +9,7 @@
 #include <stdbool.h>
 #include <stdint.h>
 
+struct ow_leader;
 struct ow_write;
 
 /* Consecutive tasks of a job: from `first` up to, not including, `end`. */
@@ -44,8 +45,6 @@
                              struct ow_task_range tasks);
 /* Whether the stored value must stay as it is for now. */
 bool ow_record_values_retains_tasks(struct ow_record_value *record_value);
-/* Records the run in smaller chunks from now on. Nothing of it may be in a write. */
-void ow_record_values_refine(struct ow_leader *leader, struct ow_execution *execution);
 /* Adds a chunk that is in no record value. */
 void ow_record_values_add(struct ow_record_value *record_value, struct ow_chunk *chunk);
 /* Adds a chunk that is in no record value to the one that suits it best, or to a new one. */
--- a/src/core/records/recorder.c
+++ b/src/core/records/recorder.c
@@ -8,7 +8,6 @@
 #include "core/records/record_values.h"
 #include "core/records/recorder_state.h"
 #include "core/records/transaction.h"
-#include "core/records/transaction_reply.h"
 #include "model/event.h"
 #include "model/records.h"
 #include "model/submission.h"
@@ -88,53 +87,3 @@
             ow_recorder_compact(leader, record_value);
     }
 }
-
-static void on_transaction(void *owner, void *data, const struct ow_event *answer)
-{
-    (void)data;
-    ow_transaction_reply_handle(owner, &answer->store);
-}
-
-/* Divides the chunks that do not fit a value. No transaction may be under way: none of them may be in it. */
-static void refine_record_values(struct ow_leader *leader)
-{
-    for (guint i = 0; i < leader->record_values->len; i++) {
-        struct ow_record_value *record_value = g_ptr_array_index(leader->record_values, i);
-        if (record_value->refines && record_value->chunks->len > 0) {
-            const struct ow_chunk *chunk = g_ptr_array_index(record_value->chunks, 0);
-            ow_record_values_refine(leader, chunk->job->execution);
-        }
-        record_value->refines = false;
-    }
-}
-
-static bool may_write(struct ow_recorder *recorder, double now)
-{
-    if (recorder->busy || recorder->version_checks > 0 || now < recorder->next_at)
-        return false;
-    if (ow_write_queue_length(recorder->queue) == 0)
-        return false;
-    return ow_rate_limiter_level(&recorder->mutations, now) >= 1;
-}
-
-void ow_recorder_tick(struct ow_leader *leader)
-{
-    struct ow_recorder *recorder = leader->recorder;
-    double now = leader->core->now;
-    if (!may_write(recorder, now))
-        return;
-    refine_record_values(leader);
-    struct ow_store_request *transaction = ow_store_request_new(OW_STORE_TXN, NULL);
-    ow_store_compare(transaction, OW_KEY_LEADER, leader->fencing_token);
-    recorder->serial++;
-    ow_transaction_fill(leader, transaction);
-    if (transaction->mutations->len == 0) {
-        ow_store_request_free(transaction);
-        return;
-    }
-    ow_rate_limiter_spend(&recorder->mutations, transaction->mutations->len, now);
-    recorder->sent_mutations = transaction->mutations->len;
-    recorder->sent_largest = ow_store_largest_value(transaction);
-    recorder->busy = true;
-    ow_core_call_store(leader->core, transaction, on_transaction, leader, NULL, NULL);
-}
--- a/src/core/records/recorder.h
+++ b/src/core/records/recorder.h
@@ -22,8 +22,6 @@
 void ow_recorder_finish(struct ow_leader *leader, struct ow_execution *execution);
 /* Rewrites a record value at low urgency, without the records of jobs that are over. */
 void ow_recorder_compact(struct ow_leader *leader, struct ow_record_value *record_value);
-/* Sends the next transaction if one is due and none is under way. */
-void ow_recorder_tick(struct ow_leader *leader);
 /* Drops every reference to a run that is about to be freed. */
 void ow_recorder_forget(struct ow_leader *leader, const struct ow_execution *execution);
 
--- a/src/core/records/transaction.c
+++ b/src/core/records/transaction.c
@@ -1,5 +1,6 @@
 #include "core/records/transaction.h"
 
+#include "core/jobs/attempt.h"
 #include "core/jobs/execution.h"
 #include "core/leader/leader_state.h"
 #include "core/records/record_values.h"
--- a/src/core/records/transaction_reply.c
+++ b/src/core/records/transaction_reply.c
@@ -1,11 +1,13 @@
 #include "core/records/transaction_reply.h"
 
 #include "core/election/election.h"
+#include "core/jobs/attempt.h"
 #include "core/jobs/execution.h"
+#include "core/jobs/execution_table.h"
 #include "core/jobs/job_cache.h"
 #include "core/leader/leader_state.h"
+#include "core/machines/command_queue.h"
 #include "core/machines/machine.h"
-#include "core/machines/worker_commands.h"
 #include "core/records/record_values.h"
 #include "core/records/recorder_state.h"
 #include "model/event.h"
@@ -50,7 +52,7 @@
         if (ow_execution_chunk(execution, attempt->task) != chunk)
             continue;
         attempt->state = OW_ATTEMPT_COMMITTED;
-        ow_worker_commands_want(leader, attempt->machine);
+        ow_command_queue_add(leader, attempt->machine);
     }
 }
 
--- a/src/core/scheduling/array_preemption.c
+++ b/src/core/scheduling/array_preemption.c
@@ -7,6 +7,7 @@
 #include "core/scheduling/candidates.h"
 #include "core/scheduling/placement.h"
 #include "core/scheduling/preempt.h"
+#include "core/scheduling/quota_reclaim.h"
 #include "core/scheduling/shortlist.h"
 #include "model/resources.h"
 #include "model/submission.h"
@@ -15,7 +16,7 @@
 static bool may_preempt(const struct ow_leader *leader, const struct ow_execution *execution)
 {
     const struct ow_submission *submission = execution->job->spec->submission;
-    if (submission->rank == OW_RANK_LOW && !ow_execution_may_reclaim_quota(leader, execution))
+    if (submission->rank == OW_RANK_LOW && !ow_quota_may_reclaim(leader, execution))
         return false;
     return ow_execution_is_service(execution) || (!submission->one_zone && !submission->spread);
 }
--- a/src/core/scheduling/array_start.c
+++ b/src/core/scheduling/array_start.c
@@ -10,6 +10,7 @@
 #include "core/scheduling/deadline.h"
 #include "core/scheduling/image_demand.h"
 #include "core/scheduling/placement.h"
+#include "core/scheduling/quota_reclaim.h"
 #include "model/cloud.h"
 
 /* The share of a class's slack that tasks may wait for a machine with their image, if a fetch is expensive.
@@ -59,7 +60,7 @@
     const struct ow_job_spec *spec = execution->job->spec;
     double fetch_s = ow_machine_fetch_seconds(leader, machine, spec);
     /* Capacity that others are stopped for must be taken, or they would be put there and stopped again. */
-    if (fetch_s <= SHORT_FETCH_S || starves || ow_execution_may_reclaim_quota(leader, execution))
+    if (fetch_s <= SHORT_FETCH_S || starves || ow_quota_may_reclaim(leader, execution))
         return false;
     /* However late it is, a fetch that takes twice as long as the work that is left helps nobody. */
     if (CLEARLY_LONGER * wait_s < fetch_s)
--- a/src/core/scheduling/candidates.c
+++ b/src/core/scheduling/candidates.c
@@ -1,5 +1,6 @@
 /* The machines on which tasks of a run could be started. */
 #include "core/scheduling/candidates.h"
+#include "core/jobs/execution.h"
 #include "core/leader/leader_state.h"
 #include "core/machines/machine.h"
 #include "core/scheduling/placement.h"
--- a/src/core/scheduling/candidates.h
+++ b/src/core/scheduling/candidates.h
@@ -8,6 +8,9 @@
 #include <stdbool.h>
 #include <stdint.h>
 
+struct ow_leader;
+struct ow_machine;
+
 /* A machine on which tasks of a run could be started. */
 struct ow_candidate {
     struct ow_machine *machine;
--- a/src/core/scheduling/deadline.c
+++ b/src/core/scheduling/deadline.c
@@ -1,5 +1,7 @@
 /* Deadlines of jobs. */
 #include "core/scheduling/deadline.h"
+#include "core/jobs/attempt.h"
+#include "core/jobs/execution.h"
 #include "core/leader/leader_state.h"
 #include "core/scheduling/classes.h"
 
--- a/src/core/scheduling/deadline.h
+++ b/src/core/scheduling/deadline.h
@@ -9,6 +9,9 @@
 
 #include <stdbool.h>
 
+struct ow_attempt;
+struct ow_leader;
+
 /* Whether the job was submitted with a deadline. */
 bool ow_deadline_is_set(const struct ow_execution *execution);
 /* Whether the job has a deadline that it can't meet any more. */
--- a/src/core/scheduling/gang_selection.c
+++ b/src/core/scheduling/gang_selection.c
@@ -1,5 +1,6 @@
 /* Selecting machines for the members of a gang. */
 #include "core/scheduling/gang_selection.h"
+#include "core/jobs/execution.h"
 #include "core/leader/leader_state.h"
 #include "core/machines/machine.h"
 #include "core/scheduling/candidates.h"
--- a/src/core/scheduling/gang_selection.h
+++ b/src/core/scheduling/gang_selection.h
@@ -7,6 +7,9 @@
 #include <glib.h>
 #include <stdint.h>
 
+struct ow_leader;
+struct ow_machine;
+
 /* A machine selected for some members of a gang. */
 struct ow_gang_pick {
     struct ow_machine *machine;
--- a/src/core/scheduling/gang_turn.c
+++ b/src/core/scheduling/gang_turn.c
@@ -1,5 +1,6 @@
 /* Which short gang keeps its holds. */
 #include "core/scheduling/gang_turn.h"
+#include "core/jobs/execution.h"
 #include "core/leader/leader_state.h"
 #include "core/scheduling/classes.h"
 #include "core/scheduling/image_demand.h"
--- a/src/core/scheduling/gang_turn.h
+++ b/src/core/scheduling/gang_turn.h
@@ -6,6 +6,8 @@
 
 #include <stdbool.h>
 
+struct ow_leader;
+
 /* Whether the gang takes its turn in this pass: one gang at most does, the first in the queue that asks. */
 bool ow_gang_turn_take(struct ow_leader *leader, const struct ow_execution *execution);
 
--- a/src/core/scheduling/gpu_reserve.c
+++ b/src/core/scheduling/gpu_reserve.c
@@ -1,5 +1,6 @@
 /* Which GPU machines are kept for jobs that need GPUs. */
 #include "core/scheduling/gpu_reserve.h"
+#include "core/jobs/attempt.h"
 #include "core/jobs/execution.h"
 #include "core/leader/leader_state.h"
 #include "core/machines/machine.h"
--- a/src/core/scheduling/image_demand.c
+++ b/src/core/scheduling/image_demand.c
@@ -1,5 +1,6 @@
 /* How long fetching a container image takes, and how much work waits for it. */
 #include "core/scheduling/image_demand.h"
+#include "core/jobs/execution.h"
 #include "core/leader/leader_state.h"
 #include "core/machines/machine.h"
 #include "core/machines/machine_registry.h"
--- a/src/core/scheduling/image_demand.h
+++ b/src/core/scheduling/image_demand.h
@@ -6,6 +6,8 @@
 
 #include <glib.h>
 
+struct ow_leader;
+
 /* The work that waits for an image and the slots where it is, computed once a cycle. */
 struct ow_image_demand {
     const struct ow_job_spec *spec; /* of one of the jobs that wait for it; NULL: none */
--- a/src/core/scheduling/placement.c
+++ b/src/core/scheduling/placement.c
@@ -1,5 +1,7 @@
 /* Where a task may run, and placing it there. */
 #include "core/scheduling/placement.h"
+#include "core/jobs/attempt.h"
+#include "core/jobs/attempt_table.h"
 #include "core/jobs/execution.h"
 #include "core/leader/leader_state.h"
 #include "core/machines/machine.h"
--- a/src/core/scheduling/placement.h
+++ b/src/core/scheduling/placement.h
@@ -9,6 +9,9 @@
 #include <stdbool.h>
 #include <stdint.h>
 
+struct ow_leader;
+struct ow_machine;
+
 /* Whether the job's own rules (type, zone, spot) allow the machine. */
 bool ow_placement_is_allowed(const struct ow_leader *leader, const struct ow_job_spec *spec,
                              const struct ow_machine *machine);
--- a/src/core/scheduling/placement_cost.c
+++ b/src/core/scheduling/placement_cost.c
@@ -1,5 +1,6 @@
 /* How well a machine suits a job. */
 #include "core/scheduling/placement_cost.h"
+#include "core/jobs/execution.h"
 #include "core/leader/leader_state.h"
 #include "core/machines/machine.h"
 #include "core/machines/machine_registry.h"
--- a/src/core/scheduling/placement_cost.h
+++ b/src/core/scheduling/placement_cost.h
@@ -6,6 +6,9 @@
 
 #include <stdbool.h>
 
+struct ow_leader;
+struct ow_machine;
+
 /* The cost of running a task of the run there. The machine's type must be known. */
 double ow_placement_cost(const struct ow_leader *leader, const struct ow_execution *execution,
                          const struct ow_machine *machine);
--- a/src/core/scheduling/preempt.c
+++ b/src/core/scheduling/preempt.c
@@ -1,5 +1,7 @@
 /* Stopping work to free capacity, where the rules allow it: the cheapest loss first. */
 #include "core/scheduling/preempt.h"
+#include "core/jobs/attempt.h"
+#include "core/jobs/attempt_end.h"
 #include "core/jobs/execution.h"
 #include "core/jobs/quota.h"
 #include "core/leader/leader_state.h"
--- a/src/core/scheduling/preempt.h
+++ b/src/core/scheduling/preempt.h
@@ -8,6 +8,9 @@
 #include <stdbool.h>
 #include <stdint.h>
 
+struct ow_leader;
+struct ow_machine;
+
 /* The most urgent rank whose work may be stopped for the job. */
 int ow_preempt_top_rank(const struct ow_leader *leader, const struct ow_job_spec *spec);
 /* An upper bound of the slots that stopping work of rank `from` and less urgent ranks could free, without a
--- a/src/core/scheduling/queue.c
+++ b/src/core/scheduling/queue.c
@@ -1,5 +1,6 @@
 /* The order of the queue. */
 #include "core/scheduling/queue.h"
+#include "core/jobs/execution.h"
 #include "core/jobs/quota.h"
 #include "core/leader/leader_state.h"
 #include "core/machines/machine.h"
--- a/src/core/scheduling/queue.h
+++ b/src/core/scheduling/queue.h
@@ -8,6 +8,8 @@
 #include <glib.h>
 #include <stdbool.h>
 
+struct ow_leader;
+
 /* The runs with waiting tasks in queue order, as struct ow_execution *; the caller frees the array. It also
    updates how long each run has missed tasks, and whether it starves or is old. */
 GPtrArray *ow_queue_sorted(struct ow_leader *leader);
--- /dev/null
+++ b/src/core/scheduling/quota_reclaim.h
@@ -0,0 +1,15 @@
+/** @file
+ * When a team takes back what it is guaranteed and others have borrowed.
+ */
+#ifndef OW_CORE_SCHEDULING_QUOTA_RECLAIM_H
+#define OW_CORE_SCHEDULING_QUOTA_RECLAIM_H
+
+#include <stdbool.h>
+
+struct ow_execution;
+struct ow_leader;
+
+/** Whether the execution's team is entitled and has waited long enough for others to be stopped for it. */
+bool ow_quota_may_reclaim(const struct ow_leader *leader, const struct ow_execution *execution);
+
+#endif
--- a/src/core/scheduling/replica_spread.c
+++ b/src/core/scheduling/replica_spread.c
@@ -1,5 +1,6 @@
 #include "core/scheduling/replica_spread.h"
 
+#include "core/jobs/attempt.h"
 #include "core/jobs/execution.h"
 #include "core/machines/machine.h"
 
--- a/src/core/scheduling/schedule.c
+++ b/src/core/scheduling/schedule.c
@@ -1,17 +1,19 @@
 /* The scheduling cycle: what is started or held for each waiting run, and the completion of jobs. */
 #include "core/scheduling/schedule.h"
+#include "core/jobs/attempt_end.h"
 #include "core/jobs/execution.h"
+#include "core/jobs/execution_table.h"
 #include "core/jobs/quota.h"
 #include "core/leader/leader_state.h"
 #include "core/machines/machine.h"
 #include "core/records/recorder.h"
 #include "core/scheduling/array_preemption.h"
 #include "core/scheduling/array_start.h"
+#include "core/scheduling/gang_start.h"
 #include "core/scheduling/gpu_reserve.h"
 #include "core/scheduling/image_demand.h"
 #include "core/scheduling/queue.h"
 #include "core/scheduling/reason.h"
-#include "core/scheduling/reservation.h"
 #include "core/scheduling/service_replicas.h"
 #include "core/scheduling/shortlist.h"
 #include "model/resources.h"
@@ -114,8 +116,8 @@
 static void schedule_execution(struct ow_leader *leader, struct ow_execution *execution)
 {
     if (ow_submission_is_gang(execution->job->spec->submission)) {
-        ow_reservation_try(leader, execution);
-        ow_reservation_apply_holds(leader, execution);
+        ow_gang_start_try(leader, execution);
+        ow_gang_start_apply_holds(leader, execution);
         return;
     }
     if (ow_execution_is_service(execution))
--- a/src/core/scheduling/service_moves.c
+++ b/src/core/scheduling/service_moves.c
@@ -1,6 +1,8 @@
 /* Moving replicas of services. */
 #include "core/scheduling/service_moves.h"
 
+#include "core/jobs/attempt.h"
+#include "core/jobs/attempt_end.h"
 #include "core/jobs/execution.h"
 #include "core/leader/leader_state.h"
 #include "core/machines/machine.h"
--- a/src/core/scheduling/service_replicas.c
+++ b/src/core/scheduling/service_replicas.c
@@ -1,6 +1,7 @@
 /* Services: replicas that run until their job is cancelled, apart from one another. */
 #include "core/scheduling/service_replicas.h"
 
+#include "core/jobs/attempt.h"
 #include "core/jobs/execution.h"
 #include "core/jobs/quota.h"
 #include "core/leader/leader_state.h"
