--- /dev/null
+++ b/src/client/client.c
@@ -0,0 +1,140 @@
+#include "client/client.h"
+
+#include "client/exchange.h"
+#include "client/print.h"
+#include "model/http_status.h"
+#include "util/endpoint.h"
+#include "wire/json.h"
+#include "wire/words.h"
+
+#include <glib.h>
+#include <stdbool.h>
+#include <stdio.h>
+#include <string.h>
+
+/* What the word behind a command is. */
+enum argument {
+    ARGUMENT_NONE,
+    ARGUMENT_JOB_ID,   /* the path has it behind its first part */
+    ARGUMENT_JOB_FILE, /* its text is the body; "-" is standard input */
+};
+
+struct command {
+    const char *name;
+    enum argument argument;
+    const char *method;
+    const char *path;
+    const char *path_end; /* behind the id of a job; else NULL */
+    const char *body;     /* if no file is; or NULL */
+    /* Prints the answer to a command that was carried out. */
+    void (*print)(const json_t *answer);
+};
+
+static const struct command commands[] = {
+    {.name = "submit",
+     .argument = ARGUMENT_JOB_FILE,
+     .method = "POST",
+     .path = W_PATH_JOBS,
+     .print = ow_print_job},
+    {.name = "show",
+     .argument = ARGUMENT_JOB_ID,
+     .method = "GET",
+     .path = W_PATH_JOBS "/",
+     .path_end = "",
+     .print = ow_print_job},
+    {.name = "cancel",
+     .argument = ARGUMENT_JOB_ID,
+     .method = "POST",
+     .path = W_PATH_JOBS "/",
+     .path_end = "/" W_PATH_CANCEL,
+     .body = "{}",
+     .print = ow_print_job},
+    {.name = "teams", .method = "GET", .path = W_PATH_TEAMS, .print = ow_print_teams},
+    {.name = "controllers", .method = "GET", .path = W_PATH_CONTROLLERS, .print = ow_print_controllers},
+    {.name = "shards", .method = "GET", .path = W_PATH_SHARDS, .print = ow_print_shards},
+};
+
+/* The command that these words are, or NULL. */
+static const struct command *find_command(char *const *words)
+{
+    const char *argument = words[1];
+    bool has_one_argument = argument != NULL && words[2] == NULL;
+    for (size_t i = 0; i < G_N_ELEMENTS(commands); i++) {
+        const struct command *command = &commands[i];
+        bool fits = command->argument == ARGUMENT_NONE ? argument == NULL : has_one_argument;
+        if (fits && strcmp(words[0], command->name) == 0)
+            return command;
+    }
+    return NULL;
+}
+
+/* The text of the file (g_free), or NULL after a message. */
+static char *read_job(const char *file)
+{
+    g_autoptr(GError) error = NULL;
+    char *text = NULL;
+    if (!g_file_get_contents(strcmp(file, "-") == 0 ? "/dev/stdin" : file, &text, NULL, &error))
+        fprintf(stderr, "ospreywell: %s\n", error->message);
+    return text;
+}
+
+/* The error of an answer, which may be NULL where there was nothing readable. */
+static void print_error(int status, const json_t *answer)
+{
+    const char *message = "no readable answer";
+    if (status == OW_HTTP_STATUS_NONE) {
+        fprintf(stderr, "ospreywell: the controller does not answer\n");
+        return;
+    }
+    wire_json_get_string(answer, "error", &message);
+    fprintf(stderr, "ospreywell: status %d: %s\n", status, message);
+}
+
+static enum ow_client_status print_answer(const struct command *command, int status, const GString *body)
+{
+    json_t *answer = wire_json_parse_object(body->str, body->len);
+    bool is_done = (status == OW_HTTP_STATUS_OK || status == OW_HTTP_STATUS_CREATED) && answer != NULL;
+    if (is_done)
+        command->print(answer);
+    else
+        print_error(status, answer);
+    json_decref(answer);
+    return is_done ? OW_CLIENT_DONE : OW_CLIENT_FAILED;
+}
+
+/* Carries out a command with its argument, if it has one. */
+static enum ow_client_status run_command(const char *server, const struct command *command,
+                                         const char *argument)
+{
+    bool has_job_id = command->argument == ARGUMENT_JOB_ID;
+    /* The list ends with the first NULL: without the id of a job the path is its first part. */
+    g_autofree char *path = g_strconcat(command->path, has_job_id ? argument : NULL, command->path_end, NULL);
+    g_autofree char *text = NULL;
+    if (command->argument == ARGUMENT_JOB_FILE) {
+        text = read_job(argument);
+        if (text == NULL)
+            return OW_CLIENT_FAILED;
+    }
+    const struct ow_exchange_request request = {
+        .method = command->method,
+        .path = path,
+        .body = text != NULL ? text : command->body,
+    };
+    g_autoptr(GString) body = g_string_new(NULL);
+    int status = ow_exchange(server, &request, body);
+    return print_answer(command, status, body);
+}
+
+enum ow_client_status ow_client_run(const char *server, char *const *words)
+{
+    if (!ow_endpoint_is_valid(server)) {
+        fprintf(stderr, "ospreywell: --server ADDRESS:PORT or OSPREYWELL_SERVER is needed\n");
+        return OW_CLIENT_USAGE;
+    }
+    const struct command *command = find_command(words);
+    if (command == NULL) {
+        fprintf(stderr, "ospreywell: %s: not a command, or wrong words behind it; see --help\n", words[0]);
+        return OW_CLIENT_USAGE;
+    }
+    return run_command(server, command, words[1]);
+}
--- a/src/main.c
+++ b/src/main.c
@@ -1,8 +1,8 @@
 /* The controller's program: it serves, checks its settings, or sends a client's command. */
+#include "client/client.h"
 #include "config/command_line.h"
 #include "config/operators_file.h"
 #include "config/settings_file.h"
-#include "io/client.h"
 #include "io/daemon.h"
 #include "io/log.h"
 #include "io/net.h"
