--- a/src/core/api/cancellation_ack.c
+++ b/src/core/api/cancellation_ack.c
@@ -3,7 +3,7 @@
 #include "core/api/job_reply.h"
 #include "core/core_state.h"
 #include "core/election/election.h"
-#include "core/leader/leader.h"
+#include "core/leader/job_cancellation.h"
 #include "model/peer.h"
 #include "model/submission.h"
 
@@ -67,7 +67,7 @@
     g_hash_table_insert(acks->entries, entry->id, entry);
     /* The stops go out before anything else does. */
     if (acks->core->leader != NULL)
-        ow_leader_cancel(acks->core->leader, ow_jobs_find(acks->core->jobs, id));
+        ow_job_cancellation_apply(acks->core->leader, ow_jobs_find(acks->core->jobs, id));
     return entry;
 }
 
@@ -123,7 +123,7 @@
 static bool acknowledge(struct ow_core *core, struct ow_job *job)
 {
     if (core->leader == NULL || ow_election_fencing_token(core->election) < job->cancel_fencing_token ||
-        !ow_leader_cancel(core->leader, job))
+        !ow_job_cancellation_apply(core->leader, job))
         return false;
     job->cancellation_acked = true;
     send_to_peers(core, OW_PEER_CANCELLATION_ACK, job, ow_election_fencing_token(core->election));
--- a/src/core/core.c
+++ b/src/core/core.c
@@ -9,9 +9,9 @@
 #include "core/core_state.h"
 #include "core/election/election.h"
 #include "core/jobs/job_cache.h"
+#include "core/leader/heartbeat_answer.h"
 #include "core/leader/leader.h"
-#include "core/leader/leader_state.h"
-#include "core/machines/machine.h"
+#include "core/leader/leader_status.h"
 #include "core/peers/machine_hints.h"
 #include "core/peers/peer_messages.h"
 #include "core/peers/peer_status.h"
@@ -25,8 +25,6 @@
 
 /* How long the core may rest when nothing comes in. */
 static const double IDLE_S = 0.05;
-/* Workers report every interval, give or take a quarter. */
-static const double SETTLING_HEARTBEATS = 1.25;
 
 /* ---- what the election brings about ---- */
 
@@ -114,7 +112,7 @@
     /* A worker that has seen a higher fencing token obeys another leader: we must not act for it. */
     ow_election_observe_fencing_token(core->election, event->heartbeat->fencing_token, NULL);
     if (core->leader != NULL) {
-        ow_leader_receive_heartbeat(core->leader, event->request, event->heartbeat);
+        ow_heartbeat_answer(core->leader, event->request, event->heartbeat);
         return;
     }
     struct ow_effect *effect = ow_effect_new(OW_EFFECT_MISDIRECT, event->request);
@@ -215,31 +213,20 @@
     return ow_election_fencing_token(core->election);
 }
 
-static void count_fenced(const struct ow_leader *leader, struct ow_core_status *status)
-{
-    for (guint i = 0; i < leader->machines->len; i++) {
-        const struct ow_machine *machine = g_ptr_array_index(leader->machines, i);
-        if (machine->incarnation == 0)
-            continue;
-        status->machines++;
-        status->fenced += machine->fenced ? 1 : 0;
-    }
-}
-
 void ow_core_status(const struct ow_core *core, struct ow_core_status *status)
 {
-    const struct ow_leader *leader = core->leader;
     *status = (struct ow_core_status){
         .leader_name = ow_election_leader_name(core->election),
         .fencing_token = ow_election_fencing_token(core->election),
         .key_missing = ow_election_key_is_missing(core->election),
     };
-    if (leader == NULL)
+    if (core->leader == NULL)
         return;
-    status->records_read = leader->phase == OW_LEADER_READY;
-    status->settled = status->records_read && core->now - leader->ready_at >=
-                                                  SETTLING_HEARTBEATS * core->settings->heartbeat_interval_s;
-    count_fenced(leader, status);
+    struct ow_leader_status leader_status = ow_leader_status_of(core->leader);
+    status->records_read = leader_status.is_ready;
+    status->settled = leader_status.has_settled;
+    status->machines = leader_status.machines;
+    status->fenced = leader_status.fenced_machines;
 }
 
 void ow_core_set_candidacy(struct ow_core *core, bool may_lead, double delay_s)
@@ -260,15 +247,5 @@
 
 double ow_core_waiting_cpus(const struct ow_core *core)
 {
-    const GPtrArray *open_jobs = ow_jobs_open(core->jobs);
-    double cpus = 0;
-    for (guint i = 0; i < open_jobs->len; i++) {
-        const struct ow_job *job = g_ptr_array_index(open_jobs, i);
-        if (ow_job_over(job) || job->spec == NULL)
-            continue;
-        const struct ow_submission *submission = job->spec->submission;
-        int waiting = (int)submission->tasks - MAX(job->done, 0) - MAX(job->running, 0);
-        cpus += submission->need.cpus * MAX(waiting, 0);
-    }
-    return cpus;
+    return ow_jobs_waiting_cpus(core->jobs);
 }
--- a/src/core/jobs/job.c
+++ b/src/core/jobs/job.c
@@ -157,3 +157,20 @@
     g_free(job->reason);
     job->reason = g_strdup(reason);
 }
+
+static double waiting_cpus(const struct ow_job *job)
+{
+    if (ow_job_over(job) || job->spec == NULL)
+        return 0;
+    const struct ow_submission *submission = job->spec->submission;
+    int waiting = (int)submission->tasks - MAX(job->done, 0) - MAX(job->running, 0);
+    return submission->need.cpus * MAX(waiting, 0);
+}
+
+double ow_jobs_waiting_cpus(const struct ow_jobs *jobs)
+{
+    double cpus = 0;
+    for (guint i = 0; i < jobs->open->len; i++)
+        cpus += waiting_cpus(g_ptr_array_index(jobs->open, i));
+    return cpus;
+}
--- a/src/core/jobs/job.h
+++ b/src/core/jobs/job.h
@@ -57,6 +57,8 @@
 const GPtrArray *ow_jobs_open(const struct ow_jobs *jobs);
 /* To be called when a job is over and no task of it is left: it leaves the open ones. */
 void ow_jobs_close(struct ow_jobs *jobs, struct ow_job *job);
+/** CPUs that the tasks of open jobs wait for, by the counts that are shown to users. */
+double ow_jobs_waiting_cpus(const struct ow_jobs *jobs);
 
 /* Whether it is done or cancelled. */
 bool ow_job_over(const struct ow_job *job);
--- a/src/core/jobs/quota.c
+++ b/src/core/jobs/quota.c
@@ -1,5 +1,5 @@
-/* What teams use, are guaranteed and are limited to. */
 #include "core/jobs/quota.h"
+
 #include "core/jobs/execution.h"
 #include "core/leader/leader_state.h"
 #include "model/resources.h"
@@ -9,16 +9,38 @@
 /* Sums of fractions drift: so much more than a limit or guarantee still lies within it, in CPUs or GPUs. */
 static const double AMOUNT_TOLERANCE = 1e-6;
 
+struct ow_quota {
+    struct ow_resources *used; /* `count` of them, by team index; grown as teams come */
+    guint count;
+    /* As of the beginning of the scheduling cycle, by team index: */
+    bool *demand_is_guaranteed;
+    bool *is_borrowing;
+};
+
+struct ow_quota *ow_quota_new(void)
+{
+    return g_new0(struct ow_quota, 1);
+}
+
+void ow_quota_free(struct ow_quota *quota)
+{
+    g_free(quota->used);
+    g_free(quota->demand_is_guaranteed);
+    g_free(quota->is_borrowing);
+    g_free(quota);
+}
+
 struct ow_resources *ow_team_usage(struct ow_leader *leader, int team)
 {
+    struct ow_quota *quota = leader->quota;
     guint wanted = (guint)team + 1;
-    if (wanted > leader->teams.count) {
-        guint added = wanted - leader->teams.count;
-        leader->teams.used = g_renew(struct ow_resources, leader->teams.used, wanted);
-        memset(leader->teams.used + leader->teams.count, 0, added * sizeof *leader->teams.used);
-        leader->teams.count = wanted;
+    if (wanted > quota->count) {
+        guint added = wanted - quota->count;
+        quota->used = g_renew(struct ow_resources, quota->used, wanted);
+        memset(quota->used + quota->count, 0, added * sizeof *quota->used);
+        quota->count = wanted;
     }
-    return &leader->teams.used[team];
+    return &quota->used[team];
 }
 
 const struct ow_team_settings *ow_team_settings_of(const struct ow_leader *leader, int team)
@@ -84,7 +106,8 @@
     return settings != NULL && has_guaranteed_resource(settings, need);
 }
 
-bool ow_team_demand_is_guaranteed(const struct ow_leader *leader, int team)
+/* Whether all unfinished jobs of the team together fit within its guarantee. */
+static bool is_demand_guaranteed(const struct ow_leader *leader, int team)
 {
     struct ow_resources demand = {0};
     for (guint i = 0; i < leader->executions->len; i++) {
@@ -96,7 +119,7 @@
     return ow_team_guarantee_covers(leader, team, &demand);
 }
 
-bool ow_team_is_borrowing(struct ow_leader *leader, int team)
+static bool uses_more_than_guaranteed(struct ow_leader *leader, int team)
 {
     const struct ow_team_settings *settings = ow_team_settings_of(leader, team);
     const struct ow_resources *used = ow_team_usage(leader, team);
@@ -104,3 +127,25 @@
         return false;
     return exceeds(settings->gpus, used->gpus) || exceeds(settings->cpus, used->cpus);
 }
+
+void ow_quota_begin_cycle(struct ow_leader *leader)
+{
+    struct ow_quota *quota = leader->quota;
+    int count = ow_interner_count(leader->core->interners.teams);
+    quota->demand_is_guaranteed = g_renew(bool, quota->demand_is_guaranteed, count);
+    quota->is_borrowing = g_renew(bool, quota->is_borrowing, count);
+    for (int team = 0; team < count; team++) {
+        quota->demand_is_guaranteed[team] = is_demand_guaranteed(leader, team);
+        quota->is_borrowing[team] = uses_more_than_guaranteed(leader, team);
+    }
+}
+
+bool ow_team_demand_is_guaranteed(const struct ow_leader *leader, int team)
+{
+    return leader->quota->demand_is_guaranteed[team];
+}
+
+bool ow_team_is_borrowing(const struct ow_leader *leader, int team)
+{
+    return leader->quota->is_borrowing[team];
+}
--- /dev/null
+++ b/src/core/leader/cutoff_detection.c
@@ -0,0 +1,50 @@
+#include "core/leader/cutoff_detection.h"
+
+#include "core/leader/heartbeat_answer.h"
+#include "core/leader/leader_state.h"
+#include "core/machines/machine.h"
+#include "core/peers/peer_status.h"
+
+/* Silent for so many heartbeat intervals, all machines together count as lost. */
+static const double LOST_HEARTBEATS = 2.5;
+/* How recently a peer must have said that workers report to it. */
+static const double PEER_RECENT_S = 3;
+/* One machine alone may be at fault itself. */
+enum { EXPECTED_LEAST = 2 };
+
+/* When the newest message of any machine came; no machine is missed before the leader is ready. */
+static double last_message_at(const struct ow_leader *leader)
+{
+    double last_at = leader->ready_at;
+    for (guint i = 0; i < leader->machines->len; i++) {
+        const struct ow_machine *machine = g_ptr_array_index(leader->machines, i);
+        last_at = MAX(last_at, machine->last_message_at);
+    }
+    return last_at;
+}
+
+/* How many machines should report. */
+static unsigned count_expected(const struct ow_leader *leader)
+{
+    unsigned expected = 0;
+    for (guint i = 0; i < leader->machines->len; i++) {
+        const struct ow_machine *machine = g_ptr_array_index(leader->machines, i);
+        expected += machine->listed == OW_LISTED_RUNNING && !machine->terminating ? 1 : 0;
+    }
+    return expected;
+}
+
+/* Workers of a leader that stands still wait for its answer before they turn to its successor. */
+static double patience_s(const struct ow_leader *leader)
+{
+    double heartbeat_interval_s = leader->core->settings->heartbeat_interval_s;
+    return MAX(LOST_HEARTBEATS * heartbeat_interval_s, OW_HEARTBEAT_TIMEOUT_S + heartbeat_interval_s);
+}
+
+bool ow_cutoff_detection_is_cut_off(const struct ow_leader *leader)
+{
+    double now = leader->core->now;
+    return count_expected(leader) >= EXPECTED_LEAST &&
+           ow_peer_status_receives_heartbeats(leader->core->peer_status, now, PEER_RECENT_S) &&
+           now - last_message_at(leader) > patience_s(leader);
+}
--- /dev/null
+++ b/src/core/leader/cycle_timer.c
@@ -0,0 +1,42 @@
+#include "core/leader/cycle_timer.h"
+
+#include "core/jobs/execution.h"
+#include "core/leader/leader_state.h"
+#include "core/scheduling/schedule.h"
+
+/* The least and the longest time from one cycle to the next. */
+static const double GAP_S = 0.1;
+static const double INTERVAL_MAX_S = 1;
+/* Up to so many machines cycles follow each other as soon as GAP_S allows. */
+static const double GAP_MACHINES = 1500;
+
+static bool is_due(const struct ow_leader *leader)
+{
+    double now = leader->core->now;
+    double last_at = leader->cycle.last_at;
+    /* A cycle looks at every machine: in a large fleet cycles are as much rarer as there are more machines.
+     */
+    double gap_s = GAP_S * MAX(1, (double)leader->machines->len / GAP_MACHINES);
+    return (leader->cycle.due && now >= last_at + gap_s) || now >= last_at + INTERVAL_MAX_S;
+}
+
+/* What users and other controllers are shown of the jobs. */
+static void update_job_counts(struct ow_leader *leader)
+{
+    for (guint i = 0; i < leader->executions->len; i++) {
+        const struct ow_execution *execution = g_ptr_array_index(leader->executions, i);
+        execution->job->done = (int)execution->done;
+        execution->job->running = (int)execution->running;
+    }
+}
+
+void ow_cycle_timer_tick(struct ow_leader *leader)
+{
+    if (!is_due(leader))
+        return;
+    leader->cycle.due = false;
+    leader->cycle.last_at = leader->core->now;
+    ow_schedule_jobs(leader);
+    ow_schedule_cycle(leader);
+    update_job_counts(leader);
+}
--- /dev/null
+++ b/src/core/leader/job_cancellation.c
@@ -0,0 +1,32 @@
+#include "core/leader/job_cancellation.h"
+
+#include "core/jobs/attempt.h"
+#include "core/jobs/attempt_end.h"
+#include "core/jobs/execution.h"
+#include "core/leader/leader_state.h"
+#include "core/machines/machine.h"
+
+/* Whether an attempt of a cancelled job is where it can only end: running, on a machine that accepts commands
+   of this leader alone. Whatever has yet to begin might do so after the cancellation was acknowledged, for as
+   long as its stop is on the way. */
+static bool can_only_end(const struct ow_attempt *attempt)
+{
+    return attempt->stop && attempt->state == OW_ATTEMPT_SEEN && attempt->machine->fenced &&
+           (attempt->phase == OW_PHASE_RUNNING || attempt->phase == OW_PHASE_CHECKPOINTING);
+}
+
+bool ow_job_cancellation_apply(struct ow_leader *leader, struct ow_job *job)
+{
+    /* Before it is ready a leader does not know what there is to end. */
+    if (leader->phase != OW_LEADER_READY)
+        return false;
+    ow_leader_request_cycle(leader);
+    if (job->execution == NULL)
+        return true;
+    ow_execution_stop(leader, job->execution, 0, "its job is cancelled");
+    const GPtrArray *attempts = job->execution->attempts;
+    for (guint i = 0; i < attempts->len; i++)
+        if (!can_only_end(g_ptr_array_index(attempts, i)))
+            return false;
+    return true;
+}
--- a/src/core/leader/leader_state.h
+++ b/src/core/leader/leader_state.h
@@ -10,6 +10,9 @@
 #include <stdbool.h>
 #include <stdint.h>
 
+struct ow_leader_broadcast;
+struct ow_machine_type_polling;
+struct ow_quota;
 struct ow_recorder;
 
 /* Reading the records of earlier leaders: failover.c. */
@@ -27,21 +30,11 @@
     double next_at;   /* no read or write before this time */
 };
 
-/* Sums and rights of teams, by name index: teams.c; `entitled` and `borrows` are set by each scheduling
- * cycle.
- */
-struct ow_team_state {
-    struct ow_resources *used; /* `count` of them, grown as teams come */
-    guint count;
-    bool *demand_guaranteed; /* ow_team_demand_is_guaranteed() */
-    bool *is_borrowing;      /* ow_team_is_borrowing() */
-};
-
 /* When the scheduling cycle is due, and what it computes once for all jobs: schedule.c unless said otherwise.
  */
 struct ow_cycle_scratch {
     bool due;             /* something has changed since the last cycle */
-    double last_at;       /* leader.c */
+    double last_at;       /* when the last one began: cycle_timer.c, as `due` */
     GArray *image_demand; /* image_demand.c; by image */
     GArray *shortlists;   /* shortlist.c; by class */
     GArray *allowances;   /* reason.c */
@@ -50,11 +43,11 @@
     double gpu_cpus;      /* CPUs that a GPU needs to be of use, by the jobs that are open */
 };
 
-/* What is read from the cloud: the machine types by leader.c, the list of machines by fleet.c. */
+/* The list of machines that is read from the cloud: fleet.c. */
 struct ow_cloud_polling {
     struct ow_rate_limiter limiter; /* of all calls to the cloud */
-    double types_at, list_at;       /* when each is due next */
-    bool types_busy, list_busy;     /* a call is under way */
+    double list_at;                 /* when it is due next */
+    bool list_busy;                 /* a call is under way */
     bool listed_once;               /* the list has been read completely */
     char *list_after;               /* the last machine of the list's pages read; NULL: at its beginning */
 };
@@ -80,17 +73,18 @@
     double updated_at;
 };
 
-/* When leader.c does its periodic work next. */
-struct ow_leader_timers {
-    double summary_at, hints_at; /* messages to the other controllers */
-    double health_check_at;
+/** How far a new leader is with taking over. Only failover.c moves it on. */
+enum ow_leader_phase {
+    OW_LEADER_REFRESH, /**< the job table is brought up to date */
+    OW_LEADER_LOADING, /**< the progress records are read */
+    OW_LEADER_READY,   /**< everything is known: it decides */
 };
 
 struct ow_leader {
     struct ow_core *core;
-    uint64_t fencing_token;                                               /* of its lease */
-    enum { OW_LEADER_REFRESH, OW_LEADER_LOADING, OW_LEADER_READY } phase; /* failover.c */
-    double ready_at;                                                      /* when it became ready */
+    uint64_t fencing_token;     /* of its lease */
+    enum ow_leader_phase phase; /* failover.c */
+    double ready_at;            /* when it became ready */
     struct ow_failover_progress failover;
 
     /* Machines: machine_registry.c. */
@@ -101,7 +95,7 @@
     unsigned probes; /* direct commands under way to machines that may not answer: worker_commands.c */
 
     GPtrArray *executions; /* struct ow_execution, owned: execution.c */
-    struct ow_team_state teams;
+    struct ow_quota *quota;
 
     struct ow_format_state format;
     struct ow_recorder *recorder;
@@ -112,7 +106,9 @@
     struct ow_scale_out_state scale_out;
     struct ow_terminations terminations;
     struct ow_spot_risk spot_risk;
-    struct ow_leader_timers periodic;
+    struct ow_machine_type_polling *machine_type_polling;
+    struct ow_leader_broadcast *broadcast;
+    double health_check_at; /* when leader.c checks the health of machines next */
 };
 
 /** Something that a scheduling cycle depends on has changed: one is due. */
--- a/src/core/machines/reconciliation.c
+++ b/src/core/machines/reconciliation.c
@@ -223,7 +223,7 @@
     machine->fenced = true;
     machine->fenced_at = machine->idle_since = leader->core->now;
     machine->unanswered_since = 0;
-    leader->cycle.due = true;
+    ow_leader_request_cycle(leader);
     g_info("machine %s reports, session %" G_GUINT64_FORMAT, machine->name, machine->incarnation);
 }
 
--- a/src/core/peers/leader_broadcast.c
+++ b/src/core/peers/leader_broadcast.c
@@ -1,5 +1,5 @@
-/* What the leader tells the other controllers. */
 #include "core/peers/leader_broadcast.h"
+
 #include "core/jobs/execution.h"
 #include "core/leader/leader_state.h"
 #include "core/machines/machine.h"
@@ -7,7 +7,9 @@
 
 #include <string.h>
 
-static const double SUMMARY_S = 1.5, HINTS_S = 5;
+/* How often each is sent. */
+static const double SUMMARY_INTERVAL_S = 1.5;
+static const double MACHINES_INTERVAL_S = 5;
 /* Earlier versions take a list of machines for the whole one, in a message of up to 4,000 machines and
    262,144 bytes. Up to here one message has it. */
 enum { WHOLE_LIST_MACHINES = 4000, WHOLE_LIST_BYTES = 200 * 1024 };
@@ -16,6 +18,21 @@
 /* What an entry takes at most beside its texts: four lengths, their padding and a flag. */
 enum { ENTRY_BYTES = 32 };
 
+struct ow_leader_broadcast {
+    double summary_at;  /* when the jobs are due next */
+    double machines_at; /* when the list of machines is due next */
+};
+
+struct ow_leader_broadcast *ow_leader_broadcast_new(void)
+{
+    return g_new0(struct ow_leader_broadcast, 1);
+}
+
+void ow_leader_broadcast_free(struct ow_leader_broadcast *broadcast)
+{
+    g_free(broadcast);
+}
+
 /* ---- how jobs fare ---- */
 
 static size_t job_bytes(const struct ow_job *job)
@@ -142,13 +159,14 @@
 
 void ow_leader_broadcast_tick(struct ow_leader *leader)
 {
+    struct ow_leader_broadcast *broadcast = leader->broadcast;
     double now = leader->core->now;
-    if (now >= leader->periodic.summary_at) {
-        leader->periodic.summary_at = now + SUMMARY_S;
+    if (now >= broadcast->summary_at) {
+        broadcast->summary_at = now + SUMMARY_INTERVAL_S;
         send_summary(leader);
     }
-    if (now >= leader->periodic.hints_at) {
-        leader->periodic.hints_at = now + HINTS_S;
+    if (now >= broadcast->machines_at) {
+        broadcast->machines_at = now + MACHINES_INTERVAL_S;
         send_machines(leader);
     }
 }
--- a/src/core/records/failover.c
+++ b/src/core/records/failover.c
@@ -197,7 +197,7 @@
     take_loaded(leader);
     leader->phase = OW_LEADER_READY;
     leader->ready_at = leader->core->now;
-    leader->cycle.due = true;
+    ow_leader_request_cycle(leader);
     use_hints(leader);
     /* Fencing: a worker that has seen our fencing token heeds no older leader any more. */
     ow_command_queue_add_all(leader);
--- a/src/core/records/transaction_reply.c
+++ b/src/core/records/transaction_reply.c
@@ -134,7 +134,7 @@
     if (leader == NULL || leader->fencing_token != *fencing_token)
         return;
     leader->recorder->version_checks--;
-    leader->cycle.due = true;
+    ow_leader_request_cycle(leader);
 }
 
 /* Learns the version of a record that was not as the transaction expected. */
@@ -174,7 +174,7 @@
         } else if (write->execution != NULL) {
             write->execution->finishing =
                 false; /* the scheduling cycle finishes it again, if it is still over */
-            leader->cycle.due = true;
+            ow_leader_request_cycle(leader);
         }
     }
     g_ptr_array_free(sent, TRUE);
--- a/src/core/scheduling/preempt.c
+++ b/src/core/scheduling/preempt.c
@@ -35,7 +35,7 @@
     if (other->submission->rank > spec->submission->rank)
         return true;
     return other->submission->rank == spec->submission->rank && other->team != spec->team &&
-           leader->teams.demand_guaranteed[spec->team] && leader->teams.is_borrowing[other->team] &&
+           ow_team_demand_is_guaranteed(leader, spec->team) && ow_team_is_borrowing(leader, other->team) &&
            ow_team_has_guarantee_for(leader, spec->team, &spec->submission->need) &&
            ow_team_has_guarantee_for(leader, other->team, &other->submission->need);
 }
@@ -77,7 +77,7 @@
 int ow_preempt_top_rank(const struct ow_leader *leader, const struct ow_job_spec *spec)
 {
     int rank = (int)spec->submission->rank;
-    bool demand_guaranteed = leader->teams.demand_guaranteed[spec->team];
+    bool demand_guaranteed = ow_team_demand_is_guaranteed(leader, spec->team);
     if (demand_guaranteed && ow_team_has_guarantee_for(leader, spec->team, &spec->submission->need))
         return rank;
     return rank + 1;
--- a/src/core/scheduling/quota_reclaim.c
+++ b/src/core/scheduling/quota_reclaim.c
@@ -13,7 +13,7 @@
 {
     const struct ow_job_spec *spec = execution->job->spec;
     double patience_s = QUOTA_RECLAIM_PATIENCE_SHARE * ow_deadline_slack_s(leader, execution);
-    if (!leader->teams.demand_guaranteed[spec->team])
+    if (!ow_team_demand_is_guaranteed(leader, spec->team))
         return false;
     if (!ow_team_has_guarantee_for(leader, spec->team, &spec->submission->need))
         return false;
--- a/src/core/scheduling/schedule.c
+++ b/src/core/scheduling/schedule.c
@@ -70,18 +70,6 @@
     }
 }
 
-/* Which teams may claim their guarantee and which have to give back, for the whole pass. */
-static void update_teams(struct ow_leader *leader)
-{
-    int count = ow_interner_count(leader->core->interners.teams);
-    leader->teams.demand_guaranteed = g_renew(bool, leader->teams.demand_guaranteed, count);
-    leader->teams.is_borrowing = g_renew(bool, leader->teams.is_borrowing, count);
-    for (int team = 0; team < count; team++) {
-        leader->teams.demand_guaranteed[team] = ow_team_demand_is_guaranteed(leader, team);
-        leader->teams.is_borrowing[team] = ow_team_is_borrowing(leader, team);
-    }
-}
-
 static void clear_held(struct ow_leader *leader)
 {
     for (guint i = 0; i < leader->machines->len; i++) {
@@ -103,7 +91,7 @@
 
 static void begin_cycle(struct ow_leader *leader)
 {
-    update_teams(leader);
+    ow_quota_begin_cycle(leader);
     ow_gpu_reserve_update(leader);
     ow_image_demand_update(leader);
     clear_held(leader);
