--- a/tests/decision_digest.c
+++ b/tests/decision_digest.c
@@ -7,7 +7,7 @@
  */
 #include "chaos_day.h"
 #include "effect_line.h"
-#include "model/effect.h"
+#include "workload_day.h"
 
 #include <stdio.h>
 #include <stdlib.h>
@@ -16,6 +16,20 @@
 
 enum { FIRST_SEED = 1, LAST_SEED = 32 };
 
+/* A kind of days. */
+struct fleet {
+    const char *name;
+    void (*play)(guint32 seed, bool divided, const struct sim_observer *observer);
+    bool divided;
+};
+
+static const struct fleet FLEETS[] = {
+    {"plain", chaos_day_play, false},
+    {"sharded", chaos_day_play, true},
+    {"workload", workload_day_play, false},
+    {"workload-sharded", workload_day_play, true},
+};
+
 /* What has been seen of a day so far. */
 struct day_digest {
     GChecksum *checksum;
@@ -38,39 +52,37 @@
     g_string_free(line, TRUE);
 }
 
-static void print_day(guint32 seed, bool divided, bool dump)
+static void print_day(const struct fleet *fleet, guint32 seed, bool dump)
 {
     struct day_digest digest = {.checksum = g_checksum_new(G_CHECKSUM_SHA256), .dump = dump};
     struct sim_observer observer = {add_effect, &digest};
-    chaos_day_play(seed, divided, &observer);
-    printf("%s %u %s %u\n", divided ? "sharded" : "plain", seed, g_checksum_get_string(digest.checksum),
-           digest.effects);
+    fleet->play(seed, fleet->divided, &observer);
+    printf("%s %u %s %u\n", fleet->name, seed, g_checksum_get_string(digest.checksum), digest.effects);
     g_checksum_free(digest.checksum);
 }
 
 /* False if the day failed. */
-static bool print_day_apart(guint32 seed, bool divided, bool dump)
+static bool print_day_apart(const struct fleet *fleet, guint32 seed, bool dump)
 {
     fflush(stdout);
     pid_t process = fork();
     if (process == 0) {
-        print_day(seed, divided, dump);
+        print_day(fleet, seed, dump);
         exit(EXIT_SUCCESS);
     }
     int status = 0;
     bool played = process > 0 && waitpid(process, &status, 0) == process && WIFEXITED(status) &&
                   WEXITSTATUS(status) == EXIT_SUCCESS;
     if (!played)
-        fprintf(stderr, "decision_digest: the %s day of seed %u failed\n", divided ? "sharded" : "plain",
-                seed);
+        fprintf(stderr, "decision_digest: the %s day of seed %u failed\n", fleet->name, seed);
     return played;
 }
 
-static bool print_days(guint32 first, guint32 last, bool divided, bool dump)
+static bool print_days(const struct fleet *fleet, guint32 first, guint32 last, bool dump)
 {
     bool played = true;
     for (guint32 seed = first; seed <= last; seed++)
-        played = print_day_apart(seed, divided, dump) && played;
+        played = print_day_apart(fleet, seed, dump) && played;
     return played;
 }
 
@@ -99,7 +111,8 @@
             return EXIT_FAILURE;
         }
     }
-    bool plain_played = print_days(first, last, false, dump);
-    bool sharded_played = print_days(first, last, true, dump);
-    return plain_played && sharded_played ? EXIT_SUCCESS : EXIT_FAILURE;
+    bool played = true;
+    for (size_t i = 0; i < G_N_ELEMENTS(FLEETS); i++)
+        played = print_days(&FLEETS[i], first, last, dump) && played;
+    return played ? EXIT_SUCCESS : EXIT_FAILURE;
 }
