--- a/src/core/election/election.c
+++ b/src/core/election/election.c
@@ -32,7 +32,7 @@
 {
     if (election->stage == OW_ELECTION_LEADING)
         return election->fencing_token;
-    return election->key_known ? election->key_version : 0;
+    return election->key.is_known ? election->key.mod_revision : 0;
 }
 
 const char *ow_election_leader_name(const struct ow_election *election)
@@ -44,7 +44,7 @@
 
 bool ow_election_key_is_missing(const struct ow_election *election)
 {
-    return election->stage != OW_ELECTION_LEADING && election->key_missing;
+    return election->stage != OW_ELECTION_LEADING && election->key.is_missing;
 }
 
 void ow_election_peer_ended(struct ow_election *election, const char *controller_name)
@@ -53,7 +53,7 @@
         return;
     /* Safe even if the hint is wrong: the fencing token and the conditions of every write depose the old one.
      */
-    g_info("leader %s seems to have ended", controller_name);
+    g_info("leader seems to have ended: controller=%s", controller_name);
     election->act_at = election->core->now;
     ow_election_run_for_leader(election);
 }
@@ -68,7 +68,7 @@
 {
     ow_election_deposed(election);
     if (election->stage == OW_ELECTION_LOOKING)
-        election->key_known = false;
+        election->key.is_known = false;
 }
 
 void ow_election_yield(struct ow_election *election, const char *why)
@@ -87,44 +87,38 @@
         return;
     election->seen_fencing_token = fencing_token;
     if (election->stage == OW_ELECTION_LEADING && fencing_token > election->fencing_token)
-        ow_election_step_down(election, "a higher token is about");
+        ow_election_step_down(election, "a higher fencing token is known");
     if (leader_name != NULL && election->stage != OW_ELECTION_LEADING)
         ow_election_set_leader_name(election, leader_name);
 }
 
 static void replace_outdated_leader(struct ow_election *election)
 {
-    g_info("leader %s is of an earlier version: its place is taken before its process is replaced",
-           election->leader_name);
-    election->led_since = election->core->now; /* should it fail, it is not tried again at once */
+    g_info("leader is of an earlier version and is replaced: controller=%s", election->leader_name);
+    election->key.held_since = election->core->now; /* should it fail, it is not tried again at once */
     ow_election_run_for_leader(election);
 }
 
 static void tick_leading(struct ow_election *election)
 {
-    if (!election->renewing && election->core->now >= election->renew_at)
+    if (!election->lease.is_renewing && election->core->now >= election->lease.renew_at)
         ow_leader_lease_renew(election);
 }
 
 static void tick_looking(struct ow_election *election)
 {
-    if (!election->key_known)
+    if (!election->key.is_known)
         ow_leader_key_read(election);
     else if (election->core->may_lead && ow_succession_leader_is_outdated(election))
         replace_outdated_leader(election);
-    else if (!election->watching && election->core->now >= election->watch_at)
+    else if (!election->watch.is_open && election->core->now >= election->watch.next_at)
         ow_leader_key_watch(election);
 }
 
-void ow_election_tick(struct ow_election *election)
+/* Does what is due in the stages before this controller leads. */
+static void tick_candidate(struct ow_election *election)
 {
-    if (election->stage == OW_ELECTION_LEADING && ow_succession_is_cut_off(election))
-        ow_election_step_down(election, "the state service is out of its reach");
-    if (election->stage == OW_ELECTION_LEADING) {
-        tick_leading(election);
-        return;
-    }
-    if (election->busy || election->core->now < election->act_at)
+    if (election->is_busy || election->core->now < election->act_at)
         return;
     if (election->stage == OW_ELECTION_LEASING)
         ow_leader_lease_obtain(election);
@@ -133,3 +127,13 @@
     else
         tick_looking(election);
 }
+
+void ow_election_tick(struct ow_election *election)
+{
+    if (election->stage == OW_ELECTION_LEADING && ow_succession_is_cut_off(election))
+        ow_election_step_down(election, "the key-value store is out of reach");
+    if (election->stage == OW_ELECTION_LEADING)
+        tick_leading(election);
+    else
+        tick_candidate(election);
+}
--- a/src/core/election/election_state.c
+++ b/src/core/election/election_state.c
@@ -5,6 +5,14 @@
 
 #include <glib.h>
 
+/* A lease is renewed so often in its time: some renewals may fail before it expires. */
+static const double RENEWALS_PER_LEASE = 4;
+
+double ow_election_renewal_interval_s(const struct ow_election *election)
+{
+    return election->core->tuning->leader_lease_s / RENEWALS_PER_LEASE;
+}
+
 void ow_election_set_leader_name(struct ow_election *election, const char *leader_name)
 {
     /* The name may be the one that is replaced. */
@@ -16,13 +24,13 @@
 void ow_election_look_again(struct ow_election *election, double after_s)
 {
     election->stage = OW_ELECTION_LOOKING;
-    election->key_known = false;
+    election->key.is_known = false;
     election->act_at = election->core->now + after_s;
 }
 
 void ow_election_run_for_leader(struct ow_election *election)
 {
-    election->lease = 0;
+    election->lease.id = 0;
     election->stage = OW_ELECTION_LEASING;
 }
 
@@ -31,20 +39,21 @@
     struct ow_core *core = election->core;
     election->stage = OW_ELECTION_LEADING;
     election->fencing_token = fencing_token;
-    election->key_missing = false;
+    election->key.is_missing = false;
     election->began_at = core->now;
     election->seen_fencing_token = MAX(election->seen_fencing_token, fencing_token);
-    election->renew_at = core->now + core->tuning->leader_lease_s / 4;
-    election->revision = fencing_token;
+    election->lease.renew_at = core->now + ow_election_renewal_interval_s(election);
+    election->watch.since_revision = fencing_token;
     ow_election_set_leader_name(election, NULL);
-    g_info("leader with token %" G_GUINT64_FORMAT, fencing_token);
+    g_info("became leader: fencing_token=%" G_GUINT64_FORMAT, fencing_token);
     election->callbacks->begin_to_lead(core, fencing_token);
 }
 
 void ow_election_step_down(struct ow_election *election, const char *why)
 {
     if (election->stage == OW_ELECTION_LEADING) {
-        g_info("no longer leader: %s", why);
+        g_info("stepped down as leader: fencing_token=%" G_GUINT64_FORMAT " reason=\"%s\"",
+               election->fencing_token, why);
         election->callbacks->end_leading(election->core);
     }
     ow_election_set_leader_name(election, NULL);
--- a/src/core/election/election_state.h
+++ b/src/core/election/election_state.h
@@ -1,5 +1,7 @@
-/* The state of the election and the changes between its stages, shared by the modules of this folder.
- * Everybody else uses election.h. */
+/** @file
+ * The state of the election and the changes between its stages, shared by the modules of this folder.
+ * Everybody else uses election.h.
+ */
 #ifndef OW_CORE_ELECTION_ELECTION_STATE_H
 #define OW_CORE_ELECTION_ELECTION_STATE_H
 
@@ -9,49 +11,68 @@
 struct ow_core;
 struct ow_election_callbacks;
 
+/** How long after a failed request the next one is sent. */
+static const double OW_ELECTION_RETRY_S = 0.4;
+
+/** Where this controller stands on the way to lead. */
 enum ow_election_stage {
-    OW_ELECTION_LOOKING, /* another controller may lead: its key is read and watched */
-    OW_ELECTION_LEASING, /* a lease is obtained, to take the key with it */
-    OW_ELECTION_TAKING,  /* the key is written */
-    OW_ELECTION_LEADING,
+    OW_ELECTION_LOOKING, /**< another controller may lead: its key is read and watched */
+    OW_ELECTION_LEASING, /**< a lease is obtained, to take the key with it */
+    OW_ELECTION_TAKING,  /**< the key is written */
+    OW_ELECTION_LEADING, /**< the key is ours, as far as we know */
+};
+
+/** The leader key as last read or watched: leader_key.c. */
+struct ow_known_key {
+    bool is_known;         /**< the rest, and the leader's name, are from the key-value store */
+    bool is_missing;       /**< as last read, nobody held it; stays true while the reading is repeated */
+    bool has_waited;       /**< the missing key has been left to others for the election delay */
+    uint64_t mod_revision; /**< of its last change; 0: nobody holds it */
+    double held_since;     /**< when we first saw its present holder */
+};
+
+/** The watch of the leader key: leader_key.c. */
+struct ow_key_watch {
+    bool is_open;            /**< a watch is under way */
+    double next_at;          /**< no watch before this time */
+    uint64_t since_revision; /**< changes after this revision are watched for */
+};
+
+/** The lease to which our key is attached: leader_lease.c. */
+struct ow_leader_lease {
+    uint64_t id;      /**< 0: none */
+    bool is_renewing; /**< a renewal is under way */
+    double renew_at;  /**< no renewal before this time */
 };
 
+/** The election, as one controller takes part in it. */
 struct ow_election {
     struct ow_core *core;
     const struct ow_election_callbacks *callbacks;
     enum ow_election_stage stage;
-    bool busy;     /* a request of the present stage is under way */
-    double act_at; /* no request of the stage before this time */
-    uint64_t lease;
-    uint64_t key_version; /* of the key as last read; 0: nobody holds it */
-    bool key_known;       /* key_version and leader_name are from the key-value store */
-    bool key_missing;     /* as last read, nobody held it; stays true while the reading is repeated */
-    bool has_waited;      /* the missing key has been left to others for the election delay */
-    char *leader_name;
-    uint64_t fencing_token;      /* ours in stage OW_ELECTION_LEADING */
-    uint64_t seen_fencing_token; /* the highest known */
-    uint64_t taken_from;         /* the version that our attempt to take the key replaces */
-    bool renewing;
-    double renew_at;
-    bool watching;
-    double watch_at;
-    uint64_t revision; /* the key is watched from here on */
-    double led_since;  /* when we first saw the key's present holder */
-    double began_at;   /* when we became the leader */
+    bool is_busy;  /**< a request of the present stage is under way */
+    double act_at; /**< no request of the stage before this time */
+    struct ow_known_key key;
+    struct ow_key_watch watch;
+    struct ow_leader_lease lease;
+    char *leader_name; /**< owned; who leads, if it is another controller; NULL: unknown or nobody */
+    uint64_t seen_fencing_token; /**< the highest known */
+    uint64_t replaced_revision;  /**< the mod_revision that our attempt to take the key replaces */
+    uint64_t fencing_token;      /**< ours in stage OW_ELECTION_LEADING; else of our last term, 0: none */
+    double began_at;             /**< when that term began */
 };
 
-/* How long after a failed request the next one is sent, in seconds. */
-#define OW_ELECTION_RETRY_S 0.4
-
-/* Replaces the name of the leader by a copy of `leader_name`; NULL: unknown or none. */
+/** Replaces the name of the leader by a copy of `leader_name`; NULL: unknown or nobody. */
 void ow_election_set_leader_name(struct ow_election *election, const char *leader_name);
-/* Begins again with reading the key, `after_s` seconds from now. */
+/** Begins again with reading the key, `after_s` seconds from now. */
 void ow_election_look_again(struct ow_election *election, double after_s);
-/* Tries to take the key, with a new lease: one from an earlier try may have run out. */
+/** Tries to take the key, with a new lease: one from an earlier try may have expired. */
 void ow_election_run_for_leader(struct ow_election *election);
-/* Begins to lead with a fencing token, the revision of the write that took the key. */
+/** Begins to lead with a fencing token, the revision of the write that took the key. */
 void ow_election_begin_to_lead(struct ow_election *election, uint64_t fencing_token);
-/* Ends the leader's state if we lead, and reads the key again. `why` is for the log. */
+/** Ends our term if we lead, and reads the key again. `why` is for the log. */
 void ow_election_step_down(struct ow_election *election, const char *why);
+/** From the beginning of a lease, or its last renewal, to the next renewal. */
+double ow_election_renewal_interval_s(const struct ow_election *election);
 
 #endif
--- a/src/core/election/leader_key.c
+++ b/src/core/election/leader_key.c
@@ -3,11 +3,15 @@
 #include "core/core_state.h"
 #include "core/election/election_state.h"
 #include "model/event.h"
+#include "model/http_status.h"
 #include "model/records.h"
 #include "wire/records_json.h"
 
 /* How long one watch lasts, and the time from the end of one to the next. */
-static const double WATCH_S = 20, WATCH_GAP_S = 0.2;
+static const double WATCH_S = 20;
+static const double WATCH_GAP_S = 0.2;
+/* How often a controller that may not lead looks whether anybody does. */
+static const double ONLOOKER_INTERVAL_S = 1;
 
 bool ow_leader_key_is_own_name(const struct ow_election *election, const char *name)
 {
@@ -22,63 +26,70 @@
 /* Whether this process has written the key with the lease that it still holds, and has not led with it yet.
    A fencing token that it has led with and given up is not taken up again: launches sent under it may still
    be on their way. */
-static bool is_own_write(const struct ow_election *election, uint64_t version, const char *leader_name,
+static bool is_own_write(const struct ow_election *election, uint64_t mod_revision, const char *leader_name,
                          const char *nonce)
 {
-    if (!ow_leader_key_is_own_name(election, leader_name) || election->lease == 0)
+    if (!ow_leader_key_is_own_name(election, leader_name) || election->lease.id == 0)
         return false;
-    if (version <= election->taken_from || version <= election->fencing_token)
+    if (mod_revision <= election->replaced_revision || mod_revision <= election->fencing_token)
         return false;
-    char *own_nonce = ow_leader_key_nonce(election);
-    bool same = g_strcmp0(nonce, own_nonce) == 0;
-    g_free(own_nonce);
-    return same;
+    g_autofree char *own_nonce = ow_leader_key_nonce(election);
+    return g_strcmp0(nonce, own_nonce) == 0;
+}
+
+/* Notes that somebody holds the key. */
+static void note_holder(struct ow_election *election, uint64_t mod_revision)
+{
+    struct ow_known_key *key = &election->key;
+    if (mod_revision != key->mod_revision)
+        key->held_since = election->core->now;
+    key->mod_revision = mod_revision;
+    key->is_known = true;
+    key->is_missing = false;
+    key->has_waited = false;
+}
+
+/* An earlier process of this name, which has ended, holds the key: it need not expire first. */
+static void replace_earlier_process(struct ow_election *election)
+{
+    ow_election_set_leader_name(election, NULL);
+    if (election->core->may_lead)
+        ow_election_run_for_leader(election);
 }
 
 static void handle_key(struct ow_election *election, const struct ow_store_item *item)
 {
-    const char *leader_name = NULL, *nonce = NULL;
+    const char *leader_name = NULL;
+    const char *nonce = NULL;
     wire_leader_record_decode(item->value, &leader_name, &nonce);
-    if (item->mod_revision != election->key_version)
-        election->led_since = election->core->now;
-    election->key_version = item->mod_revision;
-    election->key_known = true;
-    election->key_missing = false;
-    election->has_waited = false;
+    note_holder(election, item->mod_revision);
     if (is_own_write(election, item->mod_revision, leader_name, nonce)) {
         /* The answer to our own write was lost, but it was carried out. */
         ow_election_begin_to_lead(election, item->mod_revision);
-        return;
-    }
-    if (ow_leader_key_is_own_name(election, leader_name)) {
-        /* An earlier process of this name, which has ended: its key need not run out first. */
-        ow_election_set_leader_name(election, NULL);
-        if (election->core->may_lead)
-            ow_election_run_for_leader(election);
-        return;
+    } else if (ow_leader_key_is_own_name(election, leader_name)) {
+        replace_earlier_process(election);
+    } else {
+        ow_election_set_leader_name(election, leader_name);
+        election->seen_fencing_token = MAX(election->seen_fencing_token, item->mod_revision);
     }
-    ow_election_set_leader_name(election, leader_name);
-    election->seen_fencing_token = MAX(election->seen_fencing_token, item->mod_revision);
 }
 
-/* How often a controller that may not lead looks whether anybody does. */
-static const double ONLOOKER_S = 1;
-
 static void handle_missing_key(struct ow_election *election)
 {
     const struct ow_core *core = election->core;
-    election->key_version = 0;
-    election->key_known = true;
-    election->key_missing = true;
+    struct ow_known_key *key = &election->key;
+    key->mod_revision = 0;
+    key->is_known = true;
+    key->is_missing = true;
     ow_election_set_leader_name(election, NULL);
     if (!core->may_lead) {
-        ow_election_look_again(election, ONLOOKER_S);
-    } else if (core->election_delay_s > 0 && !election->has_waited) {
+        ow_election_look_again(election, ONLOOKER_INTERVAL_S);
+    } else if (core->election_delay_s > 0 && !key->has_waited) {
         /* Others go first: the key is read once more when their time is over. */
-        election->has_waited = true;
+        key->has_waited = true;
         ow_election_look_again(election, core->election_delay_s);
     } else {
-        election->has_waited = false;
+        key->has_waited = false;
         ow_election_run_for_leader(election);
     }
 }
@@ -88,15 +99,15 @@
     struct ow_election *election = owner;
     const struct ow_store_reply *reply = &answer->store;
     (void)data;
-    election->busy = false;
+    election->is_busy = false;
     if (election->stage != OW_ELECTION_LOOKING)
         return;
-    if (reply->status == 200 && reply->items->len == 1) {
+    if (reply->status == OW_HTTP_STATUS_OK && reply->items->len == 1) {
         const struct ow_store_item *item = &g_array_index(reply->items, struct ow_store_item, 0);
-        election->revision = MAX(election->revision, item->mod_revision);
+        election->watch.since_revision = MAX(election->watch.since_revision, item->mod_revision);
         handle_key(election, item);
-    } else if (reply->status == 404) {
-        election->revision = MAX(election->revision, reply->revision);
+    } else if (reply->status == OW_HTTP_STATUS_NOT_FOUND) {
+        election->watch.since_revision = MAX(election->watch.since_revision, reply->revision);
         handle_missing_key(election);
     } else {
         election->act_at = election->core->now + OW_ELECTION_RETRY_S;
@@ -106,22 +117,22 @@
 void ow_leader_key_read(struct ow_election *election)
 {
     struct ow_store_request *request = ow_store_request_new(OW_STORE_GET, OW_KEY_LEADER);
-    election->busy = true;
+    election->is_busy = true;
     ow_core_call_store(election->core, request, on_read, election, NULL, NULL);
 }
 
 static void handle_failed_watch(struct ow_election *election, int status)
 {
     /* The changes since this revision are not available any more. */
-    if (status == 410)
-        election->revision = 0;
+    if (status == OW_HTTP_STATUS_GONE)
+        election->watch.since_revision = 0;
     if (election->stage == OW_ELECTION_LOOKING)
-        election->key_known = false;
+        election->key.is_known = false;
 }
 
 static void handle_change(struct ow_election *election, const struct ow_store_item *item)
 {
-    if (item->mod_revision < election->key_version)
+    if (item->mod_revision < election->key.mod_revision)
         return;
     if (item->value == NULL)
         handle_missing_key(election);
@@ -134,14 +145,15 @@
     struct ow_election *election = owner;
     const struct ow_store_reply *reply = &answer->store;
     (void)data;
-    election->watching = false;
-    if (reply->status != 200) {
-        election->watch_at = election->core->now + OW_ELECTION_RETRY_S;
+    struct ow_key_watch *watch = &election->watch;
+    watch->is_open = false;
+    if (reply->status != OW_HTTP_STATUS_OK) {
+        watch->next_at = election->core->now + OW_ELECTION_RETRY_S;
         handle_failed_watch(election, reply->status);
         return;
     }
-    election->watch_at = election->core->now + WATCH_GAP_S;
-    election->revision = MAX(election->revision, reply->revision);
+    watch->next_at = election->core->now + WATCH_GAP_S;
+    watch->since_revision = MAX(watch->since_revision, reply->revision);
     for (guint i = 0; i < reply->items->len && election->stage == OW_ELECTION_LOOKING; i++)
         handle_change(election, &g_array_index(reply->items, struct ow_store_item, i));
 }
@@ -149,8 +161,8 @@
 void ow_leader_key_watch(struct ow_election *election)
 {
     struct ow_store_request *request = ow_store_request_new(OW_STORE_WATCH, OW_KEY_LEADER);
-    request->since_revision = election->revision;
+    request->since_revision = election->watch.since_revision;
     request->duration_s = WATCH_S;
-    election->watching = true;
+    election->watch.is_open = true;
     ow_core_call_store(election->core, request, on_watch, election, NULL, NULL);
 }
--- a/src/core/election/leader_key.h
+++ b/src/core/election/leader_key.h
@@ -1,4 +1,5 @@
-/* The leader's key as the key-value store shows it: reading and watching it while another controller leads.
+/** @file
+ * The leader key as the key-value store shows it: reading and watching it while another controller leads.
  */
 #ifndef OW_CORE_ELECTION_LEADER_KEY_H
 #define OW_CORE_ELECTION_LEADER_KEY_H
@@ -7,13 +8,13 @@
 
 struct ow_election;
 
-/* Whether the name is that of this controller. */
+/** Whether the name is that of this controller. */
 bool ow_leader_key_is_own_name(const struct ow_election *election, const char *name);
-/* The text by which this process recognizes a key that it has written; the caller frees it. */
+/** The text by which this process recognizes a key that it has written; the caller frees it. */
 char *ow_leader_key_nonce(const struct ow_election *election);
-/* Reads the key. No request of the stage may be under way. */
+/** Reads the key. No request of the stage may be under way. */
 void ow_leader_key_read(struct ow_election *election);
-/* Waits for the next change of the key. No watch may be under way. */
+/** Waits for the next change of the key. No watch may be under way. */
 void ow_leader_key_watch(struct ow_election *election);
 
 #endif
--- a/src/core/election/leader_lease.c
+++ b/src/core/election/leader_lease.c
@@ -4,6 +4,7 @@
 #include "core/election/election_state.h"
 #include "core/election/leader_key.h"
 #include "model/event.h"
+#include "model/http_status.h"
 #include "model/records.h"
 #include "wire/records_json.h"
 
@@ -11,14 +12,14 @@
 {
     struct ow_election *election = owner;
     (void)data;
-    election->busy = false;
+    election->is_busy = false;
     if (election->stage != OW_ELECTION_LEASING)
         return;
-    if (answer->store.status != 200) {
+    if (answer->store.status != OW_HTTP_STATUS_OK) {
         ow_election_look_again(election, OW_ELECTION_RETRY_S);
         return;
     }
-    election->lease = answer->store.lease;
+    election->lease.id = answer->store.lease;
     election->stage = OW_ELECTION_TAKING;
 }
 
@@ -26,7 +27,7 @@
 {
     struct ow_store_request *request = ow_store_request_new(OW_STORE_GRANT_LEASE, NULL);
     request->duration_s = election->core->tuning->leader_lease_s;
-    election->busy = true;
+    election->is_busy = true;
     ow_core_call_store(election->core, request, on_lease, election, NULL, NULL);
 }
 
@@ -35,60 +36,58 @@
     struct ow_election *election = owner;
     int status = answer->store.status;
     (void)data;
-    election->busy = false;
+    election->is_busy = false;
     if (election->stage != OW_ELECTION_TAKING)
         return;
-    if (status == 200) {
+    if (status == OW_HTTP_STATUS_OK) {
         ow_election_begin_to_lead(election, answer->store.revision);
         return;
     }
     /* No response: the write may have been carried out, so the key is read before anything else.
        A refused lease must not be used again. */
-    if (status == 400)
-        election->lease = 0;
-    ow_election_look_again(election, status == 409 ? 0 : OW_ELECTION_RETRY_S);
+    if (status == OW_HTTP_STATUS_BAD_REQUEST)
+        election->lease.id = 0;
+    ow_election_look_again(election, status == OW_HTTP_STATUS_CONFLICT ? 0 : OW_ELECTION_RETRY_S);
 }
 
 void ow_leader_lease_take_key(struct ow_election *election)
 {
     struct ow_store_request *transaction = ow_store_request_new(OW_STORE_TXN, NULL);
-    char *nonce = ow_leader_key_nonce(election);
+    g_autofree char *nonce = ow_leader_key_nonce(election);
     char *record = wire_leader_record_encode(election->core->settings->controller_name, nonce);
-    ow_store_compare(transaction, OW_KEY_LEADER, election->key_version);
-    ow_store_put(transaction, OW_KEY_LEADER, record, election->lease);
-    g_free(nonce);
-    election->taken_from = election->key_version;
-    election->busy = true;
+    ow_store_compare(transaction, OW_KEY_LEADER, election->key.mod_revision);
+    ow_store_put(transaction, OW_KEY_LEADER, record, election->lease.id);
+    election->replaced_revision = election->key.mod_revision;
+    election->is_busy = true;
     ow_core_call_store(election->core, transaction, on_key_taken, election, NULL, NULL);
 }
 
 static void on_renewed(void *owner, void *data, const struct ow_event *answer)
 {
     struct ow_election *election = owner;
-    const uint64_t *lease = data;
+    const uint64_t *lease_id = data;
     int status = answer->store.status;
-    election->renewing = false;
-    if (election->stage != OW_ELECTION_LEADING || *lease != election->lease)
+    election->lease.is_renewing = false;
+    if (election->stage != OW_ELECTION_LEADING || *lease_id != election->lease.id)
         return;
     /* In an outage the lease keeps its full time, so only a clear "no such lease" ends our term. */
-    if (status == 404) {
-        ow_election_step_down(election, "its lease has ended");
+    if (status == OW_HTTP_STATUS_NOT_FOUND) {
+        ow_election_step_down(election, "its lease has expired");
         return;
     }
-    double pause_s = OW_ELECTION_RETRY_S;
-    if (status == 200)
-        pause_s = election->core->tuning->leader_lease_s / 4;
-    election->renew_at = election->core->now + pause_s;
+    bool has_renewed = status == OW_HTTP_STATUS_OK;
+    double pause_s = has_renewed ? ow_election_renewal_interval_s(election) : OW_ELECTION_RETRY_S;
+    election->lease.renew_at = election->core->now + pause_s;
 }
 
 void ow_leader_lease_renew(struct ow_election *election)
 {
     struct ow_store_request *request = ow_store_request_new(OW_STORE_KEEP_ALIVE, NULL);
-    uint64_t *lease = g_new(uint64_t, 1);
-    *lease = election->lease;
-    request->lease = election->lease;
-    election->renewing = true;
-    ow_core_call_store(election->core, request, on_renewed, election, lease, g_free);
+    uint64_t *lease_id = g_new(uint64_t, 1);
+    *lease_id = election->lease.id;
+    request->lease = election->lease.id;
+    election->lease.is_renewing = true;
+    ow_core_call_store(election->core, request, on_renewed, election, lease_id, g_free);
 }
 
 void ow_leader_lease_release_key(struct ow_election *election)
--- a/src/core/election/leader_lease.h
+++ b/src/core/election/leader_lease.h
@@ -1,16 +1,18 @@
-/* Taking the leader's key, with a lease to which it is attached, and keeping that lease. */
+/** @file
+ * Taking the leader key, with a lease to which it is attached, and keeping that lease.
+ */
 #ifndef OW_CORE_ELECTION_LEADER_LEASE_H
 #define OW_CORE_ELECTION_LEADER_LEASE_H
 
 struct ow_election;
 
-/* Obtains a new lease: stage OW_ELECTION_LEASING. */
+/** Obtains a new lease: stage OW_ELECTION_LEASING. */
 void ow_leader_lease_obtain(struct ow_election *election);
-/* Writes the key, unless it has changed since it was read: stage OW_ELECTION_TAKING. */
+/** Writes the key, unless it has changed since it was read: stage OW_ELECTION_TAKING. */
 void ow_leader_lease_take_key(struct ow_election *election);
-/* Renews the lease: stage OW_ELECTION_LEADING. No renewal may be under way. */
+/** Renews the lease: stage OW_ELECTION_LEADING. No renewal may be under way. */
 void ow_leader_lease_renew(struct ow_election *election);
-/* Deletes our own key, so that another controller can take it at once. */
+/** Deletes our own key, so that another controller can take it at once. */
 void ow_leader_lease_release_key(struct ow_election *election);
 
 #endif
--- a/src/core/election/succession.c
+++ b/src/core/election/succession.c
@@ -8,28 +8,33 @@
 #include "model/records.h"
 
 /* Slack for clocks that drift, for messages under way, and for a worker's last heartbeat. */
-static const double CLOCK_DRIFT = 0.002, MARGIN_S = 3;
+static const double CLOCK_DRIFT = 0.002;
+static const double MARGIN_S = 3;
+/* However short the time for cancellations, a leader bears the silence of the store for so many leases. */
+static const double LEASES_LEAST = 2;
 /* A leader so young is not taken over on a hint: two that can't reach each other would take turns. */
 static const double HINT_AGE_S = 8;
 /* During an upgrade: how long a controller that has just come back lets a leader of an earlier version lead,
    and how recently that leader must have said which version it is. */
-static const double OUTDATED_LEADER_S = 2, PEER_FRESH_S = 5;
+static const double OUTDATED_LEADER_S = 2;
+static const double PEER_FRESH_S = 5;
 
 bool ow_succession_may_replace_ended(const struct ow_election *election, const char *controller_name)
 {
-    if (election->stage != OW_ELECTION_LOOKING || election->busy)
+    if (election->stage != OW_ELECTION_LOOKING || election->is_busy)
         return false;
-    if (!election->key_known || election->key_version == 0)
+    if (!election->key.is_known || election->key.mod_revision == 0)
         return false;
     if (g_strcmp0(election->leader_name, controller_name) != 0)
         return false;
-    return election->core->now - election->led_since >= HINT_AGE_S;
+    return election->core->now - election->key.held_since >= HINT_AGE_S;
 }
 
 /* A leader that gets no answer at all from the key-value store, not even a refusal, may be cut off, alone
    or together with workers and other controllers, and have a successor whose cancellations it does not hear
-   of: by answering reports it would keep their tasks alive. It stops so early that leases end within the time
-   that a cancelled task may last. In an ordinary outage the refusals themselves show that it is not cut off.
+   of: by answering heartbeats it would keep their tasks alive. It stops so early that leases expire within
+   the time that a cancelled task may last. In an ordinary outage the refusals themselves show that it is not
+   cut off.
  */
 bool ow_succession_is_cut_off(const struct ow_election *election)
 {
@@ -39,7 +44,7 @@
         return false;
     double patience_s = settings->cancel_s - settings->lease_s * (1 + CLOCK_DRIFT) - MARGIN_S;
     double heard_at = MAX(election->began_at, ow_store_health_last_reachable_at(core->store_health));
-    return core->now - heard_at > MAX(patience_s, 2 * core->tuning->leader_lease_s);
+    return core->now - heard_at > MAX(patience_s, LEASES_LEAST * core->tuning->leader_lease_s);
 }
 
 static bool leader_format_is_outdated(const struct ow_election *election)
@@ -52,12 +57,12 @@
 {
     const struct ow_core *core = election->core;
     double now = core->now;
-    if (election->leader_name == NULL || election->key_version == 0)
+    if (election->leader_name == NULL || election->key.mod_revision == 0)
         return false;
     if (!ow_job_cache_loaded(core->job_cache) || !leader_format_is_outdated(election))
         return false;
     if (!ow_peer_status_store_answers(core->peer_status, election->leader_name, now, PEER_FRESH_S))
         return false;
     bool is_store_healthy = ow_store_health_has_answered_within(core->store_health, PEER_FRESH_S);
-    return is_store_healthy && now - election->led_since > OUTDATED_LEADER_S;
+    return is_store_healthy && now - election->key.held_since > OUTDATED_LEADER_S;
 }
