--- a/src/core/api/cancel.c
+++ b/src/core/api/cancel.c
@@ -63,7 +63,7 @@
 /* Limits fell since the job was accepted: the next try leaves out what is not needed. */
 static void handle_too_large(struct ow_core *core, const struct cancel_call *call)
 {
-    ow_store_limits_refused(&core->store_limits, 1, call->record_bytes);
+    ow_store_limits_shrink(&core->store_limits, 1, call->record_bytes);
     ow_job_answer_retry(core, call->pending.request, "the state service takes no record of this size");
 }
 
@@ -96,7 +96,7 @@
                                    .leader_fencing_token = leader_fencing_token,
                                    .submission = job->spec->submission};
     char *text = wire_job_record_encode(&record);
-    if (strlen(text) < core->store_limits.refused_bytes)
+    if (strlen(text) < core->store_limits.refused_value_bytes)
         return text;
     /* Accepted when values were larger. Nothing of it will start, so its types don't matter any more. */
     struct ow_submission short_form = *record.submission;
--- a/src/core/api/submit.c
+++ b/src/core/api/submit.c
@@ -80,7 +80,7 @@
    again, unless an earlier try was carried out after all. */
 static void refuse_too_large(struct ow_core *core, const struct submit_call *call)
 {
-    ow_store_limits_refused(&core->store_limits, 1, call->record_bytes);
+    ow_store_limits_shrink(&core->store_limits, 1, call->record_bytes);
     refuse_unless_known(core, call->request, call->submission->id, 422, TOO_LARGE);
 }
 
@@ -115,7 +115,7 @@
 static char *record_that_fits(struct ow_core *core, uint64_t request, const struct ow_job_record *record)
 {
     char *text = wire_job_record_encode(record);
-    if (strlen(text) < core->store_limits.refused_bytes)
+    if (strlen(text) < core->store_limits.refused_value_bytes)
         return text;
     g_free(text);
     refuse_unless_known(core, request, record->submission->id, 422, TOO_LARGE);
--- a/src/core/core.c
+++ b/src/core/core.c
@@ -54,7 +54,7 @@
     core->tuning = tuning;
     core->nonce = nonce;
     core->may_lead = true;
-    core->store_limits = ow_store_limits_of(settings);
+    core->store_limits = ow_store_limits_from_settings(settings);
     core->pending_calls = ow_pending_calls_new();
     core->interners = (struct ow_interners){ow_interner_new(), ow_interner_new(), ow_interner_new(),
                                             ow_interner_new(), ow_interner_new()};
--- a/src/core/election/succession.c
+++ b/src/core/election/succession.c
@@ -50,7 +50,7 @@
 static bool leader_format_is_outdated(const struct ow_election *election)
 {
     unsigned format = ow_peer_status_format(election->core->peer_status, election->leader_name);
-    return format != 0 && format < OW_FORMAT_FINE;
+    return format != 0 && format < OW_FORMAT_SMALL_CHUNKS;
 }
 
 bool ow_succession_leader_is_outdated(const struct ow_election *election)
--- a/src/core/jobs/attempt.h
+++ b/src/core/jobs/attempt.h
@@ -30,7 +30,7 @@
     uint64_t incarnation; /* the worker's incarnation that it belongs to */
     enum ow_attempt_state state;
     enum ow_task_phase phase;
-    uint64_t in_write;             /* serial of the write that carries its record */
+    uint64_t transaction_serial;   /* serial of the write that carries its record */
     uint32_t heartbeat_generation; /* of the last heartbeat that lists it */
     double placed_at, running_at;  /* running_at 0: not yet seen running */
     bool not_preemptible;          /* its job starved: it is not stopped again for others */
--- a/src/core/jobs/execution_table.c
+++ b/src/core/jobs/execution_table.c
@@ -30,7 +30,7 @@
 void ow_execution_drop(struct ow_leader *leader, struct ow_execution *execution)
 {
     struct ow_job *job = execution->job;
-    ow_recorder_forget(leader, execution);
+    ow_recorder_forget_execution(leader, execution);
     ow_reservation_free(execution->reservation);
     for (guint i = execution->attempts->len; i > 0; i--)
         ow_attempt_unload(leader, g_ptr_array_index(execution->attempts, i - 1));
--- a/src/core/leader/leader.c
+++ b/src/core/leader/leader.c
@@ -75,7 +75,6 @@
     ow_leader_broadcast_free(leader->broadcast);
     ow_quota_free(leader->quota);
     g_free(leader->cloud.list_after);
-    g_free(leader->failover.after);
     g_free(leader);
 }
 
--- a/src/core/leader/leader_state.h
+++ b/src/core/leader/leader_state.h
@@ -17,10 +17,10 @@
 
 /* Reading the records of earlier leaders: failover.c. */
 struct ow_failover_progress {
-    bool busy;      /* a read is under way */
-    double next_at; /* no read before this time */
-    char *after;    /* the last key read; NULL: none yet */
-    GArray *loaded; /* records read so far; NULL while there are none */
+    bool is_reading;     /* a read is in flight */
+    double next_at;      /* no read before this time */
+    char *last_key_read; /* NULL: none yet */
+    GArray *loaded;      /* loaded_records.c: records read so far; NULL while there are none */
 };
 
 /* The format in which records may be written: record_format.c. */
--- a/src/core/machines/reconciliation.c
+++ b/src/core/machines/reconciliation.c
@@ -85,7 +85,7 @@
         if (task_status->cause == OW_CAUSE_DONE && awaits_result(job, task_status->task)) {
             job->execution->tasks[task_status->task].done = true;
             job->execution->done++;
-            ow_recorder_chunk(leader, job->execution, task_status->task, false);
+            ow_recorder_queue_lazy(leader, job->execution, task_status->task);
         }
         clear_ended(machine, job, task_status, commands);
         return;
--- a/src/core/records/failover.h
+++ b/src/core/records/failover.h
@@ -1,14 +1,20 @@
-/* The failover by a new leader: it rebuilds runs and attempts from the records, and the workers' heartbeats
- * then account for what still runs. It owns the records read so far and moves the leader from phase to phase.
+/** @file
+ * The failover by a new leader, from taking the leader key until it is ready to decide.
+ *
+ * Phases, in `ow_leader.phase`: the copy of the job table is brought up to date (OW_LEADER_REFRESH), all
+ * progress records are read and the executions restored from them (OW_LEADER_LOADING), then the leader
+ * decides (OW_LEADER_READY). Invariant: it decides nothing before it knows every attempt that an earlier
+ * leader may have launched. Whether these still run is then told by the workers' heartbeats:
+ * machines/reconciliation.h.
  */
 #ifndef OW_CORE_RECORDS_FAILOVER_H
 #define OW_CORE_RECORDS_FAILOVER_H
 
 struct ow_leader;
 
-/* Takes the next step while the leader is not ready; a failed read is repeated. */
+/** Takes the next step while the leader is not ready; a failed read is repeated. */
 void ow_failover_tick(struct ow_leader *leader);
-/* Frees the records read so far. */
+/** Frees the records read so far, and how far reading has come. */
 void ow_failover_free(struct ow_leader *leader);
 
 #endif
--- /dev/null
+++ b/src/core/records/loaded_records.c
@@ -0,0 +1,207 @@
+#include "core/records/loaded_records.h"
+
+#include "core/jobs/attempt.h"
+#include "core/jobs/attempt_table.h"
+#include "core/jobs/execution.h"
+#include "core/jobs/execution_table.h"
+#include "core/leader/leader_state.h"
+#include "core/machines/machine.h"
+#include "core/machines/machine_registry.h"
+#include "core/records/record_values.h"
+#include "core/records/recorder.h"
+#include "model/records.h"
+#include "model/store.h"
+#include "wire/json.h"
+#include "wire/records_json.h"
+
+#include <string.h>
+
+/* A record as it was read. */
+struct loaded_record {
+    struct ow_record_value *record_value;
+    uint64_t mod_revision;
+    struct ow_job *job;
+    uint32_t chunk_index;
+    uint32_t chunk_tasks; /* the size of the chunks that it was recorded in */
+    json_t *value;        /* one reference is owned */
+};
+
+static void loaded_record_clear(void *item)
+{
+    json_decref(((struct loaded_record *)item)->value);
+}
+
+GArray *ow_loaded_records_new(void)
+{
+    GArray *loaded = g_array_new(FALSE, FALSE, sizeof(struct loaded_record));
+    g_array_set_clear_func(loaded, loaded_record_clear);
+    return loaded;
+}
+
+/* ---- taking in values ---- */
+
+/* Whether the value could not be written any more once the announced limits hold. */
+static bool is_too_large(const struct ow_leader *leader, const json_t *value)
+{
+    const struct ow_store_limits *limits = &leader->core->store_limits;
+    if (limits->value_bytes >= limits->accepted_value_bytes)
+        return false;
+    g_autofree char *text = wire_json_print(value);
+    return strlen(text) > limits->value_bytes;
+}
+
+/* False when the record is of no use any more: its job is over, or its name is not one of ours. */
+static bool add_record(struct ow_leader *leader, struct ow_record_value *record_value, const char *name,
+                       json_t *value)
+{
+    struct loaded_record loaded = {.record_value = record_value, .mod_revision = record_value->mod_revision};
+    g_autofree char *id = wire_progress_name_decode(name, &loaded.chunk_index, &loaded.chunk_tasks);
+    loaded.job = id != NULL ? ow_jobs_find(leader->core->jobs, id) : NULL;
+    if (loaded.job == NULL || loaded.job->spec == NULL)
+        return false;
+    loaded.value = json_incref(value);
+    g_array_append_val(leader->failover.loaded, loaded);
+    return true;
+}
+
+void ow_loaded_records_add_value(struct ow_leader *leader, const struct ow_store_item *item)
+{
+    guint64 number = 0;
+    if (!g_ascii_string_to_unsigned(item->key + strlen(OW_KEY_PROGRESS), 10, 0, UINT32_MAX, &number, NULL))
+        return;
+    struct ow_record_value *record_value = ow_record_values_find_or_add(leader, (uint32_t)number);
+    const char *name;
+    json_t *value;
+    bool all_used = true;
+    record_value->mod_revision = item->mod_revision;
+    json_object_foreach(item->value, name, value)
+    {
+        all_used = add_record(leader, record_value, name, value) && all_used;
+    }
+    if (!all_used || is_too_large(leader, item->value))
+        ow_recorder_queue_compaction(leader, record_value);
+}
+
+/* ---- restoring executions ---- */
+
+static struct ow_task_range tasks_of(const struct loaded_record *loaded)
+{
+    return ow_chunk_task_range(loaded->chunk_index, loaded->chunk_tasks, loaded->job->execution->count);
+}
+
+/* Drops what records of lower mod_revision said of these tasks' attempts. */
+static void unload_attempts(struct ow_leader *leader, struct ow_execution *execution,
+                            struct ow_task_range tasks)
+{
+    for (guint i = execution->attempts->len; i > 0; i--) {
+        struct ow_attempt *attempt = g_ptr_array_index(execution->attempts, i - 1);
+        if (attempt->task >= tasks.first && attempt->task < tasks.end)
+            ow_attempt_unload(leader, attempt);
+    }
+}
+
+/* No attempt number up to the recorded one is used again, in any chunk that has one of these tasks. */
+static void raise_last_attempt(struct ow_execution *execution, struct ow_task_range tasks,
+                               uint64_t last_attempt)
+{
+    for (uint32_t task = tasks.first; task < tasks.end; task += execution->chunk_tasks) {
+        struct ow_chunk *chunk = ow_execution_chunk(execution, task);
+        chunk->last_attempt = MAX(chunk->last_attempt, last_attempt);
+    }
+}
+
+static void restore_done(struct ow_execution *execution, const GArray *done)
+{
+    for (guint i = 0; i < done->len; i++) {
+        uint32_t task = g_array_index(done, uint32_t, i);
+        if (task >= execution->count || execution->tasks[task].done)
+            continue;
+        execution->tasks[task].done = true;
+        execution->done++;
+    }
+}
+
+static void restore_attempts(struct ow_leader *leader, struct ow_execution *execution, const GArray *live)
+{
+    for (guint i = 0; i < live->len; i++) {
+        const struct ow_live_record *record = &g_array_index(live, struct ow_live_record, i);
+        if (record->task >= execution->count || execution->tasks[record->task].attempt != NULL)
+            continue;
+        struct ow_machine *machine = ow_machines_find_or_add(leader, record->machine);
+        struct ow_attempt *attempt =
+            ow_attempt_new(leader, execution, record->task, record->attempt, machine, record->incarnation);
+        attempt->state = OW_ATTEMPT_INHERITED;
+        if (machine->incarnation == 0)
+            machine->incarnation = record->incarnation;
+    }
+}
+
+static void restore_record(struct ow_leader *leader, const struct loaded_record *loaded)
+{
+    struct ow_execution *execution = loaded->job->execution;
+    struct ow_progress_record record;
+    if (!wire_progress_record_decode(loaded->value, &record))
+        g_warning("progress record unreadable in part: job=%s", execution->job->id);
+    unload_attempts(leader, execution, tasks_of(loaded));
+    raise_last_attempt(execution, tasks_of(loaded), record.last_attempt);
+    restore_done(execution, record.done);
+    restore_attempts(leader, execution, record.live);
+    wire_progress_record_clear(&record);
+}
+
+/* Settles where the record stands from now on: in its record value or, if its job is divided into smaller
+   chunks now, in new ones, which are to be written before the old record goes. */
+static void place_record(struct ow_leader *leader, const struct loaded_record *loaded)
+{
+    struct ow_execution *execution = loaded->job->execution;
+    if (loaded->chunk_tasks == execution->chunk_tasks) {
+        struct ow_chunk *chunk = &execution->chunks[loaded->chunk_index];
+        if (chunk->record_value != NULL)
+            ow_recorder_queue_compaction(leader, ow_record_value_remove_chunk(chunk));
+        ow_record_value_add_chunk(loaded->record_value, chunk);
+        return;
+    }
+    struct ow_task_range tasks = tasks_of(loaded);
+    ow_record_value_add_unmoved_tasks(loaded->record_value, execution->job, tasks);
+    ow_recorder_queue_compaction(leader, loaded->record_value);
+    for (uint32_t task = tasks.first; task < tasks.end; task += execution->chunk_tasks)
+        ow_recorder_queue_urgent(leader, execution, task);
+}
+
+/* Creates the job's execution if there is none. It keeps the smallest chunks that it was recorded in. */
+static void create_execution(struct ow_leader *leader, const struct loaded_record *loaded)
+{
+    bool is_new = loaded->job->execution == NULL;
+    struct ow_execution *execution = ow_execution_find_or_add(leader, loaded->job);
+    if (is_new || loaded->chunk_tasks < execution->chunk_tasks)
+        ow_execution_divide(execution, loaded->chunk_tasks);
+}
+
+static bool is_beyond_tasks(const struct loaded_record *loaded)
+{
+    return (uint64_t)loaded->chunk_index * loaded->chunk_tasks >= loaded->job->execution->count;
+}
+
+static gint compare_mod_revisions(gconstpointer a, gconstpointer b)
+{
+    const struct loaded_record *left = a;
+    const struct loaded_record *right = b;
+    return left->mod_revision < right->mod_revision ? -1 : left->mod_revision > right->mod_revision;
+}
+
+void ow_loaded_records_restore(struct ow_leader *leader)
+{
+    GArray *records = leader->failover.loaded;
+    g_array_sort(records, compare_mod_revisions);
+    for (guint i = 0; i < records->len; i++)
+        create_execution(leader, &g_array_index(records, struct loaded_record, i));
+    for (guint i = 0; i < records->len; i++) {
+        const struct loaded_record *loaded = &g_array_index(records, struct loaded_record, i);
+        if (is_beyond_tasks(loaded)) {
+            ow_recorder_queue_compaction(leader, loaded->record_value);
+            continue;
+        }
+        restore_record(leader, loaded);
+        place_record(leader, loaded);
+    }
+}
--- /dev/null
+++ b/src/core/records/record_value.h
@@ -0,0 +1,40 @@
+/** @file
+ * One value of the key-value store that holds progress records, as plain data.
+ *
+ * record_values.c owns the record values of a leader and decides which chunks share one. The fields that
+ * order its write belong to the modules named at them.
+ */
+#ifndef OW_CORE_RECORDS_RECORD_VALUE_H
+#define OW_CORE_RECORDS_RECORD_VALUE_H
+
+#include <glib.h>
+#include <stdbool.h>
+#include <stddef.h>
+#include <stdint.h>
+
+struct ow_write;
+
+/** Consecutive tasks of a job: from `first` up to, not including, `end`. */
+struct ow_task_range {
+    uint32_t first;
+    uint32_t end;
+};
+
+/** One value of the key-value store, with the records of the chunks in it. */
+struct ow_record_value {
+    uint32_t number;         /**< in its key: OW_KEY_PROGRESS and this number */
+    uint64_t mod_revision;   /**< of the last change that we know of; 0: the key does not exist */
+    int class_index;         /**< of the jobs of its chunks; OW_NO_NAME: it never had a chunk */
+    GPtrArray *chunks;       /**< struct ow_chunk, owned by their executions */
+    size_t estimated_bytes;  /**< size as last written, with an estimate of what was added since */
+    struct ow_write *queued; /**< the queued write of it: write_queue.c; NULL: none */
+    bool is_oversized;       /**< as last encoded it was above the limit of a value: transaction.c */
+    bool needs_division;     /**< its only chunk does not fit a value: set by transaction.c, and cleared by
+                                  chunk_division.c */
+    double refused_until; /**< refused for its size and can't be made smaller: not written before this time */
+    GArray *unmoved_tasks; /**< struct ow_unmoved_tasks: tasks that only its stored value records */
+    struct ow_record_value *waits_for; /**< chunks moved from here to this one, which must be written first;
+                                            NULL: none */
+};
+
+#endif
--- a/src/core/records/record_values.c
+++ b/src/core/records/record_values.c
@@ -1,7 +1,5 @@
-/* Which progress records share a value of the key-value store. Its changes are scarcer than its bytes: what
- * changes together is written together. A chunk stays in its record value until its job is over, or until the
- * record value outgrows a value. */
 #include "core/records/record_values.h"
+
 #include "core/jobs/attempt.h"
 #include "core/jobs/execution.h"
 #include "core/leader/leader_state.h"
@@ -11,18 +9,20 @@
 
 #include <string.h>
 
-/* Tasks of a run that a value records in chunks of another size than the run has now. */
-struct ow_retained_tasks {
+/* Tasks that a stored value records in chunks of an earlier size. */
+struct ow_unmoved_tasks {
     struct ow_job *job;
     struct ow_task_range tasks;
 };
 
-/* How full a record value is made: its chunks grow as their ranges break up. */
-static const double FILL = 0.6;
-/* What a chunk is taken to need before it has been written. */
+/* How full a record value is made: its records grow as their ranges of tasks break up. */
+static const double FILL_SHARE = 0.6;
+/* What a chunk is taken to need before it has been written: its name and frame, and each of its tasks. */
 enum { CHUNK_BYTES = 100, TASK_BYTES = 8 };
+/* Room for growth of the text's buffer beyond the size as last written. */
+enum { TEXT_MARGIN_BYTES = 64 };
 
-static size_t value_limit(const struct ow_leader *leader)
+static size_t value_limit_bytes(const struct ow_leader *leader)
 {
     return leader->core->store_limits.value_bytes;
 }
@@ -30,7 +30,7 @@
 struct ow_task_range ow_chunk_task_range(uint32_t index, uint32_t chunk_tasks, uint32_t task_count)
 {
     uint32_t first = index * chunk_tasks;
-    return (struct ow_task_range){first, MIN(task_count, first + chunk_tasks)};
+    return (struct ow_task_range){.first = first, .end = MIN(task_count, first + chunk_tasks)};
 }
 
 static struct ow_task_range tasks_of(const struct ow_chunk *chunk)
@@ -41,17 +41,20 @@
 
 uint32_t ow_record_values_chunk_tasks(const struct ow_leader *leader)
 {
-    return leader->format.current >= OW_FORMAT_FINE ? ow_store_limits_tasks(&leader->core->store_limits)
-                                                    : OW_CHUNK_TASKS;
+    if (leader->format.current < OW_FORMAT_SMALL_CHUNKS)
+        return OW_CHUNK_MAX_TASKS;
+    return ow_store_limits_chunk_tasks(&leader->core->store_limits);
 }
 
-static struct ow_record_value *record_value_new(struct ow_leader *leader, uint32_t number)
+/* ---- the record values of a leader ---- */
+
+static struct ow_record_value *add_record_value(struct ow_leader *leader, uint32_t number)
 {
     struct ow_record_value *record_value = g_new0(struct ow_record_value, 1);
     record_value->number = number;
     record_value->class_index = OW_NO_NAME;
     record_value->chunks = g_ptr_array_new();
-    record_value->retained = g_array_new(FALSE, FALSE, sizeof(struct ow_retained_tasks));
+    record_value->unmoved_tasks = g_array_new(FALSE, FALSE, sizeof(struct ow_unmoved_tasks));
     g_ptr_array_add(leader->record_values, record_value);
     return record_value;
 }
@@ -60,7 +63,7 @@
 {
     struct ow_record_value *record_value = item;
     g_ptr_array_free(record_value->chunks, TRUE);
-    g_array_free(record_value->retained, TRUE);
+    g_array_free(record_value->unmoved_tasks, TRUE);
     g_free(record_value);
 }
 
@@ -77,74 +80,88 @@
 struct ow_record_value *ow_record_values_find_or_add(struct ow_leader *leader, uint32_t number)
 {
     struct ow_record_value *record_value = ow_record_values_find(leader, number);
-    return record_value != NULL ? record_value : record_value_new(leader, number);
+    return record_value != NULL ? record_value : add_record_value(leader, number);
 }
 
-static struct ow_record_value *fresh_record_value(struct ow_leader *leader)
+static struct ow_record_value *add_under_free_number(struct ow_leader *leader)
 {
     uint32_t number = 0;
     while (ow_record_values_find(leader, number) != NULL)
         number++;
-    return record_value_new(leader, number);
+    return add_record_value(leader, number);
 }
 
+/* ---- which chunks share a record value ---- */
+
 static size_t expected_bytes(const struct ow_chunk *chunk)
 {
     struct ow_task_range tasks = tasks_of(chunk);
     return CHUNK_BYTES + TASK_BYTES * (tasks.end - tasks.first);
 }
 
-void ow_record_values_add(struct ow_record_value *record_value, struct ow_chunk *chunk)
+void ow_record_value_add_chunk(struct ow_record_value *record_value, struct ow_chunk *chunk)
 {
     chunk->record_value = record_value;
     record_value->class_index = chunk->job->spec->class_index;
-    record_value->bytes += expected_bytes(chunk);
+    record_value->estimated_bytes += expected_bytes(chunk);
     g_ptr_array_add(record_value->chunks, chunk);
 }
 
-/* The fullest record value of the class with room for the chunk, or an empty one. Chunks of one class change
-   at the same pace; a record value of all classes would be written as often as the liveliest. */
-void ow_record_values_join(struct ow_leader *leader, struct ow_chunk *chunk)
+/* Whether the chunk suits the record value. Chunks of one class change at the same pace; a record value of
+   all classes would be written as often as the liveliest of them. */
+static bool suits(const struct ow_leader *leader, const struct ow_record_value *record_value,
+                  const struct ow_chunk *chunk)
 {
-    size_t room = (size_t)(FILL * value_limit(leader)), bytes = expected_bytes(chunk);
-    struct ow_record_value *best = NULL;
+    if (record_value->unmoved_tasks->len > 0)
+        return false;
+    if (record_value->chunks->len == 0)
+        return true;
+    if (record_value->class_index != chunk->job->spec->class_index)
+        return false;
+    size_t fill_bytes = (size_t)(FILL_SHARE * value_limit_bytes(leader));
+    return record_value->estimated_bytes + expected_bytes(chunk) <= fill_bytes;
+}
+
+void ow_record_values_assign_chunk(struct ow_leader *leader, struct ow_chunk *chunk)
+{
+    struct ow_record_value *fullest = NULL;
     for (guint i = 0; i < leader->record_values->len; i++) {
         struct ow_record_value *record_value = g_ptr_array_index(leader->record_values, i);
-        if (record_value->retained->len > 0)
-            continue;
-        bool alike =
-            record_value->chunks->len == 0 || record_value->class_index == chunk->job->spec->class_index;
-        if (alike && (record_value->chunks->len == 0 || record_value->bytes + bytes <= room) &&
-            (best == NULL || record_value->chunks->len > best->chunks->len))
-            best = record_value;
+        bool is_fuller = fullest == NULL || record_value->chunks->len > fullest->chunks->len;
+        if (is_fuller && suits(leader, record_value, chunk))
+            fullest = record_value;
     }
-    ow_record_values_add(best != NULL ? best : fresh_record_value(leader), chunk);
+    ow_record_value_add_chunk(fullest != NULL ? fullest : add_under_free_number(leader), chunk);
 }
 
-struct ow_record_value *ow_record_values_leave(struct ow_chunk *chunk)
+struct ow_record_value *ow_record_value_remove_chunk(struct ow_chunk *chunk)
 {
     struct ow_record_value *record_value = chunk->record_value;
-    if (record_value != NULL)
-        g_ptr_array_remove(record_value->chunks, chunk);
-    if (record_value != NULL && record_value->chunks->len == 0)
-        record_value->bytes = 0;
     chunk->record_value = NULL;
+    if (record_value == NULL)
+        return NULL;
+    g_ptr_array_remove(record_value->chunks, chunk);
+    if (record_value->chunks->len == 0)
+        record_value->estimated_bytes = 0;
     return record_value;
 }
 
-void ow_record_values_retain(struct ow_record_value *record_value, struct ow_job *job,
-                             struct ow_task_range tasks)
+/* ---- tasks that only a stored value records ---- */
+
+void ow_record_value_add_unmoved_tasks(struct ow_record_value *record_value, struct ow_job *job,
+                                       struct ow_task_range tasks)
 {
-    struct ow_retained_tasks retained = {job, tasks};
-    g_array_append_val(record_value->retained, retained);
+    struct ow_unmoved_tasks unmoved = {.job = job, .tasks = tasks};
+    g_array_append_val(record_value->unmoved_tasks, unmoved);
 }
 
-/* Whether all of it stands in other values by now, or means nothing any more. */
-static bool settled(const struct ow_retained_tasks *retained)
+/* Whether all of these tasks are recorded in other values by now, or their job is over. */
+static bool is_moved(const struct ow_unmoved_tasks *unmoved)
 {
-    const struct ow_execution *execution = retained->job->execution;
-    for (uint32_t task = retained->tasks.first; execution != NULL && task < retained->tasks.end;
-         task += execution->chunk_tasks) {
+    const struct ow_execution *execution = unmoved->job->execution;
+    if (execution == NULL)
+        return true;
+    for (uint32_t task = unmoved->tasks.first; task < unmoved->tasks.end; task += execution->chunk_tasks) {
         const struct ow_chunk *chunk = ow_execution_chunk(execution, task);
         if (chunk->record_value == NULL || chunk->dirty || chunk->writing)
             return false;
@@ -152,79 +169,93 @@
     return true;
 }
 
-bool ow_record_values_retains_tasks(struct ow_record_value *record_value)
+void ow_record_value_drop_moved_tasks(struct ow_record_value *record_value)
 {
-    for (guint i = record_value->retained->len; i > 0; i--)
-        if (settled(&g_array_index(record_value->retained, struct ow_retained_tasks, i - 1)))
-            g_array_remove_index_fast(record_value->retained, i - 1);
-    return record_value->retained->len > 0;
+    for (guint i = record_value->unmoved_tasks->len; i > 0; i--)
+        if (is_moved(&g_array_index(record_value->unmoved_tasks, struct ow_unmoved_tasks, i - 1)))
+            g_array_remove_index_fast(record_value->unmoved_tasks, i - 1);
 }
 
-static gint by_place(gconstpointer a, gconstpointer b)
+/* ---- the text of a record value ---- */
+
+static gint compare_places(gconstpointer a, gconstpointer b)
 {
-    const struct ow_live_record *x = a, *y = b;
-    int machines = strcmp(x->machine, y->machine);
+    const struct ow_live_record *left = a;
+    const struct ow_live_record *right = b;
+    int machines = strcmp(left->machine, right->machine);
     if (machines != 0)
         return machines;
-    if (x->incarnation != y->incarnation)
-        return x->incarnation < y->incarnation ? -1 : 1;
-    return x->task < y->task ? -1 : x->task > y->task;
+    if (left->incarnation != right->incarnation)
+        return left->incarnation < right->incarnation ? -1 : 1;
+    return left->task < right->task ? -1 : left->task > right->task;
 }
 
-static char *chunk_value(const struct ow_chunk *chunk)
+static void add_task(struct ow_progress_record *record, const struct ow_execution *execution, uint32_t task)
+{
+    const struct ow_attempt *attempt = execution->tasks[task].attempt;
+    if (execution->tasks[task].done)
+        g_array_append_val(record->done, task);
+    if (attempt == NULL)
+        return;
+    struct ow_live_record live = {.task = task,
+                                  .attempt = attempt->number,
+                                  .machine = attempt->machine->name,
+                                  .incarnation = attempt->incarnation};
+    g_array_append_val(record->live, live);
+}
+
+static char *encode_chunk(const struct ow_chunk *chunk)
 {
-    const struct ow_execution *execution = chunk->job->execution;
     struct ow_progress_record record = {
         .last_attempt = chunk->last_attempt,
         .done = g_array_new(FALSE, FALSE, sizeof(uint32_t)),
         .live = g_array_new(FALSE, FALSE, sizeof(struct ow_live_record)),
     };
     struct ow_task_range tasks = tasks_of(chunk);
-    for (uint32_t task = tasks.first; task < tasks.end; task++) {
-        const struct ow_attempt *attempt = execution->tasks[task].attempt;
-        if (execution->tasks[task].done)
-            g_array_append_val(record.done, task);
-        if (attempt == NULL)
-            continue;
-        struct ow_live_record live = {task, attempt->number, attempt->machine->name, attempt->incarnation};
-        g_array_append_val(record.live, live);
-    }
-    g_array_sort(record.live, by_place);
-    char *value = wire_progress_record_encode(&record);
+    for (uint32_t task = tasks.first; task < tasks.end; task++)
+        add_task(&record, chunk->job->execution, task);
+    g_array_sort(record.live, compare_places);
+    char *text = wire_progress_record_encode(&record);
     wire_progress_record_clear(&record);
-    return value;
+    return text;
 }
 
-static char *record_value_encode(struct ow_record_value *record_value)
+static char *encode_chunks(struct ow_record_value *record_value)
 {
-    GString *text = g_string_sized_new(record_value->bytes + 64);
+    GString *text = g_string_sized_new(record_value->estimated_bytes + TEXT_MARGIN_BYTES);
     for (guint i = 0; i < record_value->chunks->len; i++) {
         const struct ow_chunk *chunk = g_ptr_array_index(record_value->chunks, i);
-        char *value = chunk_value(chunk);
+        g_autofree char *record = encode_chunk(chunk);
         wire_progress_value_add(text, chunk->job->id, chunk->index, chunk->job->execution->chunk_tasks,
-                                value);
-        g_free(value);
+                                record);
     }
     wire_progress_value_end(text);
-    record_value->bytes = text->len;
+    record_value->estimated_bytes = text->len;
     return g_string_free(text, FALSE);
 }
 
+/* Moves the chunks beyond the first half, the last one first. */
+static void move_half(struct ow_record_value *from, struct ow_record_value *to)
+{
+    guint kept = from->chunks->len / 2;
+    while (from->chunks->len > kept) {
+        struct ow_chunk *chunk = g_ptr_array_index(from->chunks, from->chunks->len - 1);
+        ow_record_value_remove_chunk(chunk);
+        ow_record_value_add_chunk(to, chunk);
+    }
+}
+
 char *ow_record_values_encode(struct ow_leader *leader, struct ow_record_value *record_value,
-                              struct ow_record_value **moved)
-{
-    char *value = record_value_encode(record_value);
-    *moved = NULL;
-    while (strlen(value) > value_limit(leader) && record_value->chunks->len > 1) {
-        struct ow_record_value *other = *moved != NULL ? *moved : fresh_record_value(leader);
-        *moved = other;
-        for (guint keep = record_value->chunks->len / 2; record_value->chunks->len > keep;) {
-            struct ow_chunk *chunk = g_ptr_array_index(record_value->chunks, record_value->chunks->len - 1);
-            ow_record_values_leave(chunk);
-            ow_record_values_add(other, chunk);
-        }
-        g_free(value);
-        value = record_value_encode(record_value);
+                              struct ow_record_value **overflow)
+{
+    g_autofree char *text = encode_chunks(record_value);
+    *overflow = NULL;
+    while (strlen(text) > value_limit_bytes(leader) && record_value->chunks->len > 1) {
+        if (*overflow == NULL)
+            *overflow = add_under_free_number(leader);
+        move_half(record_value, *overflow);
+        g_free(text);
+        text = encode_chunks(record_value);
     }
-    return value;
+    return g_steal_pointer(&text);
 }
--- a/src/core/records/record_writer.h
+++ b/src/core/records/record_writer.h
@@ -1,14 +1,15 @@
 /** @file
- * Sending what the recorder has queued: one transaction at a time, conditioned on the leader's key, so that a
- * deposed leader can change nothing, and on the version of each record, so that one that is applied late
- * changes nothing.
+ * The record writer: sends the queued records to the key-value store, one transaction at a time.
+ *
+ * See recorder.h for the invariants of the write path.
  */
 #ifndef OW_CORE_RECORDS_RECORD_WRITER_H
 #define OW_CORE_RECORDS_RECORD_WRITER_H
 
 struct ow_leader;
 
-/** Sends the next transaction if one is due and none is under way. */
+/** Sends the next transaction if there is something to write, the rate of writes permits it and none is in
+    flight. */
 void ow_record_writer_tick(struct ow_leader *leader);
 
 #endif
--- a/src/core/records/recorder.h
+++ b/src/core/records/recorder.h
@@ -1,9 +1,21 @@
-/* The recorder writes changed records to the key-value store, in batches and in an order that keeps every
- * decision recoverable. It owns the queue of writes and the transaction under way. */
+/** @file
+ * The recorder: takes in which records have changed, and queues their writes in the order of their urgency.
+ *
+ * Everybody who changes a job's tasks calls this. record_writer.h sends what is queued.
+ *
+ * Invariants of the write path:
+ *  - No launch leaves before the record of its attempt is committed (safety rule 1): an attempt stays
+ *    OW_ATTEMPT_PLANNED until transaction_reply.c handles the success of the transaction that recorded it.
+ *  - One transaction is in flight at a time, so writes are applied in the order in which they were decided.
+ *  - Every transaction compares the leader key, so that a deposed leader changes nothing, and the
+ * mod_revision of each key that it writes, so that one that is applied late, or twice, changes nothing the
+ * second time.
+ *  - A chunk that moves is written in its new record value before the old value is replaced, so that every
+ *    decision can be read back at any moment.
+ */
 #ifndef OW_CORE_RECORDS_RECORDER_H
 #define OW_CORE_RECORDS_RECORDER_H
 
-#include <stdbool.h>
 #include <stdint.h>
 
 struct ow_leader;
@@ -11,18 +23,25 @@
 struct ow_recorder;
 struct ow_execution;
 
-/* A recorder with an empty queue; freed by ow_recorder_free(). */
+/** How long progress that no launch waits for may wait for other writes, in seconds. */
+#define OW_PROGRESS_DELAY_S 1.5
+
+/** A recorder with an empty queue; freed by ow_recorder_free(). */
 struct ow_recorder *ow_recorder_new(struct ow_leader *leader);
+/** Frees the recorder with its queue. */
 void ow_recorder_free(struct ow_recorder *recorder);
-/* The record of the task's chunk has changed and is to be written: at once if a launch waits for it
-   (`launching`), else within a short delay. No effect once the job is over. */
-void ow_recorder_chunk(struct ow_leader *leader, struct ow_execution *execution, uint32_t task,
-                       bool launching);
-/* Queues the write of how the job ended, once. From then on its progress is not written any more. */
-void ow_recorder_finish(struct ow_leader *leader, struct ow_execution *execution);
-/* Rewrites a record value at low urgency, without the records of jobs that are over. */
-void ow_recorder_compact(struct ow_leader *leader, struct ow_record_value *record_value);
-/* Drops every reference to a run that is about to be freed. */
-void ow_recorder_forget(struct ow_leader *leader, const struct ow_execution *execution);
+/** Queues the record of the task's chunk, to be written at once and at the rank of the job: a launch, or
+   another write, waits for it. No effect once the job is over. */
+void ow_recorder_queue_urgent(struct ow_leader *leader, struct ow_execution *execution, uint32_t task);
+/** Queues the record of the task's chunk, to be written within OW_PROGRESS_DELAY_S: nothing waits for it. No
+    effect once the job is over. */
+void ow_recorder_queue_lazy(struct ow_leader *leader, struct ow_execution *execution, uint32_t task);
+/** Queues the write of how the job ended, once. From then on its progress is not written any more. */
+void ow_recorder_queue_final_record(struct ow_leader *leader, struct ow_execution *execution);
+/** Queues a rewrite of the record value, in the background, without the records of jobs that are over. */
+void ow_recorder_queue_compaction(struct ow_leader *leader, struct ow_record_value *record_value);
+/** Drops every reference to an execution that is about to be freed; its record values are rewritten without
+ * it. */
+void ow_recorder_forget_execution(struct ow_leader *leader, const struct ow_execution *execution);
 
 #endif
--- a/src/core/records/recorder_state.h
+++ b/src/core/records/recorder_state.h
@@ -1,5 +1,7 @@
-/* The state of the recorder, shared by the modules that write records: recorder.c, write_queue.c,
- * transaction.c and transaction_reply.c. Everybody else uses recorder.h. */
+/** @file
+ * The state of the recorder, as plain data for the modules that write records. Everybody else uses
+ * recorder.h.
+ */
 #ifndef OW_CORE_RECORDS_RECORDER_STATE_H
 #define OW_CORE_RECORDS_RECORDER_STATE_H
 
@@ -11,16 +13,18 @@
 #include <stddef.h>
 #include <stdint.h>
 
+/** The queue of writes, and the one transaction that may be in flight. */
 struct ow_recorder {
-    struct ow_write_queue *queue;
-    GPtrArray *sent;         /* struct ow_write, in the transaction under way */
-    bool busy;               /* a transaction is under way */
-    uint64_t serial;         /* of the last transaction */
-    unsigned version_checks; /* reads of versions under way; nothing is written meanwhile */
-    double next_at;          /* no transaction before this time */
-    struct ow_rate_limiter mutations;
-    unsigned sent_mutations; /* of the transaction under way */
-    size_t sent_largest;     /* its largest value, in bytes */
+    struct ow_write_queue *queue;            /**< owned */
+    struct ow_rate_limiter mutation_limiter; /**< of all mutations that the leader writes */
+    double next_at;              /**< no transaction before this time: record_writer.c, transaction_reply.c */
+    unsigned mod_revision_reads; /**< in flight; nothing is written meanwhile: transaction_reply.c */
+
+    uint64_t transaction_serial;    /**< of the last transaction; each attempt keeps that of its record */
+    bool is_in_flight;              /**< that transaction is not answered yet */
+    GPtrArray *writes_in_flight;    /**< struct ow_write, owned; in that transaction */
+    unsigned mutations_in_flight;   /**< how many mutations that transaction has */
+    size_t largest_bytes_in_flight; /**< of the largest value in that transaction */
 };
 
 #endif
--- a/src/core/records/transaction.h
+++ b/src/core/records/transaction.h
@@ -1,15 +1,18 @@
-/* Building a transaction: which of the queued writes go into it, and with what text. */
+/** @file
+ * Building a transaction: which of the queued writes go into it, and with what text.
+ *
+ * A write is left in the queue, or queued again, while something else must be written before it: see
+ * recorder.h for the invariants of the write path.
+ */
 #ifndef OW_CORE_RECORDS_TRANSACTION_H
 #define OW_CORE_RECORDS_TRANSACTION_H
 
 struct ow_leader;
 struct ow_store_request;
 
-/* How long progress that no launch waits for may wait for other writes, in seconds. */
-#define OW_LAZY_WRITE_S 1.5
-
-/* Moves the queued writes that are due into the transaction, as many as the limits allow. Those that were
-   moved are the recorder's sent writes until the transaction is answered. */
+/** Moves the queued writes that are due into the transaction, the most urgent first and as many as the limits
+   of the key-value store allow. Those that were moved are the recorder's `writes_in_flight` until the
+   transaction is answered. The transaction may be left without mutations. */
 void ow_transaction_fill(struct ow_leader *leader, struct ow_store_request *transaction);
 
 #endif
--- a/src/core/records/transaction_reply.c
+++ b/src/core/records/transaction_reply.c
@@ -7,7 +7,6 @@
 #include "core/jobs/job_cache.h"
 #include "core/leader/leader_state.h"
 #include "core/machines/command_queue.h"
-#include "core/machines/machine.h"
 #include "core/records/record_values.h"
 #include "core/records/recorder_state.h"
 #include "model/event.h"
@@ -18,15 +17,16 @@
 #include <string.h>
 
 /* How long after a failure the next transaction is sent; and when it can't be made any smaller. */
-static const double RETRY_S = 0.2, REFUSED_S = 5;
+static const double RETRY_S = 0.2;
+static const double REFUSED_RETRY_S = 5;
 
-/* The writes of the answered transaction, detached: handling them may drop runs with their other writes. The
-   caller frees them. */
-static GPtrArray *take_sent(struct ow_recorder *recorder)
+/* The writes of the answered transaction, detached: handling them may drop executions with their other
+ * writes. */
+static GPtrArray *take_writes(struct ow_recorder *recorder)
 {
-    GPtrArray *sent = recorder->sent;
-    recorder->sent = g_ptr_array_new_with_free_func(g_free);
-    return sent;
+    GPtrArray *writes = recorder->writes_in_flight;
+    recorder->writes_in_flight = g_ptr_array_new_with_free_func(g_free);
+    return writes;
 }
 
 /* ---- success ---- */
@@ -36,18 +36,20 @@
 {
     for (guint i = 0; i < leader->record_values->len; i++) {
         struct ow_record_value *other = g_ptr_array_index(leader->record_values, i);
-        if (other->after == record_value)
-            other->after = NULL;
+        if (other->waits_for == record_value)
+            other->waits_for = NULL;
     }
 }
 
-static void commit_chunk(struct ow_leader *leader, struct ow_chunk *chunk, uint64_t serial)
+/* Attempts that were planned after the text was made wait for the next write of the chunk. */
+static void commit_chunk(struct ow_leader *leader, struct ow_chunk *chunk)
 {
     const struct ow_execution *execution = chunk->job->execution;
     chunk->writing = false;
     for (guint i = 0; i < execution->attempts->len; i++) {
         struct ow_attempt *attempt = g_ptr_array_index(execution->attempts, i);
-        if (attempt->state != OW_ATTEMPT_PLANNED || attempt->in_write != serial)
+        if (attempt->state != OW_ATTEMPT_PLANNED ||
+            attempt->transaction_serial != leader->recorder->transaction_serial)
             continue;
         if (ow_execution_chunk(execution, attempt->task) != chunk)
             continue;
@@ -59,39 +61,39 @@
 static void commit_record_value(struct ow_leader *leader, struct ow_record_value *record_value,
                                 uint64_t revision)
 {
-    record_value->version = revision;
+    record_value->mod_revision = revision;
     unblock_others(leader, record_value);
     for (guint i = 0; i < record_value->chunks->len; i++)
-        commit_chunk(leader, g_ptr_array_index(record_value->chunks, i), leader->recorder->serial);
+        commit_chunk(leader, g_ptr_array_index(record_value->chunks, i));
 }
 
-static void commit_finish(struct ow_leader *leader, struct ow_execution *execution, uint64_t revision)
+static void commit_final_record(struct ow_leader *leader, struct ow_execution *execution, uint64_t revision)
 {
     struct ow_job *job = execution->job;
     /* The watch may have told of the record before the answer to its write came. */
-    if (job->state != OW_JOB_CANCELLED)
-        g_info("job %s done", job->id);
+    bool is_cancelled = job->state == OW_JOB_CANCELLED;
+    if (!is_cancelled)
+        g_info("job done: job=%s", job->id);
     ow_execution_drop(leader, execution);
-    enum ow_job_state state = job->state == OW_JOB_CANCELLED ? OW_JOB_CANCELLED : OW_JOB_DONE;
-    ow_jobs_apply(leader->core->jobs, job->id, revision, state, NULL, leader->core->now, 0);
+    ow_jobs_apply(leader->core->jobs, job->id, revision, is_cancelled ? OW_JOB_CANCELLED : OW_JOB_DONE, NULL,
+                  leader->core->now, 0);
 }
 
 static void commit(struct ow_leader *leader, uint64_t revision)
 {
-    GPtrArray *sent = take_sent(leader->recorder);
-    for (guint i = 0; i < sent->len; i++) {
-        const struct ow_write *write = g_ptr_array_index(sent, i);
+    g_autoptr(GPtrArray) writes = take_writes(leader->recorder);
+    for (guint i = 0; i < writes->len; i++) {
+        const struct ow_write *write = g_ptr_array_index(writes, i);
         if (write->kind == OW_WRITE_RECORD_VALUE)
             commit_record_value(leader, write->record_value, revision);
         else if (write->execution != NULL)
-            commit_finish(leader, write->execution, revision);
+            commit_final_record(leader, write->execution, revision);
     }
-    g_ptr_array_free(sent, TRUE);
 }
 
-/* ---- checks of versions that a failed transaction expected ---- */
+/* ---- conflict: the mod_revisions that the transaction expected are read again ---- */
 
-static void read_version(struct ow_leader *leader, const char *key);
+static void read_mod_revision(struct ow_leader *leader, const char *key);
 
 static struct ow_record_value *record_value_of_key(const struct ow_leader *leader, const char *key)
 {
@@ -101,91 +103,71 @@
     return ow_record_values_find(leader, (uint32_t)number);
 }
 
-static void on_version(void *owner, void *data, const struct ow_event *answer)
+static void on_mod_revision(void *owner, void *data, const struct ow_event *answer)
 {
     struct ow_leader *leader = owner;
     const char *key = data;
-    int status = answer->store.status;
-    if (status != 200 && status != 404) {
-        /* Nothing is written before the versions are known again. */
-        read_version(leader, key);
+    const struct ow_store_reply *reply = &answer->store;
+    bool exists = reply->status == OW_HTTP_STATUS_OK;
+    if (!exists && reply->status != OW_HTTP_STATUS_NOT_FOUND) {
+        /* Nothing is written before the mod_revisions are known again. */
+        read_mod_revision(leader, key);
         return;
     }
-    leader->recorder->version_checks--;
+    leader->recorder->mod_revision_reads--;
     struct ow_record_value *record_value = record_value_of_key(leader, key);
     if (record_value == NULL)
         return;
-    record_value->version = 0;
-    if (status == 200)
-        record_value->version = g_array_index(answer->store.items, struct ow_store_item, 0).mod_revision;
+    record_value->mod_revision =
+        exists ? g_array_index(reply->items, struct ow_store_item, 0).mod_revision : 0;
 }
 
-static void read_version(struct ow_leader *leader, const char *key)
+static void read_mod_revision(struct ow_leader *leader, const char *key)
 {
     struct ow_store_request *request = ow_store_request_new(OW_STORE_GET, key);
-    ow_core_call_store(leader->core, request, on_version, leader, g_strdup(key), g_free);
+    ow_core_call_store(leader->core, request, on_mod_revision, leader, g_strdup(key), g_free);
 }
 
-static void on_job_fresh(struct ow_core *core, void *data, bool ok)
+/* `data` is the fencing token of the leader that asked: it may not lead any more. */
+static void on_jobs_refreshed(struct ow_core *core, void *data, bool ok)
 {
     struct ow_leader *leader = core->leader;
     const uint64_t *fencing_token = data;
     (void)ok; /* if the read failed, the write fails again and the job is read again */
     if (leader == NULL || leader->fencing_token != *fencing_token)
         return;
-    leader->recorder->version_checks--;
+    leader->recorder->mod_revision_reads--;
     ow_leader_request_cycle(leader);
 }
 
-/* Learns the version of a record that was not as the transaction expected. */
-static void check_version(struct ow_leader *leader, const char *key)
+/* Learns the mod_revision of a key whose comparison did not hold. */
+static void refresh_mod_revision(struct ow_leader *leader, const char *key)
 {
-    leader->recorder->version_checks++;
+    leader->recorder->mod_revision_reads++;
     if (!g_str_has_prefix(key, OW_KEY_JOBS)) {
-        read_version(leader, key);
+        read_mod_revision(leader, key);
         return;
     }
-    uint64_t *fencing_token = g_new(uint64_t, 1);
-    *fencing_token = leader->fencing_token;
-    ow_job_cache_refresh(leader->core->job_cache, on_job_fresh, fencing_token);
+    uint64_t *fencing_token = g_memdup2(&leader->fencing_token, sizeof leader->fencing_token);
+    ow_job_cache_refresh(leader->core->job_cache, on_jobs_refreshed, fencing_token);
 }
 
-/* ---- failure ---- */
-
-static void requeue_record_value(struct ow_leader *leader, const struct ow_write *write)
+static void refresh_failed_keys(struct ow_leader *leader, const struct ow_store_reply *reply)
 {
-    for (guint i = 0; i < write->record_value->chunks->len; i++) {
-        struct ow_chunk *chunk = g_ptr_array_index(write->record_value->chunks, i);
-        chunk->dirty = chunk->dirty || chunk->writing;
-        chunk->writing = false;
-    }
-    ow_write_queue_add_record_value(leader->recorder->queue, write->record_value, write->order,
-                                    write->due_at);
+    if (reply->failed_keys == NULL)
+        return;
+    for (char **key = reply->failed_keys; *key != NULL; key++)
+        refresh_mod_revision(leader, *key);
 }
 
-/* Queues everything again: a record is made anew from the state at the time it is written. */
-static void requeue(struct ow_leader *leader)
-{
-    GPtrArray *sent = take_sent(leader->recorder);
-    for (guint i = 0; i < sent->len; i++) {
-        const struct ow_write *write = g_ptr_array_index(sent, i);
-        if (write->kind == OW_WRITE_RECORD_VALUE) {
-            requeue_record_value(leader, write);
-        } else if (write->execution != NULL) {
-            write->execution->finishing =
-                false; /* the scheduling cycle finishes it again, if it is still over */
-            ow_leader_request_cycle(leader);
-        }
-    }
-    g_ptr_array_free(sent, TRUE);
-}
+/* ---- refusal for its size ---- */
 
 /* Record values that can't be made smaller yet wait, so that all others are written meanwhile. */
 static bool postpone_refused(struct ow_recorder *recorder, double until)
 {
     bool postponed = false;
-    for (guint i = 0; i < recorder->sent->len; i++) {
-        const struct ow_write *write = g_ptr_array_index(recorder->sent, i);
+    for (guint i = 0; i < recorder->writes_in_flight->len; i++) {
+        const struct ow_write *write = g_ptr_array_index(recorder->writes_in_flight, i);
         if (write->kind != OW_WRITE_RECORD_VALUE)
             continue;
         write->record_value->refused_until = until;
@@ -199,48 +181,76 @@
 {
     double now = leader->core->now;
     struct ow_recorder *recorder = leader->recorder;
-    bool smaller = ow_store_limits_refused(&leader->core->store_limits, recorder->sent_mutations,
-                                           recorder->sent_largest);
-    g_warning("the state service refuses a write of %u changes, the largest of %zu bytes; %s",
-              recorder->sent_mutations, recorder->sent_largest,
-              smaller ? "the next ones are smaller" : "it can't be made smaller");
-    bool others_may_go = smaller || postpone_refused(recorder, now + REFUSED_S);
-    recorder->next_at = now + (others_may_go ? RETRY_S : REFUSED_S);
+    bool is_smaller = ow_store_limits_shrink(&leader->core->store_limits, recorder->mutations_in_flight,
+                                             recorder->largest_bytes_in_flight);
+    g_warning("transaction refused as too large: count=%u largest_bytes=%zu reason=\"%s\"",
+              recorder->mutations_in_flight, recorder->largest_bytes_in_flight,
+              is_smaller ? "the next ones are smaller" : "it can't be made smaller");
+    bool others_may_go = is_smaller || postpone_refused(recorder, now + REFUSED_RETRY_S);
+    recorder->next_at = now + (others_may_go ? RETRY_S : REFUSED_RETRY_S);
 }
 
-static bool leader_key_has_changed(const struct ow_store_reply *reply)
+/* ---- every failure ---- */
+
+static void requeue_record_value(struct ow_leader *leader, const struct ow_write *write)
 {
-    return reply->status == OW_HTTP_STATUS_CONFLICT && ow_store_reply_failed_on(reply, OW_KEY_LEADER);
+    for (guint i = 0; i < write->record_value->chunks->len; i++) {
+        struct ow_chunk *chunk = g_ptr_array_index(write->record_value->chunks, i);
+        chunk->dirty = chunk->dirty || chunk->writing;
+        chunk->writing = false;
+    }
+    ow_write_queue_add_record_value(leader->recorder->queue, write->record_value, write->order,
+                                    write->due_at);
 }
 
-static void check_failed_versions(struct ow_leader *leader, const struct ow_store_reply *reply)
+/* The scheduling cycle queues the final record again, if the job is still over. */
+static void reopen_execution(struct ow_leader *leader, struct ow_execution *execution)
 {
-    if (reply->failed_keys == NULL)
-        return;
-    for (char **key = reply->failed_keys; *key != NULL; key++)
-        check_version(leader, *key);
+    execution->finishing = false;
+    ow_leader_request_cycle(leader);
 }
 
-void ow_transaction_reply_handle(struct ow_leader *leader, const struct ow_store_reply *reply)
+/* Queues everything again: a record is made anew from the state at the time it is written. */
+static void requeue(struct ow_leader *leader)
 {
-    struct ow_recorder *recorder = leader->recorder;
-    recorder->busy = false;
-    if (reply->status == 200) {
-        commit(leader, reply->revision);
-        return;
-    }
-    if (leader_key_has_changed(reply)) {
-        ow_election_deposed(leader->core->election);
-        return;
+    g_autoptr(GPtrArray) writes = take_writes(leader->recorder);
+    for (guint i = 0; i < writes->len; i++) {
+        const struct ow_write *write = g_ptr_array_index(writes, i);
+        if (write->kind == OW_WRITE_RECORD_VALUE)
+            requeue_record_value(leader, write);
+        else if (write->execution != NULL)
+            reopen_execution(leader, write->execution);
     }
-    /* Without a response it may have been carried out, or may still be: the versions it expects make a
-       second time harmless, and if it was, the next try fails on them and learns the new ones. */
-    recorder->next_at = leader->core->now + RETRY_S;
-    if (reply->status == 400)
+}
+
+static void handle_failure(struct ow_leader *leader, const struct ow_store_reply *reply)
+{
+    leader->recorder->next_at = leader->core->now + RETRY_S;
+    switch (reply->status) {
+    case OW_HTTP_STATUS_BAD_REQUEST:
         shrink_limits(leader);
+        break;
+    case OW_HTTP_STATUS_TOO_MANY_REQUESTS:
+        ow_rate_limiter_empty(&leader->recorder->mutation_limiter, leader->core->now);
+        break;
+    case OW_HTTP_STATUS_CONFLICT:
+        refresh_failed_keys(leader, reply);
+        break;
+    default:
+        /* Without a response it may have been carried out, or may still be: its comparisons make a second
+           time harmless, and if it was, the next try fails on them and learns the present mod_revisions. */
+        break;
+    }
     requeue(leader);
-    if (reply->status == 429)
-        ow_rate_limiter_empty(&recorder->mutations, leader->core->now);
-    if (reply->status == 409)
-        check_failed_versions(leader, reply);
+}
+
+void ow_transaction_reply_handle(struct ow_leader *leader, const struct ow_store_reply *reply)
+{
+    leader->recorder->is_in_flight = false;
+    if (reply->status == OW_HTTP_STATUS_OK)
+        commit(leader, reply->revision);
+    else if (reply->status == OW_HTTP_STATUS_CONFLICT && ow_store_reply_failed_on(reply, OW_KEY_LEADER))
+        ow_election_deposed(leader->core->election);
+    else
+        handle_failure(leader, reply);
 }
--- a/src/core/records/transaction_reply.h
+++ b/src/core/records/transaction_reply.h
@@ -1,12 +1,25 @@
-/* Handling the answer to a transaction: what was written counts from then on, and what was not is queued
- * again. */
+/** @file
+ * Handling the reply to the transaction in flight: what was written counts from then on, and what was not is
+ * queued again.
+ *
+ * What each status means for the recorder:
+ *  - OK: committed. Planned attempts that it records may be launched from now on.
+ *  - CONFLICT on the leader key: another controller leads. This leader is deposed, and may be freed at once.
+ *  - CONFLICT on another key: its last change is not the one that we know of. An earlier transaction without
+ * a response was carried out after all, or (a job's record) another controller recorded a cancellation.
+ * Nothing was written. The present mod_revision is read first; then the writes are sent again, with new
+ * texts.
+ *  - BAD_REQUEST: too large. The limits are lowered, so that the next transactions are smaller.
+ *  - anything else, NONE included: sent again after a pause. It may have been carried out, or may still be;
+ * the comparisons keep it from being applied twice.
+ */
 #ifndef OW_CORE_RECORDS_TRANSACTION_REPLY_H
 #define OW_CORE_RECORDS_TRANSACTION_REPLY_H
 
 struct ow_leader;
 struct ow_store_reply;
 
-/* Applies the answer to the transaction under way. The leader may be freed by it. */
+/** Applies the reply to the transaction in flight. The leader may be freed by it. */
 void ow_transaction_reply_handle(struct ow_leader *leader, const struct ow_store_reply *reply);
 
 #endif
--- a/src/core/records/write_queue.c
+++ b/src/core/records/write_queue.c
@@ -1,6 +1,6 @@
 #include "core/records/write_queue.h"
 
-#include "core/records/record_values.h"
+#include "core/records/record_value.h"
 
 struct ow_write_queue {
     GPtrArray *writes; /* struct ow_write */
@@ -52,10 +52,10 @@
     queued->due_at = MIN(queued->due_at, due_at);
 }
 
-void ow_write_queue_add_finish(struct ow_write_queue *queue, struct ow_execution *execution, int order,
-                               double due_at)
+void ow_write_queue_add_final_record(struct ow_write_queue *queue, struct ow_execution *execution, int order,
+                                     double due_at)
 {
-    struct ow_write *write = add(queue, OW_WRITE_FINISH, order, due_at);
+    struct ow_write *write = add(queue, OW_WRITE_FINAL_RECORD, order, due_at);
     write->execution = execution;
 }
 
--- a/src/core/records/write_queue.h
+++ b/src/core/records/write_queue.h
@@ -1,5 +1,10 @@
-/* The queue of writes: which records have to be written, how urgently, and from when on. It holds at most
- * one write for each record value, and owns the writes in it. */
+/** @file
+ * The queue of writes: which records have to be written, how urgently, and from when on.
+ *
+ * It holds at most one write for each record value (`ow_record_value.queued`) and owns the writes in it. It
+ * knows nothing of texts and transactions: a record is encoded only when its write is taken out, from the
+ * state of then.
+ */
 #ifndef OW_CORE_RECORDS_WRITE_QUEUE_H
 #define OW_CORE_RECORDS_WRITE_QUEUE_H
 
@@ -9,38 +14,50 @@
 struct ow_execution;
 struct ow_write_queue;
 
-enum ow_write_kind { OW_WRITE_RECORD_VALUE, OW_WRITE_FINISH };
+/** What a write records. */
+enum ow_write_kind {
+    OW_WRITE_RECORD_VALUE, /**< the progress records of a record value */
+    OW_WRITE_FINAL_RECORD, /**< how a job ended */
+};
 
-/* The urgency of writes: a lower order is written first. Launches stand between OW_ORDER_FINISH and
-   OW_ORDER_LAZY, by the rank of their job. */
-enum { OW_ORDER_FINISH = 5, OW_ORDER_LAZY = 100, OW_ORDER_TIDY = 200 };
+/** The urgency of writes: a lower order is written first. Final records come first, for users wait for them
+   and they free what the job held; then launches by the rank of their job; then progress that nobody waits
+   for. */
+enum ow_write_order {
+    OW_ORDER_FINAL_RECORD = 5,
+    OW_ORDER_LAUNCH = 10, /**< of the most urgent rank */
+    OW_ORDER_PROGRESS = 100,
+    OW_ORDER_BACKGROUND = 200, /**< tidying: values that hold records of jobs that are over */
+};
 
+/** A write that waits in the queue, or is in the transaction in flight. */
 struct ow_write {
     enum ow_write_kind kind;
-    struct ow_execution *execution;       /* of OW_WRITE_FINISH; NULL once the run is gone */
-    struct ow_record_value *record_value; /* of OW_WRITE_RECORD_VALUE */
-    double due_at;                        /* it need not be written before this time */
-    int order;
+    struct ow_execution *execution;       /**< of a final record; NULL once the execution is gone */
+    struct ow_record_value *record_value; /**< of a record value */
+    double due_at;                        /**< it need not be written before this time */
+    int order;                            /**< enum ow_write_order, or between two of them for launches */
 };
 
-/* An empty queue; freed by ow_write_queue_free(). */
+/** An empty queue; freed by ow_write_queue_free(). */
 struct ow_write_queue *ow_write_queue_new(void);
+/** Frees the queue with its writes. */
 void ow_write_queue_free(struct ow_write_queue *queue);
-/* How many writes wait. */
+/** How many writes wait. */
 guint ow_write_queue_length(const struct ow_write_queue *queue);
-/* The write at a position below the length; the queue goes on owning it. */
+/** The write at a position below the length; the queue goes on owning it. */
 struct ow_write *ow_write_queue_at(const struct ow_write_queue *queue, guint position);
-/* Queues the record value. If it is queued already, the more urgent order and the earlier time count. */
+/** Queues the record value. If it is queued already, the more urgent order and the earlier time count. */
 void ow_write_queue_add_record_value(struct ow_write_queue *queue, struct ow_record_value *record_value,
                                      int order, double due_at);
-/* Queues the final record of the run's job. */
-void ow_write_queue_add_finish(struct ow_write_queue *queue, struct ow_execution *execution, int order,
-                               double due_at);
-/* Sorts the queue: the most urgent order first, within it the earliest time. */
+/** Queues the final record of the execution's job. */
+void ow_write_queue_add_final_record(struct ow_write_queue *queue, struct ow_execution *execution, int order,
+                                     double due_at);
+/** Sorts the queue: the most urgent order first, within it the earliest time. */
 void ow_write_queue_sort(struct ow_write_queue *queue);
-/* Takes the write at a position out of the queue; the caller frees it with g_free(). */
+/** Takes the write at a position out of the queue; the caller frees it with g_free(). */
 struct ow_write *ow_write_queue_take(struct ow_write_queue *queue, guint position);
-/* Removes the writes of a run that is about to be freed. */
+/** Removes the writes of an execution that is about to be freed. */
 void ow_write_queue_remove_execution(struct ow_write_queue *queue, const struct ow_execution *execution);
 
 #endif
--- a/src/core/scheduling/placement.c
+++ b/src/core/scheduling/placement.c
@@ -139,7 +139,7 @@
     /* A replica has no end: what is not stopped for others must be complete some day. */
     attempt->not_preemptible = (execution->starves || execution->aged) && !ow_execution_is_service(execution);
     ow_machine_image_use(leader, machine, execution->job->spec, false);
-    ow_recorder_chunk(leader, execution, task, true);
+    ow_recorder_queue_urgent(leader, execution, task);
     g_debug("task %s/%u attempt %" G_GUINT64_FORMAT " placed on %s", execution->job->id, task, number,
             machine->name);
 }
--- a/src/core/scheduling/schedule.c
+++ b/src/core/scheduling/schedule.c
@@ -44,7 +44,7 @@
     if (execution->attempts->len > 0)
         return;
     if (job->state == OW_JOB_CANCELLED || execution->done == execution->count)
-        ow_recorder_finish(leader, execution);
+        ow_recorder_queue_final_record(leader, execution);
 }
 
 /* Takes a job that needs GPUs into what the cycle knows of GPU jobs. */
--- a/src/model/records.h
+++ b/src/model/records.h
@@ -1,12 +1,15 @@
-/* What the key-value store keeps for us, as plain data.
+/** @file
+ * What the key-value store keeps for us, as plain data. wire/records_json.h has the texts.
  *
- *   coordinator      who leads; attached to a short lease
- *   format           the newest format of records that every controller reads; absent: 1
+ * Keys:
+ *   coordinator      who leads; deleted when the leader's short lease expires
+ *   format           the newest format of records that every controller reads; absent: OW_FORMAT_FIRST
  *   types            the machine types last seen
  *   j/<id>           a job: its submission, or how it ended (a tombstone, kept forever)
- *   p/<number>       progress of runs of tasks, several in one value, by "<id>/<chunk>", or
- *                    "<id>/<chunk>.<tasks>" where a run has not 256 tasks: what is done, which
- *                    attempts may exist, and where. Of a record found in two values the newer value's counts
+ *   p/<number>       progress records of chunks of tasks, several in one value, by "<id>/<chunk>", or
+ *                    "<id>/<chunk>.<tasks>" where a chunk has not OW_CHUNK_MAX_TASKS tasks: what is done,
+ * which attempts may exist, and where. Of a record that is found in two values the one in the value with the
+ * higher mod_revision counts.
  */
 #ifndef OW_MODEL_RECORDS_H
 #define OW_MODEL_RECORDS_H
@@ -22,31 +25,35 @@
 #define OW_KEY_JOBS "j/"
 #define OW_KEY_PROGRESS "p/"
 
-/* Formats of records and messages. Before every controller is known to read FINE, progress is recorded in
-   runs of 256 tasks; with it in runs as small as values have to be, whose size stands in their name. */
-enum { OW_FORMAT_FIRST = 1, OW_FORMAT_FINE = 2 };
-/* The tasks of a chunk in the first format, the most that a chunk may have; and the fewest. */
-enum { OW_CHUNK_TASKS = 256, OW_LEAST_CHUNK_TASKS = 8 };
+/** Formats of records and messages. Before every controller is known to read SMALL_CHUNKS, progress is
+   recorded in chunks of OW_CHUNK_MAX_TASKS tasks; with it in chunks as small as the limit of a value asks
+   for, whose size is part of the record's name. */
+enum ow_format { OW_FORMAT_FIRST = 1, OW_FORMAT_SMALL_CHUNKS = 2 };
+/** The most tasks of a chunk, which is the size of all chunks in the first format; and the fewest. */
+enum { OW_CHUNK_MAX_TASKS = 256, OW_CHUNK_MIN_TASKS = 8 };
 
+/** A job as it is recorded. */
 struct ow_job_record {
-    enum ow_job_state state;          /* queued stands for every job that is not over */
-    double accepted_at;               /* time of day; 0: not recorded */
-    uint64_t leader_fencing_token;    /* of a cancelled one: who led when that was recorded */
-    struct ow_submission *submission; /* NULL once over and no task of it may be left */
+    enum ow_job_state state;          /**< OW_JOB_QUEUED stands for every job that is not over */
+    double accepted_at;               /**< time of day in seconds; 0: not recorded */
+    uint64_t leader_fencing_token;    /**< of a cancelled one: who led when that was recorded */
+    struct ow_submission *submission; /**< NULL once over and no task of it may be left */
 };
 
+/** An attempt that may exist. */
 struct ow_live_record {
     uint32_t task;
-    uint64_t attempt;
-    const char *machine;
-    uint64_t incarnation;
+    uint64_t attempt;     /**< its number */
+    const char *machine;  /**< a name, owned by whoever owns the record's other texts */
+    uint64_t incarnation; /**< the worker's incarnation that it belongs to */
 };
 
+/** The progress of the tasks of a chunk. */
 struct ow_progress_record {
-    uint64_t last_attempt;    /* no attempt number up to it may be used again */
-    GArray *done;             /* uint32_t task numbers, ascending */
-    GArray *live;             /* struct ow_live_record, grouped by machine and incarnation */
-    GPtrArray *machine_names; /* the texts of `live`, if they are the record's own; else NULL */
+    uint64_t last_attempt;    /**< no attempt number up to it may be used again */
+    GArray *done;             /**< uint32_t task numbers, ascending; owned */
+    GArray *live;             /**< struct ow_live_record, grouped by machine and incarnation; owned */
+    GPtrArray *machine_names; /**< the machines of `live`, if they are the record's own; else NULL */
 };
 
 #endif
--- a/src/wire/records_json.c
+++ b/src/wire/records_json.c
@@ -207,7 +207,7 @@
 {
     /* Ids of jobs need no escaping: they are checked on submission. */
     g_string_append_printf(text, "%c\"%s/%u", text->len == 0 ? '{' : ',', job, chunk);
-    if (tasks != OW_CHUNK_TASKS)
+    if (tasks != OW_CHUNK_MAX_TASKS)
         g_string_append_printf(text, ".%u", tasks);
     g_string_append_printf(text, "\":%s", record);
 }
@@ -220,7 +220,7 @@
 char *wire_progress_name_decode(const char *name, uint32_t *chunk, uint32_t *tasks)
 {
     const char *slash = strrchr(name, '/');
-    guint64 index = 0, size = OW_CHUNK_TASKS;
+    guint64 index = 0, size = OW_CHUNK_MAX_TASKS;
     if (slash == NULL)
         return NULL;
     char **parts = g_strsplit(slash + 1, ".", 2);
--- a/src/wire/records_json.h
+++ b/src/wire/records_json.h
@@ -25,7 +25,7 @@
 void wire_progress_record_clear(struct ow_progress_record *record);
 
 /* Several of them in one value: "<job>/<chunk>" -> record, or "<job>/<chunk>.<tasks>" where chunks have not
-   OW_CHUNK_TASKS. Records are added one by one, then comes the end. */
+   OW_CHUNK_MAX_TASKS. Records are added one by one, then comes the end. */
 void wire_progress_value_add(GString *text, const char *job, uint32_t chunk, uint32_t tasks,
                              const char *record);
 void wire_progress_value_end(GString *text);
--- a/tests/test_production_format.c
+++ b/tests/test_production_format.c
@@ -125,7 +125,7 @@
         struct ow_progress_record record;
         uint32_t chunk = 0, tasks = 0;
         char *job = wire_progress_name_decode(name, &chunk, &tasks);
-        assert_int_equal(tasks, OW_CHUNK_TASKS);
+        assert_int_equal(tasks, OW_CHUNK_MAX_TASKS);
         assert_true(wire_progress_record_decode(value, &record));
         char *record_text = wire_progress_record_encode(&record);
         wire_progress_value_add(again, job, chunk, tasks, record_text);
--- a/tests/test_records.c
+++ b/tests/test_records.c
@@ -59,7 +59,7 @@
     struct ow_progress_record record = {UINT64_C(1) << 40, g_array_new(FALSE, FALSE, sizeof(uint32_t)),
                                         g_array_new(FALSE, FALSE, sizeof(struct ow_live_record)), NULL};
     /* Every task runs on a different machine. */
-    for (uint32_t task = 99000; task < 99000 + OW_CHUNK_TASKS; task++) {
+    for (uint32_t task = 99000; task < 99000 + OW_CHUNK_MAX_TASKS; task++) {
         char name[16];
         g_snprintf(name, sizeof name, "n-%06u", task);
         add_live(record.live, task, 1000 + task % 7, g_intern_string(name), 1);
