--- a/src/core/api/job_reply.c
+++ b/src/core/api/job_reply.c
@@ -13,6 +13,6 @@
     effect->state = !over && job->running > 0 ? OW_JOB_RUNNING : job->state;
     effect->done = over ? OW_UNCOUNTED : job->done;
     effect->running = over ? OW_UNCOUNTED : job->running;
-    effect->text = g_strdup(job->reason);
+    effect->reason = g_strdup(job->reason);
     ow_core_emit(core, effect);
 }
--- a/src/core/core.c
+++ b/src/core/core.c
@@ -115,8 +115,8 @@
         ow_heartbeat_answer(core->leader, event->request, event->heartbeat);
         return;
     }
-    struct ow_effect *effect = ow_effect_new(OW_EFFECT_MISDIRECT, event->request);
-    effect->text = g_strdup(ow_election_leader_name(core->election));
+    struct ow_effect *effect = ow_effect_new(OW_EFFECT_REDIRECT, event->request);
+    effect->redirect_to = g_strdup(ow_election_leader_name(core->election));
     ow_core_emit(core, effect);
 }
 
--- a/src/core/machines/worker_commands.c
+++ b/src/core/machines/worker_commands.c
@@ -137,13 +137,13 @@
 
 static void send_direct(struct ow_leader *leader, struct ow_machine *machine)
 {
-    struct ow_effect *effect = ow_effect_new(OW_EFFECT_DIRECT, 0);
+    struct ow_effect *effect = ow_effect_new(OW_EFFECT_DIRECT_COMMANDS, 0);
     struct direct_call *call = g_new0(struct direct_call, 1);
     *call = (struct direct_call){g_strdup(machine->name), leader->core->now, is_unheard(machine)};
     leader->probes += call->is_probe ? 1 : 0;
     machine->direct_busy = true;
     effect->commands = ow_worker_commands_for(leader, machine, machine->direct_launches);
-    effect->text = g_strdup(machine->addr);
+    effect->addr = g_strdup(machine->addr);
     effect->fencing_token = leader->fencing_token;
     effect->incarnation = MAX(machine->incarnation, 1);
     effect->request =
--- a/src/io/daemon.c
+++ b/src/io/daemon.c
@@ -96,10 +96,10 @@
     case OW_EFFECT_TEAMS:
     case OW_EFFECT_REFUSE:
     case OW_EFFECT_WORKER_COMMANDS:
-    case OW_EFFECT_MISDIRECT:
+    case OW_EFFECT_REDIRECT:
         ow_incoming_answer(daemon, effect);
         break;
-    case OW_EFFECT_DIRECT:
+    case OW_EFFECT_DIRECT_COMMANDS:
     case OW_EFFECT_STORE:
     case OW_EFFECT_CLOUD:
         ow_outgoing_send(daemon, effect);
--- a/src/io/incoming.c
+++ b/src/io/incoming.c
@@ -188,14 +188,14 @@
         .state = effect->state,
         .done = effect->done,
         .running = effect->running,
-        .reason = effect->text,
+        .reason = effect->reason,
     };
     answer(daemon, effect->request, effect->status, wire_job_view_encode(&view));
 }
 
 static void answer_refusal(struct ow_daemon *daemon, const struct ow_effect *effect)
 {
-    g_autofree char *body = wire_error_encode(effect->text);
+    g_autofree char *body = wire_error_encode(effect->error);
     g_autofree char *headers = NULL;
     if (effect->retry_after_s > 0)
         headers = g_strdup_printf("Retry-After: %d\r\n", effect->retry_after_s);
@@ -218,8 +218,9 @@
         answer(daemon, effect->request, OW_HTTP_STATUS_OK,
                wire_worker_commands_encode(effect->fencing_token, effect->commands));
         break;
-    case OW_EFFECT_MISDIRECT:
-        answer(daemon, effect->request, OW_HTTP_STATUS_MISDIRECTED, wire_redirect_encode(effect->text));
+    case OW_EFFECT_REDIRECT:
+        answer(daemon, effect->request, OW_HTTP_STATUS_MISDIRECTED,
+               wire_redirect_encode(effect->redirect_to));
         break;
     default:
         break;
--- a/src/io/outgoing.c
+++ b/src/io/outgoing.c
@@ -194,7 +194,7 @@
 
 static void send_direct(struct ow_daemon *daemon, const struct ow_effect *effect)
 {
-    const char *endpoint = effect->text;
+    const char *endpoint = effect->addr;
     ow_outgoing_bound_sockets(daemon);
     if (!ow_http_client_has_room(daemon->client, endpoint)) {
         give_up_direct(daemon, effect);
@@ -214,7 +214,7 @@
 void ow_outgoing_send(struct ow_daemon *daemon, const struct ow_effect *effect)
 {
     switch (effect->kind) {
-    case OW_EFFECT_DIRECT:
+    case OW_EFFECT_DIRECT_COMMANDS:
         send_direct(daemon, effect);
         break;
     case OW_EFFECT_STORE:
--- a/src/model/effect.c
+++ b/src/model/effect.c
@@ -14,30 +14,31 @@
     return effect;
 }
 
-void ow_effect_refuse(struct ow_effect *effect, int status, const char *text, int retry_after_s)
+void ow_effect_refuse(struct ow_effect *effect, int status, const char *error, int retry_after_s)
 {
     effect->kind = OW_EFFECT_REFUSE;
     effect->status = status;
-    g_free(effect->text);
-    effect->text = g_strdup(text);
+    g_free(effect->error);
+    effect->error = g_strdup(error);
     effect->retry_after_s = retry_after_s;
 }
 
-void ow_effect_refuse_temporarily(struct ow_effect *effect, const char *text)
+void ow_effect_refuse_temporarily(struct ow_effect *effect, const char *error)
 {
-    ow_effect_refuse(effect, OW_HTTP_STATUS_UNAVAILABLE, text, RETRY_AFTER_S);
+    ow_effect_refuse(effect, OW_HTTP_STATUS_UNAVAILABLE, error, RETRY_AFTER_S);
 }
 
-void ow_effect_free(void *item)
+void ow_effect_free(void *effect)
 {
-    struct ow_effect *effect = item;
-    g_free(effect->text);
-    if (effect->commands != NULL)
-        g_array_free(effect->commands, TRUE);
-    if (effect->teams != NULL)
-        g_array_free(effect->teams, TRUE);
-    ow_store_request_free(effect->store);
-    ow_cloud_request_free(effect->cloud);
-    ow_peer_message_free(effect->peer);
-    g_free(effect);
+    struct ow_effect *freed = effect;
+    g_free(freed->reason);
+    g_free(freed->error);
+    g_clear_pointer(&freed->teams, g_array_unref);
+    g_free(freed->redirect_to);
+    g_clear_pointer(&freed->commands, g_array_unref);
+    g_free(freed->addr);
+    ow_store_request_free(freed->store);
+    ow_cloud_request_free(freed->cloud);
+    ow_peer_message_free(freed->peer);
+    g_free(freed);
 }
--- a/src/model/effect.h
+++ b/src/model/effect.h
@@ -1,5 +1,8 @@
-/* What the core wants done outside: answers, and requests to other services. An effect is owned by the array
- * that holds it. */
+/** @file
+ * Effects: what the core wants done outside, that is answers and requests to other services. Plain data.
+ *
+ * An effect is owned by the array that holds it. The core only describes effects; src/io carries them out.
+ */
 #ifndef OW_MODEL_EFFECT_H
 #define OW_MODEL_EFFECT_H
 
@@ -12,54 +15,77 @@
 #include <stdbool.h>
 #include <stdint.h>
 
+/** What the jobs of a team use and wait for. */
 struct ow_team_view {
-    const char *name; /* the settings' */
-    struct ow_resources running, waiting;
-    unsigned jobs, waiting_jobs;
+    const char *name; /**< the settings', which must outlive the view */
+    struct ow_resources running;
+    struct ow_resources waiting;
+    unsigned jobs;         /**< that are not over */
+    unsigned waiting_jobs; /**< of these, those that wait for machines */
 };
 
+/** What is to be done. */
 enum ow_effect_kind {
-    OW_EFFECT_JOB,             /* answer a user with the state of a job */
-    OW_EFFECT_TEAMS,           /* answer a user with what teams use and wait for */
-    OW_EFFECT_REFUSE,          /* answer a user with an error */
-    OW_EFFECT_WORKER_COMMANDS, /* answer a heartbeat with commands */
-    OW_EFFECT_MISDIRECT,       /* tell a worker where to report */
-    OW_EFFECT_DIRECT,          /* give a worker commands at its own address */
-    OW_EFFECT_STORE,
-    OW_EFFECT_CLOUD,
-    OW_EFFECT_PEER,
+    OW_EFFECT_JOB,             /**< answer a user with the state of a job */
+    OW_EFFECT_TEAMS,           /**< answer a user with what teams use and wait for */
+    OW_EFFECT_REFUSE,          /**< answer a request with an error */
+    OW_EFFECT_WORKER_COMMANDS, /**< answer a heartbeat with commands */
+    OW_EFFECT_REDIRECT,        /**< answer a heartbeat with the controller that leads */
+    OW_EFFECT_DIRECT_COMMANDS, /**< send an agent commands at its own address */
+    OW_EFFECT_STORE,           /**< send a request to the key-value store */
+    OW_EFFECT_CLOUD,           /**< send a request to the cloud */
+    OW_EFFECT_PEER,            /**< send a message to other controllers */
 };
 
+/** Something to be done outside. It owns its texts and lists; those of other kinds are NULL. */
 struct ow_effect {
     enum ow_effect_kind kind;
-    uint64_t request; /* whom to answer, or the tag of a direct command */
-    int status;
-    /* job */
+    uint64_t request; /**< the request to answer, or the tag of direct commands and of calls; 0: none */
+    int status;       /**< OW_EFFECT_JOB, TEAMS, REFUSE: the HTTP status */
+    /* OW_EFFECT_JOB */
     char id[OW_ID_MAX + 1];
     enum ow_job_state state;
-    int done, running;
-    char *text; /* the reason a job waits; an error; a controller; an address */
-    int retry_after_s;
-    /* commands */
-    uint64_t fencing_token, incarnation;
-    GArray *commands; /* struct ow_worker_command */
-    GArray *teams;    /* struct ow_team_view */
+    int done;     /**< tasks; OW_UNCOUNTED: left out */
+    int running;  /**< tasks; OW_UNCOUNTED: left out */
+    char *reason; /**< why the job waits; NULL: none */
+    /* OW_EFFECT_REFUSE */
+    char *error;       /**< what is told */
+    int retry_after_s; /**< when to try again; 0: it is not told */
+    /* OW_EFFECT_TEAMS */
+    GArray *teams; /**< struct ow_team_view */
+    /* OW_EFFECT_REDIRECT */
+    char *redirect_to; /**< name of a controller; NULL: unknown */
+    /* OW_EFFECT_WORKER_COMMANDS, OW_EFFECT_DIRECT_COMMANDS */
+    uint64_t fencing_token;
+    GArray *commands; /**< struct ow_worker_command; NULL: none */
+    /* OW_EFFECT_DIRECT_COMMANDS */
+    uint64_t incarnation; /**< of the agent that is meant; any other refuses the commands */
+    char *addr;           /**< host:port of the agent */
+    /* OW_EFFECT_STORE, OW_EFFECT_CLOUD, OW_EFFECT_PEER */
     struct ow_store_request *store;
     struct ow_cloud_request *cloud;
     struct ow_peer_message *peer;
 };
 
-/* A new effect that answers or carries `request` (0: none), without counts of tasks; owned by the caller. */
+/**
+ * Creates an effect without counts of tasks.
+ * @param request what it answers or carries; 0: none
+ * @return owned by the caller
+ */
 struct ow_effect *ow_effect_new(enum ow_effect_kind kind, uint64_t request);
+
 /**
- * Makes the effect an answer of HTTP status `status` with an error text, which is copied.
- *
- * @param retry_after_s after how many seconds the caller may try again; 0: it isn't told.
+ * Makes the effect an answer with an error.
+ * @param status HTTP status
+ * @param error what is told; copied
+ * @param retry_after_s after how many seconds the caller may try again; 0: it is not told
  */
-void ow_effect_refuse(struct ow_effect *effect, int status, const char *text, int retry_after_s);
-/** Makes the effect a refusal by 503, to be tried again after a second. The text is copied. */
-void ow_effect_refuse_temporarily(struct ow_effect *effect, const char *text);
-/* Frees an effect with all that it holds; the free function of arrays of effects. */
-void ow_effect_free(void *item);
+void ow_effect_refuse(struct ow_effect *effect, int status, const char *error, int retry_after_s);
+
+/** Makes the effect a refusal with status 503, to be tried again after a second. @param error copied */
+void ow_effect_refuse_temporarily(struct ow_effect *effect, const char *error);
+
+/** Frees a struct ow_effect with all that it holds: the free function of arrays of effects. */
+void ow_effect_free(void *effect);
 
 #endif
--- a/src/sharding/effect_guard.c
+++ b/src/sharding/effect_guard.c
@@ -43,7 +43,7 @@
         /* The worker turns to another controller, as it does when one is not entitled to act. */
         ow_effect_refuse_temporarily(effect, "this controller does not know whether it still leads");
         return true;
-    case OW_EFFECT_DIRECT:
+    case OW_EFFECT_DIRECT_COMMANDS:
         return guard_direct(effect, verdict, refusal);
     case OW_EFFECT_CLOUD:
         return guard_cloud(effect, refusal);
--- a/src/sharding/request_router.c
+++ b/src/sharding/request_router.c
@@ -201,14 +201,14 @@
 static void explain_waiting(const struct ow_shard *shard, struct ow_effect *effect)
 {
     bool is_queued = effect->kind == OW_EFFECT_JOB && effect->state == OW_JOB_QUEUED;
-    bool waits = is_queued || (effect->kind == OW_EFFECT_JOB && effect->text != NULL);
+    bool waits = is_queued || (effect->kind == OW_EFFECT_JOB && effect->reason != NULL);
     char *reason = waits ? ow_handover_reason(&shard->handover, shard->name) : NULL;
-    if (reason == NULL && is_queued && effect->text == NULL)
+    if (reason == NULL && is_queued && effect->reason == NULL)
         reason = g_strdup_printf("is new to the controller of shard %s", shard->name);
     if (reason == NULL)
         return;
-    g_free(effect->text);
-    effect->text = reason;
+    g_free(effect->reason);
+    effect->reason = reason;
 }
 
 bool ow_request_router_forward(struct ow_request_router *router, const struct ow_shard *shard,
--- a/src/sharding/shard.c
+++ b/src/sharding/shard.c
@@ -123,7 +123,7 @@
         effect->cloud->tag = outer_tag(shard, effect->cloud->tag);
         effect->request = effect->cloud->tag;
         break;
-    case OW_EFFECT_DIRECT:
+    case OW_EFFECT_DIRECT_COMMANDS:
         effect->request = outer_tag(shard, effect->request);
         break;
     case OW_EFFECT_PEER:
--- a/tests/effect_line.c
+++ b/tests/effect_line.c
@@ -27,20 +27,20 @@
 
 static char *job_body(const struct ow_effect *effect)
 {
-    struct wire_job_view view = {effect->id, effect->state, effect->done, effect->running, effect->text};
+    struct wire_job_view view = {effect->id, effect->state, effect->done, effect->running, effect->reason};
     return wire_job_view_encode(&view);
 }
 
 static void append_refusal(GString *line, const struct ow_effect *effect)
 {
-    append_answer(line, effect, "refusal", wire_error_encode(effect->text));
+    append_answer(line, effect, "refusal", wire_error_encode(effect->error));
     if (effect->retry_after_s > 0)
         g_string_append_printf(line, " retry-after %d", effect->retry_after_s);
 }
 
 static void append_direct(GString *line, const struct ow_effect *effect)
 {
-    g_string_append_printf(line, "direct %s", effect->text);
+    g_string_append_printf(line, "direct %s", effect->addr);
     append_body(line,
                 wire_direct_commands_encode(effect->fencing_token, effect->incarnation, effect->commands));
 }
@@ -104,10 +104,10 @@
         append_answer(line, effect, "commands",
                       wire_worker_commands_encode(effect->fencing_token, effect->commands));
         break;
-    case OW_EFFECT_MISDIRECT:
-        append_answer(line, effect, "misdirected", wire_redirect_encode(effect->text));
+    case OW_EFFECT_REDIRECT:
+        append_answer(line, effect, "misdirected", wire_redirect_encode(effect->redirect_to));
         break;
-    case OW_EFFECT_DIRECT:
+    case OW_EFFECT_DIRECT_COMMANDS:
         append_direct(line, effect);
         break;
     case OW_EFFECT_STORE:
--- a/tests/sim_cluster.c
+++ b/tests/sim_cluster.c
@@ -156,10 +156,10 @@
         sim_users_take_answer(cluster, effect);
         break;
     case OW_EFFECT_WORKER_COMMANDS:
-    case OW_EFFECT_MISDIRECT:
+    case OW_EFFECT_REDIRECT:
         sim_workers_take_answer(cluster, controller, effect);
         break;
-    case OW_EFFECT_DIRECT:
+    case OW_EFFECT_DIRECT_COMMANDS:
         sim_workers_take_direct(cluster, controller, effect);
         break;
     case OW_EFFECT_STORE:
--- a/tests/sim_users.c
+++ b/tests/sim_users.c
@@ -44,8 +44,9 @@
     uint64_t *key = g_new(uint64_t, 1);
     struct sim_answer *answer = g_new0(struct sim_answer, 1);
     *key = effect->request;
-    *answer = (struct sim_answer){effect->request, effect->status, effect->state, effect->retry_after_s,
-                                  g_strdup(effect->text)};
+    *answer =
+        (struct sim_answer){effect->request, effect->status, effect->state, effect->retry_after_s,
+                            g_strdup(effect->kind == OW_EFFECT_REFUSE ? effect->error : effect->reason)};
     if (effect->kind == OW_EFFECT_JOB)
         check_announcement(cluster, effect->id, effect->state);
     g_hash_table_replace(cluster->answers, key, answer);
--- a/tests/sim_workers.c
+++ b/tests/sim_workers.c
@@ -106,7 +106,7 @@
 
 void sim_workers_take_direct(struct sim_cluster *cluster, int controller, struct ow_effect *effect)
 {
-    struct sim_machine *machine = sim_machine(cluster, effect->text);
+    struct sim_machine *machine = sim_machine(cluster, effect->addr);
     struct ow_event *event = sim_command(OW_EVENT_DIRECT_REPLY, effect->request);
     cluster->directs++;
     if (cluster->no_sockets) {
@@ -168,8 +168,8 @@
         return;
     machine->heartbeat_busy = false;
     machine->heartbeat_at = cluster->now + cluster->settings[0].heartbeat_interval_s;
-    if (effect->kind == OW_EFFECT_MISDIRECT) {
-        int named = effect->text != NULL ? atoi(effect->text + strlen("node-")) : controller;
+    if (effect->kind == OW_EFFECT_REDIRECT) {
+        int named = effect->redirect_to != NULL ? atoi(effect->redirect_to + strlen("node-")) : controller;
         machine->controller = named != controller ? named : (controller + 1) % SIM_CONTROLLERS;
         machine->heartbeat_at = cluster->now + (named != controller ? 0.1 : 1);
         return;
--- a/tests/test_lease_guard.c
+++ b/tests/test_lease_guard.c
@@ -108,7 +108,7 @@
 static void test_keep_alive_takes_launches_out(void **state)
 {
     (void)state;
-    static const enum ow_effect_kind kinds[] = {OW_EFFECT_WORKER_COMMANDS, OW_EFFECT_DIRECT};
+    static const enum ow_effect_kind kinds[] = {OW_EFFECT_WORKER_COMMANDS, OW_EFFECT_DIRECT_COMMANDS};
     for (guint i = 0; i < G_N_ELEMENTS(kinds); i++) {
         struct ow_effect *effect = new_effect(kinds[i]);
         struct ow_event *refusal = NULL;
@@ -130,7 +130,7 @@
     assert_int_equal(heartbeat_answer->kind, OW_EFFECT_REFUSE);
     assert_int_equal(heartbeat_answer->status, REFUSED);
     ow_effect_free(heartbeat_answer);
-    struct ow_effect *direct = new_effect(OW_EFFECT_DIRECT);
+    struct ow_effect *direct = new_effect(OW_EFFECT_DIRECT_COMMANDS);
     assert_true(ow_effect_guard(direct, OW_LEASE_UNPROVEN, &refusal));
     assert_int_equal(refusal->kind, OW_EVENT_DIRECT_REPLY);
     assert_int_equal(refusal->request, 5);
