--- a/src/agent/agent.c
+++ b/src/agent/agent.c
@@ -7,7 +7,7 @@
 #include "model/http_status.h"
 #include "io/net.h"
 #include "model/worker.h"
-#include "wire/agent_json.h"
+#include "wire/worker_json.h"
 #include "wire/user_json.h"
 #include "wire/words.h"
 
--- a/src/agent/tasks.c
+++ b/src/agent/tasks.c
@@ -2,7 +2,7 @@
 
 #include "model/resources.h"
 #include "model/worker.h"
-#include "wire/agent_json.h"
+#include "wire/submission_json.h"
 
 #include <inttypes.h>
 #include <string.h>
--- a/src/core/api/submit.c
+++ b/src/core/api/submit.c
@@ -173,10 +173,10 @@
         create_job(core, request, submission);
 }
 
-void ow_submit_malformed(struct ow_core *core, uint64_t request, const char *id, const char *fault)
+void ow_submit_malformed(struct ow_core *core, uint64_t request, const char *id, const char *error)
 {
     if (ow_jobs_find(core->jobs, id) != NULL)
         ow_poll_job(core, request, id);
     else
-        refuse_unless_known(core, request, id, 400, fault);
+        refuse_unless_known(core, request, id, 400, g_intern_string(error));
 }
--- a/src/core/api/submit.h
+++ b/src/core/api/submit.h
@@ -10,7 +10,8 @@
 
 /* Records the job if it is new and can run some day, and answers. Takes over `submission`. */
 void ow_submit_job(struct ow_core *core, uint64_t request, struct ow_submission *submission);
-/* Handles a submission of which only the id can be read; `fault` must stay valid. */
-void ow_submit_malformed(struct ow_core *core, uint64_t request, const char *id, const char *fault);
+/* Handles a submission of which only the id can be read. `error` says what is wrong; it is one of a limited
+   set of texts, for it is interned. */
+void ow_submit_malformed(struct ow_core *core, uint64_t request, const char *id, const char *error);
 
 #endif
--- a/src/core/core.c
+++ b/src/core/core.c
@@ -125,7 +125,7 @@
     if (event->submission != NULL)
         ow_submit_job(core, event->request, g_steal_pointer(&event->submission));
     else
-        ow_submit_malformed(core, event->request, event->id, event->fault);
+        ow_submit_malformed(core, event->request, event->id, event->submission_error->message);
 }
 
 static void handle_event(struct ow_core *core, struct ow_event *event)
--- a/src/io/incoming.c
+++ b/src/io/incoming.c
@@ -6,6 +6,7 @@
 #include "model/submission.h"
 #include "model/worker.h"
 #include "wire/sharding_json.h"
+#include "wire/submission_json.h"
 #include "wire/user_json.h"
 #include "wire/words.h"
 #include "wire/worker_json.h"
@@ -45,17 +46,17 @@
 static void take_submission(struct ow_daemon *daemon, const struct ow_http_request *request, const char *job)
 {
     (void)job;
-    const char *fault = NULL;
+    g_autoptr(GError) error = NULL;
     char id[OW_ID_MAX + 1];
-    struct ow_submission *submission = wire_submission_decode(request->body, request->body_size, id, &fault);
+    struct ow_submission *submission = wire_submission_decode(request->body, request->body_size, id, &error);
     if (submission == NULL && *id == '\0') {
-        answer_error(daemon, request, OW_HTTP_STATUS_BAD_REQUEST, fault);
+        answer_error(daemon, request, OW_HTTP_STATUS_BAD_REQUEST, error->message);
         return;
     }
     /* Under the id of a job that was accepted it is a retry, whatever else it says: the core decides. */
     struct ow_event *event = ow_event_new(OW_EVENT_SUBMIT, request->id);
     event->submission = submission;
-    event->fault = fault;
+    event->submission_error = g_steal_pointer(&error);
     g_strlcpy(event->id, id, sizeof event->id);
     ow_shard_manager_push(daemon->manager, event);
 }
@@ -64,7 +65,7 @@
 static void push_job_event(struct ow_daemon *daemon, const struct ow_http_request *request, const char *job,
                            enum ow_event_kind kind, enum ow_http_status invalid_status)
 {
-    if (!wire_job_id_valid(job)) {
+    if (!wire_job_id_is_valid(job)) {
         answer_error(daemon, request, invalid_status, "not the id of a job");
         return;
     }
--- a/src/model/event.h
+++ b/src/model/event.h
@@ -1,5 +1,8 @@
-/* What the core is told: requests to answer, and replies to its own requests. An event is owned by the queue
- * that holds it. */
+/** @file
+ * Events: what the core is told, that is requests to answer and replies to its own requests. Plain data.
+ *
+ * An event is owned by the queue that holds it, and freed when the core has handled it.
+ */
 #ifndef OW_MODEL_EVENT_H
 #define OW_MODEL_EVENT_H
 
@@ -12,37 +15,47 @@
 #include <stdbool.h>
 #include <stdint.h>
 
+/** What the core is told, in the order in which a crowded queue is worked off: the safety of what runs first
+ * (heartbeats, replies), then decisions about known jobs, then new ones. */
 enum ow_event_kind {
-    /* In the order in which a crowded queue is worked off: reports, decisions, submissions. */
-    OW_EVENT_HEARTBEAT,
-    OW_EVENT_DIRECT_REPLY,
-    OW_EVENT_STORE,
-    OW_EVENT_CLOUD,
-    OW_EVENT_PEER,
-    OW_EVENT_CANCEL,
-    OW_EVENT_POLL,
-    OW_EVENT_TEAMS,
-    OW_EVENT_SUBMIT,
+    OW_EVENT_HEARTBEAT,    /**< an agent's heartbeat, to be answered */
+    OW_EVENT_DIRECT_REPLY, /**< an agent's reply to direct commands */
+    OW_EVENT_STORE,        /**< a reply of the key-value store */
+    OW_EVENT_CLOUD,        /**< a reply of the cloud */
+    OW_EVENT_PEER,         /**< a message of another controller */
+    OW_EVENT_CANCEL,       /**< a user cancels a job */
+    OW_EVENT_POLL,         /**< a user asks for a job */
+    OW_EVENT_TEAMS,        /**< a user asks what teams use */
+    OW_EVENT_SUBMIT,       /**< a user submits a job */
 };
 
-/* Of a direct command that was not sent at all. */
+/** The status of direct commands that were not sent at all. */
 enum { OW_STATUS_UNSENT = -1 };
 
+/** Something that the core is told. It owns all that it points to; what other kinds use is NULL or empty. */
 struct ow_event {
     enum ow_event_kind kind;
-    uint64_t request; /* whom to answer, or the tag that is answered */
+    uint64_t request; /**< the request to answer, or the tag of the one that is replied to */
+    /** OW_EVENT_DIRECT_REPLY: the HTTP status; 0: no response; OW_STATUS_UNSENT */
     int status;
+    /** OW_EVENT_CANCEL, POLL: the job. OW_EVENT_SUBMIT: the job of a malformed submission. */
     char id[OW_ID_MAX + 1];
-    struct ow_heartbeat *heartbeat;
-    struct ow_submission *submission; /* NULL: malformed, `id` and `fault` tell the rest */
-    const char *fault;
-    struct ow_store_reply store;
-    struct ow_cloud_reply cloud;
-    struct ow_peer_message *peer;
+    struct ow_heartbeat *heartbeat;   /**< OW_EVENT_HEARTBEAT */
+    struct ow_submission *submission; /**< OW_EVENT_SUBMIT; NULL: malformed */
+    GError *submission_error;         /**< OW_EVENT_SUBMIT: why it is malformed; NULL: it is not */
+    struct ow_store_reply store;      /**< OW_EVENT_STORE */
+    struct ow_cloud_reply cloud;      /**< OW_EVENT_CLOUD */
+    struct ow_peer_message *peer;     /**< OW_EVENT_PEER */
 };
 
-/* An event of this kind; `request` names whom to answer, or the request that is answered. */
+/**
+ * Creates an event.
+ * @param request whom to answer, or the request that is replied to; 0: none
+ * @return owned by the caller
+ */
 struct ow_event *ow_event_new(enum ow_event_kind kind, uint64_t request);
-void ow_event_free(void *item);
+
+/** Frees a struct ow_event with all that it holds: the free function of queues of events. */
+void ow_event_free(void *event);
 
 #endif
--- a/src/wire/json.c
+++ b/src/wire/json.c
@@ -90,3 +90,11 @@
         list[i] = g_strdup(json_string_value(json_array_get(array, i)));
     return list;
 }
+
+json_t *wire_json_from_strings(char *const *strings)
+{
+    json_t *array = json_array();
+    for (; strings != NULL && *strings != NULL; strings++)
+        json_array_append_new(array, json_string(*strings));
+    return array;
+}
--- a/src/wire/json.h
+++ b/src/wire/json.h
@@ -1,4 +1,8 @@
-/* Small readers over jansson, shared by the files of src/wire. */
+/** @file
+ * Small readers and writers over jansson, shared by the files of src/wire.
+ *
+ * A reader of a field leaves *out alone and answers false if the field is missing, null or of another type.
+ */
 #ifndef OW_WIRE_JSON_H
 #define OW_WIRE_JSON_H
 
@@ -7,24 +11,38 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/* NULL unless the text is one JSON object. */
+/**
+ * Parses a text.
+ * @param text `size` bytes, not NULL
+ * @return a new reference; NULL unless the text is one JSON object without repeated fields
+ */
 json_t *wire_json_parse_object(const char *text, size_t size);
-/* The text of a value, owned by the caller (free with g_free). */
+
+/** Prints a value without spaces. @return owned by the caller (g_free) */
 char *wire_json_print(const json_t *value);
 
-/* The same, and drops the reference to the value. */
+/** The same, and drops the caller's reference to the value. */
 char *wire_json_print_and_unref(json_t *value);
-/* Each leaves *out alone and answers false if the field is missing, null or of another type. */
-/* The text stays the object's. */
+
+/** Reads a string. @param out stays owned by the object */
 bool wire_json_get_string(const json_t *object, const char *field, const char **out);
+
+/** Reads a finite number, integer or real. */
 bool wire_json_get_number(const json_t *object, const char *field, double *out);
-/* An integer that is not negative. */
+
+/** Reads an integer that is not negative. */
 bool wire_json_get_count(const json_t *object, const char *field, uint64_t *out);
+
+/** Reads true or false. */
 bool wire_json_get_bool(const json_t *object, const char *field, bool *out);
 
-/* A field that is missing or null counts as absent. */
+/** Whether a field is missing or null. */
 bool wire_json_is_absent(const json_t *object, const char *field);
-/* The strings of an array as a NULL-ended vector (g_strfreev), or NULL if it is none. */
+
+/** Copies an array of strings. @return ended by NULL (g_strfreev); NULL if it is anything else */
 char **wire_json_copy_strings(const json_t *array);
 
+/** Makes an array. @param strings ended by NULL; NULL: none @return a new reference */
+json_t *wire_json_from_strings(char *const *strings);
+
 #endif
--- a/src/wire/records_json.c
+++ b/src/wire/records_json.c
@@ -3,7 +3,7 @@
 #include "model/submission.h"
 #include "wire/cloud_json.h"
 #include "wire/json.h"
-#include "wire/user_json.h"
+#include "wire/submission_json.h"
 
 #include <inttypes.h>
 #include <stdlib.h>
@@ -39,7 +39,6 @@
 bool wire_job_record_decode(const json_t *value, struct ow_job_record *out)
 {
     uint64_t state = OW_JOB_QUEUED;
-    const char *fault = NULL;
     memset(out, 0, sizeof *out);
     bool over = wire_json_get_count(value, F_STATE, &state);
     out->state = (enum ow_job_state)state;
@@ -47,7 +46,7 @@
     wire_json_get_count(value, F_LEADER_FENCING_TOKEN, &out->leader_fencing_token);
     const json_t *submission = json_object_get(value, F_SUBMISSION);
     if (submission != NULL)
-        out->submission = wire_submission_from_json(submission, &fault);
+        out->submission = wire_submission_from_json(submission, NULL);
     return over ? state == OW_JOB_DONE || state == OW_JOB_CANCELLED : out->submission != NULL;
 }
 
--- a/src/wire/words.h
+++ b/src/wire/words.h
@@ -1,110 +1,145 @@
-/* Every word of the platform's protocols: paths, field names and values. They are spelt here and nowhere
- * else; the names of the macros are the terms that the rest of the code uses. */
+/** @file
+ * The words of the protocol: every path, field name and value, beside the term that the code uses for it.
+ *
+ * The protocol has themed words: a job is a "run", a machine a "perch", a machine type a "breed", a fencing
+ * token a "crest". They are spelt in this module and nowhere else, neither in code nor in log lines; the name
+ * of a macro says the term of the field and the unit. What the words mean together is in the protocol's
+ * description.
+ */
 #ifndef OW_WIRE_WORDS_H
 #define OW_WIRE_WORDS_H
 
-/* Paths. */
-#define W_PATH_JOBS "/v2/runs"
-#define W_PATH_CANCEL "withdraw"
-#define W_PATH_HEALTH "/up"
-#define W_PATH_HEARTBEAT "/hello"
-#define W_PATH_COMMANDS "/commands"
-#define W_PATH_STATUS "/status"
-#define W_PATH_TYPES "/machine_types"
-#define W_PATH_MACHINES "/rentals"
-#define W_PATH_TERMINATE "/rentals/delete"
-#define W_PATH_KEYS "/keys"
-#define W_PATH_TXN "/txn"
-#define W_PATH_LEASES "/holds"
-#define W_PATH_KEEP_ALIVE "extend"
-#define W_PATH_WATCH "/follow"
-#define W_PATH_TEAMS "/v2/teams"             /* ours */
-#define W_PATH_CONTROLLERS "/v2/controllers" /* ours */
-#define W_PATH_SHARDS "/v2/shards"           /* ours */
-#define W_JOB_PREFIX "run-"
-
-/* Fields. */
-#define W_ID "ref"
-#define W_CLASS "flock"
-#define W_TEAM "roost"
-#define W_KIND "shape"
-#define W_RANK "rank"
-#define W_TASKS "talons"
-#define W_TASK "talon"
-#define W_CPUS "cores"
-#define W_GPUS "gpus"
-#define W_MEMORY_GB "ram_gb"
-#define W_IMAGE "plumage"
-#define W_IMAGE_GB "image_gb"
-#define W_TYPES "breeds"
-#define W_TYPE "breed"
-#define W_ZONE "range"
-#define W_ZONES "ranges"
-#define W_ONE_ZONE "same_place"
-#define W_SPREAD "scatter"
-#define W_SPOT "windfall"
-#define W_ESTIMATE_S "flight_s"
-#define W_CHECKPOINT_INTERVAL_S "molt_s"
-#define W_CHECKPOINT_DURATION_S "preen_s"
-#define W_DEADLINE_S "dusk_s"
-#define W_STATE "stance"
-#define W_MACHINE "perch"
-#define W_MACHINES "perches"
-#define W_ADDRESS "addr"
-#define W_INCARNATION "stint"
-#define W_SEQUENCE "chirp"
-#define W_FENCING_TOKEN "crest"
-#define W_RECLAIM_NOTICE_S "warning_s"
-#define W_ATTEMPT "dive"
-#define W_CAUSE "cause"
-#define W_CHECKPOINT_SAVED "saved"
-#define W_COMMANDS "calls"
-#define W_COMMAND "call"
-#define W_GRACE_S "glide_s"
-#define W_REDIRECT_TO "eyrie"
-#define W_NAME "name"
-#define W_CACHE_GB "cache_gb"
-#define W_FETCH_GB_PER_S "pull_gb_per_s"
-#define W_HOURLY_PRICE "hourly"
-#define W_SPOT_HOURLY_PRICE "low_price"
-#define W_BOOT_S "boot_s"
-#define W_REQUEST_ID "bid"
-#define W_COUNT "number"
-#define W_AFTER "since"
-#define W_LIMIT "most"
-#define W_AGE_S "age_s"
-#define W_MORE "has_next"
-#define W_REVISION "tide"
-#define W_VERSION "mark"
-#define W_LEASE "tether"
-#define W_KEY "k"
-#define W_VALUE "value"
-#define W_PREFIX "under"
-#define W_ITEMS "pairs"
-#define W_COMPARISONS "if"
-#define W_MUTATIONS "apply"
-#define W_PUT "write"
-#define W_DELETE "drop"
-#define W_TTL_MS "ttl_ms"
-#define W_WATCH_MS "hold_ms"
-#define W_EVENTS "log"
-#define W_FAILED_KEYS "failed"
-
-/* Ours, in answers to users. */
-#define W_DONE_COUNT "done"
-#define W_RUNNING_COUNT "running"
-#define W_REASON "reason"
-
-/* Values, in the order of the enums of core/types.h. */
-extern const char *const wire_kinds[];           /* enum ow_job_kind */
-extern const char *const wire_ranks[];           /* enum ow_rank */
-extern const char *const wire_phases[];          /* enum ow_task_phase */
-extern const char *const wire_causes[];          /* enum ow_exit_cause */
-extern const char *const wire_worker_commands[]; /* enum ow_worker_command_kind */
-extern const char *const wire_listed_states[];   /* enum ow_listed_state */
-extern const char *const wire_job_states[];      /* enum ow_job_state */
-
-/* The index of `word` in a table ended by NULL, or -1. */
-int wire_word_index(const char *const *table, const char *word);
+/* ---- paths of controllers, for users and agents ---- */
+
+#define W_PATH_JOBS "/v2/runs"               /* jobs of users */
+#define W_PATH_CANCEL "withdraw"             /* below a job: cancel it */
+#define W_PATH_HEALTH "/up"                  /* whether the controller is ready */
+#define W_PATH_HEARTBEAT "/hello"            /* an agent's heartbeat */
+#define W_JOB_PREFIX "run-"                  /* begins the id of every job */
+#define W_PATH_TEAMS "/v2/teams"             /* beyond the protocol: what teams use and wait for */
+#define W_PATH_CONTROLLERS "/v2/controllers" /* beyond the protocol: controllers, for operators */
+#define W_PATH_SHARDS "/v2/shards"           /* beyond the protocol: shards, for operators */
+
+/* ---- paths of agents ---- */
+
+#define W_PATH_COMMANDS "/commands" /* commands at the agent's own address */
+#define W_PATH_STATUS "/status"     /* the agent's heartbeat, on request */
+
+/* ---- paths of the cloud ---- */
+
+#define W_PATH_TYPES "/machine_types"      /* machine types */
+#define W_PATH_MACHINES "/rentals"         /* list; provision */
+#define W_PATH_TERMINATE "/rentals/delete" /* terminate */
+
+/* ---- paths of the key-value store ---- */
+
+#define W_PATH_KEYS "/keys"        /* get, list */
+#define W_PATH_TXN "/txn"          /* transaction */
+#define W_PATH_LEASES "/holds"     /* grant a lease */
+#define W_PATH_KEEP_ALIVE "extend" /* below a lease: renew it */
+#define W_PATH_WATCH "/follow"     /* watch */
+
+/* ---- fields of a job ---- */
+
+#define W_ID "ref"                        /* id of a job; name of a listed machine */
+#define W_CLASS "flock"                   /* class of similar jobs */
+#define W_TEAM "roost"                    /* team */
+#define W_KIND "shape"                    /* kind: array, gang, service */
+#define W_RANK "rank"                     /* rank: how urgent */
+#define W_TASKS "talons"                  /* count of tasks; in a heartbeat the list of attempts */
+#define W_TASK "talon"                    /* a task: "<job>/<number>" */
+#define W_CPUS "cores"                    /* CPUs */
+#define W_GPUS "gpus"                     /* GPUs */
+#define W_MEMORY_GB "ram_gb"              /* memory */
+#define W_IMAGE "plumage"                 /* image */
+#define W_IMAGE_GB "image_gb"             /* size of the image */
+#define W_TYPES "breeds"                  /* machine types */
+#define W_TYPE "breed"                    /* machine type */
+#define W_ZONE "range"                    /* zone */
+#define W_ZONES "ranges"                  /* zones */
+#define W_ONE_ZONE "same_place"           /* all tasks in one zone */
+#define W_SPREAD "scatter"                /* tasks spread over zones */
+#define W_SPOT "windfall"                 /* may run on spot instances; is one */
+#define W_ESTIMATE_S "flight_s"           /* estimated duration */
+#define W_CHECKPOINT_INTERVAL_S "molt_s"  /* between checkpoints */
+#define W_CHECKPOINT_DURATION_S "preen_s" /* to save a checkpoint */
+#define W_DEADLINE_S "dusk_s"             /* deadline, from the submission on */
+#define W_STATE "stance"                  /* state of a job or instance, phase of an attempt */
+
+/* ---- fields between agents and controllers ---- */
+
+#define W_MACHINE "perch"              /* machine */
+#define W_MACHINES "perches"           /* machines */
+#define W_ADDRESS "addr"               /* host:port of an agent */
+#define W_INCARNATION "stint"          /* incarnation of an agent */
+#define W_SEQUENCE "chirp"             /* number of a heartbeat in the incarnation */
+#define W_FENCING_TOKEN "crest"        /* fencing token of a leader */
+#define W_RECLAIM_NOTICE_S "warning_s" /* reclaim notice of a spot instance */
+#define W_ATTEMPT "dive"               /* attempt of a task */
+#define W_CAUSE "cause"                /* why an attempt is over */
+#define W_CHECKPOINT_SAVED "saved"     /* a stopped attempt has saved its checkpoint */
+#define W_COMMANDS "calls"             /* commands */
+#define W_COMMAND "call"               /* kind of a command */
+#define W_GRACE_S "glide_s"            /* time to stop gracefully */
+#define W_REDIRECT_TO "eyrie"          /* the controller that leads */
+
+/* ---- fields of the cloud ---- */
+
+#define W_NAME "name"                    /* name of a machine type */
+#define W_CACHE_GB "cache_gb"            /* room for images */
+#define W_FETCH_GB_PER_S "pull_gb_per_s" /* rate of fetching images */
+#define W_HOURLY_PRICE "hourly"          /* price of an ordinary instance */
+#define W_SPOT_HOURLY_PRICE "low_price"  /* price of a spot instance */
+#define W_BOOT_S "boot_s"                /* time to boot */
+#define W_REQUEST_ID "bid"               /* name of a request to provision, the same in a retry */
+#define W_COUNT "number"                 /* how many instances */
+#define W_AFTER "since"                  /* page of a list behind this entry; watch since this revision */
+#define W_LIMIT "most"                   /* entries of a page at most */
+#define W_AGE_S "age_s"                  /* age of an instance */
+#define W_MORE "has_next"                /* there is another page */
+
+/* ---- fields of the key-value store ---- */
+
+#define W_REVISION "tide"      /* revision of the store */
+#define W_VERSION "mark"       /* revision of a key's last change */
+#define W_LEASE "tether"       /* lease */
+#define W_KEY "k"              /* key */
+#define W_VALUE "value"        /* value */
+#define W_PREFIX "under"       /* prefix of keys */
+#define W_ITEMS "pairs"        /* keys and values of a list */
+#define W_COMPARISONS "if"     /* comparisons of a transaction */
+#define W_MUTATIONS "apply"    /* mutations of a transaction */
+#define W_PUT "write"          /* put */
+#define W_DELETE "drop"        /* delete */
+#define W_TTL_MS "ttl_ms"      /* time to live of a lease */
+#define W_WATCH_MS "hold_ms"   /* how long a watch may stay open */
+#define W_EVENTS "log"         /* changes that a watch reports */
+#define W_FAILED_KEYS "failed" /* keys whose comparison failed */
+
+/* ---- fields of answers to users beyond the protocol ---- */
+
+#define W_DONE_COUNT "done"                /* tasks that are done */
+#define W_RUNNING_COUNT "running"          /* tasks that run */
+#define W_REASON "reason"                  /* why a job waits */
+#define W_TEAMS "teams"                    /* teams */
+#define W_TEAM_JOBS "jobs"                 /* a team's jobs that are not over */
+#define W_TEAM_WAITING_JOBS "waiting_jobs" /* of these, those that wait */
+#define W_TEAM_RUNNING "running"           /* what a team uses */
+#define W_TEAM_WAITING "waiting"           /* what a team waits for */
+#define W_ERROR "error"                    /* text of an error */
+
+/** @name Words of values, indexed by the enum named and ended by NULL. */
+/** @{ */
+extern const char *const wire_kinds[];           /**< enum ow_job_kind */
+extern const char *const wire_ranks[];           /**< enum ow_rank */
+extern const char *const wire_phases[];          /**< enum ow_task_phase */
+extern const char *const wire_causes[];          /**< enum ow_exit_cause */
+extern const char *const wire_worker_commands[]; /**< enum ow_worker_command_kind */
+extern const char *const wire_listed_states[];   /**< enum ow_listed_state */
+extern const char *const wire_job_states[];      /**< enum ow_job_state */
+/** @} */
+
+/** Looks a word up. @param words ended by NULL @param word may be NULL @return its index, or -1 */
+int wire_word_index(const char *const *words, const char *word);
 
 #endif
--- a/tests/sim_users.c
+++ b/tests/sim_users.c
@@ -6,6 +6,7 @@
 #include "model/event.h"
 #include "model/resources.h"
 #include "model/submission.h"
+#include "wire/submission_json.h"
 
 static void answer_free(void *item)
 {
@@ -84,7 +85,8 @@
 {
     struct ow_event *event = sim_command(OW_EVENT_SUBMIT, 0);
     g_strlcpy(event->id, id, sizeof event->id);
-    event->fault = "made up";
+    event->submission_error =
+        g_error_new_literal(WIRE_SUBMISSION_ERROR, WIRE_SUBMISSION_ERROR_FIELD, "made up");
     return ask(cluster, controller, event);
 }
 
--- a/tests/test_agent_tasks.c
+++ b/tests/test_agent_tasks.c
@@ -4,7 +4,7 @@
 #include "agent_setup.h"
 #include "check.h"
 #include "model/worker.h"
-#include "wire/agent_json.h"
+#include "wire/worker_json.h"
 
 #include <signal.h>
 #include <string.h>
--- a/tests/test_wire.c
+++ b/tests/test_wire.c
@@ -7,6 +7,7 @@
 #include "model/worker.h"
 #include "wire/cloud_json.h"
 #include "wire/peer_xdr.h"
+#include "wire/submission_json.h"
 #include "wire/user_json.h"
 #include "wire/worker_json.h"
 
@@ -23,10 +24,10 @@
 
 static struct ow_submission *parse_job(const char *text)
 {
-    const char *fault = NULL;
+    g_autoptr(GError) error = NULL;
     char id[OW_ID_MAX + 1];
-    struct ow_submission *submission = wire_submission_decode(text, strlen(text), id, &fault);
-    assert_true((submission == NULL) == (fault != NULL));
+    struct ow_submission *submission = wire_submission_decode(text, strlen(text), id, &error);
+    assert_true((submission == NULL) == (error != NULL));
     assert_true(submission == NULL || strcmp(id, submission->id) == 0);
     return submission;
 }
@@ -34,12 +35,13 @@
 static void test_job_survives_its_stored_form(void **state)
 {
     (void)state;
-    const char *fault = NULL;
+    g_autoptr(GError) error = NULL;
     struct ow_submission *submission = parse_job(JOB);
     assert_non_null(submission);
     json_t *stored = wire_submission_to_json(submission);
-    struct ow_submission *again = wire_submission_from_json(stored, &fault);
+    struct ow_submission *again = wire_submission_from_json(stored, &error);
     assert_non_null(again);
+    assert_null(error);
     assert_true(ow_submission_is_gang(again) && again->tasks == 16 && again->rank == OW_RANK_URGENT &&
                 again->zone == NULL);
     assert_true(again->need.gpus == 1 && again->one_zone && again->spot && again->deadline_s == 900);
@@ -73,15 +75,72 @@
     for (size_t i = 0; i < G_N_ELEMENTS(values); i++) {
         char **parts = g_strsplit(JOB, "\"dusk_s\":900.0", 2);
         char *text = g_strconcat(parts[0], "\"dusk_s\":", values[i], parts[1], NULL);
-        const char *fault = NULL;
+        g_autoptr(GError) error = NULL;
         char id[OW_ID_MAX + 1];
-        assert_null(wire_submission_decode(text, strlen(text), id, &fault));
-        assert_true(g_str_has_prefix(fault, "dusk_s"));
+        assert_null(wire_submission_decode(text, strlen(text), id, &error));
+        assert_true(g_str_has_prefix(error->message, "dusk_s"));
         g_free(text);
         g_strfreev(parts);
     }
 }
 
+/* A change of JOB, and the error that a user hears then. */
+struct wrong_field {
+    const char *from;
+    const char *to;
+    const char *error;
+    enum wire_submission_error code;
+};
+
+static const struct wrong_field wrong_fields[] = {
+    {"{", "[{", "not a JSON object", WIRE_SUBMISSION_ERROR_NOT_AN_OBJECT},
+    {"\"run-000412\"", "412", "ref: not the id of a job", WIRE_SUBMISSION_ERROR_FIELD},
+    {"\"train\"", "\"\"", "flock: missing or not a name", WIRE_SUBMISSION_ERROR_FIELD},
+    {"\"vision\"", "1", "roost: missing or not a name", WIRE_SUBMISSION_ERROR_FIELD},
+    {"\"ensemble\"", "\"duet\"", "shape: missing or unknown", WIRE_SUBMISSION_ERROR_FIELD},
+    {"\"urgent\"", "\"soon\"", "rank: missing or unknown", WIRE_SUBMISSION_ERROR_FIELD},
+    {"\"talons\":16", "\"talons\":0", "talons: missing or not from 1 to 100000", WIRE_SUBMISSION_ERROR_FIELD},
+    {"\"cores\":8.0", "\"cores\":-1", "cores: missing or out of range", WIRE_SUBMISSION_ERROR_FIELD},
+    {"\"gpus\":1", "\"gpus\":1e10", "gpus: missing or out of range", WIRE_SUBMISSION_ERROR_FIELD},
+    {"\"ram_gb\":64.0", "\"ram_gb\":null", "ram_gb: missing or out of range", WIRE_SUBMISSION_ERROR_FIELD},
+    {"\"img-07\"", "null", "plumage: missing or not a name", WIRE_SUBMISSION_ERROR_FIELD},
+    {"\"image_gb\":6.2", "\"image_gb\":\"6\"", "image_gb: missing or out of range",
+     WIRE_SUBMISSION_ERROR_FIELD},
+    {"[\"g8\"]", "[8]", "breeds: not a list of names", WIRE_SUBMISSION_ERROR_FIELD},
+    {"[\"g8\"]", "[\"\"]", "breeds: not a list of names", WIRE_SUBMISSION_ERROR_FIELD},
+    {"\"range\":null", "\"range\":7", "range: not a name", WIRE_SUBMISSION_ERROR_FIELD},
+    {"\"same_place\":true", "\"same_place\":1", "same_place: missing or not true or false",
+     WIRE_SUBMISSION_ERROR_FIELD},
+    {"\"scatter\":false,", "", "scatter: missing or not true or false", WIRE_SUBMISSION_ERROR_FIELD},
+    {"\"windfall\":true", "\"windfall\":null", "windfall: missing or not true or false",
+     WIRE_SUBMISSION_ERROR_FIELD},
+    {"\"flight_s\":240.0", "\"flight_s\":-1", "flight_s: missing or out of range",
+     WIRE_SUBMISSION_ERROR_FIELD},
+    {"\"molt_s\":30.0", "\"molt_s\":-1", "molt_s: missing or out of range", WIRE_SUBMISSION_ERROR_FIELD},
+    {"\"preen_s\":4.0", "\"preen_s\":-1", "preen_s: missing or out of range", WIRE_SUBMISSION_ERROR_FIELD},
+    {"\"dusk_s\":900.0", "\"dusk_s\":-1", "dusk_s: out of range", WIRE_SUBMISSION_ERROR_FIELD},
+    {"\"flight_s\":240.0", "\"flight_s\":0", "flight_s: must be above 0", WIRE_SUBMISSION_ERROR_ESTIMATE},
+    {"\"ensemble\"", "\"standing\"", "flight_s: must be 0 for a service", WIRE_SUBMISSION_ERROR_ESTIMATE},
+    /* Of two wrong fields the first in the order of the protocol is named. */
+    {"\"urgent\",\"talons\":16", "\"soon\",\"talons\":0", "rank: missing or unknown",
+     WIRE_SUBMISSION_ERROR_FIELD},
+};
+
+static void test_each_wrong_field_is_named(void **state)
+{
+    (void)state;
+    for (size_t i = 0; i < G_N_ELEMENTS(wrong_fields); i++) {
+        g_auto(GStrv) parts = g_strsplit(JOB, wrong_fields[i].from, 2);
+        g_autofree char *text = g_strjoinv(wrong_fields[i].to, parts);
+        g_autoptr(GError) error = NULL;
+        char id[OW_ID_MAX + 1];
+        assert_string_not_equal(text, JOB);
+        assert_null(wire_submission_decode(text, strlen(text), id, &error));
+        assert_string_equal(error->message, wrong_fields[i].error);
+        assert_true(g_error_matches(error, WIRE_SUBMISSION_ERROR, (int)wrong_fields[i].code));
+    }
+}
+
 struct change {
     const char *from, *to;
 };
@@ -289,6 +348,7 @@
         cmocka_unit_test(test_job_survives_its_stored_form),
         cmocka_unit_test(test_deadline_is_optional),
         cmocka_unit_test(test_wrong_deadline_is_named),
+        cmocka_unit_test(test_each_wrong_field_is_named),
         cmocka_unit_test(test_bad_jobs_are_refused),
         cmocka_unit_test(test_heartbeats),
         cmocka_unit_test(test_worker_commands),
