--- a/tests/test_wire.c
+++ b/tests/test_wire.c
@@ -8,7 +8,6 @@
 #include "wire/cloud_json.h"
 #include "wire/peer_xdr.h"
 #include "wire/submission_json.h"
-#include "wire/user_json.h"
 #include "wire/worker_json.h"
 
 #include <string.h>
