--- a/src/io/http_client_connection.h
+++ b/src/io/http_client_connection.h
@@ -24,6 +24,7 @@
 #include <stdbool.h>
 #include <stdint.h>
 
+/** The states, as above. */
 enum ow_client_connection_state {
     OW_CLIENT_CONNECTION_UNREACHABLE, /**< it has a request, but no socket: it could not even begin */
     OW_CLIENT_CONNECTION_BUSY,        /**< a request is under way */
--- a/src/io/http_connection.h
+++ b/src/io/http_connection.h
@@ -10,8 +10,8 @@
  *     HANDLING       --answered-->                                     READING
  *     HANDLING_LAST  --answered-->                                     DRAINING
  *     DRAINING       --everything is sent-->                           (closed)
- *     any            --the other side closes or floods, or the owner calls ow_http_connection_close-->
- * (closed)
+ *     any            --the other side closes or floods, or
+ *                      the owner calls ow_http_connection_close-->     (closed)
  *
  * Bytes that come while a request is with the handler wait until it is answered. */
 #ifndef OW_IO_HTTP_CONNECTION_H
@@ -25,6 +25,7 @@
 #include <stddef.h>
 #include <stdint.h>
 
+/** The states, as above. */
 enum ow_http_connection_state {
     OW_HTTP_CONNECTION_READING,       /**< a request is awaited, or a part of it is there */
     OW_HTTP_CONNECTION_HANDLING,      /**< a request is with the handler */
--- a/src/io/loop.h
+++ b/src/io/loop.h
@@ -1,15 +1,14 @@
 /** @file
- * The event loop: epoll on one thread, a callback for each descriptor that is ready, and one round after each
- * batch.
+ * The event loop: epoll on one thread, a callback for each ready descriptor, and one round after each batch.
  *
  * Invariants:
  * - All callbacks run on the thread that runs the loop, one after the other; none is called from inside
  *   ow_loop_watch, ow_loop_change or ow_loop_close.
- * - A callback may close any watch, its own included: events of that watch that were already fetched are
- * dropped.
+ * - A ready callback and a round may close any watch, the one at hand included: events of it that were
+ *   already fetched are dropped.
  * - Descriptors: what ow_net_listen, ow_net_connect and ow_net_accept return belongs to the caller until it
- * stands in a watch; from then on it belongs to the watch, and ow_loop_close, the one place that closes
- * descriptors of watches, closes it. The memory of a watch stays its caller's. */
+ *   stands in a watch; from then on it belongs to the watch, and ow_loop_close, the one place that closes
+ *   descriptors of watches, closes it. The memory of a watch stays its caller's. */
 #ifndef OW_IO_LOOP_H
 #define OW_IO_LOOP_H
 
@@ -33,6 +32,9 @@
 typedef double (*ow_round_fn)(void *owner, double now);
 
 /** The loop goes on after waiting; called before the callbacks of the batch.
+ *
+ * Known fault: the events of the batch are fetched by then, but not counted yet. So ow_loop_close does not
+ * drop those of a watch that this function closes, and its owner, freed by then, is called with them.
  * @param owner what was handed to ow_loop_on_wake; it must live as long as the loop runs
  * @param late_s how many seconds later it goes on than it meant to, from the last batch on; up to the time
  * that the last round allowed, negative
