--- a/src/core/api/feasibility.c
+++ b/src/core/api/feasibility.c
@@ -1,6 +1,7 @@
 #include "core/api/feasibility.h"
 
 #include "core/core_state.h"
+#include "core/machine_types.h"
 #include "model/cloud.h"
 #include "model/resources.h"
 #include "model/submission.h"
@@ -29,7 +30,7 @@
 static bool fits_some_type(const struct ow_core *core, const struct ow_submission *submission)
 {
     for (int i = 0; i < OW_MAX_TYPES; i++) {
-        const struct ow_machine_type *type = core->types[i];
+        const struct ow_machine_type *type = ow_machine_types_at(core->machine_types, i);
         if (type != NULL && type_allowed(submission, type))
             return true;
     }
--- a/src/core/api/submit.c
+++ b/src/core/api/submit.c
@@ -6,6 +6,7 @@
 #include "core/core_state.h"
 #include "core/jobs/job_cache.h"
 #include "core/jobs/job_change.h"
+#include "core/machine_types.h"
 #include "model/event.h"
 #include "model/records.h"
 #include "model/submission.h"
@@ -154,7 +155,7 @@
         ow_poll_job(core, request, submission->id);
         return true;
     }
-    if (!ow_job_cache_loaded(core->job_cache) || !core->types_known) {
+    if (!ow_job_cache_loaded(core->job_cache) || !ow_machine_types_are_known(core->machine_types)) {
         ow_job_answer_retry(core, request, "still starting");
         return true;
     }
--- a/src/core/core.c
+++ b/src/core/core.c
@@ -12,6 +12,8 @@
 #include "core/leader/heartbeat_answer.h"
 #include "core/leader/leader.h"
 #include "core/leader/leader_status.h"
+#include "core/machine_types.h"
+#include "core/peers/hello.h"
 #include "core/peers/machine_hints.h"
 #include "core/peers/peer_messages.h"
 #include "core/peers/peer_status.h"
@@ -46,6 +48,26 @@
 
 /* ---- life ---- */
 
+static struct ow_interners new_interners(void)
+{
+    return (struct ow_interners){
+        .classes = ow_interner_new(),
+        .teams = ow_interner_new(),
+        .images = ow_interner_new(),
+        .zones = ow_interner_new(),
+        .types = ow_interner_new(),
+    };
+}
+
+static void free_interners(struct ow_interners *interners)
+{
+    ow_interner_free(interners->classes);
+    ow_interner_free(interners->teams);
+    ow_interner_free(interners->images);
+    ow_interner_free(interners->zones);
+    ow_interner_free(interners->types);
+}
+
 struct ow_core *ow_core_new(const struct ow_settings *settings, const struct ow_tuning *tuning,
                             uint64_t nonce)
 {
@@ -53,11 +75,9 @@
     core->settings = settings;
     core->tuning = tuning;
     core->nonce = nonce;
-    core->may_lead = true;
     core->store_limits = ow_store_limits_from_settings(settings);
     core->pending_calls = ow_pending_calls_new();
-    core->interners = (struct ow_interners){ow_interner_new(), ow_interner_new(), ow_interner_new(),
-                                            ow_interner_new(), ow_interner_new()};
+    core->interners = new_interners();
     core->classes = g_array_new(FALSE, FALSE, sizeof(struct ow_class));
     core->jobs = ow_jobs_new(&core->interners);
     core->job_cache = ow_job_cache_new(core);
@@ -68,6 +88,8 @@
     core->machine_hints = ow_machine_hints_new();
     core->effects = g_ptr_array_new_with_free_func(ow_effect_free);
     core->type_discovery = ow_type_discovery_new(core);
+    core->machine_types = ow_machine_types_new(core->interners.types);
+    core->hello = ow_hello_new(core);
     for (int i = 0; i < OW_EVENT_QUEUES; i++)
         g_queue_init(&core->queues[i]);
     return core;
@@ -84,12 +106,9 @@
     ow_election_free(core->election);
     ow_cancellation_ack_free(core->cancellation_ack);
     ow_jobs_free(core->jobs);
-    ow_core_free_machine_types(core);
-    ow_interner_free(core->interners.classes);
-    ow_interner_free(core->interners.teams);
-    ow_interner_free(core->interners.images);
-    ow_interner_free(core->interners.zones);
-    ow_interner_free(core->interners.types);
+    ow_machine_types_free(core->machine_types);
+    ow_hello_free(core->hello);
+    free_interners(&core->interners);
     g_array_free(core->classes, TRUE);
     ow_store_health_free(core->store_health);
     ow_peer_status_free(core->peer_status);
@@ -108,7 +127,7 @@
 
 static void handle_heartbeat(struct ow_core *core, const struct ow_event *event)
 {
-    core->last_worker_heartbeat_at = core->now;
+    ow_hello_note_worker_heartbeat(core->hello);
     /* A worker that has seen a higher fencing token obeys another leader: we must not act for it. */
     ow_election_observe_fencing_token(core->election, event->heartbeat->fencing_token, NULL);
     if (core->leader != NULL) {
@@ -169,7 +188,7 @@
     }
 }
 
-/* ---- runs of the core ---- */
+/* ---- steps ---- */
 
 static void tick(struct ow_core *core)
 {
@@ -180,7 +199,7 @@
     ow_cancellation_ack_tick(core->cancellation_ack);
     ow_type_discovery_tick(core->type_discovery);
     ow_store_health_probe(core->store_health);
-    ow_peer_messages_send_hello(core);
+    ow_hello_tick(core->hello);
 }
 
 GPtrArray *ow_core_step(struct ow_core *core, double now, double time_of_day)
@@ -231,8 +250,7 @@
 
 void ow_core_set_candidacy(struct ow_core *core, bool may_lead, double delay_s)
 {
-    core->may_lead = may_lead;
-    core->election_delay_s = delay_s;
+    ow_election_set_candidacy(core->election, may_lead, delay_s);
 }
 
 bool ow_core_knows_job(const struct ow_core *core, const char *id)
@@ -242,7 +260,7 @@
 
 const char *ow_core_infeasible_reason(const struct ow_core *core, const struct ow_submission *submission)
 {
-    return core->types_known ? ow_infeasible_reason(core, submission) : NULL;
+    return ow_machine_types_are_known(core->machine_types) ? ow_infeasible_reason(core, submission) : NULL;
 }
 
 double ow_core_waiting_cpus(const struct ow_core *core)
--- a/src/core/core_state.c
+++ b/src/core/core_state.c
@@ -1,5 +1,3 @@
-/* What the parts of a controller ask of it: answers to users, requests to the outside, messages to its peers.
- */
 #include "core/core_state.h"
 
 #include "model/cloud.h"
@@ -52,38 +50,3 @@
     effect->peer = message;
     ow_core_emit(core, effect);
 }
-
-static struct ow_machine_type *copy_type(const struct ow_machine_type *type)
-{
-    struct ow_machine_type *copy = g_new(struct ow_machine_type, 1);
-    *copy = *type;
-    copy->name = g_strdup(type->name);
-    copy->zones = g_strdupv(type->zones);
-    return copy;
-}
-
-static void free_type(struct ow_machine_type *type)
-{
-    if (type != NULL)
-        ow_machine_type_clear(type);
-    g_free(type);
-}
-
-void ow_core_set_machine_types(struct ow_core *core, const GArray *types)
-{
-    for (guint i = 0; i < types->len; i++) {
-        const struct ow_machine_type *type = &g_array_index(types, struct ow_machine_type, i);
-        int index = ow_interner_intern(core->interners.types, type->name);
-        if (index >= OW_MAX_TYPES)
-            continue;
-        free_type(core->types[index]);
-        core->types[index] = copy_type(type);
-        core->types_known = true;
-    }
-}
-
-void ow_core_free_machine_types(struct ow_core *core)
-{
-    for (int i = 0; i < OW_MAX_TYPES; i++)
-        free_type(core->types[i]);
-}
--- a/src/core/election/election.c
+++ b/src/core/election/election.c
@@ -14,6 +14,7 @@
     struct ow_election *election = g_new0(struct ow_election, 1);
     election->core = core;
     election->callbacks = callbacks;
+    election->candidacy.may_lead = true;
     return election;
 }
 
@@ -23,6 +24,11 @@
     g_free(election);
 }
 
+void ow_election_set_candidacy(struct ow_election *election, bool may_lead, double delay_s)
+{
+    election->candidacy = (struct ow_candidacy){.may_lead = may_lead, .delay_s = delay_s};
+}
+
 uint64_t ow_election_fencing_token(const struct ow_election *election)
 {
     return election->stage == OW_ELECTION_LEADING ? election->fencing_token : 0;
@@ -109,7 +115,7 @@
 {
     if (!election->key.is_known)
         ow_leader_key_read(election);
-    else if (election->core->may_lead && ow_succession_leader_is_outdated(election))
+    else if (election->candidacy.may_lead && ow_succession_leader_is_outdated(election))
         replace_outdated_leader(election);
     else if (!election->watch.is_open && election->core->now >= election->watch.next_at)
         ow_leader_key_watch(election);
--- a/src/core/election/election.h
+++ b/src/core/election/election.h
@@ -19,6 +19,9 @@
 struct ow_election *ow_election_new(struct ow_core *core, const struct ow_election_callbacks *callbacks);
 /** Frees it without calling back: the owner ends its term itself. */
 void ow_election_free(struct ow_election *election);
+/** Whether this controller may take the leader key (at first it may), and how long it leaves a missing one to
+ * others before it takes it (at first not at all). */
+void ow_election_set_candidacy(struct ow_election *election, bool may_lead, double delay_s);
 /** Sends what is due: reads, watches and writes of the key, and renewals of its lease. */
 void ow_election_tick(struct ow_election *election);
 /** Our fencing token; 0 while we do not lead. */
--- a/src/core/election/election_state.h
+++ b/src/core/election/election_state.h
@@ -22,6 +22,12 @@
     OW_ELECTION_LEADING, /**< the key is ours, as far as we know */
 };
 
+/** Whether and when this controller may take the leader key. */
+struct ow_candidacy {
+    bool may_lead;  /**< false: it never takes the key */
+    double delay_s; /**< how long it leaves a missing key to others before it takes it */
+};
+
 /** The leader key as last read or watched: leader_key.c. */
 struct ow_known_key {
     bool is_known;         /**< the rest, and the leader's name, are from the key-value store */
@@ -52,6 +58,7 @@
     enum ow_election_stage stage;
     bool is_busy;  /**< a request of the present stage is under way */
     double act_at; /**< no request of the stage before this time */
+    struct ow_candidacy candidacy;
     struct ow_known_key key;
     struct ow_key_watch watch;
     struct ow_leader_lease lease;
--- a/src/core/election/leader_key.c
+++ b/src/core/election/leader_key.c
@@ -53,7 +53,7 @@
 static void replace_earlier_process(struct ow_election *election)
 {
     ow_election_set_leader_name(election, NULL);
-    if (election->core->may_lead)
+    if (election->candidacy.may_lead)
         ow_election_run_for_leader(election);
 }
 
@@ -76,18 +76,18 @@
 
 static void handle_missing_key(struct ow_election *election)
 {
-    const struct ow_core *core = election->core;
+    const struct ow_candidacy *candidacy = &election->candidacy;
     struct ow_known_key *key = &election->key;
     key->mod_revision = 0;
     key->is_known = true;
     key->is_missing = true;
     ow_election_set_leader_name(election, NULL);
-    if (!core->may_lead) {
+    if (!candidacy->may_lead) {
         ow_election_look_again(election, ONLOOKER_INTERVAL_S);
-    } else if (core->election_delay_s > 0 && !key->has_waited) {
+    } else if (candidacy->delay_s > 0 && !key->has_waited) {
         /* Others go first: the key is read once more when their time is over. */
         key->has_waited = true;
-        ow_election_look_again(election, core->election_delay_s);
+        ow_election_look_again(election, candidacy->delay_s);
     } else {
         key->has_waited = false;
         ow_election_run_for_leader(election);
--- a/src/core/leader/machine_type_polling.c
+++ b/src/core/leader/machine_type_polling.c
@@ -1,6 +1,7 @@
 #include "core/leader/machine_type_polling.h"
 
 #include "core/leader/leader_state.h"
+#include "core/machine_types.h"
 #include "model/cloud.h"
 #include "model/event.h"
 #include "model/http_status.h"
@@ -57,7 +58,7 @@
         return;
     }
     polling->next_at = leader->core->now + INTERVAL_S;
-    ow_core_set_machine_types(leader->core, types);
+    ow_machine_types_update(leader->core->machine_types, types);
     if (is_first_answer)
         record_types(leader, types);
 }
--- a/src/core/machines/instance_offers.c
+++ b/src/core/machines/instance_offers.c
@@ -1,6 +1,7 @@
 /* Kinds of machines: which has been refused lately, and which is worth renting for a job. */
 #include "core/machines/instance_offers.h"
 #include "core/leader/leader_state.h"
+#include "core/machine_types.h"
 #include "core/machines/machine.h"
 #include "core/scheduling/classes.h"
 #include "core/scheduling/placement.h"
@@ -90,7 +91,7 @@
 {
     double best = INFINITY;
     for (int i = 0; i < OW_MAX_TYPES; i++) {
-        const struct ow_machine_type *type = leader->core->types[i];
+        const struct ow_machine_type *type = ow_machine_types_at(leader->core->machine_types, i);
         if (type != NULL && !improper(type, need) && (types & (UINT64_C(1) << i)) != 0)
             best = MIN(best, price_of(type, need, false));
     }
@@ -117,7 +118,7 @@
 static bool is_option(const struct ow_leader *leader, const struct ow_job_spec *spec,
                       const struct ow_machine *kind, double waits)
 {
-    const struct ow_machine_type *type = leader->core->types[kind->type];
+    const struct ow_machine_type *type = ow_machine_types_at(leader->core->machine_types, kind->type);
     if (waits < HELP_PATIENCE * start_s(type, spec))
         return false;
     if (!offered_in(type, ow_interner_text(leader->core->interners.zones, kind->zone)))
@@ -130,7 +131,7 @@
 static double price_for_job(const struct ow_leader *leader, const struct ow_job_spec *spec,
                             const struct ow_machine *kind)
 {
-    const struct ow_machine_type *type = leader->core->types[kind->type];
+    const struct ow_machine_type *type = ow_machine_types_at(leader->core->machine_types, kind->type);
     uint32_t slots = ow_placement_slots(leader, spec, kind);
     return (kind->spot ? type->spot_price : type->price) / MIN(slots, spec->submission->tasks);
 }
@@ -141,7 +142,7 @@
     const struct ow_class *class = ow_class_of(leader->core, spec->class_index);
     double best = INFINITY;
     for (int type_index = 0; type_index < OW_MAX_TYPES; type_index++) {
-        const struct ow_machine_type *type = leader->core->types[type_index];
+        const struct ow_machine_type *type = ow_machine_types_at(leader->core->machine_types, type_index);
         for (char **zone = leader->core->settings->zones; type != NULL && *zone != NULL; zone++) {
             int zone_index = ow_interner_intern(leader->core->interners.zones, *zone);
             for (int spot = cheap ? 1 : 0; spot < 2; spot++) {
--- a/src/core/machines/machine_registry.h
+++ b/src/core/machines/machine_registry.h
@@ -4,6 +4,7 @@
 #define OW_CORE_MACHINES_MACHINE_REGISTRY_H
 
 #include "core/leader/leader_state.h"
+#include "core/machine_types.h"
 #include "core/machines/machine.h"
 #include "model/cloud.h"
 
@@ -14,7 +15,7 @@
 static inline const struct ow_machine_type *ow_machine_type_of(const struct ow_leader *leader,
                                                                const struct ow_machine *machine)
 {
-    return machine->type >= 0 && machine->type < OW_MAX_TYPES ? leader->core->types[machine->type] : NULL;
+    return ow_machine_types_at(leader->core->machine_types, machine->type);
 }
 
 /* The machine of this name, or NULL. */
--- /dev/null
+++ b/src/core/peers/hello.c
@@ -0,0 +1,59 @@
+#include "core/peers/hello.h"
+
+#include "core/core_state.h"
+#include "core/election/election.h"
+#include "core/store_health.h"
+#include "model/peer.h"
+
+static const double INTERVAL_S = 1;
+/* A worker's heartbeat counts as recent for so long. */
+static const double WORKER_RECENT_S = 6;
+
+struct ow_hello {
+    struct ow_core *core;
+    double next_at;
+    double worker_heard_at; /* the last heartbeat of any worker; 0: none yet */
+};
+
+struct ow_hello *ow_hello_new(struct ow_core *core)
+{
+    struct ow_hello *hello = g_new0(struct ow_hello, 1);
+    hello->core = core;
+    return hello;
+}
+
+void ow_hello_free(struct ow_hello *hello)
+{
+    g_free(hello);
+}
+
+void ow_hello_note_worker_heartbeat(struct ow_hello *hello)
+{
+    hello->worker_heard_at = hello->core->now;
+}
+
+static bool receives_heartbeats(const struct ow_hello *hello)
+{
+    return hello->worker_heard_at > 0 && hello->core->now - hello->worker_heard_at < WORKER_RECENT_S;
+}
+
+static void send(const struct ow_hello *hello)
+{
+    struct ow_core *core = hello->core;
+    struct ow_peer_message *message = ow_peer_message_new(OW_PEER_HELLO);
+    message->sender = g_strdup(core->settings->controller_name);
+    message->fencing_token = ow_election_fencing_token(core->election);
+    message->hello.leads = message->fencing_token > 0;
+    message->hello.store_ok = ow_store_health_is_ok(core->store_health);
+    message->hello.receives_heartbeats = receives_heartbeats(hello);
+    ow_core_send_to_peers(core, message);
+}
+
+void ow_hello_tick(struct ow_hello *hello)
+{
+    double now = hello->core->now;
+    if (now < hello->next_at)
+        return;
+    hello->next_at = now + INTERVAL_S;
+    send(hello);
+}
--- a/src/core/peers/machine_hints.c
+++ b/src/core/peers/machine_hints.c
@@ -1,5 +1,5 @@
-/* Where machines listen, as the leader last told. */
 #include "core/peers/machine_hints.h"
+
 #include "model/peer.h"
 
 struct ow_machine_hints {
@@ -65,8 +65,8 @@
 static void take_part(struct ow_machine_hints *hints, struct ow_peer_machine_list *part)
 {
     if (part->part_index >= part->part_count || !is_expected(hints, part)) {
-        g_info("part %u of %u of the list of machines is not the next one: the list is dropped",
-               part->part_index + 1, part->part_count);
+        g_info("machine list dropped, its next part is missing: part=%u parts=%u", part->part_index + 1,
+               part->part_count);
         drop_parts(hints);
         return;
     }
@@ -84,7 +84,8 @@
 void ow_machine_hints_take(struct ow_machine_hints *hints, struct ow_peer_message *message)
 {
     if (message->fencing_token < hints->fencing_token) {
-        g_info("a list of machines of an older leader is dropped");
+        g_info("machine list of an older leader dropped: fencing_token=%" G_GUINT64_FORMAT,
+               message->fencing_token);
         return;
     }
     /* Parts of two leaders are not parts of one list. */
--- a/src/core/peers/machine_hints.h
+++ b/src/core/peers/machine_hints.h
@@ -1,5 +1,7 @@
-/* Where machines listen, as the leader last told: whoever takes over next reaches them before the cloud's
- * list is there. The list comes whole, or in parts of which none is used until all have come. */
+/** @file
+ * Where machines listen, as the leader last told: whoever takes over next reaches them before the cloud's
+ * list is there. The list comes whole, or in parts of which none is used until all have come.
+ */
 #ifndef OW_CORE_PEERS_MACHINE_HINTS_H
 #define OW_CORE_PEERS_MACHINE_HINTS_H
 
@@ -9,12 +11,15 @@
 
 struct ow_machine_hints;
 
+/** No list has come yet; freed by ow_machine_hints_free(). */
 struct ow_machine_hints *ow_machine_hints_new(void);
+/** Frees it. */
 void ow_machine_hints_free(struct ow_machine_hints *hints);
-/* Takes in a message of kind OW_PEER_MACHINES or OW_PEER_MACHINES_PART, whose list it takes over. A message
-   of an older leader is dropped; a part that is not the next one drops all parts before it. */
+/** Takes in a message of kind OW_PEER_MACHINES or OW_PEER_MACHINES_PART, whose list it takes over. A message
+ * of an older leader is dropped; a part that is not the next one drops all parts before it. */
 void ow_machine_hints_take(struct ow_machine_hints *hints, struct ow_peer_message *message);
-/* The last complete list, of struct ow_peer_machine. */
+/** The last complete list, of struct ow_peer_machine; valid until the next message. Empty if there is none.
+ */
 const GArray *ow_machine_hints_list(const struct ow_machine_hints *hints);
 
 #endif
--- a/src/core/peers/peer_messages.c
+++ b/src/core/peers/peer_messages.c
@@ -6,13 +6,8 @@
 #include "core/jobs/job_cache.h"
 #include "core/peers/machine_hints.h"
 #include "core/peers/peer_status.h"
-#include "core/store_health.h"
 #include "model/peer.h"
 
-static const double HELLO_S = 1;
-/* A worker's report counts as recent for so long. */
-static const double WORKER_RECENT_S = 6;
-
 static void handle_hello(struct ow_core *core, const struct ow_peer_message *message)
 {
     ow_peer_status_note_hello(core->peer_status, message, core->now);
@@ -22,6 +17,7 @@
     }
 }
 
+/* How a job fares, as its leader counts; nothing is decided by it. */
 static void handle_job_summary(struct ow_core *core, const struct ow_peer_job *summary)
 {
     struct ow_job *job = ow_jobs_find(core->jobs, summary->id);
@@ -67,25 +63,10 @@
         break;
     case OW_PEER_HEARTBEAT:
     case OW_PEER_PROBE:
-        break; /* of control/, which does not hand them on */
+        break; /* of sharding, which does not hand them on */
     case OW_PEER_MACHINES:
     case OW_PEER_MACHINES_PART:
         ow_machine_hints_take(core->machine_hints, message);
         break;
     }
 }
-
-void ow_peer_messages_send_hello(struct ow_core *core)
-{
-    if (core->now < core->hello_at)
-        return;
-    core->hello_at = core->now + HELLO_S;
-    struct ow_peer_message *message = ow_peer_message_new(OW_PEER_HELLO);
-    message->sender = g_strdup(core->settings->controller_name);
-    message->fencing_token = ow_election_fencing_token(core->election);
-    message->hello.leads = message->fencing_token > 0;
-    message->hello.store_ok = ow_store_health_is_ok(core->store_health);
-    message->hello.receives_heartbeats =
-        core->last_worker_heartbeat_at > 0 && core->now - core->last_worker_heartbeat_at < WORKER_RECENT_S;
-    ow_core_send_to_peers(core, message);
-}
--- a/src/core/readiness.c
+++ b/src/core/readiness.c
@@ -2,6 +2,7 @@
 
 #include "core/core_state.h"
 #include "core/jobs/job_cache.h"
+#include "core/machine_types.h"
 #include "core/peers/peer_status.h"
 #include "core/store_health.h"
 
@@ -17,7 +18,8 @@
 
 bool ow_readiness_is_ready(const struct ow_core *core)
 {
-    bool is_starting = !ow_job_cache_loaded(core->job_cache) || !core->types_known;
+    bool is_starting =
+        !ow_job_cache_loaded(core->job_cache) || !ow_machine_types_are_known(core->machine_types);
     bool is_store_lost = ow_store_health_is_lost(core->store_health);
     if (!is_starting && !is_store_lost)
         return true;
--- a/src/core/scheduling/image_demand.c
+++ b/src/core/scheduling/image_demand.c
@@ -2,6 +2,7 @@
 #include "core/scheduling/image_demand.h"
 #include "core/jobs/execution.h"
 #include "core/leader/leader_state.h"
+#include "core/machine_types.h"
 #include "core/machines/machine.h"
 #include "core/machines/machine_registry.h"
 #include "core/scheduling/classes.h"
@@ -19,7 +20,7 @@
 {
     double slowest = 0;
     for (int i = 0; i < OW_MAX_TYPES; i++) {
-        const struct ow_machine_type *type = leader->core->types[i];
+        const struct ow_machine_type *type = ow_machine_types_at(leader->core->machine_types, i);
         if (type == NULL || type->fetch_gb_per_s <= 0 || !fits_type(spec, i, type))
             continue;
         slowest = MAX(slowest, spec->submission->image_gb / type->fetch_gb_per_s);
--- a/src/core/type_discovery.c
+++ b/src/core/type_discovery.c
@@ -1,6 +1,7 @@
 #include "core/type_discovery.h"
 
 #include "core/core_state.h"
+#include "core/machine_types.h"
 #include "model/cloud.h"
 #include "model/event.h"
 #include "model/records.h"
@@ -33,19 +34,19 @@
     (void)data;
     discovery->is_asking = false;
     if (answer->cloud.status == 200 && answer->cloud.types != NULL)
-        ow_core_set_machine_types(discovery->core, answer->cloud.types);
+        ow_machine_types_update(discovery->core->machine_types, answer->cloud.types);
 }
 
 static void on_stored_types(void *owner, void *data, const struct ow_event *answer)
 {
     struct ow_type_discovery *discovery = owner;
     (void)data;
-    if (answer->store.status != 200 || discovery->core->types_known)
+    if (answer->store.status != 200 || ow_machine_types_are_known(discovery->core->machine_types))
         return;
     const struct ow_store_item *item = &g_array_index(answer->store.items, struct ow_store_item, 0);
     g_autoptr(GArray) types = wire_machine_types_from_json(item->value);
     if (types != NULL)
-        ow_core_set_machine_types(discovery->core, types);
+        ow_machine_types_update(discovery->core->machine_types, types);
 }
 
 static void ask_cloud(struct ow_type_discovery *discovery)
@@ -66,7 +67,7 @@
 void ow_type_discovery_tick(struct ow_type_discovery *discovery)
 {
     const struct ow_core *core = discovery->core;
-    if (core->types_known || core->leader != NULL || discovery->is_asking)
+    if (ow_machine_types_are_known(core->machine_types) || core->leader != NULL || discovery->is_asking)
         return;
     if (core->now < discovery->asked_at + RETRY_S)
         return;
