--- a/src/core/jobs/job.c
+++ b/src/core/jobs/job.c
@@ -1,11 +1,12 @@
 #include "core/jobs/job.h"
+
 #include "model/cloud.h"
 #include "model/submission.h"
 
 struct ow_jobs {
     struct ow_interners *names;
-    GHashTable *by_id;
-    GPtrArray *open;
+    GHashTable *by_id; /* id -> struct ow_job, owned */
+    GPtrArray *open;   /* struct ow_job, not owned */
 };
 
 struct ow_job_spec *ow_job_spec_new(struct ow_interners *names, struct ow_submission *submission)
@@ -81,42 +82,53 @@
     return job;
 }
 
+/* Whether a record of this version tells anything new. Watches and lists may answer out of order: a job that
+   is over must never be reopened. */
+static bool is_news(const struct ow_job *job, uint64_t version)
+{
+    if (job == NULL || version > job->version)
+        return true;
+    /* The record of a cancellation that was announced ahead of it brings the rest of what is to be known. */
+    return job->record_unread && version >= job->version;
+}
+
+/* A cancelled job keeps its description until the leader has seen its last task end. */
+static void take_description(struct ow_jobs *jobs, struct ow_job *job, struct ow_submission *submission)
+{
+    if (submission != NULL && job->spec == NULL)
+        job->spec = ow_job_spec_new(jobs->names, submission);
+    else
+        ow_submission_free(submission);
+}
+
 struct ow_job *ow_jobs_apply(struct ow_jobs *jobs, const char *id, uint64_t version, enum ow_job_state state,
                              struct ow_submission *submission, double now, double age_s)
 {
     struct ow_job *job = ow_jobs_find(jobs, id);
-    bool fresh = job == NULL;
-    /* The record of a cancellation that was announced ahead of it brings the rest of what is to be known. */
-    bool ahead = !fresh && job->record_unread && version >= job->version;
-    /* Watches and lists may answer out of order: a job that is over must never be reopened. */
-    if (!fresh && !ahead && version <= job->version) {
+    if (!is_news(job, version)) {
         ow_submission_free(submission);
         return NULL;
     }
-    if (fresh)
+    bool is_first_record = job == NULL || job->record_unread;
+    bool is_settled = submission == NULL; /* it is over and no task of it is left */
+    if (job == NULL)
         job = add_job(jobs, id, version);
-    fresh = fresh || ahead;
-    job->record_unread = false;
-    if (fresh) {
+    if (is_first_record) {
+        job->record_unread = false;
         job->first_seen_at = now;
         job->accepted_at = now - age_s;
     }
     job->version = version;
     job->state = state;
-    /* A cancelled job keeps its description until the leader has seen its last task end. */
-    bool settled = submission == NULL;
-    if (submission != NULL && job->spec == NULL)
-        job->spec = ow_job_spec_new(jobs->names, submission);
-    else
-        ow_submission_free(submission);
+    take_description(jobs, job, submission);
     if (ow_job_over(job))
         ow_job_set_reason(job, NULL);
     /* The last record of a cancelled job is written when no task is left. */
-    if (job->state == OW_JOB_CANCELLED && settled)
+    if (job->state == OW_JOB_CANCELLED && is_settled)
         job->cancellation_acked = true;
-    if (fresh && job->spec != NULL)
+    if (is_first_record && job->spec != NULL)
         g_ptr_array_add(jobs->open, job);
-    else if (ow_job_over(job) && job->execution == NULL && settled)
+    else if (ow_job_over(job) && job->execution == NULL && is_settled)
         ow_jobs_close(jobs, job);
     return job;
 }
--- a/src/core/jobs/job_cache.c
+++ b/src/core/jobs/job_cache.c
@@ -3,32 +3,50 @@
 #include "core/core_state.h"
 #include "core/leader/leader_state.h"
 #include "model/event.h"
+#include "model/http_status.h"
 #include "model/records.h"
 #include "wire/records_json.h"
 
 #include <string.h>
 
-/* The key-value store no longer holds the changes asked for; an answer was larger than the client takes. */
-enum { STATUS_GONE = 410, STATUS_TOO_LARGE = 413 };
-/* How long a watch may stay open, and the least time between two reads of one kind. */
-static const double WATCH_S = 10, WATCH_GAP_LEADER_S = 0.1, WATCH_GAP_S = 1.0, FRESH_GAP_S = 0.05,
-                    RETRY_S = 0.5, READ_SHARE = 0.4;
+/* How long a watch may stay open. */
+static const double WATCH_S = 10;
+/* The least time between two watches, on a leader and on any other controller. */
+static const double WATCH_GAP_LEADER_S = 0.1;
+static const double WATCH_GAP_S = 1.0;
+/* The least time between two reads that somebody waits for, and the share of the permitted requests to the
+   key-value store that all controllers together may use for them. */
+static const double REFRESH_GAP_S = 0.05;
+static const double REFRESH_SHARE = 0.4;
+/* The time until a failed read is repeated. */
+static const double RETRY_S = 0.5;
 
+/* Somebody who waits for a read that begins after they have asked. */
 struct waiter {
     ow_fresh_fn fn;
     void *data;
 };
 
+/* Reading the whole table, page by page. */
+struct loading {
+    bool is_done;
+    bool is_busy;      /* a page is being read */
+    char *last_key;    /* of the pages read so far; NULL: none */
+    uint64_t revision; /* of the first page: changes since then are watched for */
+    double next_at;    /* no page before this time */
+};
+
 struct ow_job_cache {
     struct ow_core *core;
-    bool loaded, loading, watching, reading;
-    uint64_t revision;
-    char *list_after;                   /* the last key of the pages read so far */
-    uint64_t list_revision;             /* of the first page: changes since then are watched for */
-    double load_at, watch_at, fresh_at; /* not before */
-    bool hinted;
-    GArray *waiting; /* struct waiter: for the next read */
-    GArray *asked;   /* struct waiter: for the read under way */
+    struct loading loading;
+    uint64_t revision;  /* up to which changes have been taken in */
+    bool is_watching;   /* a watch is open */
+    double watch_at;    /* no watch before this time */
+    bool is_refreshing; /* a read that somebody waits for is under way */
+    double refresh_at;  /* no such read before this time */
+    bool is_hinted;     /* the table is known to have changed since our revision */
+    GArray *waiting;    /* struct waiter: for the next read */
+    GArray *asked;      /* struct waiter: for the read under way */
 };
 
 struct ow_job_cache *ow_job_cache_new(struct ow_core *core)
@@ -51,13 +69,13 @@
 {
     free_waiters(job_cache->waiting);
     free_waiters(job_cache->asked);
-    g_free(job_cache->list_after);
+    g_free(job_cache->loading.last_key);
     g_free(job_cache);
 }
 
 bool ow_job_cache_loaded(const struct ow_job_cache *job_cache)
 {
-    return job_cache->loaded;
+    return job_cache->loading.is_done;
 }
 
 /* A job keeps its age, and with it its place among those that have waited, when every controller begins anew.
@@ -67,22 +85,28 @@
     return accepted_at > 0 ? MAX(0, core->time_of_day - accepted_at) : 0;
 }
 
+/* Takes in a job's record, unless a newer one is known. */
+static void apply_record(struct ow_job_cache *job_cache, const struct ow_store_item *item)
+{
+    struct ow_core *core = job_cache->core;
+    struct ow_job_record record;
+    if (!wire_job_record_decode(item->value, &record)) {
+        g_warning("job record can't be read: key=%s", item->key);
+        return;
+    }
+    struct ow_job *job =
+        ow_jobs_apply(core->jobs, item->key + strlen(OW_KEY_JOBS), item->mod_revision, record.state,
+                      record.submission, core->now, age_s(core, record.accepted_at));
+    if (job != NULL)
+        job->cancel_fencing_token = record.leader_fencing_token;
+}
+
 static void apply_items(struct ow_job_cache *job_cache, const GArray *items)
 {
     for (guint i = 0; i < items->len; i++) {
         const struct ow_store_item *item = &g_array_index(items, struct ow_store_item, i);
-        struct ow_job_record record;
-        if (item->value == NULL || !g_str_has_prefix(item->key, OW_KEY_JOBS))
-            continue;
-        if (!wire_job_record_decode(item->value, &record)) {
-            g_warning("job record %s cannot be read", item->key);
-            continue;
-        }
-        struct ow_job *job = ow_jobs_apply(job_cache->core->jobs, item->key + strlen(OW_KEY_JOBS),
-                                           item->mod_revision, record.state, record.submission,
-                                           job_cache->core->now, age_s(job_cache->core, record.accepted_at));
-        if (job != NULL)
-            job->cancel_fencing_token = record.leader_fencing_token;
+        if (item->value != NULL && g_str_has_prefix(item->key, OW_KEY_JOBS))
+            apply_record(job_cache, item);
     }
 }
 
@@ -103,15 +127,15 @@
    them, or they are more than we take in at once. Asking for them again would never end. */
 static bool is_beyond_reach(int status)
 {
-    return status == STATUS_GONE || status == STATUS_TOO_LARGE;
+    return status == OW_HTTP_STATUS_GONE || status == OW_HTTP_STATUS_CONTENT_TOO_LARGE;
 }
 
 /* Reads everything again, page by page. */
 static void restart_load(struct ow_job_cache *job_cache)
 {
-    job_cache->loaded = false;
-    g_clear_pointer(&job_cache->list_after, g_free);
-    job_cache->load_at = job_cache->core->now;
+    job_cache->loading.is_done = false;
+    g_clear_pointer(&job_cache->loading.last_key, g_free);
+    job_cache->loading.next_at = job_cache->core->now;
 }
 
 static void apply_changes(struct ow_job_cache *job_cache, const struct ow_store_reply *reply)
@@ -126,8 +150,8 @@
 {
     struct ow_job_cache *job_cache = owner;
     (void)data;
-    job_cache->reading = false;
-    bool ok = answer->store.status == 200;
+    job_cache->is_refreshing = false;
+    bool ok = answer->store.status == OW_HTTP_STATUS_OK;
     if (ok)
         apply_changes(job_cache, &answer->store);
     else if (is_beyond_reach(answer->store.status))
@@ -139,15 +163,15 @@
 {
     struct ow_job_cache *job_cache = owner;
     (void)data;
-    job_cache->watching = false;
-    double gap = job_cache->core->leader != NULL ? WATCH_GAP_LEADER_S : WATCH_GAP_S;
-    if (answer->store.status == 200)
+    job_cache->is_watching = false;
+    double gap_s = job_cache->core->leader != NULL ? WATCH_GAP_LEADER_S : WATCH_GAP_S;
+    if (answer->store.status == OW_HTTP_STATUS_OK)
         apply_changes(job_cache, &answer->store);
     else if (is_beyond_reach(answer->store.status))
         restart_load(job_cache);
     else
-        gap = RETRY_S;
-    job_cache->watch_at = job_cache->core->now + gap;
+        gap_s = RETRY_S;
+    job_cache->watch_at = job_cache->core->now + gap_s;
 }
 
 static void send_watch(struct ow_job_cache *job_cache, double hold_s, ow_call_fn fn)
@@ -158,38 +182,47 @@
     ow_core_call_store(job_cache->core, request, fn, job_cache, NULL, NULL);
 }
 
+/* The next page begins behind the last key of this one. */
+static void note_page_end(struct ow_job_cache *job_cache, const GArray *items)
+{
+    const struct ow_store_item *last = &g_array_index(items, struct ow_store_item, items->len - 1);
+    g_free(job_cache->loading.last_key);
+    job_cache->loading.last_key = g_strdup(last->key);
+}
+
+static void finish_loading(struct ow_job_cache *job_cache)
+{
+    g_clear_pointer(&job_cache->loading.last_key, g_free);
+    /* A record may have changed behind a page already read: the watch begins at the first page. */
+    job_cache->revision = job_cache->loading.revision;
+    job_cache->loading.is_done = true;
+    g_info("job table read: revision=%" G_GUINT64_FORMAT, job_cache->revision);
+}
+
 static void on_page(void *owner, void *data, const struct ow_event *answer)
 {
     struct ow_job_cache *job_cache = owner;
     const struct ow_store_reply *reply = &answer->store;
     (void)data;
-    job_cache->loading = false;
-    if (reply->status != 200) {
-        job_cache->load_at = job_cache->core->now + RETRY_S;
+    job_cache->loading.is_busy = false;
+    if (reply->status != OW_HTTP_STATUS_OK) {
+        job_cache->loading.next_at = job_cache->core->now + RETRY_S;
         return;
     }
-    if (job_cache->list_after == NULL)
-        job_cache->list_revision = reply->revision;
+    if (job_cache->loading.last_key == NULL)
+        job_cache->loading.revision = reply->revision;
     apply_items(job_cache, reply->items);
-    if (reply->has_more && reply->items->len > 0) {
-        const struct ow_store_item *last =
-            &g_array_index(reply->items, struct ow_store_item, reply->items->len - 1);
-        g_free(job_cache->list_after);
-        job_cache->list_after = g_strdup(last->key);
-        return;
-    }
-    g_clear_pointer(&job_cache->list_after, g_free);
-    /* A record may have changed behind a page already read: the watch begins at the first page. */
-    job_cache->revision = job_cache->list_revision;
-    job_cache->loaded = true;
-    g_info("job table read up to revision %" G_GUINT64_FORMAT, job_cache->revision);
+    if (reply->has_more && reply->items->len > 0)
+        note_page_end(job_cache, reply->items);
+    else
+        finish_loading(job_cache);
 }
 
-static void load(struct ow_job_cache *job_cache)
+static void load_page(struct ow_job_cache *job_cache)
 {
     struct ow_store_request *request = ow_store_request_new(OW_STORE_LIST, OW_KEY_JOBS);
-    request->start_after_key = g_strdup(job_cache->list_after);
-    job_cache->loading = true;
+    request->start_after_key = g_strdup(job_cache->loading.last_key);
+    job_cache->loading.is_busy = true;
     ow_core_call_store(job_cache->core, request, on_page, job_cache, NULL, NULL);
 }
 
@@ -201,39 +234,53 @@
 
 void ow_job_cache_hint(struct ow_job_cache *job_cache, uint64_t revision)
 {
-    job_cache->hinted = job_cache->hinted || revision > job_cache->revision;
+    job_cache->is_hinted = job_cache->is_hinted || revision > job_cache->revision;
+}
+
+/* Reads that somebody waits for keep to a share of the key-value store's requests, whatever the number of
+   controllers. */
+static double refresh_gap_s(const struct ow_settings *settings)
+{
+    double rps = REFRESH_SHARE * settings->store_rps / (settings->peers->len + 1);
+    return MAX(REFRESH_GAP_S, rps > 0 ? 1 / rps : 0);
 }
 
-static void read_fresh(struct ow_job_cache *job_cache)
+static void refresh(struct ow_job_cache *job_cache)
 {
     GArray *waiters = job_cache->waiting;
     job_cache->waiting = job_cache->asked;
     job_cache->asked = waiters;
-    job_cache->hinted = false;
-    job_cache->reading = true;
-    /* Reads for polls keep to a share of the key-value store's requests, whatever the number of controllers.
-     */
-    double share =
-        READ_SHARE * job_cache->core->settings->store_rps / (job_cache->core->settings->peers->len + 1);
-    job_cache->fresh_at = job_cache->core->now + MAX(FRESH_GAP_S, share > 0 ? 1 / share : 0);
+    job_cache->is_hinted = false;
+    job_cache->is_refreshing = true;
+    job_cache->refresh_at = job_cache->core->now + refresh_gap_s(job_cache->core->settings);
     send_watch(job_cache, 0, on_fresh);
 }
 
-void ow_job_cache_tick(struct ow_job_cache *job_cache)
+static void tick_loading(struct ow_job_cache *job_cache)
+{
+    if (!job_cache->loading.is_busy && job_cache->core->now >= job_cache->loading.next_at)
+        load_page(job_cache);
+    /* Whoever asks while the table is not there is told so at once. */
+    if (job_cache->waiting->len > 0)
+        answer_waiters(job_cache, job_cache->waiting, false);
+}
+
+static void tick_loaded(struct ow_job_cache *job_cache)
 {
     double now = job_cache->core->now;
-    if (!job_cache->loaded) {
-        if (!job_cache->loading && now >= job_cache->load_at)
-            load(job_cache);
-        if (job_cache->waiting->len > 0)
-            answer_waiters(job_cache, job_cache->waiting, false);
-        return;
-    }
-    if ((job_cache->waiting->len > 0 || job_cache->hinted) && !job_cache->reading &&
-        now >= job_cache->fresh_at)
-        read_fresh(job_cache);
-    if (!job_cache->watching && now >= job_cache->watch_at) {
-        job_cache->watching = true;
+    bool is_refresh_wanted = job_cache->waiting->len > 0 || job_cache->is_hinted;
+    if (is_refresh_wanted && !job_cache->is_refreshing && now >= job_cache->refresh_at)
+        refresh(job_cache);
+    if (!job_cache->is_watching && now >= job_cache->watch_at) {
+        job_cache->is_watching = true;
         send_watch(job_cache, WATCH_S, on_watch);
     }
 }
+
+void ow_job_cache_tick(struct ow_job_cache *job_cache)
+{
+    if (job_cache->loading.is_done)
+        tick_loaded(job_cache);
+    else
+        tick_loading(job_cache);
+}
--- a/src/core/peers/machine_hints.h
+++ b/src/core/peers/machine_hints.h
@@ -18,8 +18,8 @@
 /** Takes in a message of kind OW_PEER_MACHINES or OW_PEER_MACHINES_PART, whose list it takes over. A message
  * of an older leader is dropped; a part that is not the next one drops all parts before it. */
 void ow_machine_hints_take(struct ow_machine_hints *hints, struct ow_peer_message *message);
-/** The last complete list, of struct ow_peer_machine; valid until the next message. Empty if there is none.
- */
+/** The last complete list, of struct ow_peer_machine; valid until the next message. It is empty if none has
+ * come. */
 const GArray *ow_machine_hints_list(const struct ow_machine_hints *hints);
 
 #endif
