--- a/src/core/leader/leader.c
+++ b/src/core/leader/leader.c
@@ -7,11 +7,13 @@
 #include "core/leader/cycle_timer.h"
 #include "core/leader/leader_state.h"
 #include "core/leader/machine_type_polling.h"
+#include "core/machines/command_queue.h"
 #include "core/machines/fleet.h"
 #include "core/machines/instance_offers.h"
 #include "core/machines/machine_health.h"
 #include "core/machines/machine_registry.h"
 #include "core/machines/scale_out.h"
+#include "core/machines/spot_risk.h"
 #include "core/machines/worker_commands.h"
 #include "core/peers/leader_broadcast.h"
 #include "core/records/failover.h"
@@ -35,20 +37,21 @@
     leader->fencing_token = fencing_token;
     leader->machines_by_name = g_hash_table_new(g_str_hash, g_str_equal);
     leader->machines = g_ptr_array_new_with_free_func(ow_machine_free);
-    leader->direct_due = g_ptr_array_new();
+    leader->command_queue = ow_command_queue_new();
     leader->executions = g_ptr_array_new();
     leader->cycle.image_demand = ow_image_demand_new_table();
     leader->cycle.shortlists = ow_shortlists_new();
     leader->cycle.allowances = ow_reason_new_allowances();
     leader->record_values = g_ptr_array_new_with_free_func(ow_record_value_free);
-    leader->scale_out.refusals = ow_instance_offers_new_refusals();
-    leader->terminations.queued = g_ptr_array_new_with_free_func(g_free);
-    leader->terminations.names = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+    leader->fleet = ow_fleet_new();
+    leader->scale_out = ow_scale_out_new();
+    leader->offer_refusals = ow_instance_offers_new_refusals();
+    leader->spot_risk = ow_spot_risk_new();
     leader->recorder = ow_recorder_new(leader);
     leader->machine_type_polling = ow_machine_type_polling_new();
     leader->broadcast = ow_leader_broadcast_new();
     leader->quota = ow_quota_new();
-    ow_rate_limiter_init(&leader->cloud.limiter, CLOUD_SHARE * core->settings->cloud_rps,
+    ow_rate_limiter_init(&leader->cloud_limiter, CLOUD_SHARE * core->settings->cloud_rps,
                          core->settings->cloud_rps, core->now);
     return leader;
 }
@@ -62,10 +65,11 @@
     g_ptr_array_free(leader->executions, TRUE);
     g_hash_table_destroy(leader->machines_by_name);
     g_ptr_array_free(leader->machines, TRUE);
-    g_ptr_array_free(leader->direct_due, TRUE);
-    g_array_free(leader->scale_out.refusals, TRUE);
-    g_ptr_array_free(leader->terminations.queued, TRUE);
-    g_hash_table_destroy(leader->terminations.names);
+    ow_command_queue_free(leader->command_queue);
+    ow_fleet_free(leader->fleet);
+    ow_scale_out_free(leader->scale_out);
+    g_array_free(leader->offer_refusals, TRUE);
+    ow_spot_risk_free(leader->spot_risk);
     ow_recorder_free(leader->recorder);
     g_ptr_array_free(leader->record_values, TRUE);
     g_array_free(leader->cycle.image_demand, TRUE);
@@ -74,7 +78,6 @@
     ow_machine_type_polling_free(leader->machine_type_polling);
     ow_leader_broadcast_free(leader->broadcast);
     ow_quota_free(leader->quota);
-    g_free(leader->cloud.list_after);
     g_free(leader);
 }
 
--- a/src/core/leader/leader_state.h
+++ b/src/core/leader/leader_state.h
@@ -1,5 +1,7 @@
-/* The state of a leader, which exists only while this controller holds the leader's key. Only the modules of
- * the leader include this; everybody else uses leader.h. Each field is changed by the module named at it. */
+/** @file
+ * The state of a leader, which exists only while this controller holds the leader key. A field is changed by
+ * the module named at it alone; the opaque ones belong to the module of their name.
+ */
 #ifndef OW_CORE_LEADER_LEADER_STATE_H
 #define OW_CORE_LEADER_LEADER_STATE_H
 
@@ -10,10 +12,14 @@
 #include <stdbool.h>
 #include <stdint.h>
 
+struct ow_command_queue;
+struct ow_fleet;
 struct ow_leader_broadcast;
 struct ow_machine_type_polling;
 struct ow_quota;
 struct ow_recorder;
+struct ow_scale_out;
+struct ow_spot_risk;
 
 /* Reading the records of earlier leaders: failover.c. */
 struct ow_failover_progress {
@@ -43,36 +49,6 @@
     double gpu_cpus;      /* CPUs that a GPU needs to be of use, by the jobs that are open */
 };
 
-/* The list of machines that is read from the cloud: fleet.c. */
-struct ow_cloud_polling {
-    struct ow_rate_limiter limiter; /* of all calls to the cloud */
-    double list_at;                 /* when it is due next */
-    bool list_busy;                 /* a call is under way */
-    bool listed_once;               /* the list has been read completely */
-    char *list_after;               /* the last machine of the list's pages read; NULL: at its beginning */
-};
-
-/* Renting: scale_out.c, and instance_offers.c for refusals. */
-struct ow_scale_out_state {
-    double next_at; /* when it is considered next */
-    unsigned count; /* of rent requests, which gives names to the machines */
-    unsigned calls; /* under way */
-    GArray *refusals;
-};
-
-/* Returning machines: fleet.c. */
-struct ow_terminations {
-    GPtrArray *queued; /* names of machines whose deletion is to be sent */
-    GHashTable *names; /* names of machines deleted, which lagging lists still show */
-};
-
-/* Notices of spot machines, and how long there were such machines, both fading: spot_risk.c. */
-struct ow_spot_risk {
-    double reclaim_notices;
-    double machine_s;
-    double updated_at;
-};
-
 /** How far a new leader is with taking over. Only failover.c moves it on. */
 enum ow_leader_phase {
     OW_LEADER_REFRESH, /**< the job table is brought up to date */
@@ -80,35 +56,40 @@
     OW_LEADER_READY,   /**< everything is known: it decides */
 };
 
+/** The leader of a shard. */
 struct ow_leader {
     struct ow_core *core;
-    uint64_t fencing_token;     /* of its lease */
-    enum ow_leader_phase phase; /* failover.c */
-    double ready_at;            /* when it became ready */
+    uint64_t fencing_token;     /**< of its term */
+    enum ow_leader_phase phase; /**< failover.c */
+    double ready_at;            /**< when it became ready */
     struct ow_failover_progress failover;
 
-    /* Machines: machine_registry.c. */
-    GHashTable *machines_by_name;  /* name -> struct ow_machine */
-    GPtrArray *machines;           /* struct ow_machine, owned */
-    uint32_t heartbeat_generation; /* reconciliation.c: reports taken in so far */
-    GPtrArray *direct_due;         /* struct ow_machine, not owned: worker_commands.c */
-    unsigned probes; /* direct commands under way to machines that may not answer: worker_commands.c */
+    /* Machines. */
+    GHashTable *machines_by_name;  /**< name -> struct ow_machine, not owned: machine_registry.c */
+    GPtrArray *machines;           /**< struct ow_machine, owned: machine_registry.c */
+    uint32_t heartbeat_generation; /**< heartbeats taken in so far: reconciliation.c */
+    struct ow_command_queue *command_queue;
+    unsigned probes; /**< direct commands under way to machines that may not answer: worker_commands.c */
+    struct ow_rate_limiter cloud_limiter; /**< of all calls to the cloud, by whichever module */
+    struct ow_fleet *fleet;
+    struct ow_scale_out *scale_out;
+    GArray *offer_refusals; /**< struct ow_offer_refusal: instance_offers.c */
+    struct ow_spot_risk *spot_risk;
+    struct ow_machine_type_polling *machine_type_polling;
+    double health_check_at; /**< when the health of machines is checked next: leader.c */
 
-    GPtrArray *executions; /* struct ow_execution, owned: execution.c */
+    /* Jobs. */
+    GPtrArray *executions; /**< struct ow_execution, owned: execution_table.c */
     struct ow_quota *quota;
+    struct ow_cycle_scratch cycle;
 
+    /* Records. */
     struct ow_format_state format;
     struct ow_recorder *recorder;
-    GPtrArray *record_values; /* struct ow_record_value, owned: record_values.c */
+    GPtrArray *record_values; /**< struct ow_record_value, owned: record_values.c */
 
-    struct ow_cycle_scratch cycle;
-    struct ow_cloud_polling cloud;
-    struct ow_scale_out_state scale_out;
-    struct ow_terminations terminations;
-    struct ow_spot_risk spot_risk;
-    struct ow_machine_type_polling *machine_type_polling;
+    /* Other controllers. */
     struct ow_leader_broadcast *broadcast;
-    double health_check_at; /* when leader.c checks the health of machines next */
 };
 
 /** Something that a scheduling cycle depends on has changed: one is due. */
--- a/src/core/leader/machine_type_polling.c
+++ b/src/core/leader/machine_type_polling.c
@@ -67,7 +67,7 @@
 {
     struct ow_machine_type_polling *polling = leader->machine_type_polling;
     double now = leader->core->now;
-    if (polling->is_asking || now < polling->next_at || !ow_rate_limiter_take(&leader->cloud.limiter, 1, now))
+    if (polling->is_asking || now < polling->next_at || !ow_rate_limiter_take(&leader->cloud_limiter, 1, now))
         return;
     struct ow_cloud_request *request = g_new0(struct ow_cloud_request, 1);
     request->op = OW_CLOUD_TYPES;
--- a/src/core/machines/command_queue.c
+++ b/src/core/machines/command_queue.c
@@ -12,12 +12,45 @@
 static const double DIRECT_COST_S = 100e-6;
 static const double ADD_ALL_SHARE = 0.5;
 
+struct ow_command_queue {
+    GPtrArray *machines; /* struct ow_machine, not owned, each once */
+};
+
+struct ow_command_queue *ow_command_queue_new(void)
+{
+    struct ow_command_queue *queue = g_new0(struct ow_command_queue, 1);
+    queue->machines = g_ptr_array_new();
+    return queue;
+}
+
+void ow_command_queue_free(struct ow_command_queue *queue)
+{
+    g_ptr_array_free(queue->machines, TRUE);
+    g_free(queue);
+}
+
+guint ow_command_queue_length(const struct ow_leader *leader)
+{
+    return leader->command_queue->machines->len;
+}
+
+struct ow_machine *ow_command_queue_at(const struct ow_leader *leader, guint position)
+{
+    return g_ptr_array_index(leader->command_queue->machines, position);
+}
+
+void ow_command_queue_take(struct ow_leader *leader, guint position)
+{
+    ow_command_queue_at(leader, position)->direct_wanted = false;
+    g_ptr_array_remove_index_fast(leader->command_queue->machines, position);
+}
+
 void ow_command_queue_add(struct ow_leader *leader, struct ow_machine *machine)
 {
     if (machine->direct_wanted)
         return;
     machine->direct_wanted = true;
-    g_ptr_array_add(leader->direct_due, machine);
+    g_ptr_array_add(leader->command_queue->machines, machine);
 }
 
 void ow_command_queue_add_unfenced(struct ow_leader *leader, struct ow_machine *machine)
@@ -40,6 +73,6 @@
 void ow_command_queue_remove(struct ow_leader *leader, struct ow_machine *machine)
 {
     if (machine->direct_wanted)
-        g_ptr_array_remove_fast(leader->direct_due, machine);
+        g_ptr_array_remove_fast(leader->command_queue->machines, machine);
     machine->direct_wanted = false;
 }
--- a/src/core/machines/command_queue.h
+++ b/src/core/machines/command_queue.h
@@ -5,9 +5,22 @@
 #ifndef OW_CORE_MACHINES_COMMAND_QUEUE_H
 #define OW_CORE_MACHINES_COMMAND_QUEUE_H
 
+#include <glib.h>
+
+struct ow_command_queue;
 struct ow_leader;
 struct ow_machine;
 
+/** No machine is due a command; freed by ow_command_queue_free(). */
+struct ow_command_queue *ow_command_queue_new(void);
+/** Frees it, not the machines in it. */
+void ow_command_queue_free(struct ow_command_queue *queue);
+/** How many machines are due a command. */
+guint ow_command_queue_length(const struct ow_leader *leader);
+/** The machine at a position below the length; in no order. */
+struct ow_machine *ow_command_queue_at(const struct ow_leader *leader, guint position);
+/** Takes the machine at a position out of the queue; the last one takes its place. */
+void ow_command_queue_take(struct ow_leader *leader, guint position);
 /** From now on the machine is due a direct command. */
 void ow_command_queue_add(struct ow_leader *leader, struct ow_machine *machine);
 /** The same for a machine that has reported under an older fencing token and is answered under ours: a
--- a/src/core/machines/fleet.c
+++ b/src/core/machines/fleet.c
@@ -21,13 +21,48 @@
 /* An idle share of one in so many counts as one idle machine. */
 static const double CROWD_SHARES = 10;
 
+struct ow_fleet {
+    double list_at;          /* when the list is due next */
+    bool is_listing;         /* a call for it is under way */
+    bool is_listed;          /* the list has been read completely */
+    char *last_listed;       /* the last machine of the pages read so far; NULL: at the beginning */
+    GPtrArray *to_terminate; /* names of machines whose deletion is to be sent */
+    GHashTable *terminated;  /* set of names of machines deleted, which lagging lists still show */
+};
+
+struct ow_fleet *ow_fleet_new(void)
+{
+    struct ow_fleet *fleet = g_new0(struct ow_fleet, 1);
+    fleet->to_terminate = g_ptr_array_new_with_free_func(g_free);
+    fleet->terminated = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+    return fleet;
+}
+
+void ow_fleet_free(struct ow_fleet *fleet)
+{
+    g_free(fleet->last_listed);
+    g_ptr_array_free(fleet->to_terminate, TRUE);
+    g_hash_table_destroy(fleet->terminated);
+    g_free(fleet);
+}
+
+bool ow_fleet_is_listed(const struct ow_leader *leader)
+{
+    return leader->fleet->is_listed;
+}
+
+bool ow_fleet_has_terminated(const struct ow_leader *leader, const char *name)
+{
+    return g_hash_table_contains(leader->fleet->terminated, name);
+}
+
 /* ---- deleting ---- */
 
 static void apply_deletion_answer(struct ow_leader *leader, struct ow_machine *machine, int status)
 {
     if (status == 200) {
         g_info("machine %s is returned", machine->name);
-        g_hash_table_add(leader->terminations.names, g_strdup(machine->name));
+        g_hash_table_add(leader->fleet->terminated, g_strdup(machine->name));
         ow_instance_offers_forget_refusal(leader, machine); /* its place is free again */
         ow_machines_remove(leader, machine, "its machine is deleted");
     } else {
@@ -52,13 +87,13 @@
 void ow_fleet_terminate(struct ow_leader *leader, struct ow_machine *machine, const char *why)
 {
     double now = leader->core->now;
-    if (now < machine->terminate_at || ow_rate_limiter_level(&leader->cloud.limiter, now) < 1)
+    if (now < machine->terminate_at || ow_rate_limiter_level(&leader->cloud_limiter, now) < 1)
         return;
     if (!machine->terminating)
         g_info("machine %s is being returned: %s", machine->name, why);
     machine->terminating = true;
     machine->terminate_at = INFINITY;
-    g_ptr_array_add(leader->terminations.queued, g_strdup(machine->name));
+    g_ptr_array_add(leader->fleet->to_terminate, g_strdup(machine->name));
 }
 
 static void free_names(void *names)
@@ -68,18 +103,18 @@
 
 void ow_fleet_send_terminations(struct ow_leader *leader)
 {
-    if (leader->terminations.queued->len == 0 ||
-        !ow_rate_limiter_take(&leader->cloud.limiter, 1, leader->core->now))
+    if (leader->fleet->to_terminate->len == 0 ||
+        !ow_rate_limiter_take(&leader->cloud_limiter, 1, leader->core->now))
         return;
     struct ow_cloud_request *request = g_new0(struct ow_cloud_request, 1);
     GPtrArray *names = g_ptr_array_new_with_free_func(g_free);
     request->op = OW_CLOUD_TERMINATE;
     request->machines = g_ptr_array_new_with_free_func(g_free);
-    for (guint i = 0; i < leader->terminations.queued->len && i < DELETE_MOST; i++) {
-        g_ptr_array_add(names, g_strdup(g_ptr_array_index(leader->terminations.queued, i)));
-        g_ptr_array_add(request->machines, g_strdup(g_ptr_array_index(leader->terminations.queued, i)));
+    for (guint i = 0; i < leader->fleet->to_terminate->len && i < DELETE_MOST; i++) {
+        g_ptr_array_add(names, g_strdup(g_ptr_array_index(leader->fleet->to_terminate, i)));
+        g_ptr_array_add(request->machines, g_strdup(g_ptr_array_index(leader->fleet->to_terminate, i)));
     }
-    g_ptr_array_remove_range(leader->terminations.queued, 0, names->len);
+    g_ptr_array_remove_range(leader->fleet->to_terminate, 0, names->len);
     ow_core_call_cloud(leader->core, request, on_deleted, leader, names, free_names);
 }
 
@@ -88,16 +123,17 @@
 static void on_listed(void *owner, void *data, const struct ow_event *answer)
 {
     struct ow_leader *leader = owner;
+    struct ow_fleet *fleet = leader->fleet;
     (void)data;
-    leader->cloud.list_busy = false;
+    fleet->is_listing = false;
     if (answer->cloud.status != 200 || answer->cloud.listed == NULL) {
-        leader->cloud.list_at = leader->core->now + LIST_RETRY_S;
+        fleet->list_at = leader->core->now + LIST_RETRY_S;
         return;
     }
     const GArray *listed = answer->cloud.listed;
     for (guint i = 0; i < listed->len; i++) {
         const struct ow_listed_machine *listed_machine = &g_array_index(listed, struct ow_listed_machine, i);
-        if (g_hash_table_contains(leader->terminations.names, listed_machine->name))
+        if (g_hash_table_contains(fleet->terminated, listed_machine->name))
             continue; /* the list lags */
         struct ow_machine *machine = ow_machines_find(leader, listed_machine->name);
         bool fresh = machine == NULL;
@@ -113,26 +149,26 @@
             fresh ? leader->core->now - listed_machine->age_s
                   : MIN(machine->provisioned_at, leader->core->now - listed_machine->age_s);
     }
-    g_clear_pointer(&leader->cloud.list_after, g_free);
+    g_clear_pointer(&fleet->last_listed, g_free);
     if (answer->cloud.more && listed->len > 0) {
-        leader->cloud.list_after =
-            g_strdup(g_array_index(listed, struct ow_listed_machine, listed->len - 1).name);
+        fleet->last_listed = g_strdup(g_array_index(listed, struct ow_listed_machine, listed->len - 1).name);
     } else {
         /* Not before the last page: what is not known yet would be provisioned a second time. */
-        leader->cloud.listed_once = true;
-        leader->cloud.list_at = leader->core->now + LIST_S;
+        fleet->is_listed = true;
+        fleet->list_at = leader->core->now + LIST_S;
     }
 }
 
 void ow_fleet_list(struct ow_leader *leader)
 {
-    if (leader->cloud.list_busy || leader->core->now < leader->cloud.list_at ||
-        !ow_rate_limiter_take(&leader->cloud.limiter, 1, leader->core->now))
+    struct ow_fleet *fleet = leader->fleet;
+    if (fleet->is_listing || leader->core->now < fleet->list_at ||
+        !ow_rate_limiter_take(&leader->cloud_limiter, 1, leader->core->now))
         return;
     struct ow_cloud_request *request = g_new0(struct ow_cloud_request, 1);
     request->op = OW_CLOUD_LIST;
-    request->after = g_strdup(leader->cloud.list_after);
-    leader->cloud.list_busy = true;
+    request->after = g_strdup(fleet->last_listed);
+    fleet->is_listing = true;
     ow_core_call_cloud(leader->core, request, on_listed, leader, NULL, NULL);
 }
 
--- a/src/core/machines/fleet.h
+++ b/src/core/machines/fleet.h
@@ -3,9 +3,20 @@
 #ifndef OW_CORE_MACHINES_FLEET_H
 #define OW_CORE_MACHINES_FLEET_H
 
+#include <stdbool.h>
+
+struct ow_fleet;
 struct ow_leader;
 struct ow_machine;
 
+/** No machine has been listed or deleted yet; freed by ow_fleet_free(). */
+struct ow_fleet *ow_fleet_new(void);
+/** Frees it. */
+void ow_fleet_free(struct ow_fleet *fleet);
+/** Whether the cloud's list has been read completely. */
+bool ow_fleet_is_listed(const struct ow_leader *leader);
+/** Whether the machine of this name has been deleted: whatever still tells of it is late. */
+bool ow_fleet_has_terminated(const struct ow_leader *leader, const char *name);
 /* Asks the cloud for its list of machines when that is due. */
 void ow_fleet_list(struct ow_leader *leader);
 /* Marks machines for return that have been idle for long enough and that no class needs ready. */
--- a/src/core/machines/instance_offers.c
+++ b/src/core/machines/instance_offers.c
@@ -38,32 +38,31 @@
 
 static bool refused(const struct ow_leader *leader, int type, int zone, bool spot)
 {
-    for (guint i = 0; i < leader->scale_out.refusals->len; i++)
-        if (is_kind(&g_array_index(leader->scale_out.refusals, struct ow_offer_refusal, i), type, zone, spot))
+    for (guint i = 0; i < leader->offer_refusals->len; i++)
+        if (is_kind(&g_array_index(leader->offer_refusals, struct ow_offer_refusal, i), type, zone, spot))
             return true;
     return false;
 }
 
 void ow_instance_offers_forget_refusal(struct ow_leader *leader, const struct ow_machine *machine)
 {
-    for (guint i = leader->scale_out.refusals->len; i > 0; i--)
-        if (is_kind(&g_array_index(leader->scale_out.refusals, struct ow_offer_refusal, i - 1), machine->type,
+    for (guint i = leader->offer_refusals->len; i > 0; i--)
+        if (is_kind(&g_array_index(leader->offer_refusals, struct ow_offer_refusal, i - 1), machine->type,
                     machine->zone, machine->spot))
-            g_array_remove_index_fast(leader->scale_out.refusals, i - 1);
+            g_array_remove_index_fast(leader->offer_refusals, i - 1);
 }
 
 void ow_instance_offers_forget_old(struct ow_leader *leader)
 {
-    for (guint i = leader->scale_out.refusals->len; i > 0; i--)
-        if (g_array_index(leader->scale_out.refusals, struct ow_offer_refusal, i - 1).until <
-            leader->core->now)
-            g_array_remove_index_fast(leader->scale_out.refusals, i - 1);
+    for (guint i = leader->offer_refusals->len; i > 0; i--)
+        if (g_array_index(leader->offer_refusals, struct ow_offer_refusal, i - 1).until < leader->core->now)
+            g_array_remove_index_fast(leader->offer_refusals, i - 1);
 }
 
 void ow_instance_offers_refuse(struct ow_leader *leader, int type, int zone, bool spot)
 {
     struct ow_offer_refusal refusal = {type, zone, spot, leader->core->now + REFUSAL_S};
-    g_array_append_val(leader->scale_out.refusals, refusal);
+    g_array_append_val(leader->offer_refusals, refusal);
 }
 
 /* ---- what they are worth ---- */
--- a/src/core/machines/reconciliation.c
+++ b/src/core/machines/reconciliation.c
@@ -5,6 +5,7 @@
 #include "core/jobs/execution.h"
 #include "core/leader/leader_state.h"
 #include "core/machines/command_queue.h"
+#include "core/machines/fleet.h"
 #include "core/machines/machine.h"
 #include "core/machines/machine_registry.h"
 #include "core/machines/spot_risk.h"
@@ -243,7 +244,7 @@
                                           GArray *commands)
 {
     /* A copy of an old heartbeat must not bring a deleted machine back. */
-    if (g_hash_table_contains(leader->terminations.names, heartbeat->machine))
+    if (ow_fleet_has_terminated(leader, heartbeat->machine))
         return NULL;
     struct ow_machine *machine = ow_machines_find_or_add(leader, heartbeat->machine);
     /* A late copy says nothing about now, renews nothing, and an incarnation proven over is over. */
--- a/src/core/machines/scale_out.c
+++ b/src/core/machines/scale_out.c
@@ -32,14 +32,30 @@
     unsigned count;
 };
 
+struct ow_scale_out {
+    double next_at; /* when it is considered next */
+    unsigned count; /* of provision requests, which gives names to the machines */
+    unsigned calls; /* under way */
+};
+
+struct ow_scale_out *ow_scale_out_new(void)
+{
+    return g_new0(struct ow_scale_out, 1);
+}
+
+void ow_scale_out_free(struct ow_scale_out *scale_out)
+{
+    g_free(scale_out);
+}
+
 static void on_provisioned(void *owner, void *data, const struct ow_event *answer)
 {
     struct ow_leader *leader = owner;
     const struct provision_call *call = data;
     const char *type = ow_interner_text(leader->core->interners.types, call->type);
     const char *zone = ow_interner_text(leader->core->interners.zones, call->zone);
-    leader->scale_out.calls--;
-    leader->scale_out.next_at = leader->core->now; /* plan again with what this one has shown */
+    leader->scale_out->calls--;
+    leader->scale_out->next_at = leader->core->now; /* plan again with what this one has shown */
     if (answer->cloud.status != 200 || answer->cloud.provisioned == NULL ||
         answer->cloud.provisioned[0] == NULL) {
         ow_instance_offers_refuse(leader, call->type, call->zone, call->spot);
@@ -200,12 +216,12 @@
     request->op = OW_CLOUD_PROVISION;
     /* The fencing token is ours alone, so no other process ever uses the same name for another request. */
     request->name =
-        g_strdup_printf("r-%" G_GUINT64_FORMAT "-%u", leader->fencing_token, ++leader->scale_out.count);
+        g_strdup_printf("r-%" G_GUINT64_FORMAT "-%u", leader->fencing_token, ++leader->scale_out->count);
     request->type = g_strdup(ow_interner_text(leader->core->interners.types, call->type));
     request->zone = g_strdup(ow_interner_text(leader->core->interners.zones, call->zone));
     request->spot = call->spot;
     request->count = count;
-    leader->scale_out.calls++;
+    leader->scale_out->calls++;
     ow_core_call_cloud(leader->core, request, on_provisioned, leader, call, g_free);
 }
 
@@ -224,7 +240,7 @@
             continue;
         for (guint k = i; k < plan->len; k++)
             count += same_kind(expected, &g_array_index(plan, struct ow_expected_machine, k)) ? 1 : 0;
-        if (!ow_rate_limiter_take(&leader->cloud.limiter, 1, leader->core->now))
+        if (!ow_rate_limiter_take(&leader->cloud_limiter, 1, leader->core->now))
             return;
         rent(leader, expected, count);
         for (guint k = plan->len; k > i; k--)
@@ -240,7 +256,7 @@
         if (machine->listed == OW_LISTED_RUNNING && !machine->fenced)
             return false;
     }
-    return leader->cloud.listed_once;
+    return ow_fleet_is_listed(leader);
 }
 
 static void provision_for_waiting(struct ow_leader *leader)
@@ -248,7 +264,7 @@
     double settling_s = all_sent_heartbeats(leader) ? SETTLED_S : UNSETTLED_S;
     /* One round at a time: a second plan must see what the first has brought. And none before the machines
        that are there had time to report. */
-    if (leader->scale_out.calls > 0 || leader->core->now - leader->ready_at < settling_s)
+    if (leader->scale_out->calls > 0 || leader->core->now - leader->ready_at < settling_s)
         return;
     ow_instance_offers_forget_old(leader);
     GArray *plan = coming_up(leader);
@@ -268,9 +284,9 @@
 {
     double now = leader->core->now;
     ow_fleet_list(leader);
-    if (now < leader->scale_out.next_at)
+    if (now < leader->scale_out->next_at)
         return;
-    leader->scale_out.next_at = now + 1;
+    leader->scale_out->next_at = now + 1;
     provision_for_waiting(leader);
     ow_fleet_scale_in(leader);
 }
--- a/src/core/machines/spot_risk.c
+++ b/src/core/machines/spot_risk.c
@@ -11,14 +11,31 @@
 static const double ASSUMED_RECLAIM_NOTICES = 1;
 static const double ASSUMED_MACHINE_S = 1800;
 
+/* What was seen of spot machines; all of it fades. */
+struct ow_spot_risk {
+    double reclaim_notices;
+    double machine_s; /* how long there were such machines */
+    double updated_at;
+};
+
+struct ow_spot_risk *ow_spot_risk_new(void)
+{
+    return g_new0(struct ow_spot_risk, 1);
+}
+
+void ow_spot_risk_free(struct ow_spot_risk *risk)
+{
+    g_free(risk);
+}
+
 void ow_spot_risk_observe_reclaim_notice(struct ow_leader *leader)
 {
-    leader->spot_risk.reclaim_notices += 1;
+    leader->spot_risk->reclaim_notices += 1;
 }
 
 void ow_spot_risk_tick(struct ow_leader *leader)
 {
-    struct ow_spot_risk *risk = &leader->spot_risk;
+    struct ow_spot_risk *risk = leader->spot_risk;
     double now = leader->core->now;
     double passed_s = risk->updated_at > 0 ? now - risk->updated_at : 0;
     double weight = exp(-passed_s / MEMORY_S);
@@ -34,7 +51,7 @@
 
 double ow_spot_risk_within(const struct ow_leader *leader, double seconds)
 {
-    const struct ow_spot_risk *risk = &leader->spot_risk;
+    const struct ow_spot_risk *risk = leader->spot_risk;
     double rate = (risk->reclaim_notices + ASSUMED_RECLAIM_NOTICES) / (risk->machine_s + ASSUMED_MACHINE_S);
     return 1 - exp(-rate * MAX(0, seconds));
 }
--- a/src/core/machines/spot_risk.h
+++ b/src/core/machines/spot_risk.h
@@ -3,6 +3,12 @@
 #define OW_CORE_MACHINES_SPOT_RISK_H
 
 struct ow_leader;
+struct ow_spot_risk;
+
+/** Nothing has been seen yet; freed by ow_spot_risk_free(). */
+struct ow_spot_risk *ow_spot_risk_new(void);
+/** Frees it. */
+void ow_spot_risk_free(struct ow_spot_risk *risk);
 
 /* A spot machine has got notice. */
 void ow_spot_risk_observe_reclaim_notice(struct ow_leader *leader);
--- a/src/core/machines/worker_commands.c
+++ b/src/core/machines/worker_commands.c
@@ -180,13 +180,12 @@
    cost as much as their heartbeats. */
 void ow_worker_commands_send(struct ow_leader *leader)
 {
-    for (guint i = leader->direct_due->len; i > 0; i--) {
-        struct ow_machine *machine = g_ptr_array_index(leader->direct_due, i - 1);
+    for (guint i = ow_command_queue_length(leader); i > 0; i--) {
+        struct ow_machine *machine = ow_command_queue_at(leader, i - 1);
         bool needed = is_direct_needed(leader, machine);
         if (needed && !is_direct_possible(leader, machine))
             continue;
-        machine->direct_wanted = false;
-        g_ptr_array_remove_index_fast(leader->direct_due, i - 1);
+        ow_command_queue_take(leader, i - 1);
         if (needed)
             send_direct(leader, machine);
     }
