--- a/src/core/leader/machine_type_polling.c
+++ b/src/core/leader/machine_type_polling.c
@@ -6,7 +6,7 @@
 #include "model/event.h"
 #include "model/http_status.h"
 #include "model/records.h"
-#include "wire/records_json.h"
+#include "wire/cloud_json.h"
 
 #include <string.h>
 
--- a/src/io/outgoing.c
+++ b/src/io/outgoing.c
@@ -62,15 +62,7 @@
                                     size_t size)
 {
     struct ow_event *event = ow_event_new(OW_EVENT_CLOUD, pending->core_tag);
-    event->cloud.status = status;
-    if (status != OW_HTTP_STATUS_OK)
-        return event;
-    if (pending->operation == OW_CLOUD_TYPES)
-        event->cloud.types = wire_machine_types_decode(body, size);
-    else if (pending->operation == OW_CLOUD_LIST)
-        event->cloud.listed = wire_machine_list_decode(body, size, &event->cloud.more);
-    else if (pending->operation == OW_CLOUD_PROVISION)
-        event->cloud.provisioned = wire_provision_reply_decode(body, size);
+    wire_cloud_reply_decode((enum ow_cloud_op)pending->operation, status, body, size, &event->cloud);
     return event;
 }
 
@@ -133,22 +125,9 @@
         .core_tag = request->tag,
     };
     uint64_t tag = add_pending(daemon->pending_requests, &pending);
-    struct wire_http_request http = wire_store_request_encode(request);
+    g_auto(wire_http_request) http = wire_store_request_encode(request);
     ow_http_client_send(daemon->client, daemon->settings->store_endpoint, http.method, http.path, http.body,
                         store_timeout_s(request), tag);
-    wire_http_request_clear(&http);
-}
-
-static char *provision_body(const struct ow_cloud_request *request)
-{
-    const struct wire_provision_request provision_request = {
-        .request = request->name,
-        .type = request->type,
-        .zone = request->zone,
-        .spot = request->spot,
-        .count = request->count,
-    };
-    return wire_provision_request_encode(&provision_request);
 }
 
 static void send_cloud(struct ow_daemon *daemon, const struct ow_cloud_request *request)
@@ -159,29 +138,9 @@
         .core_tag = request->tag,
     };
     uint64_t tag = add_pending(daemon->pending_requests, &pending);
-    const char *method = "GET";
-    g_autofree char *path = NULL;
-    g_autofree char *body = NULL;
-    switch (request->op) {
-    case OW_CLOUD_TYPES:
-        path = g_strdup(W_PATH_TYPES);
-        break;
-    case OW_CLOUD_LIST:
-        path = wire_machine_list_path(request->after);
-        break;
-    case OW_CLOUD_PROVISION:
-        method = "POST";
-        path = g_strdup(W_PATH_MACHINES);
-        body = provision_body(request);
-        break;
-    case OW_CLOUD_TERMINATE:
-        method = "POST";
-        path = g_strdup(W_PATH_TERMINATE);
-        body = wire_terminate_request_encode(request->machines);
-        break;
-    }
-    ow_http_client_send(daemon->client, daemon->settings->cloud_endpoint, method, path, body, CLOUD_TIMEOUT_S,
-                        tag);
+    g_auto(wire_http_request) http = wire_cloud_request_encode(request);
+    ow_http_client_send(daemon->client, daemon->settings->cloud_endpoint, http.method, http.path, http.body,
+                        CLOUD_TIMEOUT_S, tag);
 }
 
 /* Without a socket to spare the commands go with the answer to the machine's next heartbeat. */
--- a/src/wire/records_json.c
+++ b/src/wire/records_json.c
@@ -1,7 +1,6 @@
 #include "wire/records_json.h"
 
 #include "model/submission.h"
-#include "wire/cloud_json.h"
 #include "wire/json.h"
 #include "wire/submission_json.h"
 
@@ -254,8 +253,3 @@
     wire_json_get_string(value, F_CONTROLLER, controller);
     wire_json_get_string(value, F_NONCE, nonce);
 }
-
-char *wire_machine_types_encode(const GArray *types)
-{
-    return wire_json_print_and_unref(wire_machine_types_to_json(types));
-}
--- a/src/wire/records_json.h
+++ b/src/wire/records_json.h
@@ -43,7 +43,4 @@
 /* The first format if there is none in it. */
 unsigned wire_format_record_decode(const struct json_t *value);
 
-/* The machine types: struct ow_machine_type each. */
-char *wire_machine_types_encode(const GArray *types);
-
 #endif
--- a/src/wire/store_json.c
+++ b/src/wire/store_json.c
@@ -6,40 +6,63 @@
 
 #include <inttypes.h>
 
-enum { LIST_PAGE = 500 };
+/* Keys that one page of a list has at most. */
+enum { LIST_PAGE_KEYS = 500 };
+
+static const double MS_PER_S = 1000.0;
+
+/* ---- requests ---- */
+
+static json_t *comparison_to_json(const struct ow_store_comparison *comparison)
+{
+    return json_pack("{s:s,s:I}", W_KEY, comparison->key, W_VERSION, (json_int_t)comparison->mod_revision);
+}
+
+static json_t *mutation_to_json(const struct ow_store_mutation *mutation)
+{
+    json_t *object;
+    if (mutation->value == NULL)
+        object = json_pack("{s:s}", W_DELETE, mutation->key);
+    else
+        object = json_pack("{s:s,s:o}", W_PUT, mutation->key, W_VALUE,
+                           json_loads(mutation->value, JSON_DECODE_ANY, NULL));
+    if (mutation->lease != 0)
+        json_object_set_new(object, W_LEASE, json_integer((json_int_t)mutation->lease));
+    return object;
+}
 
 static char *txn_body(const struct ow_store_request *request)
 {
-    json_t *comparisons = json_array(), *mutations = json_array();
-    for (guint i = 0; i < request->comparisons->len; i++) {
-        const struct ow_store_comparison *comparison =
-            &g_array_index(request->comparisons, struct ow_store_comparison, i);
-        json_array_append_new(comparisons, json_pack("{s:s,s:I}", W_KEY, comparison->key, W_VERSION,
-                                                     (json_int_t)comparison->mod_revision));
-    }
-    for (guint i = 0; i < request->mutations->len; i++) {
-        const struct ow_store_mutation *change =
-            &g_array_index(request->mutations, struct ow_store_mutation, i);
-        json_t *object;
-        if (change->value == NULL)
-            object = json_pack("{s:s}", W_DELETE, change->key);
-        else
-            object = json_pack("{s:s,s:o}", W_PUT, change->key, W_VALUE,
-                               json_loads(change->value, JSON_DECODE_ANY, NULL));
-        if (change->lease != 0)
-            json_object_set_new(object, W_LEASE, json_integer((json_int_t)change->lease));
-        json_array_append_new(mutations, object);
-    }
+    const GArray *comparisons = request->comparisons, *mutations = request->mutations;
+    json_t *comparison_list = json_array(), *mutation_list = json_array();
+    for (guint i = 0; i < comparisons->len; i++)
+        json_array_append_new(comparison_list,
+                              comparison_to_json(&g_array_index(comparisons, struct ow_store_comparison, i)));
+    for (guint i = 0; i < mutations->len; i++)
+        json_array_append_new(mutation_list,
+                              mutation_to_json(&g_array_index(mutations, struct ow_store_mutation, i)));
     return wire_json_print_and_unref(
-        json_pack("{s:o,s:o}", W_COMPARISONS, comparisons, W_MUTATIONS, mutations));
+        json_pack("{s:o,s:o}", W_COMPARISONS, comparison_list, W_MUTATIONS, mutation_list));
 }
 
 static char *list_path(const struct ow_store_request *request)
 {
     if (request->start_after_key == NULL)
-        return g_strdup_printf("%s?%s=%s&%s=%d", W_PATH_KEYS, W_PREFIX, request->key, W_LIMIT, LIST_PAGE);
+        return g_strdup_printf("%s?%s=%s&%s=%d", W_PATH_KEYS, W_PREFIX, request->key, W_LIMIT,
+                               LIST_PAGE_KEYS);
     return g_strdup_printf("%s?%s=%s&%s=%s&%s=%d", W_PATH_KEYS, W_PREFIX, request->key, W_AFTER,
-                           request->start_after_key, W_LIMIT, LIST_PAGE);
+                           request->start_after_key, W_LIMIT, LIST_PAGE_KEYS);
+}
+
+static char *watch_path(const struct ow_store_request *request)
+{
+    return g_strdup_printf("%s?%s=%s&%s=%" PRIu64 "&%s=%d", W_PATH_WATCH, W_PREFIX, request->key, W_AFTER,
+                           request->since_revision, W_WATCH_MS, (int)(request->duration_s * MS_PER_S));
+}
+
+static char *grant_lease_body(const struct ow_store_request *request)
+{
+    return wire_json_print_and_unref(json_pack("{s:i}", W_TTL_MS, (int)(request->duration_s * MS_PER_S)));
 }
 
 struct wire_http_request wire_store_request_encode(const struct ow_store_request *request)
@@ -58,15 +81,12 @@
         http.body = txn_body(request);
         break;
     case OW_STORE_WATCH:
-        http.path =
-            g_strdup_printf("%s?%s=%s&%s=%" PRIu64 "&%s=%d", W_PATH_WATCH, W_PREFIX, request->key, W_AFTER,
-                            request->since_revision, W_WATCH_MS, (int)(request->duration_s * 1000.0));
+        http.path = watch_path(request);
         break;
     case OW_STORE_GRANT_LEASE:
         http.method = "POST";
         http.path = g_strdup(W_PATH_LEASES);
-        http.body =
-            wire_json_print_and_unref(json_pack("{s:i}", W_TTL_MS, (int)(request->duration_s * 1000.0)));
+        http.body = grant_lease_body(request);
         break;
     case OW_STORE_KEEP_ALIVE:
         http.method = "POST";
@@ -77,19 +97,16 @@
     return http;
 }
 
-void wire_http_request_clear(struct wire_http_request *http)
-{
-    g_free(http->path);
-    g_free(http->body);
-}
+/* ---- replies ---- */
 
-static void item_clear(void *item)
+static void clear_item(void *item)
 {
-    struct ow_store_item *i = item;
-    g_free(i->key);
-    json_decref(i->value);
+    struct ow_store_item *cleared = item;
+    g_free(cleared->key);
+    json_decref(cleared->value);
 }
 
+/* Appends a key with its value; false: it can't be read. */
 static bool add_item(GArray *items, const json_t *object, const char *key_field)
 {
     const char *key = NULL;
@@ -103,69 +120,79 @@
     return true;
 }
 
-static bool add_event(GArray *items, const json_t *object)
+static bool add_listed_item(GArray *items, const json_t *object)
+{
+    return add_item(items, object, W_KEY);
+}
+
+static bool add_watch_event(GArray *items, const json_t *object)
 {
     if (json_object_get(object, W_PUT) != NULL)
         return add_item(items, object, W_PUT);
-    const char *key = NULL;
+    const char *deleted_key = NULL;
     struct ow_store_item item = {0};
-    if (!wire_json_get_string(object, W_DELETE, &key))
+    if (!wire_json_get_string(object, W_DELETE, &deleted_key))
         return false;
     wire_json_get_count(object, W_VERSION, &item.mod_revision);
-    item.key = g_strdup(key);
+    item.key = g_strdup(deleted_key);
     g_array_append_val(items, item);
     return true;
 }
 
-static bool read_items(const json_t *object, const char *field, bool events, GArray *items)
+/* Reads a list that is complete only with the revision that it shows; false: something can't be read. */
+static bool read_list(const json_t *object, const char *field,
+                      bool (*add_entry)(GArray *items, const json_t *entry), GArray *items)
 {
     const json_t *list = json_object_get(object, field);
-    if (!json_is_array(list))
+    if (json_object_get(object, W_REVISION) == NULL || !json_is_array(list))
         return false;
-    size_t i;
-    json_t *entry;
-    json_array_foreach(
-        list, i, entry) if (!(events ? add_event(items, entry) : add_item(items, entry, W_KEY))) return false;
+    for (size_t i = 0; i < json_array_size(list); i++)
+        if (!add_entry(items, json_array_get(list, i)))
+            return false;
     return true;
 }
 
-static bool read_success(enum ow_store_op op, const json_t *object, struct ow_store_reply *out)
+/* Reads the body of a reply with status 200; false: it can't be read. */
+static bool read_success(enum ow_store_op op, const json_t *object, struct ow_store_reply *reply)
 {
-    wire_json_get_count(object, W_REVISION, &out->revision);
+    wire_json_get_count(object, W_REVISION, &reply->revision);
     switch (op) {
     case OW_STORE_GET:
-        return add_item(out->items, object, W_KEY);
+        return add_item(reply->items, object, W_KEY);
     case OW_STORE_LIST:
-        wire_json_get_bool(object, W_MORE, &out->has_more);
-        return json_object_get(object, W_REVISION) != NULL && read_items(object, W_ITEMS, false, out->items);
+        wire_json_get_bool(object, W_MORE, &reply->has_more);
+        return read_list(object, W_ITEMS, add_listed_item, reply->items);
     case OW_STORE_WATCH:
-        return json_object_get(object, W_REVISION) != NULL && read_items(object, W_EVENTS, true, out->items);
+        return read_list(object, W_EVENTS, add_watch_event, reply->items);
     case OW_STORE_TXN:
         return json_object_get(object, W_REVISION) != NULL;
     case OW_STORE_GRANT_LEASE:
-        return wire_json_get_count(object, W_LEASE, &out->lease);
+        return wire_json_get_count(object, W_LEASE, &reply->lease);
     case OW_STORE_KEEP_ALIVE:
         return true;
     }
     return false;
 }
 
+static bool has_body(int status)
+{
+    return status == OW_HTTP_STATUS_OK || status == OW_HTTP_STATUS_CONFLICT ||
+           status == OW_HTTP_STATUS_NOT_FOUND;
+}
+
 void wire_store_reply_decode(enum ow_store_op op, int status, const char *body, size_t size,
-                             struct ow_store_reply *out)
+                             struct ow_store_reply *reply)
 {
-    out->status = status;
-    out->items = g_array_new(FALSE, FALSE, sizeof(struct ow_store_item));
-    g_array_set_clear_func(out->items, item_clear);
-    json_t *object =
-        status == OW_HTTP_STATUS_OK || status == OW_HTTP_STATUS_CONFLICT || status == OW_HTTP_STATUS_NOT_FOUND
-            ? wire_json_parse_object(body, size)
-            : NULL;
-    if (status == OW_HTTP_STATUS_OK && op != OW_STORE_KEEP_ALIVE &&
-        (object == NULL || !read_success(op, object, out)))
-        out->status = OW_HTTP_STATUS_NONE;
+    json_auto_t *object = has_body(status) ? wire_json_parse_object(body, size) : NULL;
+    reply->status = status;
+    reply->items = g_array_new(FALSE, FALSE, sizeof(struct ow_store_item));
+    g_array_set_clear_func(reply->items, clear_item);
+    /* A renewed lease is told by the status alone. */
+    bool needs_body = status == OW_HTTP_STATUS_OK && op != OW_STORE_KEEP_ALIVE;
+    if (needs_body && (object == NULL || !read_success(op, object, reply)))
+        reply->status = OW_HTTP_STATUS_NONE;
     if (status == OW_HTTP_STATUS_CONFLICT && object != NULL)
-        out->failed_keys = wire_json_copy_strings(json_object_get(object, W_FAILED_KEYS));
+        reply->failed_keys = wire_json_copy_strings(json_object_get(object, W_FAILED_KEYS));
     if (status == OW_HTTP_STATUS_NOT_FOUND && object != NULL)
-        wire_json_get_count(object, W_REVISION, &out->revision);
-    json_decref(object);
+        wire_json_get_count(object, W_REVISION, &reply->revision);
 }
--- a/tests/effect_line.c
+++ b/tests/effect_line.c
@@ -8,7 +8,6 @@
 #include "wire/peer_xdr.h"
 #include "wire/store_json.h"
 #include "wire/user_json.h"
-#include "wire/words.h"
 #include "wire/worker_json.h"
 
 /* Appends a body, and frees it; NULL: there is none. */
@@ -47,34 +46,16 @@
 
 static void append_store_request(GString *line, const struct ow_store_request *request)
 {
-    struct wire_http_request http = wire_store_request_encode(request);
+    g_auto(wire_http_request) http = wire_store_request_encode(request);
     g_string_append_printf(line, "state %s %s", http.method, http.path);
     append_body(line, g_strdup(http.body));
-    wire_http_request_clear(&http);
 }
 
 static void append_cloud_request(GString *line, const struct ow_cloud_request *request)
 {
-    struct wire_provision_request provision_request = {request->name, request->type, request->zone,
-                                                       request->spot, request->count};
-    g_string_append(line, "cloud");
-    switch (request->op) {
-    case OW_CLOUD_TYPES:
-        append_body(line, g_strdup("GET " W_PATH_TYPES));
-        break;
-    case OW_CLOUD_LIST:
-        g_string_append(line, " GET");
-        append_body(line, wire_machine_list_path(request->after));
-        break;
-    case OW_CLOUD_PROVISION:
-        g_string_append(line, " POST " W_PATH_MACHINES);
-        append_body(line, wire_provision_request_encode(&provision_request));
-        break;
-    case OW_CLOUD_TERMINATE:
-        g_string_append(line, " POST " W_PATH_TERMINATE);
-        append_body(line, wire_terminate_request_encode(request->machines));
-        break;
-    }
+    g_auto(wire_http_request) http = wire_cloud_request_encode(request);
+    g_string_append_printf(line, "cloud %s %s", http.method, http.path);
+    append_body(line, g_strdup(http.body));
 }
 
 static void append_peer_message(GString *line, struct ow_peer_message *message)
--- a/tests/test_wire.c
+++ b/tests/test_wire.c
@@ -2,6 +2,7 @@
  * rejected. */
 #include "check.h"
 #include "model/cloud.h"
+#include "model/http_status.h"
 #include "model/peer.h"
 #include "model/submission.h"
 #include "model/worker.h"
@@ -247,14 +248,16 @@
     const char list[] =
         "{\"perches\":[{\"ref\":\"n-7\",\"addr\":\"10.1.0.2:9000\",\"breed\":\"g8\",\"range\":\"a\","
         "\"windfall\":true,\"stance\":\"running\",\"age_s\":61.5},{\"ref\":\"n-8\"}],\"has_next\":true}";
-    bool more = false;
-    GArray *machines = wire_machine_list_decode(list, strlen(list), &more);
-    assert_non_null(machines);
-    assert_true(more && machines->len == 1);
-    assert_true(g_array_index(machines, struct ow_listed_machine, 0).state == OW_LISTED_RUNNING);
-    g_array_free(machines, TRUE);
-    assert_null(wire_machine_list_decode("{}", 2, &more));
-    assert_null(wire_machine_types_decode("[]", 2));
+    struct ow_cloud_reply reply = {0};
+    wire_cloud_reply_decode(OW_CLOUD_LIST, OW_HTTP_STATUS_OK, list, strlen(list), &reply);
+    assert_non_null(reply.listed);
+    assert_true(reply.more && reply.listed->len == 1);
+    assert_true(g_array_index(reply.listed, struct ow_listed_machine, 0).state == OW_LISTED_RUNNING);
+    ow_cloud_reply_clear(&reply);
+    wire_cloud_reply_decode(OW_CLOUD_LIST, OW_HTTP_STATUS_OK, "{}", 2, &reply);
+    assert_null(reply.listed);
+    wire_cloud_reply_decode(OW_CLOUD_TYPES, OW_HTTP_STATUS_OK, "[]", 2, &reply);
+    assert_null(reply.types);
 }
 
 static struct ow_peer_message *through_xdr(struct ow_peer_message *message)
