--- a/src/core/election/succession.c
+++ b/src/core/election/succession.c
@@ -6,9 +6,9 @@
 #include "core/peers/peer_status.h"
 #include "core/store_health.h"
 #include "model/records.h"
+#include "util/clock_drift.h"
 
-/* Slack for clocks that drift, for messages under way, and for a worker's last heartbeat. */
-static const double CLOCK_DRIFT = 0.002;
+/* Slack, beyond clock drift, for messages under way and for a worker's last heartbeat. */
 static const double MARGIN_S = 3;
 /* However short the time for cancellations, a leader bears the silence of the store for so many leases. */
 static const double LEASES_LEAST = 2;
@@ -42,7 +42,7 @@
     const struct ow_settings *settings = core->settings;
     if (settings->peers->len == 0)
         return false;
-    double patience_s = settings->cancel_s - settings->lease_s * (1 + CLOCK_DRIFT) - MARGIN_S;
+    double patience_s = settings->cancel_s - ow_clock_drift_longest_s(settings->lease_s) - MARGIN_S;
     double heard_at = MAX(election->began_at, ow_store_health_last_reachable_at(core->store_health));
     return core->now - heard_at > MAX(patience_s, LEASES_LEAST * core->tuning->leader_lease_s);
 }
--- /dev/null
+++ b/src/core/machines/lease_expiry.c
@@ -0,0 +1,38 @@
+#include "core/machines/lease_expiry.h"
+
+#include "core/jobs/attempt_end.h"
+#include "core/leader/leader_state.h"
+#include "core/machines/machine.h"
+#include "model/worker.h"
+#include "util/clock_drift.h"
+
+/* What a worker may need beyond its lease until its tasks have ended. */
+static const double MARGIN_S = 1.5;
+
+/* Safety rule 2, proof by lease expiry. Guards against a task that starts elsewhere while its last attempt
+   still runs on a worker that we don't hear. The evidence:
+   - A worker ends its tasks once lease_s has passed since it sent the last heartbeat that was answered.
+   - Only answers of this leader count once the worker has seen its fencing token: it accepts none of an older
+     leader. Hence nothing is proven of a machine that is not fenced.
+   - That heartbeat was sent before the newest message arrived here that we have of the incarnation: late
+     copies of older ones renew nothing. */
+static bool has_lease_expired(const struct ow_leader *leader, const struct ow_machine *machine)
+{
+    if (!machine->fenced || machine->incarnation <= machine->expired_incarnation)
+        return false;
+    double renewed_at = MAX(machine->last_message_at, machine->fenced_at);
+    double longest_s = ow_clock_drift_longest_s(leader->core->settings->lease_s) + MARGIN_S;
+    return leader->core->now >= renewed_at + longest_s;
+}
+
+void ow_lease_expiry_check(struct ow_leader *leader, struct ow_machine *machine)
+{
+    if (!has_lease_expired(leader, machine))
+        return;
+    g_info("lease of worker expired: machine=%s incarnation=%" G_GUINT64_FORMAT " tasks=%u", machine->name,
+           machine->incarnation, machine->attempts->len);
+    machine->expired_incarnation = machine->incarnation;
+    while (machine->attempts->len > 0)
+        ow_attempt_end(leader, g_ptr_array_index(machine->attempts, 0), OW_CAUSE_NONE,
+                       "its machine's lease has expired");
+}
--- a/src/core/machines/reconciliation.c
+++ b/src/core/machines/reconciliation.c
@@ -8,7 +8,7 @@
 #include "core/machines/fleet.h"
 #include "core/machines/machine.h"
 #include "core/machines/machine_registry.h"
-#include "core/machines/spot_risk.h"
+#include "core/machines/reclaim_notice.h"
 #include "core/records/recorder.h"
 #include "model/cloud.h"
 #include "model/resources.h"
@@ -182,26 +182,6 @@
     }
 }
 
-static void log_reclaim_notice(struct ow_leader *leader, const struct ow_machine *machine,
-                               double reclaim_notice_s)
-{
-    g_info("machine %s is taken back by the cloud in %.1f s", machine->name, reclaim_notice_s);
-    if (machine->spot)
-        ow_spot_risk_observe_reclaim_notice(leader);
-}
-
-static void apply_reclaim_notice(struct ow_leader *leader, struct ow_machine *machine,
-                                 double reclaim_notice_s)
-{
-    if (reclaim_notice_s < 0) {
-        machine->reclaim_at = 0;
-        return;
-    }
-    if (machine->reclaim_at == 0)
-        log_reclaim_notice(leader, machine, reclaim_notice_s);
-    machine->reclaim_at = leader->core->now + reclaim_notice_s;
-}
-
 /* What a heartbeat says of its machine whichever leader's commands it accepts. A incarnation that has ended
    took its tasks along, whichever fencing token the worker has seen: attempts are recorded with the
    incarnation that they were meant for. */
@@ -264,7 +244,7 @@
         note_fenced(leader, machine);
     machine->heartbeat_generation = ++leader->heartbeat_generation;
     machine->unknown_tasks_use = (struct ow_resources){0};
-    apply_reclaim_notice(leader, machine, heartbeat->reclaim_notice_s);
+    ow_reclaim_notice_apply(leader, machine, heartbeat->reclaim_notice_s);
     for (guint i = 0; i < heartbeat->tasks->len; i++)
         apply_task_status(leader, machine, &g_array_index(heartbeat->tasks, struct ow_task_status, i),
                           commands);
--- a/src/sharding/lease_guard.c
+++ b/src/sharding/lease_guard.c
@@ -1,10 +1,9 @@
 #include "sharding/lease_guard.h"
 
 #include "model/http_status.h"
+#include "util/clock_drift.h"
 
-/* The key-value store's clock may run faster than ours by as much, and some more. */
-static const double CLOCK_DRIFT = 0.002;
-/* An effect may need as long from the check to the wire. */
+/* Beyond the drift of the key-value store's clock: an effect may need as long from the check to the wire. */
 static const double MARGIN_S = 0.1;
 
 void ow_lease_guard_init(struct ow_lease_guard *guard, double lease_s)
@@ -27,7 +26,7 @@
     guard->answered_at = guard->renewal_at;
     /* The lease counts from when it was asked for, not from when the answer came. */
     if (status == OW_HTTP_STATUS_OK)
-        guard->held_until = guard->renewal_at + guard->lease_s * (1 - CLOCK_DRIFT) - MARGIN_S;
+        guard->held_until = guard->renewal_at + ow_clock_drift_shortest_s(guard->lease_s) - MARGIN_S;
 }
 
 void ow_lease_guard_resumed(struct ow_lease_guard *guard, double now)
