--- a/src/agent/history.c
+++ b/src/agent/history.c
@@ -1,11 +1,12 @@
 #include "agent/history.h"
 
 #include <fcntl.h>
-#include <stdarg.h>
+#include <inttypes.h>
 #include <stdio.h>
 #include <time.h>
 #include <unistd.h>
 
+/* A line with its end, and the mode of a new file. */
 enum { LINE_BYTES = 512, FILE_MODE = 0644 };
 
 bool agent_history_open(struct agent_history *history, const char *path, const char *machine)
@@ -15,25 +16,91 @@
     return path == NULL || history->fd >= 0;
 }
 
-void agent_history_add(const struct agent_history *history, const char *event, const char *format, ...)
+/* Appends an event; `members` are further members of its object, each beginning with a comma. A line that
+ * would be longer than LINE_BYTES is left out. */
+static void append(const struct agent_history *history, const char *event, const char *members)
 {
     char line[LINE_BYTES];
     struct timespec now;
     if (history->fd < 0)
         return;
     clock_gettime(CLOCK_MONOTONIC, &now);
-    int size = snprintf(line, sizeof line, "{\"t\":%lld.%09ld,\"machine\":\"%s\",\"event\":\"%s\"",
-                        (long long)now.tv_sec, now.tv_nsec, history->machine, event);
-    va_list arguments;
-    va_start(arguments, format);
-    if (size > 0 && size < LINE_BYTES)
-        size += vsnprintf(line + size, sizeof line - (size_t)size, format, arguments);
-    va_end(arguments);
-    if (size < 0 || size + 2 >= LINE_BYTES)
+    int size = snprintf(line, sizeof line, "{\"t\":%lld.%09ld,\"machine\":\"%s\",\"event\":\"%s\"%s}\n",
+                        (long long)now.tv_sec, now.tv_nsec, history->machine, event, members);
+    if (size < 0 || size >= LINE_BYTES)
         return;
-    line[size++] = '}';
-    line[size++] = '\n';
     /* One write a line: lines of several processes don't mix. */
     if (write(history->fd, line, (size_t)size) != size)
         fprintf(stderr, "ospreywell-agent: the history can't be written\n");
 }
+
+void agent_history_record_incarnation(const struct agent_history *history, uint64_t incarnation)
+{
+    char members[LINE_BYTES];
+    snprintf(members, sizeof members, ",\"session\":%" PRIu64, incarnation);
+    append(history, "session", members);
+}
+
+void agent_history_record_lease_expiry(const struct agent_history *history, uint64_t incarnation)
+{
+    char members[LINE_BYTES];
+    snprintf(members, sizeof members, ",\"session\":%" PRIu64, incarnation);
+    append(history, "lease-over", members);
+}
+
+void agent_history_record_fencing_token(const struct agent_history *history, uint64_t fencing_token)
+{
+    char members[LINE_BYTES];
+    snprintf(members, sizeof members, ",\"token\":%" PRIu64, fencing_token);
+    append(history, "token", members);
+}
+
+void agent_history_record_commands(const struct agent_history *history,
+                                   const struct agent_history_commands *commands)
+{
+    char members[LINE_BYTES];
+    snprintf(members, sizeof members,
+             ",\"via\":\"%s\",\"token\":%" PRIu64 ",\"seen\":%" PRIu64 ",\"session\":%" PRIu64
+             ",\"commands\":%u,\"accepted\":%s",
+             commands->via, commands->fencing_token, commands->highest_fencing_token, commands->incarnation,
+             commands->count, commands->is_accepted ? "true" : "false");
+    append(history, "orders", members);
+}
+
+/* The members that name an attempt, and their values. */
+#define ATTEMPT_FORMAT ",\"task\":\"%s/%" PRIu32 "\",\"attempt\":%" PRIu64
+#define ATTEMPT_VALUES(id) (id)->job, (id)->task, (id)->attempt
+
+void agent_history_record_launch(const struct agent_history *history, const struct agent_attempt *attempt,
+                                 uint64_t fencing_token)
+{
+    char members[LINE_BYTES];
+    snprintf(members, sizeof members, ATTEMPT_FORMAT ",\"token\":%" PRIu64, ATTEMPT_VALUES(attempt),
+             fencing_token);
+    append(history, "launched", members);
+}
+
+void agent_history_record_exit(const struct agent_history *history, const struct agent_attempt *attempt,
+                               enum ow_exit_cause cause)
+{
+    char members[LINE_BYTES];
+    snprintf(members, sizeof members, ATTEMPT_FORMAT ",\"cause\":%d", ATTEMPT_VALUES(attempt), (int)cause);
+    append(history, "exited", members);
+}
+
+void agent_history_record_task_begins(const struct agent_history *history,
+                                      const struct agent_attempt *attempt)
+{
+    char members[LINE_BYTES];
+    /* The member is that of task-ended; 0 is AGENT_END_NONE. */
+    snprintf(members, sizeof members, ATTEMPT_FORMAT ",\"end\":0", ATTEMPT_VALUES(attempt));
+    append(history, "task-begins", members);
+}
+
+void agent_history_record_task_ended(const struct agent_history *history, const struct agent_attempt *attempt,
+                                     enum agent_task_end end)
+{
+    char members[LINE_BYTES];
+    snprintf(members, sizeof members, ATTEMPT_FORMAT ",\"end\":%d", ATTEMPT_VALUES(attempt), (int)end);
+    append(history, "task-ended", members);
+}
--- a/src/agent/incarnation.c
+++ b/src/agent/incarnation.c
@@ -2,7 +2,6 @@
 
 #include <errno.h>
 #include <fcntl.h>
-#include <glib.h>
 #include <glib/gstdio.h>
 #include <inttypes.h>
 #include <stdio.h>
@@ -13,87 +12,99 @@
 
 enum { DIRECTORY_MODE = 0755, FILE_MODE = 0644, STATUS_FAILED = 1 };
 
-static bool print_error(const char *what, const char *path)
+/* Names in the state directory; those of the file with the numbers are older than the word incarnation. */
+static const char LOCK_NAME[] = "lock";
+static const char NUMBERS_NAME[] = "session";
+static const char NEW_NUMBERS_NAME[] = "session.new";
+
+/* Sets the error to "failure path: cause", the cause being that of errno, and returns false. */
+static bool fail_with_errno(GError **error, const char *failure, const char *path)
 {
-    fprintf(stderr, "ospreywell-agent: %s %s: %s\n", what, path, strerror(errno));
+    int number = errno;
+    g_set_error(error, G_FILE_ERROR, (gint)g_file_error_from_errno(number), "%s %s: %s", failure, path,
+                strerror(number));
     return false;
 }
 
-static char *path_of(const struct agent_incarnation *incarnation, const char *name)
+static char *path_in_directory(const struct agent_incarnation *incarnation, const char *name)
 {
     return g_build_filename(incarnation->directory, name, NULL);
 }
 
+/* ---- the stored numbers ---- */
+
 static bool sync_path(const char *path, int flags)
 {
     int fd = open(path, flags | O_CLOEXEC);
-    bool ok = fd >= 0 && fsync(fd) == 0;
+    bool is_synced = fd >= 0 && fsync(fd) == 0;
     if (fd >= 0)
         close(fd);
-    return ok;
+    return is_synced;
+}
+
+static bool write_text(const char *path, const char *text)
+{
+    FILE *file = fopen(path, "we");
+    if (file == NULL)
+        return false;
+    bool is_written = fputs(text, file) >= 0;
+    return fclose(file) == 0 && is_written;
 }
 
-/* Written beside and renamed, so that a crash leaves the old numbers or the new ones. */
+/* Written beside and renamed, so that a crash leaves the old numbers or the new ones. errno if it fails. */
 static bool store(const struct agent_incarnation *incarnation)
 {
-    char *path = path_of(incarnation, "session");
-    char *beside = path_of(incarnation, "session.new");
-    char *text =
+    g_autofree char *path = path_in_directory(incarnation, NUMBERS_NAME);
+    g_autofree char *new_path = path_in_directory(incarnation, NEW_NUMBERS_NAME);
+    g_autofree char *text =
         g_strdup_printf("%" PRIu64 " %" PRIu64 "\n", incarnation->number, incarnation->fencing_token);
-    FILE *file = fopen(beside, "we");
-    bool ok = file != NULL && fputs(text, file) >= 0;
-    ok = file != NULL && fclose(file) == 0 && ok;
-    ok = ok && sync_path(beside, O_RDONLY) && g_rename(beside, path) == 0 &&
-         sync_path(incarnation->directory, O_RDONLY | O_DIRECTORY);
-    g_free(text);
-    g_free(beside);
-    g_free(path);
-    return ok;
+    return write_text(new_path, text) && sync_path(new_path, O_RDONLY) && g_rename(new_path, path) == 0 &&
+           sync_path(incarnation->directory, O_RDONLY | O_DIRECTORY);
 }
 
-static void store_or_end(const struct agent_incarnation *incarnation)
+static void store_or_exit(const struct agent_incarnation *incarnation)
 {
     if (store(incarnation))
         return;
-    print_error("the session can't be stored in", incarnation->directory);
+    fprintf(stderr, "ospreywell-agent: the session can't be stored in %s: %s\n", incarnation->directory,
+            strerror(errno));
     exit(STATUS_FAILED);
 }
 
 /* Without a file this is the first incarnation of the machine; a file that can't be read is an error. */
-static bool load(struct agent_incarnation *incarnation)
+static bool load(struct agent_incarnation *incarnation, GError **error)
 {
-    char *path = path_of(incarnation, "session");
-    char *text = NULL;
-    bool ok = true;
+    g_autofree char *path = path_in_directory(incarnation, NUMBERS_NAME);
+    g_autofree char *text = NULL;
+    bool is_loaded = false;
     if (g_file_get_contents(path, &text, NULL, NULL))
-        ok = sscanf(text, "%" SCNu64 " %" SCNu64, &incarnation->number, &incarnation->fencing_token) == 2;
+        is_loaded =
+            sscanf(text, "%" SCNu64 " %" SCNu64, &incarnation->number, &incarnation->fencing_token) == 2;
     else
-        ok = !g_file_test(path, G_FILE_TEST_EXISTS);
-    if (!ok)
-        fprintf(stderr, "ospreywell-agent: %s: can't be read\n", path);
-    g_free(text);
-    g_free(path);
-    return ok;
+        is_loaded = !g_file_test(path, G_FILE_TEST_EXISTS);
+    if (!is_loaded)
+        g_set_error(error, G_FILE_ERROR, G_FILE_ERROR_INVAL, "%s: can't be read", path);
+    return is_loaded;
 }
 
+/* ---- the life of an incarnation ---- */
+
 /* The supervisors of an earlier process hold the lock until their tasks have ended. */
-static bool take_lock(struct agent_incarnation *incarnation)
+static bool take_lock(struct agent_incarnation *incarnation, GError **error)
 {
-    char *path = path_of(incarnation, "lock");
+    g_autofree char *path = path_in_directory(incarnation, LOCK_NAME);
     incarnation->lock_fd = open(path, O_RDWR | O_CREAT | O_CLOEXEC, FILE_MODE);
-    bool ok = incarnation->lock_fd >= 0 && flock(incarnation->lock_fd, LOCK_EX) == 0;
-    if (!ok)
-        print_error("can't lock", path);
-    g_free(path);
-    return ok;
+    if (incarnation->lock_fd < 0 || flock(incarnation->lock_fd, LOCK_EX) != 0)
+        return fail_with_errno(error, "can't lock", path);
+    return true;
 }
 
-bool agent_incarnation_open(struct agent_incarnation *incarnation, const char *directory)
+bool agent_incarnation_open(struct agent_incarnation *incarnation, const char *directory, GError **error)
 {
     *incarnation = (struct agent_incarnation){.directory = g_strdup(directory), .lock_fd = -1};
     if (g_mkdir_with_parents(directory, DIRECTORY_MODE) != 0)
-        return print_error("can't make", directory);
-    if (!take_lock(incarnation) || !load(incarnation))
+        return fail_with_errno(error, "can't make", directory);
+    if (!take_lock(incarnation, error) || !load(incarnation, error))
         return false;
     agent_incarnation_begin_next(incarnation);
     return true;
@@ -109,11 +120,11 @@
 void agent_incarnation_begin_next(struct agent_incarnation *incarnation)
 {
     incarnation->number++;
-    store_or_end(incarnation);
+    store_or_exit(incarnation);
 }
 
 void agent_incarnation_set_fencing_token(struct agent_incarnation *incarnation, uint64_t fencing_token)
 {
     incarnation->fencing_token = fencing_token;
-    store_or_end(incarnation);
+    store_or_exit(incarnation);
 }
--- a/src/agent/lease.c
+++ b/src/agent/lease.c
@@ -1,13 +1,14 @@
 #include "agent/lease.h"
 
-#include <glib.h>
 #include <stdatomic.h>
 #include <sys/mman.h>
 #include <time.h>
 
-/* Shared between processes. */
+static const double SECONDS_PER_NANOSECOND = 1e-9;
+
+/* What the agent and the supervisors share. */
 struct page {
-    _Atomic double until;
+    _Atomic double expires_at;
 };
 
 struct agent_lease {
@@ -15,11 +16,11 @@
     struct page *page;
 };
 
-double agent_clock(void)
+double agent_clock_now(void)
 {
     struct timespec now;
     clock_gettime(CLOCK_BOOTTIME, &now);
-    return (double)now.tv_sec + (double)now.tv_nsec * 1e-9;
+    return (double)now.tv_sec + (double)now.tv_nsec * SECONDS_PER_NANOSECOND;
 }
 
 struct agent_lease *agent_lease_new(double lease_s)
@@ -36,28 +37,30 @@
 
 void agent_lease_free(struct agent_lease *lease)
 {
+    if (lease == NULL)
+        return;
     munmap(lease->page, sizeof(struct page));
     g_free(lease);
 }
 
 void agent_lease_renew(struct agent_lease *lease, double sent_at)
 {
-    double until = sent_at + lease->lease_s;
-    if (until > atomic_load(&lease->page->until))
-        atomic_store(&lease->page->until, until);
+    double expires_at = sent_at + lease->lease_s;
+    if (expires_at > atomic_load(&lease->page->expires_at))
+        atomic_store(&lease->page->expires_at, expires_at);
 }
 
 void agent_lease_restart(struct agent_lease *lease)
 {
-    atomic_store(&lease->page->until, agent_clock() + lease->lease_s);
+    atomic_store(&lease->page->expires_at, agent_clock_now() + lease->lease_s);
 }
 
-double agent_lease_until(const struct agent_lease *lease)
+double agent_lease_expires_at(const struct agent_lease *lease)
 {
-    return atomic_load(&lease->page->until);
+    return atomic_load(&lease->page->expires_at);
 }
 
-bool agent_lease_is_over(const struct agent_lease *lease)
+bool agent_lease_is_expired(const struct agent_lease *lease)
 {
-    return agent_clock() > agent_lease_until(lease);
+    return agent_clock_now() > agent_lease_expires_at(lease);
 }
--- a/src/agent/options.c
+++ b/src/agent/options.c
@@ -1,10 +1,15 @@
 #include "agent/options.h"
 
+#include "config/causes.h"
+#include "config/option_parser.h"
 #include "util/endpoint.h"
 
-#include <stdio.h>
 #include <string.h>
 
+static const double DEFAULT_HEARTBEAT_INTERVAL_S = 3;
+static const double DEFAULT_LEASE_S = 20;
+
+/* What --help says first. */
 static const char summary[] =
     "Runs the tasks of one machine for the controllers of the cluster scheduler: it reports,\n"
     "obeys the controller with the highest token, and decides nothing.";
@@ -16,69 +21,65 @@
     g_free(controller->endpoint);
 }
 
-/* NAME=ADDRESS:PORT, each. */
-static bool parse_controllers(char **words, GArray *controllers)
+/* Sets the error and returns false, so that a check can end with it. */
+static bool fail(GError **error, enum ow_config_error code, const char *message)
 {
-    for (; words != NULL && *words != NULL; words++) {
+    g_set_error_literal(error, OW_CONFIG_ERROR, (gint)code, message);
+    return false;
+}
+
+/* Adds the controllers that the words name, each NAME=ADDRESS:PORT. */
+static bool parse_controllers(char **words, GArray *controllers, GError **error)
+{
+    if (words == NULL)
+        return fail(error, OW_CONFIG_ERROR_MISSING_FIELD, "--controller is needed");
+    for (; *words != NULL; words++) {
         const char *equals = strchr(*words, '=');
         if (equals == NULL || equals == *words || !ow_endpoint_is_valid(equals + 1)) {
-            fprintf(stderr, "ospreywell-agent: %s: is not NAME=ADDRESS:PORT\n", *words);
+            g_set_error(error, OW_CONFIG_ERROR, OW_CONFIG_ERROR_MALFORMED_VALUE,
+                        "%s: is not NAME=ADDRESS:PORT", *words);
             return false;
         }
-        struct agent_controller controller = {g_strndup(*words, (gsize)(equals - *words)),
-                                              g_strdup(equals + 1)};
+        struct agent_controller controller = {.name = g_strndup(*words, (gsize)(equals - *words)),
+                                              .endpoint = g_strdup(equals + 1)};
         g_array_append_val(controllers, controller);
     }
-    return controllers->len > 0;
+    return true;
 }
 
-/* What is missing or out of range, or NULL. */
-static const char *find_fault(const struct agent_options *options)
+/* Checks everything but the controllers. */
+static bool check(const struct agent_options *options, GError **error)
 {
     if (options->machine == NULL || options->type == NULL || options->zone == NULL)
-        return "--machine, --type and --zone are needed";
+        return fail(error, OW_CONFIG_ERROR_MISSING_FIELD, "--machine, --type and --zone are needed");
     if (!ow_endpoint_is_valid(options->listen) || !ow_endpoint_is_valid(options->advertise))
-        return "--listen and --advertise must be ADDRESS:PORT";
+        return fail(error, OW_CONFIG_ERROR_MALFORMED_VALUE, "--listen and --advertise must be ADDRESS:PORT");
     if (options->state_dir == NULL || options->jobs_dir == NULL)
-        return "--state and --jobs are needed";
+        return fail(error, OW_CONFIG_ERROR_MISSING_FIELD, "--state and --jobs are needed");
     if (options->heartbeat_interval_s <= 0 || options->lease_s <= options->heartbeat_interval_s)
-        return "--lease must be longer than --report, and that longer than 0";
+        return fail(error, OW_CONFIG_ERROR_INCONSISTENT,
+                    "--lease must be longer than --report, and that longer than 0");
     if (options->size.cpus <= 0 || options->size.gpus < 0 || options->size.memory_gb <= 0)
-        return "--cpus and --memory must be above 0";
-    return NULL;
-}
-
-static bool check(struct agent_options *options, char **controllers)
-{
-    if (options->advertise == NULL)
-        options->advertise = g_strdup(options->listen);
-    const char *fault = find_fault(options);
-    if (fault != NULL)
-        fprintf(stderr, "ospreywell-agent: %s\n", fault);
-    else if (controllers == NULL)
-        fprintf(stderr, "ospreywell-agent: --controller is needed\n");
-    return fault == NULL && parse_controllers(controllers, options->controllers);
+        return fail(error, OW_CONFIG_ERROR_OUT_OF_RANGE, "--cpus and --memory must be above 0");
+    return true;
 }
 
-bool agent_options_parse(int argc, char **argv, struct agent_options *options)
+/* Reads the options into their members; is_spot and controllers stand outside of them. */
+static bool read_options(int argc, char **argv, struct agent_options *options, gboolean *is_spot,
+                         char ***controllers, GError **error)
 {
-    gboolean spot = FALSE;
-    char **controllers = NULL;
-    *options = (struct agent_options){.heartbeat_interval_s = 3, .lease_s = 20};
-    options->controllers = g_array_new(FALSE, FALSE, sizeof(struct agent_controller));
-    g_array_set_clear_func(options->controllers, controller_clear);
-    GOptionEntry entries[] = {
+    const GOptionEntry entries[] = {
         {"machine", 0, 0, G_OPTION_ARG_STRING, &options->machine, "This machine's name", "NAME"},
         {"type", 0, 0, G_OPTION_ARG_STRING, &options->type, "Its type", "TYPE"},
         {"zone", 0, 0, G_OPTION_ARG_STRING, &options->zone, "Its zone", "ZONE"},
-        {"spot", 0, 0, G_OPTION_ARG_NONE, &spot, "It is a spot machine", NULL},
+        {"spot", 0, 0, G_OPTION_ARG_NONE, is_spot, "It is a spot machine", NULL},
         {"cpus", 0, 0, G_OPTION_ARG_DOUBLE, &options->size.cpus, "Its CPUs", "N"},
         {"gpus", 0, 0, G_OPTION_ARG_DOUBLE, &options->size.gpus, "Its GPUs", "N"},
         {"memory", 0, 0, G_OPTION_ARG_DOUBLE, &options->size.memory_gb, "Its memory in GB", "N"},
         {"listen", 0, 0, G_OPTION_ARG_STRING, &options->listen, "Where commands come in", "ADDRESS:PORT"},
         {"advertise", 0, 0, G_OPTION_ARG_STRING, &options->advertise, "How controllers reach that (the same)",
          "ADDRESS:PORT"},
-        {"controller", 0, 0, G_OPTION_ARG_STRING_ARRAY, &controllers, "A controller; may be repeated",
+        {"controller", 0, 0, G_OPTION_ARG_STRING_ARRAY, controllers, "A controller; may be repeated",
          "NAME=ADDRESS:PORT"},
         {"report", 0, 0, G_OPTION_ARG_DOUBLE, &options->heartbeat_interval_s,
          "Seconds from report to report (3)", "S"},
@@ -91,20 +92,23 @@
          "FILE"},
         {0},
     };
-    GError *error = NULL;
-    GOptionContext *context = g_option_context_new(NULL);
-    g_option_context_set_summary(context, summary);
-    g_option_context_add_main_entries(context, entries, NULL);
-    gboolean ok = g_option_context_parse(context, &argc, &argv, &error);
-    g_option_context_free(context);
-    options->spot = spot;
-    if (!ok) {
-        fprintf(stderr, "ospreywell-agent: %s\n", error->message);
-        g_error_free(error);
-    }
-    ok = ok && check(options, controllers);
-    g_strfreev(controllers);
-    return ok;
+    return ow_option_parser_run(argc, argv, summary, entries, error);
+}
+
+bool agent_options_parse(int argc, char **argv, struct agent_options *options, GError **error)
+{
+    gboolean is_spot = FALSE;
+    g_auto(GStrv) controllers = NULL;
+    *options = (struct agent_options){.heartbeat_interval_s = DEFAULT_HEARTBEAT_INTERVAL_S,
+                                      .lease_s = DEFAULT_LEASE_S};
+    options->controllers = g_array_new(FALSE, FALSE, sizeof(struct agent_controller));
+    g_array_set_clear_func(options->controllers, controller_clear);
+    if (!read_options(argc, argv, options, &is_spot, &controllers, error))
+        return false;
+    options->spot = is_spot;
+    if (options->advertise == NULL)
+        options->advertise = g_strdup(options->listen);
+    return check(options, error) && parse_controllers(controllers, options->controllers, error);
 }
 
 void agent_options_clear(struct agent_options *options)
--- a/tests/test_agent.c
+++ b/tests/test_agent.c
@@ -1,5 +1,5 @@
-/* The thin agent: when and where it reports, and what it says and reads. */
-#include "agent/heartbeat.h"
+/* The thin agent: when and where its heartbeats go, and what it says and reads. */
+#include "agent/heartbeat_schedule.h"
 #include "agent_setup.h"
 #include "check.h"
 #include "model/worker.h"
@@ -7,23 +7,23 @@
 
 #include <string.h>
 
-/* ---- reports ---- */
+/* ---- the schedule of heartbeats ---- */
 
 static void test_heartbeats_follow_the_interval_and_changes(void **state)
 {
     (void)state;
     struct agent_options options = agent_setup_options();
-    struct agent_heartbeat heartbeat_timer;
-    agent_heartbeat_init(&heartbeat_timer, &options, 100);
-    assert_true(agent_heartbeat_is_due(&heartbeat_timer, 100));
-    agent_heartbeat_sent(&heartbeat_timer, 100, 1);
-    assert_false(agent_heartbeat_is_due(&heartbeat_timer, 200)); /* one at a time */
-    agent_heartbeat_accepted(&heartbeat_timer);
-    assert_false(agent_heartbeat_is_due(&heartbeat_timer, 103.7));
-    assert_true(agent_heartbeat_is_due(&heartbeat_timer, 103.8));
-    agent_heartbeat_changed(&heartbeat_timer);
-    assert_false(agent_heartbeat_is_due(&heartbeat_timer, 100.4));
-    assert_true(agent_heartbeat_is_due(&heartbeat_timer, 100.5));
+    struct agent_heartbeat_schedule schedule;
+    agent_heartbeat_schedule_init(&schedule, &options, 100);
+    assert_true(agent_heartbeat_schedule_is_due(&schedule, 100));
+    agent_heartbeat_schedule_record_sent(&schedule, 100, 1);
+    assert_false(agent_heartbeat_schedule_is_due(&schedule, 200)); /* one at a time */
+    agent_heartbeat_schedule_record_accepted(&schedule);
+    assert_false(agent_heartbeat_schedule_is_due(&schedule, 103.7));
+    assert_true(agent_heartbeat_schedule_is_due(&schedule, 103.8));
+    agent_heartbeat_schedule_record_change(&schedule);
+    assert_false(agent_heartbeat_schedule_is_due(&schedule, 100.4));
+    assert_true(agent_heartbeat_schedule_is_due(&schedule, 100.5));
     g_array_free(options.controllers, TRUE);
 }
 
@@ -31,18 +31,18 @@
 {
     (void)state;
     struct agent_options options = agent_setup_options();
-    struct agent_heartbeat heartbeat_timer;
-    agent_heartbeat_init(&heartbeat_timer, &options, 100);
-    agent_heartbeat_sent(&heartbeat_timer, 100, 0);
-    agent_heartbeat_accepted(&heartbeat_timer);
-    agent_heartbeat_fencing_token_changed(&heartbeat_timer, 100.1);
-    assert_true(agent_heartbeat_is_due(&heartbeat_timer, 100.6));
-    agent_heartbeat_sent(&heartbeat_timer, 100.6, 0);
-    agent_heartbeat_accepted(&heartbeat_timer);
-    agent_heartbeat_fencing_token_changed(&heartbeat_timer, 101);
-    assert_false(agent_heartbeat_is_due(&heartbeat_timer, 101.5));
-    agent_heartbeat_fencing_token_changed(&heartbeat_timer, 110.2);
-    assert_true(agent_heartbeat_is_due(&heartbeat_timer, 110.2));
+    struct agent_heartbeat_schedule schedule;
+    agent_heartbeat_schedule_init(&schedule, &options, 100);
+    agent_heartbeat_schedule_record_sent(&schedule, 100, 0);
+    agent_heartbeat_schedule_record_accepted(&schedule);
+    agent_heartbeat_schedule_record_fencing_token(&schedule, 100.1);
+    assert_true(agent_heartbeat_schedule_is_due(&schedule, 100.6));
+    agent_heartbeat_schedule_record_sent(&schedule, 100.6, 0);
+    agent_heartbeat_schedule_record_accepted(&schedule);
+    agent_heartbeat_schedule_record_fencing_token(&schedule, 101);
+    assert_false(agent_heartbeat_schedule_is_due(&schedule, 101.5));
+    agent_heartbeat_schedule_record_fencing_token(&schedule, 110.2);
+    assert_true(agent_heartbeat_schedule_is_due(&schedule, 110.2));
     g_array_free(options.controllers, TRUE);
 }
 
@@ -50,28 +50,28 @@
 {
     (void)state;
     struct agent_options options = agent_setup_options();
-    struct agent_heartbeat heartbeat_timer;
-    agent_heartbeat_init(&heartbeat_timer, &options, 100);
-    agent_heartbeat_sent(&heartbeat_timer, 100, 0);
-    agent_heartbeat_misdirected(&heartbeat_timer, "three", 100, 0.25);
-    assert_string_equal(agent_heartbeat_controller(&heartbeat_timer)->name, "three");
-    assert_false(agent_heartbeat_is_due(&heartbeat_timer, 100.2));
-    assert_true(agent_heartbeat_is_due(&heartbeat_timer, 100.25));
+    struct agent_heartbeat_schedule schedule;
+    agent_heartbeat_schedule_init(&schedule, &options, 100);
+    agent_heartbeat_schedule_record_sent(&schedule, 100, 0);
+    agent_heartbeat_schedule_record_redirect(&schedule, "three", 100, 0.25);
+    assert_string_equal(agent_heartbeat_schedule_controller(&schedule)->name, "three");
+    assert_false(agent_heartbeat_schedule_is_due(&schedule, 100.2));
+    assert_true(agent_heartbeat_schedule_is_due(&schedule, 100.25));
     /* Its own name, an unknown one or none: the next controller, a second later, whatever changes. */
     static const char *const useless[] = {"three", "nobody", NULL};
     static const char *const next[] = {"one", "two", "three"};
     for (int i = 0; i < 3; i++) {
-        agent_heartbeat_sent(&heartbeat_timer, 200, 0);
-        agent_heartbeat_misdirected(&heartbeat_timer, useless[i], 200, 0);
-        assert_string_equal(agent_heartbeat_controller(&heartbeat_timer)->name, next[i]);
-        agent_heartbeat_changed(&heartbeat_timer);
-        assert_false(agent_heartbeat_is_due(&heartbeat_timer, 200.9));
-        assert_true(agent_heartbeat_is_due(&heartbeat_timer, 201));
+        agent_heartbeat_schedule_record_sent(&schedule, 200, 0);
+        agent_heartbeat_schedule_record_redirect(&schedule, useless[i], 200, 0);
+        assert_string_equal(agent_heartbeat_schedule_controller(&schedule)->name, next[i]);
+        agent_heartbeat_schedule_record_change(&schedule);
+        assert_false(agent_heartbeat_schedule_is_due(&schedule, 200.9));
+        assert_true(agent_heartbeat_schedule_is_due(&schedule, 201));
     }
-    agent_heartbeat_sent(&heartbeat_timer, 300, 0);
-    agent_heartbeat_failed(&heartbeat_timer, 304);
-    assert_string_equal(agent_heartbeat_controller(&heartbeat_timer)->name, "one");
-    assert_false(agent_heartbeat_is_due(&heartbeat_timer, 304.9));
+    agent_heartbeat_schedule_record_sent(&schedule, 300, 0);
+    agent_heartbeat_schedule_record_failure(&schedule, 304);
+    assert_string_equal(agent_heartbeat_schedule_controller(&schedule)->name, "one");
+    assert_false(agent_heartbeat_schedule_is_due(&schedule, 304.9));
     g_array_free(options.controllers, TRUE);
 }
 
--- a/tests/test_agent_tasks.c
+++ b/tests/test_agent_tasks.c
@@ -19,12 +19,12 @@
     (void)state;
     char *directory = agent_setup_directory();
     struct agent_incarnation incarnation;
-    assert_true(agent_incarnation_open(&incarnation, directory));
+    assert_true(agent_incarnation_open(&incarnation, directory, NULL));
     assert_int_equal(incarnation.number, 1);
     agent_incarnation_set_fencing_token(&incarnation, 77);
     agent_incarnation_begin_next(&incarnation);
     agent_incarnation_close(&incarnation);
-    assert_true(agent_incarnation_open(&incarnation, directory));
+    assert_true(agent_incarnation_open(&incarnation, directory, NULL));
     assert_int_equal(incarnation.number, 3);
     assert_int_equal(incarnation.fencing_token, 77);
     agent_incarnation_close(&incarnation);
@@ -32,7 +32,10 @@
     char *path = g_build_filename(directory, "session", NULL);
     assert_true(g_file_set_contents(path, "what", -1, NULL));
     g_free(path);
-    assert_false(agent_incarnation_open(&incarnation, directory));
+    GError *error = NULL;
+    assert_false(agent_incarnation_open(&incarnation, directory, &error));
+    assert_true(g_error_matches(error, G_FILE_ERROR, G_FILE_ERROR_INVAL));
+    g_error_free(error);
     agent_incarnation_close(&incarnation);
     agent_setup_remove(directory);
 }
@@ -71,7 +74,7 @@
         .directory = agent_setup_directory(), .options = agent_setup_options(), .history = {-1, "m-1"}};
     bench->options.jobs_dir = bench->directory;
     bench->options.lease_s = lease_s;
-    assert_true(agent_incarnation_open(&bench->incarnation, bench->directory));
+    assert_true(agent_incarnation_open(&bench->incarnation, bench->directory, NULL));
     bench->lease = agent_lease_new(lease_s);
     bench->tasks = agent_tasks_new(&bench->options, &bench->incarnation, bench->lease, &bench->history);
 }
@@ -91,20 +94,20 @@
     GArray *commands = g_array_new(FALSE, TRUE, sizeof(struct ow_worker_command));
     struct ow_worker_command command = {kind, "run-1", task, attempt, grace_s};
     g_array_append_val(commands, command);
-    agent_tasks_obey(bench->tasks, commands);
+    agent_tasks_apply(bench->tasks, commands);
     g_array_free(commands, TRUE);
 }
 
 /* What a heartbeat says of the first task, after all have ended. */
 static struct ow_task_status wait_for_end(struct bench *bench)
 {
-    double until = agent_clock() + PATIENCE_S;
-    while (agent_tasks_any_running(bench->tasks) && agent_clock() < until) {
+    double until = agent_clock_now() + PATIENCE_S;
+    while (agent_tasks_has_running(bench->tasks) && agent_clock_now() < until) {
         agent_tasks_poll(bench->tasks);
         g_usleep(10000);
     }
     GArray *heartbeats = g_array_new(FALSE, TRUE, sizeof(struct ow_task_status));
-    agent_tasks_status(bench->tasks, heartbeats);
+    agent_tasks_append_status(bench->tasks, heartbeats);
     assert_true(heartbeats->len > 0);
     struct ow_task_status first = g_array_index(heartbeats, struct ow_task_status, 0);
     g_array_free(heartbeats, TRUE);
@@ -115,7 +118,7 @@
 static guint count_tasks(const struct bench *bench)
 {
     GArray *heartbeats = g_array_new(FALSE, TRUE, sizeof(struct ow_task_status));
-    agent_tasks_status(bench->tasks, heartbeats);
+    agent_tasks_append_status(bench->tasks, heartbeats);
     guint count = heartbeats->len;
     g_array_free(heartbeats, TRUE);
     return count;
@@ -158,7 +161,7 @@
     obey(&bench, OW_WORKER_LAUNCH, 1, 1, 0); /* 3 of 4 CPUs are taken */
     obey(&bench, OW_WORKER_LAUNCH, 9, 1, 0); /* the job has 4 tasks */
     GArray *heartbeats = g_array_new(FALSE, TRUE, sizeof(struct ow_task_status));
-    agent_tasks_status(bench.tasks, heartbeats);
+    agent_tasks_append_status(bench.tasks, heartbeats);
     static const enum ow_exit_cause causes[] = {OW_CAUSE_NONE, OW_CAUSE_BUSY, OW_CAUSE_FULL,
                                                 OW_CAUSE_UNKNOWN};
     assert_int_equal(heartbeats->len, G_N_ELEMENTS(causes));
@@ -207,10 +210,10 @@
     describe_job(&bench, 1, 0, "sleep 600");
     obey(&bench, OW_WORKER_LAUNCH, 0, 1, 0);
     obey(&bench, OW_WORKER_LAUNCH, 1, 1, 0);
-    double begun = agent_clock();
+    double begun = agent_clock_now();
     assert_int_equal(wait_for_end(&bench).cause, OW_CAUSE_ERROR);
-    assert_true(agent_clock() - begun < PATIENCE_S);
-    assert_true(agent_lease_is_over(bench.lease));
+    assert_true(agent_clock_now() - begun < PATIENCE_S);
+    assert_true(agent_lease_is_expired(bench.lease));
     close_bench(&bench);
 }
 
@@ -218,11 +221,11 @@
 {
     (void)state;
     struct agent_lease *lease = agent_lease_new(10);
-    double now = agent_clock();
+    double now = agent_clock_now();
     agent_lease_renew(lease, now - 4);
-    assert_true(agent_lease_until(lease) >= now + 9); /* an earlier report takes nothing away */
+    assert_true(agent_lease_expires_at(lease) >= now + 9); /* an earlier heartbeat takes nothing away */
     agent_lease_renew(lease, now + 5);
-    assert_true(agent_lease_until(lease) == now + 15);
+    assert_true(agent_lease_expires_at(lease) == now + 15);
     agent_lease_free(lease);
 }
 
@@ -244,7 +247,7 @@
         struct bench bench = {
             .directory = directory, .options = agent_setup_options(), .history = {-1, "m-1"}};
         bench.options.jobs_dir = directory;
-        bool ok = agent_incarnation_open(&bench.incarnation, directory);
+        bool ok = agent_incarnation_open(&bench.incarnation, directory, NULL);
         bench.lease = agent_lease_new(600);
         bench.tasks = agent_tasks_new(&bench.options, &bench.incarnation, bench.lease, &bench.history);
         char *command = g_strdup_printf("echo $$ > %s; exec sleep 600", pid_file);
@@ -255,7 +258,7 @@
         _exit(1);
     }
     char *text = NULL;
-    for (double until = agent_clock() + PATIENCE_S; agent_clock() < until; g_usleep(10000)) {
+    for (double until = agent_clock_now() + PATIENCE_S; agent_clock_now() < until; g_usleep(10000)) {
         g_free(text);
         text = NULL;
         if (g_file_get_contents(pid_file, &text, NULL, NULL) && strchr(text, '\n') != NULL)
@@ -267,7 +270,7 @@
     kill(agent, SIGKILL);
     waitpid(agent, NULL, 0);
     struct agent_incarnation incarnation;
-    assert_true(agent_incarnation_open(&incarnation, directory));
+    assert_true(agent_incarnation_open(&incarnation, directory, NULL));
     assert_false(process_exists(task));
     assert_int_equal(incarnation.number, 2);
     agent_incarnation_close(&incarnation);
