--- a/src/core/jobs/attempt.h
+++ b/src/core/jobs/attempt.h
@@ -14,29 +14,30 @@
 
 /** How far an attempt has come, as far as the leader knows. */
 enum ow_attempt_state {
-    OW_ATTEMPT_PLANNED,   /* its record is not committed: no launch may leave */
-    OW_ATTEMPT_COMMITTED, /* recorded; no launch has left */
-    OW_ATTEMPT_SENT,      /* a launch may be on its way or carried out */
-    OW_ATTEMPT_SEEN,      /* the worker reports it */
-    OW_ATTEMPT_INHERITED, /* recorded by an earlier leader; not accounted for yet */
+    OW_ATTEMPT_PLANNED,   /**< its record is not committed: no launch may leave */
+    OW_ATTEMPT_COMMITTED, /**< recorded; no launch has left */
+    OW_ATTEMPT_SENT,      /**< a launch may be on its way or carried out */
+    OW_ATTEMPT_SEEN,      /**< the worker reports it */
+    OW_ATTEMPT_INHERITED, /**< recorded by an earlier leader; not accounted for yet */
 };
 
 /** One try to run a task on a machine. It exists until there is proof that the worker does not run it. */
 struct ow_attempt {
     struct ow_job *job;
     uint32_t task;
-    uint64_t number; /* grows with each attempt at any task of the chunk */
+    uint64_t number; /**< grows with each attempt at any task of the chunk */
     struct ow_machine *machine;
-    uint64_t incarnation; /* the worker's incarnation that it belongs to */
+    uint64_t incarnation; /**< the worker's incarnation that it belongs to */
     enum ow_attempt_state state;
-    enum ow_task_phase phase;
-    uint64_t transaction_serial;   /* serial of the write that carries its record */
-    uint32_t heartbeat_generation; /* of the last heartbeat that lists it */
-    double placed_at, running_at;  /* running_at 0: not yet seen running */
-    bool not_preemptible;          /* its job starved: it is not stopped again for others */
-    bool stop;                     /* it is to be stopped */
-    double stop_grace_s;           /* time to save its work */
-    double stop_at;                /* when the stop was decided */
+    enum ow_task_phase phase;      /**< as last reported; counts in state OW_ATTEMPT_SEEN */
+    uint64_t transaction_serial;   /**< of the transaction that carries its record */
+    uint32_t heartbeat_generation; /**< of the last heartbeat that lists it */
+    double placed_at;
+    double running_at;    /**< 0: not yet seen running */
+    bool not_preemptible; /**< its job starved: it is not stopped again for others */
+    bool stop;            /**< it is to be stopped */
+    double stop_grace_s;  /**< time to save its work */
+    double stop_at;       /**< when the stop was decided */
 };
 
 #endif
--- a/src/core/jobs/attempt_end.c
+++ b/src/core/jobs/attempt_end.c
@@ -11,11 +11,11 @@
 #include "core/scheduling/classes.h"
 #include "model/submission.h"
 
-/* Weight of the newest run in a machine's slowness. */
+/* Weight of the newest completed task in a machine's slowness. */
 static const double SLOWNESS_WEIGHT = 0.1;
-/* The most that one run may add to it, as a multiple of the expected run time. */
+/* The most that one task may add to it, as a multiple of the expected run time. */
 static const double SLOWNESS_MOST = 6;
-/* A run waits so long after a machine has lost or refused a task of it. */
+/* An execution waits so long after a machine has lost or refused a task of it. */
 static const double RETRY_PAUSE_S = 1;
 
 static void mark_done(struct ow_execution *execution, uint32_t task)
@@ -54,7 +54,7 @@
     ow_class_observe_run_time(leader->core, spec, ran_s);
 }
 
-/* The attempt at the task has ended with a result. */
+/* The attempt at the task has ended with a result: its machine is sound. */
 static void take_result(struct ow_leader *leader, struct ow_execution *execution, uint32_t task,
                         struct ow_machine *machine)
 {
@@ -89,8 +89,8 @@
     struct ow_machine *machine = attempt->machine;
     uint32_t task = attempt->task;
     bool stopped = attempt->stop;
-    g_debug("task %s/%u attempt %" G_GUINT64_FORMAT " on %s is gone: %s", attempt->job->id, task,
-            attempt->number, machine->name, proof);
+    g_debug("attempt ended: job=%s task=%u attempt=%" G_GUINT64_FORMAT " machine=%s reason=\"%s\"",
+            attempt->job->id, task, attempt->number, machine->name, proof);
     if (cause == OW_CAUSE_DONE && attempt->running_at > 0 && !ow_execution_is_service(execution))
         observe_run_time(leader, attempt);
     ow_attempt_unload(leader, attempt);
@@ -108,8 +108,9 @@
     if (attempt->stop && attempt->stop_grace_s <= grace_s)
         return;
     if (!attempt->stop) {
-        g_info("task %s/%u on %s is stopped, grace %.1f s: %s", attempt->job->id, attempt->task,
-               machine->name, grace_s, why);
+        g_info("attempt is stopped: job=%s task=%u attempt=%" G_GUINT64_FORMAT
+               " machine=%s grace_s=%.1f reason=\"%s\"",
+               attempt->job->id, attempt->task, attempt->number, machine->name, grace_s, why);
         ow_resources_add(&machine->stopping, &attempt->job->spec->submission->need, 1);
     }
     attempt->stop = true;
--- a/src/core/jobs/attempt_table.c
+++ b/src/core/jobs/attempt_table.c
@@ -10,11 +10,21 @@
 
 #include <string.h>
 
+/* The sums with the attempt's needs (`sign` 1) or without them (-1). */
+static void add_to_sums(struct ow_leader *leader, const struct ow_attempt *attempt, int sign)
+{
+    const struct ow_job_spec *spec = attempt->job->spec;
+    const struct ow_resources *need = &spec->submission->need;
+    struct ow_machine *machine = attempt->machine;
+    ow_resources_add(&machine->used, need, sign);
+    ow_resources_add(&machine->used_by[spec->submission->rank], need, sign);
+    ow_resources_add(ow_team_usage(leader, spec->team), need, sign);
+}
+
 struct ow_attempt *ow_attempt_new(struct ow_leader *leader, struct ow_execution *execution, uint32_t task,
                                   uint64_t number, struct ow_machine *machine, uint64_t incarnation)
 {
     struct ow_attempt *attempt = g_new0(struct ow_attempt, 1);
-    const struct ow_submission *submission = execution->job->spec->submission;
     attempt->job = execution->job;
     attempt->task = task;
     attempt->number = number;
@@ -24,41 +34,44 @@
     execution->tasks[task].attempt = attempt;
     g_ptr_array_add(execution->attempts, attempt);
     g_ptr_array_add(machine->attempts, attempt);
-    ow_resources_add(&machine->used, &submission->need, 1);
-    ow_resources_add(&machine->used_by[submission->rank], &submission->need, 1);
-    ow_resources_add(ow_team_usage(leader, execution->job->spec->team), &submission->need, 1);
+    add_to_sums(leader, attempt, 1);
     return attempt;
 }
 
-/* Takes the attempt out of the sums and lists of its machine. */
+/* Sums of fractions drift: those of a machine without attempts begin anew. */
+static void reset_sums(struct ow_machine *machine)
+{
+    machine->used = (struct ow_resources){0};
+    machine->stopping = (struct ow_resources){0};
+    memset(machine->used_by, 0, sizeof machine->used_by);
+}
+
 static void detach_from_machine(const struct ow_leader *leader, struct ow_attempt *attempt)
 {
     struct ow_machine *machine = attempt->machine;
-    const struct ow_submission *submission = attempt->job->spec->submission;
     g_ptr_array_remove_fast(machine->attempts, attempt);
-    ow_resources_add(&machine->used, &submission->need, -1);
-    ow_resources_add(&machine->used_by[submission->rank], &submission->need, -1);
     if (attempt->stop)
-        ow_resources_add(&machine->stopping, &submission->need, -1);
+        ow_resources_add(&machine->stopping, &attempt->job->spec->submission->need, -1);
     if (machine->attempts->len > 0)
         return;
-    /* Sums of fractions drift. */
-    machine->used = (struct ow_resources){0};
-    machine->stopping = (struct ow_resources){0};
-    memset(machine->used_by, 0, sizeof machine->used_by);
+    reset_sums(machine);
     machine->idle_since = leader->core->now;
 }
 
-void ow_attempt_unload(struct ow_leader *leader, struct ow_attempt *attempt)
+static void detach_from_execution(struct ow_attempt *attempt)
 {
-    const struct ow_job_spec *spec = attempt->job->spec;
     struct ow_execution *execution = attempt->job->execution;
     g_ptr_array_remove_fast(execution->attempts, attempt);
-    detach_from_machine(leader, attempt);
-    ow_resources_add(ow_team_usage(leader, spec->team), &spec->submission->need, -1);
     if (attempt->state == OW_ATTEMPT_SEEN && attempt->phase == OW_PHASE_RUNNING)
         execution->running--;
     execution->tasks[attempt->task].attempt = NULL;
     execution->cursor = MIN(execution->cursor, attempt->task);
+}
+
+void ow_attempt_unload(struct ow_leader *leader, struct ow_attempt *attempt)
+{
+    add_to_sums(leader, attempt, -1);
+    detach_from_machine(leader, attempt);
+    detach_from_execution(attempt);
     g_free(attempt);
 }
