--- a/src/core/pending_calls.c
+++ b/src/core/pending_calls.c
@@ -1,4 +1,5 @@
 #include "core/pending_calls.h"
+
 #include "model/event.h"
 
 #include <glib.h>
@@ -6,12 +7,13 @@
 struct call {
     uint64_t tag;
     ow_call_fn fn;
-    void *owner, *data;
-    void (*free_data)(void *);
+    void *owner;
+    void *data;
+    void (*free_data)(void *); /* NULL: nothing to free */
 };
 
 struct ow_pending_calls {
-    GHashTable *by_tag;
+    GHashTable *by_tag; /* uint64_t, in the call -> struct call, owned */
     uint64_t last_tag;
 };
 
@@ -42,7 +44,13 @@
                               void (*free_data)(void *))
 {
     struct call *call = g_new0(struct call, 1);
-    *call = (struct call){++calls->last_tag, fn, owner, data, free_data};
+    *call = (struct call){
+        .tag = ++calls->last_tag,
+        .fn = fn,
+        .owner = owner,
+        .data = data,
+        .free_data = free_data,
+    };
     g_hash_table_insert(calls->by_tag, &call->tag, call);
     return call->tag;
 }
@@ -58,7 +66,7 @@
     call_free(call);
 }
 
-static gboolean owned_by(gpointer key, gpointer value, gpointer owner)
+static gboolean is_owned_by(gpointer key, gpointer value, gpointer owner)
 {
     (void)key;
     return ((struct call *)value)->owner == owner;
@@ -66,5 +74,5 @@
 
 void ow_pending_calls_forget(struct ow_pending_calls *calls, const void *owner)
 {
-    g_hash_table_foreach_remove(calls->by_tag, owned_by, (gpointer)owner);
+    g_hash_table_foreach_remove(calls->by_tag, is_owned_by, (gpointer)owner);
 }
--- a/src/core/pending_calls.h
+++ b/src/core/pending_calls.h
@@ -1,21 +1,31 @@
-/* Requests that wait for an answer from the key-value store, the cloud or a worker. */
+/** @file
+ * Requests that wait for an answer from the key-value store, the cloud or a worker: who gets the answer. Each
+ * has a tag, which the effect that carries the request names, and the event with its answer repeats.
+ */
 #ifndef OW_CORE_PENDING_CALLS_H
 #define OW_CORE_PENDING_CALLS_H
 
 #include <stdint.h>
 
-struct ow_pending_calls;
 struct ow_event;
+struct ow_pending_calls;
 
-/* `data` is freed by the table after the call, or when the owner leaves. */
+/** Gets the answer to a call. `owner` and `data` are those of ow_pending_calls_add(); the event stays the
+ * caller's. */
 typedef void (*ow_call_fn)(void *owner, void *data, const struct ow_event *answer);
 
+/** No call is pending; freed by ow_pending_calls_free(). */
 struct ow_pending_calls *ow_pending_calls_new(void);
+/** Frees it with the data of all calls; no function is called. NULL is allowed. */
 void ow_pending_calls_free(struct ow_pending_calls *calls);
+/** Adds a call and returns its tag, which is never 0. `free_data` (NULL: nothing to free) frees `data` once
+ * the call has been answered or forgotten. */
 uint64_t ow_pending_calls_add(struct ow_pending_calls *calls, ow_call_fn fn, void *owner, void *data,
                               void (*free_data)(void *));
+/** Hands the answer to whoever made the call; nothing happens if it has been forgotten. */
 void ow_pending_calls_answer(struct ow_pending_calls *calls, uint64_t tag, const struct ow_event *answer);
-/* Answers to a leader that has stepped down must reach nobody. */
+/** Forgets all calls of an owner that is about to be freed: answers to a leader that has stepped down must
+ * reach nobody. */
 void ow_pending_calls_forget(struct ow_pending_calls *calls, const void *owner);
 
 #endif
