--- a/src/core/leader/leader.c
+++ b/src/core/leader/leader.c
@@ -47,6 +47,8 @@
     leader->scale_out = ow_scale_out_new();
     leader->offer_refusals = ow_instance_offers_new_refusals();
     leader->spot_risk = ow_spot_risk_new();
+    leader->failover = ow_failover_new();
+    leader->record_format = ow_record_format_new();
     leader->recorder = ow_recorder_new(leader);
     leader->machine_type_polling = ow_machine_type_polling_new();
     leader->broadcast = ow_leader_broadcast_new();
@@ -59,7 +61,6 @@
 void ow_leader_free(struct ow_leader *leader)
 {
     ow_pending_calls_forget(leader->core->pending_calls, leader);
-    ow_failover_free(leader);
     while (leader->executions->len > 0)
         ow_execution_drop(leader, g_ptr_array_index(leader->executions, 0));
     g_ptr_array_free(leader->executions, TRUE);
@@ -70,6 +71,8 @@
     ow_scale_out_free(leader->scale_out);
     g_array_free(leader->offer_refusals, TRUE);
     ow_spot_risk_free(leader->spot_risk);
+    ow_failover_free(leader->failover);
+    ow_record_format_free(leader->record_format);
     ow_recorder_free(leader->recorder);
     g_ptr_array_free(leader->record_values, TRUE);
     g_array_free(leader->cycle.image_demand, TRUE);
--- a/src/core/leader/leader_state.h
+++ b/src/core/leader/leader_state.h
@@ -13,29 +13,16 @@
 #include <stdint.h>
 
 struct ow_command_queue;
+struct ow_failover;
 struct ow_fleet;
 struct ow_leader_broadcast;
 struct ow_machine_type_polling;
 struct ow_quota;
+struct ow_record_format;
 struct ow_recorder;
 struct ow_scale_out;
 struct ow_spot_risk;
 
-/* Reading the records of earlier leaders: failover.c. */
-struct ow_failover_progress {
-    bool is_reading;     /* a read is in flight */
-    double next_at;      /* no read before this time */
-    char *last_key_read; /* NULL: none yet */
-    GArray *loaded;      /* loaded_records.c: records read so far; NULL while there are none */
-};
-
-/* The format in which records may be written: record_format.c. */
-struct ow_format_state {
-    unsigned current; /* 0: not known yet */
-    bool busy;        /* a read or write of the stored format is under way */
-    double next_at;   /* no read or write before this time */
-};
-
 /* When the scheduling cycle is due, and what it computes once for all jobs: schedule.c unless said otherwise.
  */
 struct ow_cycle_scratch {
@@ -62,7 +49,7 @@
     uint64_t fencing_token;     /**< of its term */
     enum ow_leader_phase phase; /**< failover.c */
     double ready_at;            /**< when it became ready */
-    struct ow_failover_progress failover;
+    struct ow_failover *failover;
 
     /* Machines. */
     GHashTable *machines_by_name;  /**< name -> struct ow_machine, not owned: machine_registry.c */
@@ -84,7 +71,7 @@
     struct ow_cycle_scratch cycle;
 
     /* Records. */
-    struct ow_format_state format;
+    struct ow_record_format *record_format;
     struct ow_recorder *recorder;
     GPtrArray *record_values; /**< struct ow_record_value, owned: record_values.c */
 
--- a/src/core/records/failover.c
+++ b/src/core/records/failover.c
@@ -2,11 +2,12 @@
 
 #include "core/jobs/job_cache.h"
 #include "core/leader/leader_state.h"
+#include "core/machines/command_queue.h"
 #include "core/machines/machine.h"
 #include "core/machines/machine_registry.h"
-#include "core/machines/command_queue.h"
 #include "core/peers/machine_hints.h"
 #include "core/records/loaded_records.h"
+#include "core/records/record_format.h"
 #include "model/event.h"
 #include "model/http_status.h"
 #include "model/peer.h"
@@ -17,15 +18,30 @@
 /* How long after a failed read the next one is sent. */
 static const double RETRY_S = 0.3;
 
-void ow_failover_free(struct ow_leader *leader)
+struct ow_failover {
+    bool is_reading;                  /* a read is in flight */
+    double next_at;                   /* no read before this time */
+    char *last_key_read;              /* of the progress records; NULL: none yet */
+    struct ow_loaded_records *loaded; /* the records read so far; NULL once the leader is ready */
+};
+
+struct ow_failover *ow_failover_new(void)
+{
+    struct ow_failover *failover = g_new0(struct ow_failover, 1);
+    failover->loaded = ow_loaded_records_new();
+    return failover;
+}
+
+void ow_failover_free(struct ow_failover *failover)
 {
-    g_clear_pointer(&leader->failover.loaded, g_array_unref);
-    g_clear_pointer(&leader->failover.last_key_read, g_free);
+    ow_loaded_records_free(failover->loaded);
+    g_free(failover->last_key_read);
+    g_free(failover);
 }
 
 static void retry_later(struct ow_leader *leader)
 {
-    leader->failover.next_at = leader->core->now + RETRY_S;
+    leader->failover->next_at = leader->core->now + RETRY_S;
 }
 
 /* Machines that the last leader told us of can be reached before any list names them. */
@@ -42,8 +58,8 @@
 
 static void become_ready(struct ow_leader *leader)
 {
-    ow_loaded_records_restore(leader);
-    ow_failover_free(leader);
+    ow_loaded_records_restore(leader->failover->loaded, leader);
+    g_clear_pointer(&leader->failover->loaded, ow_loaded_records_free);
     leader->phase = OW_LEADER_READY;
     leader->ready_at = leader->core->now;
     ow_leader_request_cycle(leader);
@@ -57,30 +73,32 @@
 static void on_progress_page(void *owner, void *data, const struct ow_event *answer)
 {
     struct ow_leader *leader = owner;
+    struct ow_failover *failover = leader->failover;
     const struct ow_store_reply *reply = &answer->store;
     (void)data;
-    leader->failover.is_reading = false;
+    failover->is_reading = false;
     if (reply->status != OW_HTTP_STATUS_OK) {
         retry_later(leader);
         return;
     }
     for (guint i = 0; i < reply->items->len; i++)
-        ow_loaded_records_add_value(leader, &g_array_index(reply->items, struct ow_store_item, i));
+        ow_loaded_records_add_value(failover->loaded, leader,
+                                    &g_array_index(reply->items, struct ow_store_item, i));
     if (!reply->has_more || reply->items->len == 0) {
         become_ready(leader);
         return;
     }
     const struct ow_store_item *last =
         &g_array_index(reply->items, struct ow_store_item, reply->items->len - 1);
-    g_free(leader->failover.last_key_read);
-    leader->failover.last_key_read = g_strdup(last->key);
+    g_free(failover->last_key_read);
+    failover->last_key_read = g_strdup(last->key);
 }
 
 static void read_progress_page(struct ow_leader *leader)
 {
     struct ow_store_request *request = ow_store_request_new(OW_STORE_LIST, OW_KEY_PROGRESS);
-    request->start_after_key = g_strdup(leader->failover.last_key_read);
-    leader->failover.is_reading = true;
+    request->start_after_key = g_strdup(leader->failover->last_key_read);
+    leader->failover->is_reading = true;
     ow_core_call_store(leader->core, request, on_progress_page, leader, NULL, NULL);
 }
 
@@ -91,13 +109,12 @@
     const uint64_t *fencing_token = data;
     if (leader == NULL || leader->fencing_token != *fencing_token)
         return;
-    leader->failover.is_reading = false;
+    leader->failover->is_reading = false;
     if (!ok) {
         retry_later(leader);
         return;
     }
     leader->phase = OW_LEADER_LOADING;
-    leader->failover.loaded = ow_loaded_records_new();
 }
 
 /* Progress of a job that the copy of the job table does not show yet would be taken for that of a job that is
@@ -105,17 +122,17 @@
 static void refresh_jobs(struct ow_leader *leader)
 {
     uint64_t *fencing_token = g_memdup2(&leader->fencing_token, sizeof leader->fencing_token);
-    leader->failover.is_reading = true;
+    leader->failover->is_reading = true;
     ow_job_cache_refresh(leader->core->job_cache, on_jobs_refreshed, fencing_token);
 }
 
 void ow_failover_tick(struct ow_leader *leader)
 {
-    const struct ow_failover_progress *failover = &leader->failover;
+    const struct ow_failover *failover = leader->failover;
     if (leader->phase == OW_LEADER_READY || failover->is_reading || leader->core->now < failover->next_at)
         return;
     /* How jobs are divided into chunks depends on the format of records, which must be known first. */
-    bool is_format_known = leader->format.current != 0;
+    bool is_format_known = ow_record_format_is_known(leader->record_format);
     if (leader->phase == OW_LEADER_REFRESH)
         refresh_jobs(leader);
     else if (is_format_known)
--- a/src/core/records/failover.h
+++ b/src/core/records/failover.h
@@ -10,11 +10,14 @@
 #ifndef OW_CORE_RECORDS_FAILOVER_H
 #define OW_CORE_RECORDS_FAILOVER_H
 
+struct ow_failover;
 struct ow_leader;
 
+/** Nothing has been read yet; freed by ow_failover_free(). */
+struct ow_failover *ow_failover_new(void);
+/** Frees it with the records read so far. */
+void ow_failover_free(struct ow_failover *failover);
 /** Takes the next step while the leader is not ready; a failed read is repeated. */
 void ow_failover_tick(struct ow_leader *leader);
-/** Frees the records read so far, and how far reading has come. */
-void ow_failover_free(struct ow_leader *leader);
 
 #endif
--- a/src/core/records/loaded_records.c
+++ b/src/core/records/loaded_records.c
@@ -26,18 +26,31 @@
     json_t *value;        /* one reference is owned */
 };
 
-static void loaded_record_clear(void *item)
+struct ow_loaded_records {
+    GArray *records; /* struct loaded_record */
+};
+
+static void clear_record(void *item)
 {
     json_decref(((struct loaded_record *)item)->value);
 }
 
-GArray *ow_loaded_records_new(void)
+struct ow_loaded_records *ow_loaded_records_new(void)
 {
-    GArray *loaded = g_array_new(FALSE, FALSE, sizeof(struct loaded_record));
-    g_array_set_clear_func(loaded, loaded_record_clear);
+    struct ow_loaded_records *loaded = g_new0(struct ow_loaded_records, 1);
+    loaded->records = g_array_new(FALSE, FALSE, sizeof(struct loaded_record));
+    g_array_set_clear_func(loaded->records, clear_record);
     return loaded;
 }
 
+void ow_loaded_records_free(struct ow_loaded_records *loaded)
+{
+    if (loaded == NULL)
+        return;
+    g_array_unref(loaded->records);
+    g_free(loaded);
+}
+
 /* ---- taking in values ---- */
 
 /* Whether the value could not be written any more once the announced limits hold. */
@@ -50,21 +63,23 @@
     return strlen(text) > limits->value_bytes;
 }
 
-/* False when the record is of no use any more: its job is over, or its name is not one of ours. */
-static bool add_record(struct ow_leader *leader, struct ow_record_value *record_value, const char *name,
-                       json_t *value)
+/* Adds the record of this name in the value. False when it is of no use any more: its job is over, or its
+   name is not one of ours. */
+static bool add_record(struct ow_loaded_records *loaded, const struct ow_leader *leader,
+                       struct ow_record_value *record_value, const char *name, json_t *value)
 {
-    struct loaded_record loaded = {.record_value = record_value, .mod_revision = record_value->mod_revision};
-    g_autofree char *id = wire_progress_name_decode(name, &loaded.chunk_index, &loaded.chunk_tasks);
-    loaded.job = id != NULL ? ow_jobs_find(leader->core->jobs, id) : NULL;
-    if (loaded.job == NULL || loaded.job->spec == NULL)
+    struct loaded_record record = {.record_value = record_value, .mod_revision = record_value->mod_revision};
+    g_autofree char *id = wire_progress_name_decode(name, &record.chunk_index, &record.chunk_tasks);
+    record.job = id != NULL ? ow_jobs_find(leader->core->jobs, id) : NULL;
+    if (record.job == NULL || record.job->spec == NULL)
         return false;
-    loaded.value = json_incref(value);
-    g_array_append_val(leader->failover.loaded, loaded);
+    record.value = json_incref(value);
+    g_array_append_val(loaded->records, record);
     return true;
 }
 
-void ow_loaded_records_add_value(struct ow_leader *leader, const struct ow_store_item *item)
+void ow_loaded_records_add_value(struct ow_loaded_records *loaded, struct ow_leader *leader,
+                                 const struct ow_store_item *item)
 {
     guint64 number = 0;
     if (!g_ascii_string_to_unsigned(item->key + strlen(OW_KEY_PROGRESS), 10, 0, UINT32_MAX, &number, NULL))
@@ -76,7 +91,7 @@
     record_value->mod_revision = item->mod_revision;
     json_object_foreach(item->value, name, value)
     {
-        all_used = add_record(leader, record_value, name, value) && all_used;
+        all_used = add_record(loaded, leader, record_value, name, value) && all_used;
     }
     if (!all_used || is_too_large(leader, item->value))
         ow_recorder_queue_compaction(leader, record_value);
@@ -84,9 +99,9 @@
 
 /* ---- restoring executions ---- */
 
-static struct ow_task_range tasks_of(const struct loaded_record *loaded)
+static struct ow_task_range tasks_of(const struct loaded_record *record)
 {
-    return ow_chunk_task_range(loaded->chunk_index, loaded->chunk_tasks, loaded->job->execution->count);
+    return ow_chunk_task_range(record->chunk_index, record->chunk_tasks, record->job->execution->count);
 }
 
 /* Drops what records of lower mod_revision said of these tasks' attempts. */
@@ -136,50 +151,50 @@
     }
 }
 
-static void restore_record(struct ow_leader *leader, const struct loaded_record *loaded)
+static void restore_record(struct ow_leader *leader, const struct loaded_record *record)
 {
-    struct ow_execution *execution = loaded->job->execution;
-    struct ow_progress_record record;
-    if (!wire_progress_record_decode(loaded->value, &record))
+    struct ow_execution *execution = record->job->execution;
+    struct ow_progress_record progress;
+    if (!wire_progress_record_decode(record->value, &progress))
         g_warning("progress record unreadable in part: job=%s", execution->job->id);
-    unload_attempts(leader, execution, tasks_of(loaded));
-    raise_last_attempt(execution, tasks_of(loaded), record.last_attempt);
-    restore_done(execution, record.done);
-    restore_attempts(leader, execution, record.live);
-    wire_progress_record_clear(&record);
+    unload_attempts(leader, execution, tasks_of(record));
+    raise_last_attempt(execution, tasks_of(record), progress.last_attempt);
+    restore_done(execution, progress.done);
+    restore_attempts(leader, execution, progress.live);
+    wire_progress_record_clear(&progress);
 }
 
 /* Settles where the record stands from now on: in its record value or, if its job is divided into smaller
    chunks now, in new ones, which are to be written before the old record goes. */
-static void place_record(struct ow_leader *leader, const struct loaded_record *loaded)
+static void place_record(struct ow_leader *leader, const struct loaded_record *record)
 {
-    struct ow_execution *execution = loaded->job->execution;
-    if (loaded->chunk_tasks == execution->chunk_tasks) {
-        struct ow_chunk *chunk = &execution->chunks[loaded->chunk_index];
+    struct ow_execution *execution = record->job->execution;
+    if (record->chunk_tasks == execution->chunk_tasks) {
+        struct ow_chunk *chunk = &execution->chunks[record->chunk_index];
         if (chunk->record_value != NULL)
             ow_recorder_queue_compaction(leader, ow_record_value_remove_chunk(chunk));
-        ow_record_value_add_chunk(loaded->record_value, chunk);
+        ow_record_value_add_chunk(record->record_value, chunk);
         return;
     }
-    struct ow_task_range tasks = tasks_of(loaded);
-    ow_record_value_add_unmoved_tasks(loaded->record_value, execution->job, tasks);
-    ow_recorder_queue_compaction(leader, loaded->record_value);
+    struct ow_task_range tasks = tasks_of(record);
+    ow_record_value_add_unmoved_tasks(record->record_value, execution->job, tasks);
+    ow_recorder_queue_compaction(leader, record->record_value);
     for (uint32_t task = tasks.first; task < tasks.end; task += execution->chunk_tasks)
         ow_recorder_queue_urgent(leader, execution, task);
 }
 
 /* Creates the job's execution if there is none. It keeps the smallest chunks that it was recorded in. */
-static void create_execution(struct ow_leader *leader, const struct loaded_record *loaded)
+static void create_execution(struct ow_leader *leader, const struct loaded_record *record)
 {
-    bool is_new = loaded->job->execution == NULL;
-    struct ow_execution *execution = ow_execution_find_or_add(leader, loaded->job);
-    if (is_new || loaded->chunk_tasks < execution->chunk_tasks)
-        ow_execution_divide(execution, loaded->chunk_tasks);
+    bool is_new = record->job->execution == NULL;
+    struct ow_execution *execution = ow_execution_find_or_add(leader, record->job);
+    if (is_new || record->chunk_tasks < execution->chunk_tasks)
+        ow_execution_divide(execution, record->chunk_tasks);
 }
 
-static bool is_beyond_tasks(const struct loaded_record *loaded)
+static bool is_beyond_tasks(const struct loaded_record *record)
 {
-    return (uint64_t)loaded->chunk_index * loaded->chunk_tasks >= loaded->job->execution->count;
+    return (uint64_t)record->chunk_index * record->chunk_tasks >= record->job->execution->count;
 }
 
 static gint compare_mod_revisions(gconstpointer a, gconstpointer b)
@@ -189,19 +204,22 @@
     return left->mod_revision < right->mod_revision ? -1 : left->mod_revision > right->mod_revision;
 }
 
-void ow_loaded_records_restore(struct ow_leader *leader)
+static void restore(struct ow_leader *leader, const struct loaded_record *record)
+{
+    if (is_beyond_tasks(record)) {
+        ow_recorder_queue_compaction(leader, record->record_value);
+        return;
+    }
+    restore_record(leader, record);
+    place_record(leader, record);
+}
+
+void ow_loaded_records_restore(struct ow_loaded_records *loaded, struct ow_leader *leader)
 {
-    GArray *records = leader->failover.loaded;
+    GArray *records = loaded->records;
     g_array_sort(records, compare_mod_revisions);
     for (guint i = 0; i < records->len; i++)
         create_execution(leader, &g_array_index(records, struct loaded_record, i));
-    for (guint i = 0; i < records->len; i++) {
-        const struct loaded_record *loaded = &g_array_index(records, struct loaded_record, i);
-        if (is_beyond_tasks(loaded)) {
-            ow_recorder_queue_compaction(leader, loaded->record_value);
-            continue;
-        }
-        restore_record(leader, loaded);
-        place_record(leader, loaded);
-    }
+    for (guint i = 0; i < records->len; i++)
+        restore(leader, &g_array_index(records, struct loaded_record, i));
 }
--- a/src/core/records/loaded_records.h
+++ b/src/core/records/loaded_records.h
@@ -9,18 +9,20 @@
 #ifndef OW_CORE_RECORDS_LOADED_RECORDS_H
 #define OW_CORE_RECORDS_LOADED_RECORDS_H
 
-#include <glib.h>
-
 struct ow_leader;
+struct ow_loaded_records;
 struct ow_store_item;
 
-/** An empty array for the leader's `failover.loaded`; freed with g_array_unref(). */
-GArray *ow_loaded_records_new(void);
-/** Takes in a value as it was read, with its record value. Other keys than those of progress are ignored.
-   What it holds of jobs that are over is queued to be removed. */
-void ow_loaded_records_add_value(struct ow_leader *leader, const struct ow_store_item *item);
+/** No records; freed by ow_loaded_records_free(). */
+struct ow_loaded_records *ow_loaded_records_new(void);
+/** Frees the records; NULL is allowed. */
+void ow_loaded_records_free(struct ow_loaded_records *loaded);
+/** Takes in a value as it was read, and adds its record value to the leader. Keys that are not of progress
+   are ignored. What it holds of jobs that are over is queued to be removed. */
+void ow_loaded_records_add_value(struct ow_loaded_records *loaded, struct ow_leader *leader,
+                                 const struct ow_store_item *item);
 /** Creates the executions and attempts of all records read. Attempts are inherited: the workers' heartbeats
-   say which of them still run. The array itself is left as it is. */
-void ow_loaded_records_restore(struct ow_leader *leader);
+   tell which of them still run. */
+void ow_loaded_records_restore(struct ow_loaded_records *loaded, struct ow_leader *leader);
 
 #endif
--- a/src/core/records/record_format.c
+++ b/src/core/records/record_format.c
@@ -10,9 +10,35 @@
 /* The least time from an answer to the next write or read of the stored format. */
 static const double WRITE_INTERVAL_S = 1;
 static const double READ_INTERVAL_S = 0.3;
-/* `format.current` while the stored format has not been read. */
+/* `current` while the stored format has not been read. */
 enum { FORMAT_UNKNOWN = 0 };
 
+struct ow_record_format {
+    unsigned current;  /* enum ow_format, or FORMAT_UNKNOWN */
+    bool is_in_flight; /* a read or write of the stored format */
+    double next_at;    /* no read or write before this time */
+};
+
+struct ow_record_format *ow_record_format_new(void)
+{
+    return g_new0(struct ow_record_format, 1);
+}
+
+void ow_record_format_free(struct ow_record_format *format)
+{
+    g_free(format);
+}
+
+bool ow_record_format_is_known(const struct ow_record_format *format)
+{
+    return format->current != FORMAT_UNKNOWN;
+}
+
+bool ow_record_format_has_small_chunks(const struct ow_record_format *format)
+{
+    return format->current >= OW_FORMAT_SMALL_CHUNKS;
+}
+
 static bool all_peers_support(const struct ow_core *core, unsigned format)
 {
     for (guint i = 0; i < core->settings->peers->len; i++) {
@@ -27,16 +53,17 @@
 static void on_format_written(void *owner, void *data, const struct ow_event *answer)
 {
     struct ow_leader *leader = owner;
+    struct ow_record_format *format = leader->record_format;
     (void)data;
-    leader->format.busy = false;
-    leader->format.next_at = leader->core->now + WRITE_INTERVAL_S;
+    format->is_in_flight = false;
+    format->next_at = leader->core->now + WRITE_INTERVAL_S;
     if (answer->store.status == OW_HTTP_STATUS_OK) {
         g_info("record format raised: format=%d reason=\"every controller reads it\"",
                OW_FORMAT_SMALL_CHUNKS);
-        leader->format.current = OW_FORMAT_SMALL_CHUNKS;
+        format->current = OW_FORMAT_SMALL_CHUNKS;
     } else if (answer->store.status == OW_HTTP_STATUS_CONFLICT) {
         /* An earlier write was carried out without an answer: the stored format is read again. */
-        leader->format.current = FORMAT_UNKNOWN;
+        format->current = FORMAT_UNKNOWN;
     }
 }
 
@@ -46,42 +73,44 @@
     ow_store_compare(transaction, OW_KEY_LEADER, leader->fencing_token);
     ow_store_compare(transaction, OW_KEY_FORMAT, 0);
     ow_store_put(transaction, OW_KEY_FORMAT, wire_format_record_encode(OW_FORMAT_SMALL_CHUNKS), 0);
-    leader->format.busy = true;
+    leader->record_format->is_in_flight = true;
     ow_core_call_store(leader->core, transaction, on_format_written, leader, NULL, NULL);
 }
 
 static void on_format_read(void *owner, void *data, const struct ow_event *answer)
 {
     struct ow_leader *leader = owner;
+    struct ow_record_format *format = leader->record_format;
     const struct ow_store_reply *reply = &answer->store;
     (void)data;
-    leader->format.busy = false;
-    leader->format.next_at = leader->core->now + READ_INTERVAL_S;
+    format->is_in_flight = false;
+    format->next_at = leader->core->now + READ_INTERVAL_S;
     if (reply->status == OW_HTTP_STATUS_NOT_FOUND)
-        leader->format.current = OW_FORMAT_FIRST;
+        format->current = OW_FORMAT_FIRST;
     else if (reply->status == OW_HTTP_STATUS_OK && reply->items->len == 1)
-        leader->format.current =
+        format->current =
             wire_format_record_decode(g_array_index(reply->items, struct ow_store_item, 0).value);
 }
 
 static void read_format(struct ow_leader *leader)
 {
     struct ow_store_request *request = ow_store_request_new(OW_STORE_GET, OW_KEY_FORMAT);
-    leader->format.busy = true;
+    leader->record_format->is_in_flight = true;
     ow_core_call_store(leader->core, request, on_format_read, leader, NULL, NULL);
 }
 
 static bool may_raise_format(const struct ow_leader *leader)
 {
-    return leader->format.current < OW_FORMAT_SMALL_CHUNKS && leader->phase == OW_LEADER_READY &&
+    return !ow_record_format_has_small_chunks(leader->record_format) && leader->phase == OW_LEADER_READY &&
            all_peers_support(leader->core, OW_FORMAT_SMALL_CHUNKS);
 }
 
 void ow_record_format_tick(struct ow_leader *leader)
 {
-    if (leader->format.busy || leader->core->now < leader->format.next_at)
+    const struct ow_record_format *format = leader->record_format;
+    if (format->is_in_flight || leader->core->now < format->next_at)
         return;
-    if (leader->format.current == FORMAT_UNKNOWN)
+    if (!ow_record_format_is_known(format))
         read_format(leader);
     else if (may_raise_format(leader))
         write_format(leader);
--- a/src/core/records/record_value.h
+++ b/src/core/records/record_value.h
@@ -29,12 +29,12 @@
     size_t estimated_bytes;  /**< size as last written, with an estimate of what was added since */
     struct ow_write *queued; /**< the queued write of it: write_queue.c; NULL: none */
     bool is_oversized;       /**< as last encoded it was above the limit of a value: transaction.c */
-    bool needs_division;     /**< its only chunk does not fit a value: set by transaction.c, and cleared by
-                                  chunk_division.c */
-    double refused_until; /**< refused for its size and can't be made smaller: not written before this time */
+    bool
+        needs_division; /**< its only chunk does not fit: set by transaction.c, cleared by chunk_division.c */
+    double refused_until;  /**< too large, and can't be made smaller: not written before this time */
     GArray *unmoved_tasks; /**< struct ow_unmoved_tasks: tasks that only its stored value records */
-    struct ow_record_value *waits_for; /**< chunks moved from here to this one, which must be written first;
-                                            NULL: none */
+    /** Chunks moved from here to this one, which must be written first; NULL: none. */
+    struct ow_record_value *waits_for;
 };
 
 #endif
--- a/src/core/records/record_values.c
+++ b/src/core/records/record_values.c
@@ -4,6 +4,7 @@
 #include "core/jobs/execution.h"
 #include "core/leader/leader_state.h"
 #include "core/machines/machine.h"
+#include "core/records/record_format.h"
 #include "model/records.h"
 #include "wire/records_json.h"
 
@@ -41,7 +42,7 @@
 
 uint32_t ow_record_values_chunk_tasks(const struct ow_leader *leader)
 {
-    if (leader->format.current < OW_FORMAT_SMALL_CHUNKS)
+    if (!ow_record_format_has_small_chunks(leader->record_format))
         return OW_CHUNK_MAX_TASKS;
     return ow_store_limits_chunk_tasks(&leader->core->store_limits);
 }
--- a/src/core/records/record_values.h
+++ b/src/core/records/record_values.h
@@ -21,8 +21,7 @@
 struct ow_job;
 struct ow_leader;
 
-/** The tasks of chunk `index` of a job with `task_count` tasks that is divided into chunks of `chunk_tasks`.
- */
+/** The tasks of chunk `index`, where a job of `task_count` tasks is divided into chunks of `chunk_tasks`. */
 struct ow_task_range ow_chunk_task_range(uint32_t index, uint32_t chunk_tasks, uint32_t task_count);
 /** How many tasks a new chunk records, by the format of records and the limit of a value. */
 uint32_t ow_record_values_chunk_tasks(const struct ow_leader *leader);
@@ -41,8 +40,7 @@
 /** Removes the chunk from its record value, which is returned; NULL if it was in none. */
 struct ow_record_value *ow_record_value_remove_chunk(struct ow_chunk *chunk);
 
-/** From now on the stored value keeps what it says of these tasks, until all of them are recorded elsewhere.
- */
+/** The stored value keeps what it says of these tasks until all of them are recorded elsewhere. */
 void ow_record_value_add_unmoved_tasks(struct ow_record_value *record_value, struct ow_job *job,
                                        struct ow_task_range tasks);
 /** Forgets the unmoved tasks that are recorded elsewhere by now, or whose job is over. */
--- a/src/core/records/recorder.h
+++ b/src/core/records/recorder.h
@@ -8,8 +8,7 @@
  *    OW_ATTEMPT_PLANNED until transaction_reply.c handles the success of the transaction that recorded it.
  *  - One transaction is in flight at a time, so writes are applied in the order in which they were decided.
  *  - Every transaction compares the leader key, so that a deposed leader changes nothing, and the
- * mod_revision of each key that it writes, so that one that is applied late, or twice, changes nothing the
- * second time.
+ *    mod_revision of each key that it writes, so that one that is applied late, or twice, does no harm.
  *  - A chunk that moves is written in its new record value before the old value is replaced, so that every
  *    decision can be read back at any moment.
  */
@@ -40,8 +39,8 @@
 void ow_recorder_queue_final_record(struct ow_leader *leader, struct ow_execution *execution);
 /** Queues a rewrite of the record value, in the background, without the records of jobs that are over. */
 void ow_recorder_queue_compaction(struct ow_leader *leader, struct ow_record_value *record_value);
-/** Drops every reference to an execution that is about to be freed; its record values are rewritten without
- * it. */
+/** Drops every reference to an execution that is about to be freed, and queues the rewrite of its record
+   values without it. */
 void ow_recorder_forget_execution(struct ow_leader *leader, const struct ow_execution *execution);
 
 #endif
--- a/src/core/records/recorder_state.h
+++ b/src/core/records/recorder_state.h
@@ -17,7 +17,7 @@
 struct ow_recorder {
     struct ow_write_queue *queue;            /**< owned */
     struct ow_rate_limiter mutation_limiter; /**< of all mutations that the leader writes */
-    double next_at;              /**< no transaction before this time: record_writer.c, transaction_reply.c */
+    double next_at;                          /**< no transaction before this time: transaction_reply.c */
     unsigned mod_revision_reads; /**< in flight; nothing is written meanwhile: transaction_reply.c */
 
     uint64_t transaction_serial;    /**< of the last transaction; each attempt keeps that of its record */
--- a/src/core/records/store_limits.h
+++ b/src/core/records/store_limits.h
@@ -13,16 +13,19 @@
 #include <stdbool.h>
 #include <stddef.h>
 
-/** The limits that are kept to. Owned by the core; record_writer.h, submissions and cancellations use them.
- */
+/** The limits that are kept to. Owned by the core, for records, submissions and cancellations. */
 struct ow_store_limits {
-    size_t value_bytes; /**< of each value that can be made smaller */
-    size_t
-        accepted_value_bytes; /**< what is still accepted today, for a value that can't be made smaller yet */
-    size_t refused_value_bytes;     /**< the smallest value known to be refused: what can't be divided may be
-                                         smaller by a byte */
-    unsigned transaction_mutations; /**< the most mutations of a transaction */
-    double mutations_per_s;         /**< of all controllers together */
+    /** Of each value that can be made smaller. */
+    size_t value_bytes;
+    /** What is still accepted today, for a value that can't be made smaller yet. */
+    size_t accepted_value_bytes;
+    /** The smallest value known to be refused, or announced to be: what can't be divided must stay below it.
+     */
+    size_t refused_value_bytes;
+    /** The most mutations of a transaction. */
+    unsigned transaction_mutations;
+    /** Of all controllers together. */
+    double mutations_per_s;
 };
 
 /** The limits by the settings. */
--- a/src/core/records/transaction.c
+++ b/src/core/records/transaction.c
@@ -4,6 +4,7 @@
 #include "core/jobs/attempt.h"
 #include "core/jobs/execution.h"
 #include "core/leader/leader_state.h"
+#include "core/records/record_format.h"
 #include "core/records/record_values.h"
 #include "core/records/recorder.h"
 #include "core/records/recorder_state.h"
@@ -57,7 +58,7 @@
     if (!is_too_large(leader, value) || record_value->chunks->len != 1)
         return false;
     const struct ow_chunk *chunk = g_ptr_array_index(record_value->chunks, 0);
-    return leader->format.current >= OW_FORMAT_SMALL_CHUNKS &&
+    return ow_record_format_has_small_chunks(leader->record_format) &&
            chunk->job->execution->chunk_tasks > OW_CHUNK_MIN_TASKS;
 }
 
--- a/src/core/records/write_queue.h
+++ b/src/core/records/write_queue.h
@@ -20,14 +20,13 @@
     OW_WRITE_FINAL_RECORD, /**< how a job ended */
 };
 
-/** The urgency of writes: a lower order is written first. Final records come first, for users wait for them
-   and they free what the job held; then launches by the rank of their job; then progress that nobody waits
-   for. */
+/** The urgency of writes: a lower order is written first. Final records come before all else, then launches
+   by the rank of their job, then progress that nothing waits for. */
 enum ow_write_order {
     OW_ORDER_FINAL_RECORD = 5,
     OW_ORDER_LAUNCH = 10, /**< of the most urgent rank */
     OW_ORDER_PROGRESS = 100,
-    OW_ORDER_BACKGROUND = 200, /**< tidying: values that hold records of jobs that are over */
+    OW_ORDER_BACKGROUND = 200, /**< removal of what is of no use any more */
 };
 
 /** A write that waits in the queue, or is in the transaction in flight. */
--- a/src/model/records.h
+++ b/src/model/records.h
@@ -6,10 +6,11 @@
  *   format           the newest format of records that every controller reads; absent: OW_FORMAT_FIRST
  *   types            the machine types last seen
  *   j/<id>           a job: its submission, or how it ended (a tombstone, kept forever)
- *   p/<number>       progress records of chunks of tasks, several in one value, by "<id>/<chunk>", or
+ *   p/<number>       progress records of chunks of tasks, several in one value, by "<id>/<chunk>", or by
  *                    "<id>/<chunk>.<tasks>" where a chunk has not OW_CHUNK_MAX_TASKS tasks: what is done,
- * which attempts may exist, and where. Of a record that is found in two values the one in the value with the
- * higher mod_revision counts.
+ *                    which attempts may exist, and where
+ *
+ * Of a progress record that is found in two values, the one in the value with the higher mod_revision counts.
  */
 #ifndef OW_MODEL_RECORDS_H
 #define OW_MODEL_RECORDS_H
