--- a/tests/loopback/checker.py
+++ b/tests/loopback/checker.py
@@ -1,38 +1,57 @@
-"""Checks the history of a run: what the agents and the supervisors of tasks recorded on the machines, when leaders'
-keys changed in the state service, and what users were told. Nothing is taken from the controllers' own claims."""
+"""Checks the history of a run: what the agents and the supervisors of tasks recorded on the machines, when
+leaders' keys changed in the state service, and what users were told. Nothing is taken from the controllers'
+own claims.
+
+The history has two lists of events: the run's own (`events`) and that of the machines (`machines`)."""
 
 import glob
-import json
 import os
 from collections import defaultdict
+from collections.abc import Iterable, Iterator
+from typing import Any, Optional
+
+from events import Event, read_events, time_of
 
-# A stop takes a supervisor's look at its orders, and an order's way; records are made a little before or after.
+# A stop takes a supervisor's look at its orders, and an order's way; records may be early or late.
 SLACK_S = 0.3
-# Ends of tasks in the records (enum agent_task_end), and causes in reports (enum ow_cause).
+# The cause of a task that ended well, in the records of ends (enum ow_cause).
 CAUSE_DONE = 1
 
 
-def read_lines(path):
-    with open(path, encoding="utf-8") as file:
-        return [json.loads(line) for line in file if line.strip()]
+def load(directory: str) -> tuple[list[Event], list[Event]]:
+    """The events of a run and of its machines, each in order of time."""
+    paths = glob.glob(os.path.join(directory, "history", "*.jsonl"))
+    machines = [event for path in paths for event in read_events(path)]
+    machines.sort(key=time_of)
+    return read_events(os.path.join(directory, "events.jsonl")), machines
 
 
-def load(directory):
-    """The events of a run and of its machines, each in order of time."""
-    machines = [event for path in glob.glob(os.path.join(directory, "history", "*.jsonl"))
-                for event in read_lines(path)]
-    machines.sort(key=lambda event: event["t"])
-    return read_lines(os.path.join(directory, "events.jsonl")), machines
+def named(events: Iterable[Event], *names: str) -> list[Event]:
+    """The events of these names."""
+    return [event for event in events if event["event"] in names]
 
 
-def check_tokens(events, machines):
-    """At every instant a machine has one owner: what it obeys never goes back to a lower token, and each token it
-    obeys was given to one controller by the state service."""
-    issued = {e["token"] for e in events if e["event"] == "leader" and e["leader"]}
-    seen = defaultdict(int)
-    for event in machines:
-        if event["event"] != "orders" or not event["accepted"]:
-            continue
+def terms(events: list[Event]) -> list[Event]:
+    """The begins of leaders' terms, by the state service."""
+    return [event for event in named(events, "leader") if event["leader"]]
+
+
+def accepted_orders(machines: list[Event]) -> list[Event]:
+    """The orders that machines obeyed."""
+    return [event for event in named(machines, "orders") if event["accepted"]]
+
+
+def job_of(event: Event) -> str:
+    """The job of the event's task."""
+    return str(event["task"]).split("/", maxsplit=1)[0]
+
+
+def check_tokens(events: list[Event], machines: list[Event]) -> Iterator[str]:
+    """At every instant a machine has one owner: the tokens that it obeys never become lower, and each of them
+    was given to one controller by the state service."""
+    issued = {term["token"] for term in terms(events)}
+    seen: dict[str, int] = defaultdict(int)
+    for event in accepted_orders(machines):
         machine, token = event["machine"], event["token"]
         if token < seen[machine]:
             yield f"two owners: {machine} obeyed token {token} after {seen[machine]}"
@@ -41,20 +60,20 @@
         seen[machine] = max(seen[machine], token)
 
 
-def check_shards(events, machines):
+def check_shards(events: list[Event], machines: list[Event]) -> Iterator[str]:
     """The tokens that a machine obeys are all of one shard."""
-    shard_of = {e["token"]: e["shard"] for e in events if e["event"] == "leader" and e["leader"]}
-    shards = {}
-    for event in machines:
-        if event["event"] == "orders" and event["accepted"] and event["token"] in shard_of:
+    shard_of = {term["token"]: term["shard"] for term in terms(events)}
+    shards: dict[str, str] = {}
+    for event in accepted_orders(machines):
+        if event["token"] in shard_of:
             shard = shard_of[event["token"]]
             if shards.setdefault(event["machine"], shard) != shard:
                 yield f"two shards: {event['machine']} obeyed {shards[event['machine']]} and {shard}"
 
 
-def check_attempts(machines):
+def check_attempts(machines: list[Event]) -> Iterator[str]:
     """No task runs twice at one time."""
-    running = {}
+    running: dict[str, str] = {}
     for event in machines:
         if event["event"] == "task-begins":
             if event["task"] in running:
@@ -64,32 +83,30 @@
             del running[event["task"]]
 
 
-def check_cancellations(events, machines, cancel_s):
+def check_cancellations(events: list[Event], machines: list[Event], cancel_s: float) -> Iterator[str]:
     """Nothing of a job starts after its user was told that it is cancelled, and nothing runs on for long."""
-    told = {e["job"]: e["t"] for e in events if e["event"] == "confirmed" and e["stance"] == "aborted"}
-    begun = {}
-    for event in machines:
-        if event["event"] not in ("task-begins", "task-ended"):
-            continue
-        at = told.get(event["task"].split("/")[0])
+    told = {e["job"]: e["t"] for e in named(events, "confirmed") if e["stance"] == "aborted"}
+    running: dict[tuple[str, str, int], Event] = {}
+    for event in named(machines, "task-begins", "task-ended"):
+        told_at = told.get(job_of(event))
         key = (event["machine"], event["task"], event["attempt"])
         if event["event"] == "task-begins":
-            begun[key] = event["t"]
-            if at is not None and event["t"] > at + SLACK_S:
+            running[key] = event
+            if told_at is not None and event["t"] > told_at + SLACK_S:
                 yield f"started after its cancellation: {event['task']} on {event['machine']}"
         else:
-            begun.pop(key, None)
-            if at is not None and event["t"] > at + cancel_s:
+            running.pop(key, None)
+            if told_at is not None and event["t"] > told_at + cancel_s:
                 yield f"outlived its cancellation: {event['task']} on {event['machine']}"
-    for (machine, task, _), _ in begun.items():
-        if task.split("/")[0] in told:
-            yield f"outlived its cancellation: {task} on {machine} never ended"
+    for event in running.values():
+        if job_of(event) in told:
+            yield f"outlived its cancellation: {event['task']} on {event['machine']} never ended"
 
 
-def check_jobs(events, machines):
-    """Every accepted job is over at the end, is never forgotten, and is done only if all its tasks were."""
-    results = {e["task"] for e in machines if e["event"] == "exited" and e["cause"] == CAUSE_DONE}
-    over = {e["job"]: e["stance"] for e in events if e["event"] in ("over", "confirmed")}
+def check_jobs(events: list[Event], machines: list[Event]) -> Iterator[str]:
+    """Every accepted job is over at the end, never forgotten, and done only if all its tasks were."""
+    results = {e["task"] for e in named(machines, "exited") if e["cause"] == CAUSE_DONE}
+    over = {e["job"]: e["stance"] for e in named(events, "over", "confirmed")}
     for event in events:
         if event["event"] == "forgotten":
             yield f"forgotten: {event['job']}"
@@ -104,49 +121,69 @@
                 yield f"not done: {job} has no result of its tasks {missing}"
 
 
-def ended_terms(leaders):
+def ended_terms(events: list[Event]) -> Iterator[tuple[str, int, float]]:
     """(controller, token, time at which its term ended), as the state service has it."""
-    for event in leaders:
-        if not event["leader"]:
-            continue
-        later = [e["t"] for e in leaders if e["shard"] == event["shard"] and e["t"] > event["t"]]
+    for term in terms(events):
+        changes = [e["t"] for e in named(events, "leader") if e["shard"] == term["shard"]]
+        later = [time for time in changes if time > term["t"]]
         if later:
-            yield event["leader"], event["token"], min(later)
+            yield term["leader"], term["token"], min(later)
 
 
-def check_stale_orders(events, machines):
-    """A controller that stood still while its term ended sends nothing under that term's token when it goes on."""
-    ended = list(ended_terms([e for e in events if e["event"] == "leader"]))
-    for thaw in (e for e in events if e["event"] == "thawed"):
-        stale = {token for leader, token, at in ended if leader == thaw["controller"] and at < thaw["t"]}
-        for event in machines:
-            if event["event"] == "orders" and event["t"] > thaw["t"] and event["token"] in stale:
-                yield f"stale order: {event['machine']} got token {event['token']} after its controller stood still"
+def check_stale_orders(events: list[Event], machines: list[Event]) -> Iterator[str]:
+    """A controller that stood still while its term ended sends nothing under its token afterwards."""
+    ended = list(ended_terms(events))
+    for thaw in named(events, "thawed"):
+        stale = {token for leader, token, end in ended if leader == thaw["controller"] and end < thaw["t"]}
+        for event in named(machines, "orders"):
+            if event["t"] > thaw["t"] and event["token"] in stale:
+                order = f"{event['machine']} got token {event['token']}"
+                yield f"stale order: {order} after its controller stood still"
 
 
-def check(directory, cancel_s):
+def check(directory: str, cancel_s: float) -> list[str]:
     """Every violation, in words."""
     events, machines = load(directory)
-    found = [*check_tokens(events, machines), *check_shards(events, machines), *check_attempts(machines),
-             *check_cancellations(events, machines, cancel_s), *check_jobs(events, machines),
-             *check_stale_orders(events, machines)]
-    return found
+    return [
+        *check_tokens(events, machines),
+        *check_shards(events, machines),
+        *check_attempts(machines),
+        *check_cancellations(events, machines, cancel_s),
+        *check_jobs(events, machines),
+        *check_stale_orders(events, machines),
+    ]
+
+
+def first_after(events: Iterable[Event], time: float) -> Optional[Event]:
+    """The first of the events that is later than a time."""
+    return next((event for event in events if event["t"] > time), None)
+
+
+def end_of_fault(events: list[Event], fault: Event, default: float) -> float:
+    """The time at which a fault was over; the default if it never was."""
+    end = first_after(named(events, "fault-over"), fault["t"])
+    return float(end["t"]) if end is not None else default
 
 
-def handovers(directory):
-    """For each fault of a leader: shard, time until another token was committed, and until its first launch."""
+def handovers(directory: str) -> list[dict[str, Any]]:
+    """For each fault of a leader: shard, time until the next token, and until the first launch under it."""
     events, machines = load(directory)
-    leaders = [e for e in events if e["event"] == "leader"]
-    launches = [e for e in machines if e["event"] == "launched"]
+    launches = named(machines, "launched")
     measured = []
-    for fault in (e for e in events if e["event"] == "fault" and e.get("shards")):
-        over = next((e["t"] for e in events if e["event"] == "fault-over" and e["t"] > fault["t"]), fault["t"])
+    for fault in (event for event in named(events, "fault") if event.get("shards")):
+        end = end_of_fault(events, fault, fault["t"])
         for shard in fault["shards"]:
-            successor = next((e for e in leaders if e["shard"] == shard and e["leader"] and e["t"] > fault["t"]), None)
+            successor = first_after((term for term in terms(events) if term["shard"] == shard), fault["t"])
             # A later term is another fault's: this one took nobody's lease.
-            if successor is None or successor["t"] > over:
+            if successor is None or successor["t"] > end:
                 continue
-            first = next((e for e in launches if e["token"] == successor["token"]), None)
-            measured.append({"shard": shard, "kind": fault["kind"], "condemned_s": successor["t"] - fault["t"],
-                             "first_launch_s": first["t"] - fault["t"] if first else None})
+            launch = next((e for e in launches if e["token"] == successor["token"]), None)
+            measured.append(
+                {
+                    "shard": shard,
+                    "kind": fault["kind"],
+                    "condemned_s": successor["t"] - fault["t"],
+                    "first_launch_s": launch["t"] - fault["t"] if launch else None,
+                }
+            )
     return measured
--- a/tests/loopback/http_service.py
+++ b/tests/loopback/http_service.py
@@ -1,86 +1,107 @@
-"""A small HTTP/1.1 server over asyncio for the stand-ins: JSON bodies, connections that stay open."""
+"""A small HTTP/1.1 server over asyncio for the simulated services: JSON bodies, persistent connections."""
 
 import asyncio
 import json
+from collections.abc import Awaitable, Callable
+from typing import Any, Optional
 from urllib.parse import parse_qs, urlsplit
 
+from http_messages import encode_message, read_body
 
-class Fault(Exception):
-    """An answer other than 200."""
+Query = dict[str, str]
+Handler = Callable[[str, str, str, Query, Any], Awaitable[Any]]
 
-    def __init__(self, status, body=None):
+LISTEN_BACKLOG = 512
+POLL_S = 0.05
+
+
+class HttpError(Exception):
+    """A response with a status other than 200."""
+
+    def __init__(self, status: int, body: Optional[Any] = None) -> None:
         super().__init__(status)
         self.status = status
         self.body = body if body is not None else {"error": "refused"}
 
 
-class LinkRules:
-    """What happens to the requests of a client, by its address: served, refused, delayed or left unanswered."""
+class AccessRules:
+    """Whether the requests of a client, by its address, are served, refused, delayed or left unanswered."""
+
+    def __init__(self) -> None:
+        self.refused: set[str] = set()
+        self.silent: set[str] = set()
+        self.delays: dict[str, float] = {}
+
+    def set(self, client: str, refused: bool = False, silent: bool = False, delay: float = 0.0) -> None:
+        """Replaces the rules of a client; by default its requests are served at once."""
+        for group, is_member in ((self.refused, refused), (self.silent, silent)):
+            (group.add if is_member else group.discard)(client)
+        if delay:
+            self.delays[client] = delay
+        else:
+            self.delays.pop(client, None)
 
-    def __init__(self):
-        self.refused = set()
-        self.silent = set()
-        self.delays = {}
+    def blocks(self, client: str) -> bool:
+        """Whether the client gets no service at present."""
+        return client in self.refused or client in self.silent
 
-    async def admit(self, client):
-        """Returns once the request may be served; raises Fault for a refusal."""
+    async def admit(self, client: str) -> None:
+        """Returns once the request may be served; raises HttpError for a refusal."""
         while client in self.silent:
-            await asyncio.sleep(0.05)
+            await asyncio.sleep(POLL_S)
         if client in self.delays:
             await asyncio.sleep(self.delays[client])
         if client in self.refused:
-            raise Fault(503)
+            raise HttpError(503)
 
 
 class HttpService:
-    """Serves `handle(client, method, path, query, body)`, a coroutine that returns the body of a 200."""
+    """Serves `handler(client, method, path, query, body)`, a coroutine that returns the body of a 200."""
 
-    def __init__(self, handle):
-        self.handle = handle
-        self.rules = LinkRules()
-        self.requests = {}  # client -> number of its requests
-        self.server = None
+    def __init__(self, handler: Handler) -> None:
+        self.handler = handler
+        self.rules = AccessRules()
+        self.request_counts: dict[str, int] = {}  # by client
+        self.server: Optional[asyncio.AbstractServer] = None
 
-    async def start(self, address, port):
-        self.server = await asyncio.start_server(self.serve, address, port, backlog=512)
+    async def start(self, address: str, port: int) -> None:
+        """Begins to listen."""
+        self.server = await asyncio.start_server(self.serve, address, port, backlog=LISTEN_BACKLOG)
 
-    async def serve(self, reader, writer):
+    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Serves the requests of a connection until it is closed."""
         client = writer.get_extra_info("peername")[0]
         try:
-            while await self.serve_one(client, reader, writer):
+            while await self.serve_request(client, reader, writer):
                 pass
         except (ConnectionError, asyncio.IncompleteReadError, asyncio.CancelledError, ValueError):
             pass
         finally:
             writer.close()
 
-    async def serve_one(self, client, reader, writer):
+    async def serve_request(
+        self, client: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> bool:
+        """Serves one request; false: the client has closed the connection."""
         line = await reader.readline()
         if not line:
             return False
         method, target, _ = line.decode().split()
-        length = 0
-        while (header := await reader.readline()) not in (b"\r\n", b""):
-            name, _, value = header.decode().partition(":")
-            if name.lower() == "content-length":
-                length = int(value)
-        body = await reader.readexactly(length)
-        status, answer = await self.answer(client, method, target, body)
-        text = json.dumps(answer).encode()
-        head = f"HTTP/1.1 {status} Status\r\nContent-Length: {len(text)}\r\n\r\n".encode()
-        writer.write(head + text)
+        status, answer = await self.respond(client, method, target, await read_body(reader))
+        writer.write(encode_message(f"HTTP/1.1 {status} Status", json.dumps(answer).encode()))
         await writer.drain()
         return True
 
-    async def answer(self, client, method, target, body):
-        self.requests[client] = self.requests.get(client, 0) + 1
+    async def respond(self, client: str, method: str, target: str, body: bytes) -> tuple[int, Any]:
+        """Status and body of the response to a request."""
+        self.request_counts[client] = self.request_counts.get(client, 0) + 1
         parts = urlsplit(target)
         query = {name: values[0] for name, values in parse_qs(parts.query).items()}
         try:
             await self.rules.admit(client)
             parsed = json.loads(body) if body else None
-            return 200, await self.handle(client, method, parts.path, query, parsed)
-        except Fault as fault:
-            return fault.status, fault.body
+            return 200, await self.handler(client, method, parts.path, query, parsed)
+        except HttpError as error:
+            return error.status, error.body
         except (KeyError, TypeError, json.JSONDecodeError):
             return 400, {"error": "malformed"}
--- a/tests/loopback/network.py
+++ b/tests/loopback/network.py
@@ -1,50 +1,69 @@
-"""Loopback links that can be cut in one direction or both: every process listens behind a relay of its own, which
-knows by the source address who connects. What is sent over a cut link is held back, and delivered after the cut."""
+"""Loopback links that can be cut in one direction or both.
+
+Every process listens behind a relay of its own, which knows by the source address who connects. What is sent
+over a cut link is held back, and delivered after the cut.
+"""
 
 import asyncio
+from collections.abc import Iterable
+
+LISTEN_BACKLOG = 512
+POLL_S = 0.02
+CHUNK_BYTES = 65536
+
+Link = tuple[str, str]  # address of the sender, address of the receiver
 
 
 class Network:
-    def __init__(self):
-        self.cuts = set()  # (from address, to address)
-        self.carried = {}  # (from address, to address) -> bytes
+    """The links between all addresses of a cluster."""
+
+    def __init__(self) -> None:
+        self.cuts: set[Link] = set()
+        self.bytes_sent: dict[Link, int] = {}
 
-    def cut(self, sources, destinations):
-        self.cuts |= {(source, destination) for source in sources for destination in destinations}
+    def cut(self, sources: Iterable[str], destinations: Iterable[str]) -> None:
+        """Cuts the links from the sources to the destinations, in this direction only."""
+        receivers = list(destinations)
+        self.cuts |= {(source, destination) for source in sources for destination in receivers}
 
-    def split(self, one, other):
+    def partition(self, one: list[str], other: list[str]) -> None:
         """Cuts both directions between two groups of addresses."""
         self.cut(one, other)
         self.cut(other, one)
 
-    def heal(self):
+    def heal(self) -> None:
+        """Ends every cut."""
         self.cuts.clear()
 
-    async def relay(self, address, public_port, real_port):
+    async def relay(self, address: str, public_port: int, real_port: int) -> asyncio.AbstractServer:
         """Listens at the public port for a process that listens at the real one of the same address."""
 
-        async def serve(reader, writer):
+        async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             client = writer.get_extra_info("peername")[0]
-            await self.wait_for(client, address)
+            await self.wait_until_open((client, address))
             try:
                 onward_reader, onward_writer = await asyncio.open_connection(address, real_port)
             except OSError:
                 writer.transport.abort()
                 return
-            await asyncio.gather(self.carry(client, address, reader, onward_writer),
-                                 self.carry(address, client, onward_reader, writer))
+            await asyncio.gather(
+                self.forward((client, address), reader, onward_writer),
+                self.forward((address, client), onward_reader, writer),
+            )
 
-        return await asyncio.start_server(serve, address, public_port, backlog=512)
+        return await asyncio.start_server(serve, address, public_port, backlog=LISTEN_BACKLOG)
 
-    async def wait_for(self, source, destination):
-        while (source, destination) in self.cuts:
-            await asyncio.sleep(0.02)
+    async def wait_until_open(self, link: Link) -> None:
+        """Returns once the link isn't cut."""
+        while link in self.cuts:
+            await asyncio.sleep(POLL_S)
 
-    async def carry(self, source, destination, reader, writer):
+    async def forward(self, link: Link, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Copies what is sent over the link until its end."""
         try:
-            while data := await reader.read(65536):
-                await self.wait_for(source, destination)
-                self.carried[(source, destination)] = self.carried.get((source, destination), 0) + len(data)
+            while data := await reader.read(CHUNK_BYTES):
+                await self.wait_until_open(link)
+                self.bytes_sent[link] = self.bytes_sent.get(link, 0) + len(data)
                 writer.write(data)
                 await writer.drain()
         except (ConnectionError, OSError, asyncio.CancelledError):
--- a/tests/loopback/overhead.py
+++ b/tests/loopback/overhead.py
@@ -1,4 +1,4 @@
-"""What idle controllers and agents cost: processor, memory, and bytes between controllers, for several heartbeats.
+"""What idle controllers and agents cost, for several heartbeats: processor, memory, bytes to each other.
 
     python3 tests/loopback/overhead.py --directory DIR --controller P --agent P --controllers 5 --seconds 30
 """
@@ -6,56 +6,96 @@
 import argparse
 import asyncio
 import os
+import time
+from collections.abc import Iterable
+from typing import NamedTuple
 
-from cluster import SETTINGS, Cluster
+from cluster import Cluster, Programs
+from settings import PEER_PORT, Settings
 
 SHARDS = '<shard name="north" zones="a" share="0.5"/><shard name="south" zones="b" share="0.5"/>'
-RELAYED_MOST = 10
+RELAYED_MAX = 10
+SETTLE_S = 15
+HEARTBEATS_S = (0.5, 1.9)
 TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 
 
-def processor_s(pid):
+def processor_s(pid: int) -> float:
+    """Processor time that a process has used."""
     with open(f"/proc/{pid}/stat", encoding="utf-8") as file:
         fields = file.read().rsplit(")", 1)[1].split()
     return (int(fields[11]) + int(fields[12])) / TICKS_PER_S
 
 
-def memory_mb(pid):
+def memory_mb(pid: int) -> float:
+    """Resident memory of a process."""
     with open(f"/proc/{pid}/status", encoding="utf-8") as file:
         return next(int(line.split()[1]) / 1024 for line in file if line.startswith("VmRSS"))
 
 
-def mean(values):
-    values = list(values)
-    return sum(values) / len(values)
+def mean(values: Iterable[float]) -> float:
+    """The arithmetic mean."""
+    known = list(values)
+    return sum(known) / len(known)
 
 
-async def measure(options, heartbeat_s):
-    SETTINGS["heartbeat_s"] = heartbeat_s
-    cluster = Cluster(options.directory, (options.controller, options.agent), options.controllers, ["a", "b"], SHARDS)
-    # Idle machines would be returned, and there would be no agent to measure.
-    cluster.cloud.keeps_machines = True
-    # The relays can't carry the links of many controllers in time.
-    cluster.peer_port += 1 if options.controllers > RELAYED_MOST else 0
-    await cluster.start([("m8", "ab"[i % 2]) for i in range(options.agents)])
-    await asyncio.sleep(15)
+class Cost(NamedTuple):
+    """What a process costs: share of a core, and resident memory."""
+
+    core_share: float
+    memory_mb: float
+
+    def __str__(self) -> str:
+        return f"{100 * self.core_share:.2f}% of a core, {self.memory_mb:.1f} MB"
+
+
+class Meter:
+    """Measures the mean cost of processes, from its making on."""
+
+    def __init__(self, pids: list[int]) -> None:
+        self.begin = time.monotonic()
+        self.used_s = {pid: processor_s(pid) for pid in pids}
+
+    def mean_cost(self) -> Cost:
+        """The cost of a process since the begin."""
+        seconds = time.monotonic() - self.begin
+        core_share = mean((processor_s(pid) - used_s) / seconds for pid, used_s in self.used_s.items())
+        return Cost(core_share, mean(map(memory_mb, self.used_s)))
+
+
+def peer_bytes(cluster: Cluster) -> int:
+    """The bytes that controllers have sent to each other over relays."""
     addresses = {c.address for c in cluster.controllers}
-    controllers = [c.process.pid for c in cluster.controllers]
-    agents = [m.process.pid for m in cluster.cloud.machines.values() if m.process]
-    spent = {pid: processor_s(pid) for pid in controllers + agents}
-    carried = dict(cluster.network.carried)
+    sent = cluster.network.bytes_sent
+    return sum(count for link, count in sent.items() if addresses.issuperset(link))
+
+
+async def measure(options: argparse.Namespace, heartbeat_s: float) -> None:
+    """Measures an idle cluster and prints the figures."""
+    # The relays can't carry the links of many controllers in time.
+    peer_port = PEER_PORT + 1 if options.controllers > RELAYED_MAX else PEER_PORT
+    settings = Settings(["a", "b"], SHARDS, peer_port=peer_port, heartbeat_s=heartbeat_s)
+    programs = Programs(options.controller, options.agent)
+    cluster = Cluster(options.directory, programs, options.controllers, settings)
+    # Idle machines would be returned, and there would be no agent to measure.
+    cluster.cloud.refuses_deletions = True
+    await cluster.start([("m8", settings.zone_of(i)) for i in range(options.agents)])
+    await asyncio.sleep(SETTLE_S)
+    controllers = Meter([c.process.pid for c in cluster.controllers])
+    agents = Meter([m.agent.pid for m in cluster.cloud.machines.values() if m.agent])
+    sent_before = peer_bytes(cluster)
     await asyncio.sleep(options.seconds)
-    sent = sum(count - carried.get(link, 0) for link, count in cluster.network.carried.items()
-               if link[0] in addresses and link[1] in addresses)
-    used = {pid: (processor_s(pid) - spent[pid]) / options.seconds for pid in controllers + agents}
-    print(f"{options.controllers} controllers, heartbeat every {heartbeat_s} s: a controller uses "
-          f"{100 * mean(used[pid] for pid in controllers):.2f}% of a core, {mean(map(memory_mb, controllers)):.1f} MB, "
-          f"and sends {sent / options.seconds / options.controllers / 1024:.2f} KiB/s to the others (0: not counted); an agent "
-          f"{100 * mean(used[pid] for pid in agents):.2f}% and {mean(map(memory_mb, agents)):.1f} MB")
+    sent = (peer_bytes(cluster) - sent_before) / options.seconds / options.controllers
+    print(
+        f"{options.controllers} controllers, heartbeat every {heartbeat_s} s: "
+        f"a controller uses {controllers.mean_cost()} and sends {sent / 1024:.2f} KiB/s to the others "
+        f"(0: not counted); an agent uses {agents.mean_cost()}"
+    )
     await cluster.stop()
 
 
-def main():
+def main() -> None:
+    """Measures with each heartbeat."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--directory", required=True)
     parser.add_argument("--controller", required=True)
@@ -64,7 +104,7 @@
     parser.add_argument("--agents", type=int, default=6)
     parser.add_argument("--seconds", type=float, default=30)
     options = parser.parse_args()
-    for heartbeat_s in (0.5, 1.9):
+    for heartbeat_s in HEARTBEATS_S:
         asyncio.run(measure(options, heartbeat_s))
 
 
--- a/tests/loopback/report.py
+++ b/tests/loopback/report.py
@@ -1,4 +1,4 @@
-"""An HTML page with plots of a loopback run: who leads each shard, whom the machines obey, and how handovers went.
+"""An HTML page with plots of a loopback run: leaders of shards, owners of machines, suspicion, handovers.
 
     python3 tests/loopback/report.py DIRECTORY     writes DIRECTORY/report.html; needs gnuplot
 """
@@ -7,23 +7,29 @@
 import os
 import subprocess
 import sys
+from collections.abc import Iterable
+from typing import Any
 
 import checker
+from events import Event
 
-HEAD = "set terminal svg size 1000,{height} dynamic font 'sans,11'\nset output '{output}'\nset key outside right\n"
-
-
-def plot(directory, name, height, commands):
-    """Runs gnuplot and returns the picture's SVG text."""
-    output = os.path.join(directory, name + ".svg")
-    script = HEAD.format(height=height, output=output) + commands
-    subprocess.run(["gnuplot"], input=script.encode(), check=True)
-    with open(output, encoding="utf-8") as file:
-        text = file.read()
-    return text[text.index("<svg"):]
+HEAD = """set terminal svg size 1000,{height} dynamic font 'sans,11'
+set output '{output}'
+set key outside right
+"""
+TIME_AXIS = "set tmargin 6\nset xlabel 'seconds'\n"
+FAULT_MARK = """set arrow from {at},graph 0 to {at},graph 1 nohead lc rgb '#cc0000' dt 2
+set label '{kind}' at {at},graph 1.02 rotate by 45 font ',8' noenhanced
+"""
+LEADERS_HEIGHT, DISTRIBUTION_HEIGHT, HEIGHT, OWNER_HEIGHT, SUSPICION_HEIGHT = 420, 320, 200, 12, 14
+# gnuplot's colours of the states, and the number of colours that tell terms apart.
+STATE_COLOURS = {"alive": 2, "probed": 4, "relayed": 3, "suspected": 7, "unheard": 8}
+TERM_COLOURS = 8
+TABLE_TITLES = "<tr><th>fault<th>shard<th>next token, s<th>its first launch, s"
 
 
-def write_rows(directory, name, rows):
+def write_rows(directory: str, name: str, rows: Iterable[Iterable[Any]]) -> str:
+    """Writes a table for gnuplot and returns its path."""
     path = os.path.join(directory, name + ".dat")
     with open(path, "w", encoding="utf-8") as file:
         for row in rows:
@@ -31,91 +37,129 @@
     return path
 
 
-def tics(names):
-    return "set ytics (" + ", ".join(f"'{name}' {i}" for i, name in enumerate(names)) + ")\n"
-
-
-def fault_marks(events, begin):
-    marks = [(e["t"] - begin, e["kind"]) for e in events if e["event"] == "fault"]
-    return "".join(f"set arrow from {at},graph 0 to {at},graph 1 nohead lc rgb '#cc0000' dt 2\n"
-                   f"set label '{kind}' at {at},graph 1.02 rotate by 45 font ',8' noenhanced\n" for at, kind in marks)
-
-
-def leaders_plot(directory, events, begin, end):
-    """The terms of leaders: a line for each shard and controller."""
-    terms = [e for e in events if e["event"] == "leader" and e["shard"] != "default"]
-    shards = sorted({e["shard"] for e in terms})
-    names = [(shard, leader) for shard in shards for leader in sorted({e["leader"] for e in terms if e["leader"]})]
-    rows = []
-    for i, term in enumerate(terms):
-        if term["leader"]:
-            until = next((e["t"] for e in terms[i + 1:] if e["shard"] == term["shard"]), end)
-            rows.append((term["t"] - begin, names.index((term["shard"], term["leader"])), until - term["t"], 0,
-                         shards.index(term["shard"]) + 1))
-    data = write_rows(directory, "leaders", rows)
-    return plot(directory, "leaders", 420, "set tmargin 6\nset xlabel 'seconds'\n" +
-                tics([f"{shard}: {leader}" for shard, leader in names]) + fault_marks(events, begin) +
-                f"set yrange [-1:{len(names)}]\nplot '{data}' using 1:2:3:4:5 with vectors nohead lw 6 lc variable notitle\n")
-
-
-def owners_plot(directory, events, machines, begin):
-    """The token that each machine obeys; its place in the order of all tokens tells terms apart."""
-    tokens = sorted({e["token"] for e in events if e["event"] == "leader" and e["leader"]})
-    orders = [e for e in machines if e["event"] == "orders" and e["accepted"] and e["token"] in tokens]
-    names = sorted({e["machine"] for e in orders})
-    data = write_rows(directory, "owners", [(e["t"] - begin, names.index(e["machine"]), tokens.index(e["token"]) % 8 + 1)
-                                            for e in orders])
-    return plot(directory, "owners", 200 + 12 * len(names), "set tmargin 6\nset xlabel 'seconds'\n" + tics(names) +
-                fault_marks(events, begin) + f"set yrange [-1:{len(names)}]\n"
-                f"plot '{data}' using 1:2:3 with points pt 5 ps 0.4 lc variable notitle\n")
-
-
-def suspicion_plot(directory, events, begin):
-    """Which controllers suspect which, as they said so."""
-    views = [e for e in events if e["event"] == "view" and e["of"].startswith("controller-")]
-    pairs = sorted({(e["of"], e["by"]) for e in views})
-    states = {"alive": 2, "probed": 4, "relayed": 3, "suspected": 7, "unheard": 8}
-    data = write_rows(directory, "suspicion", [(e["t"] - begin, pairs.index((e["of"], e["by"])), states[e["state"]])
-                                               for e in views])
-    return plot(directory, "suspicion", 200 + 14 * len(pairs), "set tmargin 6\nset xlabel 'seconds'\n" +
-                tics([f"{of} by {by}" for of, by in pairs]) + fault_marks(events, begin) +
-                f"set yrange [-1:{len(pairs)}]\nplot '{data}' using 1:2:3 with points pt 7 ps 0.6 lc variable notitle\n")
-
-
-def distribution_plot(directory, measured):
-    parts = []
-    for field, title in (("condemned_s", "next token committed"), ("first_launch_s", "its first launch")):
-        values = sorted(m[field] for m in measured if m[field] is not None)
-        data = write_rows(directory, field, [(value, (i + 1) / len(values)) for i, value in enumerate(values)])
-        if values:
-            parts.append(f"'{data}' using 1:2 with steps lw 2 title '{title}'")
-    if not parts:
-        return "<p>no handover</p>"
-    return plot(directory, "distribution", 320, "set xlabel 'seconds after the fault'\nset ylabel 'share of handovers'\n"
-                "set yrange [0:1.05]\nplot " + ", ".join(parts) + "\n")
-
-
-def table(measured):
-    rows = "".join(f"<tr><td>{m['kind']}<td>{m['shard']}<td>{m['condemned_s']:.2f}<td>"
-                   f"{'-' if m['first_launch_s'] is None else format(m['first_launch_s'], '.2f')}" for m in measured)
-    return ("<table border=1 cellpadding=4><tr><th>fault<th>shard<th>next token, s<th>its first launch, s" + rows +
-            "</table>")
-
-
-def main():
-    directory = sys.argv[1]
-    events, machines = checker.load(directory)
-    begin, end = events[0]["t"], max(events[-1]["t"], machines[-1]["t"])
-    measured = checker.handovers(directory)
-    sections = [("Leaders of the shards, by the state service", leaders_plot(directory, events, begin, end)),
-                ("Tokens that the machines obey, by the agents", owners_plot(directory, events, machines, begin)),
-                ("Suspicion, by the controllers", suspicion_plot(directory, events, begin)),
-                ("Time to handover", distribution_plot(directory, measured) + table(measured))]
-    body = "".join(f"<h2>{html.escape(title)}</h2>{content}" for title, content in sections)
-    path = os.path.join(directory, "report.html")
-    with open(path, "w", encoding="utf-8") as file:
-        file.write(f"<!DOCTYPE html><meta charset=utf-8><title>Loopback run</title><h1>Loopback run</h1>{body}")
-    print(path)
+def plot(directory: str, name: str, height: int, commands: str) -> str:
+    """Runs gnuplot and returns the picture's SVG text."""
+    output = os.path.join(directory, name + ".svg")
+    script = HEAD.format(height=height, output=output) + commands
+    subprocess.run(["gnuplot"], input=script.encode(), check=True)
+    with open(output, encoding="utf-8") as file:
+        text = file.read()
+    return text[text.index("<svg") :]
+
+
+class Report:
+    """The plots of a run."""
+
+    def __init__(self, directory: str) -> None:
+        self.directory = directory
+        self.events, self.machines = checker.load(directory)
+        self.handovers = checker.handovers(directory)
+        self.begin = self.events[0]["t"]
+        self.end = max(self.events[-1]["t"], self.machines[-1]["t"])
+
+    def seconds(self, event: Event) -> float:
+        """The time of an event since the begin of the run."""
+        return float(event["t"] - self.begin)
+
+    def fault_marks(self) -> str:
+        """A line and a label for each fault."""
+        faults = checker.named(self.events, "fault")
+        return "".join(FAULT_MARK.format(at=self.seconds(fault), kind=fault["kind"]) for fault in faults)
+
+    def plot_rows(self, name: str, height: int, labels: list[str], rows: list[Any], style: str) -> str:
+        """A plot of rows over time; a row's second value is the number of its label on the other axis."""
+        data = write_rows(self.directory, name, rows)
+        tics = ", ".join(f"'{label}' {i}" for i, label in enumerate(labels))
+        axis = f"set ytics ({tics})\nset yrange [-1:{len(labels)}]\n"
+        return plot(
+            self.directory,
+            name,
+            height,
+            f"{TIME_AXIS}{axis}{self.fault_marks()}plot '{data}' using {style}\n",
+        )
+
+    def plot_leaders(self) -> str:
+        """The terms of leaders: a line for each shard and controller."""
+        changes = [e for e in checker.named(self.events, "leader") if e["shard"] != "default"]
+        shards = sorted({e["shard"] for e in changes})
+        leaders = sorted({e["leader"] for e in changes if e["leader"]})
+        lines = [(shard, leader) for shard in shards for leader in leaders]
+        rows = []
+        for i, term in enumerate(changes):
+            if term["leader"]:
+                end = next((e["t"] for e in changes[i + 1 :] if e["shard"] == term["shard"]), self.end)
+                line = lines.index((term["shard"], term["leader"]))
+                colour = shards.index(term["shard"]) + 1
+                rows.append((self.seconds(term), line, end - term["t"], 0, colour))
+        labels = [f"{shard}: {leader}" for shard, leader in lines]
+        style = "1:2:3:4:5 with vectors nohead lw 6 lc variable notitle"
+        return self.plot_rows("leaders", LEADERS_HEIGHT, labels, rows, style)
+
+    def plot_owners(self) -> str:
+        """The token that each machine obeys; its place in the order of all tokens tells terms apart."""
+        tokens = sorted({term["token"] for term in checker.terms(self.events)})
+        orders = [e for e in checker.accepted_orders(self.machines) if e["token"] in tokens]
+        names = sorted({e["machine"] for e in orders})
+        rows = [
+            (self.seconds(e), names.index(e["machine"]), tokens.index(e["token"]) % TERM_COLOURS + 1)
+            for e in orders
+        ]
+        style = "1:2:3 with points pt 5 ps 0.4 lc variable notitle"
+        return self.plot_rows("owners", HEIGHT + OWNER_HEIGHT * len(names), names, rows, style)
+
+    def plot_suspicion(self) -> str:
+        """Which controllers suspect which, as they said so."""
+        views = [e for e in checker.named(self.events, "view") if e["of"].startswith("controller-")]
+        pairs = sorted({(e["of"], e["by"]) for e in views})
+        rows = [(self.seconds(e), pairs.index((e["of"], e["by"])), STATE_COLOURS[e["state"]]) for e in views]
+        labels = [f"{of} by {by}" for of, by in pairs]
+        style = "1:2:3 with points pt 7 ps 0.6 lc variable notitle"
+        return self.plot_rows("suspicion", HEIGHT + SUSPICION_HEIGHT * len(pairs), labels, rows, style)
+
+    def plot_distribution(self) -> str:
+        """The shares of handovers that were made within some time."""
+        parts = []
+        for field, title in (("condemned_s", "next token committed"), ("first_launch_s", "its first launch")):
+            values = sorted(h[field] for h in self.handovers if h[field] is not None)
+            rows = [(value, (i + 1) / len(values)) for i, value in enumerate(values)]
+            data = write_rows(self.directory, field, rows)
+            if values:
+                parts.append(f"'{data}' using 1:2 with steps lw 2 title '{title}'")
+        if not parts:
+            return "<p>no handover</p>"
+        axes = "set xlabel 'seconds after the fault'\nset ylabel 'share of handovers'\nset yrange [0:1.05]\n"
+        commands = f"{axes}plot {', '.join(parts)}\n"
+        return plot(self.directory, "distribution", DISTRIBUTION_HEIGHT, commands)
+
+    def table(self) -> str:
+        """A row for each handover."""
+        rows = ""
+        for handover in self.handovers:
+            launch_s = handover["first_launch_s"]
+            launch = "-" if launch_s is None else f"{launch_s:.2f}"
+            rows += f"<tr><td>{handover['kind']}<td>{handover['shard']}"
+            rows += f"<td>{handover['condemned_s']:.2f}<td>{launch}"
+        return f"<table border=1 cellpadding=4>{TABLE_TITLES}{rows}</table>"
+
+    def write(self) -> str:
+        """Writes the page and returns its path."""
+        sections = [
+            ("Leaders of the shards, by the state service", self.plot_leaders()),
+            ("Tokens that the machines obey, by the agents", self.plot_owners()),
+            ("Suspicion, by the controllers", self.plot_suspicion()),
+            ("Time to handover", self.plot_distribution() + self.table()),
+        ]
+        body = "".join(f"<h2>{html.escape(title)}</h2>{content}" for title, content in sections)
+        path = os.path.join(self.directory, "report.html")
+        with open(path, "w", encoding="utf-8") as file:
+            file.write("<!DOCTYPE html><meta charset=utf-8><title>Loopback run</title>")
+            file.write(f"<h1>Loopback run</h1>{body}")
+        return path
+
+
+def main() -> None:
+    """Writes the report of the run that the command line names."""
+    print(Report(sys.argv[1]).write())
 
 
 if __name__ == "__main__":
--- a/tests/loopback/state_service.py
+++ b/tests/loopback/state_service.py
@@ -1,139 +1,132 @@
-"""A stand-in of the state service, as PROTOCOL describes it: keys with versions, transactions, leases, watches."""
+"""The simulated state service: keys with versions, transactions, leases, watches (see PROTOCOL)."""
 
 import asyncio
 import time
+from typing import Any
 
-from http_service import Fault, HttpService
+from http_service import HttpError, HttpService, Query
+from state_store import Change, LoggedChange, StateStore
 
-PAGE_MOST = 1000
+PAGE_MAX = 1000
+POLL_S = 0.05
+EXPIRY_POLL_S = 0.02
+WATCH_POLL_S = 0.5
+
+Body = dict[str, Any]
+
+
+def describe_change(change: LoggedChange) -> Body:
+    """A change as a watch tells of it."""
+    if change.value is None:
+        return {"drop": change.key, "mark": change.revision}
+    return {"write": change.key, "value": change.value, "mark": change.revision}
 
 
 class StateService:
-    def __init__(self):
-        self.keys = {}  # key -> (value, version, lease)
-        self.revision = 0
-        self.log = []  # (revision, key, value or None), one for each change
-        self.leases = {}  # lease -> (end, life)
-        self.last_lease = 0
+    """Serves a store over HTTP."""
+
+    def __init__(self) -> None:
+        self.store = StateStore()
         self.changed = asyncio.Condition()
         self.http = HttpService(self.handle)
-        self.history = []  # (time, key, value or None, revision): what the tests compare with
 
-    async def start(self, address, port):
+    async def start(self, address: str, port: int) -> None:
+        """Begins to serve, and to end leases that run out."""
         await self.http.start(address, port)
         asyncio.get_running_loop().create_task(self.expire_leases())
 
-    async def expire_leases(self):
+    async def expire_leases(self) -> None:
+        """Ends each lease when it has run out."""
         while True:
-            now = time.monotonic()
-            for lease in [lease for lease, (end, _) in self.leases.items() if end < now]:
+            for lease in self.store.expired_leases():
                 await self.end_lease(lease)
-            await asyncio.sleep(0.02)
-
-    async def end_lease(self, lease):
-        self.leases.pop(lease, None)
-        held = [key for key, (_, _, holder) in self.keys.items() if holder == lease]
-        if held:
-            await self.apply([(key, None, 0) for key in held])
-
-    async def apply(self, changes):
-        """Carries out (key, value or None, lease), each, under one revision."""
-        self.revision += 1
-        revision = self.revision  # it may have grown by the time that the watches have been told
-        for key, value, lease in changes:
-            if value is None:
-                self.keys.pop(key, None)
-            else:
-                self.keys[key] = (value, revision, lease)
-            self.log.append((revision, key, value))
-            self.history.append((time.monotonic(), key, value, revision))
+            await asyncio.sleep(EXPIRY_POLL_S)
+
+    async def end_lease(self, lease: int) -> None:
+        """Ends a lease and deletes its keys."""
+        deletions = self.store.end_lease(lease)
+        if deletions:
+            await self.apply(deletions)
+
+    async def apply(self, changes: list[Change]) -> int:
+        """Carries out the changes, wakes the watches, and returns the revision of the changes."""
+        revision = self.store.apply(changes)
         async with self.changed:
             self.changed.notify_all()
         return revision
 
-    async def handle(self, client, method, path, query, body):
+    async def handle(self, client: str, method: str, path: str, query: Query, body: Any) -> Body:
+        """Serves a request."""
         if path == "/txn":
-            return await self.transaction(body)
+            return await self.commit(body)
         if path == "/keys":
-            return self.list(query)
+            return self.list_keys(query)
         if path.startswith("/keys/"):
-            return self.get(path[len("/keys/"):])
+            return self.get_key(path[len("/keys/") :])
         if path == "/follow":
-            return await self.follow(client, query)
+            return await self.watch(client, query)
         if path == "/holds":
-            return self.grant(body["ttl_ms"] / 1000)
+            return {"tether": self.store.grant_lease(body["ttl_ms"] / 1000)}
         if path.startswith("/holds/"):
-            return await self.lease(method, path)
-        raise Fault(404)
-
-    def item(self, key):
-        value, version, lease = self.keys[key]
-        return {"k": key, "value": value, "mark": version, **({"tether": lease} if lease else {})}
-
-    def get(self, key):
-        if key not in self.keys:
-            raise Fault(404, {"tide": self.revision})
-        return self.item(key)
-
-    def list(self, query):
-        most = min(int(query.get("most", PAGE_MOST)), PAGE_MOST)
-        keys = sorted(key for key in self.keys
-                      if key.startswith(query.get("under", "")) and key > query.get("since", ""))
-        pairs = [self.item(key) for key in keys[:most]]
-        return {"pairs": pairs, "has_next": len(keys) > most, "tide": self.revision}
-
-    async def transaction(self, body):
-        conditions = body.get("if", [])
-        failed = [c["k"] for c in conditions if self.keys.get(c["k"], (None, 0, 0))[1] != c["mark"]]
+            return await self.handle_lease(method, int(path.split("/")[2]))
+        raise HttpError(404)
+
+    def describe(self, key: str) -> Body:
+        """A key with what it holds."""
+        item = self.store.items[key]
+        tether = {"tether": item.lease} if item.lease else {}
+        return {"k": key, "value": item.value, "mark": item.version, **tether}
+
+    def get_key(self, key: str) -> Body:
+        """Serves the request for a key."""
+        if key not in self.store.items:
+            raise HttpError(404, {"tide": self.store.revision})
+        return self.describe(key)
+
+    def list_keys(self, query: Query) -> Body:
+        """Serves the request for a page of the keys of a prefix."""
+        limit = min(int(query.get("most", PAGE_MAX)), PAGE_MAX)
+        keys = self.store.keys(query.get("under", ""), query.get("since", ""))
+        pairs = [self.describe(key) for key in keys[:limit]]
+        return {"pairs": pairs, "has_next": len(keys) > limit, "tide": self.store.revision}
+
+    async def commit(self, body: Body) -> Body:
+        """Serves a transaction: all its changes are carried out if all its conditions hold, else none."""
+        failed = [c["k"] for c in body.get("if", []) if self.store.version(c["k"]) != c["mark"]]
         changes = []
         for change in body.get("apply", []):
             lease = change.get("tether", 0)
-            if lease and lease not in self.leases:
-                raise Fault(400, {"error": "no such lease"})
-            changes.append((change.get("write") or change["drop"], change.get("value"), lease))
+            if lease and lease not in self.store.leases:
+                raise HttpError(400, {"error": "no such lease"})
+            changes.append(Change(change.get("write") or change["drop"], change.get("value"), lease))
         if failed:
-            raise Fault(409, {"failed": failed, "tide": self.revision})
-        return {"tide": await self.apply(changes) if changes else self.revision}
-
-    def grant(self, life):
-        self.last_lease += 1
-        self.leases[self.last_lease] = (time.monotonic() + life, life)
-        return {"tether": self.last_lease}
-
-    async def lease(self, method, path):
-        lease = int(path.split("/")[2])
-        if lease not in self.leases:
-            raise Fault(404)
+            raise HttpError(409, {"failed": failed, "tide": self.store.revision})
+        return {"tide": await self.apply(changes) if changes else self.store.revision}
+
+    async def handle_lease(self, method: str, lease: int) -> Body:
+        """Serves the end (DELETE) or the renewal of a lease."""
+        if lease not in self.store.leases:
+            raise HttpError(404)
         if method == "DELETE":
             await self.end_lease(lease)
         else:
-            life = self.leases[lease][1]
-            self.leases[lease] = (time.monotonic() + life, life)
+            self.store.renew_lease(lease)
         return {}
 
-    async def follow(self, client, query):
+    async def watch(self, client: str, query: Query) -> Body:
+        """Serves a watch: the changes since a revision once there are any, else none after some time."""
         prefix, since = query["under"], int(query["since"])
-        until = time.monotonic() + int(query.get("hold_ms", 0)) / 1000
+        deadline = time.monotonic() + int(query.get("hold_ms", 0)) / 1000
         while True:
-            # An open watch hangs while its client is refused or cut off: it must not say that nothing has changed.
-            while client in self.http.rules.refused | self.http.rules.silent:
-                await asyncio.sleep(0.05)
-            found = self.changes(prefix, since)
-            left = until - time.monotonic()
+            # A watch hangs while its client is refused or cut off: it must not deny changes.
+            while self.http.rules.blocks(client):
+                await asyncio.sleep(POLL_S)
+            found = self.store.changes_since(prefix, since)
+            left = deadline - time.monotonic()
             if found or left <= 0:
-                return {"tide": self.revision, "log": found}
+                return {"tide": self.store.revision, "log": [describe_change(change) for change in found]}
             async with self.changed:
                 try:
-                    await asyncio.wait_for(self.changed.wait(), min(left, 0.5))
+                    await asyncio.wait_for(self.changed.wait(), min(left, WATCH_POLL_S))
                 except asyncio.TimeoutError:
                     pass
-
-    def changes(self, prefix, since):
-        found = []
-        for revision, key, value in reversed(self.log):
-            if revision <= since:
-                break
-            if key.startswith(prefix):
-                found.append({"drop": key, "mark": revision} if value is None else
-                             {"write": key, "value": value, "mark": revision})
-        return found[::-1]
--- a/tests/loopback/test_checker.py
+++ b/tests/loopback/test_checker.py
@@ -1,104 +1,117 @@
 """The checker of histories finds a planted violation of each kind, and nothing in a history without one."""
 
-import json
 import os
 import tempfile
 import unittest
+from typing import Any, Optional
 
 import checker
+from events import Event, write_events
 
 CANCEL_S = 10
-LEADERS = [{"t": 1, "event": "leader", "shard": "north", "leader": "controller-0", "token": 5},
-           {"t": 2, "event": "leader", "shard": "south", "leader": "controller-1", "token": 6},
-           {"t": 20, "event": "leader", "shard": "north", "leader": "controller-2", "token": 9}]
-USERS = [{"t": 3, "event": "accepted", "job": "run-1", "tasks": 1, "kind": "batch"},
-         {"t": 9, "event": "over", "job": "run-1", "stance": "done"},
-         {"t": 3, "event": "accepted", "job": "run-2", "tasks": 1, "kind": "batch"},
-         {"t": 8, "event": "confirmed", "job": "run-2", "stance": "aborted"}]
-
-
-def orders(at, machine, token, accepted=True, via="direct"):
+LEADERS: list[Event] = [
+    {"t": 1, "event": "leader", "shard": "north", "leader": "controller-0", "token": 5},
+    {"t": 2, "event": "leader", "shard": "south", "leader": "controller-1", "token": 6},
+    {"t": 20, "event": "leader", "shard": "north", "leader": "controller-2", "token": 9},
+]
+USERS: list[Event] = [
+    {"t": 3, "event": "accepted", "job": "run-1", "tasks": 1, "kind": "batch"},
+    {"t": 9, "event": "over", "job": "run-1", "stance": "done"},
+    {"t": 3, "event": "accepted", "job": "run-2", "tasks": 1, "kind": "batch"},
+    {"t": 8, "event": "confirmed", "job": "run-2", "stance": "aborted"},
+]
+
+
+def orders(at: float, machine: str, token: int, accepted: bool = True, via: str = "direct") -> Event:
+    """A machine gets orders."""
     return {"t": at, "machine": machine, "event": "orders", "token": token, "accepted": accepted, "via": via}
 
 
-def task(at, machine, event, name, attempt=1, **members):
+def task(at: float, machine: str, event: str, name: str, attempt: int = 1, **members: Any) -> Event:
+    """Something happens to an attempt of a task."""
     return {"t": at, "machine": machine, "event": event, "task": name, "attempt": attempt, **members}
 
 
-def sound_history():
-    return [orders(4, "m-1", 5), orders(4, "m-2", 6),
-            task(5, "m-1", "task-begins", "run-1/0"), task(7, "m-1", "task-ended", "run-1/0"),
-            task(7.1, "m-1", "exited", "run-1/0", cause=checker.CAUSE_DONE),
-            task(5, "m-2", "task-begins", "run-2/0"), task(8.2, "m-2", "task-ended", "run-2/0"),
-            orders(21, "m-1", 9)]
+def sound_history() -> list[Event]:
+    """Events of the machines without a violation."""
+    return [
+        orders(4, "m-1", 5),
+        orders(4, "m-2", 6),
+        task(5, "m-1", "task-begins", "run-1/0"),
+        task(7, "m-1", "task-ended", "run-1/0"),
+        task(7.1, "m-1", "exited", "run-1/0", cause=checker.CAUSE_DONE),
+        task(5, "m-2", "task-begins", "run-2/0"),
+        task(8.2, "m-2", "task-ended", "run-2/0"),
+        orders(21, "m-1", 9),
+    ]
 
 
 class CheckerTest(unittest.TestCase):
-    def check(self, machines, events=None):
+    """One test for each kind of violation, and some without any."""
+
+    def check(self, machines: list[Event], events: Optional[list[Event]] = None) -> list[str]:
+        """The violations that the checker finds; by default in the events of LEADERS and USERS."""
         with tempfile.TemporaryDirectory() as directory:
             os.makedirs(os.path.join(directory, "history"))
-            self.write(os.path.join(directory, "history", "all.jsonl"), machines)
-            self.write(os.path.join(directory, "events.jsonl"), LEADERS + USERS if events is None else events)
+            write_events(os.path.join(directory, "history", "all.jsonl"), machines)
+            write_events(
+                os.path.join(directory, "events.jsonl"), LEADERS + USERS if events is None else events
+            )
             return checker.check(directory, CANCEL_S)
 
-    @staticmethod
-    def write(path, events):
-        with open(path, "w", encoding="utf-8") as file:
-            for event in sorted(events, key=lambda event: event["t"]):
-                file.write(json.dumps(event) + "\n")
-
-    def assert_found(self, word, machines, events=None):
+    def assert_found(self, word: str, machines: list[Event], events: Optional[list[Event]] = None) -> None:
+        """There are violations, and all of them are of the kind that the word names."""
         found = self.check(machines, events)
         self.assertEqual([text for text in found if text.startswith(word)], found)
         self.assertNotEqual(found, [])
 
-    def test_sound_history(self):
+    def test_sound_history(self) -> None:
         self.assertEqual(self.check(sound_history()), [])
 
-    def test_lower_token_is_obeyed(self):
+    def test_lower_token_is_obeyed(self) -> None:
         self.assert_found("two owners", sound_history() + [orders(21.5, "m-1", 5, via="answer")])
 
-    def test_token_that_nobody_was_given(self):
+    def test_token_that_nobody_was_given(self) -> None:
         self.assert_found("two owners", sound_history() + [orders(22, "m-1", 11)])
 
-    def test_machine_obeys_two_shards(self):
+    def test_machine_obeys_two_shards(self) -> None:
         self.assert_found("two shards", sound_history() + [orders(6, "m-2", 9)])
 
-    def test_task_runs_on_two_machines(self):
+    def test_task_runs_on_two_machines(self) -> None:
         extra = [task(6, "m-2", "task-begins", "run-1/0", 2), task(6.5, "m-2", "task-ended", "run-1/0", 2)]
         self.assert_found("ran twice", sound_history() + extra)
 
-    def test_task_runs_twice_on_one_machine(self):
+    def test_task_runs_twice_on_one_machine(self) -> None:
         extra = [task(6, "m-1", "task-begins", "run-1/0", 2), task(6.5, "m-1", "task-ended", "run-1/0", 2)]
         self.assert_found("ran twice", sound_history() + extra)
 
-    def test_start_after_a_confirmed_cancellation(self):
+    def test_start_after_a_confirmed_cancellation(self) -> None:
         extra = [task(9, "m-1", "task-begins", "run-2/0", 2), task(9.5, "m-1", "task-ended", "run-2/0", 2)]
         self.assert_found("started after its cancellation", sound_history() + extra)
 
-    def test_task_outlives_its_cancellation(self):
+    def test_task_outlives_its_cancellation(self) -> None:
         machines = [event for event in sound_history() if event["t"] != 8.2]
         self.assert_found("outlived its cancellation", machines)
         self.assert_found("outlived its cancellation", machines + [task(19, "m-2", "task-ended", "run-2/0")])
 
-    def test_job_is_lost(self):
+    def test_job_is_lost(self) -> None:
         events = [event for event in LEADERS + USERS if event["event"] != "over"]
         self.assert_found("lost", sound_history(), events)
 
-    def test_job_is_forgotten(self):
+    def test_job_is_forgotten(self) -> None:
         events = LEADERS + USERS + [{"t": 4, "event": "forgotten", "job": "run-1"}]
         self.assert_found("forgotten", sound_history(), events)
 
-    def test_job_is_called_done_without_its_results(self):
+    def test_job_is_called_done_without_its_results(self) -> None:
         machines = [event for event in sound_history() if event["event"] != "exited"]
         self.assert_found("not done", machines)
 
-    def test_order_of_a_controller_that_stood_still(self):
+    def test_order_of_a_controller_that_stood_still(self) -> None:
         events = LEADERS + USERS + [{"t": 25, "event": "thawed", "controller": "controller-0"}]
         late = [orders(25.2, "m-1", 5, accepted=False, via="answer")]
         self.assert_found("stale order", sound_history() + late, events)
 
-    def test_order_sent_before_it_stood_still_is_no_violation(self):
+    def test_order_sent_before_it_stood_still_is_no_violation(self) -> None:
         events = LEADERS + USERS + [{"t": 25, "event": "thawed", "controller": "controller-0"}]
         self.assertEqual(self.check(sound_history() + [orders(21.5, "m-1", 5, accepted=False)], events), [])
 
