--- a/tests/loopback/cluster.py
+++ b/tests/loopback/cluster.py
@@ -128,6 +128,9 @@
                 self.kill_controller(controller)
         for name in list(self.cloud.machines):
             await self.cloud.remove(name)
+        self.state.http.stop()
+        self.cloud.http.stop()
+        self.network.stop()
         self.reservation.close()
         events = self.events + leader_events(self.state.store.log)
         write_events(os.path.join(self.directory, "events.jsonl"), events)
--- a/tests/loopback/http_service.py
+++ b/tests/loopback/http_service.py
@@ -68,6 +68,11 @@
         """Begins to listen."""
         self.server = await asyncio.start_server(self.serve, address, port, backlog=LISTEN_BACKLOG)
 
+    def stop(self) -> None:
+        """Ends to listen."""
+        if self.server is not None:
+            self.server.close()
+
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Serves the requests of a connection until it is closed."""
         client = writer.get_extra_info("peername")[0]
--- a/tests/loopback/network.py
+++ b/tests/loopback/network.py
@@ -20,6 +20,7 @@
     def __init__(self) -> None:
         self.cuts: set[Link] = set()
         self.bytes_sent: dict[Link, int] = {}
+        self.relays: list[asyncio.AbstractServer] = []
 
     def cut(self, sources: Iterable[str], destinations: Iterable[str]) -> None:
         """Cuts the links from the sources to the destinations, in this direction only."""
@@ -35,7 +36,7 @@
         """Ends every cut."""
         self.cuts.clear()
 
-    async def relay(self, address: str, public_port: int, real_port: int) -> asyncio.AbstractServer:
+    async def relay(self, address: str, public_port: int, real_port: int) -> None:
         """Listens at the public port for a process that listens at the real one of the same address."""
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -51,7 +52,13 @@
                 self.forward((address, client), onward_reader, writer),
             )
 
-        return await asyncio.start_server(serve, address, public_port, backlog=LISTEN_BACKLOG)
+        server = await asyncio.start_server(serve, address, public_port, backlog=LISTEN_BACKLOG)
+        self.relays.append(server)
+
+    def stop(self) -> None:
+        """Ends to listen at every relay."""
+        for server in self.relays:
+            server.close()
 
     async def wait_until_open(self, link: Link) -> None:
         """Returns once the link isn't cut."""
