--- a/tests/test_sharding_settings.c
+++ b/tests/test_sharding_settings.c
@@ -19,7 +19,7 @@
     assert_true(g_file_set_contents(path, text, -1, NULL));
     bool ok = ow_operators_load(path, tuning, sharding, &error);
     assert_int_equal(ok, error == NULL);
-    if (!ok)
+    if (error != NULL)
         fault = g_strdup(error->message);
     g_clear_error(&error);
     g_unlink(path);
