--- a/src/core/core.h
+++ b/src/core/core.h
@@ -38,8 +38,8 @@
     uint64_t fencing_token;  /**< of this controller's term; 0: it does not lead */
     bool key_missing;        /**< the key-value store has shown that nobody holds the leader key */
     bool records_read;       /**< the leader is ready */
-    bool settled;      /**< the leader has been ready for so long that every live worker has reported to it */
-    unsigned machines; /**< that the leader knows and that have reported, ever */
+    bool settled; /**< the leader has been ready for so long that every live worker has sent it a heartbeat */
+    unsigned machines; /**< that the leader knows and that have ever sent a heartbeat */
     unsigned fenced;   /**< those of them that have shown its fencing token */
 };
 /** Fills in how the controller stands now. */
--- a/src/core/leader/cutoff_detection.c
+++ b/src/core/leader/cutoff_detection.c
@@ -7,7 +7,7 @@
 
 /* Silent for so many heartbeat intervals, all machines together count as lost. */
 static const double LOST_HEARTBEATS = 2.5;
-/* How recently a peer must have said that workers report to it. */
+/* How recently a peer must have said that workers send it heartbeats. */
 static const double PEER_RECENT_S = 3;
 /* One machine alone may be at fault itself. */
 enum { EXPECTED_LEAST = 2 };
@@ -23,7 +23,7 @@
     return last_at;
 }
 
-/* How many machines should report. */
+/* How many machines should send heartbeats. */
 static unsigned count_expected(const struct ow_leader *leader)
 {
     unsigned expected = 0;
--- a/src/core/leader/heartbeat_answer.h
+++ b/src/core/leader/heartbeat_answer.h
@@ -10,7 +10,7 @@
 struct ow_heartbeat;
 struct ow_leader;
 
-/** After so many seconds without an answer a worker reports to another controller. */
+/** After so many seconds without an answer a worker turns to another controller. */
 static const double OW_HEARTBEAT_TIMEOUT_S = 4;
 
 /** Applies a worker's heartbeat and answers it; `request` is the tag under which it came. */
--- a/src/core/leader/leader_status.c
+++ b/src/core/leader/leader_status.c
@@ -3,7 +3,7 @@
 #include "core/leader/leader_state.h"
 #include "core/machines/machine.h"
 
-/* Workers report every heartbeat interval, give or take a quarter. */
+/* Workers send a heartbeat every interval, give or take a quarter. */
 static const double SETTLING_HEARTBEATS = 1.25;
 
 static bool has_settled(const struct ow_leader *leader)
--- a/src/core/leader/leader_status.h
+++ b/src/core/leader/leader_status.h
@@ -11,8 +11,8 @@
 /** A snapshot of a leader. */
 struct ow_leader_status {
     bool is_ready;            /**< it has read all records */
-    bool has_settled;         /**< ready for so long that every live worker has reported to it */
-    unsigned machines;        /**< that have ever reported */
+    bool has_settled;         /**< ready for so long that every live worker has sent it a heartbeat */
+    unsigned machines;        /**< that have ever sent a heartbeat */
     unsigned fenced_machines; /**< those of them that have shown its fencing token */
 };
 
--- a/src/core/peers/hello.h
+++ b/src/core/peers/hello.h
@@ -1,6 +1,6 @@
 /** @file
  * The hello message: how this controller fares, told to the others every second. Owns the time of the next
- * one and when a worker last reported here.
+ * one and when a worker was last heard here.
  */
 #ifndef OW_CORE_PEERS_HELLO_H
 #define OW_CORE_PEERS_HELLO_H
@@ -12,7 +12,7 @@
 struct ow_hello *ow_hello_new(struct ow_core *core);
 /** Frees it. */
 void ow_hello_free(struct ow_hello *hello);
-/** A worker has reported to this controller now, whether or not it leads. */
+/** A worker has sent this controller a heartbeat now, whether or not it leads. */
 void ow_hello_note_worker_heartbeat(struct ow_hello *hello);
 /** Sends the hello message when it is due. */
 void ow_hello_tick(struct ow_hello *hello);
--- /dev/null
+++ b/src/core/peers/machine_list.h
@@ -0,0 +1,12 @@
+/** @file
+ * The leader's message to the other controllers of where its machines listen; machine_hints.h takes it in.
+ */
+#ifndef OW_CORE_PEERS_MACHINE_LIST_H
+#define OW_CORE_PEERS_MACHINE_LIST_H
+
+struct ow_leader;
+
+/** Sends the list of machines: in one message if it fits, else in parts. */
+void ow_machine_list_send(struct ow_leader *leader);
+
+#endif
--- a/src/core/peers/peer_status.c
+++ b/src/core/peers/peer_status.c
@@ -10,7 +10,7 @@
 struct ow_peer_status {
     GHashTable *formats;           /* controller name -> GUINT_TO_POINTER: the format that it speaks */
     GHashTable *store_ok_at;       /* controller name -> double *: when it last said that its store answers */
-    double receives_heartbeats_at; /* when a peer last said that workers report to it */
+    double receives_heartbeats_at; /* when a peer last said that workers send it heartbeats */
     double last_message_at;        /* the last message of any peer; 0: none yet */
 };
 
--- a/src/core/peers/peer_status.h
+++ b/src/core/peers/peer_status.h
@@ -28,7 +28,7 @@
 bool ow_peer_status_any_store_answers(const struct ow_peer_status *status, double now);
 /** Whether any message of a peer has come recently. */
 bool ow_peer_status_heard_recently(const struct ow_peer_status *status, double now);
-/** Whether a peer has said less than `within_s` seconds ago that workers report to it. */
+/** Whether a peer has said less than `within_s` seconds ago that workers send it heartbeats. */
 bool ow_peer_status_receives_heartbeats(const struct ow_peer_status *status, double now, double within_s);
 
 #endif
