--- a/src/sharding/candidacy.c
+++ b/src/sharding/candidacy.c
@@ -1,56 +1,60 @@
 #include "sharding/candidacy.h"
 
-/* Rendezvous hashing: among equals, each shard has an order of its own. */
-static guint weight(const char *controller, const char *shard)
+/* A controller that may run for a shard. */
+struct candidate {
+    const char *name;
+    unsigned led_count; /* shards that it leads already */
+};
+
+/* Mixes the bits of a hash; the multiplier is that of a well-known integer finalizer. */
+enum { MIX_MULTIPLIER = 0x45d9f3b, MIX_SHIFT = 16 };
+
+/* Rendezvous hashing: among equals, each shard has an order of its own; the lowest hash comes first. */
+static guint rendezvous_hash(const char *controller, const char *shard)
 {
-    char *both = g_strconcat(controller, "/", shard, NULL);
+    g_autofree char *both = g_strconcat(controller, "/", shard, NULL);
     guint hash = g_str_hash(both);
-    g_free(both);
     /* Names that differ in the last letter have neighbouring hashes: the bits are mixed. */
-    hash ^= hash >> 16;
-    hash *= 0x45d9f3bU;
-    hash ^= hash >> 16;
+    hash ^= hash >> MIX_SHIFT;
+    hash *= (guint)MIX_MULTIPLIER;
+    hash ^= hash >> MIX_SHIFT;
     return hash;
 }
 
-/* Whether `other` comes before `one`. */
-static bool comes_before(const char *other, unsigned other_count, const char *one, unsigned count,
-                         const char *shard)
+static bool comes_before(const struct candidate *one, const struct candidate *other, const char *shard)
 {
-    if (other_count != count)
-        return other_count < count;
-    guint other_weight = weight(other, shard);
-    guint own_weight = weight(one, shard);
-    return other_weight != own_weight ? other_weight < own_weight : g_strcmp0(other, one) < 0;
+    if (one->led_count != other->led_count)
+        return one->led_count < other->led_count;
+    guint hash = rendezvous_hash(one->name, shard);
+    guint other_hash = rendezvous_hash(other->name, shard);
+    return hash != other_hash ? hash < other_hash : g_strcmp0(one->name, other->name) < 0;
 }
 
-unsigned ow_candidacy_rank(const struct ow_membership *membership, const char *self, unsigned own_count,
+unsigned ow_candidacy_rank(const struct ow_membership *membership, const char *self, unsigned led_count,
                            const char *shard)
 {
     const GPtrArray *members = ow_membership_members(membership);
+    const struct candidate own = {.name = self, .led_count = led_count};
     unsigned rank = 0;
     for (guint i = 0; i < members->len; i++) {
         const struct ow_member *member = g_ptr_array_index(members, i);
-        if (ow_membership_may_lead(membership, member) &&
-            comes_before(member->name, member->shards->len, self, own_count, shard))
+        const struct candidate other = {.name = member->name, .led_count = member->led_shards->len};
+        if (ow_membership_may_lead(membership, member) && comes_before(&other, &own, shard))
             rank++;
     }
     return rank;
 }
 
 const char *ow_candidacy_successor(const struct ow_membership *membership, const char *self,
-                                   unsigned own_count, const char *shard)
+                                   unsigned led_count, const char *shard)
 {
     const GPtrArray *members = ow_membership_members(membership);
-    const char *first = self;
-    unsigned first_count = own_count;
+    struct candidate first = {.name = self, .led_count = led_count};
     for (guint i = 0; i < members->len; i++) {
         const struct ow_member *member = g_ptr_array_index(members, i);
-        if (!ow_membership_may_lead(membership, member) ||
-            !comes_before(member->name, member->shards->len, first, first_count, shard))
-            continue;
-        first = member->name;
-        first_count = member->shards->len;
+        const struct candidate other = {.name = member->name, .led_count = member->led_shards->len};
+        if (ow_membership_may_lead(membership, member) && comes_before(&other, &first, shard))
+            first = other;
     }
-    return first == self ? NULL : first;
+    return first.name == self ? NULL : first.name;
 }
--- /dev/null
+++ b/src/sharding/dropped_messages.h
@@ -0,0 +1,28 @@
+/**
+ * @file
+ * Counts messages of other controllers that could not be right and were dropped, and logs some of them.
+ */
+#ifndef OW_SHARDING_DROPPED_MESSAGES_H
+#define OW_SHARDING_DROPPED_MESSAGES_H
+
+/** Why a message does not count. */
+enum ow_drop_cause {
+    OW_DROP_NONE,               /**< it counts */
+    OW_DROP_UNKNOWN_SENDER,     /**< its sender is not in the settings */
+    OW_DROP_NO_INCARNATION,     /**< it names no process */
+    OW_DROP_OLD_INCARNATION,    /**< it is of an earlier process of the sender */
+    OW_DROP_OLD_SEQUENCE,       /**< it is not newer than the last one */
+    OW_DROP_MISADDRESSED_PROBE, /**< a step of a probe that is not for this controller */
+};
+
+/** The count. All zeros is the start. */
+struct ow_dropped_messages {
+    unsigned count;
+    double logged_at; /**< seconds of the monotonic clock */
+};
+
+/** Counts a message and logs it, at most every 10 s. `sender` may be NULL: it named none. */
+void ow_dropped_messages_add(struct ow_dropped_messages *dropped, double now, const char *sender,
+                             enum ow_drop_cause cause);
+
+#endif
--- a/src/sharding/indirect_probe.c
+++ b/src/sharding/indirect_probe.c
@@ -1,64 +1,76 @@
-#include "model/peer.h"
-#include "sharding/membership_state.h"
+#include "sharding/indirect_probe.h"
 
-static void send_step(struct ow_membership *membership, enum ow_probe_step step, const char *addressee,
+/* Sends a step of the probe to a controller. */
+static void send_step(const struct ow_indirect_prober *prober, enum ow_probe_step step, const char *addressee,
                       const struct ow_peer_probe *probe, GPtrArray *out)
 {
     struct ow_peer_message *message = ow_peer_message_new(OW_PEER_PROBE);
-    message->sender = g_strdup(membership->self);
+    message->sender = g_strdup(prober->self);
     message->addressee = g_strdup(addressee);
-    message->probe.step = step;
-    message->probe.origin = g_strdup(probe->origin);
-    message->probe.relay = g_strdup(probe->relay);
-    message->probe.target = g_strdup(probe->target);
-    message->probe.number = probe->number;
+    message->probe = (struct ow_peer_probe){
+        .step = step,
+        .origin = g_strdup(probe->origin),
+        .relay = g_strdup(probe->relay),
+        .target = g_strdup(probe->target),
+        .number = probe->number,
+    };
     g_ptr_array_add(out, message);
 }
 
-void ow_indirect_probe_begin(struct ow_membership *membership, struct ow_member *target, double now,
+static void ask_relay(const struct ow_indirect_prober *prober, const struct ow_member *relay,
+                      const struct ow_member *target, GPtrArray *out)
+{
+    const struct ow_peer_probe probe = {
+        .origin = (char *)prober->self,
+        .relay = (char *)relay->name,
+        .target = (char *)target->name,
+        .number = target->probe_number,
+    };
+    send_step(prober, OW_PROBE_REQUEST, relay->name, &probe, out);
+}
+
+void ow_indirect_probe_begin(struct ow_indirect_prober *prober, struct ow_member *target, double now,
                              GPtrArray *out)
 {
-    target->probe = ++membership->last_probe;
-    target->probe_at = now;
+    const GPtrArray *members = prober->members;
+    target->probe_number = ++prober->last_number;
+    target->probed_at = now;
     target->relays = 0;
-    for (guint i = 0; i < membership->members->len && target->relays < membership->sharding->relays; i++) {
-        /* Beginning behind the target, so that not the same relays are asked about everybody. */
-        const struct ow_member *relay =
-            g_ptr_array_index(membership->members, (i + target->probe) % membership->members->len);
+    for (guint i = 0; i < members->len && target->relays < prober->relays_max; i++) {
+        /* Each probe begins with another member, so that not the same relays are asked every time. */
+        guint index = (guint)((i + target->probe_number) % members->len);
+        const struct ow_member *relay = g_ptr_array_index(members, index);
         if (relay == target || relay->state != OW_MEMBER_ALIVE)
             continue;
-        struct ow_peer_probe probe = {.origin = (char *)membership->self,
-                                      .relay = (char *)relay->name,
-                                      .target = (char *)target->name,
-                                      .number = target->probe};
-        send_step(membership, OW_PROBE_REQUEST, relay->name, &probe, out);
+        ask_relay(prober, relay, target, out);
         target->relays++;
     }
 }
 
-static void receive_relayed(struct ow_membership *membership, double now,
-                            const struct ow_peer_message *message)
+/* A relay reaches the target. */
+static void receive_relayed(const struct ow_indirect_prober *prober, const struct ow_peer_probe *probe,
+                            double now)
 {
-    struct ow_member *target = ow_membership_lookup(membership, message->probe.target);
-    if (target == NULL || message->probe.number != target->probe || target->state == OW_MEMBER_ALIVE)
+    struct ow_member *target = ow_members_find(prober->members, probe->target);
+    if (target == NULL || probe->number != target->probe_number || target->state == OW_MEMBER_ALIVE)
         return;
-    ow_member_set_state(target, OW_MEMBER_RELAYED, now,
-                        g_strdup_printf("out of our reach, but %s reaches it", message->probe.relay));
+    ow_member_set_state(target, OW_MEMBER_ALIVE_BY_RELAY, now,
+                        g_strdup_printf("out of our reach, but %s reaches it", probe->relay));
 }
 
-void ow_indirect_probe_receive(struct ow_membership *membership, double now,
-                               const struct ow_peer_message *message, GPtrArray *out)
+bool ow_indirect_probe_receive(const struct ow_indirect_prober *prober, const struct ow_peer_probe *probe,
+                               double now, GPtrArray *out)
 {
-    const char *self = membership->self;
-    const struct ow_peer_probe *probe = &message->probe;
+    const char *self = prober->self;
     if (probe->step == OW_PROBE_REQUEST && g_strcmp0(probe->relay, self) == 0)
-        send_step(membership, OW_PROBE_PING, probe->target, probe, out);
+        send_step(prober, OW_PROBE_PING, probe->target, probe, out);
     else if (probe->step == OW_PROBE_PING && g_strcmp0(probe->target, self) == 0)
-        send_step(membership, OW_PROBE_ACK, probe->relay, probe, out);
+        send_step(prober, OW_PROBE_ACK, probe->relay, probe, out);
     else if (probe->step == OW_PROBE_ACK && g_strcmp0(probe->relay, self) == 0)
-        send_step(membership, OW_PROBE_RELAYED, probe->origin, probe, out);
+        send_step(prober, OW_PROBE_RELAYED, probe->origin, probe, out);
     else if (probe->step == OW_PROBE_RELAYED && g_strcmp0(probe->origin, self) == 0)
-        receive_relayed(membership, now, message);
+        receive_relayed(prober, probe, now);
     else
-        ow_membership_drop(membership, now, message->sender, "a probe that is not for this controller");
+        return false;
+    return true;
 }
--- /dev/null
+++ b/src/sharding/indirect_probe.h
@@ -0,0 +1,37 @@
+/**
+ * @file
+ * Indirect probes, as in SWIM: before a silent controller is suspected, others are asked whether they reach
+ * it. Steps: origin -> relay (request) -> target (ping) -> relay (ack) -> origin (relayed).
+ */
+#ifndef OW_SHARDING_INDIRECT_PROBE_H
+#define OW_SHARDING_INDIRECT_PROBE_H
+
+#include "model/peer.h"
+#include "sharding/member.h"
+
+#include <glib.h>
+#include <stdbool.h>
+#include <stdint.h>
+
+/** What probing needs; part of the membership, which owns the members. */
+struct ow_indirect_prober {
+    const char *self;         /**< this controller's name; borrowed */
+    const GPtrArray *members; /**< struct ow_member; borrowed */
+    unsigned relays_max;      /**< how many controllers one probe asks */
+    uint64_t last_number;     /**< of the last probe that began here; 0: none yet */
+};
+
+/** Asks up to relays_max live controllers whether they reach the target; messages are added to `out`, which
+ * owns them. A reply to an earlier probe of the target no longer counts. */
+void ow_indirect_probe_begin(struct ow_indirect_prober *prober, struct ow_member *target, double now,
+                             GPtrArray *out);
+
+/**
+ * Takes a step of a probe: passes it on, or notes that a relay reaches the target.
+ *
+ * @return false if this controller has no part in that step: the message is to be dropped.
+ */
+bool ow_indirect_probe_receive(const struct ow_indirect_prober *prober, const struct ow_peer_probe *probe,
+                               double now, GPtrArray *out);
+
+#endif
--- /dev/null
+++ b/src/sharding/member.h
@@ -0,0 +1,60 @@
+/**
+ * @file
+ * What this controller knows of one other controller: whether it is alive, which process of it was heard
+ * last, and which shards it says that it leads. Owned by the membership; others read it.
+ */
+#ifndef OW_SHARDING_MEMBER_H
+#define OW_SHARDING_MEMBER_H
+
+#include "model/peer.h"
+#include "sharding/phi_detector.h"
+
+#include <glib.h>
+#include <stdbool.h>
+#include <stdint.h>
+
+/** How alive a controller is, as this one sees it; as in SWIM, with indirect probes before a suspicion. */
+enum ow_member_state {
+    OW_MEMBER_UNKNOWN,        /**< no heartbeat has come since this controller started */
+    OW_MEMBER_ALIVE,          /**< its heartbeats arrive */
+    OW_MEMBER_PROBING,        /**< unusually silent: others are asked whether they reach it */
+    OW_MEMBER_ALIVE_BY_RELAY, /**< out of our reach, but another controller reaches it */
+    OW_MEMBER_SUSPECTED,      /**< nobody who was asked reaches it */
+};
+
+/** How many earlier processes of a controller are remembered, so that their late messages are told apart. */
+enum { OW_MEMBER_OLD_INCARNATIONS = 8 };
+
+/** Another controller. Times are seconds of the monotonic clock. */
+struct ow_member {
+    const char *name; /**< borrowed from the settings */
+    enum ow_member_state state;
+    double state_since;
+    char *cause; /**< why it is in this state, for operators; never NULL */
+    struct ow_phi_detector detector;
+    uint64_t incarnation;                                  /**< of its process; 0: not heard yet */
+    uint64_t old_incarnations[OW_MEMBER_OLD_INCARNATIONS]; /**< a ring of the processes before that */
+    unsigned next_old_incarnation;                         /**< the entry that is overwritten next */
+    uint64_t sequence;                                     /**< of its last heartbeat */
+    uint64_t settings_digest; /**< of the settings by which it shares the fleet (shard_map.h) */
+    GArray *led_shards;       /**< struct ow_peer_shard: those that it says it leads */
+    uint64_t probe_number;    /**< of the last indirect probe; replies to earlier ones don't count */
+    double probed_at;
+    unsigned relays;     /**< how many controllers the last probe asked */
+    unsigned suspicions; /**< how often it was suspected since this controller started */
+};
+
+/** A controller that has not been heard yet. `name` must outlive it; free with ow_member_free(). */
+struct ow_member *ow_member_new(const char *name, double expected_interval_s);
+/** Frees a struct ow_member; of this form to be the free function of an array. NULL is not allowed. */
+void ow_member_free(void *item);
+/** Changes the state, and logs it if it is another one. Takes over `cause`. */
+void ow_member_set_state(struct ow_member *member, enum ow_member_state state, double now, char *cause);
+/** Whether it is heard by us or by another controller. */
+bool ow_member_is_live(const struct ow_member *member);
+/** The state as a word for operators and the log. */
+const char *ow_member_state_name(enum ow_member_state state);
+/** The controller of this name among struct ow_member, or NULL; `name` may be NULL. */
+struct ow_member *ow_members_find(const GPtrArray *members, const char *name);
+
+#endif
--- a/src/sharding/peer_heartbeats.c
+++ b/src/sharding/peer_heartbeats.c
@@ -1,15 +1,20 @@
-#include "model/peer.h"
-#include "sharding/membership_state.h"
+#include "sharding/peer_heartbeats.h"
 
-struct ow_peer_message *ow_peer_heartbeat_new(struct ow_membership *membership, const GArray *own_shards)
+static void copy_shards(GArray *to, const GArray *from)
+{
+    g_array_set_size(to, 0);
+    for (guint i = 0; i < from->len; i++)
+        ow_peer_shards_add(to, &g_array_index(from, struct ow_peer_shard, i));
+}
+
+struct ow_peer_message *ow_peer_heartbeat_new(struct ow_heartbeat_source *self, const GArray *led_shards)
 {
     struct ow_peer_message *message = ow_peer_message_new(OW_PEER_HEARTBEAT);
-    message->sender = g_strdup(membership->self);
-    message->heartbeat.incarnation = membership->incarnation;
-    message->heartbeat.sequence = ++membership->sequence;
-    message->heartbeat.digest = membership->digest;
-    for (guint i = 0; i < own_shards->len; i++)
-        ow_peer_shards_add(message->heartbeat.shards, &g_array_index(own_shards, struct ow_peer_shard, i));
+    message->sender = g_strdup(self->name);
+    message->heartbeat.incarnation = self->incarnation;
+    message->heartbeat.sequence = ++self->sequence;
+    message->heartbeat.digest = self->settings_digest;
+    copy_shards(message->heartbeat.shards, led_shards);
     return message;
 }
 
@@ -21,50 +26,53 @@
     return false;
 }
 
+static enum ow_drop_cause find_drop_cause(const struct ow_member *member,
+                                          const struct ow_peer_heartbeat *heartbeat)
+{
+    if (heartbeat->incarnation == 0)
+        return OW_DROP_NO_INCARNATION;
+    if (is_old_incarnation(member, heartbeat->incarnation))
+        return OW_DROP_OLD_INCARNATION;
+    if (heartbeat->incarnation == member->incarnation && heartbeat->sequence <= member->sequence)
+        return OW_DROP_OLD_SEQUENCE;
+    return OW_DROP_NONE;
+}
+
 static void begin_incarnation(struct ow_member *member, uint64_t incarnation)
 {
     if (member->incarnation != 0) {
-        member->old_incarnations[member->old_next] = member->incarnation;
-        member->old_next = (member->old_next + 1) % OW_MEMBER_OLD_INCARNATIONS;
-        g_info("controller %s has started anew", member->name);
+        member->old_incarnations[member->next_old_incarnation] = member->incarnation;
+        member->next_old_incarnation = (member->next_old_incarnation + 1) % OW_MEMBER_OLD_INCARNATIONS;
+        g_info("controller restarted: controller=%s incarnation=%" G_GUINT64_FORMAT, member->name,
+               incarnation);
     }
     member->incarnation = incarnation;
     member->sequence = 0;
-    ow_phi_restart(&member->detector);
+    ow_phi_detector_forget_intervals(&member->detector);
 }
 
-/* Why the heartbeat can't count; NULL: it does. */
-static const char *heartbeat_fault(const struct ow_member *member, const struct ow_peer_message *message)
+/* Warns once per digest; the map agreement is what keeps controllers with other settings from leading. */
+static void note_settings_digest(const struct ow_heartbeat_source *self, struct ow_member *member,
+                                 uint64_t digest)
 {
-    if (message->heartbeat.incarnation == 0)
-        return "it names no process";
-    if (is_old_incarnation(member, message->heartbeat.incarnation))
-        return "it is of an earlier process";
-    if (message->heartbeat.incarnation == member->incarnation &&
-        message->heartbeat.sequence <= member->sequence)
-        return "it is older than the last one";
-    return NULL;
+    if (digest != member->settings_digest && digest != self->settings_digest)
+        g_warning("controller shares the fleet by other settings than this one: controller=%s", member->name);
+    member->settings_digest = digest;
 }
 
-void ow_peer_heartbeat_receive(struct ow_membership *membership, double now, struct ow_member *member,
-                               const struct ow_peer_message *message)
+enum ow_drop_cause ow_peer_heartbeat_receive(const struct ow_heartbeat_source *self, struct ow_member *sender,
+                                             const struct ow_peer_heartbeat *heartbeat, double now)
 {
-    const char *fault = heartbeat_fault(member, message);
-    if (fault != NULL) {
-        ow_membership_drop(membership, now, member->name, fault);
-        return;
-    }
-    if (message->heartbeat.incarnation != member->incarnation)
-        begin_incarnation(member, message->heartbeat.incarnation);
-    member->sequence = message->heartbeat.sequence;
-    if (message->heartbeat.digest != member->digest && message->heartbeat.digest != membership->digest)
-        g_warning("controller %s shares shards by other settings than this one", member->name);
-    member->digest = message->heartbeat.digest;
-    g_array_set_size(member->shards, 0);
-    for (guint i = 0; i < message->heartbeat.shards->len; i++)
-        ow_peer_shards_add(member->shards,
-                           &g_array_index(message->heartbeat.shards, struct ow_peer_shard, i));
-    ow_phi_heartbeat(&member->detector, now);
-    if (member->state != OW_MEMBER_ALIVE)
-        ow_member_set_state(member, OW_MEMBER_ALIVE, now, g_strdup("its heartbeats arrive"));
+    enum ow_drop_cause cause = find_drop_cause(sender, heartbeat);
+    if (cause != OW_DROP_NONE)
+        return cause;
+    if (heartbeat->incarnation != sender->incarnation)
+        begin_incarnation(sender, heartbeat->incarnation);
+    sender->sequence = heartbeat->sequence;
+    note_settings_digest(self, sender, heartbeat->digest);
+    copy_shards(sender->led_shards, heartbeat->shards);
+    ow_phi_detector_add_heartbeat(&sender->detector, now);
+    if (sender->state != OW_MEMBER_ALIVE)
+        ow_member_set_state(sender, OW_MEMBER_ALIVE, now, g_strdup("its heartbeats arrive"));
+    return OW_DROP_NONE;
 }
--- /dev/null
+++ b/src/sharding/peer_heartbeats.h
@@ -0,0 +1,35 @@
+/**
+ * @file
+ * Heartbeats between controllers: the ones that this controller sends, and what one of another changes in
+ * what is known of it. Heartbeats of earlier processes and late ones don't count.
+ */
+#ifndef OW_SHARDING_PEER_HEARTBEATS_H
+#define OW_SHARDING_PEER_HEARTBEATS_H
+
+#include "model/peer.h"
+#include "sharding/dropped_messages.h"
+#include "sharding/member.h"
+
+#include <glib.h>
+#include <stdint.h>
+
+/** What this controller's heartbeats say of itself. */
+struct ow_heartbeat_source {
+    const char *name;         /**< this controller; borrowed */
+    uint64_t incarnation;     /**< of this process; not 0 */
+    uint64_t settings_digest; /**< of the settings by which it shares the fleet */
+    uint64_t sequence;        /**< of the last heartbeat; 0: none yet */
+};
+
+/** This controller's next heartbeat, owned by the caller. `led_shards`: struct ow_peer_shard, copied. */
+struct ow_peer_message *ow_peer_heartbeat_new(struct ow_heartbeat_source *self, const GArray *led_shards);
+
+/**
+ * Takes a heartbeat of `sender` into what is known of it.
+ *
+ * @return OW_DROP_NONE, or why it does not count; nothing has changed then.
+ */
+enum ow_drop_cause ow_peer_heartbeat_receive(const struct ow_heartbeat_source *self, struct ow_member *sender,
+                                             const struct ow_peer_heartbeat *heartbeat, double now);
+
+#endif
--- a/src/sharding/phi_detector.c
+++ b/src/sharding/phi_detector.c
@@ -6,76 +6,80 @@
    late one. */
 static const double DEVIATION_SHARE_MIN = 0.25;
 /* Before so many intervals have been seen the expected one counts, with its full length as deviation. */
-enum { INTERVALS_LEAST = 5 };
+enum { INTERVALS_MIN = 5 };
 /* An interval counts as at most so many times the mean. */
 static const double INTERVAL_GROWTH_MAX = 3;
 /* Beyond this the probability is too small for a double. */
 static const double PHI_MAX = 300;
 
-void ow_phi_init(struct ow_phi_detector *detector, double expected_s)
+void ow_phi_detector_init(struct ow_phi_detector *detector, double expected_interval_s)
 {
-    *detector = (struct ow_phi_detector){.expected_s = expected_s, .last_at = -1};
+    *detector = (struct ow_phi_detector){.expected_interval_s = expected_interval_s, .last_heartbeat_at = -1};
 }
 
-static void estimate(const struct ow_phi_detector *detector, double *mean, double *deviation)
+/* The distribution of the intervals, taken as normal. */
+static void estimate(const struct ow_phi_detector *detector, double *mean_s, double *deviation_s)
 {
-    if (detector->count < INTERVALS_LEAST) {
-        *mean = *deviation = detector->expected_s;
+    if (detector->count < INTERVALS_MIN) {
+        *mean_s = detector->expected_interval_s;
+        *deviation_s = detector->expected_interval_s;
         return;
     }
-    *mean = detector->sum / detector->count;
-    double variance = detector->square_sum / detector->count - *mean * *mean;
-    *deviation = fmax(sqrt(fmax(variance, 0)), DEVIATION_SHARE_MIN * *mean);
+    *mean_s = detector->sum_s / detector->count;
+    double variance_s2 = detector->square_sum_s2 / detector->count - *mean_s * *mean_s;
+    *deviation_s = fmax(sqrt(fmax(variance_s2, 0)), DEVIATION_SHARE_MIN * *mean_s);
 }
 
 static void add_interval(struct ow_phi_detector *detector, double interval_s)
 {
-    double *slot = &detector->intervals[detector->next];
-    double mean = 0, deviation = 0;
-    estimate(detector, &mean, &deviation);
+    double *slot = &detector->intervals_s[detector->next];
+    double mean_s = 0;
+    double deviation_s = 0;
+    estimate(detector, &mean_s, &deviation_s);
     /* A failure is no sample of the network: taken whole, one long silence would hide the next for as long as
        it stays in the history. A network that has really become slower is followed in steps. */
-    interval_s = fmin(interval_s, INTERVAL_GROWTH_MAX * mean);
+    interval_s = fmin(interval_s, INTERVAL_GROWTH_MAX * mean_s);
     if (detector->count == OW_PHI_HISTORY) {
-        detector->sum -= *slot;
-        detector->square_sum -= *slot * *slot;
+        detector->sum_s -= *slot;
+        detector->square_sum_s2 -= *slot * *slot;
     } else {
         detector->count++;
     }
     *slot = interval_s;
-    detector->sum += interval_s;
-    detector->square_sum += interval_s * interval_s;
+    detector->sum_s += interval_s;
+    detector->square_sum_s2 += interval_s * interval_s;
     detector->next = (detector->next + 1) % OW_PHI_HISTORY;
 }
 
-void ow_phi_heartbeat(struct ow_phi_detector *detector, double now)
+void ow_phi_detector_add_heartbeat(struct ow_phi_detector *detector, double now)
 {
-    if (detector->last_at >= 0 && now > detector->last_at)
-        add_interval(detector, now - detector->last_at);
-    detector->last_at = now;
+    if (detector->last_heartbeat_at >= 0 && now > detector->last_heartbeat_at)
+        add_interval(detector, now - detector->last_heartbeat_at);
+    detector->last_heartbeat_at = now;
 }
 
-void ow_phi_forgive(struct ow_phi_detector *detector, double paused_s)
+void ow_phi_detector_exclude_pause(struct ow_phi_detector *detector, double pause_s)
 {
-    if (detector->last_at >= 0)
-        detector->last_at += paused_s;
+    if (detector->last_heartbeat_at >= 0)
+        detector->last_heartbeat_at += pause_s;
 }
 
-void ow_phi_restart(struct ow_phi_detector *detector)
+void ow_phi_detector_forget_intervals(struct ow_phi_detector *detector)
 {
-    double last_at = detector->last_at;
-    ow_phi_init(detector, detector->expected_s);
-    detector->last_at = last_at;
+    double last_heartbeat_at = detector->last_heartbeat_at;
+    ow_phi_detector_init(detector, detector->expected_interval_s);
+    detector->last_heartbeat_at = last_heartbeat_at;
 }
 
-double ow_phi(const struct ow_phi_detector *detector, double now)
+double ow_phi_detector_phi(const struct ow_phi_detector *detector, double now)
 {
-    double mean = 0, deviation = 0;
-    if (detector->last_at < 0 || now <= detector->last_at)
+    if (detector->last_heartbeat_at < 0 || now <= detector->last_heartbeat_at)
         return 0;
-    estimate(detector, &mean, &deviation);
-    double silence = (now - detector->last_at - mean) / deviation;
-    double still_comes = 0.5 * erfc(silence / sqrt(2));
+    double mean_s = 0;
+    double deviation_s = 0;
+    estimate(detector, &mean_s, &deviation_s);
+    double deviations = (now - detector->last_heartbeat_at - mean_s) / deviation_s;
+    double still_comes = 0.5 * erfc(deviations / sqrt(2));
     if (still_comes <= pow(10, -PHI_MAX))
         return PHI_MAX;
     return fmax(0, -log10(still_comes));
--- a/src/sharding/phi_detector.h
+++ b/src/sharding/phi_detector.h
@@ -1,27 +1,36 @@
-/* An accrual failure detector for one peer: from the intervals between its heartbeats it tells how unusual
- * the present silence is, as phi = -log10(probability that a heartbeat still comes). No clock and no I/O. */
+/**
+ * @file
+ * A phi accrual failure detector for one peer: from the intervals between its heartbeats it tells how unusual
+ * the present silence is, as phi = -log10(probability that a heartbeat still comes). No clock and no I/O: all
+ * times are seconds of the caller's monotonic clock. The struct is plain data of its owner; nothing is freed.
+ */
 #ifndef OW_SHARDING_PHI_DETECTOR_H
 #define OW_SHARDING_PHI_DETECTOR_H
 
+/** How many intervals between heartbeats are remembered. */
 enum { OW_PHI_HISTORY = 100 };
 
+/** The detector's samples. Written by the functions below only. */
 struct ow_phi_detector {
-    double expected_s;                /* the interval that is assumed before any has been seen */
-    double intervals[OW_PHI_HISTORY]; /* the last ones, a ring */
-    unsigned count, next;
-    double sum, square_sum; /* of the intervals in the ring */
-    double last_at;         /* when the last heartbeat came; negative: none has */
+    double expected_interval_s;         /**< assumed before enough intervals have been seen */
+    double intervals_s[OW_PHI_HISTORY]; /**< the last ones, a ring */
+    unsigned count;                     /**< how many of them are filled */
+    unsigned next;                      /**< the one that is overwritten next */
+    double sum_s;                       /**< of the intervals in the ring */
+    double square_sum_s2;               /**< of their squares */
+    double last_heartbeat_at;           /**< negative: none has come */
 };
 
-/* A detector that has not heard anything. */
-void ow_phi_init(struct ow_phi_detector *detector, double expected_s);
-/* A heartbeat has come. */
-void ow_phi_heartbeat(struct ow_phi_detector *detector, double now);
-/* This process itself stood still for so long: that silence is not the peer's. */
-void ow_phi_forgive(struct ow_phi_detector *detector, double paused_s);
-/* Forgets all intervals: the peer's process is another one. */
-void ow_phi_restart(struct ow_phi_detector *detector);
-/* 0 while the silence is not unusual, or nothing has ever been heard. */
-double ow_phi(const struct ow_phi_detector *detector, double now);
+/** Makes it a detector that has not heard anything. */
+void ow_phi_detector_init(struct ow_phi_detector *detector, double expected_interval_s);
+/** A heartbeat has come. */
+void ow_phi_detector_add_heartbeat(struct ow_phi_detector *detector, double now);
+/** This process itself was paused for `pause_s` seconds: that part of the silence is not the peer's. */
+void ow_phi_detector_exclude_pause(struct ow_phi_detector *detector, double pause_s);
+/** Forgets all intervals, as the peer's process is another one; the silence still counts from its last
+ * heartbeat. */
+void ow_phi_detector_forget_intervals(struct ow_phi_detector *detector);
+/** The present phi, from 0 to 300; 0 while the silence is not unusual, or nothing has ever been heard. */
+double ow_phi_detector_phi(const struct ow_phi_detector *detector, double now);
 
 #endif
--- a/src/sharding/shard_manager.c
+++ b/src/sharding/shard_manager.c
@@ -241,7 +241,7 @@
 
 unsigned ow_shard_manager_dropped(const struct ow_shard_manager *manager)
 {
-    return ow_membership_dropped(manager->membership);
+    return ow_membership_dropped_count(manager->membership);
 }
 
 const char *ow_shard_manager_successor(const struct ow_shard_manager *manager, const struct ow_shard *shard)
--- a/src/wire/sharding_json.c
+++ b/src/wire/sharding_json.c
@@ -62,8 +62,8 @@
 static json_t *led_shards(const struct ow_member *member)
 {
     json_t *list = json_array();
-    for (guint i = 0; i < member->shards->len; i++)
-        json_array_append_new(list, json_string(g_array_index(member->shards, struct ow_peer_shard, i).name));
+    for (guint i = 0; i < member->led_shards->len; i++)
+        json_array_append_new(list, json_string(g_array_index(member->led_shards, struct ow_peer_shard, i).name));
     return list;
 }
 
@@ -77,7 +77,7 @@
         json_array_append_new(list, json_pack("{s:s,s:s,s:f,s:s,s:f,s:i,s:o}", F_NAME, member->name, F_STATE,
                                               ow_member_state_name(member->state), F_SINCE,
                                               now - member->state_since, F_CAUSE, member->cause, F_PHI,
-                                              ow_phi(&member->detector, now), F_SUSPICIONS,
+                                              ow_phi_detector_phi(&member->detector, now), F_SUSPICIONS,
                                               (int)member->suspicions, F_LEADS, led_shards(member)));
     }
     const char *difference = ow_shard_manager_difference(manager);
--- a/tests/test_suspicion.c
+++ b/tests/test_suspicion.c
@@ -124,20 +124,20 @@
     (void)state;
     struct ow_phi_detector steady, loose;
     double now = 0;
-    ow_phi_init(&steady, HEARTBEAT_S);
-    ow_phi_init(&loose, HEARTBEAT_S);
-    assert_true(ow_phi(&steady, 1000) == 0);
+    ow_phi_detector_init(&steady, HEARTBEAT_S);
+    ow_phi_detector_init(&loose, HEARTBEAT_S);
+    assert_true(ow_phi_detector_phi(&steady, 1000) == 0);
     for (int i = 0; i < 150; i++) {
         now = i * 2.0;
-        ow_phi_heartbeat(&steady, now);
-        ow_phi_heartbeat(&loose, now + (i % 2 == 0 ? 0.9 : 0));
+        ow_phi_detector_add_heartbeat(&steady, now);
+        ow_phi_detector_add_heartbeat(&loose, now + (i % 2 == 0 ? 0.9 : 0));
     }
-    assert_true(ow_phi(&steady, now + 1) < 1);
-    assert_true(ow_phi(&steady, now + 3) < ow_phi(&steady, now + 4));
-    assert_true(ow_phi(&steady, now + 10) > 8);
+    assert_true(ow_phi_detector_phi(&steady, now + 1) < 1);
+    assert_true(ow_phi_detector_phi(&steady, now + 3) < ow_phi_detector_phi(&steady, now + 4));
+    assert_true(ow_phi_detector_phi(&steady, now + 10) > 8);
     /* The same silence is less unusual for one whose heartbeats come unevenly. */
-    assert_true(ow_phi(&loose, now + 5) < ow_phi(&steady, now + 5));
-    assert_true(ow_phi(&steady, now + 1e6) > 200);
+    assert_true(ow_phi_detector_phi(&loose, now + 5) < ow_phi_detector_phi(&steady, now + 5));
+    assert_true(ow_phi_detector_phi(&steady, now + 1e6) > 200);
     assert_int_equal(steady.count, OW_PHI_HISTORY);
 }
 
@@ -148,15 +148,15 @@
     (void)state;
     struct ow_phi_detector detector;
     double now = 0;
-    ow_phi_init(&detector, HEARTBEAT_S);
+    ow_phi_detector_init(&detector, HEARTBEAT_S);
     for (int i = 0; i < 20; i++)
-        ow_phi_heartbeat(&detector, now += HEARTBEAT_S);
-    double before = ow_phi(&detector, now + 2.5);
+        ow_phi_detector_add_heartbeat(&detector, now += HEARTBEAT_S);
+    double before = ow_phi_detector_phi(&detector, now + 2.5);
     assert_true(before > 8);
-    ow_phi_heartbeat(&detector, now += 60);
+    ow_phi_detector_add_heartbeat(&detector, now += 60);
     for (int i = 0; i < 3; i++)
-        ow_phi_heartbeat(&detector, now += HEARTBEAT_S);
-    assert_true(ow_phi(&detector, now + 2.5) > 8);
+        ow_phi_detector_add_heartbeat(&detector, now += HEARTBEAT_S);
+    assert_true(ow_phi_detector_phi(&detector, now + 2.5) > 8);
 }
 
 /* A network that has become slower is followed. */
@@ -165,13 +165,13 @@
     (void)state;
     struct ow_phi_detector detector;
     double now = 0;
-    ow_phi_init(&detector, HEARTBEAT_S);
+    ow_phi_detector_init(&detector, HEARTBEAT_S);
     for (int i = 0; i < OW_PHI_HISTORY; i++)
-        ow_phi_heartbeat(&detector, now += HEARTBEAT_S);
+        ow_phi_detector_add_heartbeat(&detector, now += HEARTBEAT_S);
     for (int i = 0; i < 2 * OW_PHI_HISTORY; i++)
-        ow_phi_heartbeat(&detector, now += 8);
-    assert_true(ow_phi(&detector, now + 9) < 2);
-    assert_true(ow_phi(&detector, now + 30) > 8);
+        ow_phi_detector_add_heartbeat(&detector, now += 8);
+    assert_true(ow_phi_detector_phi(&detector, now + 9) < 2);
+    assert_true(ow_phi_detector_phi(&detector, now + 30) > 8);
 }
 
 /* ---- suspicion ---- */
@@ -181,13 +181,13 @@
     (void)state;
     struct bench bench;
     open_bench(&bench);
-    assert_int_equal(state_of(&bench, "one"), OW_MEMBER_UNHEARD);
+    assert_int_equal(state_of(&bench, "one"), OW_MEMBER_UNKNOWN);
     run(&bench, 30);
     for (guint i = 0; i < G_N_ELEMENTS(names); i++)
         assert_int_equal(state_of(&bench, names[i]), OW_MEMBER_ALIVE);
     bench.silent[0] = true;
     run(&bench, 2);
-    assert_int_equal(state_of(&bench, "one"), OW_MEMBER_PROBED);
+    assert_int_equal(state_of(&bench, "one"), OW_MEMBER_PROBING);
     /* The two others are asked; nobody answers for them here. */
     assert_int_equal(count_sent(&bench, OW_PROBE_REQUEST, "one"), 2);
     run(&bench, bench.sharding->probe_timeout_s + 1);
@@ -210,7 +210,7 @@
     bench.silent[0] = true;
     for (int i = 0; i < 60; i++) {
         run(&bench, HEARTBEAT_S);
-        uint64_t number = ow_membership_find(bench.membership, "one")->probe;
+        uint64_t number = ow_membership_find(bench.membership, "one")->probe_number;
         receive(&bench, probe(OW_PROBE_RELAYED, "two", "self", "two", "one", number));
         assert_int_not_equal(state_of(&bench, "one"), OW_MEMBER_SUSPECTED);
     }
@@ -218,7 +218,7 @@
     /* An answer to an earlier probe proves nothing of now. */
     run(&bench, 10);
     assert_int_equal(state_of(&bench, "one"), OW_MEMBER_SUSPECTED);
-    uint64_t old = ow_membership_find(bench.membership, "one")->probe - 1;
+    uint64_t old = ow_membership_find(bench.membership, "one")->probe_number - 1;
     receive(&bench, probe(OW_PROBE_RELAYED, "two", "self", "two", "one", old));
     assert_int_equal(state_of(&bench, "one"), OW_MEMBER_SUSPECTED);
     close_bench(&bench);
@@ -270,7 +270,7 @@
     struct bench bench;
     open_bench(&bench);
     run(&bench, 5);
-    unsigned before = ow_membership_dropped(bench.membership);
+    unsigned before = ow_membership_dropped_count(bench.membership);
     uint64_t last = bench.sequence;
     receive(&bench, heartbeat("stranger", 1, 1));
     receive(&bench, heartbeat(NULL, 1, 1));
@@ -279,12 +279,12 @@
     receive(&bench, heartbeat("one", 0, last + 5)); /* of no process */
     receive(&bench, probe(OW_PROBE_STEPS, "one", "one", "self", "two", 4));
     receive(&bench, probe(OW_PROBE_PING, "one", "one", "two", "three", 4));
-    assert_int_equal(ow_membership_dropped(bench.membership), before + 7);
+    assert_int_equal(ow_membership_dropped_count(bench.membership), before + 7);
     /* After a restart the earlier process counts no more, however late its messages come. */
     receive(&bench, heartbeat("one", 55, 1));
-    assert_int_equal(ow_membership_dropped(bench.membership), before + 7);
+    assert_int_equal(ow_membership_dropped_count(bench.membership), before + 7);
     receive(&bench, heartbeat("one", 1, last + 9));
-    assert_int_equal(ow_membership_dropped(bench.membership), before + 8);
+    assert_int_equal(ow_membership_dropped_count(bench.membership), before + 8);
     assert_true(ow_membership_find(bench.membership, "one")->incarnation == 55);
     close_bench(&bench);
 }
