--- a/src/io/incoming.c
+++ b/src/io/incoming.c
@@ -5,7 +5,7 @@
 #include "model/http_status.h"
 #include "model/submission.h"
 #include "model/worker.h"
-#include "wire/sharding_json.h"
+#include "sharding/operator_report.h"
 #include "wire/submission_json.h"
 #include "wire/user_json.h"
 #include "wire/words.h"
@@ -113,13 +113,13 @@
                                const char *job)
 {
     (void)job;
-    answer_operators(daemon, request, wire_controllers);
+    answer_operators(daemon, request, ow_operator_report_controllers);
 }
 
 static void answer_shards(struct ow_daemon *daemon, const struct ow_http_request *request, const char *job)
 {
     (void)job;
-    answer_operators(daemon, request, wire_shards);
+    answer_operators(daemon, request, ow_operator_report_shards);
 }
 
 /* What is served: every path has one method. JOB stands for one segment, of OW_ID_MAX bytes at most. */
--- a/src/sharding/effect_guard.c
+++ b/src/sharding/effect_guard.c
@@ -1,10 +1,10 @@
 #include "sharding/effect_guard.h"
+
 #include "model/cloud.h"
-#include "model/effect.h"
-#include "model/event.h"
 #include "model/http_status.h"
 #include "model/worker.h"
 
+/* Whether there were any. */
 static bool remove_launches(GArray *commands)
 {
     guint before = commands->len;
@@ -14,42 +14,45 @@
     return commands->len != before;
 }
 
-static bool guard_cloud(const struct ow_effect *effect, struct ow_event **refusal)
+static bool guard_heartbeat_answer(struct ow_effect *effect, enum ow_lease_state lease)
 {
-    if (effect->cloud->op == OW_CLOUD_TYPES || effect->cloud->op == OW_CLOUD_LIST)
-        return false;
-    /* The core takes a 503 for a request that was not carried out, and repeats it. */
-    *refusal = ow_event_new(OW_EVENT_CLOUD, effect->cloud->tag);
-    (*refusal)->cloud.status = OW_HTTP_STATUS_UNAVAILABLE;
+    if (lease == OW_LEASE_EXPIRED)
+        return remove_launches(effect->commands);
+    /* The worker turns to another controller, as it does when one is not entitled to act. */
+    ow_effect_refuse_temporarily(effect, "this controller does not know whether it still leads");
     return true;
 }
 
-static bool guard_direct(struct ow_effect *effect, enum ow_lease_verdict verdict, struct ow_event **refusal)
+static bool guard_direct(struct ow_effect *effect, enum ow_lease_state lease, struct ow_event **reply)
 {
-    if (verdict == OW_LEASE_KEEP_ALIVE)
+    if (lease == OW_LEASE_EXPIRED)
         return remove_launches(effect->commands);
-    *refusal = ow_event_new(OW_EVENT_DIRECT_REPLY, effect->request);
-    (*refusal)->status = OW_STATUS_UNSENT;
+    *reply = ow_event_new(OW_EVENT_DIRECT_REPLY, effect->request);
+    (*reply)->status = OW_STATUS_UNSENT;
+    return true;
+}
+
+static bool guard_cloud(const struct ow_effect *effect, struct ow_event **reply)
+{
+    if (effect->cloud->op == OW_CLOUD_TYPES || effect->cloud->op == OW_CLOUD_LIST)
+        return false;
+    /* The core takes a 503 for a request that was not carried out, and repeats it. */
+    *reply = ow_event_new(OW_EVENT_CLOUD, effect->cloud->tag);
+    (*reply)->cloud.status = OW_HTTP_STATUS_UNAVAILABLE;
     return true;
 }
 
-bool ow_effect_guard(struct ow_effect *effect, enum ow_lease_verdict verdict, struct ow_event **refusal)
+bool ow_effect_guard_apply(struct ow_effect *effect, enum ow_lease_state lease, struct ow_event **reply)
 {
-    *refusal = NULL;
+    *reply = NULL;
     switch (effect->kind) {
     case OW_EFFECT_WORKER_COMMANDS:
-        if (verdict == OW_LEASE_KEEP_ALIVE)
-            return remove_launches(effect->commands);
-        /* The worker turns to another controller, as it does when one is not entitled to act. */
-        ow_effect_refuse_temporarily(effect, "this controller does not know whether it still leads");
-        return true;
+        return guard_heartbeat_answer(effect, lease);
     case OW_EFFECT_DIRECT_COMMANDS:
-        return guard_direct(effect, verdict, refusal);
+        return guard_direct(effect, lease, reply);
     case OW_EFFECT_CLOUD:
-        return guard_cloud(effect, refusal);
+        return guard_cloud(effect, reply);
     default:
-        /* Writes are conditioned on the leader's key, and answers to users on reads of the key-value store.
-         */
         return false;
     }
 }
--- a/src/sharding/effect_guard.h
+++ b/src/sharding/effect_guard.h
@@ -1,4 +1,8 @@
-/* Takes out of an effect what the lease does not cover. */
+/**
+ * @file
+ * Takes out of an effect what the lease of its leader does not cover. Writes and answers to users pass:
+ * writes are compared with the leader key by the store, and answers rest on reads of the store.
+ */
 #ifndef OW_SHARDING_EFFECT_GUARD_H
 #define OW_SHARDING_EFFECT_GUARD_H
 
@@ -8,8 +12,13 @@
 
 #include <stdbool.h>
 
-/* Whether something was taken out. *refusal becomes the answer that the core gets instead of the effect,
-   where the effect must not leave at all; it belongs to the caller. */
-bool ow_effect_guard(struct ow_effect *effect, enum ow_lease_verdict verdict, struct ow_event **refusal);
+/**
+ * Takes out of the effect what may not leave in this state of the lease, which is not OW_LEASE_HELD.
+ *
+ * @param reply set to the event that the core gets in place of the effect, where the effect must not leave at
+ *              all; the caller owns it. NULL: what is left of the effect may leave.
+ * @return whether something was taken out.
+ */
+bool ow_effect_guard_apply(struct ow_effect *effect, enum ow_lease_state lease, struct ow_event **reply);
 
 #endif
--- a/src/sharding/lease_guard.c
+++ b/src/sharding/lease_guard.c
@@ -8,38 +8,38 @@
 
 void ow_lease_guard_init(struct ow_lease_guard *guard, double lease_s)
 {
-    *guard = (struct ow_lease_guard){.lease_s = lease_s, .answered_at = -1};
+    *guard = (struct ow_lease_guard){.lease_s = lease_s, .answered_sent_at = -1};
 }
 
-void ow_lease_guard_requested(struct ow_lease_guard *guard, uint64_t tag, double now)
+void ow_lease_guard_note_request(struct ow_lease_guard *guard, uint64_t tag, double now)
 {
-    guard->renewal = tag;
-    guard->renewal_at = now;
+    guard->renewal_tag = tag;
+    guard->renewal_sent_at = now;
 }
 
-void ow_lease_guard_answered(struct ow_lease_guard *guard, uint64_t tag, int status)
+void ow_lease_guard_note_reply(struct ow_lease_guard *guard, uint64_t tag, int status)
 {
-    /* An answer may have lain in a socket during a pause: it counts from when its request was sent. */
-    if (tag != guard->renewal || status == OW_HTTP_STATUS_NONE)
+    if (tag != guard->renewal_tag || status == OW_HTTP_STATUS_NONE)
         return;
-    guard->renewal = 0;
-    guard->answered_at = guard->renewal_at;
-    /* The lease counts from when it was asked for, not from when the answer came. */
+    guard->renewal_tag = 0;
+    /* A reply may have lain in a socket during a pause: it counts from when its request was sent. */
+    guard->answered_sent_at = guard->renewal_sent_at;
+    /* The store may have begun the lease as soon as the request was sent. */
     if (status == OW_HTTP_STATUS_OK)
-        guard->held_until = guard->renewal_at + ow_clock_drift_shortest_s(guard->lease_s) - MARGIN_S;
+        guard->held_until = guard->renewal_sent_at + ow_clock_drift_shortest_s(guard->lease_s) - MARGIN_S;
 }
 
-void ow_lease_guard_resumed(struct ow_lease_guard *guard, double now)
+void ow_lease_guard_note_pause(struct ow_lease_guard *guard, double resumed_at)
 {
-    guard->resumed_at = now;
+    guard->resumed_at = resumed_at;
 }
 
-enum ow_lease_verdict ow_lease_guard_check(const struct ow_lease_guard *guard, double now)
+enum ow_lease_state ow_lease_guard_state(const struct ow_lease_guard *guard, double now)
 {
 #ifndef OW_FAULT_NO_LEASE_CHECK /* planted by tests/loopback, to see that its checker notices */
     if (now < guard->held_until)
         return OW_LEASE_HELD;
-    return guard->answered_at >= guard->resumed_at ? OW_LEASE_KEEP_ALIVE : OW_LEASE_UNPROVEN;
+    return guard->answered_sent_at >= guard->resumed_at ? OW_LEASE_EXPIRED : OW_LEASE_UNPROVEN;
 #else
     (void)guard;
     (void)now;
--- a/src/sharding/map_agreement.c
+++ b/src/sharding/map_agreement.c
@@ -7,51 +7,69 @@
 #include "wire/records_json.h"
 #include "wire/sharding_json.h"
 
-#include <string.h>
-
 /* The key of the map. */
 #define MAP_KEY "shards"
-/* Who holds the leader's key of a fleet that is divided: a controller without shards then never takes it. */
+/* Who holds the leader key of a fleet that is divided: a controller without shards then never takes it. */
 #define DIVIDED_NAME "(divided into shards)"
 
-/* How often the stored map is compared again, and after a failed request. */
-static const double COMPARE_S = 10, RETRY_S = 0.5;
+/* How often the stored map is compared again. */
+static const double COMPARE_INTERVAL_S = 10;
+/* How long a failed request waits for the next one. */
+static const double RETRY_INTERVAL_S = 0.5;
+
+enum agreement_state {
+    AGREEMENT_READING,  /* the stored map is not known yet */
+    AGREEMENT_CREATING, /* there is none: ours is being stored */
+    AGREEMENT_REACHED,
+    AGREEMENT_DIFFERS,
+};
+
+struct ow_map_agreement {
+    enum agreement_state state;
+    GHashTable *values; /* ours: name -> value, owned */
+    bool has_only_default_shard;
+    bool is_request_pending;
+    double next_request_at;
+    uint64_t mod_revision; /* of the stored map */
+    char *difference;      /* owned, or NULL */
+};
+
+/* ---- life ---- */
 
-void ow_map_agreement_init(struct ow_map_agreement *agreement, GHashTable *values, bool only_default)
+struct ow_map_agreement *ow_map_agreement_new(GHashTable *values, bool has_only_default_shard)
 {
-    *agreement = (struct ow_map_agreement){.values = values, .only_default = only_default};
+    struct ow_map_agreement *agreement = g_new0(struct ow_map_agreement, 1);
+    agreement->values = values;
+    agreement->has_only_default_shard = has_only_default_shard;
+    return agreement;
 }
 
-void ow_map_agreement_clear(struct ow_map_agreement *agreement)
+void ow_map_agreement_free(struct ow_map_agreement *agreement)
 {
     g_hash_table_destroy(agreement->values);
     g_free(agreement->difference);
+    g_free(agreement);
 }
 
-bool ow_map_agreement_holds(const struct ow_map_agreement *agreement)
+bool ow_map_agreement_is_reached(const struct ow_map_agreement *agreement)
 {
-    return agreement->state == OW_AGREEMENT_AGREED;
+    return agreement->state == AGREEMENT_REACHED;
 }
 
-/* Takes over `difference`; NULL: the settings agree. */
-static void conclude(struct ow_map_agreement *agreement, char *difference)
+const char *ow_map_agreement_difference(const struct ow_map_agreement *agreement)
 {
-    if (g_strcmp0(difference, agreement->difference) != 0)
-        g_warning("this controller leads no shard, for its settings differ: %s", difference);
-    if (difference == NULL && agreement->state != OW_AGREEMENT_AGREED)
-        g_info("the settings agree with the stored shard map of version %" G_GUINT64_FORMAT,
-               agreement->version);
-    g_free(agreement->difference);
-    agreement->difference = difference;
-    agreement->state = difference == NULL ? OW_AGREEMENT_AGREED : OW_AGREEMENT_DIFFERS;
+    return agreement->difference;
 }
 
-static struct ow_store_request *creation(const struct ow_map_agreement *agreement)
+/* ---- requests ---- */
+
+/* Stores our map, if there is none. */
+static struct ow_store_request *new_creation(const struct ow_map_agreement *agreement)
 {
     struct ow_store_request *request = ow_store_request_new(OW_STORE_TXN, NULL);
     ow_store_compare(request, MAP_KEY, 0);
-    ow_store_put(request, MAP_KEY, wire_shard_map(agreement->values), 0);
-    if (agreement->only_default)
+    ow_store_put(request, MAP_KEY, wire_shard_map_encode(agreement->values), 0);
+    if (agreement->has_only_default_shard)
         return request;
     /* Records without shards would be lost from sight, and their machines would get two owners. */
     ow_store_compare(request, OW_KEY_TYPES, 0);
@@ -63,58 +81,82 @@
 
 void ow_map_agreement_tick(struct ow_map_agreement *agreement, double now, uint64_t tag, GPtrArray *out)
 {
-    if (agreement->busy || now < agreement->next_at)
+    if (agreement->is_request_pending || now < agreement->next_request_at)
         return;
     struct ow_effect *effect = ow_effect_new(OW_EFFECT_STORE, tag);
-    effect->store = agreement->state == OW_AGREEMENT_CREATING ? creation(agreement)
-                                                              : ow_store_request_new(OW_STORE_GET, MAP_KEY);
+    effect->store = agreement->state == AGREEMENT_CREATING ? new_creation(agreement)
+                                                           : ow_store_request_new(OW_STORE_GET, MAP_KEY);
     effect->store->tag = tag;
-    agreement->busy = true;
+    agreement->is_request_pending = true;
     g_ptr_array_add(out, effect);
 }
 
-static void compare(struct ow_map_agreement *agreement, const struct ow_store_reply *reply)
+/* ---- replies ---- */
+
+/* Takes over `difference`; NULL: the settings agree. */
+static void conclude(struct ow_map_agreement *agreement, char *difference)
 {
-    const struct ow_store_item *item = &g_array_index(reply->items, struct ow_store_item, 0);
-    GHashTable *stored = wire_shard_map_parse(item->value);
-    agreement->version = item->mod_revision;
-    if (stored == NULL) {
-        conclude(agreement, g_strdup("the stored shard map can't be read"));
-        return;
+    if (g_strcmp0(difference, agreement->difference) != 0)
+        g_warning("settings differ from the stored shard map, no shard is led anew: reason=\"%s\"",
+                  difference);
+    if (difference == NULL && agreement->state != AGREEMENT_REACHED)
+        g_info("settings agree with the stored shard map: revision=%" G_GUINT64_FORMAT,
+               agreement->mod_revision);
+    g_free(agreement->difference);
+    agreement->difference = difference;
+    agreement->state = difference == NULL ? AGREEMENT_REACHED : AGREEMENT_DIFFERS;
+}
+
+static void compare(struct ow_map_agreement *agreement, const struct ow_store_item *item)
+{
+    g_autoptr(GHashTable) stored = wire_shard_map_from_json(item->value);
+    agreement->mod_revision = item->mod_revision;
+    conclude(agreement, stored != NULL ? ow_shard_map_difference(agreement->values, stored)
+                                       : g_strdup("the stored shard map can't be read"));
+}
+
+static void receive_map(struct ow_map_agreement *agreement, const struct ow_store_reply *reply, double now)
+{
+    if (reply->status == OW_HTTP_STATUS_OK && reply->items != NULL && reply->items->len == 1) {
+        compare(agreement, &g_array_index(reply->items, struct ow_store_item, 0));
+        agreement->next_request_at = now + COMPARE_INTERVAL_S;
+    } else if (reply->status == OW_HTTP_STATUS_NOT_FOUND) {
+        agreement->state = AGREEMENT_CREATING;
+        agreement->next_request_at = now;
     }
-    conclude(agreement, ow_shard_map_difference(agreement->values, stored));
-    g_hash_table_destroy(stored);
 }
 
 /* Our map was not stored: another controller's was, or the fleet has been in use without shards. */
 static void explain_conflict(struct ow_map_agreement *agreement, const struct ow_store_reply *reply)
 {
-    bool map_exists = ow_store_reply_failed_on(reply, MAP_KEY);
-    if (!map_exists)
+    if (ow_store_reply_failed_on(reply, MAP_KEY))
+        agreement->state = AGREEMENT_READING;
+    else
         conclude(agreement,
                  g_strdup("the fleet is in use without shards, and can't be divided while its records "
                           "are there"));
-    else
-        agreement->state = OW_AGREEMENT_READING;
 }
 
-void ow_map_agreement_answered(struct ow_map_agreement *agreement, const struct ow_store_reply *reply,
-                               double now)
+static void receive_creation(struct ow_map_agreement *agreement, const struct ow_store_reply *reply,
+                             double now)
 {
-    bool created = agreement->state == OW_AGREEMENT_CREATING;
-    agreement->busy = false;
-    agreement->next_at = now + RETRY_S;
-    if (created && reply->status == OW_HTTP_STATUS_CONFLICT) {
+    if (reply->status == OW_HTTP_STATUS_CONFLICT) {
         explain_conflict(agreement, reply);
-    } else if (created) {
-        /* Also without a response: it is read whether it was stored. */
-        agreement->state = OW_AGREEMENT_READING;
-        agreement->next_at = reply->status == OW_HTTP_STATUS_OK ? now : now + RETRY_S;
-    } else if (reply->status == OW_HTTP_STATUS_OK && reply->items != NULL && reply->items->len == 1) {
-        compare(agreement, reply);
-        agreement->next_at = now + COMPARE_S;
-    } else if (reply->status == OW_HTTP_STATUS_NOT_FOUND) {
-        agreement->state = OW_AGREEMENT_CREATING;
-        agreement->next_at = now;
+        return;
     }
+    /* Also without a response: it is read whether the map was stored. */
+    agreement->state = AGREEMENT_READING;
+    if (reply->status == OW_HTTP_STATUS_OK)
+        agreement->next_request_at = now;
+}
+
+void ow_map_agreement_receive(struct ow_map_agreement *agreement, const struct ow_store_reply *reply,
+                              double now)
+{
+    agreement->is_request_pending = false;
+    agreement->next_request_at = now + RETRY_INTERVAL_S;
+    if (agreement->state == AGREEMENT_CREATING)
+        receive_creation(agreement, reply, now);
+    else
+        receive_map(agreement, reply, now);
 }
--- a/src/sharding/map_agreement.h
+++ b/src/sharding/map_agreement.h
@@ -1,40 +1,44 @@
-/* The shard map in the key-value store: the first controller stores the values that its settings say, and
- * every controller leads only while its own are the same. A map is never changed: a machine or job that moved
- * between shards with a lease still running could be started twice. No I/O: requests are added to an array.
+/**
+ * @file
+ * The shard map in the key-value store: the first controller stores the values that its settings say, and
+ * every controller takes leader keys only while its own are the same.
+ *
+ * Invariant: a stored map is never changed. A machine or job that moved between shards with a lease still
+ * running could be started twice. No I/O: requests are added to an array.
  */
 #ifndef OW_SHARDING_MAP_AGREEMENT_H
 #define OW_SHARDING_MAP_AGREEMENT_H
 
+#include "model/store.h"
+
 #include <glib.h>
 #include <stdbool.h>
 #include <stdint.h>
 
-enum ow_agreement_state {
-    OW_AGREEMENT_READING,  /* the stored map is not known yet */
-    OW_AGREEMENT_CREATING, /* there is none: ours is being stored */
-    OW_AGREEMENT_AGREED,
-    OW_AGREEMENT_DIFFERS, /* this controller leads nothing anew; what it leads it goes on leading */
-};
-
-struct ow_store_reply;
+/** The comparison of our shard map with the stored one. */
+typedef struct ow_map_agreement ow_map_agreement;
 
-struct ow_map_agreement {
-    enum ow_agreement_state state;
-    GHashTable *values; /* ours: name -> value, owned */
-    bool only_default;  /* the map has the default shard alone: it may be laid over a fleet without one */
-    bool busy;
-    double next_at;
-    uint64_t version; /* of the stored map */
-    char *difference; /* what differs, or NULL */
-};
+/**
+ * An agreement that has not been compared yet.
+ *
+ * @param values ours, name -> value (shard_map.h); taken over.
+ * @param has_only_default_shard the map may then be laid over a fleet that has been in use without one.
+ */
+struct ow_map_agreement *ow_map_agreement_new(GHashTable *values, bool has_only_default_shard);
+/** NULL is not allowed. */
+void ow_map_agreement_free(struct ow_map_agreement *agreement);
+G_DEFINE_AUTOPTR_CLEANUP_FUNC(ow_map_agreement, ow_map_agreement_free)
 
-/* Takes over `values` (shard_map.h). */
-void ow_map_agreement_init(struct ow_map_agreement *agreement, GHashTable *values, bool only_default);
-void ow_map_agreement_clear(struct ow_map_agreement *agreement);
-/* Appends the request that is due, as an effect whose answer is to be told under `tag`. */
+/** Appends the request that is due, if one is, to `out` as a struct ow_effect; its reply is to be handed to
+ * ow_map_agreement_receive(). */
 void ow_map_agreement_tick(struct ow_map_agreement *agreement, double now, uint64_t tag, GPtrArray *out);
-void ow_map_agreement_answered(struct ow_map_agreement *agreement, const struct ow_store_reply *reply,
-                               double now);
-bool ow_map_agreement_holds(const struct ow_map_agreement *agreement);
+/** Takes the reply to the request under way. */
+void ow_map_agreement_receive(struct ow_map_agreement *agreement, const struct ow_store_reply *reply,
+                              double now);
+/** Whether our map is the stored one, so that this controller may take leader keys. What it leads already, it
+ * goes on leading. */
+bool ow_map_agreement_is_reached(const struct ow_map_agreement *agreement);
+/** What differs from the stored map, in words, owned by the agreement; NULL: nothing, as far as is known. */
+const char *ow_map_agreement_difference(const struct ow_map_agreement *agreement);
 
 #endif
--- a/src/sharding/request_router.h
+++ b/src/sharding/request_router.h
@@ -1,6 +1,12 @@
-/* Users' requests in a fleet of several shards: a job that a shard knows is asked of that one; about any
- * other all shards are asked, and their answers are combined. A new job goes to the shard with the least
- * waiting work among those that the routes allow and that can run it. */
+/**
+ * @file
+ * Users' requests in a fleet of several shards. A job that a shard knows is asked of that shard; about any
+ * other, all shards are asked and their answers are combined. A new job goes to the shard with the least
+ * waiting work among those that the routes allow and that can run it.
+ *
+ * Invariant: a user is told that a job does not exist, or that its submission is refused, only after every
+ * shard has said that it does not have the job.
+ */
 #ifndef OW_SHARDING_REQUEST_ROUTER_H
 #define OW_SHARDING_REQUEST_ROUTER_H
 
@@ -11,19 +17,27 @@
 #include <glib.h>
 #include <stdbool.h>
 
-struct ow_request_router;
+/** The requests under way. */
+typedef struct ow_request_router ow_request_router;
 
-/* `shards` (struct ow_shard) must outlive it. */
+/** `sharding` and `shards` (struct ow_shard) must outlive it. */
 struct ow_request_router *ow_request_router_new(const struct ow_sharding_settings *sharding,
                                                 const GPtrArray *shards);
+/** NULL is not allowed. */
 void ow_request_router_free(struct ow_request_router *router);
-/* Hands on a submission, poll, cancellation or question about teams, which is taken over. */
+G_DEFINE_AUTOPTR_CLEANUP_FUNC(ow_request_router, ow_request_router_free)
+
+/** Hands a submission, poll, cancellation or question about teams to the shards; the event is taken over. */
 void ow_request_router_push(struct ow_request_router *router, struct ow_event *event, double now);
-/* Whether an answer of the shard may go to the user as it is. If not it is kept, and the combined answer,
-   once it is there, is appended to `out`. The effect is taken over in that case only. */
+/**
+ * Looks at an effect of a shard that may be an answer to a user.
+ *
+ * @return whether it may go to the user as it is. If not it was taken over, and the combined answer, once it
+ * is there, is appended to `out`.
+ */
 bool ow_request_router_forward(struct ow_request_router *router, const struct ow_shard *shard,
                                struct ow_effect *effect, double now, GPtrArray *out);
-/* Forgets requests that were never answered. */
+/** Forgets requests that were never answered. */
 void ow_request_router_sweep(struct ow_request_router *router, double now);
 
 #endif
--- a/src/sharding/shard.c
+++ b/src/sharding/shard.c
@@ -2,38 +2,51 @@
 
 #include "model/cloud.h"
 #include "model/effect.h"
-#include "model/event.h"
 #include "sharding/effect_guard.h"
 #include "sharding/shard_keys.h"
 #include "sharding/shard_map.h"
-#include "sharding/shard_settings.h"
+#include "sharding/shard_platform.h"
+#include "sharding/shard_tag.h"
+
+/* ---- life ---- */
 
 struct ow_shard *ow_shard_new(const struct ow_sharding_settings *sharding, unsigned index,
                               const struct ow_settings *platform, const struct ow_tuning *tuning,
-                              uint64_t nonce, const GPtrArray *prefixes, double now)
+                              uint64_t nonce, const GPtrArray *key_prefixes)
 {
+    const struct ow_shard_settings *own = g_ptr_array_index(sharding->shards, index);
     struct ow_shard *shard = g_new0(struct ow_shard, 1);
     shard->index = index;
+    shard->name = own->name;
+    shard->key_prefix = ow_shard_keys_prefix_new(own->name);
+    shard->key_prefixes = key_prefixes;
     shard->sharding = sharding;
-    shard->prefixes = prefixes;
-    shard->name = ((const struct ow_shard_settings *)g_ptr_array_index(sharding->shards, index))->name;
-    shard->prefix = ow_shard_prefix(shard->name);
-    shard->settings = ow_shard_settings_new(sharding, index, platform);
+    shard->settings = ow_shard_platform_new(sharding, index, platform);
     shard->core = ow_core_new(shard->settings, tuning, nonce);
     ow_lease_guard_init(&shard->guard, tuning->leader_lease_s);
-    ow_handover_init(&shard->handover, now);
+    ow_failover_log_init(&shard->failovers);
     return shard;
 }
 
 void ow_shard_free(struct ow_shard *shard)
 {
     ow_core_free(shard->core);
-    ow_shard_settings_free(shard->settings);
-    ow_handover_clear(&shard->handover);
-    g_free(shard->prefix);
+    ow_shard_platform_free(shard->settings);
+    ow_failover_log_clear(&shard->failovers);
+    g_free(shard->key_prefix);
     g_free(shard);
 }
 
+bool ow_shard_is_led_here(const struct ow_shard *shard)
+{
+    return shard->status.fencing_token != 0;
+}
+
+void ow_shard_note_pause(struct ow_shard *shard, double resumed_at)
+{
+    ow_lease_guard_note_pause(&shard->guard, resumed_at);
+}
+
 /* ---- what comes in ---- */
 
 static bool is_own_machine(const struct ow_shard *shard, const char *zone, const char *type)
@@ -41,7 +54,7 @@
     return ow_shard_map_machine(shard->sharding, zone, type) == (int)shard->index;
 }
 
-/* Machines of other shards are none of this one's business. */
+/* Leaves in a list of instances those of this shard: the core would take others for its own. */
 static void keep_own_machines(const struct ow_shard *shard, GArray *listed)
 {
     for (guint i = listed->len; i > 0; i--) {
@@ -56,8 +69,8 @@
 {
     GPtrArray *zones = g_ptr_array_new();
     for (char **zone = shard->settings->zones; *zone != NULL; zone++) {
-        bool offered = type->zones == NULL || g_strv_contains((const char *const *)type->zones, *zone);
-        if (offered && is_own_machine(shard, *zone, type->name))
+        bool is_offered = type->zones == NULL || g_strv_contains((const char *const *)type->zones, *zone);
+        if (is_offered && is_own_machine(shard, *zone, type->name))
             g_ptr_array_add(zones, g_strdup(*zone));
     }
     g_ptr_array_add(zones, NULL);
@@ -79,8 +92,8 @@
 {
     switch (event->kind) {
     case OW_EVENT_STORE:
-        ow_lease_guard_answered(&shard->guard, event->request, event->store.status);
-        ow_shard_keys_strip(&event->store, shard->prefix);
+        ow_lease_guard_note_reply(&shard->guard, event->request, event->store.status);
+        ow_shard_keys_strip(&event->store, shard->key_prefix);
         break;
     case OW_EVENT_CLOUD:
         if (event->cloud.listed != NULL)
@@ -96,20 +109,14 @@
 
 /* ---- what goes out ---- */
 
-/* The tag under which the outside answers. */
-static uint64_t outer_tag(const struct ow_shard *shard, uint64_t tag)
-{
-    return tag | (uint64_t)shard->index << OW_SHARD_TAG_BITS;
-}
-
 static void translate_store(struct ow_shard *shard, struct ow_effect *effect, double now)
 {
     struct ow_store_request *request = effect->store;
     if (request->op == OW_STORE_GRANT_LEASE || request->op == OW_STORE_KEEP_ALIVE)
-        ow_lease_guard_requested(&shard->guard, request->tag, now);
-    ow_shard_keys_guard_new_job(request, shard->prefixes, shard->prefix);
-    ow_shard_keys_qualify(request, shard->prefix);
-    request->tag = outer_tag(shard, request->tag);
+        ow_lease_guard_note_request(&shard->guard, request->tag, now);
+    ow_shard_keys_guard_new_job(request, shard->key_prefixes, shard->key_prefix);
+    ow_shard_keys_qualify(request, shard->key_prefix);
+    request->tag = ow_shard_tag_make(shard->index, request->tag);
     effect->request = request->tag;
 }
 
@@ -120,14 +127,14 @@
         translate_store(shard, effect, now);
         break;
     case OW_EFFECT_CLOUD:
-        effect->cloud->tag = outer_tag(shard, effect->cloud->tag);
+        effect->cloud->tag = ow_shard_tag_make(shard->index, effect->cloud->tag);
         effect->request = effect->cloud->tag;
         break;
     case OW_EFFECT_DIRECT_COMMANDS:
-        effect->request = outer_tag(shard, effect->request);
+        effect->request = ow_shard_tag_make(shard->index, effect->request);
         break;
     case OW_EFFECT_PEER:
-        if (shard->prefix != NULL)
+        if (shard->key_prefix != NULL)
             effect->peer->shard = g_strdup(shard->name);
         break;
     default:
@@ -135,29 +142,33 @@
     }
 }
 
+/* Whether the effect may leave. If not, the core gets a reply in its place at its next step, and it is freed.
+ */
+static bool pass_guard(struct ow_shard *shard, struct ow_effect *effect, enum ow_lease_state lease)
+{
+    struct ow_event *reply = NULL;
+    if (lease != OW_LEASE_HELD && ow_effect_guard_apply(effect, lease, &reply))
+        shard->withheld++;
+    if (reply == NULL)
+        return true;
+    ow_core_push(shard->core, reply);
+    ow_effect_free(effect);
+    return false;
+}
+
 void ow_shard_step(struct ow_shard *shard, double now, double time_of_day, GPtrArray *out)
 {
     GPtrArray *effects = ow_core_step(shard->core, now, time_of_day);
-    enum ow_lease_verdict verdict = ow_lease_guard_check(&shard->guard, now);
+    enum ow_lease_state lease = ow_lease_guard_state(&shard->guard, now);
     for (guint i = 0; i < effects->len; i++) {
         struct ow_effect *effect = g_ptr_array_index(effects, i);
-        struct ow_event *refusal = NULL;
-        if (verdict != OW_LEASE_HELD && ow_effect_guard(effect, verdict, &refusal))
-            shard->withheld++;
-        if (refusal != NULL) {
-            ow_core_push(shard->core, refusal);
-            ow_effect_free(effect);
+        if (!pass_guard(shard, effect, lease))
             continue;
-        }
         translate(shard, effect, now);
         g_ptr_array_add(out, effect);
     }
+    /* The effects have other owners by now. */
     g_ptr_array_set_free_func(effects, NULL);
     g_ptr_array_free(effects, TRUE);
     ow_core_status(shard->core, &shard->status);
 }
-
-void ow_shard_resumed(struct ow_shard *shard, double now)
-{
-    ow_lease_guard_resumed(&shard->guard, now);
-}
--- a/src/sharding/shard.h
+++ b/src/sharding/shard.h
@@ -1,42 +1,57 @@
-/* One shard in this process: an instance of the core with a name space of its own, between which and the
- * outside this module translates. Every effect passes the shard's lease guard. */
+/**
+ * @file
+ * One shard in this process: an instance of the core with a name space of its own. This module translates
+ * between the core and the outside (keys, tags, machines), and every effect passes the shard's lease guard.
+ *
+ * Invariants: the core sees only machines of its shard; nothing leaves that the lease does not cover.
+ */
 #ifndef OW_SHARDING_SHARD_H
 #define OW_SHARDING_SHARD_H
 
 #include "core/core.h"
 #include "model/event.h"
-#include "sharding/handover.h"
+#include "sharding/failover_log.h"
 #include "sharding/lease_guard.h"
+#include "sharding/sharding_settings.h"
 
 #include <glib.h>
 #include <stdint.h>
 
-struct ow_shard {
-    unsigned index;
-    const char *name; /* the settings' */
-    char *prefix;     /* of its keys; NULL: the default shard */
-    const struct ow_sharding_settings *sharding;
-    const GPtrArray *prefixes; /* of all shards */
-    struct ow_settings *settings;
+/** A shard. The shard manager owns it and keeps the failover log; others only read. */
+typedef struct ow_shard {
+    unsigned index;   /**< among the shards of the settings */
+    const char *name; /**< borrowed from the settings */
+    char *key_prefix; /**< of its keys in the key-value store; NULL: the default shard, without one */
+    const GPtrArray *key_prefixes;               /**< of all shards, borrowed */
+    const struct ow_sharding_settings *sharding; /**< borrowed */
+    struct ow_settings *settings;                /**< the platform's, as this shard sees them */
     struct ow_core *core;
-    struct ow_core_status status; /* after the last run of the core */
+    struct ow_core_status status; /**< after the last step of the core */
     struct ow_lease_guard guard;
-    struct ow_handover handover;
-    unsigned withheld; /* effects that the lease guard has kept back */
-};
-
-/* Tags of requests to the outside carry the shard's index in their upper bits. */
-enum { OW_SHARD_TAG_BITS = 48 };
+    struct ow_failover_log failovers;
+    unsigned withheld; /**< effects that the lease guard has kept back, whole or in part */
+} ow_shard;
 
+/**
+ * The shard with this index. The settings, `tuning` and `key_prefixes` (those of all shards) must outlive it.
+ *
+ * @param nonce a number that no other process has.
+ */
 struct ow_shard *ow_shard_new(const struct ow_sharding_settings *sharding, unsigned index,
                               const struct ow_settings *platform, const struct ow_tuning *tuning,
-                              uint64_t nonce, const GPtrArray *prefixes, double now);
+                              uint64_t nonce, const GPtrArray *key_prefixes);
+/** NULL is not allowed. */
 void ow_shard_free(struct ow_shard *shard);
-/* Hands the core an event, which is taken over: an answer to one of its requests is translated first. */
+G_DEFINE_AUTOPTR_CLEANUP_FUNC(ow_shard, ow_shard_free)
+
+/** Hands the core an event, which is taken over: a reply to one of its requests is translated first. */
 void ow_shard_push(struct ow_shard *shard, struct ow_event *event);
-/* Runs the core and appends its effects, translated, to `out`. */
+/** Runs the core and appends its effects (struct ow_effect), guarded and translated, to `out`, which owns
+ * them. `now` is monotonic, both times are in seconds. */
 void ow_shard_step(struct ow_shard *shard, double now, double time_of_day, GPtrArray *out);
-/* The process goes on after a pause that may have outlived the shard's lease. */
-void ow_shard_resumed(struct ow_shard *shard, double now);
+/** Whether this controller leads the shard, as of the last step. */
+bool ow_shard_is_led_here(const struct ow_shard *shard);
+/** The process goes on after a pause that may have outlived the shard's lease. */
+void ow_shard_note_pause(struct ow_shard *shard, double resumed_at);
 
 #endif
--- a/src/sharding/shard_keys.c
+++ b/src/sharding/shard_keys.c
@@ -7,16 +7,27 @@
 /* Before the name of a shard. No key without a shard begins with it. */
 #define SHARDS_PREFIX "shard/"
 
-char *ow_shard_prefix(const char *shard)
+char *ow_shard_keys_prefix_new(const char *shard)
 {
     return strcmp(shard, OW_DEFAULT_SHARD) == 0 ? NULL : g_strconcat(SHARDS_PREFIX, shard, "/", NULL);
 }
 
+/* ---- requests ---- */
+
 static void qualify(char **key, const char *prefix)
 {
-    char *plain = *key;
+    g_autofree char *plain = *key;
     *key = g_strconcat(prefix, plain, NULL);
-    g_free(plain);
+}
+
+static void qualify_comparisons(GArray *comparisons, const char *prefix)
+{
+    for (guint i = 0; i < comparisons->len; i++) {
+        struct ow_store_comparison *comparison = &g_array_index(comparisons, struct ow_store_comparison, i);
+        /* Those that ow_shard_keys_guard_new_job() has added name their shard. */
+        if (!g_str_has_prefix(comparison->key, SHARDS_PREFIX))
+            qualify(&comparison->key, prefix);
+    }
 }
 
 void ow_shard_keys_qualify(struct ow_store_request *request, const char *prefix)
@@ -27,16 +38,14 @@
         qualify(&request->key, prefix);
     if (request->start_after_key != NULL)
         qualify(&request->start_after_key, prefix);
-    for (guint i = 0; request->comparisons != NULL && i < request->comparisons->len; i++) {
-        struct ow_store_comparison *comparison =
-            &g_array_index(request->comparisons, struct ow_store_comparison, i);
-        if (!g_str_has_prefix(comparison->key, SHARDS_PREFIX))
-            qualify(&comparison->key, prefix);
-    }
+    if (request->comparisons != NULL)
+        qualify_comparisons(request->comparisons, prefix);
     for (guint i = 0; request->mutations != NULL && i < request->mutations->len; i++)
         qualify(&g_array_index(request->mutations, struct ow_store_mutation, i).key, prefix);
 }
 
+/* ---- replies ---- */
+
 static void strip(char *key, const char *prefix)
 {
     size_t size = strlen(prefix);
@@ -54,8 +63,10 @@
         strip(*failed, prefix);
 }
 
+/* ---- new jobs ---- */
+
 /* The key of the job that the request accepts, or NULL. */
-static const char *accepted_job(const struct ow_store_request *request)
+static const char *accepted_job_key(const struct ow_store_request *request)
 {
     if (request->op != OW_STORE_TXN || request->comparisons->len != 1)
         return NULL;
@@ -68,15 +79,15 @@
 void ow_shard_keys_guard_new_job(struct ow_store_request *request, const GPtrArray *prefixes,
                                  const char *own_prefix)
 {
-    const char *job = accepted_job(request);
-    char *copy = g_strdup(job);
-    for (guint i = 0; job != NULL && i < prefixes->len; i++) {
+    /* A copy, as the list that holds the key grows below. */
+    g_autofree char *job_key = g_strdup(accepted_job_key(request));
+    if (job_key == NULL)
+        return;
+    for (guint i = 0; i < prefixes->len; i++) {
         const char *prefix = g_ptr_array_index(prefixes, i);
         if (prefix == NULL || g_strcmp0(prefix, own_prefix) == 0)
             continue;
-        char *key = g_strconcat(prefix, copy, NULL);
+        g_autofree char *key = g_strconcat(prefix, job_key, NULL);
         ow_store_compare(request, key, 0);
-        g_free(key);
     }
-    g_free(copy);
 }
--- a/src/sharding/shard_manager.c
+++ b/src/sharding/shard_manager.c
@@ -1,17 +1,36 @@
 #include "sharding/shard_manager.h"
 
 #include "model/effect.h"
-#include "model/event.h"
 #include "model/peer.h"
 #include "sharding/candidacy.h"
+#include "sharding/map_agreement.h"
+#include "sharding/membership.h"
+#include "sharding/request_router.h"
+#include "sharding/shard_dispatch.h"
 #include "sharding/shard_keys.h"
-#include "sharding/shard_manager_state.h"
 #include "sharding/shard_map.h"
-
-#include <string.h>
+#include "sharding/shard_tag.h"
 
 /* A shorter pause of the process is an ordinary delay. */
-static const double PAUSE_LEAST_S = 0.5;
+static const double PAUSE_MIN_S = 0.5;
+
+struct ow_shard_manager {
+    const struct ow_settings *settings;
+    struct ow_core *core; /* the only one; NULL: the fleet is divided, and all that follows is there */
+    const struct ow_sharding_settings *sharding;
+    GPtrArray *key_prefixes; /* char *, of the shards */
+    GPtrArray *shards;       /* struct ow_shard, owned */
+    struct ow_membership *membership;
+    struct ow_map_agreement *agreement;
+    struct ow_request_router *router;
+    GQueue events; /* struct ow_event, owned */
+    double now;
+};
+
+static struct ow_shard *shard_at(const struct ow_shard_manager *manager, guint index)
+{
+    return g_ptr_array_index(manager->shards, index);
+}
 
 /* ---- life ---- */
 
@@ -20,40 +39,46 @@
     ow_shard_free(item);
 }
 
-static void make_shards(struct ow_shard_manager *manager, const struct ow_tuning *tuning, uint64_t nonce)
+static void add_shards(struct ow_shard_manager *manager, const struct ow_tuning *tuning, uint64_t nonce)
 {
-    const struct ow_sharding_settings *settings = manager->sharding_settings;
-    manager->prefixes = g_ptr_array_new_with_free_func(g_free);
+    const GPtrArray *settings = manager->sharding->shards;
+    manager->key_prefixes = g_ptr_array_new_with_free_func(g_free);
     manager->shards = g_ptr_array_new_with_free_func(free_shard);
-    for (guint i = 0; i < settings->shards->len; i++) {
-        const struct ow_shard_settings *shard = g_ptr_array_index(settings->shards, i);
-        g_ptr_array_add(manager->prefixes, ow_shard_prefix(shard->name));
+    for (guint i = 0; i < settings->len; i++) {
+        const struct ow_shard_settings *shard = g_ptr_array_index(settings, i);
+        g_ptr_array_add(manager->key_prefixes, ow_shard_keys_prefix_new(shard->name));
     }
-    for (guint i = 0; i < settings->shards->len; i++)
-        g_ptr_array_add(manager->shards,
-                        ow_shard_new(settings, i, manager->settings, tuning, nonce, manager->prefixes, 0));
+    for (guint i = 0; i < settings->len; i++)
+        g_ptr_array_add(manager->shards, ow_shard_new(manager->sharding, i, manager->settings, tuning, nonce,
+                                                      manager->key_prefixes));
+}
+
+/* What a divided fleet needs. */
+static void divide(struct ow_shard_manager *manager, const struct ow_tuning *tuning, uint64_t nonce)
+{
+    const struct ow_settings *settings = manager->settings;
+    add_shards(manager, tuning, nonce);
+    GHashTable *values = ow_shard_map_values(manager->sharding, settings, tuning);
+    manager->membership = ow_membership_new(manager->sharding, settings->controller_name, settings->peers,
+                                            nonce, ow_shard_map_digest(values));
+    bool has_only_default_shard = g_ptr_array_index(manager->key_prefixes, 0) == NULL;
+    manager->agreement = ow_map_agreement_new(values, has_only_default_shard);
+    manager->router = ow_request_router_new(manager->sharding, manager->shards);
 }
 
 struct ow_shard_manager *ow_shard_manager_new(const struct ow_settings *settings,
                                               const struct ow_tuning *tuning,
-                                              const struct ow_sharding_settings *sharding_settings,
-                                              uint64_t nonce)
+                                              const struct ow_sharding_settings *sharding, uint64_t nonce)
 {
     struct ow_shard_manager *manager = g_new0(struct ow_shard_manager, 1);
     manager->settings = settings;
     g_queue_init(&manager->events);
-    if (sharding_settings == NULL || !sharding_settings->enabled) {
+    if (sharding != NULL && sharding->enabled) {
+        manager->sharding = sharding;
+        divide(manager, tuning, nonce);
+    } else {
         manager->core = ow_core_new(settings, tuning, nonce);
-        return manager;
     }
-    manager->sharding_settings = sharding_settings;
-    make_shards(manager, tuning, nonce);
-    GHashTable *values = ow_shard_map_values(sharding_settings, settings, tuning);
-    manager->membership = ow_membership_new(sharding_settings, settings->controller_name, settings->peers,
-                                            nonce, ow_shard_map_digest(values));
-    bool only_default = g_ptr_array_index(manager->prefixes, 0) == NULL;
-    ow_map_agreement_init(&manager->agreement, values, only_default);
-    manager->router = ow_request_router_new(sharding_settings, manager->shards);
     return manager;
 }
 
@@ -64,15 +89,15 @@
         ow_core_free(manager->core);
     } else {
         ow_request_router_free(manager->router);
-        ow_map_agreement_clear(&manager->agreement);
+        ow_map_agreement_free(manager->agreement);
         ow_membership_free(manager->membership);
         g_ptr_array_free(manager->shards, TRUE);
-        g_ptr_array_free(manager->prefixes, TRUE);
+        g_ptr_array_free(manager->key_prefixes, TRUE);
     }
     g_free(manager);
 }
 
-/* ---- events ---- */
+/* ---- steps ---- */
 
 void ow_shard_manager_push(struct ow_shard_manager *manager, struct ow_event *event)
 {
@@ -82,51 +107,67 @@
         g_queue_push_tail(&manager->events, event);
 }
 
-/* ---- runs ---- */
+static void dispatch_events(struct ow_shard_manager *manager, GPtrArray *out)
+{
+    const struct ow_dispatch_targets targets = {
+        .sharding = manager->sharding,
+        .shards = manager->shards,
+        .membership = manager->membership,
+        .agreement = manager->agreement,
+        .router = manager->router,
+    };
+    struct ow_event *event = NULL;
+    while ((event = g_queue_pop_head(&manager->events)) != NULL)
+        ow_shard_dispatch_event(&targets, event, manager->now, out);
+}
 
-static unsigned led_count(const struct ow_shard_manager *manager)
+static unsigned count_led_shards(const struct ow_shard_manager *manager)
 {
     unsigned count = 0;
     for (guint i = 0; i < manager->shards->len; i++)
-        count += ow_managed_shard(manager, i)->status.fencing_token != 0 ? 1 : 0;
+        if (ow_shard_is_led_here(shard_at(manager, i)))
+            count++;
     return count;
 }
 
-static GArray *led_shards(const struct ow_shard_manager *manager)
+/* What heartbeats say of the shards that this controller leads: struct ow_peer_shard. */
+static GArray *describe_led_shards(const struct ow_shard_manager *manager)
 {
-    GArray *led = ow_peer_shards_new();
+    GArray *led_shards = ow_peer_shards_new();
     for (guint i = 0; i < manager->shards->len; i++) {
-        const struct ow_shard *shard = ow_managed_shard(manager, i);
-        bool serving = ow_handover_last(&shard->handover)->phase == OW_HANDOVER_SERVING;
-        struct ow_peer_shard view = {(char *)shard->name, shard->status.fencing_token, serving,
-                                     shard->status.machines};
-        if (shard->status.fencing_token != 0)
-            ow_peer_shards_add(led, &view);
+        const struct ow_shard *shard = shard_at(manager, i);
+        const struct ow_peer_shard description = {
+            .name = (char *)shard->name,
+            .fencing_token = shard->status.fencing_token,
+            .serving = ow_failover_log_last(&shard->failovers)->phase == OW_FAILOVER_SERVING,
+            .machines = shard->status.machines,
+        };
+        if (ow_shard_is_led_here(shard))
+            ow_peer_shards_add(led_shards, &description);
     }
-    return led;
+    return led_shards;
 }
 
 static void tick_membership(struct ow_shard_manager *manager, GPtrArray *out)
 {
-    GArray *led = led_shards(manager);
+    g_autoptr(GArray) led_shards = describe_led_shards(manager);
     GPtrArray *messages = g_ptr_array_new();
-    ow_membership_tick(manager->membership, manager->now, led, messages);
-    ow_shard_manager_send_messages(messages, out);
-    g_array_free(led, TRUE);
+    ow_membership_tick(manager->membership, manager->now, led_shards, messages);
+    ow_shard_dispatch_messages(messages, out);
 }
 
 static void set_candidacy(const struct ow_shard_manager *manager, const struct ow_shard *shard)
 {
     const char *self = manager->settings->controller_name;
-    unsigned rank = ow_candidacy_rank(manager->membership, self, led_count(manager), shard->name);
-    ow_core_set_candidacy(shard->core, ow_map_agreement_holds(&manager->agreement),
-                          rank * manager->sharding_settings->candidacy_step_s);
+    unsigned rank = ow_candidacy_rank(manager->membership, self, count_led_shards(manager), shard->name);
+    ow_core_set_candidacy(shard->core, ow_map_agreement_is_reached(manager->agreement),
+                          rank * manager->sharding->candidacy_step_s);
 }
 
 static void step_shard(struct ow_shard_manager *manager, struct ow_shard *shard, double time_of_day,
                        GPtrArray *out)
 {
-    GPtrArray *effects = g_ptr_array_new();
+    g_autoptr(GPtrArray) effects = g_ptr_array_new();
     set_candidacy(manager, shard);
     ow_shard_step(shard, manager->now, time_of_day, effects);
     for (guint i = 0; i < effects->len; i++) {
@@ -134,24 +175,23 @@
         if (ow_request_router_forward(manager->router, shard, effect, manager->now, out))
             g_ptr_array_add(out, effect);
     }
-    g_ptr_array_free(effects, TRUE);
 }
 
-static void update_handover(const struct ow_shard_manager *manager, struct ow_shard *shard)
+static void update_failover_log(const struct ow_shard_manager *manager, struct ow_shard *shard)
 {
     const struct ow_core_status *status = &shard->status;
-    struct ow_handover_view view = {
+    const struct ow_failover_observation observation = {
         .self = manager->settings->controller_name,
         .leader_name = status->leader_name,
         .leader = ow_membership_find(manager->membership, status->leader_name),
         .fencing_token = status->fencing_token,
-        .key_missing = status->key_missing,
-        .records_read = status->records_read,
-        .settled = status->settled,
+        .is_key_missing = status->key_missing,
+        .are_records_read = status->records_read,
+        .is_settled = status->settled,
         .machines = status->machines,
         .fenced = status->fenced,
     };
-    ow_handover_update(&shard->handover, shard->name, &view, manager->now);
+    ow_failover_log_update(&shard->failovers, shard->name, &observation, manager->now);
 }
 
 GPtrArray *ow_shard_manager_step(struct ow_shard_manager *manager, double now, double time_of_day)
@@ -160,14 +200,12 @@
         return ow_core_step(manager->core, now, time_of_day);
     GPtrArray *out = g_ptr_array_new_with_free_func(ow_effect_free);
     manager->now = now;
-    struct ow_event *event;
-    while ((event = g_queue_pop_head(&manager->events)) != NULL)
-        ow_shard_manager_dispatch(manager, event, out);
+    dispatch_events(manager, out);
     tick_membership(manager, out);
-    ow_map_agreement_tick(&manager->agreement, now, OW_OWN_INDEX << OW_SHARD_TAG_BITS, out);
+    ow_map_agreement_tick(manager->agreement, now, ow_shard_tag_make(OW_SHARD_TAG_MANAGER, 0), out);
     for (guint i = 0; i < manager->shards->len; i++) {
-        step_shard(manager, ow_managed_shard(manager, i), time_of_day, out);
-        update_handover(manager, ow_managed_shard(manager, i));
+        step_shard(manager, shard_at(manager, i), time_of_day, out);
+        update_failover_log(manager, shard_at(manager, i));
     }
     ow_request_router_sweep(manager->router, now);
     return out;
@@ -175,7 +213,8 @@
 
 double ow_shard_manager_idle_seconds(const struct ow_shard_manager *manager)
 {
-    return ow_core_idle_seconds(manager->core != NULL ? manager->core : ow_managed_shard(manager, 0)->core);
+    /* Every shard's core has the same settings of this kind. */
+    return ow_core_idle_seconds(manager->core != NULL ? manager->core : shard_at(manager, 0)->core);
 }
 
 bool ow_shard_manager_is_ready(const struct ow_shard_manager *manager)
@@ -183,33 +222,35 @@
     if (manager->core != NULL)
         return ow_core_is_ready(manager->core);
     for (guint i = 0; i < manager->shards->len; i++)
-        if (!ow_core_is_ready(ow_managed_shard(manager, i)->core))
+        if (!ow_core_is_ready(shard_at(manager, i)->core))
             return false;
     return true;
 }
 
 uint64_t ow_shard_manager_fencing_token(const struct ow_shard_manager *manager)
 {
-    uint64_t highest = manager->core != NULL ? ow_core_fencing_token(manager->core) : 0;
-    for (guint i = 0; manager->core == NULL && i < manager->shards->len; i++)
-        highest = MAX(highest, ow_managed_shard(manager, i)->status.fencing_token);
+    if (manager->core != NULL)
+        return ow_core_fencing_token(manager->core);
+    uint64_t highest = 0;
+    for (guint i = 0; i < manager->shards->len; i++)
+        highest = MAX(highest, shard_at(manager, i)->status.fencing_token);
     return highest;
 }
 
 bool ow_shard_manager_resume(struct ow_shard_manager *manager, double paused_s, double now)
 {
-    if (manager->core != NULL || paused_s < PAUSE_LEAST_S)
+    if (manager->core != NULL || paused_s < PAUSE_MIN_S)
         return false;
-    bool doubtful = false;
+    bool is_lease_in_doubt = false;
     for (guint i = 0; i < manager->shards->len; i++) {
-        struct ow_shard *shard = ow_managed_shard(manager, i);
-        ow_shard_resumed(shard, now);
-        bool leads = shard->status.fencing_token != 0;
-        doubtful |= leads && ow_lease_guard_check(&shard->guard, now) != OW_LEASE_HELD;
+        struct ow_shard *shard = shard_at(manager, i);
+        ow_shard_note_pause(shard, now);
+        if (ow_shard_is_led_here(shard) && ow_lease_guard_state(&shard->guard, now) != OW_LEASE_HELD)
+            is_lease_in_doubt = true;
     }
-    if (doubtful)
-        g_info("the process stood still for %.2f s: nothing leaves before its leases are proven", paused_s);
-    return doubtful;
+    if (is_lease_in_doubt)
+        g_info("process paused, nothing leaves before its leases are proven: pause_s=%.2f", paused_s);
+    return is_lease_in_doubt;
 }
 
 /* ---- what operators ask ---- */
@@ -236,10 +277,10 @@
 
 const char *ow_shard_manager_difference(const struct ow_shard_manager *manager)
 {
-    return manager->agreement.difference;
+    return ow_map_agreement_difference(manager->agreement);
 }
 
-unsigned ow_shard_manager_dropped(const struct ow_shard_manager *manager)
+unsigned ow_shard_manager_dropped_count(const struct ow_shard_manager *manager)
 {
     return ow_membership_dropped_count(manager->membership);
 }
@@ -247,6 +288,7 @@
 const char *ow_shard_manager_successor(const struct ow_shard_manager *manager, const struct ow_shard *shard)
 {
     const char *self = manager->settings->controller_name;
-    const char *other = ow_candidacy_successor(manager->membership, self, led_count(manager), shard->name);
+    const char *other =
+        ow_candidacy_successor(manager->membership, self, count_led_shards(manager), shard->name);
     return other != NULL ? other : self;
 }
--- a/src/sharding/shard_map.c
+++ b/src/sharding/shard_map.c
@@ -1,8 +1,14 @@
 #include "sharding/shard_map.h"
+
 #include "model/submission.h"
 
 #include <string.h>
 
+/* The bytes of a SHA-256 digest. */
+enum { SHA256_BYTES = 32 };
+
+/* ---- machines and jobs ---- */
+
 static bool contains(char **list, const char *name)
 {
     return name != NULL && g_strv_contains((const char *const *)list, name);
@@ -10,17 +16,17 @@
 
 int ow_shard_map_machine(const struct ow_sharding_settings *sharding, const char *zone, const char *type)
 {
-    int rest = -1;
+    int shard_of_other_types = -1;
     for (guint i = 0; i < sharding->shards->len; i++) {
         const struct ow_shard_settings *shard = g_ptr_array_index(sharding->shards, i);
         if (!contains(shard->zones, zone))
             continue;
         if (shard->types == NULL)
-            rest = (int)i;
+            shard_of_other_types = (int)i;
         else if (contains(shard->types, type))
             return (int)i;
     }
-    return rest;
+    return shard_of_other_types;
 }
 
 static bool route_matches(const struct ow_route *route, const struct ow_submission *submission)
@@ -50,7 +56,8 @@
     g_hash_table_replace(values, name, value);
 }
 
-static char *words(char **list)
+/* The names of zones or types as one text (g_free). */
+static char *join_names(char **list)
 {
     return list != NULL ? g_strjoinv(" ", list) : g_strdup("(all others)");
 }
@@ -58,8 +65,8 @@
 static void add_shard(GHashTable *values, const struct ow_sharding_settings *sharding,
                       const struct ow_shard_settings *shard, const struct ow_settings *platform)
 {
-    add_value(values, g_strdup_printf("shard %s: zones", shard->name), words(shard->zones));
-    add_value(values, g_strdup_printf("shard %s: types", shard->name), words(shard->types));
+    add_value(values, g_strdup_printf("shard %s: zones", shard->name), join_names(shard->zones));
+    add_value(values, g_strdup_printf("shard %s: types", shard->name), join_names(shard->types));
     for (guint i = 0; i < platform->teams->len; i++) {
         const struct ow_team_settings *team = &g_array_index(platform->teams, struct ow_team_settings, i);
         double share = ow_sharding_settings_share(sharding, team->name, shard);
@@ -98,7 +105,7 @@
     return g_list_sort(g_hash_table_get_keys(values), (GCompareFunc)strcmp);
 }
 
-/* The difference in one value, or NULL. */
+/* The difference in one value, in words (g_free), or NULL. */
 static char *value_difference(const char *name, GHashTable *ours, GHashTable *stored)
 {
     const char *our_value = g_hash_table_lookup(ours, name);
@@ -109,14 +116,16 @@
                            our_value != NULL ? our_value : "", stored_value != NULL ? stored_value : "");
 }
 
+/* The first difference by the names of one of the tables, in words (g_free), or NULL. */
 static char *first_difference(GHashTable *walked, GHashTable *ours, GHashTable *stored)
 {
-    GList *names = sorted_names(walked);
-    char *difference = NULL;
-    for (const GList *at = names; difference == NULL && at != NULL; at = at->next)
-        difference = value_difference(at->data, ours, stored);
-    g_list_free(names);
-    return difference;
+    g_autoptr(GList) names = sorted_names(walked);
+    for (const GList *at = names; at != NULL; at = at->next) {
+        char *difference = value_difference(at->data, ours, stored);
+        if (difference != NULL)
+            return difference;
+    }
+    return NULL;
 }
 
 char *ow_shard_map_difference(GHashTable *ours, GHashTable *stored)
@@ -127,20 +136,18 @@
 
 uint64_t ow_shard_map_digest(GHashTable *values)
 {
-    GChecksum *checksum = g_checksum_new(G_CHECKSUM_SHA256);
-    GList *names = sorted_names(values);
+    g_autoptr(GChecksum) checksum = g_checksum_new(G_CHECKSUM_SHA256);
+    g_autoptr(GList) names = sorted_names(values);
     for (const GList *at = names; at != NULL; at = at->next) {
         const char *value = g_hash_table_lookup(values, at->data);
         /* With its terminating NUL, so that no two tables run into the same bytes. */
         g_checksum_update(checksum, at->data, (gssize)strlen(at->data) + 1);
         g_checksum_update(checksum, (const guchar *)value, (gssize)strlen(value) + 1);
     }
-    g_list_free(names);
-    guint8 digest[32];
+    guint8 digest[SHA256_BYTES];
     gsize size = sizeof digest;
     g_checksum_get_digest(checksum, digest, &size);
-    g_checksum_free(checksum);
     uint64_t number = 0;
     memcpy(&number, digest, sizeof number);
-    return number >> 1; /* JSON numbers have 63 bits */
+    return number >> 1; /* 63 bits: the sign bit of a JSON integer stays clear */
 }
--- /dev/null
+++ b/src/sharding/shard_query.c
@@ -0,0 +1,79 @@
+#include "sharding/shard_query.h"
+
+#include "model/http_status.h"
+#include "model/resources.h"
+
+/* How much an answer about a job says; one that says more replaces one that says less. */
+enum evidence {
+    EVIDENCE_NOT_HERE, /* the shard does not have the job */
+    EVIDENCE_UNKNOWN,  /* the shard can't tell, or refuses for now */
+    EVIDENCE_JOB,      /* the shard has the job */
+};
+
+void ow_shard_query_free(void *item)
+{
+    struct ow_shard_query *query = item;
+    if (query->answer != NULL)
+        ow_effect_free(query->answer);
+    if (query->refusal != NULL)
+        ow_effect_free(query->refusal);
+    g_free(query);
+}
+
+static enum evidence evidence_of(const struct ow_effect *answer)
+{
+    if (answer->kind == OW_EFFECT_JOB)
+        return EVIDENCE_JOB;
+    return answer->status == OW_HTTP_STATUS_NOT_FOUND ? EVIDENCE_NOT_HERE : EVIDENCE_UNKNOWN;
+}
+
+static void add_teams(GArray *sums, const GArray *teams)
+{
+    for (guint i = 0; i < sums->len && i < teams->len; i++) {
+        struct ow_team_view *sum = &g_array_index(sums, struct ow_team_view, i);
+        const struct ow_team_view *part = &g_array_index(teams, struct ow_team_view, i);
+        ow_resources_add(&sum->running, &part->running, 1);
+        ow_resources_add(&sum->waiting, &part->waiting, 1);
+        sum->jobs += part->jobs;
+        sum->waiting_jobs += part->waiting_jobs;
+    }
+}
+
+void ow_shard_query_add_answer(struct ow_shard_query *query, struct ow_effect *answer)
+{
+    if (query->answer == NULL) {
+        query->answer = answer;
+        return;
+    }
+    struct ow_effect *surplus = answer;
+    if (query->kind == OW_SHARD_QUERY_TEAMS) {
+        add_teams(query->answer->teams, answer->teams);
+    } else if (evidence_of(answer) > evidence_of(query->answer)) {
+        surplus = query->answer;
+        query->answer = answer;
+    }
+    ow_effect_free(surplus);
+}
+
+/* The result of a query after a refused submission: the refusal stands only when every shard has said that it
+   does not have the job. */
+static struct ow_effect *take_submission_result(struct ow_shard_query *query)
+{
+    struct ow_effect *answer = g_steal_pointer(&query->answer);
+    if (evidence_of(answer) > EVIDENCE_NOT_HERE)
+        return answer;
+    ow_effect_free(answer);
+    struct ow_effect *refusal = g_steal_pointer(&query->refusal);
+    /* The shard was told that another one has the job, which has ended in the meantime or is not read yet. */
+    if (refusal->status == OW_HTTP_STATUS_NOT_FOUND)
+        ow_effect_refuse_temporarily(refusal, "another shard has accepted this job");
+    return refusal;
+}
+
+struct ow_effect *ow_shard_query_take_result(struct ow_shard_query *query)
+{
+    struct ow_effect *result = query->kind == OW_SHARD_QUERY_SUBMIT ? take_submission_result(query)
+                                                                    : g_steal_pointer(&query->answer);
+    result->request = query->request;
+    return result;
+}
--- a/src/sharding/sharding_settings.c
+++ b/src/sharding/sharding_settings.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-static void shard_free(void *item)
+static void free_shard(void *item)
 {
     struct ow_shard_settings *shard = item;
     g_free(shard->name);
@@ -11,7 +11,7 @@
     g_free(shard);
 }
 
-static void allotment_free(void *item)
+static void free_allotment(void *item)
 {
     struct ow_allotment *allotment = item;
     g_free(allotment->team);
@@ -19,7 +19,7 @@
     g_free(allotment);
 }
 
-static void route_free(void *item)
+static void free_route(void *item)
 {
     struct ow_route *route = item;
     g_free(route->class_name);
@@ -32,14 +32,16 @@
 struct ow_sharding_settings *ow_sharding_settings_new(void)
 {
     struct ow_sharding_settings *sharding = g_new0(struct ow_sharding_settings, 1);
-    sharding->heartbeat_s = 0.5;
-    sharding->suspicion_phi = 8;
-    sharding->probe_timeout_s = 1;
-    sharding->relays = 3;
-    sharding->candidacy_step_s = 0.5;
-    sharding->shards = g_ptr_array_new_with_free_func(shard_free);
-    sharding->allotments = g_ptr_array_new_with_free_func(allotment_free);
-    sharding->routes = g_ptr_array_new_with_free_func(route_free);
+    *sharding = (struct ow_sharding_settings){
+        .heartbeat_s = 0.5,
+        .suspicion_phi = 8,
+        .probe_timeout_s = 1,
+        .relays = 3,
+        .candidacy_step_s = 0.5,
+        .shards = g_ptr_array_new_with_free_func(free_shard),
+        .allotments = g_ptr_array_new_with_free_func(free_allotment),
+        .routes = g_ptr_array_new_with_free_func(free_route),
+    };
     return sharding;
 }
 
--- a/src/sharding/sharding_settings.h
+++ b/src/sharding/sharding_settings.h
@@ -1,5 +1,9 @@
-/* The <control> element of the operators' settings: how the fleet is divided into shards, which jobs go
- * where, and when a controller is suspected. Plain data, checked against the platform's settings. */
+/**
+ * @file
+ * How the fleet is divided into shards, which jobs go where, and when a controller is suspected: the
+ * <control> element of the operators' file as plain data. Read by src/config, checked by
+ * sharding_settings_check, and not changed after that.
+ */
 #ifndef OW_SHARDING_SHARDING_SETTINGS_H
 #define OW_SHARDING_SHARDING_SETTINGS_H
 
@@ -8,52 +12,60 @@
 #include <glib.h>
 #include <stdbool.h>
 
+/** Tags of requests and messages have room for this many. */
 enum { OW_SHARDS_MAX = 32 };
 
-/* A part of the fleet that one controller at a time leads. */
+/** A part of the fleet that one controller at a time leads. All texts are owned. */
 struct ow_shard_settings {
     char *name;
-    char **zones; /* at least one */
-    char **types; /* machine types in its zones; NULL: all that no other shard of the zone names */
-    double share; /* of every team's guarantee and limit, where no allotment says otherwise */
-    unsigned long line;
+    char **zones;       /**< at least one */
+    char **types;       /**< machine types in its zones; NULL: all that no other shard of the zone names */
+    double share;       /**< of every team's quota, from 0 to 1, where no allotment says otherwise */
+    unsigned long line; /**< of the file, for error texts */
 };
 
-/* What a shard has of one team's guarantee and limit. */
+/** A shard's share of one team's quota, guaranteed and limit alike. All texts are owned. */
 struct ow_allotment {
-    char *team, *shard;
-    double share;
-    unsigned long line;
+    char *team;
+    char *shard;
+    double share;       /**< from 0 to 1 */
+    unsigned long line; /**< of the file, for error texts */
 };
 
-/* Which shards may take a job; the first rule that matches counts, and jobs without one may go to any. */
+/** Which shards may take a job: the first route that matches counts, and jobs without one may go to any
+ * shard. All texts are owned. */
 struct ow_route {
-    char *class_name, *team, *zone; /* NULL: any */
-    char **shards;                  /* at least one */
-    unsigned long line;
+    char *class_name;   /**< NULL: any */
+    char *team;         /**< NULL: any */
+    char *zone;         /**< NULL: any */
+    char **shards;      /**< names, at least one */
+    unsigned long line; /**< of the file, for error texts */
 };
 
-struct ow_sharding_settings {
-    bool enabled;            /* a <control> element is there */
-    unsigned long line;      /* of that element */
-    double heartbeat_s;      /* from one heartbeat to the next */
-    double suspicion_phi;    /* a controller with a higher phi is probed, and then suspected */
-    double probe_timeout_s;  /* how long the answers to indirect probes are waited for */
-    unsigned relays;         /* controllers that are asked for indirect probes */
-    double candidacy_step_s; /* how long each next candidate leaves a shard without a leader to those before
-                                it */
-    GPtrArray *shards;       /* struct ow_shard_settings, owned */
-    GPtrArray *allotments;   /* struct ow_allotment, owned */
-    GPtrArray *routes;       /* struct ow_route, owned */
-};
+/** All settings of a divided fleet. */
+typedef struct ow_sharding_settings {
+    bool enabled;            /**< the element is there: the fleet is divided */
+    unsigned long line;      /**< of the element, for error texts */
+    double heartbeat_s;      /**< between heartbeats of a controller */
+    double suspicion_phi;    /**< a controller with a phi from here on is probed, and then suspected */
+    double probe_timeout_s;  /**< how long replies to an indirect probe are waited for */
+    unsigned relays;         /**< how many controllers an indirect probe asks */
+    double candidacy_step_s; /**< how long each next candidate leaves a shard without a leader to those before
+                                  it */
+    GPtrArray *shards;       /**< struct ow_shard_settings, owned */
+    GPtrArray *allotments;   /**< struct ow_allotment, owned */
+    GPtrArray *routes;       /**< struct ow_route, owned */
+} ow_sharding_settings;
 
-/* Switched off, with the default values; freed by ow_sharding_settings_free(). */
+/** Settings that are switched off, with the default values; free with ow_sharding_settings_free(). */
 struct ow_sharding_settings *ow_sharding_settings_new(void);
-/* NULL is allowed. */
+/** Frees the settings and what they own. NULL is allowed. */
 void ow_sharding_settings_free(struct ow_sharding_settings *sharding);
-/* The shard of this name, or -1. */
+G_DEFINE_AUTOPTR_CLEANUP_FUNC(ow_sharding_settings, ow_sharding_settings_free)
+
+/** The index of the shard of this name, or -1. */
 int ow_sharding_settings_shard(const struct ow_sharding_settings *sharding, const char *name);
-/* What the shard has of the team's guarantee and limit, from 0 to 1. */
+/** The shard's share of the team's quota, from 0 to 1. */
 double ow_sharding_settings_share(const struct ow_sharding_settings *sharding, const char *team,
                                   const struct ow_shard_settings *shard);
 
--- a/tests/test_lease_guard.c
+++ b/tests/test_lease_guard.c
@@ -18,8 +18,8 @@
 {
     struct ow_lease_guard guard;
     ow_lease_guard_init(&guard, LEASE_S);
-    ow_lease_guard_requested(&guard, 1, now);
-    ow_lease_guard_answered(&guard, 1, OK);
+    ow_lease_guard_note_request(&guard, 1, now);
+    ow_lease_guard_note_reply(&guard, 1, OK);
     return guard;
 }
 
@@ -27,23 +27,23 @@
 {
     (void)state;
     struct ow_lease_guard guard = guard_at(10);
-    assert_int_equal(ow_lease_guard_check(&guard, 10 + LEASE_S - 0.3), OW_LEASE_HELD);
-    assert_int_not_equal(ow_lease_guard_check(&guard, 10 + LEASE_S - 0.05), OW_LEASE_HELD);
+    assert_int_equal(ow_lease_guard_state(&guard, 10 + LEASE_S - 0.3), OW_LEASE_HELD);
+    assert_int_not_equal(ow_lease_guard_state(&guard, 10 + LEASE_S - 0.05), OW_LEASE_HELD);
     /* The answer to a renewal comes 3 s late: that time of the lease is gone. */
-    ow_lease_guard_requested(&guard, 2, 11);
-    ow_lease_guard_answered(&guard, 2, OK);
-    assert_int_equal(ow_lease_guard_check(&guard, 14.5), OW_LEASE_HELD);
-    assert_int_not_equal(ow_lease_guard_check(&guard, 15), OW_LEASE_HELD);
+    ow_lease_guard_note_request(&guard, 2, 11);
+    ow_lease_guard_note_reply(&guard, 2, OK);
+    assert_int_equal(ow_lease_guard_state(&guard, 14.5), OW_LEASE_HELD);
+    assert_int_not_equal(ow_lease_guard_state(&guard, 15), OW_LEASE_HELD);
 }
 
 static void test_only_the_answer_to_a_renewal_renews(void **state)
 {
     (void)state;
     struct ow_lease_guard guard = guard_at(10);
-    ow_lease_guard_requested(&guard, 2, 12);
-    ow_lease_guard_answered(&guard, 77, OK);
-    ow_lease_guard_answered(&guard, 2, SILENCE);
-    assert_int_not_equal(ow_lease_guard_check(&guard, 15), OW_LEASE_HELD);
+    ow_lease_guard_note_request(&guard, 2, 12);
+    ow_lease_guard_note_reply(&guard, 77, OK);
+    ow_lease_guard_note_reply(&guard, 2, SILENCE);
+    assert_int_not_equal(ow_lease_guard_state(&guard, 15), OW_LEASE_HELD);
 }
 
 /* In an outage workers go on being kept alive, and nothing is started. */
@@ -51,9 +51,9 @@
 {
     (void)state;
     struct ow_lease_guard guard = guard_at(10);
-    ow_lease_guard_requested(&guard, 2, 11);
-    ow_lease_guard_answered(&guard, 2, REFUSED);
-    assert_int_equal(ow_lease_guard_check(&guard, 30), OW_LEASE_KEEP_ALIVE);
+    ow_lease_guard_note_request(&guard, 2, 11);
+    ow_lease_guard_note_reply(&guard, 2, REFUSED);
+    assert_int_equal(ow_lease_guard_state(&guard, 30), OW_LEASE_EXPIRED);
 }
 
 /* After a pause nothing leaves until the key-value store has answered a request sent since; an answer that
@@ -62,18 +62,18 @@
 {
     (void)state;
     struct ow_lease_guard guard = guard_at(10);
-    ow_lease_guard_requested(&guard, 2, 11);
-    ow_lease_guard_resumed(&guard, 40);
-    assert_int_equal(ow_lease_guard_check(&guard, 40), OW_LEASE_UNPROVEN);
-    ow_lease_guard_answered(&guard, 2, OK);
-    assert_int_equal(ow_lease_guard_check(&guard, 40), OW_LEASE_UNPROVEN);
-    ow_lease_guard_requested(&guard, 3, 40.1);
-    assert_int_equal(ow_lease_guard_check(&guard, 40.2), OW_LEASE_UNPROVEN);
-    ow_lease_guard_answered(&guard, 3, NO_LEASE);
-    assert_int_equal(ow_lease_guard_check(&guard, 40.3), OW_LEASE_KEEP_ALIVE);
-    ow_lease_guard_requested(&guard, 4, 41);
-    ow_lease_guard_answered(&guard, 4, OK);
-    assert_int_equal(ow_lease_guard_check(&guard, 41.1), OW_LEASE_HELD);
+    ow_lease_guard_note_request(&guard, 2, 11);
+    ow_lease_guard_note_pause(&guard, 40);
+    assert_int_equal(ow_lease_guard_state(&guard, 40), OW_LEASE_UNPROVEN);
+    ow_lease_guard_note_reply(&guard, 2, OK);
+    assert_int_equal(ow_lease_guard_state(&guard, 40), OW_LEASE_UNPROVEN);
+    ow_lease_guard_note_request(&guard, 3, 40.1);
+    assert_int_equal(ow_lease_guard_state(&guard, 40.2), OW_LEASE_UNPROVEN);
+    ow_lease_guard_note_reply(&guard, 3, NO_LEASE);
+    assert_int_equal(ow_lease_guard_state(&guard, 40.3), OW_LEASE_EXPIRED);
+    ow_lease_guard_note_request(&guard, 4, 41);
+    ow_lease_guard_note_reply(&guard, 4, OK);
+    assert_int_equal(ow_lease_guard_state(&guard, 41.1), OW_LEASE_HELD);
 }
 
 /* A pause that the lease outlives changes nothing. */
@@ -81,8 +81,8 @@
 {
     (void)state;
     struct ow_lease_guard guard = guard_at(10);
-    ow_lease_guard_resumed(&guard, 11);
-    assert_int_equal(ow_lease_guard_check(&guard, 11), OW_LEASE_HELD);
+    ow_lease_guard_note_pause(&guard, 11);
+    assert_int_equal(ow_lease_guard_state(&guard, 11), OW_LEASE_HELD);
 }
 
 static struct ow_effect *new_effect(enum ow_effect_kind kind)
@@ -112,7 +112,7 @@
     for (guint i = 0; i < G_N_ELEMENTS(kinds); i++) {
         struct ow_effect *effect = new_effect(kinds[i]);
         struct ow_event *refusal = NULL;
-        assert_true(ow_effect_guard(effect, OW_LEASE_KEEP_ALIVE, &refusal));
+        assert_true(ow_effect_guard_apply(effect, OW_LEASE_EXPIRED, &refusal));
         assert_null(refusal);
         assert_int_equal(effect->kind, kinds[i]);
         assert_int_equal(effect->commands->len, 2);
@@ -126,12 +126,12 @@
     (void)state;
     struct ow_event *refusal = NULL;
     struct ow_effect *heartbeat_answer = new_effect(OW_EFFECT_WORKER_COMMANDS);
-    assert_true(ow_effect_guard(heartbeat_answer, OW_LEASE_UNPROVEN, &refusal));
+    assert_true(ow_effect_guard_apply(heartbeat_answer, OW_LEASE_UNPROVEN, &refusal));
     assert_int_equal(heartbeat_answer->kind, OW_EFFECT_REFUSE);
     assert_int_equal(heartbeat_answer->status, REFUSED);
     ow_effect_free(heartbeat_answer);
     struct ow_effect *direct = new_effect(OW_EFFECT_DIRECT_COMMANDS);
-    assert_true(ow_effect_guard(direct, OW_LEASE_UNPROVEN, &refusal));
+    assert_true(ow_effect_guard_apply(direct, OW_LEASE_UNPROVEN, &refusal));
     assert_int_equal(refusal->kind, OW_EVENT_DIRECT_REPLY);
     assert_int_equal(refusal->request, 5);
     assert_int_equal(refusal->status, OW_STATUS_UNSENT);
@@ -148,7 +148,7 @@
         struct ow_event *refusal = NULL;
         bool reads = op == OW_CLOUD_TYPES || op == OW_CLOUD_LIST;
         effect->cloud->op = op;
-        assert_int_equal(ow_effect_guard(effect, OW_LEASE_KEEP_ALIVE, &refusal), !reads);
+        assert_int_equal(ow_effect_guard_apply(effect, OW_LEASE_EXPIRED, &refusal), !reads);
         assert_int_equal(refusal != NULL, !reads);
         if (refusal != NULL) {
             assert_int_equal(refusal->cloud.status, REFUSED);
--- a/tests/test_shard_settings.c
+++ b/tests/test_shard_settings.c
@@ -1,7 +1,7 @@
 /* What a shard has of the fleet, and controllers whose settings do not fit those of the others. */
 #include "check.h"
 #include "sharding/shard_map.h"
-#include "sharding/shard_settings.h"
+#include "sharding/shard_platform.h"
 #include "sim_cluster.h"
 
 #include <string.h>
@@ -92,7 +92,7 @@
     ((struct ow_shard_settings *)g_ptr_array_index(cluster->sharding->shards, WEST))->share = 0;
     double store_rps = 0, write_rps = 0, cloud_rps = 0, limit = 0;
     for (guint shard = 0; shard < SHARDS; shard++) {
-        struct ow_settings *part = ow_shard_settings_new(cluster->sharding, shard, whole);
+        struct ow_settings *part = ow_shard_platform_new(cluster->sharding, shard, whole);
         const struct ow_team_settings *tight = &g_array_index(part->teams, struct ow_team_settings, 1);
         assert_true(tight->cpus_max > 0);
         assert_true(tight->gpus_max == 0);
@@ -100,7 +100,7 @@
         write_rps += part->store_write_rps;
         cloud_rps += part->cloud_rps;
         limit += tight->cpus_max;
-        ow_shard_settings_free(part);
+        ow_shard_platform_free(part);
     }
     assert_true(store_rps <= whole->store_rps && write_rps <= whole->store_write_rps);
     assert_true(cloud_rps <= whole->cloud_rps);
--- a/tests/test_sharding_wire.c
+++ b/tests/test_sharding_wire.c
@@ -144,9 +144,9 @@
     GHashTable *values = g_hash_table_new(g_str_hash, g_str_equal);
     g_hash_table_insert(values, "shards", "north south");
     g_hash_table_insert(values, "election lease_s", "4");
-    char *text = wire_shard_map(values);
+    char *text = wire_shard_map_encode(values);
     json_t *object = wire_json_parse_object(text, strlen(text));
-    GHashTable *read = wire_shard_map_parse(object);
+    GHashTable *read = wire_shard_map_from_json(object);
     assert_int_equal(g_hash_table_size(read), 2);
     assert_string_equal(g_hash_table_lookup(read, "shards"), "north south");
     g_hash_table_destroy(read);
@@ -157,7 +157,7 @@
                                              "{\"v\":1,\"values\":{\"a\":1}}"};
     for (guint i = 0; i < G_N_ELEMENTS(unreadable); i++) {
         object = wire_json_parse_object(unreadable[i], strlen(unreadable[i]));
-        assert_null(wire_shard_map_parse(object));
+        assert_null(wire_shard_map_from_json(object));
         json_decref(object);
     }
 }
--- a/tests/test_shards.c
+++ b/tests/test_shards.c
@@ -212,7 +212,7 @@
     sim_thaw(cluster, old);
     cluster->store_slow_s = 1;
     unsigned before = withheld(cluster, old, EAST);
-    assert_int_equal(ow_lease_guard_check(&shard_view(cluster, old, EAST)->guard, cluster->now),
+    assert_int_equal(ow_lease_guard_state(&shard_view(cluster, old, EAST)->guard, cluster->now),
                      OW_LEASE_UNPROVEN);
     /* Reports come in, and what would be answered is not. */
     sim_heartbeat(cluster, old, sim_machine(cluster, "east-0"), 1000,
