--- a/tests/test_sharding_wire.c
+++ b/tests/test_sharding_wire.c
@@ -1,5 +1,6 @@
-/* Messages between the controllers of a divided fleet, and its stored map. */
+/* Messages between the controllers of a divided fleet, its stored map, and what operators are told of it. */
 #include "check.h"
+#include "model/operator_view.h"
 #include "model/peer.h"
 #include "wire/json.h"
 #include "wire/peer_xdr.h"
@@ -162,6 +163,57 @@
     }
 }
 
+/* Operators' tools read these texts: not a byte may change. */
+static void test_controllers_for_operators(void **state)
+{
+    (void)state;
+    GArray *led_shards = ow_peer_shards_new();
+    char west[] = "west";
+    struct ow_peer_shard led = {.name = west, .fencing_token = 7};
+    ow_peer_shards_add(led_shards, &led);
+    struct ow_controller_view controller = {"node-1", "suspected", 1.5, "phi 9.0", 0.25, 2, led_shards};
+    struct ow_controllers_view *view = ow_controllers_view_new();
+    g_array_append_val(view->controllers, controller);
+    view->dropped_messages = 3;
+    char *text = wire_controllers_encode(view);
+    assert_string_equal(text,
+                        "{\"controllers\":[{\"name\":\"node-1\",\"state\":\"suspected\",\"since_s\":1.5,"
+                        "\"cause\":\"phi 9.0\",\"phi\":0.25,\"suspicions\":2,\"leads\":[\"west\"]}],"
+                        "\"agreement\":\"agreed\",\"dropped\":3}");
+    g_free(text);
+    g_array_set_size(view->controllers, 0);
+    view->difference = "team vision";
+    text = wire_controllers_encode(view);
+    assert_string_equal(text, "{\"controllers\":[],\"agreement\":\"team vision\",\"dropped\":3}");
+    g_free(text);
+    ow_controllers_view_free(view);
+    g_array_free(led_shards, TRUE);
+}
+
+static void test_shards_for_operators(void **state)
+{
+    (void)state;
+    struct ow_failover_step_view step = {"lease gone", 2.5, "its key is gone"};
+    struct ow_shard_view led = {"east", "serving", 12, 4, 3, 1, NULL, "node-0", "node-2"};
+    struct ow_shard_view unknown = {"west", "unknown", 0, 0, 0, 0, NULL, NULL, "node-0"};
+    led.steps = g_array_new(FALSE, FALSE, sizeof step);
+    unknown.steps = g_array_new(FALSE, FALSE, sizeof step);
+    g_array_append_val(led.steps, step);
+    GArray *views = ow_shard_views_new();
+    g_array_append_val(views, led);
+    g_array_append_val(views, unknown);
+    char *text = wire_shards_encode(views);
+    assert_string_equal(
+        text,
+        "{\"shards\":[{\"name\":\"east\",\"state\":\"serving\",\"token\":12,\"machines\":4,\"fenced\":3,"
+        "\"withheld\":1,\"steps\":[{\"state\":\"lease gone\",\"since_s\":2.5,"
+        "\"cause\":\"its key is gone\"}],\"leader\":\"node-0\",\"successor\":\"node-2\"},"
+        "{\"name\":\"west\",\"state\":\"unknown\",\"token\":0,\"machines\":0,\"fenced\":0,"
+        "\"withheld\":0,\"steps\":[],\"successor\":\"node-0\"}]}");
+    g_free(text);
+    g_array_unref(views);
+}
+
 int main(void)
 {
     const struct CMUnitTest tests[] = {
@@ -172,6 +224,8 @@
         cmocka_unit_test(test_message_without_a_shard_is_unchanged),
         cmocka_unit_test(test_damaged_messages),
         cmocka_unit_test(test_stored_map),
+        cmocka_unit_test(test_controllers_for_operators),
+        cmocka_unit_test(test_shards_for_operators),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
