--- a/src/core/leader/heartbeat_answer.c
+++ b/src/core/leader/heartbeat_answer.c
@@ -1,6 +1,7 @@
 #include "core/leader/heartbeat_answer.h"
 
 #include "core/leader/leader_state.h"
+#include "core/machines/heartbeat_intake.h"
 #include "core/machines/machine.h"
 #include "core/machines/machine_registry.h"
 #include "core/machines/reconciliation.h"
@@ -58,7 +59,7 @@
 {
     uint64_t incarnation_before = incarnation_of(leader, heartbeat);
     g_autoptr(GArray) clears = g_array_new(FALSE, FALSE, sizeof(struct ow_worker_command));
-    struct ow_machine *machine = ow_reconcile_heartbeat(leader, heartbeat, clears);
+    struct ow_machine *machine = ow_heartbeat_intake_apply(leader, heartbeat, clears);
     if (is_newest(machine, heartbeat)) {
         if (machine->fenced && heartbeat->incarnation == incarnation_before)
             note_answers_arrive(machine, leader->core->now);
--- /dev/null
+++ b/src/core/machines/heartbeat_intake.c
@@ -0,0 +1,86 @@
+#include "core/machines/heartbeat_intake.h"
+
+#include "core/leader/leader_state.h"
+#include "core/machines/command_queue.h"
+#include "core/machines/fleet.h"
+#include "core/machines/machine.h"
+#include "core/machines/machine_registry.h"
+#include "core/machines/reclaim_notice.h"
+#include "core/machines/reconciliation.h"
+#include "model/cloud.h"
+
+/* A late copy says nothing of the present and renews no lease, and an incarnation that is proven over stays
+   over. */
+static bool is_newer(const struct ow_machine *machine, const struct ow_heartbeat *heartbeat)
+{
+    if (heartbeat->incarnation <= machine->expired_incarnation)
+        return false;
+    if (heartbeat->incarnation != machine->incarnation)
+        return heartbeat->incarnation > machine->incarnation;
+    return heartbeat->seq > machine->seq;
+}
+
+/* Every older incarnation is over, and so are the launches that were meant for it. */
+static void begin_incarnation(struct ow_machine *machine, uint64_t incarnation)
+{
+    machine->incarnation = incarnation;
+    machine->expired_incarnation = MAX(machine->expired_incarnation, incarnation - 1);
+    g_array_set_size(machine->unacknowledged_launches, 0);
+}
+
+/* Applies what holds whichever leader's commands the worker accepts. */
+static void apply_liveness(struct ow_leader *leader, struct ow_machine *machine,
+                           const struct ow_heartbeat *heartbeat)
+{
+    if (heartbeat->incarnation > machine->incarnation)
+        begin_incarnation(machine, heartbeat->incarnation);
+    /* Also in an incarnation that is known already: records that were read meanwhile may name older ones. */
+    ow_reconcile_older_incarnations(leader, machine);
+    machine->listed = OW_LISTED_RUNNING;
+    machine->last_message_at = leader->core->now;
+    if (machine->first_message_at == 0)
+        machine->first_message_at = leader->core->now;
+    machine->seq = heartbeat->seq;
+}
+
+static void note_fenced(struct ow_leader *leader, struct ow_machine *machine)
+{
+    machine->fenced = true;
+    machine->fenced_at = machine->idle_since = leader->core->now;
+    machine->unanswered_since = 0;
+    ow_leader_request_cycle(leader);
+    g_info("machine has seen fencing token: machine=%s incarnation=%" G_GUINT64_FORMAT
+           " fencing_token=%" G_GUINT64_FORMAT,
+           machine->name, machine->incarnation, leader->fencing_token);
+}
+
+/* Applies what holds only because the worker accepts no commands but this leader's any more. */
+static void apply_fenced(struct ow_leader *leader, struct ow_machine *machine,
+                         const struct ow_heartbeat *heartbeat, GArray *commands)
+{
+    if (!machine->fenced)
+        note_fenced(leader, machine);
+    ow_reclaim_notice_apply(leader, machine, heartbeat->reclaim_notice_s);
+    ow_reconcile_tasks(leader, machine, heartbeat->tasks, commands);
+}
+
+struct ow_machine *ow_heartbeat_intake_apply(struct ow_leader *leader, const struct ow_heartbeat *heartbeat,
+                                             GArray *commands)
+{
+    /* A late copy of a heartbeat must not register a deleted machine anew. */
+    if (ow_fleet_has_terminated(leader, heartbeat->machine))
+        return NULL;
+    struct ow_machine *machine = ow_machines_find_or_add(leader, heartbeat->machine);
+    if (!is_newer(machine, heartbeat))
+        return machine;
+    ow_machine_describe(leader, machine, heartbeat->addr, heartbeat->type, heartbeat->zone, heartbeat->spot);
+    apply_liveness(leader, machine, heartbeat);
+    if (leader->phase != OW_LEADER_READY)
+        return machine;
+    /* Until the worker has seen our fencing token an older leader may still change what it runs. */
+    if (heartbeat->fencing_token == leader->fencing_token)
+        apply_fenced(leader, machine, heartbeat, commands);
+    else
+        ow_command_queue_add_unfenced(leader, machine);
+    return machine;
+}
--- a/src/core/machines/worker_commands.c
+++ b/src/core/machines/worker_commands.c
@@ -4,9 +4,9 @@
 #include "core/jobs/attempt.h"
 #include "core/leader/leader_state.h"
 #include "core/machines/command_queue.h"
+#include "core/machines/heartbeat_intake.h"
 #include "core/machines/machine.h"
 #include "core/machines/machine_registry.h"
-#include "core/machines/reconciliation.h"
 #include "model/effect.h"
 #include "model/event.h"
 #include "model/worker.h"
@@ -95,7 +95,7 @@
     g_array_set_size(machine->direct_launches, 0);
     machine->unanswered_since = 0;
     if (answer->heartbeat != NULL)
-        ow_reconcile_heartbeat(leader, answer->heartbeat, NULL);
+        ow_heartbeat_intake_apply(leader, answer->heartbeat, NULL);
     if (answer->status == 409)
         machine->direct_at = leader->core->now + REFUSED_PAUSE_S;
 }
--- a/src/model/worker.h
+++ b/src/model/worker.h
@@ -32,6 +32,9 @@
     OW_CAUSE_UNKNOWN,    /**< start refused: no such job or task */
 };
 
+/** The cause as one word for log lines. @return a static text */
+const char *ow_exit_cause_name(enum ow_exit_cause cause);
+
 /** What a heartbeat says of one attempt of a task. */
 struct ow_task_status {
     char job[OW_ID_MAX + 1];
