--- a/src/core/api/cancel.c
+++ b/src/core/api/cancel.c
@@ -5,6 +5,7 @@
 #include "core/election/election.h"
 #include "core/jobs/job_cache.h"
 #include "model/event.h"
+#include "model/http_status.h"
 #include "model/records.h"
 #include "model/submission.h"
 #include "wire/records_json.h"
@@ -38,7 +39,7 @@
     g_info("job %s cancelled by its user", call->pending.id);
     const struct ow_job *job =
         ow_jobs_cancel(core->jobs, call->pending.id, revision, call->leader_fencing_token);
-    ow_job_answer(core, call->pending.request, 200, job);
+    ow_job_answer(core, call->pending.request, OW_HTTP_STATUS_OK, job);
 }
 
 static bool leader_has_changed(const struct ow_store_reply *reply)
@@ -72,13 +73,13 @@
     struct ow_core *core = owner;
     const struct cancel_call *call = data;
     switch (answer->store.status) {
-    case 200:
+    case OW_HTTP_STATUS_OK:
         handle_success(core, call, answer->store.revision);
         break;
-    case 409:
+    case OW_HTTP_STATUS_CONFLICT:
         handle_conflict(core, call, &answer->store);
         break;
-    case 400:
+    case OW_HTTP_STATUS_BAD_REQUEST:
         handle_too_large(core, call);
         break;
     default:
@@ -129,7 +130,7 @@
 {
     uint64_t leader_fencing_token = ow_election_key(core->election);
     if (ow_job_over(job))
-        ow_job_answer(core, request, 200, job);
+        ow_job_answer(core, request, OW_HTTP_STATUS_OK, job);
     else if (leader_fencing_token == 0)
         ow_job_answer_retry(core, request, "there is no leader yet");
     else
--- a/src/core/api/cancellation_ack.c
+++ b/src/core/api/cancellation_ack.c
@@ -4,6 +4,7 @@
 #include "core/core_state.h"
 #include "core/election/election.h"
 #include "core/leader/job_cancellation.h"
+#include "model/http_status.h"
 #include "model/peer.h"
 #include "model/submission.h"
 
@@ -150,7 +151,7 @@
             &g_array_index(entry->waiting_requests, struct waiting_request, i - 1);
         if (core->now < waiting->until)
             continue;
-        ow_core_reject_request(core, waiting->request, 503,
+        ow_core_reject_request(core, waiting->request, OW_HTTP_STATUS_UNAVAILABLE,
                                "the leader has not acknowledged the cancellation yet", RETRY_S);
         g_array_remove_index(entry->waiting_requests, i - 1);
     }
--- a/src/core/api/job_answer.c
+++ b/src/core/api/job_answer.c
@@ -3,6 +3,7 @@
 #include "core/api/cancellation_ack.h"
 #include "core/api/job_reply.h"
 #include "core/core_state.h"
+#include "model/http_status.h"
 #include "model/submission.h"
 
 /* When a user whose request could not be handled is to come again. */
@@ -18,7 +19,7 @@
 
 void ow_job_answer_retry(struct ow_core *core, uint64_t request, const char *text)
 {
-    ow_core_reject_request(core, request, 503, text, RETRY_AFTER_S);
+    ow_core_reject_request(core, request, OW_HTTP_STATUS_UNAVAILABLE, text, RETRY_AFTER_S);
 }
 
 void ow_job_answer_store_unavailable(struct ow_core *core, uint64_t request)
@@ -43,7 +44,7 @@
     }
     const struct ow_job *job = ow_jobs_find(core->jobs, pending->id);
     if (job == NULL)
-        ow_core_reject_request(core, pending->request, 404, "no such job", 0);
+        ow_core_reject_request(core, pending->request, OW_HTTP_STATUS_NOT_FOUND, "no such job", 0);
     return job;
 }
 
@@ -52,5 +53,5 @@
     const struct ow_pending_request *pending = data;
     const struct ow_job *job = ow_job_answer_find(core, pending, ok);
     if (job != NULL)
-        ow_job_answer(core, pending->request, 200, job);
+        ow_job_answer(core, pending->request, OW_HTTP_STATUS_OK, job);
 }
--- a/src/core/api/submit.c
+++ b/src/core/api/submit.c
@@ -8,6 +8,7 @@
 #include "core/jobs/job_change.h"
 #include "core/machine_types.h"
 #include "model/event.h"
+#include "model/http_status.h"
 #include "model/records.h"
 #include "model/submission.h"
 #include "wire/records_json.h"
@@ -73,7 +74,7 @@
            submission->class_name, submission->team, submission->tasks, submission->estimate_s,
            submission->deadline_s);
     ow_jobs_apply(core->jobs, id, revision, OW_JOB_QUEUED, submission, core->now, 0);
-    ow_job_answer(core, request, 201, ow_jobs_find(core->jobs, id));
+    ow_job_answer(core, request, OW_HTTP_STATUS_CREATED, ow_jobs_find(core->jobs, id));
     ow_job_change_announce(core, revision);
 }
 
@@ -82,7 +83,7 @@
 static void refuse_too_large(struct ow_core *core, const struct submit_call *call)
 {
     ow_store_limits_shrink(&core->store_limits, 1, call->record_bytes);
-    refuse_unless_known(core, call->request, call->submission->id, 422, TOO_LARGE);
+    refuse_unless_known(core, call->request, call->submission->id, OW_HTTP_STATUS_UNPROCESSABLE, TOO_LARGE);
 }
 
 static void answer_existing(struct ow_core *core, const struct submit_call *call)
@@ -96,13 +97,13 @@
     struct ow_core *core = owner;
     struct submit_call *call = data;
     switch (answer->store.status) {
-    case 200:
+    case OW_HTTP_STATUS_OK:
         accept_job(core, call->request, answer->store.revision, g_steal_pointer(&call->submission));
         break;
-    case 409: /* another controller was first */
+    case OW_HTTP_STATUS_CONFLICT: /* another controller was first */
         answer_existing(core, call);
         break;
-    case 400:
+    case OW_HTTP_STATUS_BAD_REQUEST:
         refuse_too_large(core, call);
         break;
     default:
@@ -119,7 +120,7 @@
     if (strlen(text) < core->store_limits.refused_value_bytes)
         return text;
     g_free(text);
-    refuse_unless_known(core, request, record->submission->id, 422, TOO_LARGE);
+    refuse_unless_known(core, request, record->submission->id, OW_HTTP_STATUS_UNPROCESSABLE, TOO_LARGE);
     return NULL;
 }
 
@@ -162,7 +163,7 @@
     const char *reason = ow_infeasible_reason(core, submission);
     if (reason == NULL)
         return false;
-    refuse_unless_known(core, request, submission->id, 422, reason);
+    refuse_unless_known(core, request, submission->id, OW_HTTP_STATUS_UNPROCESSABLE, reason);
     return true;
 }
 
@@ -179,5 +180,5 @@
     if (ow_jobs_find(core->jobs, id) != NULL)
         ow_poll_job(core, request, id);
     else
-        refuse_unless_known(core, request, id, 400, g_intern_string(error));
+        refuse_unless_known(core, request, id, OW_HTTP_STATUS_BAD_REQUEST, g_intern_string(error));
 }
--- a/src/core/api/team_usage.c
+++ b/src/core/api/team_usage.c
@@ -2,6 +2,7 @@
 
 #include "core/core_state.h"
 #include "model/effect.h"
+#include "model/http_status.h"
 #include "model/resources.h"
 #include "model/submission.h"
 
@@ -27,7 +28,7 @@
     const GArray *teams = core->settings->teams;
     const GPtrArray *open_jobs = ow_jobs_open(core->jobs);
     struct ow_effect *effect = ow_effect_new(OW_EFFECT_TEAMS, request);
-    effect->status = 200;
+    effect->status = OW_HTTP_STATUS_OK;
     effect->teams = g_array_new(FALSE, TRUE, sizeof(struct ow_team_view));
     for (guint i = 0; i < teams->len; i++) {
         struct ow_team_view view = {.name = g_array_index(teams, struct ow_team_settings, i).name};
--- a/src/core/store_health.c
+++ b/src/core/store_health.c
@@ -2,10 +2,9 @@
 
 #include "core/core_state.h"
 #include "model/event.h"
+#include "model/http_status.h"
 #include "model/records.h"
 
-/* HTTP: the key-value store is there, but does not serve at present. */
-enum { STATUS_UNAVAILABLE = 503 };
 /* How long without a good answer until the key-value store is probed. */
 static const double PROBE_AFTER_S = 2;
 /* A good answer counts as recent for so long. */
@@ -38,9 +37,10 @@
 void ow_store_health_note_reply(struct ow_store_health *health, int status)
 {
     double now = health->core->now;
-    bool has_failed = status == 0 || status == STATUS_UNAVAILABLE;
-    health->is_silent = status == 0;
-    if (status == STATUS_UNAVAILABLE)
+    /* UNAVAILABLE: the key-value store is there, but does not serve at present. */
+    bool has_failed = status == OW_HTTP_STATUS_NONE || status == OW_HTTP_STATUS_UNAVAILABLE;
+    health->is_silent = status == OW_HTTP_STATUS_NONE;
+    if (status == OW_HTTP_STATUS_UNAVAILABLE)
         health->refused_at = now;
     if (!has_failed) {
         health->ok_at = now;
