--- a/src/core/records/loaded_records.c
+++ b/src/core/records/loaded_records.c
@@ -12,7 +12,7 @@
 #include "model/records.h"
 #include "model/store.h"
 #include "wire/json.h"
-#include "wire/records_json.h"
+#include "wire/progress_json.h"
 
 #include <string.h>
 
--- a/src/core/records/record_values.c
+++ b/src/core/records/record_values.c
@@ -6,7 +6,7 @@
 #include "core/machines/machine.h"
 #include "core/records/record_format.h"
 #include "model/records.h"
-#include "wire/records_json.h"
+#include "wire/progress_json.h"
 
 #include <string.h>
 
--- a/src/wire/records_json.h
+++ b/src/wire/records_json.h
@@ -1,46 +1,41 @@
-/* The stored form of our own records. */
+/** @file
+ * The stored form of our own records, except for progress (progress_json.h) and machine types (cloud_json.h).
+ * Names and values of their fields are read by every version and never change.
+ */
 #ifndef OW_WIRE_RECORDS_JSON_H
 #define OW_WIRE_RECORDS_JSON_H
 
 #include "model/records.h"
 
-#include <glib.h>
 #include <stdbool.h>
-#include <stdint.h>
 
 struct json_t;
 
-/* All texts are the caller's (g_free). */
-
-/* A job: its submission, or how it ended. */
+/** The text of a job's record: its submission, or how it ended. @return owned by the caller (g_free) */
 char *wire_job_record_encode(const struct ow_job_record *record);
-/* False if it can't be read. The submission is the caller's. */
-bool wire_job_record_decode(const struct json_t *value, struct ow_job_record *out);
-
-/* What is done, and which attempts may exist, of the tasks of one chunk. */
-char *wire_progress_record_encode(const struct ow_progress_record *record);
-/* False if it can't be read in full; *out then holds what could be. */
-bool wire_progress_record_decode(const struct json_t *value, struct ow_progress_record *out);
-/* Frees what it holds. */
-void wire_progress_record_clear(struct ow_progress_record *record);
-
-/* Several of them in one value: "<job>/<chunk>" -> record, or "<job>/<chunk>.<tasks>" where chunks have not
-   OW_CHUNK_MAX_TASKS. Records are added one by one, then comes the end. */
-void wire_progress_value_add(GString *text, const char *job, uint32_t chunk, uint32_t tasks,
-                             const char *record);
-void wire_progress_value_end(GString *text);
-/* The job's id, which the caller frees, the chunk of a record's name and how many tasks such chunks have;
-   NULL if it is none. */
-char *wire_progress_name_decode(const char *name, uint32_t *chunk, uint32_t *tasks);
-
-/* Who leads. `nonce` tells two processes of the same name apart. */
+
+/**
+ * Reads a job's record.
+ * @param record filled in with what can be read, in any case; its submission is the caller's
+ * @return false if it can't be read: neither how the job ended, nor its submission
+ */
+bool wire_job_record_decode(const struct json_t *value, struct ow_job_record *record);
+
+/**
+ * The text of the leader key: who leads.
+ * @param controller name of the leader
+ * @param nonce tells two processes of the same name apart
+ * @return owned by the caller (g_free)
+ */
 char *wire_leader_record_encode(const char *controller, const char *nonce);
-/* Both may come back NULL; the texts stay the value's. */
+
+/** Reads the leader key. @param controller, nonce set to texts that the value owns; NULL: not in it */
 void wire_leader_record_decode(const struct json_t *value, const char **controller, const char **nonce);
 
-/* The newest format of records that every controller reads. */
+/** The text of the format key. @param format the newest that every controller reads @return owned (g_free) */
 char *wire_format_record_encode(unsigned format);
-/* The first format if there is none in it. */
+
+/** Reads the format key. @return the first format if there is none in it */
 unsigned wire_format_record_decode(const struct json_t *value);
 
 #endif
--- a/tests/unit/test_production_format.c
+++ b/tests/unit/test_production_format.c
@@ -8,6 +8,7 @@
 #include "model/submission.h"
 #include "wire/json.h"
 #include "wire/peer_xdr.h"
+#include "wire/progress_json.h"
 #include "wire/records_json.h"
 
 static char *fixture(const char *name)
--- a/tests/unit/test_records.c
+++ b/tests/unit/test_records.c
@@ -5,6 +5,7 @@
 #include "util/interner.h"
 #include "util/rate_limiter.h"
 #include "wire/json.h"
+#include "wire/progress_json.h"
 #include "wire/records_json.h"
 #include "sim_cluster.h"
 #include "model/submission.h"
