--- a/src/wire/cloud_json.c
+++ b/src/wire/cloud_json.c
@@ -111,7 +111,11 @@
 
 static bool listed_machine_from_json(const json_t *object, struct ow_listed_machine *machine)
 {
-    const char *name = NULL, *addr = "", *type = NULL, *zone = NULL, *state_word = NULL;
+    const char *name = NULL;
+    const char *addr = "";
+    const char *type = NULL;
+    const char *zone = NULL;
+    const char *state_word = NULL;
     if (!wire_json_get_string(object, W_ID, &name) || !wire_json_get_string(object, W_TYPE, &type) ||
         !wire_json_get_string(object, W_ZONE, &zone) || !wire_json_get_string(object, W_STATE, &state_word))
         return false;
--- a/src/wire/peer.x
+++ b/src/wire/peer.x
@@ -1,5 +1,5 @@
 /* The messages between controllers. A lost message costs time only, but one kind is needed for more: a user hears
- * "cancelled" only after the leader has said that it has acknowledged the cancellation (core/cancellation_ack.c).
+ * "cancelled" only after the leader has said that it has acknowledged the cancellation (core/api/cancellation_ack.c).
  *
  * Every message travels in an envelope. Kinds that are not known are skipped, and of a body whatever comes behind
  * the known fields: so later versions add kinds, and fields at the end of a body. */
@@ -12,10 +12,10 @@
 
 struct peer_hello {
     string sender<PEER_NAME_MAX>;
-    unsigned hyper fencing_token;     /* the highest fencing token known; the sender's own if it leads */
+    unsigned hyper fencing_token; /* the highest fencing token known; the sender's own if it leads */
     bool leads;
-    bool store_ok;            /* the key-value store answered the sender lately */
-    bool receives_heartbeats;       /* workers came to the sender lately */
+    bool store_ok;                /* the key-value store answered the sender lately */
+    bool receives_heartbeats;     /* agents came to the sender lately */
 };
 
 struct peer_job {
@@ -35,7 +35,7 @@
     unsigned hyper revision;
 };
 
-/* Where machines listen, so that whoever takes over reaches them before the cloud's list does. */
+/* Where machines listen, so that the next leader reaches them before the cloud's list does. */
 struct peer_machine {
     string name<PEER_NAME_MAX>;
     string addr<PEER_NAME_MAX>;
@@ -64,15 +64,15 @@
 /* "This job's cancellation is committed": whoever leads acknowledges it, and need not read it anywhere. */
 struct peer_cancellation {
     string job<PEER_NAME_MAX>;
-    unsigned hyper revision;  /* of the record that says so */
-    unsigned hyper fencing_token;     /* of the leader at the time of that record */
+    unsigned hyper revision;      /* of the record that says so */
+    unsigned hyper fencing_token; /* of the leader at the time of that record */
 };
 
 /* "The leader has acknowledged the cancellation": it has queued the stops, and nothing of the job can start. */
 struct peer_cancellation_ack {
     string job<PEER_NAME_MAX>;
     unsigned hyper revision;
-    unsigned hyper fencing_token;     /* of the leader that says so */
+    unsigned hyper fencing_token; /* of the leader that says so */
 };
 
 /* Controllers that share a fleet of several shards tell each other that they are alive, and what they lead. */
--- a/src/wire/peer_body.c
+++ b/src/wire/peer_body.c
@@ -130,7 +130,8 @@
 void *wire_peer_body_from_message(struct ow_peer_message *message, union wire_peer_body *body)
 {
     struct ow_peer_cancellation *cancellation = &message->cancellation;
-    const GArray *jobs = message->summary.jobs, *machines = message->machine_list.machines;
+    const GArray *jobs = message->summary.jobs;
+    const GArray *machines = message->machine_list.machines;
     switch (message->kind) {
     case OW_PEER_HELLO:
         fill_hello(message, &body->hello);
--- a/src/wire/peer_xdr.c
+++ b/src/wire/peer_xdr.c
@@ -6,97 +6,119 @@
 #include <arpa/inet.h>
 #include <string.h>
 
-/* Encodes into a new buffer; NULL if it does not fit. */
-static char *encode(xdrproc_t coder, void *value, uint32_t *size)
+/* ---- encoding ---- */
+
+/* Encodes a value into a new buffer (g_free); NULL if it does not fit into a message. */
+static char *encode_value(xdrproc_t coder, void *value, uint32_t *size)
 {
-    char *buffer = g_malloc(WIRE_PEER_MAX);
+    g_autofree char *buffer = g_malloc(WIRE_PEER_MAX);
     XDR xdr;
     xdrmem_create(&xdr, buffer, WIRE_PEER_MAX, XDR_ENCODE);
-    bool ok = coder(&xdr, value, 0);
-    *size = ok ? xdr_getpos(&xdr) : 0;
+    bool fits = coder(&xdr, value, 0);
+    *size = fits ? xdr_getpos(&xdr) : 0;
     xdr_destroy(&xdr);
-    if (!ok)
-        g_clear_pointer(&buffer, g_free);
-    return buffer;
+    return fits ? g_steal_pointer(&buffer) : NULL;
+}
+
+/* Encodes the body of a message; NULL if it does not fit. */
+static char *encode_body(xdrproc_t coder, struct ow_peer_message *message, uint32_t *size)
+{
+    union wire_peer_body body;
+    memset(&body, 0, sizeof body);
+    g_autofree void *list = wire_peer_body_from_message(message, &body);
+    return encode_value(coder, &body, size);
+}
+
+/* Encodes a body together with the shard that it belongs to; NULL if it does not fit. */
+static char *encode_shard_message(const struct ow_peer_message *message, char *body, uint32_t body_size,
+                                  uint32_t *size)
+{
+    peer_shard_message wrapped = {
+        .shard = message->shard,
+        .kind = (u_int)message->kind,
+        .body = {body_size, body},
+    };
+    return encode_value((xdrproc_t)xdr_peer_shard_message, &wrapped, size);
 }
 
-/* Encodes the body with the shard that it belongs to, replacing it; false if it does not fit. */
-static bool wrap_for_shard(const struct ow_peer_message *message, char **encoded, uint32_t *size)
+static char *encode_envelope(u_int kind, char *body, uint32_t body_size, uint32_t *size)
 {
-    peer_shard_message wrapped = {message->shard, (u_int)message->kind, {*size, *encoded}};
-    char *outer = encode((xdrproc_t)xdr_peer_shard_message, &wrapped, size);
-    g_free(*encoded);
-    *encoded = outer;
-    return outer != NULL;
+    peer_envelope envelope = {
+        .format = PEER_VERSION,
+        .kind = kind,
+        .body = {body_size, body},
+    };
+    return encode_value((xdrproc_t)xdr_peer_envelope, &envelope, size);
+}
+
+static void append_frame(GString *out, const char *data, uint32_t size)
+{
+    uint32_t length = htonl(size);
+    g_string_append_len(out, (const char *)&length, sizeof length);
+    g_string_append_len(out, data, size);
 }
 
 bool wire_peer_encode(struct ow_peer_message *message, GString *out)
 {
-    union wire_peer_body body;
-    uint32_t size = 0;
-    u_int kind = (u_int)message->kind;
-    memset(&body, 0, sizeof body);
     xdrproc_t coder = wire_peer_body_coder(message->kind);
     if (coder == NULL)
         return false;
-    void *list = wire_peer_body_from_message(message, &body);
-    char *encoded = encode(coder, &body, &size);
-    char *whole = NULL;
-    if (encoded != NULL && message->shard != NULL && wrap_for_shard(message, &encoded, &size))
+    uint32_t size = 0;
+    u_int kind = (u_int)message->kind;
+    g_autofree char *body = encode_body(coder, message, &size);
+    if (body != NULL && message->shard != NULL) {
+        char *wrapped = encode_shard_message(message, body, size, &size);
+        g_free(body);
+        body = wrapped;
         kind = PEER_SHARD_MESSAGE;
-    if (encoded != NULL) {
-        peer_envelope envelope = {PEER_VERSION, kind, {size, encoded}};
-        whole = encode((xdrproc_t)xdr_peer_envelope, &envelope, &size);
     }
-    if (whole != NULL) {
-        uint32_t frame = htonl(size);
-        g_string_append_len(out, (const char *)&frame, sizeof frame);
-        g_string_append_len(out, whole, size);
-    }
-    bool ok = whole != NULL;
-    g_free(whole);
-    g_free(encoded);
-    g_free(list);
-    return ok;
+    if (body == NULL)
+        return false;
+    g_autofree char *whole = encode_envelope(kind, body, size, &size);
+    if (whole == NULL)
+        return false;
+    append_frame(out, whole, size);
+    return true;
 }
 
-/* What comes behind the fields that we know is a later version's and is left alone. */
-static bool decode(xdrproc_t coder, const char *data, size_t size, void *value)
+/* ---- decoding ---- */
+
+/* Decodes a value, which the caller frees with xdr_free() in any case. What follows the known fields is a
+   later version's and is left alone. */
+static bool decode_value(xdrproc_t coder, const char *data, size_t size, void *value)
 {
     XDR xdr;
     xdrmem_create(&xdr, (char *)data, (u_int)size, XDR_DECODE);
-    bool ok = coder(&xdr, value, 0);
+    bool is_valid = coder(&xdr, value, 0);
     xdr_destroy(&xdr);
-    return ok;
+    return is_valid;
 }
 
-/* Reads a body of this kind: NULL and true where the kind is unknown. */
+/* Decodes a body of this kind: true and NULL where the kind is unknown. */
 static bool decode_body(unsigned kind, const char *data, size_t size, struct ow_peer_message **message)
 {
-    union wire_peer_body body;
     xdrproc_t coder = wire_peer_body_coder(kind);
-    memset(&body, 0, sizeof body);
-    *message = NULL;
     if (coder == NULL)
         return true;
-    bool ok = decode(coder, data, size, &body);
-    if (ok)
+    union wire_peer_body body;
+    memset(&body, 0, sizeof body);
+    bool is_valid = decode_value(coder, data, size, &body);
+    if (is_valid)
         *message = wire_peer_body_to_message(kind, &body);
     xdr_free(coder, (char *)&body);
-    return ok;
+    return is_valid;
 }
 
 static bool decode_shard_message(const char *data, size_t size, struct ow_peer_message **message)
 {
     peer_shard_message wrapped;
     memset(&wrapped, 0, sizeof wrapped);
-    *message = NULL;
-    bool ok = decode((xdrproc_t)xdr_peer_shard_message, data, size, &wrapped) &&
-              decode_body(wrapped.kind, wrapped.body.body_val, wrapped.body.body_len, message);
+    bool is_valid = decode_value((xdrproc_t)xdr_peer_shard_message, data, size, &wrapped) &&
+                    decode_body(wrapped.kind, wrapped.body.body_val, wrapped.body.body_len, message);
     if (*message != NULL)
         (*message)->shard = g_strdup(wrapped.shard);
     xdr_free((xdrproc_t)xdr_peer_shard_message, (char *)&wrapped);
-    return ok;
+    return is_valid;
 }
 
 bool wire_peer_decode(const char *data, size_t size, struct ow_peer_message **message)
@@ -104,13 +126,13 @@
     peer_envelope envelope;
     memset(&envelope, 0, sizeof envelope);
     *message = NULL;
-    bool ok = decode((xdrproc_t)xdr_peer_envelope, data, size, &envelope);
-    if (ok && envelope.kind == PEER_SHARD_MESSAGE)
-        ok = decode_shard_message(envelope.body.body_val, envelope.body.body_len, message);
-    else if (ok)
-        ok = decode_body(envelope.kind, envelope.body.body_val, envelope.body.body_len, message);
+    bool is_valid = decode_value((xdrproc_t)xdr_peer_envelope, data, size, &envelope);
+    if (is_valid && envelope.kind == PEER_SHARD_MESSAGE)
+        is_valid = decode_shard_message(envelope.body.body_val, envelope.body.body_len, message);
+    else if (is_valid)
+        is_valid = decode_body(envelope.kind, envelope.body.body_val, envelope.body.body_len, message);
     if (*message != NULL)
         (*message)->version = envelope.format;
     xdr_free((xdrproc_t)xdr_peer_envelope, (char *)&envelope);
-    return ok;
+    return is_valid;
 }
--- a/src/wire/progress_json.c
+++ b/src/wire/progress_json.c
@@ -27,7 +27,8 @@
 {
     GString *text = g_string_new(NULL);
     for (guint i = 0; i < done->len;) {
-        uint32_t from = g_array_index(done, uint32_t, i), to = from;
+        uint32_t from = g_array_index(done, uint32_t, i);
+        uint32_t to = from;
         for (i++; i < done->len && g_array_index(done, uint32_t, i) == to + 1; i++)
             to++;
         append_range(text, from, to);
@@ -101,7 +102,8 @@
 static bool read_range(const char **text, uint32_t *from, uint32_t *to)
 {
     char *end = NULL;
-    unsigned long first = strtoul(*text, &end, 10), last = first;
+    unsigned long first = strtoul(*text, &end, 10);
+    unsigned long last = first;
     if (end == *text)
         return false;
     if (*end == '-')
@@ -117,7 +119,8 @@
 static bool read_done(const char *text, GArray *done)
 {
     while (*text != '\0') {
-        uint32_t from = 0, to = 0;
+        uint32_t from = 0;
+        uint32_t to = 0;
         if (!read_range(&text, &from, &to))
             return false;
         for (uint32_t task = from; task <= to; task++)
@@ -132,7 +135,8 @@
 static bool read_attempts(const char *machine, uint64_t incarnation, const char *text, GArray *live)
 {
     while (*text != '\0') {
-        uint32_t from = 0, to = 0;
+        uint32_t from = 0;
+        uint32_t to = 0;
         char *end = NULL;
         if (!read_range(&text, &from, &to) || *text != '@')
             return false;
@@ -174,7 +178,7 @@
     wire_json_get_string(value, F_DONE, &done);
     bool is_complete =
         wire_json_get_count(value, F_LAST_ATTEMPT, &record->last_attempt) && read_done(done, record->done);
-    /* What can be read counts even if something else can't: an attempt that may exist must not be forgotten. */
+    /* What can be read counts even if something else can't: an attempt that may exist must be remembered. */
     const char *key;
     json_t *attempts;
     json_object_foreach(json_object_get(value, F_LIVE), key, attempts)
@@ -221,7 +225,8 @@
 
 char *wire_progress_name_decode(const char *name, uint32_t *chunk, uint32_t *tasks)
 {
-    guint64 chunk_read = 0, tasks_read = OW_CHUNK_MAX_TASKS;
+    guint64 chunk_read = 0;
+    guint64 tasks_read = OW_CHUNK_MAX_TASKS;
     const char *slash = strrchr(name, '/');
     bool is_name = slash != NULL && read_chunk(slash + 1, &chunk_read, &tasks_read);
     *chunk = (uint32_t)chunk_read;
--- a/src/wire/progress_json.h
+++ b/src/wire/progress_json.h
@@ -1,8 +1,9 @@
 /** @file
- * The stored form of the progress of jobs: which tasks are done, and which attempts may exist, by chunks of tasks.
+ * The stored form of the progress of jobs: which tasks are done, and which attempts may exist, by chunks of
+ * tasks.
  *
- * A value of the key-value store holds several records: `{"<job>/<chunk>": record, ...}`. Where chunks have not
- * OW_CHUNK_MAX_TASKS tasks, the name of a record says how many: `"<job>/<chunk>.<tasks>"`.
+ * A value of the key-value store holds several records: `{"<job>/<chunk>": record, ...}`. Where chunks have
+ * not OW_CHUNK_MAX_TASKS tasks, the name of a record says how many: `"<job>/<chunk>.<tasks>"`.
  */
 #ifndef OW_WIRE_PROGRESS_JSON_H
 #define OW_WIRE_PROGRESS_JSON_H
--- a/src/wire/store_json.c
+++ b/src/wire/store_json.c
@@ -33,8 +33,10 @@
 
 static char *txn_body(const struct ow_store_request *request)
 {
-    const GArray *comparisons = request->comparisons, *mutations = request->mutations;
-    json_t *comparison_list = json_array(), *mutation_list = json_array();
+    const GArray *comparisons = request->comparisons;
+    const GArray *mutations = request->mutations;
+    json_t *comparison_list = json_array();
+    json_t *mutation_list = json_array();
     for (guint i = 0; i < comparisons->len; i++)
         json_array_append_new(comparison_list,
                               comparison_to_json(&g_array_index(comparisons, struct ow_store_comparison, i)));
--- a/src/wire/worker_json.c
+++ b/src/wire/worker_json.c
@@ -50,7 +50,8 @@
 
 static bool task_status_from_json(const json_t *object, struct ow_task_status *status)
 {
-    const char *phase_word = NULL, *cause_word = wire_causes[OW_CAUSE_NONE];
+    const char *phase_word = NULL;
+    const char *cause_word = wire_causes[OW_CAUSE_NONE];
     memset(status, 0, sizeof *status);
     if (!task_name_from_json(object, status->job, &status->task) ||
         !wire_json_get_count(object, W_ATTEMPT, &status->attempt) ||
@@ -121,11 +122,11 @@
     g_autoptr(ow_heartbeat) heartbeat = g_new0(struct ow_heartbeat, 1);
     heartbeat->tasks = g_array_new(FALSE, FALSE, sizeof(struct ow_task_status));
     heartbeat->reclaim_notice_s = -1;
-    if (!copy_string(object, W_MACHINE, &heartbeat->machine) ||
+    if (!wire_json_get_count(object, W_INCARNATION, &heartbeat->incarnation) ||
+        !wire_json_get_count(object, W_SEQUENCE, &heartbeat->seq) ||
+        !copy_string(object, W_MACHINE, &heartbeat->machine) ||
         !copy_string(object, W_ADDRESS, &heartbeat->addr) || !copy_string(object, W_TYPE, &heartbeat->type) ||
         !copy_string(object, W_ZONE, &heartbeat->zone) ||
-        !wire_json_get_count(object, W_INCARNATION, &heartbeat->incarnation) ||
-        !wire_json_get_count(object, W_SEQUENCE, &heartbeat->seq) ||
         !task_statuses_from_json(json_object_get(object, W_TASKS), heartbeat->tasks))
         return NULL;
     wire_json_get_bool(object, W_SPOT, &heartbeat->spot);
