--- a/src/wire/peer_xdr.c
+++ b/src/wire/peer_xdr.c
@@ -8,54 +8,55 @@
 
 /* ---- encoding ---- */
 
-/* Encodes a value into a new buffer (g_free); NULL if it does not fit into a message. */
-static char *encode_value(xdrproc_t coder, void *value, uint32_t *size)
+/* Encodes a value; NULL if it does not fit into a message. The bytes are the caller's. */
+static GByteArray *encode_value(xdrproc_t coder, void *value)
 {
-    g_autofree char *buffer = g_malloc(WIRE_PEER_MAX);
+    g_autoptr(GByteArray) bytes = g_byte_array_sized_new(WIRE_PEER_MAX);
+    g_byte_array_set_size(bytes, WIRE_PEER_MAX);
     XDR xdr;
-    xdrmem_create(&xdr, buffer, WIRE_PEER_MAX, XDR_ENCODE);
+    xdrmem_create(&xdr, (char *)bytes->data, WIRE_PEER_MAX, XDR_ENCODE);
     bool fits = coder(&xdr, value, 0);
-    *size = fits ? xdr_getpos(&xdr) : 0;
+    g_byte_array_set_size(bytes, fits ? xdr_getpos(&xdr) : 0);
     xdr_destroy(&xdr);
-    return fits ? g_steal_pointer(&buffer) : NULL;
+    return fits ? g_steal_pointer(&bytes) : NULL;
 }
 
-/* Encodes the body of a message; NULL if it does not fit. */
-static char *encode_body(xdrproc_t coder, struct ow_peer_message *message, uint32_t *size)
+static GByteArray *encode_body(xdrproc_t coder, struct ow_peer_message *message)
 {
     union wire_peer_body body;
     memset(&body, 0, sizeof body);
-    g_autofree void *list = wire_peer_body_from_message(message, &body);
-    return encode_value(coder, &body, size);
+    void *list = wire_peer_body_from_message(message, &body);
+    GByteArray *encoded = encode_value(coder, &body);
+    g_free(list);
+    return encoded;
 }
 
-/* Encodes a body together with the shard that it belongs to; NULL if it does not fit. */
-static char *encode_shard_message(const struct ow_peer_message *message, char *body, uint32_t body_size,
-                                  uint32_t *size)
+/* Encodes a body together with the shard that it belongs to. */
+static GByteArray *encode_shard_message(const struct ow_peer_message *message, const GByteArray *body)
 {
     peer_shard_message wrapped = {
         .shard = message->shard,
         .kind = (u_int)message->kind,
-        .body = {body_size, body},
+        .body = {body->len, (char *)body->data},
     };
-    return encode_value((xdrproc_t)xdr_peer_shard_message, &wrapped, size);
+    return encode_value((xdrproc_t)xdr_peer_shard_message, &wrapped);
 }
 
-static char *encode_envelope(u_int kind, char *body, uint32_t body_size, uint32_t *size)
+static GByteArray *encode_envelope(u_int kind, const GByteArray *body)
 {
     peer_envelope envelope = {
         .format = PEER_VERSION,
         .kind = kind,
-        .body = {body_size, body},
+        .body = {body->len, (char *)body->data},
     };
-    return encode_value((xdrproc_t)xdr_peer_envelope, &envelope, size);
+    return encode_value((xdrproc_t)xdr_peer_envelope, &envelope);
 }
 
-static void append_frame(GString *out, const char *data, uint32_t size)
+static void append_frame(GString *out, const GByteArray *bytes)
 {
-    uint32_t length = htonl(size);
+    uint32_t length = htonl(bytes->len);
     g_string_append_len(out, (const char *)&length, sizeof length);
-    g_string_append_len(out, data, size);
+    g_string_append_len(out, (const char *)bytes->data, bytes->len);
 }
 
 bool wire_peer_encode(struct ow_peer_message *message, GString *out)
@@ -63,21 +64,18 @@
     xdrproc_t coder = wire_peer_body_coder(message->kind);
     if (coder == NULL)
         return false;
-    uint32_t size = 0;
     u_int kind = (u_int)message->kind;
-    g_autofree char *body = encode_body(coder, message, &size);
+    g_autoptr(GByteArray) body = encode_body(coder, message);
     if (body != NULL && message->shard != NULL) {
-        char *wrapped = encode_shard_message(message, body, size, &size);
-        g_free(body);
+        GByteArray *wrapped = encode_shard_message(message, body);
+        g_byte_array_unref(body);
         body = wrapped;
         kind = PEER_SHARD_MESSAGE;
     }
-    if (body == NULL)
-        return false;
-    g_autofree char *whole = encode_envelope(kind, body, size, &size);
+    g_autoptr(GByteArray) whole = body != NULL ? encode_envelope(kind, body) : NULL;
     if (whole == NULL)
         return false;
-    append_frame(out, whole, size);
+    append_frame(out, whole);
     return true;
 }
 
