--- a/src/agent/history.c
+++ b/src/agent/history.c
@@ -34,25 +34,28 @@
         fprintf(stderr, "ospreywell-agent: the history can't be written\n");
 }
 
-void agent_history_record_incarnation(const struct agent_history *history, uint64_t incarnation)
+/* Appends an event about the agent itself, with a number. */
+static void append_number(const struct agent_history *history, const char *event, const char *key,
+                          uint64_t value)
 {
     char members[LINE_BYTES];
-    snprintf(members, sizeof members, ",\"session\":%" PRIu64, incarnation);
-    append(history, "session", members);
+    snprintf(members, sizeof members, ",\"%s\":%" PRIu64, key, value);
+    append(history, event, members);
+}
+
+void agent_history_record_incarnation(const struct agent_history *history, uint64_t incarnation)
+{
+    append_number(history, "session", "session", incarnation);
 }
 
 void agent_history_record_lease_expiry(const struct agent_history *history, uint64_t incarnation)
 {
-    char members[LINE_BYTES];
-    snprintf(members, sizeof members, ",\"session\":%" PRIu64, incarnation);
-    append(history, "lease-over", members);
+    append_number(history, "lease-over", "session", incarnation);
 }
 
 void agent_history_record_fencing_token(const struct agent_history *history, uint64_t fencing_token)
 {
-    char members[LINE_BYTES];
-    snprintf(members, sizeof members, ",\"token\":%" PRIu64, fencing_token);
-    append(history, "token", members);
+    append_number(history, "token", "token", fencing_token);
 }
 
 void agent_history_record_commands(const struct agent_history *history,
@@ -67,40 +70,36 @@
     append(history, "orders", members);
 }
 
-/* The members that name an attempt, and their values. */
-#define ATTEMPT_FORMAT ",\"task\":\"%s/%" PRIu32 "\",\"attempt\":%" PRIu64
-#define ATTEMPT_VALUES(id) (id)->job, (id)->task, (id)->attempt
+/* Appends an event about an attempt, with a number of its own. */
+static void append_attempt(const struct agent_history *history, const char *event,
+                           const struct agent_attempt *attempt, const char *key, uint64_t value)
+{
+    char members[LINE_BYTES];
+    snprintf(members, sizeof members, ",\"task\":\"%s/%" PRIu32 "\",\"attempt\":%" PRIu64 ",\"%s\":%" PRIu64,
+             attempt->job, attempt->task, attempt->attempt, key, value);
+    append(history, event, members);
+}
 
 void agent_history_record_launch(const struct agent_history *history, const struct agent_attempt *attempt,
                                  uint64_t fencing_token)
 {
-    char members[LINE_BYTES];
-    snprintf(members, sizeof members, ATTEMPT_FORMAT ",\"token\":%" PRIu64, ATTEMPT_VALUES(attempt),
-             fencing_token);
-    append(history, "launched", members);
+    append_attempt(history, "launched", attempt, "token", fencing_token);
 }
 
 void agent_history_record_exit(const struct agent_history *history, const struct agent_attempt *attempt,
                                enum ow_exit_cause cause)
 {
-    char members[LINE_BYTES];
-    snprintf(members, sizeof members, ATTEMPT_FORMAT ",\"cause\":%d", ATTEMPT_VALUES(attempt), (int)cause);
-    append(history, "exited", members);
+    append_attempt(history, "exited", attempt, "cause", (uint64_t)cause);
 }
 
 void agent_history_record_task_begins(const struct agent_history *history,
                                       const struct agent_attempt *attempt)
 {
-    char members[LINE_BYTES];
-    /* The member is that of task-ended; 0 is AGENT_END_NONE. */
-    snprintf(members, sizeof members, ATTEMPT_FORMAT ",\"end\":0", ATTEMPT_VALUES(attempt));
-    append(history, "task-begins", members);
+    append_attempt(history, "task-begins", attempt, "end", AGENT_END_NONE);
 }
 
 void agent_history_record_task_ended(const struct agent_history *history, const struct agent_attempt *attempt,
                                      enum agent_task_end end)
 {
-    char members[LINE_BYTES];
-    snprintf(members, sizeof members, ATTEMPT_FORMAT ",\"end\":%d", ATTEMPT_VALUES(attempt), (int)end);
-    append(history, "task-ended", members);
+    append_attempt(history, "task-ended", attempt, "end", (uint64_t)end);
 }
--- a/src/agent/machine.c
+++ b/src/agent/machine.c
@@ -29,7 +29,7 @@
         .addr = options->advertise,
         .type = options->type,
         .zone = options->zone,
-        .spot = options->spot,
+        .spot = options->is_spot,
         .incarnation = machine->incarnation.number,
         .seq = ++machine->sequence,
         .fencing_token = machine->incarnation.fencing_token,
--- a/src/agent/options.c
+++ b/src/agent/options.c
@@ -105,7 +105,7 @@
     g_array_set_clear_func(options->controllers, controller_clear);
     if (!read_options(argc, argv, options, &is_spot, &controllers, error))
         return false;
-    options->spot = is_spot;
+    options->is_spot = is_spot;
     if (options->advertise == NULL)
         options->advertise = g_strdup(options->listen);
     return check(options, error) && parse_controllers(controllers, options->controllers, error);
--- a/src/agent/options.h
+++ b/src/agent/options.h
@@ -23,7 +23,7 @@
     char *zone;
     char *listen;    /**< ADDRESS:PORT that direct commands come to */
     char *advertise; /**< how controllers reach that; another one behind a translation of addresses */
-    bool spot;       /**< the cloud may reclaim the machine */
+    bool is_spot;    /**< the cloud may reclaim the machine */
     struct ow_resources size;    /**< of the machine */
     double heartbeat_interval_s; /**< above 0; 3 unless it is given */
     double lease_s;              /**< above heartbeat_interval_s; 20 unless it is given */
--- a/src/config/causes.c
+++ b/src/config/causes.c
@@ -1,3 +1,3 @@
 #include "config/causes.h"
 
-G_DEFINE_QUARK(ow - config - error - quark, ow_config_error)
+G_DEFINE_QUARK(ow_config_error, ow_config_error)
--- a/src/config/settings_file.c
+++ b/src/config/settings_file.c
@@ -103,7 +103,7 @@
     settings->next_value_kb = settings->value_kb;
     settings->next_txn_ops = settings->txn_ops;
     for (size_t i = 0; i < G_N_ELEMENTS(next_limit_fields); i++)
-        if (toml_doc_kind(reader->doc, next_limit_fields[i].name) != TOML_NONE)
+        if (ow_toml_doc_kind(reader->doc, next_limit_fields[i].name) != OW_TOML_NONE)
             read_number(reader, &next_limit_fields[i], settings);
 }
 
@@ -142,7 +142,7 @@
     static const char array[] = "others";
     GArray *peers = g_array_new(FALSE, FALSE, sizeof(struct ow_peer_settings));
     g_array_set_clear_func(peers, peer_clear);
-    for (size_t i = 0; i < toml_doc_count(reader->doc, array); i++) {
+    for (size_t i = 0; i < ow_toml_doc_count(reader->doc, array); i++) {
         struct ow_peer_settings peer = {0};
         peer.node = read_item_text(reader, array, i, "host_name");
         peer.zone = read_item_text(reader, array, i, "area");
@@ -162,7 +162,7 @@
     static const char array[] = "params.teams";
     GArray *teams = g_array_new(FALSE, FALSE, sizeof(struct ow_team_settings));
     g_array_set_clear_func(teams, team_clear);
-    for (size_t i = 0; i < toml_doc_count(reader->doc, array); i++) {
+    for (size_t i = 0; i < ow_toml_doc_count(reader->doc, array); i++) {
         struct ow_team_settings team = {0};
         team.name = read_item_text(reader, array, i, "name");
         team.cpus = read_item_amount(reader, array, i, "cpus");
@@ -189,26 +189,26 @@
 }
 
 /* Reads one SLO; false if it lacks its class or time, or is of a kind that is not known. */
-static bool read_slo(const struct toml_doc *doc, const char *array, size_t index, struct ow_slo *slo)
+static bool read_slo(const struct ow_toml_doc *doc, const char *array, size_t index, struct ow_slo *slo)
 {
     g_autofree char *kind = ow_toml_path(array, index, "kind");
     g_autofree char *class_name = ow_toml_path(array, index, "class");
     g_autofree char *within = ow_toml_path(array, index, "within_s");
     g_autofree char *share = ow_toml_path(array, index, "share");
-    *slo = (struct ow_slo){.kind = slo_kind_from(toml_doc_string(doc, kind)),
-                           .class_name = g_strdup(toml_doc_string(doc, class_name))};
-    toml_doc_number(doc, share, &slo->share);
-    return slo->class_name != NULL && toml_doc_number(doc, within, &slo->within_s) &&
+    *slo = (struct ow_slo){.kind = slo_kind_from(ow_toml_doc_string(doc, kind)),
+                           .class_name = g_strdup(ow_toml_doc_string(doc, class_name))};
+    ow_toml_doc_number(doc, share, &slo->share);
+    return slo->class_name != NULL && ow_toml_doc_number(doc, within, &slo->within_s) &&
            slo->kind != OW_SLO_OTHER;
 }
 
 /* SLOs guide decisions and bind nothing, so one that is not understood is ignored and is no error. */
-static GArray *read_slos(const struct toml_doc *doc)
+static GArray *read_slos(const struct ow_toml_doc *doc)
 {
     static const char array[] = "params.objectives";
     GArray *slos = g_array_new(FALSE, TRUE, sizeof(struct ow_slo));
     g_array_set_clear_func(slos, slo_clear);
-    for (size_t i = 0; i < toml_doc_count(doc, array); i++) {
+    for (size_t i = 0; i < ow_toml_doc_count(doc, array); i++) {
         struct ow_slo slo;
         if (read_slo(doc, array, i, &slo))
             g_array_append_val(slos, slo);
@@ -221,7 +221,7 @@
 static char **read_zones(struct ow_toml_reader *reader)
 {
     static const char array[] = "params.zones";
-    size_t count = toml_doc_count(reader->doc, array);
+    size_t count = ow_toml_doc_count(reader->doc, array);
     char **zones = g_new0(char *, count + 1);
     for (size_t i = 0; i < count; i++) {
         g_autofree char *path = g_strdup_printf("%s[%zu]", array, i);
@@ -236,7 +236,7 @@
 
 struct ow_settings *ow_settings_load(const char *path, GError **error)
 {
-    g_autoptr(toml_doc) doc = toml_doc_load(path, error);
+    g_autoptr(ow_toml_doc) doc = ow_toml_doc_load(path, error);
     if (doc == NULL) {
         g_prefix_error(error, "%s: ", path);
         return NULL;
--- a/src/config/toml_doc.cpp
+++ b/src/config/toml_doc.cpp
@@ -7,7 +7,7 @@
 #define TOML_EXCEPTIONS 1
 #include <toml++/toml.h>
 
-struct toml_doc {
+struct ow_toml_doc {
     toml::table table;
 };
 
@@ -24,38 +24,38 @@
 
 extern "C" {
 
-struct toml_doc *toml_doc_load(const char *path, GError **error)
+struct ow_toml_doc *ow_toml_doc_load(const char *path, GError **error)
 {
     try {
-        return new toml_doc{toml::parse_file(path)};
+        return new ow_toml_doc{toml::parse_file(path)};
     } catch (const toml::parse_error &cause) {
         set_error(error, cause);
         return nullptr;
     }
 }
 
-void toml_doc_free(struct toml_doc *doc)
+void ow_toml_doc_free(struct ow_toml_doc *doc)
 {
     delete doc;
 }
 
-enum toml_kind toml_doc_kind(const struct toml_doc *doc, const char *path)
+enum ow_toml_kind ow_toml_doc_kind(const struct ow_toml_doc *doc, const char *path)
 {
     auto node = doc->table.at_path(path);
     if (!node)
-        return TOML_NONE;
+        return OW_TOML_NONE;
     if (node.is_string())
-        return TOML_STRING;
-    return node.is_number() ? TOML_NUMBER : TOML_OTHER;
+        return OW_TOML_STRING;
+    return node.is_number() ? OW_TOML_NUMBER : OW_TOML_OTHER;
 }
 
-const char *toml_doc_string(const struct toml_doc *doc, const char *path)
+const char *ow_toml_doc_string(const struct ow_toml_doc *doc, const char *path)
 {
     auto node = doc->table.at_path(path);
     return node.is_string() ? node.as_string()->get().c_str() : nullptr;
 }
 
-bool toml_doc_number(const struct toml_doc *doc, const char *path, double *out)
+bool ow_toml_doc_number(const struct ow_toml_doc *doc, const char *path, double *out)
 {
     auto value = doc->table.at_path(path).value<double>();
     if (!value)
@@ -64,7 +64,7 @@
     return true;
 }
 
-size_t toml_doc_count(const struct toml_doc *doc, const char *path)
+size_t ow_toml_doc_count(const struct ow_toml_doc *doc, const char *path)
 {
     auto node = doc->table.at_path(path);
     return node.is_array() ? node.as_array()->size() : 0;
--- a/src/config/toml_reader.c
+++ b/src/config/toml_reader.c
@@ -14,7 +14,7 @@
 /* There is no value of the right kind at the path: `reason` says so unless there is none at all. */
 static void fail_missing(struct ow_toml_reader *reader, const char *path, const char *reason)
 {
-    if (toml_doc_kind(reader->doc, path) == TOML_NONE)
+    if (ow_toml_doc_kind(reader->doc, path) == OW_TOML_NONE)
         ow_toml_reader_fail(reader, OW_CONFIG_ERROR_MISSING_FIELD, path, "is missing");
     else
         ow_toml_reader_fail(reader, OW_CONFIG_ERROR_MALFORMED_VALUE, path, reason);
@@ -22,7 +22,7 @@
 
 char *ow_toml_read_text(struct ow_toml_reader *reader, const char *path)
 {
-    const char *value = toml_doc_string(reader->doc, path);
+    const char *value = ow_toml_doc_string(reader->doc, path);
     if (value == NULL)
         fail_missing(reader, path, "is not a string");
     else if (*value == '\0')
@@ -41,7 +41,7 @@
 double ow_toml_read_number(struct ow_toml_reader *reader, const char *path, double least, double most)
 {
     double value = 0;
-    if (!toml_doc_number(reader->doc, path, &value))
+    if (!ow_toml_doc_number(reader->doc, path, &value))
         fail_missing(reader, path, "is not a number");
     else if (!isfinite(value) || value < least || value > most)
         ow_toml_reader_fail(reader, OW_CONFIG_ERROR_OUT_OF_RANGE, path, "is out of range");
--- a/src/config/toml_reader.h
+++ b/src/config/toml_reader.h
@@ -13,7 +13,7 @@
 
 /** The state of reading one document; owned by who reads. */
 struct ow_toml_reader {
-    const struct toml_doc *doc;
+    const struct ow_toml_doc *doc;
     GError *error; /**< the first one, in the domain OW_CONFIG_ERROR; NULL: none so far */
 };
 
--- a/src/model/settings.h
+++ b/src/model/settings.h
@@ -40,15 +40,27 @@
     unsigned sockets;
 };
 
-/* The operators' own: starting values of the design, and how patient the service is. */
+/**
+ * Tuning parameters: starting values of the design, which operators may change. Their file's reader
+ * (config/operators_file.c) holds the ranges, ow_tuning_default() the defaults.
+ */
 struct ow_tuning {
-    double window_s;        /* how long a gang collects holds at most (the paper's D_c) */
-    double hold_life_s;     /* an unrenewed hold is dropped after it */
-    double waiting_limit_s; /* a short gang's holds drop after it; its place stays */
-    unsigned candidates;    /* holds collected for each member at most */
-    double leader_lease_s;  /* the life of the leader's lease in the key-value store */
+    /** How long a gang collects holds at most (the deadline D_c of docs/design.md). Seconds, 0 to 5; 5. */
+    double window_s;
+    /** How long a hold lasts that is not renewed. Seconds, 0.5 to 600; 10. */
+    double hold_life_s;
+    /** A gang that is still short of machines after this time drops its holds, and keeps its place in the
+     * queue. Seconds, 1 to 86400; 120. */
+    double waiting_limit_s;
+    /** How many candidates are held for each member of a gang at most. 1 to 100; 3. */
+    unsigned candidates;
+    /** The lease of the leader's key in the key-value store. Shorter finds a lost leader sooner, and deposes
+     * a slow one sooner, too. Seconds, 1 to 60; 4. With shards there are further bounds
+     * (sharding/sharding_settings_check.h). */
+    double leader_lease_s;
 };
 
+/** The default values. */
 struct ow_tuning ow_tuning_default(void);
 
 #endif
