--- a/src/core/leader/leader_state.h
+++ b/src/core/leader/leader_state.h
@@ -26,14 +26,14 @@
 /* When the scheduling cycle is due, and what it computes once for all jobs: schedule.c unless said otherwise.
  */
 struct ow_cycle_scratch {
-    bool due;             /* something has changed since the last cycle */
-    double last_at;       /* when the last one began: cycle_timer.c, as `due` */
-    GArray *image_demand; /* image_demand.c; by image */
-    GArray *shortlists;   /* shortlist.c; by class */
-    GArray *allowances;   /* reason.c */
-    bool turn_taken;      /* gang_turn.c: a gang keeps its holds to start in time */
-    int gpu_rank;         /* the most urgent rank among open jobs that need GPUs */
-    double gpu_cpus;      /* CPUs that a GPU needs to be of use, by the jobs that are open */
+    bool due;                    /* something has changed since the last cycle */
+    double last_at;              /* when the last one began: cycle_timer.c, as `due` */
+    GArray *image_demand;        /* image_demand.c; by image */
+    GArray *shortlists;          /* shortlist.c; by class */
+    GArray *allowances;          /* reason.c */
+    bool gang_has_hold_priority; /* gang_hold_priority.c: a gang keeps its holds to start in time */
+    int gpu_rank;                /* the most urgent rank among open jobs that need GPUs */
+    double gpu_cpus;             /* CPUs that a GPU needs to be of use, by the jobs that are open */
 };
 
 /** How far a new leader is with taking over. Only failover.c moves it on. */
--- a/src/core/machines/machine_removal.c
+++ b/src/core/machines/machine_removal.c
@@ -14,7 +14,7 @@
     for (guint i = 0; i < leader->executions->len; i++) {
         struct ow_execution *execution = g_ptr_array_index(leader->executions, i);
         g_hash_table_remove(execution->failed_machines, machine);
-        ow_reservation_forget(execution->reservation, machine);
+        ow_reservation_remove_machine(execution->reservation, machine);
     }
     ow_command_queue_remove(leader, machine);
     g_hash_table_remove(leader->machines_by_name, machine->name);
--- a/src/core/machines/scale_out.c
+++ b/src/core/machines/scale_out.c
@@ -12,7 +12,7 @@
 #include "core/scheduling/classes.h"
 #include "core/scheduling/deadline.h"
 #include "core/scheduling/placement.h"
-#include "core/scheduling/placement_cost.h"
+#include "core/scheduling/price_filter.h"
 #include "core/scheduling/queue.h"
 #include "model/cloud.h"
 #include "model/event.h"
@@ -190,7 +190,7 @@
     double waits;
     if (in_time(leader, execution, plan, ahead, &waits))
         return;
-    bool cheap = ow_placement_waits_for_cheap(leader, execution);
+    bool cheap = ow_price_filter_applies(leader, execution);
     for (guint i = 0; i < plan->len && wanted > 0; i++)
         wanted -= take_room(leader, spec, &g_array_index(plan, struct ow_expected_machine, i), wanted);
     struct ow_expected_machine expected;
--- a/src/core/scheduling/candidates.c
+++ b/src/core/scheduling/candidates.c
@@ -1,32 +1,38 @@
-/* The machines on which tasks of a run could be started. */
 #include "core/scheduling/candidates.h"
+
 #include "core/jobs/execution.h"
 #include "core/leader/leader_state.h"
 #include "core/machines/machine.h"
 #include "core/scheduling/placement.h"
-#include "core/scheduling/placement_cost.h"
+#include "core/scheduling/placement_score.h"
+#include "core/scheduling/price_filter.h"
 #include "core/scheduling/reservation.h"
 #include "core/scheduling/shortlist.h"
 #include "model/submission.h"
 
+GArray *ow_candidates_new(void)
+{
+    return g_array_new(FALSE, FALSE, sizeof(struct ow_candidate));
+}
+
 static gint compare_candidates(gconstpointer a, gconstpointer b)
 {
     const struct ow_candidate *first = a;
     const struct ow_candidate *second = b;
-    /* Candidates without a conflict are preferred, whatever they cost. */
+    /* Candidates without a conflict are preferred, whatever their score. */
     if (first->conflicted != second->conflicted)
         return first->conflicted ? 1 : -1;
-    if (first->cost < second->cost)
+    if (first->score_s < second->score_s)
         return -1;
-    return first->cost > second->cost ? 1 : 0;
+    return first->score_s > second->score_s ? 1 : 0;
 }
 
 GArray *ow_candidates_find(struct ow_leader *leader, const struct ow_execution *execution)
 {
-    GArray *candidates = g_array_new(FALSE, FALSE, sizeof(struct ow_candidate));
+    GArray *candidates = ow_candidates_new();
     const struct ow_job_spec *spec = execution->job->spec;
     const GPtrArray *machines = ow_shortlist(leader, spec->class_index);
-    bool only_cheap = ow_placement_waits_for_cheap(leader, execution);
+    bool only_cheap = ow_price_filter_applies(leader, execution);
     for (guint i = 0; i < machines->len; i++) {
         struct ow_machine *machine = g_ptr_array_index(machines, i);
         if (!ow_placement_is_permitted(leader, execution, machine))
@@ -34,14 +40,14 @@
         uint32_t slots = ow_placement_slots(leader, spec, machine);
         if (slots == 0)
             continue;
-        if (only_cheap && ow_placement_is_expensive(leader, machine))
+        if (only_cheap && ow_price_filter_is_expensive(leader, machine))
             continue;
         struct ow_candidate candidate = {
             .machine = machine,
             .slots = slots,
-            .cost = ow_placement_cost(leader, execution, machine),
+            .score_s = ow_placement_score_s(leader, execution, machine),
             .conflicted =
-                ow_submission_is_gang(spec->submission) && ow_reservation_conflicts(execution, machine),
+                ow_submission_is_gang(spec->submission) && ow_reservation_has_conflict(execution, machine),
         };
         g_array_append_val(candidates, candidate);
     }
--- a/src/core/scheduling/gang_turn.c
+++ b/src/core/scheduling/gang_hold_priority.c
@@ -1,5 +1,5 @@
-/* Which short gang keeps its holds. */
-#include "core/scheduling/gang_turn.h"
+#include "core/scheduling/gang_hold_priority.h"
+
 #include "core/jobs/execution.h"
 #include "core/leader/leader_state.h"
 #include "core/scheduling/classes.h"
@@ -7,8 +7,8 @@
 
 #include <math.h>
 
-/* The share of an SLO for its start after which a gang no longer lets others pass. */
-static const double TURN_SHARE = 0.25;
+/* The share of an SLO for its start after which a gang no longer lets others take what it holds. */
+static const double PRIORITY_SHARE_OF_SLO = 0.25;
 
 /* The gangs of a class: members that wait, and members that run or are about to. */
 struct class_members {
@@ -41,14 +41,14 @@
 /* Smaller gangs that fit pass a large one for as long as they come, and it would miss its SLO although
    there is capacity for all. Once a quarter of its time is over, the first such gang in the queue keeps what
    it holds. Where not all can be in time, small ones still go first: more of them are. */
-bool ow_gang_turn_take(struct ow_leader *leader, const struct ow_execution *execution)
+bool ow_gang_hold_priority_claim(struct ow_leader *leader, const struct ow_execution *execution)
 {
     const struct ow_job_spec *spec = execution->job->spec;
     double age_s = leader->core->now - execution->accepted_at;
     double slo_s = ow_class_next_start_slo_s(leader->core, spec->class_index, age_s);
-    if (leader->cycle.turn_taken || slo_s == INFINITY || age_s < TURN_SHARE * slo_s)
+    if (leader->cycle.gang_has_hold_priority || slo_s == INFINITY || age_s < PRIORITY_SHARE_OF_SLO * slo_s)
         return false;
     double left_s = slo_s - age_s - ow_image_slowest_fetch_seconds(leader, spec);
-    leader->cycle.turn_taken = is_backlog_short(leader, execution, left_s);
-    return leader->cycle.turn_taken;
+    leader->cycle.gang_has_hold_priority = is_backlog_short(leader, execution, left_s);
+    return leader->cycle.gang_has_hold_priority;
 }
--- a/src/core/scheduling/gang_selection.c
+++ b/src/core/scheduling/gang_selection.c
@@ -1,11 +1,11 @@
-/* Selecting machines for the members of a gang. */
 #include "core/scheduling/gang_selection.h"
+
 #include "core/jobs/execution.h"
 #include "core/leader/leader_state.h"
 #include "core/machines/machine.h"
 #include "core/scheduling/candidates.h"
 #include "core/scheduling/placement.h"
-#include "core/scheduling/placement_cost.h"
+#include "core/scheduling/placement_score.h"
 #include "core/scheduling/preempt.h"
 #include "core/scheduling/shortlist.h"
 #include "model/submission.h"
@@ -16,7 +16,7 @@
 struct selection {
     GArray *picks; /* struct ow_gang_pick */
     uint32_t members_left;
-    double cost;
+    double score_s; /* the sum of the members' scores */
 };
 
 GArray *ow_gang_selection_new(void)
@@ -53,9 +53,9 @@
         uint32_t members = MIN(selection.members_left, MIN(candidate->slots, admitted));
         if (members == 0)
             continue;
-        struct ow_gang_pick pick = {candidate->machine, members};
+        struct ow_gang_pick pick = {.machine = candidate->machine, .members = members};
         g_array_append_val(selection.picks, pick);
-        selection.cost += members * candidate->cost;
+        selection.score_s += members * candidate->score_s;
         selection.members_left -= members;
     }
     return selection;
@@ -65,15 +65,15 @@
 {
     if (selection->members_left != best->members_left)
         return selection->members_left < best->members_left;
-    return selection->cost < best->cost;
+    return selection->score_s < best->score_s;
 }
 
-/* Makes `selection` the best one if it is; else it is dropped. */
+/* Copies `selection` to `best` if it is better. Its picks are freed. */
 static void keep_if_better(struct selection *best, struct selection *selection)
 {
     if (is_better(selection, best)) {
         best->members_left = selection->members_left;
-        best->cost = selection->cost;
+        best->score_s = selection->score_s;
         g_array_set_size(best->picks, 0);
         g_array_append_vals(best->picks, selection->picks->data, selection->picks->len);
     }
@@ -92,7 +92,7 @@
 
 uint32_t ow_gang_select(const struct ow_execution *execution, const GArray *candidates, GArray *picks)
 {
-    struct selection best = {.picks = picks, .members_left = execution->count + 1, .cost = INFINITY};
+    struct selection best = {.picks = picks, .members_left = execution->count + 1, .score_s = INFINITY};
     if (!execution->job->spec->submission->one_zone || candidates->len == 0) {
         struct selection selection = select_in_order(execution, candidates, OW_NO_NAME);
         keep_if_better(&best, &selection);
@@ -108,19 +108,19 @@
     return best.members_left;
 }
 
-/* Inserts the candidate behind all that cost no more. */
-static void insert_by_cost(GArray *candidates, const struct ow_candidate *candidate)
+/* Inserts the candidate behind all whose score is no higher. */
+static void insert_by_score(GArray *candidates, const struct ow_candidate *candidate)
 {
     guint index = 0;
     while (index < candidates->len &&
-           g_array_index(candidates, struct ow_candidate, index).cost <= candidate->cost)
+           g_array_index(candidates, struct ow_candidate, index).score_s <= candidate->score_s)
         index++;
     g_array_insert_vals(candidates, index, candidate, 1);
 }
 
 GArray *ow_gang_candidates_with_preemption(struct ow_leader *leader, const struct ow_execution *execution)
 {
-    GArray *candidates = g_array_new(FALSE, FALSE, sizeof(struct ow_candidate));
+    GArray *candidates = ow_candidates_new();
     const struct ow_job_spec *spec = execution->job->spec;
     const GPtrArray *machines = ow_shortlist_with_preemption(leader, spec->class_index);
     for (guint i = 0; i < machines->len; i++) {
@@ -130,10 +130,10 @@
         uint32_t slots = MIN(ow_preempt_slots(leader, execution, machine), execution->count);
         if (slots == 0)
             continue;
-        double cost = ow_placement_cost(leader, execution, machine);
-        cost += ow_preempt_loss(leader, execution, machine, slots);
-        struct ow_candidate candidate = {.machine = machine, .slots = slots, .cost = cost};
-        insert_by_cost(candidates, &candidate);
+        double score_s = ow_placement_score_s(leader, execution, machine);
+        score_s += ow_preempt_loss_s(leader, execution, machine, slots);
+        struct ow_candidate candidate = {.machine = machine, .slots = slots, .score_s = score_s};
+        insert_by_score(candidates, &candidate);
     }
     return candidates;
 }
--- a/src/core/scheduling/gang_selection.h
+++ b/src/core/scheduling/gang_selection.h
@@ -1,28 +1,33 @@
-/* Selecting machines for all members of a gang at once, under the zone rules of its job. */
+/** @file
+ * The paper's selection (algorithm 2) for a whole gang: a machine for each member, under the zone rules of
+ * its job.
+ *
+ * Input: candidates in the order in which they are to be taken. Result: the machines on which most members
+ * fit, and among such choices the one with the lowest score. Invariant: no choice breaks the zone rules.
+ */
 #ifndef OW_CORE_SCHEDULING_GANG_SELECTION_H
 #define OW_CORE_SCHEDULING_GANG_SELECTION_H
 
-#include "core/jobs/execution.h"
-
 #include <glib.h>
 #include <stdint.h>
 
+struct ow_execution;
 struct ow_leader;
 struct ow_machine;
 
-/* A machine selected for some members of a gang. */
+/** A machine selected for some members of a gang. */
 struct ow_gang_pick {
-    struct ow_machine *machine;
+    struct ow_machine *machine; /**< not owned */
     uint32_t members;
 };
 
-/* The empty selection, of struct ow_gang_pick; freed with g_array_free(). */
+/** The empty selection, of struct ow_gang_pick; freed with g_array_free(). */
 GArray *ow_gang_selection_new(void);
-/* Selects the machines on which most members fit, then the cheapest, from struct ow_candidate in the order of
-   their cost; `picks` is empty before. Returns how many members are left without a machine. */
+/** Selects machines from struct ow_candidate into `picks`, which is empty before. Returns how many members
+ * are left without a machine. */
 uint32_t ow_gang_select(const struct ow_execution *execution, const GArray *candidates, GArray *picks);
-/* Candidates as they would be after stopping what may be stopped for the gang, in the order of what that
-   costs; the caller frees the array of struct ow_candidate. */
+/** Candidates as they would be after stopping what may be stopped for the gang. What that loses is part of
+ * their score. Lowest score first; the caller frees the array of struct ow_candidate. */
 GArray *ow_gang_candidates_with_preemption(struct ow_leader *leader, const struct ow_execution *execution);
 
 #endif
--- a/src/core/scheduling/gang_start.c
+++ b/src/core/scheduling/gang_start.c
@@ -1,8 +1,3 @@
-/* Holds of waiting gangs.
- *
- * The members of a gang are alike, so their candidate lists have the same machines in the same order; a
- * machine stands in as many lists as it has slots for members. The window closes as soon as every member has
- * a candidate, which in the leader's own view of the fleet is often at once. */
 #include "core/scheduling/gang_start.h"
 
 #include "core/jobs/execution.h"
@@ -10,22 +5,22 @@
 #include "core/leader/leader_state.h"
 #include "core/machines/machine.h"
 #include "core/scheduling/candidates.h"
+#include "core/scheduling/gang_hold_priority.h"
 #include "core/scheduling/gang_selection.h"
-#include "core/scheduling/gang_turn.h"
 #include "core/scheduling/placement.h"
 #include "core/scheduling/preempt.h"
 #include "core/scheduling/reservation.h"
 #include "model/resources.h"
 
-/* Stopping work for a gang is considered no more often. */
-static const double STOPS_INTERVAL_S = 0.5;
-/* A gang that has given up its holds tries again after this share of the waiting limit. */
-static const double RETRY_SHARE = 0.25;
+/* Stopping work for a gang is considered no more often than once in this time. */
+static const double PREEMPTION_INTERVAL_S = 0.5;
+/* A gang that has dropped its holds at the waiting limit holds again after this share of the limit. */
+static const double RESUME_SHARE_OF_LIMIT = 0.25;
 
 /* ---- holds ---- */
 
-/* Each member holds what is picked for it now, and nothing else: a hold left over from an earlier pick would
-   keep capacity from everybody. */
+/* Each member holds what is selected for it now, and nothing else: a hold left over from an earlier selection
+   would keep capacity from everybody. */
 static void hold_picks(const struct ow_leader *leader, struct ow_reservation *reservation,
                        const GArray *picks)
 {
@@ -34,13 +29,15 @@
     for (guint i = 0; i < picks->len; i++) {
         const struct ow_gang_pick *pick = &g_array_index(picks, struct ow_gang_pick, i);
         for (uint32_t n = 0; n < pick->members; n++) {
-            ow_reservation_add_hold(reservation, pick->machine, member, true, leader->core->now);
+            ow_reservation_add_hold(reservation, pick->machine, member, OW_HOLD_SELECTED, leader->core->now);
             member++;
         }
     }
 }
 
-/* While the window is open every member collects further candidates. */
+/* While the window is open every member collects further candidates. The members of a gang are alike, so
+   their lists have the same machines in the same order; a machine stands in as many lists as it has slots for
+   members. */
 static void collect_candidates(const struct ow_leader *leader, struct ow_execution *execution,
                                const GArray *candidates)
 {
@@ -49,60 +46,60 @@
     for (guint member = 0; member < members; member++) {
         for (guint i = 0; i < limit; i++) {
             struct ow_machine *machine = g_array_index(candidates, struct ow_candidate, i).machine;
-            ow_reservation_add_hold(execution->reservation, machine, member, false, leader->core->now);
+            ow_reservation_add_hold(execution->reservation, machine, member, OW_HOLD_CANDIDATE,
+                                    leader->core->now);
         }
     }
 }
 
 /* ---- one try ---- */
 
+/* The paper's commit: every member starts where it was selected, in one round with one attempt number. */
 static void start_all(struct ow_leader *leader, struct ow_execution *execution, const GArray *picks)
 {
-    uint64_t number = ow_execution_next_attempt(execution);
+    uint64_t attempt = ow_execution_next_attempt(execution);
     uint32_t task = 0;
     for (guint i = 0; i < picks->len; i++) {
         const struct ow_gang_pick *pick = &g_array_index(picks, struct ow_gang_pick, i);
         for (uint32_t n = 0; n < pick->members; n++) {
-            ow_placement_start_task(leader, execution, task, number, pick->machine);
+            ow_placement_start_task(leader, execution, task, attempt, pick->machine);
             task++;
         }
     }
-    g_info("gang %s: all %u members start in one round, attempt %" G_GUINT64_FORMAT, execution->job->id,
-           execution->count, number);
-    /* Holds that were not picked are cancelled with the reservation. */
+    g_info("gang starts in one round: job=%s tasks=%u attempt=%" G_GUINT64_FORMAT, execution->job->id,
+           execution->count, attempt);
+    /* Holds that were not selected are cancelled with the reservation. */
     g_clear_pointer(&execution->reservation, ow_reservation_free);
 }
 
 /* Stops less urgent work if that makes capacity for every member, and holds it; returns whether it does. */
 static bool preempt_for_all(struct ow_leader *leader, struct ow_execution *execution)
 {
-    GArray *candidates = ow_gang_candidates_with_preemption(leader, execution);
-    GArray *picks = ow_gang_selection_new();
-    bool all = ow_gang_select(execution, candidates, picks) == 0;
-    for (guint i = 0; all && i < picks->len; i++) {
+    g_autoptr(GArray) candidates = ow_gang_candidates_with_preemption(leader, execution);
+    g_autoptr(GArray) picks = ow_gang_selection_new();
+    if (ow_gang_select(execution, candidates, picks) > 0)
+        return false;
+    for (guint i = 0; i < picks->len; i++) {
         const struct ow_gang_pick *pick = &g_array_index(picks, struct ow_gang_pick, i);
         ow_preempt_make_room(leader, execution, pick->machine, pick->members);
     }
     /* Every member has its machine: the other holds are cancelled. */
-    if (all)
-        hold_picks(leader, execution->reservation, picks);
-    g_array_free(picks, TRUE);
-    g_array_free(candidates, TRUE);
-    return all;
+    hold_picks(leader, execution->reservation, picks);
+    return true;
 }
 
 /* Drops the holds of a gang that has been short for longer than the limit. */
-static void give_up_after_limit(const struct ow_leader *leader, struct ow_execution *execution)
+static void suspend_after_limit(const struct ow_leader *leader, struct ow_execution *execution)
 {
     struct ow_reservation *reservation = execution->reservation;
     double now = leader->core->now;
     double limit_s = leader->core->tuning->waiting_limit_s;
-    if (reservation->given_up || now - reservation->short_since <= limit_s)
+    if (reservation->suspended || now - reservation->short_since <= limit_s)
         return;
-    reservation->given_up = true;
-    reservation->again_at = now + RETRY_SHARE * limit_s;
+    reservation->suspended = true;
+    reservation->resume_at = now + RESUME_SHARE_OF_LIMIT * limit_s;
     ow_reservation_drop_holds(reservation);
-    g_info("gang %s: holds dropped after %.0f s, its place is kept", execution->job->id, limit_s);
+    g_info("gang holds dropped at the waiting limit: job=%s wait_s=%.0f", execution->job->id, limit_s);
 }
 
 /* Updates the holds of a gang of which some members have no machine. */
@@ -111,20 +108,20 @@
 {
     struct ow_reservation *reservation = execution->reservation;
     double now = leader->core->now;
-    if (now < reservation->opened_at + leader->core->tuning->window_s) {
+    if (now < reservation->window_opened_at + leader->core->tuning->window_s) {
         hold_picks(leader, reservation, picks);
         collect_candidates(leader, execution, candidates);
         return;
     }
-    if (!reservation->closed) {
-        reservation->closed = true;
+    if (!reservation->window_closed) {
+        reservation->window_closed = true;
         reservation->short_since = now;
     }
-    give_up_after_limit(leader, execution);
-    if (reservation->given_up && now < reservation->again_at)
+    suspend_after_limit(leader, execution);
+    if (reservation->suspended && now < reservation->resume_at)
         return;
-    if (reservation->given_up) {
-        reservation->given_up = false;
+    if (reservation->suspended) {
+        reservation->suspended = false;
         reservation->short_since = now;
     }
     hold_picks(leader, reservation, picks);
@@ -136,52 +133,59 @@
 {
     struct ow_reservation *reservation = execution->reservation;
     double now = leader->core->now;
-    /* Stopping work is considered again only after a while; until then what was picked stays held. */
-    bool considered_lately = now < reservation->stops_at + STOPS_INTERVAL_S;
-    if (considered_lately && reservation->stops)
+    /* Until preemption is considered again, what was selected with it stays held. */
+    bool was_considered_lately = now < reservation->preemption_considered_at + PREEMPTION_INTERVAL_S;
+    if (was_considered_lately && reservation->preempting)
         return;
-    if (!considered_lately) {
-        reservation->stops = preempt_for_all(leader, execution);
-        reservation->stops_at = now;
+    if (!was_considered_lately) {
+        reservation->preempting = preempt_for_all(leader, execution);
+        reservation->preemption_considered_at = now;
     }
-    if (!reservation->stops)
+    if (!reservation->preempting)
         hold_while_short(leader, execution, candidates, picks);
 }
 
 void ow_gang_start_try(struct ow_leader *leader, struct ow_execution *execution)
 {
     struct ow_reservation *reservation = ow_reservation_find_or_add(leader, execution);
-    ow_reservation_drop_old_holds(leader, reservation);
+    ow_reservation_drop_expired_holds(leader, reservation);
     /* Rule 4: nothing of a gang starts while an earlier attempt is not accounted for. */
     if (execution->attempts->len > 0)
         return;
     if (ow_team_admits(leader, execution->job->spec, execution->count) < execution->count)
         return;
-    GArray *candidates = ow_candidates_find(leader, execution);
-    GArray *picks = ow_gang_selection_new();
+    g_autoptr(GArray) candidates = ow_candidates_find(leader, execution);
+    g_autoptr(GArray) picks = ow_gang_selection_new();
+    /* The window closes as soon as every member has a candidate, which in the leader's own view of the fleet
+       is often at once. */
     if (ow_gang_select(execution, candidates, picks) == 0)
         start_all(leader, execution, picks);
     else
         wait_for_capacity(leader, execution, candidates, picks);
-    g_array_free(picks, TRUE);
-    g_array_free(candidates, TRUE);
 }
 
-/* A gang behind in the queue that can start at once may take capacity from one that is short: what is held
-   is taken if there is no other, and a large gang would otherwise idle a zone while it fills. A gang alone
-   may use what work is stopped for, and what it holds while it starves: smaller ones that starve would
-   otherwise pass it for ever. */
-void ow_gang_start_apply_holds(struct ow_leader *leader, const struct ow_execution *execution)
+/* Whether other gangs may not take what the gang holds, either: work is being stopped for it, or the gang
+   starves, and smaller ones that starve would otherwise pass it for ever. */
+static bool are_holds_exclusive(struct ow_leader *leader, const struct ow_execution *execution)
+{
+    return execution->reservation->preempting || execution->starves ||
+           ow_gang_hold_priority_claim(leader, execution);
+}
+
+/* In general a gang behind in the queue that can start at once may take capacity from one that is short: as
+   in the paper, a candidate in conflict is taken if there is no other, and a large gang would otherwise idle
+   a zone while it fills. */
+void ow_gang_start_subtract_holds(struct ow_leader *leader, const struct ow_execution *execution)
 {
     if (execution->reservation == NULL)
         return;
     const struct ow_resources *need = &execution->job->spec->submission->need;
-    bool firm = execution->reservation->stops || execution->starves || ow_gang_turn_take(leader, execution);
+    bool exclusive = are_holds_exclusive(leader, execution);
     for (guint i = 0; i < execution->reservation->holds->len; i++) {
         const struct ow_hold *hold = &g_array_index(execution->reservation->holds, struct ow_hold, i);
-        if (!hold->picked)
+        if (hold->kind != OW_HOLD_SELECTED)
             continue;
         struct ow_machine *machine = hold->machine;
-        ow_resources_add(firm ? &machine->held : &machine->held_for_gangs, need, 1);
+        ow_resources_add(exclusive ? &machine->held : &machine->held_for_gangs, need, 1);
     }
 }
--- a/src/core/scheduling/preempt.c
+++ b/src/core/scheduling/preempt.c
@@ -18,7 +18,7 @@
 /* The loss counted for each job that is affected: a job is late with its last task. */
 static const double JOB_LOSS_S = 500;
 /* The loss counted for a deadline that would be missed because of the stop. */
-static const double DEADLINE_LOSS_S = 500;
+static const double DEADLINE_MISSED_BY_STOP_S = 500;
 
 /* Lower ranks may be stopped for higher ones. What another team runs beyond its guarantee may be stopped to
    give a team its own; we do so for work at least as urgent as what is stopped. */
@@ -57,7 +57,7 @@
     double work_s = lost_work_s(leader, attempt);
     bool loses_deadline =
         ow_deadline_is_kept(leader, attempt) && !ow_deadline_allows_delay(leader, attempt, work_s);
-    return work_s + (loses_deadline ? DEADLINE_LOSS_S : 0);
+    return work_s + (loses_deadline ? DEADLINE_MISSED_BY_STOP_S : 0);
 }
 
 /* Slots for the job on the machine as they would be with some attempts gone. */
@@ -163,8 +163,8 @@
     return true;
 }
 
-double ow_preempt_loss(const struct ow_leader *leader, const struct ow_execution *execution,
-                       const struct ow_machine *machine, uint32_t slots)
+double ow_preempt_loss_s(const struct ow_leader *leader, const struct ow_execution *execution,
+                         const struct ow_machine *machine, uint32_t slots)
 {
     GArray *victims = choose_victims(leader, execution, machine, slots);
     double loss = 0;
--- a/src/core/scheduling/preempt.h
+++ b/src/core/scheduling/preempt.h
@@ -25,7 +25,7 @@
 bool ow_preempt_make_room(struct ow_leader *leader, const struct ow_execution *execution,
                           struct ow_machine *machine, uint32_t slots);
 /* The loss by freeing capacity for `slots` tasks there; INFINITY if that is impossible. */
-double ow_preempt_loss(const struct ow_leader *leader, const struct ow_execution *execution,
-                       const struct ow_machine *machine, uint32_t slots);
+double ow_preempt_loss_s(const struct ow_leader *leader, const struct ow_execution *execution,
+                         const struct ow_machine *machine, uint32_t slots);
 
 #endif
--- a/src/core/scheduling/reason.c
+++ b/src/core/scheduling/reason.c
@@ -6,7 +6,7 @@
 #include "core/machines/machine.h"
 #include "core/machines/machine_registry.h"
 #include "core/scheduling/placement.h"
-#include "core/scheduling/placement_cost.h"
+#include "core/scheduling/price_filter.h"
 #include "core/scheduling/reservation.h"
 #include "model/cloud.h"
 #include "model/submission.h"
@@ -85,7 +85,7 @@
     if (ow_execution_is_service(execution))
         return g_strdup_printf("%u of %u replicas wait for room on %u machines", pending, execution->count,
                                allowance.usable);
-    if (ow_placement_waits_for_cheap(leader, execution))
+    if (ow_price_filter_applies(leader, execution))
         return g_strdup_printf("%u tasks wait for room on cheap machines; before long they go on any",
                                pending);
     return g_strdup_printf("%u tasks wait for room on %u machines, behind earlier or more urgent work",
--- a/src/core/scheduling/reservation.c
+++ b/src/core/scheduling/reservation.c
@@ -9,15 +9,13 @@
     if (execution->reservation != NULL)
         return execution->reservation;
     struct ow_reservation *reservation = g_new0(struct ow_reservation, 1);
-    reservation->opened_at = leader->core->now;
+    reservation->window_opened_at = leader->core->now;
     reservation->short_since = leader->core->now;
     reservation->holds = g_array_new(FALSE, FALSE, sizeof(struct ow_hold));
     execution->reservation = reservation;
     return reservation;
 }
 
-/* ---- holds ---- */
-
 static bool has_hold_on(const struct ow_reservation *reservation, const struct ow_machine *machine)
 {
     if (reservation == NULL)
@@ -29,7 +27,7 @@
     return false;
 }
 
-bool ow_reservation_conflicts(const struct ow_execution *execution, const struct ow_machine *machine)
+bool ow_reservation_has_conflict(const struct ow_execution *execution, const struct ow_machine *machine)
 {
     unsigned own = has_hold_on(execution->reservation, machine) ? 1 : 0;
     return machine->holders > own;
@@ -47,13 +45,18 @@
 }
 
 void ow_reservation_add_hold(struct ow_reservation *reservation, struct ow_machine *machine, uint32_t member,
-                             bool picked, double now)
+                             enum ow_hold_kind kind, double now)
 {
     if (member_holds(reservation, machine, member))
         return;
     if (!has_hold_on(reservation, machine))
         machine->holders++;
-    struct ow_hold hold = {.machine = machine, .member = member, .picked = picked, .made_at = now};
+    struct ow_hold hold = {
+        .machine = machine,
+        .member = member,
+        .kind = kind,
+        .made_at = now,
+    };
     g_array_append_val(reservation->holds, hold);
 }
 
@@ -71,7 +74,7 @@
         drop_hold(reservation, reservation->holds->len - 1);
 }
 
-void ow_reservation_drop_old_holds(const struct ow_leader *leader, struct ow_reservation *reservation)
+void ow_reservation_drop_expired_holds(const struct ow_leader *leader, struct ow_reservation *reservation)
 {
     for (guint i = reservation->holds->len; i > 0; i--) {
         double made_at = g_array_index(reservation->holds, struct ow_hold, i - 1).made_at;
@@ -80,7 +83,7 @@
     }
 }
 
-void ow_reservation_forget(struct ow_reservation *reservation, const struct ow_machine *machine)
+void ow_reservation_remove_machine(struct ow_reservation *reservation, const struct ow_machine *machine)
 {
     if (reservation == NULL)
         return;
--- a/src/core/scheduling/reservation.h
+++ b/src/core/scheduling/reservation.h
@@ -1,6 +1,10 @@
 /** @file
- * Reservations: the holds of waiting gangs on machines, until there is one for each member. The module owns
- * reservations, and the count of holders of each machine; gang_start.h decides what is held.
+ * The paper's reservation: the candidate list F_i of each member of a waiting gang, as holds on machines.
+ *
+ * Input: the machines that gang_start.h selects or collects. Result: the holds, and for each machine how many
+ * gangs hold it (`holders`), by which a conflict is recognised. The module owns both.
+ * Invariants: a member holds a machine at most once; `holders` counts each gang with a hold on the machine
+ * once; a hold not renewed ends after the hold life, the paper's time limit of a provider.
  */
 #ifndef OW_CORE_SCHEDULING_RESERVATION_H
 #define OW_CORE_SCHEDULING_RESERVATION_H
@@ -13,40 +17,46 @@
 struct ow_leader;
 struct ow_machine;
 
+/** What a hold is for. */
+enum ow_hold_kind {
+    OW_HOLD_SELECTED,  /**< the member would start there if each of the gang had a machine: reserves capacity
+                        */
+    OW_HOLD_CANDIDATE, /**< another machine of the member's list: shows a conflict and reserves nothing */
+};
+
 /** Capacity for one member of a gang on a machine. */
 struct ow_hold {
-    struct ow_machine *machine;
+    struct ow_machine *machine; /**< not owned */
     uint32_t member;
-    bool picked; /* what the gang would start on, if there were enough of it; else a further candidate */
-    double made_at;
+    enum ow_hold_kind kind;
+    double made_at; /**< by the core's clock, in seconds */
 };
 
-/** What a waiting gang holds, and since when it waits. */
+/** What a waiting gang holds, and since when it waits. Times are by the core's clock, in seconds. */
 struct ow_reservation {
-    double opened_at;   /* when the window to collect holds opened */
-    bool closed;        /* the window has closed */
-    double short_since; /* since the window closed without a candidate for each member */
-    bool stops;         /* work is being stopped for the capacity that is held */
-    double stops_at;    /* when that was last considered */
-    bool given_up;      /* waited past the limit: the holds are dropped, the place in the queue is kept */
-    double again_at;
-    GArray *holds; /* struct ow_hold */
+    double window_opened_at; /**< when the window to collect candidates opened */
+    bool window_closed;
+    double short_since;              /**< since the window closed without a candidate for each member */
+    bool preempting;                 /**< work is being stopped for the capacity that is held */
+    double preemption_considered_at; /**< when that was last decided */
+    bool suspended;   /**< waited past the limit: the holds are dropped, the place in the queue is kept */
+    double resume_at; /**< when a suspended gang holds again */
+    GArray *holds;    /**< struct ow_hold, owned */
 };
 
 /** The reservation of the execution, which is opened if there is none; the execution keeps it. */
 struct ow_reservation *ow_reservation_find_or_add(struct ow_leader *leader, struct ow_execution *execution);
-/** Holds the machine for one member, unless the member holds it already. `picked`: as `struct ow_hold` says.
- */
+/** Holds the machine for one member, unless the member holds it already. */
 void ow_reservation_add_hold(struct ow_reservation *reservation, struct ow_machine *machine, uint32_t member,
-                             bool picked, double now);
+                             enum ow_hold_kind kind, double now);
 /** Drops all holds. */
 void ow_reservation_drop_holds(struct ow_reservation *reservation);
 /** Drops the holds that are older than the tuning parameters allow. */
-void ow_reservation_drop_old_holds(const struct ow_leader *leader, struct ow_reservation *reservation);
-/** Whether the machine is held for another waiting gang. */
-bool ow_reservation_conflicts(const struct ow_execution *execution, const struct ow_machine *machine);
+void ow_reservation_drop_expired_holds(const struct ow_leader *leader, struct ow_reservation *reservation);
+/** Whether the machine is held for another waiting gang: the paper's concurrent conflict. */
+bool ow_reservation_has_conflict(const struct ow_execution *execution, const struct ow_machine *machine);
 /** Drops the holds on a machine that is gone. `reservation` may be NULL. */
-void ow_reservation_forget(struct ow_reservation *reservation, const struct ow_machine *machine);
+void ow_reservation_remove_machine(struct ow_reservation *reservation, const struct ow_machine *machine);
 /** Frees the reservation with its holds. `reservation` may be NULL. */
 void ow_reservation_free(struct ow_reservation *reservation);
 
--- a/src/core/scheduling/schedule.c
+++ b/src/core/scheduling/schedule.c
@@ -80,7 +80,7 @@
 }
 
 /* Gangs take nothing from those of a more urgent rank before them in the queue. */
-static void harden_held(struct ow_leader *leader)
+static void make_holds_exclusive(struct ow_leader *leader)
 {
     for (guint i = 0; i < leader->machines->len; i++) {
         struct ow_machine *machine = g_ptr_array_index(leader->machines, i);
@@ -95,9 +95,9 @@
     ow_gpu_reserve_update(leader);
     ow_image_demand_update(leader);
     clear_held(leader);
-    ow_shortlists_begin(leader);
+    ow_shortlists_begin_cycle(leader);
     g_array_set_size(leader->cycle.allowances, 0);
-    leader->cycle.turn_taken = false;
+    leader->cycle.gang_has_hold_priority = false;
 }
 
 /* Starts what can be started of the run, and holds or makes capacity for the rest. */
@@ -105,7 +105,7 @@
 {
     if (ow_submission_is_gang(execution->job->spec->submission)) {
         ow_gang_start_try(leader, execution);
-        ow_gang_start_apply_holds(leader, execution);
+        ow_gang_start_subtract_holds(leader, execution);
         return;
     }
     if (ow_execution_is_service(execution))
@@ -135,7 +135,7 @@
         struct ow_execution *execution = g_ptr_array_index(executions, i);
         if (!ow_queue_is_promoted(execution)) {
             if (previous != NULL && ow_queue_rank(execution) != ow_queue_rank(previous))
-                harden_held(leader);
+                make_holds_exclusive(leader);
             previous = execution;
         }
         schedule_execution(leader, execution);
--- a/src/core/scheduling/service_replicas.c
+++ b/src/core/scheduling/service_replicas.c
@@ -45,7 +45,7 @@
             if (ow_execution_is_service(attempt->job->execution))
                 cost_s += CROWDING_COST_S;
         }
-        candidate->cost += MIN(cost_s, CROWDING_COST_MOST_S);
+        candidate->score_s += MIN(cost_s, CROWDING_COST_MOST_S);
     }
 }
 
@@ -53,7 +53,7 @@
 static double replica_cost(const struct ow_replica_spread *spread, const struct ow_candidate *candidate)
 {
     const struct ow_machine *machine = candidate->machine;
-    return candidate->cost + SAME_MACHINE_COST_S * ow_replica_spread_on_machine(spread, machine) +
+    return candidate->score_s + SAME_MACHINE_COST_S * ow_replica_spread_on_machine(spread, machine) +
            SAME_ZONE_COST_S * ow_replica_spread_in_zone(spread, machine->zone);
 }
 
--- a/src/core/scheduling/shortlist.c
+++ b/src/core/scheduling/shortlist.c
@@ -1,7 +1,5 @@
-/* Candidate machines of a class: those with capacity for the least that any of its waiting tasks needs.
- * Listed once a cycle, so that a cycle costs machines times classes and not machines times waiting jobs.
- * Capacity only shrinks while a cycle lasts; what a stop frees at once is found by the next one. */
 #include "core/scheduling/shortlist.h"
+
 #include "core/jobs/execution.h"
 #include "core/leader/leader_state.h"
 #include "core/machines/machine.h"
@@ -10,20 +8,29 @@
 #include "core/scheduling/preempt.h"
 #include "model/submission.h"
 
+#include <stdbool.h>
+
+/* Which capacity a list counts. */
+enum capacity_view {
+    CAPACITY_FREE,            /* what is free now */
+    CAPACITY_WITH_PREEMPTION, /* and at most what stopping work could free */
+};
+
+/* The lists of one class. */
 struct shortlist {
     bool wanted; /* a job of the class waits */
     bool mixed;  /* some of its jobs need GPUs and some don't: capacity for one says nothing of the other */
-    struct ow_submission least;
-    int stops_from;        /* the most urgent rank that is stopped for any of its jobs */
-    GPtrArray *machines;   /* NULL: not listed yet */
-    GPtrArray *with_stops; /* counting what stops could free; NULL: not listed yet */
+    struct ow_submission least; /* the least that its jobs need */
+    int top_rank;               /* the most urgent rank that may be stopped for any of its jobs */
+    GPtrArray *free;            /* struct ow_machine *; NULL: not listed yet */
+    GPtrArray *with_preemption; /* struct ow_machine *; NULL: not listed yet */
 };
 
 static void clear_list(void *item)
 {
     struct shortlist *list = item;
-    g_clear_pointer(&list->machines, g_ptr_array_unref);
-    g_clear_pointer(&list->with_stops, g_ptr_array_unref);
+    g_clear_pointer(&list->free, g_ptr_array_unref);
+    g_clear_pointer(&list->with_preemption, g_ptr_array_unref);
 }
 
 GArray *ow_shortlists_new(void)
@@ -33,7 +40,7 @@
     return lists;
 }
 
-static struct shortlist *list_of(struct ow_leader *leader, int class_index)
+static struct shortlist *find_or_add(struct ow_leader *leader, int class_index)
 {
     if (leader->cycle.shortlists->len <= (guint)class_index)
         g_array_set_size(leader->cycle.shortlists, (guint)class_index + 1);
@@ -41,10 +48,10 @@
 }
 
 /* Lowers the least needs of the class so that they cover the job, too. */
-static void widen(struct shortlist *list, const struct ow_submission *job, int stops_from)
+static void include_job(struct shortlist *list, const struct ow_submission *job, int top_rank)
 {
     struct ow_submission *least = &list->least;
-    list->stops_from = list->wanted ? MIN(list->stops_from, stops_from) : stops_from;
+    list->top_rank = list->wanted ? MIN(list->top_rank, top_rank) : top_rank;
     if (!list->wanted) {
         *least = (struct ow_submission){.need = job->need, .rank = job->rank, .kind = job->kind};
         list->wanted = true;
@@ -60,28 +67,31 @@
         least->kind = OW_KIND_GANG;
 }
 
-void ow_shortlists_begin(struct ow_leader *leader)
+void ow_shortlists_begin_cycle(struct ow_leader *leader)
 {
     g_array_set_size(leader->cycle.shortlists, 0);
     for (guint i = 0; i < leader->executions->len; i++) {
         const struct ow_execution *execution = g_ptr_array_index(leader->executions, i);
-        if (ow_execution_pending(execution) > 0)
-            widen(list_of(leader, execution->job->spec->class_index), execution->job->spec->submission,
-                  ow_preempt_top_rank(leader, execution->job->spec));
+        if (ow_execution_pending(execution) == 0)
+            continue;
+        const struct ow_job_spec *spec = execution->job->spec;
+        include_job(find_or_add(leader, spec->class_index), spec->submission,
+                    ow_preempt_top_rank(leader, spec));
     }
 }
 
 /* Slots on the machine for a job with the least need of its class. */
 static uint32_t slots_for_least(const struct ow_leader *leader, const struct shortlist *list,
                                 const struct ow_job_spec *spec, const struct ow_machine *machine,
-                                bool with_stops)
+                                enum capacity_view view)
 {
-    if (with_stops)
-        return ow_preempt_slots_upper_bound(leader, spec, machine, list->stops_from);
+    if (view == CAPACITY_WITH_PREEMPTION)
+        return ow_preempt_slots_upper_bound(leader, spec, machine, list->top_rank);
     return ow_placement_slots(leader, spec, machine);
 }
 
-static GPtrArray *list_machines(struct ow_leader *leader, const struct shortlist *list, bool with_stops)
+static GPtrArray *list_machines(struct ow_leader *leader, const struct shortlist *list,
+                                enum capacity_view view)
 {
     struct ow_submission least = list->least;
     struct ow_job_spec spec = {.submission = &least};
@@ -90,7 +100,7 @@
         struct ow_machine *machine = g_ptr_array_index(leader->machines, i);
         if (!ow_machine_is_usable(leader, machine))
             continue;
-        if (list->mixed || slots_for_least(leader, list, &spec, machine, with_stops) > 0)
+        if (list->mixed || slots_for_least(leader, list, &spec, machine, view) > 0)
             g_ptr_array_add(found, machine);
     }
     return found;
@@ -98,16 +108,16 @@
 
 const GPtrArray *ow_shortlist(struct ow_leader *leader, int class_index)
 {
-    struct shortlist *list = list_of(leader, class_index);
-    if (list->machines == NULL)
-        list->machines = list_machines(leader, list, false);
-    return list->machines;
+    struct shortlist *list = find_or_add(leader, class_index);
+    if (list->free == NULL)
+        list->free = list_machines(leader, list, CAPACITY_FREE);
+    return list->free;
 }
 
 const GPtrArray *ow_shortlist_with_preemption(struct ow_leader *leader, int class_index)
 {
-    struct shortlist *list = list_of(leader, class_index);
-    if (list->with_stops == NULL)
-        list->with_stops = list_machines(leader, list, true);
-    return list->with_stops;
+    struct shortlist *list = find_or_add(leader, class_index);
+    if (list->with_preemption == NULL)
+        list->with_preemption = list_machines(leader, list, CAPACITY_WITH_PREEMPTION);
+    return list->with_preemption;
 }
