--- a/src/config/sharding_file.c
+++ b/src/config/sharding_file.c
@@ -167,9 +167,9 @@
 static bool read_control(struct ow_sharding_settings *sharding, const char **attributes, unsigned long line,
                          GError **error)
 {
-    if (sharding->enabled)
+    if (sharding->is_enabled)
         return fail(error, OW_CONFIG_ERROR_INCONSISTENT, "control", "is there twice");
-    sharding->enabled = true;
+    sharding->is_enabled = true;
     sharding->line = line;
     for (; *attributes != NULL; attributes += 2) {
         const struct ow_number_field *field = find_control_field(attributes[0]);
@@ -240,7 +240,7 @@
 {
     if (strcmp(element, "control") == 0)
         return read_control(sharding, attributes, line, error);
-    if (!sharding->enabled)
+    if (!sharding->is_enabled)
         return fail(error, OW_CONFIG_ERROR_INCONSISTENT, element, "belongs inside control");
     if (strcmp(element, "shard") == 0)
         return read_shard(sharding, attributes, line, error);
--- a/src/io/incoming.c
+++ b/src/io/incoming.c
@@ -103,7 +103,7 @@
 static void answer_operators(struct ow_daemon *daemon, const struct ow_http_request *request,
                              char *(*describe)(const struct ow_shard_manager *manager))
 {
-    if (ow_shard_manager_is_enabled(daemon->manager))
+    if (ow_shard_manager_is_sharded(daemon->manager))
         answer(daemon, request->id, OW_HTTP_STATUS_OK, describe(daemon->manager));
     else
         answer_error(daemon, request, OW_HTTP_STATUS_NOT_FOUND, "the fleet is not divided into shards");
--- a/src/main.c
+++ b/src/main.c
@@ -33,7 +33,7 @@
 static int serve(const struct ow_command_line *command_line, const struct configuration *configuration)
 {
     g_autoptr(GError) error = NULL;
-    if (configuration->sharding->enabled)
+    if (configuration->sharding->is_enabled)
         ow_net_set_source(configuration->settings->front);
     struct ow_loop *loop = ow_loop_new();
     struct ow_daemon *daemon =
--- a/src/sharding/candidacy.c
+++ b/src/sharding/candidacy.c
@@ -45,8 +45,8 @@
     return rank;
 }
 
-const char *ow_candidacy_successor(const struct ow_membership *membership, const char *self,
-                                   unsigned led_count, const char *shard)
+const char *ow_candidacy_find_successor(const struct ow_membership *membership, const char *self,
+                                        unsigned led_count, const char *shard)
 {
     const GPtrArray *members = ow_membership_members(membership);
     struct candidate first = {.name = self, .led_count = led_count};
--- a/src/sharding/candidacy.h
+++ b/src/sharding/candidacy.h
@@ -13,7 +13,7 @@
 unsigned ow_candidacy_rank(const struct ow_membership *membership, const char *self, unsigned led_count,
                            const char *shard);
 /** The name of the live controller that comes first, owned by the membership; NULL: `self` does. */
-const char *ow_candidacy_successor(const struct ow_membership *membership, const char *self,
-                                   unsigned led_count, const char *shard);
+const char *ow_candidacy_find_successor(const struct ow_membership *membership, const char *self,
+                                        unsigned led_count, const char *shard);
 
 #endif
--- a/src/sharding/map_agreement.c
+++ b/src/sharding/map_agreement.c
@@ -111,7 +111,7 @@
 {
     g_autoptr(GHashTable) stored = wire_shard_map_from_json(item->value);
     agreement->mod_revision = item->mod_revision;
-    conclude(agreement, stored != NULL ? ow_shard_map_difference(agreement->values, stored)
+    conclude(agreement, stored != NULL ? ow_shard_map_find_difference(agreement->values, stored)
                                        : g_strdup("the stored shard map can't be read"));
 }
 
--- a/src/sharding/request_router.c
+++ b/src/sharding/request_router.c
@@ -115,7 +115,7 @@
 static struct ow_shard *choose_shard(const struct ow_request_router *router,
                                      const struct ow_submission *submission)
 {
-    char **route = ow_shard_map_route(router->sharding, submission);
+    char **route = ow_shard_map_find_route(router->sharding, submission);
     struct ow_shard *best = NULL;
     struct ow_shard *first_allowed = NULL;
     double least_waiting_cpus = 0;
--- a/src/sharding/shard.c
+++ b/src/sharding/shard.c
@@ -51,7 +51,7 @@
 
 static bool is_own_machine(const struct ow_shard *shard, const char *zone, const char *type)
 {
-    return ow_shard_map_machine(shard->sharding, zone, type) == (int)shard->index;
+    return ow_shard_map_find_shard(shard->sharding, zone, type) == (int)shard->index;
 }
 
 /* Leaves in a list of instances those of this shard: the core would take others for its own. */
--- a/src/sharding/shard_dispatch.c
+++ b/src/sharding/shard_dispatch.c
@@ -23,7 +23,7 @@
                                GPtrArray *out)
 {
     const struct ow_heartbeat *heartbeat = event->heartbeat;
-    int index = ow_shard_map_machine(targets->sharding, heartbeat->zone, heartbeat->type);
+    int index = ow_shard_map_find_shard(targets->sharding, heartbeat->zone, heartbeat->type);
     if (index >= 0) {
         ow_shard_push(shard_at(targets, (guint)index), event);
         return;
--- a/src/sharding/shard_manager.c
+++ b/src/sharding/shard_manager.c
@@ -58,9 +58,9 @@
 {
     const struct ow_settings *settings = manager->settings;
     add_shards(manager, tuning, nonce);
-    GHashTable *values = ow_shard_map_values(manager->sharding, settings, tuning);
+    GHashTable *values = ow_shard_map_collect_values(manager->sharding, settings, tuning);
     manager->membership = ow_membership_new(manager->sharding, settings->controller_name, settings->peers,
-                                            nonce, ow_shard_map_digest(values));
+                                            nonce, ow_shard_map_compute_digest(values));
     bool has_only_default_shard = g_ptr_array_index(manager->key_prefixes, 0) == NULL;
     manager->agreement = ow_map_agreement_new(values, has_only_default_shard);
     manager->router = ow_request_router_new(manager->sharding, manager->shards);
@@ -73,7 +73,7 @@
     struct ow_shard_manager *manager = g_new0(struct ow_shard_manager, 1);
     manager->settings = settings;
     g_queue_init(&manager->events);
-    if (sharding != NULL && sharding->enabled) {
+    if (sharding != NULL && sharding->is_enabled) {
         manager->sharding = sharding;
         divide(manager, tuning, nonce);
     } else {
@@ -255,7 +255,7 @@
 
 /* ---- what operators ask ---- */
 
-bool ow_shard_manager_is_enabled(const struct ow_shard_manager *manager)
+bool ow_shard_manager_is_sharded(const struct ow_shard_manager *manager)
 {
     return manager->core == NULL;
 }
@@ -289,6 +289,6 @@
 {
     const char *self = manager->settings->controller_name;
     const char *other =
-        ow_candidacy_successor(manager->membership, self, count_led_shards(manager), shard->name);
+        ow_candidacy_find_successor(manager->membership, self, count_led_shards(manager), shard->name);
     return other != NULL ? other : self;
 }
--- a/src/sharding/shard_manager.h
+++ b/src/sharding/shard_manager.h
@@ -50,7 +50,7 @@
 bool ow_shard_manager_resume(struct ow_shard_manager *manager, double paused_s, double now);
 
 /** Whether the fleet is divided; without it, none of the functions below may be called. */
-bool ow_shard_manager_is_enabled(const struct ow_shard_manager *manager);
+bool ow_shard_manager_is_sharded(const struct ow_shard_manager *manager);
 /** The time of the last step. */
 double ow_shard_manager_now(const struct ow_shard_manager *manager);
 /** The other controllers: struct ow_member, owned by the manager. */
--- a/src/sharding/shard_map.c
+++ b/src/sharding/shard_map.c
@@ -14,7 +14,7 @@
     return name != NULL && g_strv_contains((const char *const *)list, name);
 }
 
-int ow_shard_map_machine(const struct ow_sharding_settings *sharding, const char *zone, const char *type)
+int ow_shard_map_find_shard(const struct ow_sharding_settings *sharding, const char *zone, const char *type)
 {
     int shard_of_other_types = -1;
     for (guint i = 0; i < sharding->shards->len; i++) {
@@ -38,7 +38,8 @@
     return route->zone == NULL || g_strcmp0(route->zone, submission->zone) == 0;
 }
 
-char **ow_shard_map_route(const struct ow_sharding_settings *sharding, const struct ow_submission *submission)
+char **ow_shard_map_find_route(const struct ow_sharding_settings *sharding,
+                               const struct ow_submission *submission)
 {
     for (guint i = 0; i < sharding->routes->len; i++) {
         const struct ow_route *route = g_ptr_array_index(sharding->routes, i);
@@ -69,7 +70,7 @@
     add_value(values, g_strdup_printf("shard %s: types", shard->name), join_names(shard->types));
     for (guint i = 0; i < platform->teams->len; i++) {
         const struct ow_team_settings *team = &g_array_index(platform->teams, struct ow_team_settings, i);
-        double share = ow_sharding_settings_share(sharding, team->name, shard);
+        double share = ow_sharding_settings_get_share(sharding, team->name, shard);
         add_value(values, g_strdup_printf("shard %s: share of team %s", shard->name, team->name),
                   g_strdup_printf("%.9g", share));
     }
@@ -82,8 +83,8 @@
                               team->gpus_max));
 }
 
-GHashTable *ow_shard_map_values(const struct ow_sharding_settings *sharding,
-                                const struct ow_settings *platform, const struct ow_tuning *tuning)
+GHashTable *ow_shard_map_collect_values(const struct ow_sharding_settings *sharding,
+                                        const struct ow_settings *platform, const struct ow_tuning *tuning)
 {
     GHashTable *values = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     GString *names = g_string_new(NULL);
@@ -128,13 +129,13 @@
     return NULL;
 }
 
-char *ow_shard_map_difference(GHashTable *ours, GHashTable *stored)
+char *ow_shard_map_find_difference(GHashTable *ours, GHashTable *stored)
 {
     char *difference = first_difference(ours, ours, stored);
     return difference != NULL ? difference : first_difference(stored, ours, stored);
 }
 
-uint64_t ow_shard_map_digest(GHashTable *values)
+uint64_t ow_shard_map_compute_digest(GHashTable *values)
 {
     g_autoptr(GChecksum) checksum = g_checksum_new(G_CHECKSUM_SHA256);
     g_autoptr(GList) names = sorted_names(values);
--- a/src/sharding/shard_platform.c
+++ b/src/sharding/shard_platform.c
@@ -14,7 +14,7 @@
     GArray *parts = g_array_new(FALSE, FALSE, sizeof(struct ow_team_settings));
     for (guint i = 0; i < teams->len; i++) {
         struct ow_team_settings part = g_array_index(teams, struct ow_team_settings, i);
-        double share = ow_sharding_settings_share(sharding, part.name, shard);
+        double share = ow_sharding_settings_get_share(sharding, part.name, shard);
         part.cpus *= share;
         part.gpus *= share;
         part.cpus_max = divide_limit(part.cpus_max, share);
--- a/src/sharding/sharding_settings.c
+++ b/src/sharding/sharding_settings.c
@@ -55,7 +55,7 @@
     g_free(sharding);
 }
 
-int ow_sharding_settings_shard(const struct ow_sharding_settings *sharding, const char *name)
+int ow_sharding_settings_find_shard(const struct ow_sharding_settings *sharding, const char *name)
 {
     for (guint i = 0; i < sharding->shards->len; i++) {
         const struct ow_shard_settings *shard = g_ptr_array_index(sharding->shards, i);
@@ -65,8 +65,8 @@
     return -1;
 }
 
-double ow_sharding_settings_share(const struct ow_sharding_settings *sharding, const char *team,
-                                  const struct ow_shard_settings *shard)
+double ow_sharding_settings_get_share(const struct ow_sharding_settings *sharding, const char *team,
+                                      const struct ow_shard_settings *shard)
 {
     for (guint i = 0; i < sharding->allotments->len; i++) {
         const struct ow_allotment *allotment = g_ptr_array_index(sharding->allotments, i);
--- a/src/sharding/sharding_settings.h
+++ b/src/sharding/sharding_settings.h
@@ -44,7 +44,7 @@
 
 /** All settings of a divided fleet. */
 typedef struct ow_sharding_settings {
-    bool enabled;            /**< the element is there: the fleet is divided */
+    bool is_enabled;         /**< the element is there: the fleet is divided */
     unsigned long line;      /**< of the element, for error texts */
     double heartbeat_s;      /**< between heartbeats of a controller */
     double suspicion_phi;    /**< a controller with a phi from here on is probed, and then suspected */
@@ -64,9 +64,9 @@
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(ow_sharding_settings, ow_sharding_settings_free)
 
 /** The index of the shard of this name, or -1. */
-int ow_sharding_settings_shard(const struct ow_sharding_settings *sharding, const char *name);
+int ow_sharding_settings_find_shard(const struct ow_sharding_settings *sharding, const char *name);
 /** The shard's share of the team's quota, from 0 to 1. */
-double ow_sharding_settings_share(const struct ow_sharding_settings *sharding, const char *team,
-                                  const struct ow_shard_settings *shard);
+double ow_sharding_settings_get_share(const struct ow_sharding_settings *sharding, const char *team,
+                                      const struct ow_shard_settings *shard);
 
 #endif
--- a/src/sharding/sharding_settings_check.c
+++ b/src/sharding/sharding_settings_check.c
@@ -185,7 +185,7 @@
                         "line %lu: allotment: team %s is unknown", allotment->line, allotment->team);
             return false;
         }
-        if (ow_sharding_settings_shard(sharding, allotment->shard) < 0) {
+        if (ow_sharding_settings_find_shard(sharding, allotment->shard) < 0) {
             g_set_error(error, OW_SHARDING_SETTINGS_ERROR, OW_SHARDING_SETTINGS_ERROR_QUOTA_SHARE,
                         "line %lu: allotment: shard %s is unknown", allotment->line, allotment->shard);
             return false;
@@ -198,7 +198,7 @@
 {
     double sum = 0;
     for (guint i = 0; i < sharding->shards->len; i++)
-        sum += ow_sharding_settings_share(sharding, team, g_ptr_array_index(sharding->shards, i));
+        sum += ow_sharding_settings_get_share(sharding, team, g_ptr_array_index(sharding->shards, i));
     return sum;
 }
 
@@ -232,7 +232,7 @@
                         const struct ow_settings *platform, GError **error)
 {
     for (char **shard = route->shards; *shard != NULL; shard++)
-        if (ow_sharding_settings_shard(sharding, *shard) < 0)
+        if (ow_sharding_settings_find_shard(sharding, *shard) < 0)
             return refuse_route(route, "shard", *shard, error);
     if (route->team != NULL && !is_team(platform, route->team))
         return refuse_route(route, "team", route->team, error);
@@ -254,7 +254,7 @@
                                 const struct ow_settings *platform, const struct ow_tuning *tuning,
                                 GError **error)
 {
-    if (!sharding->enabled)
+    if (!sharding->is_enabled)
         return true;
     return check_shard_count(sharding, platform, error) && check_timing(sharding, platform, tuning, error) &&
            check_shards(sharding, platform, error) && check_coverage(sharding, platform, error) &&
--- a/tests/cluster/test_shard_settings.c
+++ b/tests/cluster/test_shard_settings.c
@@ -73,11 +73,11 @@
         shard->types = shards[i].types != NULL ? g_strsplit(shards[i].types, " ", 0) : NULL;
         g_ptr_array_add(sharding->shards, shard);
     }
-    assert_int_equal(ow_shard_map_machine(sharding, "a", "m8"), 0);
-    assert_int_equal(ow_shard_map_machine(sharding, "a", "g8"), 1);
-    assert_int_equal(ow_shard_map_machine(sharding, "b", "g8"), 0);
-    assert_int_equal(ow_shard_map_machine(sharding, "c", "g8"), 2);
-    assert_int_equal(ow_shard_map_machine(sharding, "d", "m8"), -1);
+    assert_int_equal(ow_shard_map_find_shard(sharding, "a", "m8"), 0);
+    assert_int_equal(ow_shard_map_find_shard(sharding, "a", "g8"), 1);
+    assert_int_equal(ow_shard_map_find_shard(sharding, "b", "g8"), 0);
+    assert_int_equal(ow_shard_map_find_shard(sharding, "c", "g8"), 2);
+    assert_int_equal(ow_shard_map_find_shard(sharding, "d", "m8"), -1);
     ow_sharding_settings_free(sharding);
 }
 
--- a/tests/sim/sim_shards.c
+++ b/tests/sim/sim_shards.c
@@ -16,7 +16,7 @@
 void sim_divide(struct sim_cluster *cluster)
 {
     cluster->sharding = ow_sharding_settings_new();
-    cluster->sharding->enabled = true;
+    cluster->sharding->is_enabled = true;
     add_shard(cluster->sharding, "east");
     add_shard(cluster->sharding, "west");
 }
--- a/tests/unit/test_candidacy.c
+++ b/tests/unit/test_candidacy.c
@@ -56,13 +56,13 @@
     open_bench(&bench, 0);
     /* Nobody is heard: nobody comes before us. */
     assert_int_equal(ow_candidacy_rank(bench.membership, "self", 9, "north"), 0);
-    assert_null(ow_candidacy_successor(bench.membership, "self", 9, "north"));
+    assert_null(ow_candidacy_find_successor(bench.membership, "self", 9, "north"));
     hear(&bench, "one", 2);
     hear(&bench, "two", 0);
     hear(&bench, "three", 4);
     assert_int_equal(ow_candidacy_rank(bench.membership, "self", 1, "north"), 1);
     assert_int_equal(ow_candidacy_rank(bench.membership, "self", 3, "north"), 2);
-    assert_string_equal(ow_candidacy_successor(bench.membership, "self", 1, "north"), "two");
+    assert_string_equal(ow_candidacy_find_successor(bench.membership, "self", 1, "north"), "two");
     close_bench(&bench);
 }
 
--- a/tests/unit/test_settings.c
+++ b/tests/unit/test_settings.c
@@ -161,7 +161,7 @@
     struct ow_sharding_settings *sharding = ow_sharding_settings_new();
     assert_true(ow_operators_load("deploy/operators.xml", &tuning, sharding, &error));
     assert_null(error);
-    assert_false(sharding->enabled);
+    assert_false(sharding->is_enabled);
     ow_sharding_settings_free(sharding);
     assert_true(tuning.window_s == expected.window_s && tuning.hold_life_s == expected.hold_life_s);
     assert_true(tuning.waiting_limit_s == expected.waiting_limit_s &&
--- a/tests/unit/test_sharding_settings.c
+++ b/tests/unit/test_sharding_settings.c
@@ -89,15 +89,15 @@
                             "<route class='train' zone='a' shards='gpu north'/></control>" TAIL,
                        &tuning, sharding);
     assert_null(fault);
-    assert_true(sharding->enabled);
+    assert_true(sharding->is_enabled);
     assert_true(sharding->heartbeat_s == 0.25 && sharding->suspicion_phi == 5 && sharding->relays == 2);
     assert_int_equal(sharding->shards->len, 2);
     const struct ow_shard_settings *gpu = g_ptr_array_index(sharding->shards, 1);
     assert_string_equal(gpu->zones[1], "b");
     assert_string_equal(gpu->types[1], "g8");
     assert_int_equal(gpu->line, 4);
-    assert_true(ow_sharding_settings_share(sharding, "vision", gpu) == 0);
-    assert_true(ow_sharding_settings_share(sharding, "speech", gpu) == 0.25);
+    assert_true(ow_sharding_settings_get_share(sharding, "vision", gpu) == 0);
+    assert_true(ow_sharding_settings_get_share(sharding, "speech", gpu) == 0.25);
     const struct ow_route *route = g_ptr_array_index(sharding->routes, 0);
     assert_string_equal(route->shards[0], "gpu");
     assert_null(route->team);
