--- a/src/core/api/feasibility.c
+++ b/src/core/api/feasibility.c
@@ -1,13 +1,12 @@
 #include "core/api/feasibility.h"
 
 #include "core/core_state.h"
+#include "core/jobs/quota.h"
 #include "core/machine_types.h"
 #include "model/cloud.h"
 #include "model/resources.h"
 #include "model/submission.h"
 
-#include <string.h>
-
 static bool contains(char **names, const char *name)
 {
     return g_strv_contains((const char *const *)names, name);
@@ -45,17 +44,6 @@
     return submission->one_zone || submission->zone != NULL;
 }
 
-static const struct ow_team_settings *find_team(const struct ow_core *core, const char *name)
-{
-    const GArray *teams = core->settings->teams;
-    for (guint i = 0; i < teams->len; i++) {
-        const struct ow_team_settings *team = &g_array_index(teams, struct ow_team_settings, i);
-        if (strcmp(team->name, name) == 0)
-            return team;
-    }
-    return NULL;
-}
-
 /* Whether what must run at the same time is more than the team may ever use; a limit of 0 is none. */
 static bool over_team_limit(const struct ow_team_settings *team, const struct ow_submission *submission)
 {
@@ -68,7 +56,7 @@
 
 const char *ow_infeasible_reason(const struct ow_core *core, const struct ow_submission *submission)
 {
-    const struct ow_team_settings *team = find_team(core, submission->team);
+    const struct ow_team_settings *team = ow_team_settings_find(core->settings, submission->team);
     if (team == NULL)
         return "unknown team";
     if (!fits_some_type(core, submission))
--- a/src/core/api/submit.c
+++ b/src/core/api/submit.c
@@ -156,7 +156,7 @@
         ow_poll_job(core, request, submission->id);
         return true;
     }
-    if (!ow_job_cache_loaded(core->job_cache) || !ow_machine_types_are_known(core->machine_types)) {
+    if (!ow_job_cache_is_loaded(core->job_cache) || !ow_machine_types_are_known(core->machine_types)) {
         ow_job_answer_retry(core, request, "still starting");
         return true;
     }
--- a/src/core/election/succession.c
+++ b/src/core/election/succession.c
@@ -59,7 +59,7 @@
     double now = core->now;
     if (election->leader_name == NULL || election->key.mod_revision == 0)
         return false;
-    if (!ow_job_cache_loaded(core->job_cache) || !leader_format_is_outdated(election))
+    if (!ow_job_cache_is_loaded(core->job_cache) || !leader_format_is_outdated(election))
         return false;
     if (!ow_peer_status_store_answers(core->peer_status, election->leader_name, now, PEER_FRESH_S))
         return false;
--- a/src/core/jobs/job.c
+++ b/src/core/jobs/job.c
@@ -89,7 +89,7 @@
     if (job == NULL || version > job->version)
         return true;
     /* The record of a cancellation that was announced ahead of it brings the rest of what is to be known. */
-    return job->record_unread && version >= job->version;
+    return job->is_record_unread && version >= job->version;
 }
 
 /* A cancelled job keeps its description until the leader has seen its last task end. */
@@ -109,12 +109,12 @@
         ow_submission_free(submission);
         return NULL;
     }
-    bool is_first_record = job == NULL || job->record_unread;
+    bool is_first_record = job == NULL || job->is_record_unread;
     bool is_settled = submission == NULL; /* it is over and no task of it is left */
     if (job == NULL)
         job = add_job(jobs, id, version);
     if (is_first_record) {
-        job->record_unread = false;
+        job->is_record_unread = false;
         job->first_seen_at = now;
         job->accepted_at = now - age_s;
     }
@@ -139,7 +139,7 @@
     if (job == NULL) {
         job = add_job(jobs, id, 0);
         job->accepted_revision = version;
-        job->record_unread = true;
+        job->is_record_unread = true;
     }
     if (version <= job->version)
         return job;
--- a/src/core/jobs/job.h
+++ b/src/core/jobs/job.h
@@ -46,7 +46,7 @@
     struct ow_execution *execution; /**< the leader's; NULL: none */
     uint64_t cancel_fencing_token;  /**< of a cancelled one: who led when that was recorded */
     bool cancellation_acked;        /**< its cancellation has been acknowledged: users may be told of it */
-    bool record_unread; /**< cancelled before its record has been read: nothing else is known of it */
+    bool is_record_unread; /**< cancelled before its record has been read: nothing else is known of it */
     /* Shown to users; nothing is decided by them. */
     int done;     /**< tasks; OW_UNCOUNTED: not counted yet */
     int running;  /**< tasks; OW_UNCOUNTED: not counted yet */
--- a/src/core/jobs/job_cache.c
+++ b/src/core/jobs/job_cache.c
@@ -73,7 +73,7 @@
     g_free(job_cache);
 }
 
-bool ow_job_cache_loaded(const struct ow_job_cache *job_cache)
+bool ow_job_cache_is_loaded(const struct ow_job_cache *job_cache)
 {
     return job_cache->loading.is_done;
 }
--- a/src/core/jobs/job_cache.h
+++ b/src/core/jobs/job_cache.h
@@ -21,7 +21,7 @@
 /** Frees it; calls that still wait are dropped. */
 void ow_job_cache_free(struct ow_job_cache *job_cache);
 /** Whether the whole table has been read and no change since has been missed. */
-bool ow_job_cache_loaded(const struct ow_job_cache *job_cache);
+bool ow_job_cache_is_loaded(const struct ow_job_cache *job_cache);
 /** Calls `fn` after a read that begins later than this call. `data` is freed with g_free after the call.
  * Waiting calls share one read. */
 void ow_job_cache_refresh(struct ow_job_cache *job_cache, ow_fresh_fn fn, void *data);
--- a/src/core/jobs/quota.c
+++ b/src/core/jobs/quota.c
@@ -43,18 +43,22 @@
     return &quota->used[team];
 }
 
-const struct ow_team_settings *ow_team_settings_of(const struct ow_leader *leader, int team)
+const struct ow_team_settings *ow_team_settings_find(const struct ow_settings *settings, const char *name)
 {
-    const char *name = ow_interner_text(leader->core->interners.teams, team);
-    const GArray *teams = leader->core->settings->teams;
-    for (guint i = 0; i < teams->len; i++) {
-        const struct ow_team_settings *settings = &g_array_index(teams, struct ow_team_settings, i);
-        if (strcmp(settings->name, name) == 0)
-            return settings;
+    for (guint i = 0; i < settings->teams->len; i++) {
+        const struct ow_team_settings *team = &g_array_index(settings->teams, struct ow_team_settings, i);
+        if (strcmp(team->name, name) == 0)
+            return team;
     }
     return NULL;
 }
 
+static const struct ow_team_settings *settings_of(const struct ow_leader *leader, int team)
+{
+    const char *name = ow_interner_text(leader->core->interners.teams, team);
+    return ow_team_settings_find(leader->core->settings, name);
+}
+
 /* How many of `wanted` tasks the limit of one resource admits; a limit of 0 is none. */
 static uint32_t limit_admits(double limit, double used, double need, uint32_t wanted)
 {
@@ -70,7 +74,7 @@
 {
     const struct ow_resources *used = ow_team_usage(leader, spec->team);
     const struct ow_resources *need = &spec->submission->need;
-    const struct ow_team_settings *settings = ow_team_settings_of(leader, spec->team);
+    const struct ow_team_settings *settings = settings_of(leader, spec->team);
     if (settings == NULL)
         return 0;
     wanted = limit_admits(settings->cpus_max, used->cpus, need->cpus, wanted);
@@ -94,7 +98,7 @@
 
 bool ow_team_guarantee_covers(const struct ow_leader *leader, int team, const struct ow_resources *amounts)
 {
-    const struct ow_team_settings *settings = ow_team_settings_of(leader, team);
+    const struct ow_team_settings *settings = settings_of(leader, team);
     if (settings == NULL || !has_guaranteed_resource(settings, amounts))
         return false;
     return !exceeds(settings->gpus, amounts->gpus) && !exceeds(settings->cpus, amounts->cpus);
@@ -102,7 +106,7 @@
 
 bool ow_team_has_guarantee_for(const struct ow_leader *leader, int team, const struct ow_resources *need)
 {
-    const struct ow_team_settings *settings = ow_team_settings_of(leader, team);
+    const struct ow_team_settings *settings = settings_of(leader, team);
     return settings != NULL && has_guaranteed_resource(settings, need);
 }
 
@@ -121,7 +125,7 @@
 
 static bool uses_more_than_guaranteed(struct ow_leader *leader, int team)
 {
-    const struct ow_team_settings *settings = ow_team_settings_of(leader, team);
+    const struct ow_team_settings *settings = settings_of(leader, team);
     const struct ow_resources *used = ow_team_usage(leader, team);
     if (settings == NULL)
         return false;
--- a/src/core/jobs/quota.h
+++ b/src/core/jobs/quota.h
@@ -23,8 +23,8 @@
 /** Begins a scheduling cycle: finds out which teams may claim their guarantee and which have to give back,
  * for the whole cycle. */
 void ow_quota_begin_cycle(struct ow_leader *leader);
-/** The team's settings, owned by the settings, or NULL if they name no such team. */
-const struct ow_team_settings *ow_team_settings_of(const struct ow_leader *leader, int team);
+/** The settings of the team of this name, owned by `settings`, or NULL if they name no such team. */
+const struct ow_team_settings *ow_team_settings_find(const struct ow_settings *settings, const char *name);
 /** What the team's attempts use. Valid until the next call. */
 struct ow_resources *ow_team_usage(struct ow_leader *leader, int team);
 /** Whether the amounts lie within what the team is guaranteed. A resource of which it is guaranteed none is
--- a/src/core/readiness.c
+++ b/src/core/readiness.c
@@ -19,7 +19,7 @@
 bool ow_readiness_is_ready(const struct ow_core *core)
 {
     bool is_starting =
-        !ow_job_cache_loaded(core->job_cache) || !ow_machine_types_are_known(core->machine_types);
+        !ow_job_cache_is_loaded(core->job_cache) || !ow_machine_types_are_known(core->machine_types);
     bool is_store_lost = ow_store_health_is_lost(core->store_health);
     if (!is_starting && !is_store_lost)
         return true;
