--- a/src/client/exchange.h
+++ b/src/client/exchange.h
@@ -14,6 +14,7 @@
 
 /** Sends the request and waits for its response, for five seconds at most.
  * @param server ADDRESS:PORT
+ * @param request what is asked
  * @param body the body of the response is appended to it
  * @return the status of the response; OW_HTTP_STATUS_NONE: there was none in time */
 int ow_exchange(const char *server, const struct ow_exchange_request *request, GString *body);
--- a/src/io/daemon.h
+++ b/src/io/daemon.h
@@ -24,7 +24,7 @@
 
 /** The daemon. Owned by who creates it. */
 struct ow_daemon;
-typedef struct ow_daemon ow_daemon;
+typedef struct ow_daemon ow_daemon; /**< for g_autoptr */
 
 /** A daemon that listens, and connects to the other controllers, as soon as the loop runs with
  * ow_daemon_round.
@@ -40,7 +40,8 @@
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(ow_daemon, ow_daemon_free)
 
 /** The round of the event loop (ow_round_fn): one step of the shard manager, whose effects are carried out.
- * @param owner the daemon */
+ * @param owner the daemon
+ * @param now the steady time in seconds */
 double ow_daemon_round(void *owner, double now);
 
 #endif
--- a/src/io/http_client.h
+++ b/src/io/http_client.h
@@ -16,14 +16,16 @@
 
 /** The client. Owned by who creates it. */
 struct ow_http_client;
-typedef struct ow_http_client ow_http_client;
+typedef struct ow_http_client ow_http_client; /**< for g_autoptr */
 
 /** Tells the end of a request. It may send new requests, but not free the client.
  * @param owner that of ow_http_client_new
  * @param tag of the request
- * @param status of the response, or one of our own: OW_HTTP_STATUS_NONE without a response (the request might
- * have been carried out), OW_HTTP_STATUS_CONTENT_TOO_LARGE if the response was longer than the client reads
- * @param body of the response, ended by a NUL that `size` doesn't count; valid during the call only */
+ * @param status of the response, or one of our own: OW_HTTP_STATUS_NONE without a response (the request
+ *   might have been carried out), OW_HTTP_STATUS_CONTENT_TOO_LARGE if the response was longer than the
+ *   client reads
+ * @param body of the response, ended by a NUL that `size` doesn't count; valid during the call only
+ * @param size bytes of `body` */
 typedef void (*ow_http_reply_fn)(void *owner, uint64_t tag, int status, const char *body, size_t size);
 
 /** A client without connections.
@@ -39,7 +41,10 @@
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(ow_http_client, ow_http_client_free)
 
 /** Sends a request. The reply never comes from inside this call.
+ * @param client the client
  * @param endpoint ADDRESS:PORT
+ * @param method copied
+ * @param path path and query; copied
  * @param body JSON text, or NULL; copied
  * @param timeout_s after how long without a response it is given up (by ow_http_client_sweep)
  * @param tag handed to `reply` */
--- a/src/io/http_client_connection.h
+++ b/src/io/http_client_connection.h
@@ -43,7 +43,10 @@
     bool is_reusable; /**< the connection is IDLE now; false: it has ended, and the callee frees it */
 };
 
-/** @param owner that of ow_client_connection_new */
+/** The request under way has ended, or an idle connection.
+ * @param owner that of ow_client_connection_new
+ * @param connection IDLE, or to be freed by the callee
+ * @param outcome valid during the call only */
 typedef void (*ow_client_connection_end_fn)(void *owner, struct ow_client_connection *connection,
                                             const struct ow_client_outcome *outcome);
 
@@ -65,6 +68,8 @@
 
 /** Begins to connect to ADDRESS:PORT, and waits for the request to be given to it at once, by
  * ow_client_connection_send.
+ * @param loop must outlive the connection
+ * @param endpoint copied
  * @param end called from the loop or from the functions below, as they say
  * @param owner handed to `end`; must outlive the connection */
 struct ow_client_connection *ow_client_connection_new(struct ow_loop *loop, const char *endpoint,
--- a/src/io/http_connection.h
+++ b/src/io/http_connection.h
@@ -65,6 +65,7 @@
 };
 
 /** Serves an accepted connection.
+ * @param loop must outlive the connection
  * @param fd taken over, also if this fails
  * @param handlers must outlive the connection
  * @param body_limit_bytes of a request at most
@@ -77,7 +78,11 @@
 /** Whether a request waits for its answer. */
 bool ow_http_connection_is_handling(const struct ow_http_connection *connection);
 /** Answers the request at hand and turns to the next; this may close the connection.
- * @param headers as in ow_http_server_answer */
+ * @param connection HANDLING or HANDLING_LAST
+ * @param status of the response
+ * @param headers as in ow_http_server_answer
+ * @param body JSON text; copied
+ * @param size bytes of `body` */
 void ow_http_connection_answer(struct ow_http_connection *connection, int status, const char *headers,
                                const char *body, size_t size);
 
--- a/src/io/http_parse.h
+++ b/src/io/http_parse.h
@@ -66,6 +66,8 @@
 };
 
 /** Makes the parser ready for a first message.
+ * @param parser the caller's; to be cleared
+ * @param side which messages it reads
  * @param body_limit_bytes of a body at most */
 void ow_http_parser_init(struct ow_http_parser *parser, enum ow_http_side side, size_t body_limit_bytes);
 /** Makes it ready for the next message on the same connection. Large buffers are given back. */
@@ -73,6 +75,9 @@
 /** Frees what it holds, not the parser itself. */
 void ow_http_parser_clear(struct ow_http_parser *parser);
 /** Takes bytes up to the end of one message.
+ * @param parser holds the message once it is done
+ * @param data the bytes that came
+ * @param size how many they are
  * @param used how many of them were taken; those behind it belong to the next message */
 enum ow_http_result ow_http_parse(struct ow_http_parser *parser, const char *data, size_t size, size_t *used);
 
--- a/src/io/http_server.h
+++ b/src/io/http_server.h
@@ -14,7 +14,7 @@
 
 /** The server. Owned by who creates it. */
 struct ow_http_server;
-typedef struct ow_http_server ow_http_server;
+typedef struct ow_http_server ow_http_server; /**< for g_autoptr */
 
 /** Names one request that waits for its answer. Of a connection that is gone, or a request that has been
  * answered, it is stale. */
@@ -30,7 +30,8 @@
 };
 
 /** Takes one request; may answer it at once.
- * @param owner that of ow_http_server_new */
+ * @param owner that of ow_http_server_new
+ * @param request valid during the call only */
 typedef void (*ow_http_handler)(void *owner, const struct ow_http_request *request);
 
 /** How a server is to be. */
@@ -55,8 +56,12 @@
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(ow_http_server, ow_http_server_free)
 
 /** Answers a request. A stale id is ignored: who asked may have gone.
+ * @param server that took the request
+ * @param id of the request
+ * @param status of the response
  * @param headers further header lines, each ended by CR LF, or NULL
- * @param body JSON text; copied */
+ * @param body JSON text; copied
+ * @param size bytes of `body` */
 void ow_http_server_answer(struct ow_http_server *server, ow_request_id id, int status, const char *headers,
                            const char *body, size_t size);
 /** Connections that are open now. */
@@ -64,6 +69,7 @@
 /** Closes the connections that still have bytes to send. */
 void ow_http_server_drop_unsent(struct ow_http_server *server);
 /** Closes connections that were idle for too long; to be called now and then.
+ * @param server the server
  * @param now the steady time in seconds */
 void ow_http_server_sweep(struct ow_http_server *server, double now);
 
--- a/src/io/idle_connections.h
+++ b/src/io/idle_connections.h
@@ -11,7 +11,7 @@
 struct ow_client_connection; /* of io/http_client_connection.h */
 
 struct ow_idle_connections;
-typedef struct ow_idle_connections ow_idle_connections;
+typedef struct ow_idle_connections ow_idle_connections; /**< for g_autoptr */
 
 /** An empty table, owned by the caller. */
 struct ow_idle_connections *ow_idle_connections_new(void);
@@ -20,7 +20,9 @@
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(ow_idle_connections, ow_idle_connections_free)
 
 /** The connection, which is not in the table, is idle from now on.
- * @param endpoint copied */
+ * @param idle the table
+ * @param endpoint copied
+ * @param connection stays the client's */
 void ow_idle_connections_add(struct ow_idle_connections *idle, const char *endpoint,
                              struct ow_client_connection *connection);
 /** The connection gets a request, or is closed; it need not be in the table. */
--- a/src/io/loop.h
+++ b/src/io/loop.h
@@ -18,7 +18,7 @@
 
 /** The loop. Whoever creates it frees it, after everything that has watches in it. */
 struct ow_loop;
-typedef struct ow_loop ow_loop;
+typedef struct ow_loop ow_loop; /**< for g_autoptr */
 
 /** A descriptor is ready.
  * @param owner that of the watch; it lives as long as the watch
@@ -63,6 +63,8 @@
 };
 
 /** Begins to watch the descriptor.
+ * @param loop the loop
+ * @param watch filled in by the caller but for `events`; it must live until ow_loop_close
  * @param events the epoll events to watch for
  * @return false if the system refuses; the watch must be closed all the same */
 bool ow_loop_watch(struct ow_loop *loop, struct ow_watch *watch, uint32_t events);
--- a/src/io/net.h
+++ b/src/io/net.h
@@ -30,6 +30,7 @@
 int ow_net_connect_error(int fd);
 
 /** Writes what the socket accepts now of `out`.
+ * @param fd the socket
  * @param out the bytes to be sent; emptied once all are written
  * @param sent how many of them are written so far; moved on, and 0 once all are written
  * @return false when the connection is broken */
@@ -43,6 +44,9 @@
 };
 
 /** Reads up to `size` bytes.
+ * @param fd the socket
+ * @param buffer filled from its start
+ * @param size bytes that the buffer holds
  * @param taken how many were read with OW_NET_DATA, 0 otherwise */
 enum ow_net_reading ow_net_read(int fd, char *buffer, size_t size, size_t *taken);
 
--- a/src/io/outgoing.h
+++ b/src/io/outgoing.h
@@ -27,7 +27,11 @@
  */
 void ow_outgoing_send(struct ow_daemon *daemon, const struct ow_effect *effect);
 /** The reply function of the HTTP client (ow_http_reply_fn): turns a reply into an event.
- * @param owner the daemon */
+ * @param owner the daemon
+ * @param tag that the request was sent with
+ * @param status of the response, or OW_HTTP_STATUS_NONE
+ * @param body valid during the call only
+ * @param size bytes of `body` */
 void ow_outgoing_take_reply(void *owner, uint64_t tag, int status, const char *body, size_t size);
 /** Leaves the HTTP client the sockets that incoming connections don't use. */
 void ow_outgoing_bound_sockets(struct ow_daemon *daemon);
--- a/src/io/peer_incoming.h
+++ b/src/io/peer_incoming.h
@@ -15,10 +15,12 @@
 struct ow_peer_incoming;
 
 /** The link is of no more use. The callee frees it with ow_peer_incoming_free; it isn't touched afterwards.
- * @param owner that of ow_peer_incoming_new */
+ * @param owner that of ow_peer_incoming_new
+ * @param link to be freed by the callee */
 typedef void (*ow_peer_incoming_end_fn)(void *owner, struct ow_peer_incoming *link);
 
 /** Serves an accepted connection.
+ * @param loop must outlive the link
  * @param fd taken over
  * @param handlers whose `take` gets the messages; must outlive the link
  * @param end called at most once, from the loop
--- a/src/io/peer_link.h
+++ b/src/io/peer_link.h
@@ -14,7 +14,7 @@
 
 /** The links of this controller. Owned by who creates them. */
 struct ow_peer_links;
-typedef struct ow_peer_links ow_peer_links;
+typedef struct ow_peer_links ow_peer_links; /**< for g_autoptr */
 
 /** Listens for other controllers.
  * @param loop must outlive the links
@@ -31,11 +31,13 @@
 void ow_peer_links_add(struct ow_peer_links *links, const char *endpoint);
 /** Sends a message as far as links are established; it is not kept for the others. A message that is too
  * large to be encoded is not sent at all, which is logged.
+ * @param links the links
  * @param message stays the caller's
  * @param endpoint of the controller that it goes to; NULL: it goes to all */
 void ow_peer_links_send(struct ow_peer_links *links, struct ow_peer_message *message, const char *endpoint);
 /** Opens lost links again and drops those that take nothing or are silent; to be called several times a
  * second.
+ * @param links the links
  * @param now the steady time in seconds */
 void ow_peer_links_sweep(struct ow_peer_links *links, double now);
 
--- a/src/io/peer_outgoing.h
+++ b/src/io/peer_outgoing.h
@@ -20,6 +20,7 @@
 struct ow_peer_outgoing;
 
 /** Begins to connect.
+ * @param loop must outlive the link
  * @param endpoint copied
  * @param handlers whose `lost` is told when nobody listens any more; must outlive the link */
 struct ow_peer_outgoing *ow_peer_outgoing_new(struct ow_loop *loop, const char *endpoint,
