--- a/src/model/settings.h
+++ b/src/model/settings.h
@@ -1,42 +1,80 @@
-/* What the platform's settings and the operators say, checked. Plain data, shared by all parts. */
+/** @file
+ * What the platform's settings and the operators say, checked. Plain data, shared by all parts.
+ *
+ * src/config reads and checks it, owns its texts and lists, and never changes it afterwards; what others hold
+ * of it they borrow. A controller that leads one of several shards has a copy with its share of the amounts.
+ */
 #ifndef OW_MODEL_SETTINGS_H
 #define OW_MODEL_SETTINGS_H
 
 #include <glib.h>
 
+/** Another controller. */
 struct ow_peer_settings {
-    char *node, *zone, *endpoint;
+    char *node;     /**< its name */
+    char *zone;     /**< where it runs */
+    char *endpoint; /**< host:port where it takes messages of controllers */
 };
 
+/** A team and its quotas; an amount of 0 means that there is none. */
 struct ow_team_settings {
     char *name;
-    double cpus, cpus_max, gpus, gpus_max; /* 0: none */
+    double cpus;     /**< guaranteed CPUs */
+    double cpus_max; /**< limit of CPUs */
+    double gpus;     /**< guaranteed GPUs */
+    double gpus_max; /**< limit of GPUs */
 };
 
-enum ow_slo_kind { OW_SLO_WAIT, OW_SLO_FINISHED, OW_SLO_OTHER };
+/** What a service-level objective is about. */
+enum ow_slo_kind {
+    OW_SLO_WAIT,     /**< jobs start soon after their submission */
+    OW_SLO_FINISHED, /**< jobs are done by their deadline */
+    OW_SLO_OTHER,    /**< a kind that this version does not know */
+};
 
+/** A service-level objective. */
 struct ow_slo {
     enum ow_slo_kind kind;
-    char *class_name;
-    double within_s, share;
+    char *class_name; /**< the class of jobs that it is for; NULL: not said */
+    double within_s;  /**< OW_SLO_WAIT: how soon they start */
+    double share;     /**< of the jobs, 0 to 1 */
 };
 
+/** The settings of the platform. */
 struct ow_settings {
-    char *controller_name, *zone, *front, *peer_listen, *cloud_endpoint, *store_endpoint;
-    GArray *peers; /* struct ow_peer_settings */
-    GArray *teams; /* struct ow_team_settings */
-    GArray *slos;  /* struct ow_slo */
-    char **zones;
-    double heartbeat_interval_s, lease_s, gang_wait_s, gang_peer_s, cancel_s;
-    double store_rps, store_write_rps, value_kb;
-    unsigned txn_ops;
-    /* What the key-value store will allow from some moment on, without notice; the same where nothing is
-     * said.
-     */
-    double next_write_rps, next_value_kb;
+    /* this controller */
+    char *controller_name;
+    char *zone;
+    char *front;       /**< host:port where users and agents reach it */
+    char *peer_listen; /**< host:port where other controllers reach it */
+    /* services and peers */
+    char *cloud_endpoint; /**< host:port */
+    char *store_endpoint; /**< host:port of the key-value store */
+    GArray *peers;        /**< struct ow_peer_settings */
+    GArray *teams;        /**< struct ow_team_settings */
+    GArray *slos;         /**< struct ow_slo */
+    char **zones;         /**< where machines may be provisioned, ended by NULL */
+    /* agents */
+    double heartbeat_interval_s;
+    double lease_s;     /**< of an agent: it stops its tasks this long after the last answered heartbeat */
+    double gang_wait_s; /**< the longest that a gang's task waits for the others on its machine */
+    double gang_peer_s; /**< the longest until a gang's tasks notice that one of them is gone */
+    double cancel_s;    /**< by when after a cancellation every task of the job must be gone */
+    /* bounds of the key-value store */
+    double store_rps;       /**< requests a second */
+    double store_write_rps; /**< mutations a second */
+    double value_kb;        /**< size of a value */
+    unsigned txn_ops;       /**< operations of a transaction */
+    /* the bounds from some moment on, which comes without notice; the same as above where nothing is said */
+    double next_write_rps;
+    double next_value_kb;
     unsigned next_txn_ops;
-    double cloud_rps, list_lag_s;
-    double core_share, memory_mb;
+    /* the cloud */
+    double cloud_rps;  /**< requests a second */
+    double list_lag_s; /**< by how much its list of machines may lag behind */
+    /* what this process may use */
+    double core_share; /**< CPU cores */
+    double memory_mb;
     unsigned sockets;
 };
 
