--- a/src/core/api/cancel.c
+++ b/src/core/api/cancel.c
@@ -116,7 +116,7 @@
     struct cancel_call *call = g_new0(struct cancel_call, 1);
     char *key = g_strconcat(OW_KEY_JOBS, job->id, NULL);
     ow_store_compare(transaction, OW_KEY_LEADER, leader_fencing_token);
-    ow_store_compare(transaction, key, job->version);
+    ow_store_compare(transaction, key, job->mod_revision);
     ow_store_put(transaction, key, cancellation_record(core, job, leader_fencing_token), 0);
     g_free(key);
     call->pending.request = request;
--- a/src/core/api/cancellation_ack.c
+++ b/src/core/api/cancellation_ack.c
@@ -86,7 +86,7 @@
 {
     struct ow_peer_message *message = ow_peer_message_new(kind);
     g_strlcpy(message->cancellation.job, job->id, sizeof message->cancellation.job);
-    message->cancellation.revision = job->version;
+    message->cancellation.revision = job->mod_revision;
     message->fencing_token = fencing_token;
     ow_core_send_to_peers(core, message);
 }
--- a/src/core/jobs/job.c
+++ b/src/core/jobs/job.c
@@ -72,24 +72,24 @@
     return job->state == OW_JOB_DONE || job->state == OW_JOB_CANCELLED;
 }
 
-static struct ow_job *add_job(struct ow_jobs *jobs, const char *id, uint64_t version)
+static struct ow_job *add_job(struct ow_jobs *jobs, const char *id, uint64_t mod_revision)
 {
     struct ow_job *job = g_new0(struct ow_job, 1);
     job->id = g_strdup(id);
-    job->accepted_revision = version;
+    job->accepted_revision = mod_revision;
     job->done = job->running = OW_UNCOUNTED;
     g_hash_table_insert(jobs->by_id, job->id, job);
     return job;
 }
 
-/* Whether a record of this version tells anything new. Watches and lists may answer out of order: a job that
-   is over must never be reopened. */
-static bool is_news(const struct ow_job *job, uint64_t version)
+/* Whether a record of this mod_revision tells anything new. Watches and lists may answer out of order: a job
+   that is over must never be reopened. */
+static bool is_news(const struct ow_job *job, uint64_t mod_revision)
 {
-    if (job == NULL || version > job->version)
+    if (job == NULL || mod_revision > job->mod_revision)
         return true;
     /* The record of a cancellation that was announced ahead of it brings the rest of what is to be known. */
-    return job->is_record_unread && version >= job->version;
+    return job->is_record_unread && mod_revision >= job->mod_revision;
 }
 
 /* A cancelled job keeps its description until the leader has seen its last task end. */
@@ -101,24 +101,25 @@
         ow_submission_free(submission);
 }
 
-struct ow_job *ow_jobs_apply(struct ow_jobs *jobs, const char *id, uint64_t version, enum ow_job_state state,
-                             struct ow_submission *submission, double now, double age_s)
+struct ow_job *ow_jobs_apply(struct ow_jobs *jobs, const char *id, uint64_t mod_revision,
+                             enum ow_job_state state, struct ow_submission *submission, double now,
+                             double age_s)
 {
     struct ow_job *job = ow_jobs_find(jobs, id);
-    if (!is_news(job, version)) {
+    if (!is_news(job, mod_revision)) {
         ow_submission_free(submission);
         return NULL;
     }
     bool is_first_record = job == NULL || job->is_record_unread;
     bool is_settled = submission == NULL; /* it is over and no task of it is left */
     if (job == NULL)
-        job = add_job(jobs, id, version);
+        job = add_job(jobs, id, mod_revision);
     if (is_first_record) {
         job->is_record_unread = false;
         job->first_seen_at = now;
         job->accepted_at = now - age_s;
     }
-    job->version = version;
+    job->mod_revision = mod_revision;
     job->state = state;
     take_description(jobs, job, submission);
     if (ow_job_over(job))
@@ -133,17 +134,18 @@
     return job;
 }
 
-struct ow_job *ow_jobs_cancel(struct ow_jobs *jobs, const char *id, uint64_t version, uint64_t fencing_token)
+struct ow_job *ow_jobs_cancel(struct ow_jobs *jobs, const char *id, uint64_t mod_revision,
+                              uint64_t fencing_token)
 {
     struct ow_job *job = ow_jobs_find(jobs, id);
     if (job == NULL) {
         job = add_job(jobs, id, 0);
-        job->accepted_revision = version;
+        job->accepted_revision = mod_revision;
         job->is_record_unread = true;
     }
-    if (version <= job->version)
+    if (mod_revision <= job->mod_revision)
         return job;
-    job->version = version;
+    job->mod_revision = mod_revision;
     job->state = OW_JOB_CANCELLED;
     job->cancel_fencing_token = fencing_token;
     ow_job_set_reason(job, NULL);
--- a/src/core/jobs/job.h
+++ b/src/core/jobs/job.h
@@ -38,7 +38,7 @@
 struct ow_job {
     char *id;                       /**< owned */
     enum ow_job_state state;        /**< OW_JOB_QUEUED stands for every job that is not over */
-    uint64_t version;               /**< of its record: the revision of the last change */
+    uint64_t mod_revision;          /**< of its record: the revision of the last change */
     uint64_t accepted_revision;     /**< the revision that accepted it: its place in the queue */
     double accepted_at;             /**< may be negative: before the clock began */
     double first_seen_at;           /**< when this controller first saw it */
@@ -59,15 +59,17 @@
 void ow_jobs_free(struct ow_jobs *jobs);
 /** The job with this id, or NULL. */
 struct ow_job *ow_jobs_find(const struct ow_jobs *jobs, const char *id);
-/** Applies a job's record of this version. `submission` (NULL: the job is over and has no task left) is taken
- * over. `now` is by the core's clock, `age_s` how long ago a job was accepted that is new to the table.
- * Returns the job, or NULL if a version as new was known: nothing has changed then. */
-struct ow_job *ow_jobs_apply(struct ow_jobs *jobs, const char *id, uint64_t version, enum ow_job_state state,
-                             struct ow_submission *submission, double now, double age_s);
+/** Applies a job's record, last changed at `mod_revision`. `submission` (NULL: the job is over and has no
+ * task left) is taken over. `now` is by the core's clock, `age_s` how long ago a job was accepted that is new
+ * to the table. Returns the job, or NULL if a record as new was known: nothing has changed then. */
+struct ow_job *ow_jobs_apply(struct ow_jobs *jobs, const char *id, uint64_t mod_revision,
+                             enum ow_job_state state, struct ow_submission *submission, double now,
+                             double age_s);
 /** Applies a cancellation that is committed, here or elsewhere; the job's tasks may still have to be ended. A
  * job that is not known yet is recorded in the table, so that no older record of it, read later, lets it
  * start. Never returns NULL. */
-struct ow_job *ow_jobs_cancel(struct ow_jobs *jobs, const char *id, uint64_t version, uint64_t fencing_token);
+struct ow_job *ow_jobs_cancel(struct ow_jobs *jobs, const char *id, uint64_t mod_revision,
+                              uint64_t fencing_token);
 /** The jobs (struct ow_job) that are not over, or are cancelled and may still have tasks, in no order. */
 const GPtrArray *ow_jobs_open(const struct ow_jobs *jobs);
 /** To be called when a job is over and no task of it is left: it leaves the open ones. */
--- a/src/core/records/transaction.c
+++ b/src/core/records/transaction.c
@@ -116,7 +116,7 @@
     bool is_cancelled = job->state == OW_JOB_CANCELLED;
     struct ow_job_record record = {.state = is_cancelled ? OW_JOB_CANCELLED : OW_JOB_DONE};
     g_autofree char *key = g_strconcat(OW_KEY_JOBS, job->id, NULL);
-    ow_store_compare(transaction, key, job->version);
+    ow_store_compare(transaction, key, job->mod_revision);
     ow_store_put(transaction, key, wire_job_record_encode(&record), 0);
     add_to_in_flight(leader->recorder, write);
 }
