--- a/src/core/records/loaded_records.c
+++ b/src/core/records/loaded_records.c
@@ -136,10 +136,10 @@
     }
 }
 
-static void restore_attempts(struct ow_leader *leader, struct ow_execution *execution, const GArray *live)
+static void restore_attempts(struct ow_leader *leader, struct ow_execution *execution, const GArray *attempts)
 {
-    for (guint i = 0; i < live->len; i++) {
-        const struct ow_live_record *record = &g_array_index(live, struct ow_live_record, i);
+    for (guint i = 0; i < attempts->len; i++) {
+        const struct ow_attempt_record *record = &g_array_index(attempts, struct ow_attempt_record, i);
         if (record->task >= execution->count || execution->tasks[record->task].attempt != NULL)
             continue;
         struct ow_machine *machine = ow_machines_find_or_add(leader, record->machine);
@@ -160,7 +160,7 @@
     unload_attempts(leader, execution, tasks_of(record));
     raise_last_attempt(execution, tasks_of(record), progress.last_attempt);
     restore_done(execution, progress.done);
-    restore_attempts(leader, execution, progress.live);
+    restore_attempts(leader, execution, progress.attempts);
     wire_progress_record_clear(&progress);
 }
 
--- a/src/core/records/record_values.c
+++ b/src/core/records/record_values.c
@@ -181,8 +181,8 @@
 
 static gint compare_places(gconstpointer a, gconstpointer b)
 {
-    const struct ow_live_record *left = a;
-    const struct ow_live_record *right = b;
+    const struct ow_attempt_record *left = a;
+    const struct ow_attempt_record *right = b;
     int machines = strcmp(left->machine, right->machine);
     if (machines != 0)
         return machines;
@@ -198,11 +198,11 @@
         g_array_append_val(record->done, task);
     if (attempt == NULL)
         return;
-    struct ow_live_record live = {.task = task,
-                                  .attempt = attempt->number,
-                                  .machine = attempt->machine->name,
-                                  .incarnation = attempt->incarnation};
-    g_array_append_val(record->live, live);
+    struct ow_attempt_record attempt_record = {.task = task,
+                                               .attempt = attempt->number,
+                                               .machine = attempt->machine->name,
+                                               .incarnation = attempt->incarnation};
+    g_array_append_val(record->attempts, attempt_record);
 }
 
 static char *encode_chunk(const struct ow_chunk *chunk)
@@ -210,12 +210,12 @@
     struct ow_progress_record record = {
         .last_attempt = chunk->last_attempt,
         .done = g_array_new(FALSE, FALSE, sizeof(uint32_t)),
-        .live = g_array_new(FALSE, FALSE, sizeof(struct ow_live_record)),
+        .attempts = g_array_new(FALSE, FALSE, sizeof(struct ow_attempt_record)),
     };
     struct ow_task_range tasks = tasks_of(chunk);
     for (uint32_t task = tasks.first; task < tasks.end; task++)
         add_task(&record, chunk->job->execution, task);
-    g_array_sort(record.live, compare_places);
+    g_array_sort(record.attempts, compare_places);
     char *text = wire_progress_record_encode(&record);
     wire_progress_record_clear(&record);
     return text;
--- a/src/core/records/transaction_reply.h
+++ b/src/core/records/transaction_reply.h
@@ -10,8 +10,8 @@
  *    recorded a cancellation. No transaction is sent before the present mod_revision has been read.
  *  - BAD_REQUEST: too large. The limits are lowered, so that the next transactions are smaller.
  *  - TOO_MANY_REQUESTS: the allowance for mutations is taken to be used up, and grows again at its rate.
- *  - anything else, NONE included: it may have been carried out, or may still be; the comparisons keep it
- * from being applied twice.
+ *  - anything else, NONE included: it may have been carried out, or may still be. The comparisons keep it
+ *    from being applied twice.
  *
  * After every failure but the first CONFLICT the records are written again after a pause, with texts made
  * anew from the state of then.
--- a/src/model/records.h
+++ b/src/model/records.h
@@ -42,7 +42,7 @@
 };
 
 /** An attempt that may exist. */
-struct ow_live_record {
+struct ow_attempt_record {
     uint32_t task;
     uint64_t attempt;     /**< its number */
     const char *machine;  /**< a name, owned by whoever owns the record's other texts */
@@ -53,8 +53,8 @@
 struct ow_progress_record {
     uint64_t last_attempt;    /**< no attempt number up to it may be used again */
     GArray *done;             /**< uint32_t task numbers, ascending; owned */
-    GArray *live;             /**< struct ow_live_record, grouped by machine and incarnation; owned */
-    GPtrArray *machine_names; /**< the machines of `live`, if they are the record's own; else NULL */
+    GArray *attempts;         /**< struct ow_attempt_record, grouped by machine and incarnation; owned */
+    GPtrArray *machine_names; /**< the machines of `attempts`, if they are the record's own; else NULL */
 };
 
 #endif
--- a/src/wire/progress_json.c
+++ b/src/wire/progress_json.c
@@ -36,7 +36,7 @@
     return g_string_free(text, FALSE);
 }
 
-static bool is_same_incarnation(const struct ow_live_record *a, const struct ow_live_record *b)
+static bool is_same_incarnation(const struct ow_attempt_record *a, const struct ow_attempt_record *b)
 {
     return a->incarnation == b->incarnation && strcmp(a->machine, b->machine) == 0;
 }
@@ -45,10 +45,10 @@
    incarnation of a machine. */
 static guint range_length(const GArray *live, guint begin)
 {
-    const struct ow_live_record *first = &g_array_index(live, struct ow_live_record, begin);
+    const struct ow_attempt_record *first = &g_array_index(live, struct ow_attempt_record, begin);
     guint length = 1;
     for (; begin + length < live->len; length++) {
-        const struct ow_live_record *next = &g_array_index(live, struct ow_live_record, begin + length);
+        const struct ow_attempt_record *next = &g_array_index(live, struct ow_attempt_record, begin + length);
         if (!is_same_incarnation(next, first) || next->task != first->task + length ||
             next->attempt != first->attempt)
             break;
@@ -60,9 +60,9 @@
 static char *attempts_text(const GArray *live, guint *i)
 {
     GString *text = g_string_new(NULL);
-    const struct ow_live_record *head = &g_array_index(live, struct ow_live_record, *i);
+    const struct ow_attempt_record *head = &g_array_index(live, struct ow_attempt_record, *i);
     while (*i < live->len) {
-        const struct ow_live_record *first = &g_array_index(live, struct ow_live_record, *i);
+        const struct ow_attempt_record *first = &g_array_index(live, struct ow_attempt_record, *i);
         if (!is_same_incarnation(first, head))
             break;
         guint length = range_length(live, *i);
@@ -77,7 +77,7 @@
 {
     json_t *object = json_object();
     for (guint i = 0; i < live->len;) {
-        const struct ow_live_record *head = &g_array_index(live, struct ow_live_record, i);
+        const struct ow_attempt_record *head = &g_array_index(live, struct ow_attempt_record, i);
         g_autofree char *key = g_strdup_printf("%s %" PRIu64, head->machine, head->incarnation);
         g_autofree char *attempts = attempts_text(live, &i);
         /* Entries of one incarnation need not stand together: what is there stays in front. */
@@ -93,7 +93,7 @@
     g_autofree char *done = done_text(record->done);
     return wire_json_print_and_unref(json_pack("{s:I,s:s,s:o}", F_LAST_ATTEMPT,
                                                (json_int_t)record->last_attempt, F_DONE, done, F_LIVE,
-                                               live_to_json(record->live)));
+                                               live_to_json(record->attempts)));
 }
 
 /* ---- reading a record ---- */
@@ -142,7 +142,7 @@
             return false;
         uint64_t attempt = strtoull(text + 1, &end, 10);
         for (uint32_t task = from; task <= to; task++) {
-            struct ow_live_record entry = {
+            struct ow_attempt_record entry = {
                 .task = task,
                 .attempt = attempt,
                 .machine = machine,
@@ -164,7 +164,7 @@
     char *machine = g_strndup(key, (gsize)(space - key));
     g_ptr_array_add(record->machine_names, machine);
     uint64_t incarnation = strtoull(space + 1, NULL, 10);
-    return read_attempts(machine, incarnation, json_string_value(attempts), record->live);
+    return read_attempts(machine, incarnation, json_string_value(attempts), record->attempts);
 }
 
 bool wire_progress_record_decode(const json_t *value, struct ow_progress_record *record)
@@ -172,7 +172,7 @@
     const char *done = "";
     *record = (struct ow_progress_record){
         .done = g_array_new(FALSE, FALSE, sizeof(uint32_t)),
-        .live = g_array_new(FALSE, FALSE, sizeof(struct ow_live_record)),
+        .attempts = g_array_new(FALSE, FALSE, sizeof(struct ow_attempt_record)),
         .machine_names = g_ptr_array_new_with_free_func(g_free),
     };
     wire_json_get_string(value, F_DONE, &done);
@@ -191,7 +191,7 @@
 void wire_progress_record_clear(struct ow_progress_record *record)
 {
     g_clear_pointer(&record->done, g_array_unref);
-    g_clear_pointer(&record->live, g_array_unref);
+    g_clear_pointer(&record->attempts, g_array_unref);
     g_clear_pointer(&record->machine_names, g_ptr_array_unref);
 }
 
--- a/tests/unit/test_records.c
+++ b/tests/unit/test_records.c
@@ -15,9 +15,10 @@
 /* Bytes: a chunk of tasks must stay well below the size limit of a value. */
 enum { VALUE_LIMIT = 8 * 1024 };
 
-static void add_live(GArray *live, uint32_t task, uint64_t attempt, const char *machine, uint64_t incarnation)
+static void add_attempt(GArray *live, uint32_t task, uint64_t attempt, const char *machine,
+                        uint64_t incarnation)
 {
-    struct ow_live_record record = {task, attempt, machine, incarnation};
+    struct ow_attempt_record record = {task, attempt, machine, incarnation};
     g_array_append_val(live, record);
 }
 
@@ -25,14 +26,14 @@
 {
     (void)state;
     struct ow_progress_record record = {9, g_array_new(FALSE, FALSE, sizeof(uint32_t)),
-                                        g_array_new(FALSE, FALSE, sizeof(struct ow_live_record)), NULL};
+                                        g_array_new(FALSE, FALSE, sizeof(struct ow_attempt_record)), NULL};
     for (uint32_t task = 0; task < 40; task += task == 5 ? 10 : 1)
         g_array_append_val(record.done, task);
-    add_live(record.live, 6, 9, "n-1", 1);
-    add_live(record.live, 7, 9, "n-1", 1);
-    add_live(record.live, 8, 4, "n-1", 1);
-    add_live(record.live, 9, 9, "n-1", 2);
-    add_live(record.live, 10, 9, "n-2", 1);
+    add_attempt(record.attempts, 6, 9, "n-1", 1);
+    add_attempt(record.attempts, 7, 9, "n-1", 1);
+    add_attempt(record.attempts, 8, 4, "n-1", 1);
+    add_attempt(record.attempts, 9, 9, "n-1", 2);
+    add_attempt(record.attempts, 10, 9, "n-2", 1);
     char *text = wire_progress_record_encode(&record);
     assert_string_equal(
         text,
@@ -40,10 +41,11 @@
     json_t *value = wire_json_parse_object(text, strlen(text));
     struct ow_progress_record again;
     assert_true(wire_progress_record_decode(value, &again));
-    assert_true(again.last_attempt == 9 && again.done->len == record.done->len && again.live->len == 5);
+    assert_true(again.last_attempt == 9 && again.done->len == record.done->len && again.attempts->len == 5);
     for (guint i = 0; i < 5; i++) {
-        const struct ow_live_record *written = &g_array_index(record.live, struct ow_live_record, i);
-        const struct ow_live_record *read = &g_array_index(again.live, struct ow_live_record, i);
+        const struct ow_attempt_record *written =
+            &g_array_index(record.attempts, struct ow_attempt_record, i);
+        const struct ow_attempt_record *read = &g_array_index(again.attempts, struct ow_attempt_record, i);
         assert_true(written->task == read->task && written->attempt == read->attempt &&
                     written->incarnation == read->incarnation);
         assert_string_equal(written->machine, read->machine);
@@ -58,12 +60,12 @@
 {
     (void)state;
     struct ow_progress_record record = {UINT64_C(1) << 40, g_array_new(FALSE, FALSE, sizeof(uint32_t)),
-                                        g_array_new(FALSE, FALSE, sizeof(struct ow_live_record)), NULL};
+                                        g_array_new(FALSE, FALSE, sizeof(struct ow_attempt_record)), NULL};
     /* Every task runs on a different machine. */
     for (uint32_t task = 99000; task < 99000 + OW_CHUNK_MAX_TASKS; task++) {
         char name[16];
         g_snprintf(name, sizeof name, "n-%06u", task);
-        add_live(record.live, task, 1000 + task % 7, g_intern_string(name), 1);
+        add_attempt(record.attempts, task, 1000 + task % 7, g_intern_string(name), 1);
     }
     char *text = wire_progress_record_encode(&record);
     assert_true(strlen(text) < VALUE_LIMIT);
