--- a/src/sharding/effect_guard.h
+++ b/src/sharding/effect_guard.h
@@ -13,10 +13,10 @@
 #include <stdbool.h>
 
 /**
- * Takes out of the effect what may not leave in this state of the lease, which is not OW_LEASE_HELD.
+ * Takes out of the effect what may not leave in this state of the lease, which is not OW_LEASE_HELD. `*reply`
+ * is set to the event that the core gets in place of the effect, owned by the caller, where the effect must
+ * not leave at all; NULL: what is left of the effect may leave.
  *
- * @param reply set to the event that the core gets in place of the effect, where the effect must not leave at
- *              all; the caller owns it. NULL: what is left of the effect may leave.
  * @return whether something was taken out.
  */
 bool ow_effect_guard_apply(struct ow_effect *effect, enum ow_lease_state lease, struct ow_event **reply);
--- a/src/sharding/map_agreement.h
+++ b/src/sharding/map_agreement.h
@@ -18,12 +18,8 @@
 /** The comparison of our shard map with the stored one. */
 typedef struct ow_map_agreement ow_map_agreement;
 
-/**
- * An agreement that has not been compared yet.
- *
- * @param values ours, name -> value (shard_map.h); taken over.
- * @param has_only_default_shard the map may then be laid over a fleet that has been in use without one.
- */
+/** An agreement that has not been compared yet. `values` are ours, name -> value (shard_map.h), and taken
+ * over. A map that has only the default shard may be laid over a fleet that has been in use without one. */
 struct ow_map_agreement *ow_map_agreement_new(GHashTable *values, bool has_only_default_shard);
 /** NULL is not allowed. */
 void ow_map_agreement_free(struct ow_map_agreement *agreement);
--- a/src/sharding/membership.h
+++ b/src/sharding/membership.h
@@ -21,9 +21,11 @@
 typedef struct ow_membership ow_membership;
 
 /**
- * The membership of a process that starts. `sharding`, `self` and the names of `peers` (struct
- * ow_peer_settings) must outlive it.
+ * The membership of a process that starts.
  *
+ * @param sharding must outlive the membership.
+ * @param self the name of this controller; must outlive the membership.
+ * @param peers struct ow_peer_settings: the other controllers; their names must outlive the membership.
  * @param incarnation tells this process from earlier ones of the same controller; not 0.
  * @param settings_digest of the settings by which this controller shares the fleet (shard_map.h).
  */
@@ -33,10 +35,9 @@
 void ow_membership_free(struct ow_membership *membership);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(ow_membership, ow_membership_free)
 
-/** Adds the messages that are due to `out`, which owns them, and judges every controller. To be called at
- * least a few times per heartbeat interval: a longer gap counts as a pause of this process.
- *
- * @param led_shards struct ow_peer_shard: what this controller leads. */
+/** Adds the messages that are due to `out`, which owns them, and judges every controller. `led_shards`
+ * (struct ow_peer_shard) is what this controller leads. To be called at least a few times per heartbeat
+ * interval: a longer gap counts as a pause of this process. */
 void ow_membership_tick(struct ow_membership *membership, double now, const GArray *led_shards,
                         GPtrArray *out);
 /** Takes a heartbeat or a step of a probe; replies are added to `out`, which owns them. What can't be right
--- a/src/sharding/shard.h
+++ b/src/sharding/shard.h
@@ -32,11 +32,8 @@
     unsigned withheld; /**< effects that the lease guard has kept back, whole or in part */
 } ow_shard;
 
-/**
- * The shard with this index. The settings, `tuning` and `key_prefixes` (those of all shards) must outlive it.
- *
- * @param nonce a number that no other process has.
- */
+/** The shard with this index. The settings, `tuning` and `key_prefixes` (those of all shards) must outlive
+ * it; `nonce` is a number that no other process has. */
 struct ow_shard *ow_shard_new(const struct ow_sharding_settings *sharding, unsigned index,
                               const struct ow_settings *platform, const struct ow_tuning *tuning,
                               uint64_t nonce, const GPtrArray *key_prefixes);
--- a/src/sharding/shard_keys.h
+++ b/src/sharding/shard_keys.h
@@ -20,13 +20,9 @@
 void ow_shard_keys_qualify(struct ow_store_request *request, const char *prefix);
 /** Takes the prefix away from the keys of the reply; a NULL prefix changes nothing. */
 void ow_shard_keys_strip(struct ow_store_reply *reply, const char *prefix);
-/**
- * If the request accepts a job, makes it fail where another shard knows the job. To be called before the keys
- * are qualified.
- *
- * @param prefixes those of all shards.
- * @param own_prefix that of the shard whose request it is; NULL: the default shard.
- */
+/** If the request accepts a job, makes it fail where another shard knows the job. `prefixes` are those of all
+ * shards, `own_prefix` is that of the shard whose request it is, NULL for the default shard. To be called
+ * before the keys are qualified. */
 void ow_shard_keys_guard_new_job(struct ow_store_request *request, const GPtrArray *prefixes,
                                  const char *own_prefix);
 
--- a/src/sharding/shard_manager.h
+++ b/src/sharding/shard_manager.h
@@ -23,8 +23,9 @@
 /**
  * A manager whose shards have not read anything yet.
  *
- * @param settings the platform's; these, `tuning` and `sharding` must outlive the manager.
- * @param sharding NULL or switched off: the fleet is not divided.
+ * @param settings the platform's; must outlive the manager.
+ * @param tuning must outlive the manager.
+ * @param sharding must outlive the manager; NULL or switched off: the fleet is not divided.
  * @param nonce a number that no other process has.
  */
 struct ow_shard_manager *ow_shard_manager_new(const struct ow_settings *settings,
--- a/src/sharding/sharding_settings.h
+++ b/src/sharding/sharding_settings.h
@@ -1,7 +1,7 @@
 /**
  * @file
  * How the fleet is divided into shards, which jobs go where, and when a controller is suspected: the
- * <control> element of the operators' file as plain data. Read by src/config, checked by
+ * `control` element of the operators' file as plain data. Read by src/config, checked by
  * sharding_settings_check, and not changed after that.
  */
 #ifndef OW_SHARDING_SHARDING_SETTINGS_H
--- a/src/sharding/sharding_settings_check.h
+++ b/src/sharding/sharding_settings_check.h
@@ -30,10 +30,9 @@
 
 /**
  * Checks the settings against those of the platform and the tuning parameters. Settings that are switched off
- * are always consistent.
+ * are always consistent. `error` may be NULL; it is set to a text with the line and name of what is wrong,
+ * and its domain is OW_SHARDING_SETTINGS_ERROR.
  *
- * @param error set to a text with the line and name of what is wrong; the domain is
- *              OW_SHARDING_SETTINGS_ERROR. NULL is allowed.
  * @return whether they are consistent.
  */
 bool ow_sharding_settings_check(const struct ow_sharding_settings *sharding,
