--- a/src/core/jobs/execution.h
+++ b/src/core/jobs/execution.h
@@ -44,7 +44,7 @@
     uint32_t done;       /**< how many of them are done */
     uint32_t running;    /**< how many of them have an attempt that runs */
     GPtrArray *attempts; /**< struct ow_attempt that may exist, in no order */
-    uint32_t cursor;     /**< no pending task below it: also placement.c */
+    uint32_t cursor;     /**< no pending task below it: also bind.c */
 
     /* Records. */
     struct ow_chunk *chunks; /**< `chunk_count` of them, owned */
@@ -53,11 +53,11 @@
     bool finishing;       /**< its last record is queued or under way */
 
     /* Scheduling. */
-    bool aged;            /**< it is old, begun or not; set by each scheduling cycle */
-    bool starves;         /**< nothing of it starts for too long; set by each scheduling cycle */
+    bool aged;            /**< it is old, begun or not; set by each scheduling cycle: promotion.c */
+    bool starves;         /**< nothing of it starts for too long; the same */
     double ready_at;      /**< not to be started before */
-    double missing_since; /**< a task of it waits since then; 0: none does */
-    double separate_at;   /**< when its replicas are next looked at: service_moves.c */
+    double missing_since; /**< a task of it waits since then; 0: none does: queue.c */
+    double separate_at;   /**< when its replicas are next looked at: replica_separation.c */
     struct ow_reservation *reservation; /**< of a waiting gang, owned; NULL: none: reservation.c */
 
     /* Faults: machine_faults.c. */
--- a/src/core/leader/cycle_timer.c
+++ b/src/core/leader/cycle_timer.c
@@ -36,7 +36,6 @@
         return;
     leader->cycle.due = false;
     leader->cycle.last_at = leader->core->now;
-    ow_schedule_jobs(leader);
     ow_schedule_cycle(leader);
     update_job_counts(leader);
 }
--- a/src/core/leader/leader_state.h
+++ b/src/core/leader/leader_state.h
@@ -32,8 +32,8 @@
     GArray *shortlists;          /* shortlist.c; by class */
     GArray *allowances;          /* reason.c */
     bool gang_has_hold_priority; /* gang_hold_priority.c: a gang keeps its holds to start in time */
-    int gpu_rank;                /* the most urgent rank among open jobs that need GPUs */
-    double gpu_cpus;             /* CPUs that a GPU needs to be of use, by the jobs that are open */
+    int gpu_rank;                /* gpu_reserve.c: the most urgent rank among open jobs that need GPUs */
+    double gpu_cpus;             /* gpu_reserve.c: CPUs that a GPU needs to be of use, by the open jobs */
 };
 
 /** How far a new leader is with taking over. Only failover.c moves it on. */
--- a/src/core/machines/instance_offers.c
+++ b/src/core/machines/instance_offers.c
@@ -122,7 +122,7 @@
         return false;
     if (!offered_in(type, ow_interner_text(leader->core->interners.zones, kind->zone)))
         return false;
-    return ow_placement_slots(leader, spec, kind) > 0 && ow_placement_is_allowed(leader, spec, kind) &&
+    return ow_placement_slots(leader, spec, kind) > 0 && ow_placement_is_allowed(spec, kind) &&
            !refused(leader, kind->type, kind->zone, kind->spot);
 }
 
--- a/src/core/machines/scale_out.c
+++ b/src/core/machines/scale_out.c
@@ -91,7 +91,7 @@
 static uint32_t take_room(const struct ow_leader *leader, const struct ow_job_spec *spec,
                           struct ow_expected_machine *expected, uint32_t wanted)
 {
-    if (!ow_placement_is_allowed(leader, spec, &expected->machine))
+    if (!ow_placement_is_allowed(spec, &expected->machine))
         return 0;
     uint32_t slots = MIN(wanted, ow_placement_slots(leader, spec, &expected->machine));
     ow_resources_add(&expected->machine.used, &spec->submission->need, slots);
@@ -117,7 +117,7 @@
                        const struct ow_machine *machine)
 {
     const struct ow_machine_type *type = ow_machine_type_of(leader, machine);
-    if (type == NULL || !ow_placement_is_allowed(leader, spec, machine))
+    if (type == NULL || !ow_placement_is_allowed(spec, machine))
         return 0;
     if (spec->submission->need.gpus <= 0)
         return MAX(0, type->size.cpus - type->size.gpus * leader->cycle.gpu_cpus);
--- a/src/core/scheduling/array_start.c
+++ b/src/core/scheduling/array_start.c
@@ -5,6 +5,7 @@
 #include "core/leader/leader_state.h"
 #include "core/machines/machine.h"
 #include "core/machines/machine_registry.h"
+#include "core/scheduling/bind.h"
 #include "core/scheduling/candidates.h"
 #include "core/scheduling/classes.h"
 #include "core/scheduling/deadline.h"
@@ -95,8 +96,8 @@
     struct ow_execution *execution = start->execution;
     uint32_t slots = MIN(candidate->slots, ow_placement_zone_admits(execution, candidate->machine->zone));
     for (; slots > 0 && start->placed < start->wanted; slots--) {
-        uint32_t task = ow_placement_next_pending(execution);
-        ow_placement_start_task(leader, execution, task, start->number, candidate->machine);
+        uint32_t task = ow_bind_next_pending_task(execution);
+        ow_bind_task(leader, execution, task, start->number, candidate->machine);
         start->placed++;
     }
 }
--- a/src/core/scheduling/classes.c
+++ b/src/core/scheduling/classes.c
@@ -131,7 +131,7 @@
     return slo->kind == OW_SLO_WAIT && strcmp(slo->class_name, class_name) == 0;
 }
 
-unsigned ow_class_missed(struct ow_core *core, int class_index, double age_s)
+unsigned ow_class_missed_start_slos(struct ow_core *core, int class_index, double age_s)
 {
     const char *name = ow_interner_text(core->interners.classes, class_index);
     unsigned missed = 0;
--- a/src/core/scheduling/classes.h
+++ b/src/core/scheduling/classes.h
@@ -49,7 +49,7 @@
    acceptance; INFINITY if there is none. */
 double ow_class_next_start_slo_s(struct ow_core *core, int class_index, double age_s);
 /* How many SLOs for starting a job of such an age can no longer be met. */
-unsigned ow_class_missed(struct ow_core *core, int class_index, double age_s);
+unsigned ow_class_missed_start_slos(struct ow_core *core, int class_index, double age_s);
 /* Whether the settings state an SLO for the class; services always have one. */
 bool ow_class_has_slo(struct ow_core *core, int class_index);
 
--- a/src/core/scheduling/deadline.c
+++ b/src/core/scheduling/deadline.c
@@ -1,5 +1,5 @@
-/* Deadlines of jobs. */
 #include "core/scheduling/deadline.h"
+
 #include "core/jobs/attempt.h"
 #include "core/jobs/execution.h"
 #include "core/leader/leader_state.h"
--- a/src/core/scheduling/gang_start.c
+++ b/src/core/scheduling/gang_start.c
@@ -4,10 +4,10 @@
 #include "core/jobs/quota.h"
 #include "core/leader/leader_state.h"
 #include "core/machines/machine.h"
+#include "core/scheduling/bind.h"
 #include "core/scheduling/candidates.h"
 #include "core/scheduling/gang_hold_priority.h"
 #include "core/scheduling/gang_selection.h"
-#include "core/scheduling/placement.h"
 #include "core/scheduling/preempt.h"
 #include "core/scheduling/reservation.h"
 #include "model/resources.h"
@@ -62,7 +62,7 @@
     for (guint i = 0; i < picks->len; i++) {
         const struct ow_gang_pick *pick = &g_array_index(picks, struct ow_gang_pick, i);
         for (uint32_t n = 0; n < pick->members; n++) {
-            ow_placement_start_task(leader, execution, task, attempt, pick->machine);
+            ow_bind_task(leader, execution, task, attempt, pick->machine);
             task++;
         }
     }
--- a/src/core/scheduling/gpu_reserve.c
+++ b/src/core/scheduling/gpu_reserve.c
@@ -1,5 +1,5 @@
-/* Which GPU machines are kept for jobs that need GPUs. */
 #include "core/scheduling/gpu_reserve.h"
+
 #include "core/jobs/attempt.h"
 #include "core/jobs/execution.h"
 #include "core/leader/leader_state.h"
@@ -12,7 +12,6 @@
 
 /* What is kept for GPU jobs as a multiple of what they need now. */
 static const double GPU_MARGIN = 1.2;
-
 /* The share of tasks that are assumed to fetch their image first. */
 static const double FETCH_SHARE = 0.5;
 
@@ -23,7 +22,23 @@
     GPU_FITNESS_IN_USE,     /* it runs GPU jobs */
 };
 
-/* GPUs that complete the run's waiting work in the time that its class leaves to wait. */
+void ow_gpu_reserve_observe_jobs(struct ow_leader *leader)
+{
+    const GPtrArray *open_jobs = ow_jobs_open(leader->core->jobs);
+    leader->cycle.gpu_cpus = 0;
+    leader->cycle.gpu_rank = OW_RANK_LOW;
+    for (guint i = 0; i < open_jobs->len; i++) {
+        const struct ow_job *job = g_ptr_array_index(open_jobs, i);
+        const struct ow_submission *submission = job->spec->submission;
+        const struct ow_resources *need = &submission->need;
+        if (need->gpus <= 0)
+            continue;
+        leader->cycle.gpu_cpus = MAX(leader->cycle.gpu_cpus, need->cpus / need->gpus);
+        leader->cycle.gpu_rank = MIN(leader->cycle.gpu_rank, (int)submission->rank);
+    }
+}
+
+/* GPUs that complete the execution's waiting work in the time that its class leaves to wait. */
 static double gpus_wanted_by(struct ow_leader *leader, const struct ow_execution *execution)
 {
     const struct ow_job_spec *spec = execution->job->spec;
@@ -44,7 +59,7 @@
     return GPU_MARGIN * wanted;
 }
 
-static enum gpu_fitness gpu_fitness(const struct ow_machine *machine)
+static enum gpu_fitness rate_for_gpu_jobs(const struct ow_machine *machine)
 {
     for (guint i = 0; i < machine->attempts->len; i++) {
         const struct ow_attempt *attempt = g_ptr_array_index(machine->attempts, i);
@@ -54,16 +69,16 @@
     return machine->attempts->len > 0 ? GPU_FITNESS_OTHER_WORK : GPU_FITNESS_FREE;
 }
 
-/* Other work may fill GPU machines, except those that GPU jobs need: these would otherwise wait, or be driven
-   to expensive machines. */
-void ow_gpu_reserve_update(struct ow_leader *leader)
+/* Best machines first. Other work may fill GPU machines, except those that GPU jobs need: these would
+   otherwise wait, or be driven to expensive machines. */
+void ow_gpu_reserve_mark_machines(struct ow_leader *leader)
 {
     double wanted = gpus_wanted(leader);
     for (int fitness = GPU_FITNESS_IN_USE; fitness >= GPU_FITNESS_OTHER_WORK; fitness--) {
         for (guint i = 0; i < leader->machines->len; i++) {
             struct ow_machine *machine = g_ptr_array_index(leader->machines, i);
             const struct ow_machine_type *type = ow_machine_type_of(leader, machine);
-            if (type == NULL || type->size.gpus <= 0 || (int)gpu_fitness(machine) != fitness)
+            if (type == NULL || type->size.gpus <= 0 || (int)rate_for_gpu_jobs(machine) != fitness)
                 continue;
             machine->gpus_kept = wanted > 0;
             wanted -= type->size.gpus;
--- a/src/core/scheduling/image_demand.c
+++ b/src/core/scheduling/image_demand.c
@@ -66,7 +66,7 @@
     for (guint i = 0; i < machine->images->len; i++) {
         int image = g_array_index(machine->images, struct ow_image_copy, i).image;
         struct ow_image_demand *demand = find_or_add(leader, image);
-        if (demand->spec == NULL || !ow_placement_is_allowed(leader, demand->spec, machine))
+        if (demand->spec == NULL || !ow_placement_is_allowed(demand->spec, machine))
             continue;
         demand->slots += ow_placement_slots_on_empty(type, &demand->spec->submission->need);
     }
--- a/src/core/scheduling/placement.c
+++ b/src/core/scheduling/placement.c
@@ -1,12 +1,10 @@
-/* Where a task may run, and placing it there. */
 #include "core/scheduling/placement.h"
+
 #include "core/jobs/attempt.h"
-#include "core/jobs/attempt_table.h"
 #include "core/jobs/execution.h"
 #include "core/leader/leader_state.h"
 #include "core/machines/machine.h"
 #include "core/machines/machine_registry.h"
-#include "core/records/recorder.h"
 #include "model/cloud.h"
 #include "model/resources.h"
 #include "model/submission.h"
@@ -16,10 +14,8 @@
 /* Sums of fractions drift: so much more than what is free still fits, in CPUs, GPUs or gigabytes. */
 static const double AMOUNT_TOLERANCE = 1e-6;
 
-bool ow_placement_is_allowed(const struct ow_leader *leader, const struct ow_job_spec *spec,
-                             const struct ow_machine *machine)
+bool ow_placement_is_allowed(const struct ow_job_spec *spec, const struct ow_machine *machine)
 {
-    (void)leader;
     if (machine->type < 0 || machine->type >= OW_MAX_TYPES)
         return false;
     if ((spec->types & (UINT64_C(1) << machine->type)) == 0)
@@ -34,31 +30,32 @@
 {
     if (!ow_machine_is_usable(leader, machine))
         return false;
-    if (!ow_placement_is_allowed(leader, execution->job->spec, machine))
+    if (!ow_placement_is_allowed(execution->job->spec, machine))
         return false;
     return leader->core->now > execution->failed_machines_until ||
            !g_hash_table_contains(execution->failed_machines, machine);
 }
 
 /* How often `need` fits in `free`. */
-static double fit(double free, double need)
+static double times_fitting(double free, double need)
 {
     if (need <= 0)
         return OW_MAX_TASKS;
     return floor((free + AMOUNT_TOLERANCE) / need);
 }
 
-static double fit_amounts(const struct ow_resources *free, const struct ow_resources *need)
+/* How many tasks with such a need fit in the free amounts; negative if too much is taken already. */
+static double tasks_fitting(const struct ow_resources *free, const struct ow_resources *need)
 {
-    double cpus = fit(free->cpus, need->cpus);
-    double gpus = fit(free->gpus, need->gpus);
-    double memory = fit(free->memory_gb, need->memory_gb);
+    double cpus = times_fitting(free->cpus, need->cpus);
+    double gpus = times_fitting(free->gpus, need->gpus);
+    double memory = times_fitting(free->memory_gb, need->memory_gb);
     return MIN(MIN(cpus, gpus), memory);
 }
 
 uint32_t ow_placement_slots_on_empty(const struct ow_machine_type *type, const struct ow_resources *need)
 {
-    return (uint32_t)fit_amounts(&type->size, need);
+    return (uint32_t)tasks_fitting(&type->size, need);
 }
 
 /* CPUs that the machine's free GPUs need to be of use to other work, or are too expensive to be without. */
@@ -73,24 +70,33 @@
     return free_gpus * leader->cycle.gpu_cpus;
 }
 
+/* What such a job can't use if attempts use `used`: gangs alone may take what is held for gangs. */
+static struct ow_resources taken_beside(const struct ow_machine *machine,
+                                        const struct ow_submission *submission,
+                                        const struct ow_resources *used)
+{
+    struct ow_resources taken = *used;
+    ow_resources_add(&taken, &machine->unknown_tasks_use, 1);
+    ow_resources_add(&taken, &machine->held, 1);
+    if (!ow_submission_is_gang(submission))
+        ow_resources_add(&taken, &machine->held_for_gangs, 1);
+    return taken;
+}
+
 uint32_t ow_placement_slots_beside(const struct ow_leader *leader, const struct ow_job_spec *spec,
                                    const struct ow_machine *machine, const struct ow_resources *used)
 {
     const struct ow_machine_type *type = ow_machine_type_of(leader, machine);
     if (type == NULL)
         return 0;
-    struct ow_resources taken = *used;
-    ow_resources_add(&taken, &machine->unknown_tasks_use, 1);
-    ow_resources_add(&taken, &machine->held, 1);
-    if (!ow_submission_is_gang(spec->submission))
-        ow_resources_add(&taken, &machine->held_for_gangs, 1);
+    struct ow_resources taken = taken_beside(machine, spec->submission, used);
     struct ow_resources free = {
         .cpus = type->size.cpus - taken.cpus,
         .gpus = type->size.gpus - taken.gpus,
         .memory_gb = type->size.memory_gb - taken.memory_gb,
     };
     free.cpus -= cpus_kept_for_gpus(leader, spec->submission, machine, free.gpus);
-    double slots = fit_amounts(&free, &spec->submission->need);
+    double slots = tasks_fitting(&free, &spec->submission->need);
     return slots <= 0 ? 0 : (uint32_t)slots;
 }
 
@@ -110,6 +116,7 @@
     for (guint i = 0; i < execution->attempts->len; i++) {
         const struct ow_attempt *attempt = g_ptr_array_index(execution->attempts, i);
         int attempt_zone = attempt->machine->zone;
+        /* A machine whose zone is not known may be in any. */
         if (attempt_zone == OW_NO_NAME || (submission->one_zone && attempt_zone != zone))
             return 0;
         if (attempt_zone == zone)
@@ -120,26 +127,3 @@
     uint32_t limit = (execution->count + 1) / 2;
     return in_zone >= limit ? 0 : limit - in_zone;
 }
-
-uint32_t ow_placement_next_pending(struct ow_execution *execution)
-{
-    while (execution->cursor < execution->count &&
-           (execution->tasks[execution->cursor].done || execution->tasks[execution->cursor].attempt != NULL))
-        execution->cursor++;
-    return execution->cursor;
-}
-
-void ow_placement_start_task(struct ow_leader *leader, struct ow_execution *execution, uint32_t task,
-                             uint64_t number, struct ow_machine *machine)
-{
-    struct ow_chunk *chunk = ow_execution_chunk(execution, task);
-    chunk->last_attempt = MAX(chunk->last_attempt, number);
-    struct ow_attempt *attempt =
-        ow_attempt_new(leader, execution, task, number, machine, machine->incarnation);
-    /* A replica has no end: what is not stopped for others must be complete some day. */
-    attempt->not_preemptible = (execution->starves || execution->aged) && !ow_execution_is_service(execution);
-    ow_machine_image_use(leader, machine, execution->job->spec, false);
-    ow_recorder_queue_urgent(leader, execution, task);
-    g_debug("task %s/%u attempt %" G_GUINT64_FORMAT " placed on %s", execution->job->id, task, number,
-            machine->name);
-}
--- a/src/core/scheduling/quota_reclaim.h
+++ b/src/core/scheduling/quota_reclaim.h
@@ -1,5 +1,8 @@
 /** @file
- * When a team takes back what it is guaranteed and others have borrowed.
+ * Quota reclaim (ours): when a team takes back what it is guaranteed and others have borrowed.
+ *
+ * Input: the team's guarantee and demand as of the cycle, and how long the job has waited. Result: yes or no.
+ * Invariant: nobody is stopped for a team whose demand exceeds its guarantee.
  */
 #ifndef OW_CORE_SCHEDULING_QUOTA_RECLAIM_H
 #define OW_CORE_SCHEDULING_QUOTA_RECLAIM_H
--- a/src/core/scheduling/reason.c
+++ b/src/core/scheduling/reason.c
@@ -1,5 +1,5 @@
-/* Why a job waits, in words for its team. */
 #include "core/scheduling/reason.h"
+
 #include "core/jobs/execution.h"
 #include "core/jobs/quota.h"
 #include "core/leader/leader_state.h"
@@ -11,7 +11,7 @@
 #include "model/cloud.h"
 #include "model/submission.h"
 
-/* How many machines jobs with such demands allow: counted once a cycle. */
+/* How many machines jobs with such demands allow, as counted once a cycle. */
 struct allowance {
     uint64_t types;
     int zone;
@@ -26,18 +26,23 @@
     return g_array_new(FALSE, FALSE, sizeof(struct allowance));
 }
 
-static struct allowance allowed_machines(struct ow_leader *leader, const struct ow_job_spec *spec)
+void ow_reason_begin_cycle(struct ow_leader *leader)
+{
+    g_array_set_size(leader->cycle.allowances, 0);
+}
+
+static bool is_for(const struct allowance *allowance, const struct ow_job_spec *spec)
+{
+    return allowance->types == spec->types && allowance->zone == spec->zone &&
+           allowance->spot == spec->submission->spot;
+}
+
+static struct allowance count_machines(const struct ow_leader *leader, const struct ow_job_spec *spec)
 {
-    for (guint i = 0; i < leader->cycle.allowances->len; i++) {
-        const struct allowance *allowance = &g_array_index(leader->cycle.allowances, struct allowance, i);
-        if (allowance->types == spec->types && allowance->zone == spec->zone &&
-            allowance->spot == spec->submission->spot)
-            return *allowance;
-    }
     struct allowance count = {.types = spec->types, .zone = spec->zone, .spot = spec->submission->spot};
     for (guint i = 0; i < leader->machines->len; i++) {
         const struct ow_machine *machine = g_ptr_array_index(leader->machines, i);
-        if (!ow_placement_is_allowed(leader, spec, machine))
+        if (!ow_placement_is_allowed(spec, machine))
             continue;
         count.allowed++;
         if (machine->last_message_at == 0 && machine->listed == OW_LISTED_BOOTING)
@@ -45,6 +50,18 @@
         if (ow_machine_is_usable(leader, machine))
             count.usable++;
     }
+    return count;
+}
+
+/* How many machines such jobs allow, from the cycle's cache if it has been counted. */
+static struct allowance find_allowance(struct ow_leader *leader, const struct ow_job_spec *spec)
+{
+    for (guint i = 0; i < leader->cycle.allowances->len; i++) {
+        const struct allowance *allowance = &g_array_index(leader->cycle.allowances, struct allowance, i);
+        if (is_for(allowance, spec))
+            return *allowance;
+    }
+    struct allowance count = count_machines(leader, spec);
     g_array_append_val(leader->cycle.allowances, count);
     return count;
 }
@@ -59,43 +76,58 @@
                            execution->count, held);
 }
 
-/* The reason of a run with waiting tasks; the caller frees it. */
-static char *waits_for(struct ow_leader *leader, const struct ow_execution *execution, uint32_t pending)
+/* The reason that lies in the machines; NULL: some can take tasks now. The caller frees it. */
+static char *machines_reason(const struct allowance *allowance)
 {
-    const struct ow_job_spec *spec = execution->job->spec;
-    bool gang = ow_submission_is_gang(spec->submission);
-    uint32_t wanted = gang ? execution->count : 1;
-    if (execution->ready_at > leader->core->now)
-        return g_strdup("paused after failures; it is tried again soon");
-    if (gang && execution->attempts->len > 0)
-        return g_strdup("waits until every task of its last attempt is proven gone");
-    if (ow_team_admits(leader, spec, wanted) < wanted)
-        return g_strdup_printf("team %s is at its limit", spec->submission->team);
-    struct allowance allowance = allowed_machines(leader, spec);
-    if (allowance.allowed == 0)
+    if (allowance->allowed == 0)
         return g_strdup("no machine that it allows is rented yet; as many are rented as the cloud gives");
-    if (allowance.usable == 0 && allowance.booting > 0)
+    if (allowance->usable == 0 && allowance->booting > 0)
         return g_strdup_printf("%u of the %u machines that it allows are booting, and none is up yet",
-                               allowance.booting, allowance.allowed);
-    if (allowance.usable == 0)
+                               allowance->booting, allowance->allowed);
+    if (allowance->usable == 0)
         return g_strdup_printf("none of the %u machines that it allows can take tasks now",
-                               allowance.allowed);
-    if (gang)
-        return gang_reason(execution);
+                               allowance->allowed);
+    return NULL;
+}
+
+/* The reason of an array or a service for which no machine has capacity left. The caller frees it. */
+static char *capacity_reason(const struct ow_leader *leader, const struct ow_execution *execution,
+                             uint32_t pending, uint32_t usable)
+{
     if (ow_execution_is_service(execution))
         return g_strdup_printf("%u of %u replicas wait for room on %u machines", pending, execution->count,
-                               allowance.usable);
+                               usable);
     if (ow_price_filter_applies(leader, execution))
         return g_strdup_printf("%u tasks wait for room on cheap machines; before long they go on any",
                                pending);
     return g_strdup_printf("%u tasks wait for room on %u machines, behind earlier or more urgent work",
-                           pending, allowance.usable);
+                           pending, usable);
+}
+
+/* The reason of an execution with waiting tasks; the caller frees it. */
+static char *waiting_reason(struct ow_leader *leader, const struct ow_execution *execution, uint32_t pending)
+{
+    const struct ow_job_spec *spec = execution->job->spec;
+    bool is_gang = ow_submission_is_gang(spec->submission);
+    uint32_t wanted = is_gang ? execution->count : 1;
+    if (execution->ready_at > leader->core->now)
+        return g_strdup("paused after failures; it is tried again soon");
+    if (is_gang && execution->attempts->len > 0)
+        return g_strdup("waits until every task of its last attempt is proven gone");
+    if (ow_team_admits(leader, spec, wanted) < wanted)
+        return g_strdup_printf("team %s is at its limit", spec->submission->team);
+    struct allowance allowance = find_allowance(leader, spec);
+    char *reason = machines_reason(&allowance);
+    if (reason != NULL)
+        return reason;
+    if (is_gang)
+        return gang_reason(execution);
+    return capacity_reason(leader, execution, pending, allowance.usable);
 }
 
-void ow_reason_waits(struct ow_leader *leader, struct ow_execution *execution)
+void ow_reason_update(struct ow_leader *leader, struct ow_execution *execution)
 {
     uint32_t pending = ow_execution_pending(execution);
-    char *reason = pending > 0 ? waits_for(leader, execution, pending) : NULL;
+    g_autofree char *reason = pending > 0 ? waiting_reason(leader, execution, pending) : NULL;
     ow_job_set_reason(execution->job, reason);
-    g_free(reason);
 }
--- a/src/core/scheduling/schedule.h
+++ b/src/core/scheduling/schedule.h
@@ -1,14 +1,28 @@
-/* The scheduling cycle: what is started or held for each waiting run, in the order of the queue. It also
- * completes jobs whose tasks are over. */
+/** @file
+ * The scheduling cycle: what is started, held or stopped for each waiting execution, in the order of the
+ * queue.
+ *
+ * Its steps are modules of their own:
+ *
+ *     before    job_lifecycle, gpu_reserve, image_demand, and what jobs/quota knows of the cycle
+ *     order     queue, with promotion
+ *     filter    shortlist, placement, price_filter: all for candidates
+ *     score     placement_score: for candidates, too
+ *     reserve   reservation and gang_selection, led by gang_start: gangs alone
+ *     bind      bind, led by gang_start, array_start and service_replicas
+ *     preempt   preempt, led by gang_start and array_preemption
+ *     explain   reason
+ *
+ * Input: jobs, executions and machines. Result: attempts that are planned or to be stopped, and holds; their
+ * records, launches and stop commands follow outside of the cycle. Invariants: a cycle sees the state of one
+ * moment; what it gives to one execution is not seen as free by those after it.
+ */
 #ifndef OW_CORE_SCHEDULING_SCHEDULE_H
 #define OW_CORE_SCHEDULING_SCHEDULE_H
 
 struct ow_leader;
 
-/* Compares the open jobs with their runs: creates runs, stops cancelled ones, and has the end of completed
-   jobs recorded. */
-void ow_schedule_jobs(struct ow_leader *leader);
-/* One pass over the queue. ow_schedule_jobs() must have been called in the same tick. */
+/** Runs one scheduling cycle. */
 void ow_schedule_cycle(struct ow_leader *leader);
 
 #endif
--- a/src/core/scheduling/service_replicas.c
+++ b/src/core/scheduling/service_replicas.c
@@ -7,6 +7,7 @@
 #include "core/leader/leader_state.h"
 #include "core/machines/machine.h"
 #include "core/machines/machine_registry.h"
+#include "core/scheduling/bind.h"
 #include "core/scheduling/candidates.h"
 #include "core/scheduling/placement.h"
 #include "core/scheduling/replica_spread.h"
@@ -82,9 +83,9 @@
 static void place_replica(struct ow_leader *leader, struct ow_execution *execution, uint64_t number,
                           struct ow_machine *machine)
 {
-    uint32_t task = ow_placement_next_pending(execution);
+    uint32_t task = ow_bind_next_pending_task(execution);
     g_info("service %s: replica %u placed on %s", execution->job->id, task, machine->name);
-    ow_placement_start_task(leader, execution, task, number, machine);
+    ow_bind_task(leader, execution, task, number, machine);
 }
 
 void ow_service_replicas_start(struct ow_leader *leader, struct ow_execution *execution)
