--- a/src/core/api/cancel.c
+++ b/src/core/api/cancel.c
@@ -1,6 +1,7 @@
 #include "core/api/cancel.h"
 
 #include "core/api/job_answer.h"
+#include "core/api/job_reply.h"
 #include "core/core_state.h"
 #include "core/election/election.h"
 #include "core/jobs/job_cache.h"
@@ -12,19 +13,21 @@
 
 #include <string.h>
 
-/* A cancellation whose record is on its way. */
+/* A cancellation whose record is under way. */
 struct cancel_call {
     struct ow_pending_request pending;
-    uint64_t leader_fencing_token; /* as the record names it */
+    uint64_t leader_fencing_token; /* of the leader that the record names */
     size_t record_bytes;
 };
 
+/* Cancelling reads and writes in turns until the job is over: a write that finds the record changed is
+   followed by a read, and that by the next try. */
 static void cancel_known(struct ow_core *core, uint64_t request, const struct ow_job *job);
 
-static void cancel_fresh(struct ow_core *core, void *data, bool ok)
+static void cancel_fresh(struct ow_core *core, void *data, bool is_fresh)
 {
     const struct ow_pending_request *pending = data;
-    const struct ow_job *job = ow_job_answer_find(core, pending, ok);
+    const struct ow_job *job = ow_job_answer_find(core, pending, is_fresh);
     if (job != NULL)
         cancel_known(core, pending->request, job);
 }
@@ -36,7 +39,7 @@
 
 static void handle_success(struct ow_core *core, const struct cancel_call *call, uint64_t revision)
 {
-    g_info("job %s cancelled by its user", call->pending.id);
+    g_info("job cancelled by user: job=%s", call->pending.id);
     const struct ow_job *job =
         ow_jobs_cancel(core->jobs, call->pending.id, revision, call->leader_fencing_token);
     ow_job_answer(core, call->pending.request, OW_HTTP_STATUS_OK, job);
@@ -52,20 +55,22 @@
 {
     const struct ow_pending_request *pending = &call->pending;
     if (leader_has_changed(reply)) {
-        /* Another one may have read the records already, without this one. */
+        /* A new leader may have read the records already, without this one, and may start tasks of the job.
+         */
         ow_election_invalidate(core->election);
-        ow_job_answer_retry(core, pending->request, "the leader has just changed");
+        ow_job_reply_retry(core, pending->request, "the leader has just changed");
         return;
     }
-    /* The job was over before: the fresh record says how. */
+    /* The job's record has changed since we read it: only a fresh one says whether the job is over. */
     cancel_after_read(core, pending->request, pending->id);
 }
 
-/* Limits fell since the job was accepted: the next try leaves out what is not needed. */
+/* The limits have fallen since the job was accepted: now that this is known, the user's next try writes a
+   record that leaves out what is not needed. */
 static void handle_too_large(struct ow_core *core, const struct cancel_call *call)
 {
     ow_store_limits_shrink(&core->store_limits, 1, call->record_bytes);
-    ow_job_answer_retry(core, call->pending.request, "the state service takes no record of this size");
+    ow_job_reply_retry(core, call->pending.request, "the state service takes no record of this size");
 }
 
 static void on_cancel_reply(void *owner, void *data, const struct ow_event *answer)
@@ -88,39 +93,40 @@
     }
 }
 
+/* The text of the record; owned by the caller. */
 static char *cancellation_record(const struct ow_core *core, const struct ow_job *job,
                                  uint64_t leader_fencing_token)
 {
     double age_s = core->now - job->accepted_at;
-    struct ow_job_record record = {.state = OW_JOB_CANCELLED,
-                                   .accepted_at = core->time_of_day - age_s,
-                                   .leader_fencing_token = leader_fencing_token,
-                                   .submission = job->spec->submission};
-    char *text = wire_job_record_encode(&record);
-    if (strlen(text) < core->store_limits.refused_value_bytes)
-        return text;
+    struct ow_job_record record = {
+        .state = OW_JOB_CANCELLED,
+        .accepted_at = core->time_of_day - age_s,
+        .leader_fencing_token = leader_fencing_token,
+        .submission = job->spec->submission,
+    };
+    g_autofree char *whole = wire_job_record_encode(&record);
+    if (strlen(whole) < core->store_limits.refused_value_bytes)
+        return g_steal_pointer(&whole);
     /* Accepted when values were larger. Nothing of it will start, so its types don't matter any more. */
-    struct ow_submission short_form = *record.submission;
-    short_form.types = NULL;
-    record.submission = &short_form;
-    g_free(text);
+    struct ow_submission without_types = *record.submission;
+    without_types.types = NULL;
+    record.submission = &without_types;
     return wire_job_record_encode(&record);
 }
 
-/* The record expects the leader that it names: so it comes before any later failover, whose reading
-   then includes it. */
+/* The record is committed only while the leader that it names holds the key: so it comes before any later
+   failover, which reads it before it starts anything. */
 static void write_cancellation(struct ow_core *core, uint64_t request, const struct ow_job *job,
                                uint64_t leader_fencing_token)
 {
+    g_autofree char *key = g_strconcat(OW_KEY_JOBS, job->id, NULL);
     struct ow_store_request *transaction = ow_store_request_new(OW_STORE_TXN, NULL);
-    struct cancel_call *call = g_new0(struct cancel_call, 1);
-    char *key = g_strconcat(OW_KEY_JOBS, job->id, NULL);
     ow_store_compare(transaction, OW_KEY_LEADER, leader_fencing_token);
     ow_store_compare(transaction, key, job->mod_revision);
     ow_store_put(transaction, key, cancellation_record(core, job, leader_fencing_token), 0);
-    g_free(key);
-    call->pending.request = request;
-    g_strlcpy(call->pending.id, job->id, sizeof call->pending.id);
+
+    struct cancel_call *call = g_new0(struct cancel_call, 1);
+    ow_pending_request_init(&call->pending, request, job->id);
     call->leader_fencing_token = leader_fencing_token;
     call->record_bytes = ow_store_largest_value(transaction);
     ow_core_call_store(core, transaction, on_cancel_reply, core, call, g_free);
@@ -132,7 +138,7 @@
     if (ow_job_over(job))
         ow_job_answer(core, request, OW_HTTP_STATUS_OK, job);
     else if (leader_fencing_token == 0)
-        ow_job_answer_retry(core, request, "there is no leader yet");
+        ow_job_reply_retry(core, request, "there is no leader yet");
     else
         write_cancellation(core, request, job, leader_fencing_token);
 }
--- a/src/core/api/feasibility.c
+++ b/src/core/api/feasibility.c
@@ -17,7 +17,8 @@
     return need->cpus <= size->cpus && need->gpus <= size->gpus && need->memory_gb <= size->memory_gb;
 }
 
-static bool type_allowed(const struct ow_submission *submission, const struct ow_machine_type *type)
+/* Whether the job allows machines of this type, and one of them, empty, has room for a task. */
+static bool may_run_on_type(const struct ow_submission *submission, const struct ow_machine_type *type)
 {
     if (submission->types != NULL && !contains(submission->types, type->name))
         return false;
@@ -30,14 +31,15 @@
 {
     for (int i = 0; i < OW_MAX_TYPES; i++) {
         const struct ow_machine_type *type = ow_machine_types_at(core->machine_types, i);
-        if (type != NULL && type_allowed(submission, type))
+        if (type != NULL && may_run_on_type(submission, type))
             return true;
     }
     return false;
 }
 
-/* A gang or service whose tasks must be in several zones, and may not. */
-static bool zones_contradict(const struct ow_submission *submission)
+/* Whether it is a gang or service whose tasks must be in several zones, and may not. Tasks of an array need
+   not run at the same time: a part of them can always run in the one zone. */
+static bool has_contradicting_zones(const struct ow_submission *submission)
 {
     if (submission->kind == OW_KIND_ARRAY || !submission->spread || submission->tasks <= 1)
         return false;
@@ -45,13 +47,13 @@
 }
 
 /* Whether what must run at the same time is more than the team may ever use; a limit of 0 is none. */
-static bool over_team_limit(const struct ow_team_settings *team, const struct ow_submission *submission)
+static bool exceeds_team_limit(const struct ow_team_settings *team, const struct ow_submission *submission)
 {
-    bool all_at_once = ow_submission_is_gang(submission) || submission->kind == OW_KIND_SERVICE;
-    double at_once = all_at_once ? submission->tasks : 1;
-    if (team->cpus_max > 0 && submission->need.cpus * at_once > team->cpus_max)
+    bool runs_at_once = ow_submission_is_gang(submission) || submission->kind == OW_KIND_SERVICE;
+    double tasks_at_once = runs_at_once ? submission->tasks : 1;
+    if (team->cpus_max > 0 && submission->need.cpus * tasks_at_once > team->cpus_max)
         return true;
-    return team->gpus_max > 0 && submission->need.gpus * at_once > team->gpus_max;
+    return team->gpus_max > 0 && submission->need.gpus * tasks_at_once > team->gpus_max;
 }
 
 const char *ow_infeasible_reason(const struct ow_core *core, const struct ow_submission *submission)
@@ -61,9 +63,9 @@
         return "unknown team";
     if (!fits_some_type(core, submission))
         return "a task fits no allowed machine type";
-    if (zones_contradict(submission))
+    if (has_contradicting_zones(submission))
         return "its tasks must be in several zones, and in one";
-    if (over_team_limit(team, submission))
+    if (exceeds_team_limit(team, submission))
         return "over the team's limit";
     return NULL;
 }
--- a/src/core/api/job_answer.c
+++ b/src/core/api/job_answer.c
@@ -3,42 +3,49 @@
 #include "core/api/cancellation_ack.h"
 #include "core/api/job_reply.h"
 #include "core/core_state.h"
+#include "core/jobs/job_cache.h"
 #include "model/http_status.h"
 #include "model/submission.h"
 
-/* When a user whose request could not be handled is to come again. */
-enum { RETRY_AFTER_S = 1 };
-
-struct ow_pending_request *ow_pending_request_new(uint64_t request, const char *id)
+void ow_pending_request_init(struct ow_pending_request *pending, uint64_t request, const char *id)
 {
-    struct ow_pending_request *pending = g_new0(struct ow_pending_request, 1);
     pending->request = request;
     g_strlcpy(pending->id, id, sizeof pending->id);
-    return pending;
 }
 
-void ow_job_answer_retry(struct ow_core *core, uint64_t request, const char *text)
+struct ow_pending_request *ow_pending_request_new(uint64_t request, const char *id)
 {
-    ow_core_reject_request(core, request, OW_HTTP_STATUS_UNAVAILABLE, text, RETRY_AFTER_S);
+    struct ow_pending_request *pending = g_new0(struct ow_pending_request, 1);
+    ow_pending_request_init(pending, request, id);
+    return pending;
 }
 
 void ow_job_answer_store_unavailable(struct ow_core *core, uint64_t request)
 {
-    ow_job_answer_retry(core, request, "the state service does not answer");
+    ow_job_reply_retry(core, request, "the state service does not answer");
 }
 
 void ow_job_answer(struct ow_core *core, uint64_t request, int status, const struct ow_job *job)
 {
+    /* The one place that guards when a cancellation is told: before the acknowledgement a leader that has not
+       learned of it may still start tasks. */
     if (job->state == OW_JOB_CANCELLED && !job->cancellation_acked)
         ow_cancellation_ack_wait(core->cancellation_ack, request, status, job);
     else
         ow_job_reply_send(core, request, status, job);
 }
 
+void ow_job_answer_after_read(struct ow_core *core, uint64_t request, const char *id)
+{
+    /* Another controller may have answered from a newer record than ours already. The read begins after the
+       request, so it shows whatever was told before that, and this answer does not go back behind it. */
+    ow_job_cache_refresh(core->job_cache, ow_job_answer_fresh, ow_pending_request_new(request, id));
+}
+
 const struct ow_job *ow_job_answer_find(struct ow_core *core, const struct ow_pending_request *pending,
-                                        bool ok)
+                                        bool is_fresh)
 {
-    if (!ok) {
+    if (!is_fresh) {
         ow_job_answer_store_unavailable(core, pending->request);
         return NULL;
     }
@@ -48,10 +55,10 @@
     return job;
 }
 
-void ow_job_answer_fresh(struct ow_core *core, void *data, bool ok)
+void ow_job_answer_fresh(struct ow_core *core, void *data, bool is_fresh)
 {
     const struct ow_pending_request *pending = data;
-    const struct ow_job *job = ow_job_answer_find(core, pending, ok);
+    const struct ow_job *job = ow_job_answer_find(core, pending, is_fresh);
     if (job != NULL)
         ow_job_answer(core, pending->request, OW_HTTP_STATUS_OK, job);
 }
--- a/src/core/api/job_reply.c
+++ b/src/core/api/job_reply.c
@@ -2,17 +2,26 @@
 
 #include "core/core_state.h"
 #include "model/effect.h"
+#include "model/http_status.h"
 #include "model/submission.h"
 
+/* After how many seconds a user is to repeat a request that could not be handled. */
+enum { RETRY_AFTER_S = 1 };
+
 void ow_job_reply_send(struct ow_core *core, uint64_t request, int status, const struct ow_job *job)
 {
     struct ow_effect *effect = ow_effect_new(OW_EFFECT_JOB, request);
-    bool over = ow_job_over(job);
+    bool is_over = ow_job_over(job);
     effect->status = status;
     g_strlcpy(effect->id, job->id, sizeof effect->id);
-    effect->state = !over && job->running > 0 ? OW_JOB_RUNNING : job->state;
-    effect->done = over ? OW_UNCOUNTED : job->done;
-    effect->running = over ? OW_UNCOUNTED : job->running;
+    effect->state = !is_over && job->running > 0 ? OW_JOB_RUNNING : job->state;
+    effect->done = is_over ? OW_UNCOUNTED : job->done;
+    effect->running = is_over ? OW_UNCOUNTED : job->running;
     effect->reason = g_strdup(job->reason);
     ow_core_emit(core, effect);
 }
+
+void ow_job_reply_retry(struct ow_core *core, uint64_t request, const char *text)
+{
+    ow_core_reject_request(core, request, OW_HTTP_STATUS_UNAVAILABLE, text, RETRY_AFTER_S);
+}
--- a/src/core/api/job_reply.h
+++ b/src/core/api/job_reply.h
@@ -1,5 +1,5 @@
 /** @file
- * The reply to a user that shows the state of a job.
+ * The replies to a user's request about a job: its state, or that the request is to be repeated.
  */
 #ifndef OW_CORE_API_JOB_REPLY_H
 #define OW_CORE_API_JOB_REPLY_H
@@ -13,4 +13,8 @@
  * cancellation: ow_job_answer() sees to that. `status` is the HTTP status. */
 void ow_job_reply_send(struct ow_core *core, uint64_t request, int status, const struct ow_job *job);
 
+/** Replies with status 503 that the request could not be handled yet and is to be repeated soon. `text` says
+ * why; it is copied. */
+void ow_job_reply_retry(struct ow_core *core, uint64_t request, const char *text);
+
 #endif
--- a/src/core/api/submit.c
+++ b/src/core/api/submit.c
@@ -2,6 +2,7 @@
 
 #include "core/api/feasibility.h"
 #include "core/api/job_answer.h"
+#include "core/api/job_reply.h"
 #include "core/api/poll.h"
 #include "core/core_state.h"
 #include "core/jobs/job_cache.h"
@@ -15,35 +16,35 @@
 
 #include <string.h>
 
+/* Seen by users. */
 static const char TOO_LARGE[] = "its description is too large to be recorded";
 
 /* ---- refusals ---- */
 
-/* A refusal that waits until it is sure that the job is new. */
+/* A refusal that waits until a read has shown that the job is new. */
 struct refusal {
     struct ow_pending_request pending;
-    int status;
-    const char *reason;
+    int status;         /* HTTP status */
+    const char *reason; /* not owned: valid for ever */
 };
 
-static void refuse_if_new(struct ow_core *core, void *data, bool ok)
+static void refuse_if_new(struct ow_core *core, void *data, bool is_fresh)
 {
     struct refusal *refusal = data;
     const struct ow_pending_request *pending = &refusal->pending;
-    if (ok && ow_jobs_find(core->jobs, pending->id) == NULL)
+    if (is_fresh && ow_jobs_find(core->jobs, pending->id) == NULL)
         ow_core_reject_request(core, pending->request, refusal->status, refusal->reason, 0);
     else
-        ow_job_answer_fresh(core, &refusal->pending, ok);
+        ow_job_answer_fresh(core, &refusal->pending, is_fresh);
 }
 
 /* What can't run now, or can't be read, may have been accepted by another controller before: such a repeat
-   is no 422 or 400. */
+   is no 422 or 400. `reason` must stay valid for ever. */
 static void refuse_unless_known(struct ow_core *core, uint64_t request, const char *id, int status,
                                 const char *reason)
 {
     struct refusal *refusal = g_new0(struct refusal, 1);
-    refusal->pending.request = request;
-    g_strlcpy(refusal->pending.id, id, sizeof refusal->pending.id);
+    ow_pending_request_init(&refusal->pending, request, id);
     refusal->status = status;
     refusal->reason = reason;
     ow_job_cache_refresh(core->job_cache, refuse_if_new, refusal);
@@ -51,9 +52,9 @@
 
 /* ---- the record of a new job ---- */
 
-/* A submission whose record is on its way. */
+/* A submission whose record is under way. */
 struct submit_call {
-    struct ow_submission *submission;
+    struct ow_submission *submission; /* owned */
     uint64_t request;
     size_t record_bytes;
 };
@@ -65,14 +66,15 @@
     g_free(call);
 }
 
+/* Takes over `submission`, whose record is committed with this revision. */
 static void accept_job(struct ow_core *core, uint64_t request, uint64_t revision,
                        struct ow_submission *submission)
 {
-    char id[OW_ID_MAX + 1];
-    g_strlcpy(id, submission->id, sizeof id);
-    g_info("job %s accepted: class %s, team %s, %u tasks, estimate %.0f s, deadline %.0f s", id,
+    g_info("job accepted: job=%s class=%s team=%s tasks=%u estimate_s=%.0f deadline_s=%.0f", submission->id,
            submission->class_name, submission->team, submission->tasks, submission->estimate_s,
            submission->deadline_s);
+    char id[OW_ID_MAX + 1];
+    g_strlcpy(id, submission->id, sizeof id);
     ow_jobs_apply(core->jobs, id, revision, OW_JOB_QUEUED, submission, core->now, 0);
     ow_job_answer(core, request, OW_HTTP_STATUS_CREATED, ow_jobs_find(core->jobs, id));
     ow_job_change_announce(core, revision);
@@ -86,12 +88,6 @@
     refuse_unless_known(core, call->request, call->submission->id, OW_HTTP_STATUS_UNPROCESSABLE, TOO_LARGE);
 }
 
-static void answer_existing(struct ow_core *core, const struct submit_call *call)
-{
-    struct ow_pending_request *pending = ow_pending_request_new(call->request, call->submission->id);
-    ow_job_cache_refresh(core->job_cache, ow_job_answer_fresh, pending);
-}
-
 static void on_submit_reply(void *owner, void *data, const struct ow_event *answer)
 {
     struct ow_core *core = owner;
@@ -101,7 +97,7 @@
         accept_job(core, call->request, answer->store.revision, g_steal_pointer(&call->submission));
         break;
     case OW_HTTP_STATUS_CONFLICT: /* another controller was first */
-        answer_existing(core, call);
+        ow_job_answer_after_read(core, call->request, call->submission->id);
         break;
     case OW_HTTP_STATUS_BAD_REQUEST:
         refuse_too_large(core, call);
@@ -112,35 +108,43 @@
     }
 }
 
-/* NULL and an answer if the record doesn't fit a value of the key-value store. Another controller, which has
-   not met the limit, may have accepted the job before. */
+/* The text of the record, owned by the caller, or NULL, and the request answered, if it doesn't fit a value
+   of the key-value store. Another controller, which has not met the limit, may have accepted the job before.
+ */
 static char *record_that_fits(struct ow_core *core, uint64_t request, const struct ow_job_record *record)
 {
-    char *text = wire_job_record_encode(record);
+    g_autofree char *text = wire_job_record_encode(record);
     if (strlen(text) < core->store_limits.refused_value_bytes)
-        return text;
-    g_free(text);
+        return g_steal_pointer(&text);
     refuse_unless_known(core, request, record->submission->id, OW_HTTP_STATUS_UNPROCESSABLE, TOO_LARGE);
     return NULL;
 }
 
-/* Takes over `submission`. */
-static void create_job(struct ow_core *core, uint64_t request, struct ow_submission *submission)
+/* Takes over `text`. The record is committed only if no other controller has accepted the id. */
+static struct ow_store_request *creation_of(const char *id, char *text)
+{
+    g_autofree char *key = g_strconcat(OW_KEY_JOBS, id, NULL);
+    struct ow_store_request *transaction = ow_store_request_new(OW_STORE_TXN, NULL);
+    ow_store_compare(transaction, key, 0);
+    ow_store_put(transaction, key, text, 0);
+    return transaction;
+}
+
+/* Takes over `taken`. */
+static void create_job(struct ow_core *core, uint64_t request, struct ow_submission *taken)
 {
+    g_autoptr(ow_submission) submission = taken;
     struct ow_job_record record = {
-        .state = OW_JOB_QUEUED, .accepted_at = core->time_of_day, .submission = submission};
+        .state = OW_JOB_QUEUED,
+        .accepted_at = core->time_of_day,
+        .submission = submission,
+    };
     char *text = record_that_fits(core, request, &record);
-    if (text == NULL) {
-        ow_submission_free(submission);
+    if (text == NULL)
         return;
-    }
+    struct ow_store_request *transaction = creation_of(submission->id, text);
     struct submit_call *call = g_new0(struct submit_call, 1);
-    struct ow_store_request *transaction = ow_store_request_new(OW_STORE_TXN, NULL);
-    char *key = g_strconcat(OW_KEY_JOBS, submission->id, NULL);
-    ow_store_compare(transaction, key, 0);
-    ow_store_put(transaction, key, text, 0);
-    g_free(key);
-    call->submission = submission;
+    call->submission = g_steal_pointer(&submission);
     call->request = request;
     call->record_bytes = ow_store_largest_value(transaction);
     ow_core_call_store(core, transaction, on_submit_reply, core, call, submit_call_free);
@@ -148,7 +152,8 @@
 
 /* ---- submissions ---- */
 
-/* Answers a submission that is not recorded; false if it is new and can run some day. */
+/* Answers a submission that leads to no record: a repeat, one that comes too early, or one that can never
+   run. False, and no answer, if the job is new and can run some day. */
 static bool answer_unrecorded(struct ow_core *core, uint64_t request, const struct ow_submission *submission)
 {
     if (ow_jobs_find(core->jobs, submission->id) != NULL) {
@@ -157,7 +162,7 @@
         return true;
     }
     if (!ow_job_cache_is_loaded(core->job_cache) || !ow_machine_types_are_known(core->machine_types)) {
-        ow_job_answer_retry(core, request, "still starting");
+        ow_job_reply_retry(core, request, "still starting");
         return true;
     }
     const char *reason = ow_infeasible_reason(core, submission);
@@ -169,14 +174,14 @@
 
 void ow_submit_job(struct ow_core *core, uint64_t request, struct ow_submission *submission)
 {
-    if (answer_unrecorded(core, request, submission))
-        ow_submission_free(submission);
-    else
-        create_job(core, request, submission);
+    g_autoptr(ow_submission) owned = submission;
+    if (!answer_unrecorded(core, request, owned))
+        create_job(core, request, g_steal_pointer(&owned));
 }
 
 void ow_submit_malformed(struct ow_core *core, uint64_t request, const char *id, const char *error)
 {
+    /* The refusal outlives the event that holds the text. */
     if (ow_jobs_find(core->jobs, id) != NULL)
         ow_poll_job(core, request, id);
     else
