--- a/src/model/settings.h
+++ b/src/model/settings.h
@@ -83,7 +83,7 @@
  * (config/operators_file.c) holds the ranges, ow_tuning_default() the defaults.
  */
 struct ow_tuning {
-    /** How long a gang collects holds at most (the deadline D_c of docs/design.md). Seconds, 0 to 5; 5. */
+    /** How long a gang collects holds at most (D_c of docs/design/paper.md). Seconds, 0 to 5; 5. */
     double window_s;
     /** How long a hold lasts that is not renewed. Seconds, 0.5 to 600; 10. */
     double hold_life_s;
--- a/tests/cluster/test_cancellation.c
+++ b/tests/cluster/test_cancellation.c
@@ -1,5 +1,6 @@
-/* Cancellations while controllers, links or the key-value store fail (docs/meetings.md). The simulated
- * cluster checks the safety rules from outside: the answers that users get and the tasks on the machines. */
+/* Cancellations while controllers, links or the key-value store fail (docs/overlapping-failures.md). The
+ * simulated cluster checks the safety rules from outside: the answers that users get and the tasks on the
+ * machines. */
 #include "check.h"
 #include "failure_setup.h"
 #include "sim_cluster.h"
--- a/tests/cluster/test_cancellation_races.c
+++ b/tests/cluster/test_cancellation_races.c
@@ -1,5 +1,5 @@
 /* Cancellations that race with the end of a job, with delayed launches and with leader changes
- * (docs/meetings.md). */
+ * (docs/overlapping-failures.md). */
 #include "check.h"
 #include "failure_setup.h"
 #include "sim_cluster.h"
--- a/tests/cluster/test_leader_changes.c
+++ b/tests/cluster/test_leader_changes.c
@@ -1,4 +1,5 @@
-/* Leader changes together with lost machines, expired leases and tasks that end (docs/meetings.md). */
+/* Leader changes together with lost machines, expired leases and tasks that end
+ * (docs/overlapping-failures.md). */
 #include "check.h"
 #include "failure_setup.h"
 #include "sim_cluster.h"
--- a/tests/cluster/test_safety.c
+++ b/tests/cluster/test_safety.c
@@ -1,5 +1,5 @@
-/* The safety rules of docs/design.md on launches, results, records and cancellations: each test fails without
- * the guard that it names. */
+/* The safety rules of docs/design/safety.md on launches, results, records and cancellations: each test fails
+ * without the guard that it names. */
 #include "check.h"
 #include "sim_cluster.h"
 #include "model/submission.h"
--- a/tests/sim/sim_cluster.h
+++ b/tests/sim/sim_cluster.h
@@ -1,7 +1,7 @@
 /**
  * A simulated cluster for tests of the core: a clock, a key-value store, a cloud, users and workers, all
- * under the sharding of the test. The workers check the safety rules of docs/design.md from outside; whatever
- * breaks one is recorded as a violation, which sim_finish() turns into a failure of the test.
+ * under the sharding of the test. The workers check the safety rules of docs/design/safety.md from outside;
+ * whatever breaks one is recorded as a violation, which sim_finish() turns into a failure of the test.
  */
 #ifndef OW_TESTS_SIM_CLUSTER_H
 #define OW_TESTS_SIM_CLUSTER_H
