--- a/src/wire/json.c
+++ b/src/wire/json.c
@@ -6,13 +6,8 @@
 
 json_t *wire_json_parse_object(const char *text, size_t size)
 {
-    json_error_t error;
-    json_t *value = json_loadb(text, size, JSON_REJECT_DUPLICATES, &error);
-    if (value != NULL && !json_is_object(value)) {
-        json_decref(value);
-        return NULL;
-    }
-    return value;
+    json_auto_t *value = json_loadb(text, size, JSON_REJECT_DUPLICATES, NULL);
+    return json_is_object(value) ? g_steal_pointer(&value) : NULL;
 }
 
 char *wire_json_print(const json_t *value)
