--- a/src/agent/machine.c
+++ b/src/agent/machine.c
@@ -31,7 +31,7 @@
         .zone = options->zone,
         .spot = options->is_spot,
         .incarnation = machine->incarnation.number,
-        .seq = ++machine->sequence,
+        .sequence = ++machine->sequence,
         .fencing_token = machine->incarnation.fencing_token,
         .reclaim_notice_s = -1,
         .tasks = tasks,
--- a/src/core/leader/heartbeat_answer.c
+++ b/src/core/leader/heartbeat_answer.c
@@ -29,7 +29,7 @@
 static bool is_newest(const struct ow_machine *machine, const struct ow_heartbeat *heartbeat)
 {
     return machine != NULL && heartbeat->incarnation == machine->incarnation &&
-           heartbeat->seq == machine->seq;
+           heartbeat->sequence == machine->sequence;
 }
 
 /* Whether the worker accepts commands of this leader, and this leader knows what to command. Commands go only
--- a/src/core/machines/fleet.c
+++ b/src/core/machines/fleet.c
@@ -150,7 +150,7 @@
                   : MIN(machine->provisioned_at, leader->core->now - listed_machine->age_s);
     }
     g_clear_pointer(&fleet->last_listed, g_free);
-    if (answer->cloud.more && listed->len > 0) {
+    if (answer->cloud.has_more && listed->len > 0) {
         fleet->last_listed = g_strdup(g_array_index(listed, struct ow_listed_machine, listed->len - 1).name);
     } else {
         /* Not before the last page: what is not known yet would be provisioned a second time. */
--- a/src/core/machines/heartbeat_intake.c
+++ b/src/core/machines/heartbeat_intake.c
@@ -17,7 +17,7 @@
         return false;
     if (heartbeat->incarnation != machine->incarnation)
         return heartbeat->incarnation > machine->incarnation;
-    return heartbeat->seq > machine->seq;
+    return heartbeat->sequence > machine->sequence;
 }
 
 /* Every older incarnation is over, and so are the launches that were meant for it. */
@@ -40,7 +40,7 @@
     machine->last_message_at = leader->core->now;
     if (machine->first_message_at == 0)
         machine->first_message_at = leader->core->now;
-    machine->seq = heartbeat->seq;
+    machine->sequence = heartbeat->sequence;
 }
 
 static void note_fenced(struct ow_leader *leader, struct ow_machine *machine)
--- a/src/core/machines/machine.h
+++ b/src/core/machines/machine.h
@@ -41,13 +41,13 @@
     double terminate_at; /* the next try to delete it */
 
     /* Liveness: reconciliation.c, worker_commands.c and machine_health.c. */
-    double met_at;             /* when this leader first learnt of it */
-    double first_message_at;   /* arrival of the first message of any kind; 0: none has come */
-    double last_message_at;    /* arrival of its newest message of any kind; 0: none has come */
-    double last_heartbeat_at;  /* arrival of its newest heartbeat; an answer to a command renews no lease */
-    double unanswered_since;   /* commands find no answer since then; 0: it answers */
-    uint64_t incarnation, seq; /* of its newest message */
-    uint64_t expired_incarnation; /* every incarnation up to this one is proven over */
+    double met_at;            /* when this leader first learnt of it */
+    double first_message_at;  /* arrival of the first message of any kind; 0: none has come */
+    double last_message_at;   /* arrival of its newest message of any kind; 0: none has come */
+    double last_heartbeat_at; /* arrival of its newest heartbeat; an answer to a command renews no lease */
+    double unanswered_since;  /* commands find no answer since then; 0: it answers */
+    uint64_t incarnation, sequence; /* of its newest message */
+    uint64_t expired_incarnation;   /* every incarnation up to this one is proven over */
     bool fenced; /* it has seen this leader's fencing token and accepts no older leader's commands */
     double fenced_at;
     double reclaim_at;             /* when the cloud takes it back, after a notice; 0: no notice */
--- a/src/model/cloud.h
+++ b/src/model/cloud.h
@@ -82,7 +82,7 @@
     int status;         /**< HTTP status; 0: no response, so the request may have been carried out */
     GArray *types;      /**< OW_CLOUD_TYPES: struct ow_machine_type */
     GArray *listed;     /**< OW_CLOUD_LIST: struct ow_listed_machine */
-    bool more;          /**< OW_CLOUD_LIST: there is another page */
+    bool has_more;      /**< OW_CLOUD_LIST: there is another page */
     char **provisioned; /**< OW_CLOUD_PROVISION: names of the new machines, ended by NULL */
 };
 
--- a/src/model/worker.h
+++ b/src/model/worker.h
@@ -53,7 +53,7 @@
     char *zone;
     bool spot;
     uint64_t incarnation;    /**< of the agent; grows whenever its lease expires */
-    uint64_t seq;            /**< grows with every message of an incarnation: the greater one is the newer */
+    uint64_t sequence;       /**< grows with every message of an incarnation: the greater one is the newer */
     uint64_t fencing_token;  /**< the highest that the agent has seen; 0: none */
     double reclaim_notice_s; /**< until the cloud reclaims the machine; negative: no notice */
     GArray *tasks;           /**< struct ow_task_status: every attempt on the machine */
--- a/src/wire/cloud_json.c
+++ b/src/wire/cloud_json.c
@@ -165,6 +165,6 @@
     } else {
         reply->listed = listed_machines_from_json(object);
         if (reply->listed != NULL)
-            wire_json_get_bool(object, W_MORE, &reply->more);
+            wire_json_get_bool(object, W_MORE, &reply->has_more);
     }
 }
--- a/src/wire/worker_json.c
+++ b/src/wire/worker_json.c
@@ -97,7 +97,7 @@
         json_pack("{s:s,s:s,s:s,s:s,s:b,s:I,s:I,s:I}", W_MACHINE, heartbeat->machine, W_ADDRESS,
                   heartbeat->addr, W_TYPE, heartbeat->type, W_ZONE, heartbeat->zone, W_SPOT,
                   (int)heartbeat->spot, W_INCARNATION, (json_int_t)heartbeat->incarnation, W_SEQUENCE,
-                  (json_int_t)heartbeat->seq, W_FENCING_TOKEN, (json_int_t)heartbeat->fencing_token);
+                  (json_int_t)heartbeat->sequence, W_FENCING_TOKEN, (json_int_t)heartbeat->fencing_token);
     json_object_set_new(object, W_RECLAIM_NOTICE_S,
                         has_notice ? json_real(heartbeat->reclaim_notice_s) : json_null());
     json_object_set_new(object, W_TASKS, task_statuses_to_json(heartbeat->tasks));
@@ -123,7 +123,7 @@
     heartbeat->tasks = g_array_new(FALSE, FALSE, sizeof(struct ow_task_status));
     heartbeat->reclaim_notice_s = -1;
     if (!wire_json_get_count(object, W_INCARNATION, &heartbeat->incarnation) ||
-        !wire_json_get_count(object, W_SEQUENCE, &heartbeat->seq) ||
+        !wire_json_get_count(object, W_SEQUENCE, &heartbeat->sequence) ||
         !copy_string(object, W_MACHINE, &heartbeat->machine) ||
         !copy_string(object, W_ADDRESS, &heartbeat->addr) || !copy_string(object, W_TYPE, &heartbeat->type) ||
         !copy_string(object, W_ZONE, &heartbeat->zone) ||
--- a/tests/cluster/test_failover.c
+++ b/tests/cluster/test_failover.c
@@ -87,7 +87,7 @@
     sim_kill_controller(cluster, sim_leader(cluster));
     sim_run(cluster, 8);
     int controller = sim_leader(cluster);
-    sim_heartbeat(cluster, controller, machine, machine->seq + 1, fencing_token);
+    sim_heartbeat(cluster, controller, machine, machine->sequence + 1, fencing_token);
     sim_submit(cluster, controller, sim_job("run-2", 1, 1));
     sim_run(cluster, 3);
     char *first = sim_progress(cluster, "run-1/0");
--- a/tests/cluster/test_reconciliation.c
+++ b/tests/cluster/test_reconciliation.c
@@ -114,7 +114,7 @@
     struct sim_cluster *cluster = sim_with_capacity(1, 6);
     struct sim_machine *machine = sim_start_long_job(cluster);
     struct ow_heartbeat *copy = sim_last_heartbeat(machine);
-    copy->seq += 100; /* newer than every heartbeat received from it */
+    copy->sequence += 100; /* newer than every heartbeat received from it */
     g_array_set_size(copy->tasks, 0);
     machine->reclaim_notice_s = 1;
     machine->heartbeat_at = cluster->now;
@@ -137,10 +137,10 @@
     struct sim_cluster *cluster = sim_with_capacity(1, 6);
     struct sim_machine *machine = sim_start_long_job(cluster);
     machine->incarnation = 3;
-    machine->seq = 500;
+    machine->sequence = 500;
     sim_run(cluster, 10);
     struct ow_heartbeat *copy = sim_last_heartbeat(machine);
-    copy->seq += 100;
+    copy->sequence += 100;
     cluster->run_time_s = 2;
     sim_reboot(cluster, machine);
     assert_true(sim_until(cluster, 60, sim_all_done, "run-1"));
--- a/tests/sim/sim_cloud.c
+++ b/tests/sim/sim_cloud.c
@@ -97,7 +97,7 @@
     if (request->op == OW_CLOUD_TYPES)
         event->cloud.types = machine_types();
     else if (request->op == OW_CLOUD_LIST)
-        event->cloud.listed = list_machines(cluster, request->after, &event->cloud.more);
+        event->cloud.listed = list_machines(cluster, request->after, &event->cloud.has_more);
     else if (request->op == OW_CLOUD_PROVISION)
         rent(cluster, request, &event->cloud);
     else
--- a/tests/sim/sim_cluster.h
+++ b/tests/sim/sim_cluster.h
@@ -39,7 +39,7 @@
     bool stopped_reporting; /* its heartbeats reach no controller; commands reach it */
     int only_controller;    /* partitioned from every other controller; -1: from none */
     double up_at;           /* the end of its boot */
-    uint64_t incarnation, seq, fencing_token;
+    uint64_t incarnation, sequence, fencing_token;
     double reclaim_notice_s; /* the time until it is reclaimed, as it reports it; -1: none */
     double heartbeat_at, renewed_at, sent_at;
     bool heartbeat_busy; /* it waits for the response to a heartbeat */
--- a/tests/sim/sim_machines.c
+++ b/tests/sim/sim_machines.c
@@ -62,7 +62,7 @@
     heartbeat->zone = g_strdup(machine->zone);
     heartbeat->spot = machine->spot;
     heartbeat->incarnation = machine->incarnation;
-    heartbeat->seq = ++machine->seq;
+    heartbeat->sequence = ++machine->sequence;
     heartbeat->fencing_token = machine->fencing_token;
     heartbeat->reclaim_notice_s = machine->reclaim_notice_s;
     heartbeat->tasks = g_array_new(FALSE, TRUE, sizeof(struct ow_task_status));
@@ -84,7 +84,7 @@
 {
     struct sim_machine copy = *machine;
     struct ow_event *event = sim_command(OW_EVENT_HEARTBEAT, (uint64_t)1 << 60);
-    copy.seq = seq - 1;
+    copy.sequence = seq - 1;
     copy.fencing_token = fencing_token;
     event->heartbeat = sim_make_heartbeat(&copy);
     g_array_set_size(event->heartbeat->tasks, 0);
@@ -94,7 +94,7 @@
 struct ow_heartbeat *sim_last_heartbeat(const struct sim_machine *machine)
 {
     struct sim_machine copy = *machine;
-    copy.seq--;
+    copy.sequence--;
     return sim_make_heartbeat(&copy);
 }
 
@@ -109,7 +109,7 @@
 {
     g_array_set_size(machine->tasks, 0);
     machine->incarnation = 1;
-    machine->seq = machine->fencing_token = 0;
+    machine->sequence = machine->fencing_token = 0;
     machine->heartbeat_busy = false;
     machine->renewed_at = machine->heartbeat_at = cluster->now;
 }
--- a/tests/sim/sim_workers.c
+++ b/tests/sim/sim_workers.c
@@ -163,8 +163,8 @@
     if (index >= cluster->machines->len)
         return; /* no worker waits for it */
     struct sim_machine *machine = sim_machine_at(cluster, index);
-    if (!machine->heartbeat_busy || (uint32_t)effect->request != (uint32_t)machine->seq || machine->hangs ||
-        machine->unresponsive || apart(cluster, machine, controller))
+    if (!machine->heartbeat_busy || (uint32_t)effect->request != (uint32_t)machine->sequence ||
+        machine->hangs || machine->unresponsive || apart(cluster, machine, controller))
         return;
     machine->heartbeat_busy = false;
     machine->heartbeat_at = cluster->now + cluster->settings[0].heartbeat_interval_s;
@@ -237,7 +237,7 @@
     struct ow_heartbeat *heartbeat = sim_make_heartbeat(machine);
     machine->heartbeat_busy = true;
     struct ow_event *event =
-        sim_command(OW_EVENT_HEARTBEAT, ((uint64_t)(index + 1) << 32) | (uint32_t)machine->seq);
+        sim_command(OW_EVENT_HEARTBEAT, ((uint64_t)(index + 1) << 32) | (uint32_t)machine->sequence);
     event->heartbeat = heartbeat;
     sim_deliver(cluster, machine->controller, cluster->controller_nonce[machine->controller], 0.01, event);
 }
--- a/tests/unit/test_agent.c
+++ b/tests/unit/test_agent.c
@@ -87,7 +87,7 @@
                                      .zone = zone,
                                      .spot = true,
                                      .incarnation = 3,
-                                     .seq = 8,
+                                     .sequence = 8,
                                      .fencing_token = 41,
                                      .reclaim_notice_s = -1,
                                      .tasks = g_array_new(FALSE, FALSE, sizeof(struct ow_task_status))};
@@ -99,7 +99,7 @@
     struct ow_heartbeat *read = wire_heartbeat_decode(text, strlen(text));
     assert_non_null(read);
     assert_string_equal(read->machine, "m-1");
-    assert_true(read->spot && read->incarnation == 3 && read->seq == 8 && read->fencing_token == 41 &&
+    assert_true(read->spot && read->incarnation == 3 && read->sequence == 8 && read->fencing_token == 41 &&
                 read->reclaim_notice_s < 0);
     assert_int_equal(read->tasks->len, 2);
     const struct ow_task_status *second = &g_array_index(read->tasks, struct ow_task_status, 1);
--- a/tests/unit/test_wire.c
+++ b/tests/unit/test_wire.c
@@ -213,7 +213,7 @@
     (void)state;
     struct ow_heartbeat *parsed = wire_heartbeat_decode(heartbeat, strlen(heartbeat));
     assert_non_null(parsed);
-    assert_true(parsed->incarnation == 1 && parsed->seq == 88 && parsed->fencing_token == 41 &&
+    assert_true(parsed->incarnation == 1 && parsed->sequence == 88 && parsed->fencing_token == 41 &&
                 parsed->reclaim_notice_s == 7.5 && parsed->tasks->len == 2);
     const struct ow_task_status *task = &g_array_index(parsed->tasks, struct ow_task_status, 1);
     assert_true(task->task == 0 && task->phase == OW_PHASE_EXITED && task->cause == OW_CAUSE_STOPPED &&
@@ -251,7 +251,7 @@
     struct ow_cloud_reply reply = {0};
     wire_cloud_reply_decode(OW_CLOUD_LIST, OW_HTTP_STATUS_OK, list, strlen(list), &reply);
     assert_non_null(reply.listed);
-    assert_true(reply.more && reply.listed->len == 1);
+    assert_true(reply.has_more && reply.listed->len == 1);
     assert_true(g_array_index(reply.listed, struct ow_listed_machine, 0).state == OW_LISTED_RUNNING);
     ow_cloud_reply_clear(&reply);
     wire_cloud_reply_decode(OW_CLOUD_LIST, OW_HTTP_STATUS_OK, "{}", 2, &reply);
