--- a/src/agent/options.c
+++ b/src/agent/options.c
@@ -1,6 +1,6 @@
 #include "agent/options.h"
 
-#include "config/causes.h"
+#include "config/config_error.h"
 #include "config/option_parser.h"
 #include "util/endpoint.h"
 
--- a/src/config/command_line.c
+++ b/src/config/command_line.c
@@ -1,6 +1,6 @@
 #include "config/command_line.h"
 
-#include "config/causes.h"
+#include "config/config_error.h"
 #include "config/option_parser.h"
 
 /* What --help says first. */
--- a/src/config/causes.c
+++ b/src/config/config_error.c
@@ -1,3 +1,3 @@
-#include "config/causes.h"
+#include "config/config_error.h"
 
 G_DEFINE_QUARK(ow_config_error, ow_config_error)
--- a/src/config/causes.h
+++ b/src/config/config_error.h
@@ -5,8 +5,8 @@
  *
  * The message of such an error is shown to operators as it is; the code tells causes apart.
  */
-#ifndef OW_CONFIG_CAUSES_H
-#define OW_CONFIG_CAUSES_H
+#ifndef OW_CONFIG_CONFIG_ERROR_H
+#define OW_CONFIG_CONFIG_ERROR_H
 
 #include <glib.h>
 
--- a/src/config/operators_file.c
+++ b/src/config/operators_file.c
@@ -1,6 +1,6 @@
 #include "config/operators_file.h"
 
-#include "config/causes.h"
+#include "config/config_error.h"
 #include "config/number_field.h"
 #include "config/sharding_file.h"
 
--- a/src/config/toml_doc.cpp
+++ b/src/config/toml_doc.cpp
@@ -1,6 +1,6 @@
 #include "config/toml_doc.h"
 
-#include "config/causes.h"
+#include "config/config_error.h"
 
 #include <string>
 
--- a/src/config/toml_reader.h
+++ b/src/config/toml_reader.h
@@ -8,7 +8,7 @@
 #ifndef OW_CONFIG_TOML_READER_H
 #define OW_CONFIG_TOML_READER_H
 
-#include "config/causes.h"
+#include "config/config_error.h"
 #include "config/toml_doc.h"
 
 /** The state of reading one document; owned by who reads. */
--- a/src/core/records/record_values.c
+++ b/src/core/records/record_values.c
@@ -119,7 +119,7 @@
         return true;
     if (record_value->class_index != chunk->job->spec->class_index)
         return false;
-    size_t fill_bytes = (size_t)(FILL_SHARE * value_limit_bytes(leader));
+    size_t fill_bytes = (size_t)(FILL_SHARE * (double)value_limit_bytes(leader));
     return record_value->estimated_bytes + expected_bytes(chunk) <= fill_bytes;
 }
 
--- a/src/core/type_discovery.c
+++ b/src/core/type_discovery.c
@@ -4,6 +4,7 @@
 #include "core/machine_types.h"
 #include "model/cloud.h"
 #include "model/event.h"
+#include "model/http_status.h"
 #include "model/records.h"
 #include "wire/cloud_json.h"
 
@@ -33,7 +34,7 @@
     struct ow_type_discovery *discovery = owner;
     (void)data;
     discovery->is_asking = false;
-    if (answer->cloud.status == 200 && answer->cloud.types != NULL)
+    if (answer->cloud.status == OW_HTTP_STATUS_OK && answer->cloud.types != NULL)
         ow_machine_types_update(discovery->core->machine_types, answer->cloud.types);
 }
 
@@ -41,7 +42,8 @@
 {
     struct ow_type_discovery *discovery = owner;
     (void)data;
-    if (answer->store.status != 200 || ow_machine_types_are_known(discovery->core->machine_types))
+    if (answer->store.status != OW_HTTP_STATUS_OK ||
+        ow_machine_types_are_known(discovery->core->machine_types))
         return;
     const struct ow_store_item *item = &g_array_index(answer->store.items, struct ow_store_item, 0);
     g_autoptr(GArray) types = wire_machine_types_from_json(item->value);
--- a/src/model/store.c
+++ b/src/model/store.c
@@ -47,6 +47,7 @@
     g_array_append_val(request->comparisons, comparison);
 }
 
+/* NOLINTNEXTLINE(readability-non-const-parameter): `value` is taken over and freed later */
 void ow_store_put(struct ow_store_request *request, const char *key, char *value, uint64_t lease)
 {
     struct ow_store_mutation mutation = {.key = g_strdup(key), .value = value, .lease = lease};
--- a/src/sharding/failover_log.c
+++ b/src/sharding/failover_log.c
@@ -10,6 +10,7 @@
 }
 
 /* Takes over `cause`. */
+/* NOLINTNEXTLINE(readability-non-const-parameter): it is freed later */
 static void add_step(struct ow_failover_log *log, enum ow_failover_phase phase, double now, char *cause)
 {
     struct ow_failover_step step = {.phase = phase, .began_at = now, .cause = cause};
--- a/src/sharding/sharding_settings.c
+++ b/src/sharding/sharding_settings.c
@@ -29,15 +29,22 @@
     g_free(route);
 }
 
+/* sharding_settings.h has the meaning of each. */
+static const double DEFAULT_HEARTBEAT_S = 0.5;
+static const double DEFAULT_SUSPICION_PHI = 8;
+static const double DEFAULT_PROBE_TIMEOUT_S = 1;
+static const double DEFAULT_CANDIDACY_STEP_S = 0.5;
+enum { DEFAULT_RELAYS = 3 };
+
 struct ow_sharding_settings *ow_sharding_settings_new(void)
 {
     struct ow_sharding_settings *sharding = g_new0(struct ow_sharding_settings, 1);
     *sharding = (struct ow_sharding_settings){
-        .heartbeat_s = 0.5,
-        .suspicion_phi = 8,
-        .probe_timeout_s = 1,
-        .relays = 3,
-        .candidacy_step_s = 0.5,
+        .heartbeat_s = DEFAULT_HEARTBEAT_S,
+        .suspicion_phi = DEFAULT_SUSPICION_PHI,
+        .probe_timeout_s = DEFAULT_PROBE_TIMEOUT_S,
+        .relays = DEFAULT_RELAYS,
+        .candidacy_step_s = DEFAULT_CANDIDACY_STEP_S,
         .shards = g_ptr_array_new_with_free_func(free_shard),
         .allotments = g_ptr_array_new_with_free_func(free_allotment),
         .routes = g_ptr_array_new_with_free_func(free_route),
--- a/tests/cluster/test_election.c
+++ b/tests/cluster/test_election.c
@@ -24,7 +24,8 @@
     (void)state;
     struct sim_cluster *cluster = sim_with_controllers(3, 1);
     sim_run(cluster, 8);
-    int first = sim_leader(cluster), other = (first + 1) % SIM_CONTROLLERS;
+    int first = sim_leader(cluster);
+    int other = (first + 1) % SIM_CONTROLLERS;
     sim_kill_controller(cluster, first);
     sim_lose_link(cluster, other, first);
     sim_run(cluster, 0.5);
--- a/tests/cluster/test_failover.c
+++ b/tests/cluster/test_failover.c
@@ -149,7 +149,8 @@
     struct sim_cluster *cluster = sim_with_machines(2);
     cluster->run_time_s = 200;
     cluster->cloud_down = true;
-    struct ow_submission *first = sim_job("run-1", 2, 4), *second = sim_job("run-2", 1, 4);
+    struct ow_submission *first = sim_job("run-1", 2, 4);
+    struct ow_submission *second = sim_job("run-2", 1, 4);
     sim_set_team(first, "tight");
     sim_set_team(second, "tight");
     struct sim_machine *machine = sim_start_settled_job(cluster, first);
--- a/tests/cluster/test_fleet.c
+++ b/tests/cluster/test_fleet.c
@@ -33,7 +33,8 @@
 static struct ow_submission *job_of_class(int n, const char *class_name, uint32_t tasks, double cpus,
                                           double gpus, enum ow_rank rank)
 {
-    char id[16], image[16];
+    char id[16];
+    char image[16];
     name_job(id, sizeof id, n);
     g_snprintf(image, sizeof image, "img-%s-%d", class_name, n % 10);
     struct ow_submission *submission = sim_job(id, tasks, cpus);
--- a/tests/cluster/test_gangs.c
+++ b/tests/cluster/test_gangs.c
@@ -88,8 +88,9 @@
     (void)state;
     struct sim_cluster *cluster = sim_with_one_controller_and_machines(1);
     cluster->run_time_s = 300;
-    struct ow_submission *low = sim_job("run-1", 16, 1), *peer = sim_gang("run-2", 1, 12),
-                         *urgent = sim_gang("run-3", 1, 12);
+    struct ow_submission *low = sim_job("run-1", 16, 1);
+    struct ow_submission *peer = sim_gang("run-2", 1, 12);
+    struct ow_submission *urgent = sim_gang("run-3", 1, 12);
     low->rank = OW_RANK_LOW;
     peer->rank = OW_RANK_LOW;
     urgent->rank = OW_RANK_URGENT;
--- a/tests/cluster/test_isolation.c
+++ b/tests/cluster/test_isolation.c
@@ -72,7 +72,8 @@
         sim_submit(cluster, 0, sim_job("run-1", 3, 1));
         sim_run(cluster, 0.1);
         /* The leader crashes, its successor crashes during the election, and both restart at once. */
-        int old = sim_leader(cluster), next = (old + 1) % SIM_CONTROLLERS;
+        int old = sim_leader(cluster);
+        int next = (old + 1) % SIM_CONTROLLERS;
         cluster->lose_txn_answers = step % 3 == 0;
         sim_kill_controller(cluster, old);
         sim_lose_link(cluster, next, old);
--- a/tests/cluster/test_placement.c
+++ b/tests/cluster/test_placement.c
@@ -33,7 +33,8 @@
     }
     sim_run(cluster, 6);
     cluster->run_time_s = 50;
-    struct ow_submission *submission = sim_gang("run-1", 3, 4), *array = sim_job("run-2", 4, 1);
+    struct ow_submission *submission = sim_gang("run-1", 3, 4);
+    struct ow_submission *array = sim_job("run-2", 4, 1);
     submission->spread = true;
     array->spread = true;
     sim_submit(cluster, 0, submission);
--- a/tests/cluster/test_reconciliation.c
+++ b/tests/cluster/test_reconciliation.c
@@ -89,8 +89,8 @@
     struct sim_cluster *cluster = sim_with_capacity(2, 6);
     cluster->cloud_down = true;
     struct sim_machine *machine = sim_machine(cluster, "m-0");
-    struct ow_heartbeat *before = sim_last_heartbeat(machine),
-                        *other = sim_last_heartbeat(sim_machine(cluster, "m-1"));
+    struct ow_heartbeat *before = sim_last_heartbeat(machine);
+    struct ow_heartbeat *other = sim_last_heartbeat(sim_machine(cluster, "m-1"));
     machine = sim_start_long_job(cluster);
     ow_heartbeat_free(machine == sim_machine(cluster, "m-0") ? other : before);
     struct ow_heartbeat *copy = machine == sim_machine(cluster, "m-0") ? before : other;
--- a/tests/cluster/test_services.c
+++ b/tests/cluster/test_services.c
@@ -95,10 +95,12 @@
     struct sim_cluster *cluster = sim_with_capacity(2, 4);
     sim_add_machine(cluster, "w-0", "big", "west", false);
     sim_run(cluster, 4);
-    struct ow_submission *service = sim_service("run-1", 4, 1), *large = sim_service("run-2", 9, 1);
+    struct ow_submission *service = sim_service("run-1", 4, 1);
+    struct ow_submission *large = sim_service("run-2", 9, 1);
     service->spread = true;
     sim_set_team(large, "tight");
-    uint64_t service_request = sim_submit(cluster, 0, service), large_request = sim_submit(cluster, 0, large);
+    uint64_t service_request = sim_submit(cluster, 0, service);
+    uint64_t large_request = sim_submit(cluster, 0, large);
     sim_run(cluster, 8);
     assert_int_equal(sim_answer(cluster, service_request)->status, 201);
     assert_int_equal(sim_answer(cluster, large_request)->status, 422);
--- a/tests/cluster/test_shard_settings.c
+++ b/tests/cluster/test_shard_settings.c
@@ -90,7 +90,10 @@
     const struct ow_settings *whole = &cluster->settings[0];
     ((struct ow_shard_settings *)g_ptr_array_index(cluster->sharding->shards, EAST))->share = 1;
     ((struct ow_shard_settings *)g_ptr_array_index(cluster->sharding->shards, WEST))->share = 0;
-    double store_rps = 0, write_rps = 0, cloud_rps = 0, limit = 0;
+    double store_rps = 0;
+    double write_rps = 0;
+    double cloud_rps = 0;
+    double limit = 0;
     for (guint shard = 0; shard < SHARDS; shard++) {
         struct ow_settings *part = ow_shard_platform_new(cluster->sharding, shard, whole);
         const struct ow_team_settings *tight = &g_array_index(part->teams, struct ow_team_settings, 1);
--- a/tests/cluster/test_upgrade.c
+++ b/tests/cluster/test_upgrade.c
@@ -91,7 +91,8 @@
     sim_run(cluster, 4);
     assert_int_equal(sim_running(cluster, "run-1"), 100);
     end_tasks_gradually(cluster, 30);
-    uint64_t more = sim_submit(cluster, 1, sim_job("run-2", 150, 0.4)), cancel = 0;
+    uint64_t more = sim_submit(cluster, 1, sim_job("run-2", 150, 0.4));
+    uint64_t cancel = 0;
     sim_run(cluster, 6);
     assert_int_equal(sim_answer(cluster, more)->status, 201);
     cancel = sim_cancel(cluster, 2, "run-2");
@@ -116,7 +117,9 @@
 {
     (void)state;
     struct sim_cluster *cluster = sim_of_old_controllers(4);
-    int old = sim_leader(cluster), first = (old + 1) % SIM_CONTROLLERS, last = (old + 2) % SIM_CONTROLLERS;
+    int old = sim_leader(cluster);
+    int first = (old + 1) % SIM_CONTROLLERS;
+    int last = (old + 2) % SIM_CONTROLLERS;
     upgrade(cluster, first, 0.3);
     sim_run(cluster, 8);
     assert_int_equal(sim_leader(cluster), first);
@@ -133,7 +136,8 @@
 {
     (void)state;
     struct sim_cluster *cluster = sim_of_old_controllers(4);
-    int first = (sim_leader(cluster) + 1) % SIM_CONTROLLERS, other = (first + 1) % SIM_CONTROLLERS;
+    int first = (sim_leader(cluster) + 1) % SIM_CONTROLLERS;
+    int other = (first + 1) % SIM_CONTROLLERS;
     upgrade(cluster, first, 0.3);
     sim_run(cluster, 8);
     for (int i = 0; i < 3; i++) {
--- a/tests/cluster/test_user_api.c
+++ b/tests/cluster/test_user_api.c
@@ -59,8 +59,8 @@
     cluster->silent_watches = true;
     sim_submit(cluster, 0, sim_job("run-1", 1, 1));
     sim_run(cluster, 0.1);
-    uint64_t repeat = sim_submit_malformed(cluster, 1, "run-1"),
-             other = sim_submit_malformed(cluster, 1, "run-2");
+    uint64_t repeat = sim_submit_malformed(cluster, 1, "run-1");
+    uint64_t other = sim_submit_malformed(cluster, 1, "run-2");
     sim_run(cluster, 0.5);
     assert_int_equal(sim_status(cluster, repeat), 200);
     assert_int_equal(sim_status(cluster, other), 400);
@@ -96,14 +96,16 @@
 {
     (void)state;
     struct sim_cluster *cluster = sim_with_controllers(1, 1);
-    struct ow_submission *gang = sim_job("run-1", 3, 4), *array = sim_job("run-2", 3, 4);
+    struct ow_submission *gang = sim_job("run-1", 3, 4);
+    struct ow_submission *array = sim_job("run-2", 3, 4);
     struct ow_submission *stranger = sim_job("run-3", 1, 1);
     sim_set_team(gang, "tight");
     sim_set_team(array, "tight");
     sim_set_team(stranger, "strangers");
     gang->kind = OW_KIND_GANG;
-    uint64_t gang_request = sim_submit(cluster, 0, gang), array_request = sim_submit(cluster, 0, array),
-             stranger_request = sim_submit(cluster, 0, stranger);
+    uint64_t gang_request = sim_submit(cluster, 0, gang);
+    uint64_t array_request = sim_submit(cluster, 0, array);
+    uint64_t stranger_request = sim_submit(cluster, 0, stranger);
     sim_run(cluster, 0.5);
     assert_int_equal(sim_status(cluster, gang_request), 422);
     assert_int_equal(sim_status(cluster, array_request), 201);
@@ -118,8 +120,8 @@
     cluster->run_time_s = 100;
     sim_submit(cluster, 0, sim_job("run-1", 1, 1));
     sim_run(cluster, 3);
-    int asked = (sim_leader(cluster) + 1) % SIM_CONTROLLERS,
-        other = (sim_leader(cluster) + 2) % SIM_CONTROLLERS;
+    int asked = (sim_leader(cluster) + 1) % SIM_CONTROLLERS;
+    int other = (sim_leader(cluster) + 2) % SIM_CONTROLLERS;
     uint64_t poll = sim_poll(cluster, asked, "run-1");
     sim_run(cluster, 0.3);
     assert_int_equal(sim_status(cluster, poll), 200);
@@ -133,7 +135,8 @@
     assert_int_equal(sim_status(cluster, poll), 200);
     assert_int_equal(sim_answer(cluster, poll)->state, OW_JOB_CANCELLED);
     cluster->store_down = true;
-    uint64_t blind = sim_poll(cluster, other, "run-9"), sure = sim_poll(cluster, asked, "run-1");
+    uint64_t blind = sim_poll(cluster, other, "run-9");
+    uint64_t sure = sim_poll(cluster, asked, "run-1");
     sim_run(cluster, 0.5);
     assert_int_equal(sim_status(cluster, blind), 503);
     assert_int_equal(sim_status(cluster, sure), 200);
--- a/tests/digest/decision_digest.c
+++ b/tests/digest/decision_digest.c
@@ -98,7 +98,8 @@
 
 int main(int argc, char **argv)
 {
-    guint32 first = FIRST_SEED, last = LAST_SEED;
+    guint32 first = FIRST_SEED;
+    guint32 last = LAST_SEED;
     bool dump = false;
     for (int i = 1; i < argc; i++) {
         if (g_str_equal(argv[i], "--dump")) {
--- a/tests/sim/sim_cluster.c
+++ b/tests/sim/sim_cluster.c
@@ -21,6 +21,7 @@
     struct ow_event *event;
 };
 
+/* NOLINTNEXTLINE(readability-non-const-parameter): settings have names that may be changed */
 static void add_team(GArray *teams, char *name, double cpus_max, double gpus_max)
 {
     struct ow_team_settings team = {name, 0, cpus_max, 0, gpus_max};
@@ -42,7 +43,8 @@
             g_array_append_val(settings->peers, peer);
     }
     settings->teams = g_array_new(FALSE, TRUE, sizeof(struct ow_team_settings));
-    static char open_team[] = "open", tight_team[] = "tight";
+    static char open_team[] = "open";
+    static char tight_team[] = "tight";
     add_team(settings->teams, open_team, 0, 0);
     add_team(settings->teams, tight_team, 8, 0);
     settings->slos = g_array_new(FALSE, TRUE, sizeof(struct ow_slo));
--- a/tests/sim/sim_leases.c
+++ b/tests/sim/sim_leases.c
@@ -4,7 +4,8 @@
 static void end_lease(struct sim_cluster *cluster, uint64_t lease)
 {
     GHashTableIter iter;
-    void *key, *value;
+    void *key;
+    void *value;
     cluster->revision++;
     g_hash_table_iter_init(&iter, cluster->keys);
     while (g_hash_table_iter_next(&iter, &key, &value)) {
@@ -18,7 +19,8 @@
 void sim_expire_leases(struct sim_cluster *cluster)
 {
     GHashTableIter iter;
-    void *id, *until;
+    void *id;
+    void *until;
     g_hash_table_iter_init(&iter, cluster->leases);
     while (!cluster->store_down && g_hash_table_iter_next(&iter, &id, &until)) {
         if (*(double *)until >= cluster->now)
@@ -32,7 +34,8 @@
 void sim_extend_leases(struct sim_cluster *cluster)
 {
     GHashTableIter iter;
-    void *id, *until;
+    void *id;
+    void *until;
     g_hash_table_iter_init(&iter, cluster->leases);
     while (cluster->store_down && g_hash_table_iter_next(&iter, &id, &until))
         *(double *)until = cluster->now + cluster->tuning.leader_lease_s;
--- a/tests/sim/sim_values.c
+++ b/tests/sim/sim_values.c
@@ -76,7 +76,7 @@
     for (guint i = 0; i < request->mutations->len; i++) {
         const struct ow_store_mutation *change =
             &g_array_index(request->mutations, struct ow_store_mutation, i);
-        large = large || (change->value != NULL && strlen(change->value) > 1024 * cluster->value_kb);
+        large = large || (change->value != NULL && (double)strlen(change->value) > 1024 * cluster->value_kb);
         check_format(cluster, change);
     }
     cluster->too_large += large ? 1 : 0;
@@ -140,7 +140,8 @@
 char *sim_progress(struct sim_cluster *cluster, const char *name)
 {
     GHashTableIter iter;
-    void *key, *value;
+    void *key;
+    void *value;
     char *found = NULL;
     g_hash_table_iter_init(&iter, cluster->keys);
     while (found == NULL && g_hash_table_iter_next(&iter, &key, &value)) {
--- a/tests/unit/agent_setup.c
+++ b/tests/unit/agent_setup.c
@@ -4,7 +4,10 @@
 
 struct agent_options agent_setup_options(void)
 {
-    static char machine[] = "m-1", type[] = "m8", zone[] = "a", address[] = "127.0.0.1:1";
+    static char machine[] = "m-1";
+    static char type[] = "m8";
+    static char zone[] = "a";
+    static char address[] = "127.0.0.1:1";
     struct agent_options options = {.machine = machine,
                                     .type = type,
                                     .zone = zone,
--- a/tests/unit/test_agent.c
+++ b/tests/unit/test_agent.c
@@ -80,7 +80,10 @@
 static void test_heartbeat_is_what_controllers_read(void **state)
 {
     (void)state;
-    static char machine[] = "m-1", type[] = "m8", zone[] = "a", address[] = "127.0.0.1:1";
+    static char machine[] = "m-1";
+    static char type[] = "m8";
+    static char zone[] = "a";
+    static char address[] = "127.0.0.1:1";
     struct ow_heartbeat heartbeat = {.machine = machine,
                                      .addr = address,
                                      .type = type,
--- a/tests/unit/test_agent_options.c
+++ b/tests/unit/test_agent_options.c
@@ -1,7 +1,7 @@
 /* The agent's command line: what is read, and what is refused with its cause. */
 #include "agent/options.h"
 #include "check.h"
-#include "config/causes.h"
+#include "config/config_error.h"
 
 #include <string.h>
 
--- a/tests/unit/test_command_line.c
+++ b/tests/unit/test_command_line.c
@@ -16,7 +16,8 @@
 static void test_the_command_line(void **state)
 {
     (void)state;
-    char *out = NULL, *err = NULL;
+    char *out = NULL;
+    char *err = NULL;
     assert_int_equal(run_program("--version", &out, &err), 0);
     assert_non_null(strstr(out, "ospreywell "));
     g_free(out);
--- a/tests/unit/test_production_format.c
+++ b/tests/unit/test_production_format.c
@@ -13,7 +13,8 @@
 
 static char *fixture(const char *name)
 {
-    char *path = g_strconcat("tests/fixtures/production/", name, NULL), *text = NULL;
+    char *path = g_strconcat("tests/fixtures/production/", name, NULL);
+    char *text = NULL;
     if (!g_file_get_contents(path, &text, NULL, NULL))
         fail_msg("cannot read %s", path);
     g_free(path);
@@ -53,7 +54,8 @@
     assert_true(wire_job_record_decode(value, &record));
     assert_true(record.state == OW_JOB_DONE && record.submission == NULL);
     json_decref(value);
-    const char *controller = NULL, *nonce = NULL;
+    const char *controller = NULL;
+    const char *nonce = NULL;
     value = fixture_json("coordinator.json");
     wire_leader_record_decode(value, &controller, &nonce);
     assert_string_equal(controller, "node-0");
@@ -124,7 +126,8 @@
     json_object_foreach(record_value, name, value)
     {
         struct ow_progress_record record;
-        uint32_t chunk = 0, tasks = 0;
+        uint32_t chunk = 0;
+        uint32_t tasks = 0;
         char *job = wire_progress_name_decode(name, &chunk, &tasks);
         assert_int_equal(tasks, OW_CHUNK_MAX_TASKS);
         assert_true(wire_progress_record_decode(value, &record));
@@ -145,7 +148,8 @@
     for (int i = 0; i < 4; i++) {
         value = fixture_json(jobs[i]);
         assert_true(wire_job_record_decode(value, &record));
-        char *ours = wire_job_record_encode(&record), *theirs = g_strchomp(fixture(jobs[i]));
+        char *ours = wire_job_record_encode(&record);
+        char *theirs = g_strchomp(fixture(jobs[i]));
         assert_string_equal(ours, theirs);
         ow_submission_free(record.submission);
         json_decref(value);
--- a/tests/unit/test_records.c
+++ b/tests/unit/test_records.c
@@ -76,7 +76,8 @@
 static void test_job_records(void **state)
 {
     (void)state;
-    struct ow_job_record done = {.state = OW_JOB_DONE}, back;
+    struct ow_job_record done = {.state = OW_JOB_DONE};
+    struct ow_job_record back;
     char *text = wire_job_record_encode(&done);
     json_t *value = wire_json_parse_object(text, strlen(text));
     assert_true(wire_job_record_decode(value, &back));
--- a/tests/unit/test_settings.c
+++ b/tests/unit/test_settings.c
@@ -1,6 +1,6 @@
 /* Settings and the operators' file: each error names the faulty entry. */
 #include "check.h"
-#include "config/causes.h"
+#include "config/config_error.h"
 #include "config/operators_file.h"
 #include "config/settings_file.h"
 
@@ -144,7 +144,8 @@
     (void)state;
     for (size_t i = 0; i < G_N_ELEMENTS(operator_faults); i++) {
         GError *error = NULL;
-        struct ow_tuning tuning = ow_tuning_default(), before = tuning;
+        struct ow_tuning tuning = ow_tuning_default();
+        struct ow_tuning before = tuning;
         assert_false(load_operators(operator_faults[i].from, &tuning, &error));
         expect_error(error, &operator_faults[i]);
         /* A file with an error changes nothing. */
@@ -156,7 +157,8 @@
 {
     (void)state;
     GError *error = NULL;
-    struct ow_tuning tuning, expected = ow_tuning_default();
+    struct ow_tuning tuning;
+    struct ow_tuning expected = ow_tuning_default();
     memset(&tuning, 0, sizeof tuning);
     struct ow_sharding_settings *sharding = ow_sharding_settings_new();
     assert_true(ow_operators_load("deploy/operators.xml", &tuning, sharding, &error));
--- a/tests/unit/test_sharding_settings.c
+++ b/tests/unit/test_sharding_settings.c
@@ -11,7 +11,8 @@
 /* Reads the text as an operators' file; NULL or what is wrong (g_free). */
 static char *load(const char *text, struct ow_tuning *tuning, struct ow_sharding_settings *sharding)
 {
-    char *path = NULL, *fault = NULL;
+    char *path = NULL;
+    char *fault = NULL;
     GError *error = NULL;
     int fd = g_file_open_tmp("ospreywell-XXXXXX", &path, NULL);
     assert_true(fd >= 0);
@@ -36,7 +37,8 @@
 static void open_platform(struct platform *platform)
 {
     static char *zones[] = {"a", "b", NULL};
-    static char vision[] = "vision", speech[] = "speech";
+    static char vision[] = "vision";
+    static char speech[] = "speech";
     struct ow_team_settings teams[] = {{vision, 16, 64, 0, 0}, {speech, 0, 0, 4, 8}};
     *platform = (struct platform){.tuning = ow_tuning_default()};
     platform->settings.zones = zones;
--- a/tests/unit/test_suspicion.c
+++ b/tests/unit/test_suspicion.c
@@ -122,7 +122,8 @@
 static void test_phi_grows_with_silence_and_follows_the_intervals(void **state)
 {
     (void)state;
-    struct ow_phi_detector steady, loose;
+    struct ow_phi_detector steady;
+    struct ow_phi_detector loose;
     double now = 0;
     ow_phi_detector_init(&steady, HEARTBEAT_S);
     ow_phi_detector_init(&loose, HEARTBEAT_S);
