--- a/src/core/machines/headroom.c
+++ b/src/core/machines/headroom.c
@@ -79,7 +79,7 @@
 {
     for (guint i = 0; i < leader->core->classes->len; i++) {
         const struct ow_execution *sample = NULL;
-        double peak = ow_class_peak(leader->core, (int)i, class_tasks(leader, (int)i, &sample));
+        double peak = ow_class_update_peak(leader->core, (int)i, class_tasks(leader, (int)i, &sample));
         struct ow_expected_machine candidate;
         if (sample == NULL ||
             !ow_instance_offers_best(leader, sample->job->spec, INFINITY, true, false, &candidate))
--- a/src/core/scheduling/array_preemption.c
+++ b/src/core/scheduling/array_preemption.c
@@ -1,5 +1,5 @@
-/* Stopping less urgent work for arrays and services. */
 #include "core/scheduling/array_preemption.h"
+
 #include "core/jobs/execution.h"
 #include "core/jobs/quota.h"
 #include "core/leader/leader_state.h"
@@ -12,7 +12,7 @@
 #include "model/resources.h"
 #include "model/submission.h"
 
-/* Whether other work may be stopped for the run at all. */
+/* Whether other work may be stopped for the execution at all. */
 static bool may_preempt(const struct ow_leader *leader, const struct ow_execution *execution)
 {
     const struct ow_submission *submission = execution->job->spec->submission;
@@ -22,10 +22,10 @@
 }
 
 /* The zone where stopping less urgent work makes most capacity for tasks that must stay together. */
-static int best_zone_with_stops(struct ow_leader *leader, const struct ow_execution *execution,
-                                const GPtrArray *machines)
+static int best_zone_with_preemption(struct ow_leader *leader, const struct ow_execution *execution,
+                                     const GPtrArray *machines)
 {
-    GArray *candidates = g_array_new(FALSE, FALSE, sizeof(struct ow_candidate));
+    g_autoptr(GArray) candidates = ow_candidates_new();
     for (guint i = 0; i < machines->len; i++) {
         struct ow_machine *machine = g_ptr_array_index(machines, i);
         if (!ow_placement_is_permitted(leader, execution, machine))
@@ -36,12 +36,10 @@
         };
         g_array_append_val(candidates, candidate);
     }
-    int zone = ow_candidates_best_zone(execution, candidates);
-    g_array_free(candidates, TRUE);
-    return zone;
+    return ow_candidates_best_zone(execution, candidates);
 }
 
-/* Replicas the zone still admits, given the zones (int) of the slots that were made in this pass. */
+/* Replicas the zone still admits, given the zones (int) of the slots that were made in this cycle. */
 static uint32_t zone_still_admits(const struct ow_execution *execution, const GArray *made_zones, int zone)
 {
     uint32_t admitted = ow_placement_zone_admits(execution, zone);
@@ -68,7 +66,7 @@
 {
     const struct ow_job_spec *spec = execution->job->spec;
     uint32_t slots = MIN(wanted, ow_preempt_slots(leader, execution, machine));
-    if (slots == 0 || !ow_preempt_make_room(leader, execution, machine, slots))
+    if (slots == 0 || !ow_preempt_free_slots(leader, execution, machine, slots))
         return 0;
     ow_resources_add(&machine->held, &spec->submission->need, slots);
     return slots;
@@ -82,8 +80,8 @@
     uint32_t wanted = ow_team_admits(leader, spec, ow_execution_pending(execution));
     const GPtrArray *machines = ow_shortlist_with_preemption(leader, spec->class_index);
     int only_zone =
-        spec->submission->one_zone ? best_zone_with_stops(leader, execution, machines) : OW_NO_NAME;
-    GArray *made_zones = g_array_new(FALSE, FALSE, sizeof(int));
+        spec->submission->one_zone ? best_zone_with_preemption(leader, execution, machines) : OW_NO_NAME;
+    g_autoptr(GArray) made_zones = g_array_new(FALSE, FALSE, sizeof(int));
     for (guint i = 0; i < machines->len && wanted > 0; i++) {
         struct ow_machine *machine = g_ptr_array_index(machines, i);
         if (!ow_placement_is_permitted(leader, execution, machine))
@@ -96,5 +94,4 @@
             g_array_append_val(made_zones, machine->zone);
         wanted -= made;
     }
-    g_array_free(made_zones, TRUE);
 }
--- a/src/core/scheduling/array_start.c
+++ b/src/core/scheduling/array_start.c
@@ -1,5 +1,5 @@
-/* Starting the tasks of arrays. */
 #include "core/scheduling/array_start.h"
+
 #include "core/jobs/execution.h"
 #include "core/jobs/quota.h"
 #include "core/leader/leader_state.h"
@@ -16,31 +16,31 @@
 
 /* The share of a class's slack that tasks may wait for a machine with their image, if a fetch is expensive.
  */
-static const double IMAGE_PATIENCE = 0.9;
+static const double IMAGE_PATIENCE_SHARE = 0.9;
 /* A fetch so short is never worth waiting for. */
 static const double SHORT_FETCH_S = 10;
 /* Of two waits, one is clearly the longer if it takes so many times as long. */
-static const double CLEARLY_LONGER = 2;
+static const double CLEARLY_LONGER_TIMES = 2;
 /* The machine has no image that other work of the class waits for. */
-static const double NO_WAIT = -1;
+static const double NO_WAIT_S = -1;
 
-/* The start of an array's tasks in one pass. */
+/* The start of an array's tasks in one scheduling cycle. */
 struct array_start {
     struct ow_execution *execution;
-    uint64_t number; /* of the attempts */
-    uint32_t wanted;
-    uint32_t placed;
-    int only_zone; /* OW_NO_NAME: any */
-    double work_s; /* seconds of work that waits for the image */
-    double slots;  /* on machines that have the image, or fetch it */
+    uint64_t attempt; /* the number of the attempts */
+    uint32_t wanted;  /* tasks to start */
+    uint32_t placed;  /* of them, those started */
+    int only_zone;    /* OW_NO_NAME: any */
+    double work_s;    /* of work that waits for the image */
+    double slots;     /* on machines that have the image, or fetch it */
 };
 
-/* How long work of the class waits that the machine could start at once with the images it has; NO_WAIT:
+/* How long work of the class waits that the machine could start at once with the images it has; NO_WAIT_S:
    there is none. */
-static double wait_for_its_images(struct ow_leader *leader, const struct ow_job_spec *spec,
-                                  const struct ow_machine *machine)
+static double wait_for_its_images_s(struct ow_leader *leader, const struct ow_job_spec *spec,
+                                    const struct ow_machine *machine)
 {
-    double longest = NO_WAIT;
+    double longest_s = NO_WAIT_S;
     for (guint i = 0; i < machine->images->len; i++) {
         const struct ow_image_copy *copy = &g_array_index(machine->images, struct ow_image_copy, i);
         const struct ow_image_demand *demand = ow_image_demand_of(leader, copy->image);
@@ -48,9 +48,9 @@
             continue;
         if (demand->spec == NULL || demand->spec->class_index != spec->class_index || demand->slots <= 0)
             continue;
-        longest = MAX(longest, demand->work_s / demand->slots);
+        longest_s = MAX(longest_s, demand->work_s / demand->slots);
     }
-    return longest;
+    return longest_s;
 }
 
 /* A machine without the image is left alone while those that have it complete the work sooner, in `wait_s`,
@@ -64,7 +64,7 @@
     if (fetch_s <= SHORT_FETCH_S || starves || ow_quota_may_reclaim(leader, execution))
         return false;
     /* However late it is, a fetch that takes twice as long as the work that is left helps nobody. */
-    if (CLEARLY_LONGER * wait_s < fetch_s)
+    if (CLEARLY_LONGER_TIMES * wait_s < fetch_s)
         return true;
     double waited_s = leader->core->now - execution->accepted_at + wait_s;
     double slack_s = ow_deadline_slack_s(leader, execution);
@@ -73,11 +73,11 @@
     /* A fetch that costs more than the work it serves is made only when the SLOs need it, ... */
     if (fetch_s <= ow_class_run_time_s(leader->core, spec))
         return false;
-    if (waited_s < IMAGE_PATIENCE * slack_s)
+    if (waited_s < IMAGE_PATIENCE_SHARE * slack_s)
         return true;
     /* ... and not if it takes the machine from work that waits as long for an image which it has. */
-    double others_wait_s = wait_for_its_images(leader, spec, machine);
-    return others_wait_s >= 0 && wait_s < CLEARLY_LONGER * MAX(fetch_s, others_wait_s);
+    double others_wait_s = wait_for_its_images_s(leader, spec, machine);
+    return others_wait_s >= 0 && wait_s < CLEARLY_LONGER_TIMES * MAX(fetch_s, others_wait_s);
 }
 
 /* Whether to leave the machine alone because the image is sooner available elsewhere. */
@@ -97,13 +97,13 @@
     uint32_t slots = MIN(candidate->slots, ow_placement_zone_admits(execution, candidate->machine->zone));
     for (; slots > 0 && start->placed < start->wanted; slots--) {
         uint32_t task = ow_bind_next_pending_task(execution);
-        ow_bind_task(leader, execution, task, start->number, candidate->machine);
+        ow_bind_task(leader, execution, task, start->attempt, candidate->machine);
         start->placed++;
     }
 }
 
-static void consider(struct ow_leader *leader, struct array_start *start,
-                     const struct ow_candidate *candidate)
+static void start_if_worthwhile(struct ow_leader *leader, struct array_start *start,
+                                const struct ow_candidate *candidate)
 {
     const struct ow_machine *machine = candidate->machine;
     const struct ow_job_spec *spec = start->execution->job->spec;
@@ -124,19 +124,18 @@
     uint32_t wanted = ow_team_admits(leader, spec, ow_execution_pending(execution));
     if (wanted == 0)
         return;
-    GArray *candidates = ow_candidates_find(leader, execution);
+    g_autoptr(GArray) candidates = ow_candidates_find(leader, execution);
     const struct ow_image_demand *demand = ow_image_demand_of(leader, spec->image);
     struct array_start start = {
         .execution = execution,
-        .number = ow_execution_next_attempt(execution),
+        .attempt = ow_execution_next_attempt(execution),
         .wanted = wanted,
         .only_zone = spec->submission->one_zone ? ow_candidates_best_zone(execution, candidates) : OW_NO_NAME,
         .work_s = demand->work_s,
         .slots = demand->slots,
     };
     for (guint i = 0; i < candidates->len && start.placed < wanted; i++)
-        consider(leader, &start, &g_array_index(candidates, struct ow_candidate, i));
-    g_array_free(candidates, TRUE);
+        start_if_worthwhile(leader, &start, &g_array_index(candidates, struct ow_candidate, i));
     if (start.placed > 0)
-        g_info("job %s: %u tasks placed", execution->job->id, start.placed);
+        g_info("tasks placed: job=%s tasks=%u", execution->job->id, start.placed);
 }
--- a/src/core/scheduling/classes.c
+++ b/src/core/scheduling/classes.c
@@ -1,4 +1,3 @@
-/* What has been observed of each class of jobs, and how long its SLOs let it wait. */
 #include "core/scheduling/classes.h"
 
 #include "core/core_state.h"
@@ -26,12 +25,12 @@
 static const double QUIET_INTERVALS = 6;
 static const double QUIET_LEAST_S = 30;
 /* The longer runs of a class take so many times its expected run time. */
-static const double LONGER_RUN = 1.5;
+static const double LONGER_RUN_TIMES = 1.5;
 
 struct ow_class *ow_class_of(struct ow_core *core, int class_index)
 {
     while (core->classes->len <= (guint)class_index) {
-        struct ow_class fresh = {.ratio = 1};
+        struct ow_class fresh = {.run_time_ratio = 1};
         g_array_append_val(core->classes, fresh);
     }
     return &g_array_index(core->classes, struct ow_class, class_index);
@@ -79,10 +78,10 @@
     if (spec->submission->estimate_s <= 0)
         return;
     double ratio = CLAMP(ran_s / spec->submission->estimate_s, RATIO_LEAST, RATIO_MOST);
-    class->ratio += RATIO_WEIGHT * (ratio - class->ratio);
+    class->run_time_ratio += RATIO_WEIGHT * (ratio - class->run_time_ratio);
 }
 
-double ow_class_peak(struct ow_core *core, int class_index, double tasks)
+double ow_class_update_peak(struct ow_core *core, int class_index, double tasks)
 {
     struct ow_class *class = ow_class_of(core, class_index);
     class->peak = MAX(tasks, class->peak * exp(-(core->now - class->peak_at) / PEAK_DECAY_S));
@@ -102,7 +101,22 @@
 
 double ow_class_run_time_s(struct ow_core *core, const struct ow_job_spec *spec)
 {
-    return spec->submission->estimate_s * ow_class_of(core, spec->class_index)->ratio;
+    return spec->submission->estimate_s * ow_class_of(core, spec->class_index)->run_time_ratio;
+}
+
+static bool is_slo_of(const struct ow_slo *slo, const char *class_name)
+{
+    return strcmp(slo->class_name, class_name) == 0;
+}
+
+/* How long a task may wait without missing the SLO. The longer runs are the ones that decide whether it is
+ * met. */
+static double slo_slack_s(const struct ow_slo *slo, const struct ow_class *class)
+{
+    double run_time_s = 0;
+    if (slo->kind == OW_SLO_FINISHED)
+        run_time_s = LONGER_RUN_TIMES * class->estimate_s * class->run_time_ratio;
+    return MAX(0, slo->within_s - run_time_s);
 }
 
 double ow_class_slack_s(struct ow_core *core, int class_index)
@@ -112,23 +126,18 @@
     if (class->service)
         return 0;
     const char *name = ow_interner_text(core->interners.classes, class_index);
-    double slack = INFINITY;
+    double slack_s = INFINITY;
     for (guint i = 0; i < core->settings->slos->len; i++) {
         const struct ow_slo *slo = &g_array_index(core->settings->slos, struct ow_slo, i);
-        if (strcmp(slo->class_name, name) != 0)
-            continue;
-        /* The longer runs are the ones that decide whether the SLO is met. */
-        double run_time_s = 0;
-        if (slo->kind == OW_SLO_FINISHED)
-            run_time_s = LONGER_RUN * class->estimate_s * class->ratio;
-        slack = MIN(slack, MAX(0, slo->within_s - run_time_s));
+        if (is_slo_of(slo, name))
+            slack_s = MIN(slack_s, slo_slack_s(slo, class));
     }
-    return slack < INFINITY ? slack : NO_SLO_SLACK_S;
+    return slack_s < INFINITY ? slack_s : NO_SLO_SLACK_S;
 }
 
 static bool is_start_slo(const struct ow_slo *slo, const char *class_name)
 {
-    return slo->kind == OW_SLO_WAIT && strcmp(slo->class_name, class_name) == 0;
+    return slo->kind == OW_SLO_WAIT && is_slo_of(slo, class_name);
 }
 
 unsigned ow_class_missed_start_slos(struct ow_core *core, int class_index, double age_s)
@@ -162,7 +171,7 @@
     const char *name = ow_interner_text(core->interners.classes, class_index);
     for (guint i = 0; i < core->settings->slos->len; i++) {
         const struct ow_slo *slo = &g_array_index(core->settings->slos, struct ow_slo, i);
-        if (strcmp(slo->class_name, name) == 0)
+        if (is_slo_of(slo, name))
             return true;
     }
     return false;
--- a/src/core/scheduling/gang_start.c
+++ b/src/core/scheduling/gang_start.c
@@ -81,7 +81,7 @@
         return false;
     for (guint i = 0; i < picks->len; i++) {
         const struct ow_gang_pick *pick = &g_array_index(picks, struct ow_gang_pick, i);
-        ow_preempt_make_room(leader, execution, pick->machine, pick->members);
+        ow_preempt_free_slots(leader, execution, pick->machine, pick->members);
     }
     /* Every member has its machine: the other holds are cancelled. */
     hold_picks(leader, execution->reservation, picks);
--- a/src/core/scheduling/image_demand.c
+++ b/src/core/scheduling/image_demand.c
@@ -1,5 +1,5 @@
-/* How long fetching a container image takes, and how much work waits for it. */
 #include "core/scheduling/image_demand.h"
+
 #include "core/jobs/execution.h"
 #include "core/leader/leader_state.h"
 #include "core/machine_types.h"
@@ -18,14 +18,14 @@
 
 double ow_image_slowest_fetch_seconds(const struct ow_leader *leader, const struct ow_job_spec *spec)
 {
-    double slowest = 0;
+    double slowest_s = 0;
     for (int i = 0; i < OW_MAX_TYPES; i++) {
         const struct ow_machine_type *type = ow_machine_types_at(leader->core->machine_types, i);
         if (type == NULL || type->fetch_gb_per_s <= 0 || !fits_type(spec, i, type))
             continue;
-        slowest = MAX(slowest, spec->submission->image_gb / type->fetch_gb_per_s);
+        slowest_s = MAX(slowest_s, spec->submission->image_gb / type->fetch_gb_per_s);
     }
-    return slowest;
+    return slowest_s;
 }
 
 GArray *ow_image_demand_new_table(void)
--- a/src/core/scheduling/preempt.c
+++ b/src/core/scheduling/preempt.c
@@ -1,5 +1,5 @@
-/* Stopping work to free capacity, where the rules allow it: the cheapest loss first. */
 #include "core/scheduling/preempt.h"
+
 #include "core/jobs/attempt.h"
 #include "core/jobs/attempt_end.h"
 #include "core/jobs/execution.h"
@@ -13,7 +13,7 @@
 
 #include <math.h>
 
-/* Time that a stop and its report take in addition to the saving itself. */
+/* Time that a stop and the heartbeat that shows it take in addition to the checkpoint itself. */
 static const double GRACE_MARGIN_S = 2;
 /* The loss counted for each job that is affected: a job is late with its last task. */
 static const double JOB_LOSS_S = 500;
@@ -47,12 +47,12 @@
     /* A fetch given up has to begin anew. */
     if (attempt->running_at == 0)
         return leader->core->now - attempt->placed_at;
-    double ran = leader->core->now - attempt->running_at;
-    return submission->checkpoint_interval_s > 0 ? MIN(ran, submission->checkpoint_duration_s) : ran;
+    double ran_s = leader->core->now - attempt->running_at;
+    return submission->checkpoint_interval_s > 0 ? MIN(ran_s, submission->checkpoint_duration_s) : ran_s;
 }
 
 /* The same, and what its deadline is worth if that is lost as well. */
-static double loss_s(const struct ow_leader *leader, const struct ow_attempt *attempt)
+static double stop_loss_s(const struct ow_leader *leader, const struct ow_attempt *attempt)
 {
     double work_s = lost_work_s(leader, attempt);
     bool loses_deadline =
@@ -84,10 +84,10 @@
 }
 
 uint32_t ow_preempt_slots_upper_bound(const struct ow_leader *leader, const struct ow_job_spec *spec,
-                                      const struct ow_machine *machine, int from)
+                                      const struct ow_machine *machine, int top_rank)
 {
     struct ow_resources most = machine->stopping;
-    for (int rank = from; rank <= OW_RANK_LOW; rank++)
+    for (int rank = top_rank; rank <= OW_RANK_LOW; rank++)
         ow_resources_add(&most, &machine->used_by[rank], 1);
     return slots_without(leader, spec, machine, &most);
 }
@@ -108,18 +108,19 @@
     return slots_without(leader, spec, machine, &gone);
 }
 
+/* An attempt that may be stopped, and what that loses. */
 struct victim {
-    struct ow_attempt *attempt;
-    double loss;
+    struct ow_attempt *attempt; /* not owned */
+    double loss_s;
 };
 
 static gint compare_losses(gconstpointer a, gconstpointer b)
 {
     const struct victim *first = a;
     const struct victim *second = b;
-    if (first->loss < second->loss)
+    if (first->loss_s < second->loss_s)
         return -1;
-    return first->loss > second->loss;
+    return first->loss_s > second->loss_s;
 }
 
 /* The victims that free `slots` slots, or NULL if all of them don't; the caller frees the array. Work already
@@ -128,11 +129,11 @@
                               const struct ow_machine *machine, uint32_t slots)
 {
     const struct ow_job_spec *spec = execution->job->spec;
-    GArray *victims = g_array_new(FALSE, FALSE, sizeof(struct victim));
+    g_autoptr(GArray) victims = g_array_new(FALSE, FALSE, sizeof(struct victim));
     struct ow_resources gone = {0};
     for (guint i = 0; i < machine->attempts->len; i++) {
         struct ow_attempt *attempt = g_ptr_array_index(machine->attempts, i);
-        struct victim victim = {attempt, loss_s(leader, attempt)};
+        struct victim victim = {.attempt = attempt, .loss_s = stop_loss_s(leader, attempt)};
         if (attempt->stop)
             add_need(&gone, attempt);
         else if (may_stop(leader, execution, attempt))
@@ -144,12 +145,10 @@
         add_need(&gone, g_array_index(victims, struct victim, taken).attempt);
         taken++;
     }
-    if (slots_without(leader, spec, machine, &gone) < slots) {
-        g_array_free(victims, TRUE);
+    if (slots_without(leader, spec, machine, &gone) < slots)
         return NULL;
-    }
     g_array_set_size(victims, taken);
-    return victims;
+    return g_steal_pointer(&victims);
 }
 
 /* Whether no victim before the one at the index is of the same job. */
@@ -166,40 +165,41 @@
 double ow_preempt_loss_s(const struct ow_leader *leader, const struct ow_execution *execution,
                          const struct ow_machine *machine, uint32_t slots)
 {
-    GArray *victims = choose_victims(leader, execution, machine, slots);
-    double loss = 0;
+    g_autoptr(GArray) victims = choose_victims(leader, execution, machine, slots);
+    double loss_s = 0;
     if (victims == NULL)
         return INFINITY;
     for (guint i = 0; i < victims->len; i++) {
-        loss += g_array_index(victims, struct victim, i).loss;
+        loss_s += g_array_index(victims, struct victim, i).loss_s;
         if (is_first_of_job(victims, i))
-            loss += JOB_LOSS_S;
+            loss_s += JOB_LOSS_S;
     }
-    g_array_free(victims, TRUE);
-    return loss;
+    return loss_s;
+}
+
+/* How long an attempt of such a job gets to save its work. */
+static double grace_s(const struct ow_submission *submission)
+{
+    return submission->checkpoint_interval_s > 0 ? submission->checkpoint_duration_s + GRACE_MARGIN_S : 0;
 }
 
-bool ow_preempt_make_room(struct ow_leader *leader, const struct ow_execution *execution,
-                          struct ow_machine *machine, uint32_t slots)
+bool ow_preempt_free_slots(struct ow_leader *leader, const struct ow_execution *execution,
+                           struct ow_machine *machine, uint32_t slots)
 {
-    GArray *victims = choose_victims(leader, execution, machine, slots);
+    g_autoptr(GArray) victims = choose_victims(leader, execution, machine, slots);
     if (victims == NULL)
         return false;
-    char *why = g_strdup_printf("room for job %s", execution->job->id);
+    g_autofree char *why = g_strdup_printf("room for job %s", execution->job->id);
     for (guint i = 0; i < victims->len; i++) {
         struct ow_attempt *attempt = g_array_index(victims, struct victim, i).attempt;
         const struct ow_submission *submission = attempt->job->spec->submission;
-        double grace =
-            submission->checkpoint_interval_s > 0 ? submission->checkpoint_duration_s + GRACE_MARGIN_S : 0;
-        /* The tasks of a gang stop in one round, or their saving fails. One stopped before may have ended
-           another that was chosen, too. */
+        /* The tasks of a gang stop in one round, or their checkpoint fails. That may have ended, and freed,
+           other victims: the next cycle stops what is still needed. */
         if (ow_submission_is_gang(submission)) {
-            ow_execution_stop(leader, attempt->job->execution, grace, why);
+            ow_execution_stop(leader, attempt->job->execution, grace_s(submission), why);
             break;
         }
-        ow_attempt_stop(leader, attempt, grace, why);
+        ow_attempt_stop(leader, attempt, grace_s(submission), why);
     }
-    g_free(why);
-    g_array_free(victims, TRUE);
     return true;
 }
--- a/src/core/scheduling/replica_spread.c
+++ b/src/core/scheduling/replica_spread.c
@@ -22,7 +22,10 @@
 
 struct ow_replica_spread ow_replica_spread_of(const struct ow_execution *execution)
 {
-    struct ow_replica_spread spread = {g_hash_table_new(NULL, NULL), g_hash_table_new(NULL, NULL)};
+    struct ow_replica_spread spread = {
+        .on_machine = g_hash_table_new(NULL, NULL),
+        .in_zone = g_hash_table_new(NULL, NULL),
+    };
     for (guint i = 0; i < execution->attempts->len; i++) {
         const struct ow_attempt *attempt = g_ptr_array_index(execution->attempts, i);
         ow_replica_spread_add(&spread, attempt->machine);
--- a/src/core/scheduling/service_replicas.c
+++ b/src/core/scheduling/service_replicas.c
@@ -1,4 +1,3 @@
-/* Services: replicas that run until their job is cancelled, apart from one another. */
 #include "core/scheduling/service_replicas.h"
 
 #include "core/jobs/attempt.h"
@@ -14,13 +13,13 @@
 
 #include <math.h>
 
-/* The cost, in seconds of a later start, of each replica of the same service on the machine, and in its zone:
-   one loss is to take few. */
-static const double SAME_MACHINE_COST_S = 60;
-static const double SAME_ZONE_COST_S = 4;
-/* The cost of each replica of another service on the machine, and of all of them at most. */
-static const double CROWDING_COST_S = 0.2;
-static const double CROWDING_COST_MOST_S = 2;
+/* The score, in seconds of a later start, of each replica of the same service on the machine, and in its
+   zone: one loss is to take few. */
+static const double SAME_MACHINE_S = 60;
+static const double SAME_ZONE_S = 4;
+/* The score of each replica of any service on the machine, and of all of them at most. */
+static const double CROWDING_S = 0.2;
+static const double CROWDING_LIMIT_S = 2;
 
 /* What the job's own rules admit in each zone, by zone index. */
 static GArray *zones_admit(const struct ow_leader *leader, const struct ow_execution *execution)
@@ -35,35 +34,35 @@
 
 /* One loss is to take few replicas of other services as well: of machines that are much alike the one with
    fewer of them is chosen. Never at the price of an image fetch. */
-static void add_crowding_costs(GArray *candidates)
+static void add_crowding_scores(GArray *candidates)
 {
     for (guint i = 0; i < candidates->len; i++) {
         struct ow_candidate *candidate = &g_array_index(candidates, struct ow_candidate, i);
         const GPtrArray *attempts = candidate->machine->attempts;
-        double cost_s = 0;
-        for (guint k = 0; k < attempts->len && cost_s < CROWDING_COST_MOST_S; k++) {
+        double crowding_s = 0;
+        for (guint k = 0; k < attempts->len && crowding_s < CROWDING_LIMIT_S; k++) {
             const struct ow_attempt *attempt = g_ptr_array_index(attempts, k);
             if (ow_execution_is_service(attempt->job->execution))
-                cost_s += CROWDING_COST_S;
+                crowding_s += CROWDING_S;
         }
-        candidate->score_s += MIN(cost_s, CROWDING_COST_MOST_S);
+        candidate->score_s += MIN(crowding_s, CROWDING_LIMIT_S);
     }
 }
 
-/* The cost of one more replica on the machine, higher the more of its service are there or in the zone. */
-static double replica_cost(const struct ow_replica_spread *spread, const struct ow_candidate *candidate)
+/* The score of one more replica on the machine, higher the more of its service are there or in the zone. */
+static double replica_score_s(const struct ow_replica_spread *spread, const struct ow_candidate *candidate)
 {
     const struct ow_machine *machine = candidate->machine;
-    return candidate->score_s + SAME_MACHINE_COST_S * ow_replica_spread_on_machine(spread, machine) +
-           SAME_ZONE_COST_S * ow_replica_spread_in_zone(spread, machine->zone);
+    return candidate->score_s + SAME_MACHINE_S * ow_replica_spread_on_machine(spread, machine) +
+           SAME_ZONE_S * ow_replica_spread_in_zone(spread, machine->zone);
 }
 
-/* The cheapest candidate in an admitted zone; NULL: there is none. */
+/* The candidate with the lowest score in an admitted zone; NULL: there is none. */
 static struct ow_candidate *best_candidate(const struct ow_replica_spread *spread, GArray *candidates,
                                            const GArray *admitted, int only_zone)
 {
     struct ow_candidate *best = NULL;
-    double least = INFINITY;
+    double least_s = INFINITY;
     for (guint i = 0; i < candidates->len; i++) {
         struct ow_candidate *candidate = &g_array_index(candidates, struct ow_candidate, i);
         int zone = candidate->machine->zone;
@@ -71,9 +70,9 @@
             continue;
         if (candidate->slots == 0 || g_array_index(admitted, uint32_t, zone) == 0)
             continue;
-        double cost = replica_cost(spread, candidate);
-        if (cost < least) {
-            least = cost;
+        double score_s = replica_score_s(spread, candidate);
+        if (score_s < least_s) {
+            least_s = score_s;
             best = candidate;
         }
     }
@@ -84,7 +83,8 @@
                           struct ow_machine *machine)
 {
     uint32_t task = ow_bind_next_pending_task(execution);
-    g_info("service %s: replica %u placed on %s", execution->job->id, task, machine->name);
+    g_info("replica placed: job=%s task=%u attempt=%" G_GUINT64_FORMAT " machine=%s", execution->job->id,
+           task, number, machine->name);
     ow_bind_task(leader, execution, task, number, machine);
 }
 
@@ -93,23 +93,19 @@
     uint32_t wanted = ow_team_admits(leader, execution->job->spec, ow_execution_pending(execution));
     if (wanted == 0)
         return;
-    GArray *candidates = ow_candidates_find(leader, execution);
-    int only_zone = OW_NO_NAME;
-    if (execution->job->spec->submission->one_zone)
-        only_zone = ow_candidates_best_zone(execution, candidates);
+    g_autoptr(GArray) candidates = ow_candidates_find(leader, execution);
+    bool one_zone = execution->job->spec->submission->one_zone;
+    int only_zone = one_zone ? ow_candidates_best_zone(execution, candidates) : OW_NO_NAME;
     uint64_t number = ow_execution_next_attempt(execution);
-    struct ow_replica_spread spread = ow_replica_spread_of(execution);
-    add_crowding_costs(candidates);
+    g_auto(ow_replica_spread) spread = ow_replica_spread_of(execution);
+    add_crowding_scores(candidates);
     for (; wanted > 0; wanted--) {
-        GArray *admitted = zones_admit(leader, execution);
+        g_autoptr(GArray) admitted = zones_admit(leader, execution);
         struct ow_candidate *candidate = best_candidate(&spread, candidates, admitted, only_zone);
-        g_array_free(admitted, TRUE);
         if (candidate == NULL)
             break;
         candidate->slots--;
         ow_replica_spread_add(&spread, candidate->machine);
         place_replica(leader, execution, number, candidate->machine);
     }
-    ow_replica_spread_clear(&spread);
-    g_array_free(candidates, TRUE);
 }
