--- a/src/core/core.c
+++ b/src/core/core.c
@@ -25,10 +25,10 @@
 #include "model/event.h"
 #include "model/submission.h"
 
-/* How long the core may rest when nothing comes in. */
+/* Longest time between two steps when no event comes. */
 static const double IDLE_S = 0.05;
 
-/* ---- what the election brings about ---- */
+/* ---- callbacks of the election ---- */
 
 static void begin_to_lead(struct ow_core *core, uint64_t fencing_token)
 {
@@ -46,7 +46,7 @@
     .end_leading = end_leading,
 };
 
-/* ---- life ---- */
+/* ---- creation and destruction ---- */
 
 static struct ow_interners new_interners(void)
 {
@@ -128,7 +128,7 @@
 static void handle_heartbeat(struct ow_core *core, const struct ow_event *event)
 {
     ow_hello_note_worker_heartbeat(core->hello);
-    /* A worker that has seen a higher fencing token obeys another leader: we must not act for it. */
+    /* A worker that has seen a higher fencing token obeys another leader: if we lead, our term ends here. */
     ow_election_observe_fencing_token(core->election, event->heartbeat->fencing_token, NULL);
     if (core->leader != NULL) {
         ow_heartbeat_answer(core->leader, event->request, event->heartbeat);
@@ -214,7 +214,7 @@
     return effects;
 }
 
-/* ---- what the process asks ---- */
+/* ---- queries of the shard manager ---- */
 
 double ow_core_idle_seconds(const struct ow_core *core)
 {
--- a/src/core/core_state.h
+++ b/src/core/core_state.h
@@ -1,6 +1,7 @@
 /** @file
- * One controller's core: what its parts share, and what they ask of it. Owned by core.c; nothing outside
- * src/core sees it. The parts are opaque here: each is changed by its own module alone.
+ * The state of a core, which its modules share, and the functions by which they emit effects and send
+ * requests. Private to src/core and owned by core.c. The modules' structs are opaque here: only the module of
+ * that name changes them.
  */
 #ifndef OW_CORE_CORE_STATE_H
 #define OW_CORE_CORE_STATE_H
@@ -30,23 +31,24 @@
 struct ow_store_health;
 struct ow_type_discovery;
 
-/** One queue for each kind of event, worked off in the order of the kinds. */
+/** One queue for each kind of event, handled in the order of the kinds. */
 enum { OW_EVENT_QUEUES = OW_EVENT_SUBMIT + 1 };
 
 /** The core of a controller. */
 struct ow_core {
     const struct ow_settings *settings; /**< not owned */
     const struct ow_tuning *tuning;     /**< not owned */
-    uint64_t nonce;                     /**< tells this process from others of the same name */
+    uint64_t nonce; /**< distinguishes this process from earlier ones of the same controller name */
 
-    /* The step under way: core.c. */
-    double now;                     /**< steady clock, in seconds */
-    double time_of_day;             /**< roughly: nothing that must be safe rests on it */
+    /* The current step: core.c. */
+    double now;         /**< monotonic clock, in seconds */
+    double time_of_day; /**< seconds since 1970, approximate: used for the age of jobs, never for a safety
+                           decision */
     GQueue queues[OW_EVENT_QUEUES]; /**< struct ow_event, one queue for each kind */
     GPtrArray *effects;             /**< struct ow_effect, of this step so far */
     struct ow_pending_calls *pending_calls;
 
-    /* What is known of the world. */
+    /* Copies of outside state. */
     struct ow_interners interners;
     struct ow_jobs *jobs; /**< the job table */
     struct ow_job_cache *job_cache;
@@ -57,7 +59,7 @@
     struct ow_peer_status *peer_status;
     struct ow_machine_hints *machine_hints;
 
-    /* What it does. */
+    /* Components with work of their own in every step. */
     struct ow_election *election;
     struct ow_leader *leader; /**< NULL while this controller does not lead */
     struct ow_cancellation_ack *cancellation_ack;
@@ -65,20 +67,20 @@
     struct ow_hello *hello;
 };
 
-/** Queues an effect for the caller of the core, which it then belongs to. */
+/** Appends an effect to those of this step; the caller of ow_core_step() owns it. */
 void ow_core_emit(struct ow_core *core, struct ow_effect *effect);
-/** Answers a user's request with an error; `text` is copied. `status` is the HTTP status, `retry_after_s`
- * when the user is to come again; 0: not told. */
+/** Answers a user's request with an error; `text` is copied. `status` is the HTTP status; `retry_after_s` the
+ * value of Retry-After, 0: no such header. */
 void ow_core_reject_request(struct ow_core *core, uint64_t request, int status, const char *text,
                             int retry_after_s);
-/** Sends a request to the key-value store, taking it over. `callback` (NULL: the answer is ignored) gets
- * `owner` and `data`; `free_data` frees `data` afterwards and may be NULL. */
+/** Sends a request to the key-value store and takes ownership of it. `callback` (NULL: the answer is ignored)
+ * gets `owner` and `data`; `free_data` frees `data` afterwards and may be NULL. */
 void ow_core_call_store(struct ow_core *core, struct ow_store_request *request, ow_call_fn callback,
                         void *owner, void *data, void (*free_data)(void *));
-/** The same to the cloud, where `callback` must not be NULL. */
+/** Sends a request to the cloud; like ow_core_call_store(), but `callback` must not be NULL. */
 void ow_core_call_cloud(struct ow_core *core, struct ow_cloud_request *request, ow_call_fn callback,
                         void *owner, void *data, void (*free_data)(void *));
-/** Sends a message to all peers, taking it over. */
+/** Sends a message to all peers and takes ownership of it. */
 void ow_core_send_to_peers(struct ow_core *core, struct ow_peer_message *message);
 
 #endif
--- a/src/core/election/election.c
+++ b/src/core/election/election.c
@@ -6,7 +6,7 @@
 #include "core/election/leader_lease.h"
 #include "core/election/succession.h"
 
-/* How long a leader that has stepped down for the workers' sake leaves the key to others. */
+/* After ow_election_yield() this controller leaves the key to others for this long. */
 static const double YIELD_S = 15;
 
 struct ow_election *ow_election_new(struct ow_core *core, const struct ow_election_callbacks *callbacks)
@@ -57,8 +57,8 @@
 {
     if (!ow_succession_may_replace_ended(election, controller_name))
         return;
-    /* Safe even if the hint is wrong: the fencing token and the conditions of every write depose the old one.
-     */
+    /* A wrong hint is safe: the new fencing token and the compare on the leader key in every write depose the
+       old leader. */
     g_info("leader seems to have ended: controller=%s", controller_name);
     election->act_at = election->core->now;
     ow_election_run_for_leader(election);
@@ -101,7 +101,7 @@
 static void replace_outdated_leader(struct ow_election *election)
 {
     g_info("leader is of an earlier version and is replaced: controller=%s", election->leader_name);
-    election->key.held_since = election->core->now; /* should it fail, it is not tried again at once */
+    election->key.held_since = election->core->now; /* if the attempt fails, the next one waits again */
     ow_election_run_for_leader(election);
 }
 
@@ -121,7 +121,7 @@
         ow_leader_key_watch(election);
 }
 
-/* Does what is due in the stages before this controller leads. */
+/* Does what is due while this controller does not lead. */
 static void tick_candidate(struct ow_election *election)
 {
     if (election->is_busy || election->core->now < election->act_at)
--- a/src/core/election/election.h
+++ b/src/core/election/election.h
@@ -1,7 +1,7 @@
 /** @file
- * Who leads: a key of the key-value store, attached to a short lease. The revision of the write that took the
- * key is the leader's fencing token, so fencing tokens only grow. The module owns `struct ow_election`; the
- * term of this controller begins and ends by its callbacks alone.
+ * Leader election: the leader holds a key in the key-value store that is attached to a short lease. The
+ * revision of the write that took the key is the leader's fencing token, so fencing tokens only grow. The
+ * module owns `struct ow_election`; a term of this controller begins and ends only through its callbacks.
  */
 #ifndef OW_CORE_ELECTION_ELECTION_H
 #define OW_CORE_ELECTION_ELECTION_H
@@ -17,34 +17,36 @@
 /** An election in which this controller has not taken part yet; freed by ow_election_free(). `core` and
  * `callbacks` must outlive it. */
 struct ow_election *ow_election_new(struct ow_core *core, const struct ow_election_callbacks *callbacks);
-/** Frees it without calling back: the owner ends its term itself. */
+/** Frees it without calling back; the owner must free the leader itself. */
 void ow_election_free(struct ow_election *election);
-/** Whether this controller may take the leader key (at first it may), and how long it leaves a missing one to
- * others before it takes it (at first not at all). */
+/** Sets whether this controller may take the leader key (initially true), and for how many seconds it leaves
+ * a missing key to other candidates (initially 0). */
 void ow_election_set_candidacy(struct ow_election *election, bool may_lead, double delay_s);
 /** Sends what is due: reads, watches and writes of the key, and renewals of its lease. */
 void ow_election_tick(struct ow_election *election);
 /** Our fencing token; 0 while we do not lead. */
 uint64_t ow_election_fencing_token(const struct ow_election *election);
-/** The revision of the leader's key as we know it, ours included; 0: nobody holds it, or it is unknown. */
+/** The last known mod_revision of the leader key, also while this controller holds it; 0: the key does not
+ * exist, or is unknown. */
 uint64_t ow_election_key(const struct ow_election *election);
-/** Whether the key-value store has shown that nobody holds the key, and nobody is known to have taken it
- * since. */
+/** Whether the key did not exist when it was last read, and no new holder is known since. */
 bool ow_election_key_is_missing(const struct ow_election *election);
-/** A write of ours showed that the key is not as we know it. */
+/** A compare on the leader key failed: our copy of it is stale. Ends our term if we lead, and reads the key
+ * again. */
 void ow_election_invalidate(struct ow_election *election);
 /** The name of the controller that leads as far as we know, or NULL; valid until the next event. */
 const char *ow_election_leader_name(const struct ow_election *election);
-/** Somebody has seen this fencing token. A fencing token higher than ours ends our term; `leader_name` is its
- * holder's name, or NULL if unknown. */
+/** Takes note of a fencing token seen in a message or heartbeat. One higher than ours ends our term.
+ * `leader_name` is its holder's name, or NULL if unknown. */
 void ow_election_observe_fencing_token(struct ow_election *election, uint64_t fencing_token,
                                        const char *leader_name);
-/** A controller seems to have ended. If it leads, its key is taken over without waiting for its lease. */
+/** Handles the hint that a controller's process has ended. If it leads, this controller tries to take the key
+ * without waiting for the lease to expire. */
 void ow_election_peer_ended(struct ow_election *election, const char *controller_name);
-/** Gives up leadership, as when workers cannot reach us: the key is deleted, and we try again only later.
- * `why` is for the log. */
+/** Gives up leadership, for example because no worker reaches this controller: deletes the key, and leaves it
+ * to others for a while. `why` is for the log. */
 void ow_election_yield(struct ow_election *election, const char *why);
-/** A write of ours failed because the key has changed hands. */
+/** A write failed its compare on the leader key: another controller has taken it. Ends our term. */
 void ow_election_deposed(struct ow_election *election);
 
 #endif
--- a/src/core/election/election_state.c
+++ b/src/core/election/election_state.c
@@ -5,7 +5,7 @@
 
 #include <glib.h>
 
-/* A lease is renewed so often in its time: some renewals may fail before it expires. */
+/* Renewals per lease duration: several may fail before the lease expires. */
 static const double RENEWALS_PER_LEASE = 4;
 
 double ow_election_renewal_interval_s(const struct ow_election *election)
@@ -15,7 +15,7 @@
 
 void ow_election_set_leader_name(struct ow_election *election, const char *leader_name)
 {
-    /* The name may be the one that is replaced. */
+    /* `leader_name` may point to the string that is freed below. */
     char *copy = g_strdup(leader_name);
     g_free(election->leader_name);
     election->leader_name = copy;
--- a/src/core/election/election_state.h
+++ b/src/core/election/election_state.h
@@ -14,12 +14,12 @@
 /** How long after a failed request the next one is sent. */
 static const double OW_ELECTION_RETRY_S = 0.4;
 
-/** Where this controller stands on the way to lead. */
+/** The stage of this controller between follower and leader. */
 enum ow_election_stage {
-    OW_ELECTION_LOOKING, /**< another controller may lead: its key is read and watched */
-    OW_ELECTION_LEASING, /**< a lease is obtained, to take the key with it */
-    OW_ELECTION_TAKING,  /**< the key is written */
-    OW_ELECTION_LEADING, /**< the key is ours, as far as we know */
+    OW_ELECTION_LOOKING, /**< follower: the leader key is read and watched */
+    OW_ELECTION_LEASING, /**< candidate: obtains a lease to attach the key to */
+    OW_ELECTION_TAKING,  /**< candidate: writes the key */
+    OW_ELECTION_LEADING, /**< leader: this controller holds the key, as far as it knows */
 };
 
 /** Whether and when this controller may take the leader key. */
@@ -30,11 +30,11 @@
 
 /** The leader key as last read or watched: leader_key.c. */
 struct ow_known_key {
-    bool is_known;         /**< the rest, and the leader's name, are from the key-value store */
-    bool is_missing;       /**< as last read, nobody held it; stays true while the reading is repeated */
-    bool has_waited;       /**< the missing key has been left to others for the election delay */
+    bool is_known;         /**< the other fields, and the leader's name, have been read from the store */
+    bool is_missing;       /**< nobody held it when it was last read; kept while it is read again */
+    bool has_waited;       /**< the candidacy delay for the missing key has passed */
     uint64_t mod_revision; /**< of its last change; 0: nobody holds it */
-    double held_since;     /**< when we first saw its present holder */
+    double held_since;     /**< when this controller first saw its present holder */
 };
 
 /** The watch of the leader key: leader_key.c. */
@@ -51,7 +51,7 @@
     double renew_at;  /**< no renewal before this time */
 };
 
-/** The election, as one controller takes part in it. */
+/** One controller's part in the election. */
 struct ow_election {
     struct ow_core *core;
     const struct ow_election_callbacks *callbacks;
@@ -64,22 +64,22 @@
     struct ow_leader_lease lease;
     char *leader_name; /**< owned; who leads, if it is another controller; NULL: unknown or nobody */
     uint64_t seen_fencing_token; /**< the highest known */
-    uint64_t replaced_revision;  /**< the mod_revision that our attempt to take the key replaces */
+    uint64_t replaced_revision;  /**< the mod_revision that our write of the key expected */
     uint64_t fencing_token;      /**< ours in stage OW_ELECTION_LEADING; else of our last term, 0: none */
     double began_at;             /**< when that term began */
 };
 
 /** Replaces the name of the leader by a copy of `leader_name`; NULL: unknown or nobody. */
 void ow_election_set_leader_name(struct ow_election *election, const char *leader_name);
-/** Begins again with reading the key, `after_s` seconds from now. */
+/** Starts over by reading the key, `after_s` seconds from now. */
 void ow_election_look_again(struct ow_election *election, double after_s);
-/** Tries to take the key, with a new lease: one from an earlier try may have expired. */
+/** Becomes a candidate, with a new lease: one from an earlier attempt may have expired. */
 void ow_election_run_for_leader(struct ow_election *election);
 /** Begins to lead with a fencing token, the revision of the write that took the key. */
 void ow_election_begin_to_lead(struct ow_election *election, uint64_t fencing_token);
 /** Ends our term if we lead, and reads the key again. `why` is for the log. */
 void ow_election_step_down(struct ow_election *election, const char *why);
-/** From the beginning of a lease, or its last renewal, to the next renewal. */
+/** Seconds from the grant or last renewal of a lease to its next renewal. */
 double ow_election_renewal_interval_s(const struct ow_election *election);
 
 #endif
--- a/src/core/election/leader_key.c
+++ b/src/core/election/leader_key.c
@@ -10,7 +10,7 @@
 /* How long one watch lasts, and the time from the end of one to the next. */
 static const double WATCH_S = 20;
 static const double WATCH_GAP_S = 0.2;
-/* How often a controller that may not lead looks whether anybody does. */
+/* How often a controller that may not lead reads a missing key again. */
 static const double ONLOOKER_INTERVAL_S = 1;
 
 bool ow_leader_key_is_own_name(const struct ow_election *election, const char *name)
@@ -23,9 +23,9 @@
     return g_strdup_printf("%016" G_GINT64_MODIFIER "x", election->core->nonce);
 }
 
-/* Whether this process has written the key with the lease that it still holds, and has not led with it yet.
-   A fencing token that it has led with and given up is not taken up again: launches sent under it may still
-   be on their way. */
+/* Whether this process wrote the key with the lease that it still holds, and has not led under this revision
+   yet. A fencing token is never used for a second term: launches sent in the first one may still be in
+   flight. */
 static bool is_own_write(const struct ow_election *election, uint64_t mod_revision, const char *leader_name,
                          const char *nonce)
 {
@@ -49,7 +49,7 @@
     key->has_waited = false;
 }
 
-/* An earlier process of this name, which has ended, holds the key: it need not expire first. */
+/* An earlier process of this controller holds the key. It has ended, so its lease need not expire first. */
 static void replace_earlier_process(struct ow_election *election)
 {
     ow_election_set_leader_name(election, NULL);
@@ -64,7 +64,7 @@
     wire_leader_record_decode(item->value, &leader_name, &nonce);
     note_holder(election, item->mod_revision);
     if (is_own_write(election, item->mod_revision, leader_name, nonce)) {
-        /* The answer to our own write was lost, but it was carried out. */
+        /* Our own write was committed, but its reply was lost. */
         ow_election_begin_to_lead(election, item->mod_revision);
     } else if (ow_leader_key_is_own_name(election, leader_name)) {
         replace_earlier_process(election);
@@ -85,7 +85,7 @@
     if (!candidacy->may_lead) {
         ow_election_look_again(election, ONLOOKER_INTERVAL_S);
     } else if (candidacy->delay_s > 0 && !key->has_waited) {
-        /* Others go first: the key is read once more when their time is over. */
+        /* Other candidates go first; the key is read again after the delay. */
         key->has_waited = true;
         ow_election_look_again(election, candidacy->delay_s);
     } else {
@@ -123,7 +123,7 @@
 
 static void handle_failed_watch(struct ow_election *election, int status)
 {
-    /* The changes since this revision are not available any more. */
+    /* The store no longer keeps the changes since this revision. */
     if (status == OW_HTTP_STATUS_GONE)
         election->watch.since_revision = 0;
     if (election->stage == OW_ELECTION_LOOKING)
--- a/src/core/election/leader_key.h
+++ b/src/core/election/leader_key.h
@@ -1,5 +1,5 @@
 /** @file
- * The leader key as the key-value store shows it: reading and watching it while another controller leads.
+ * Reads and watches the leader key while this controller does not lead.
  */
 #ifndef OW_CORE_ELECTION_LEADER_KEY_H
 #define OW_CORE_ELECTION_LEADER_KEY_H
@@ -10,7 +10,7 @@
 
 /** Whether the name is that of this controller. */
 bool ow_leader_key_is_own_name(const struct ow_election *election, const char *name);
-/** The text by which this process recognizes a key that it has written; the caller frees it. */
+/** The nonce that this process writes into the key, to recognize its own write; the caller frees it. */
 char *ow_leader_key_nonce(const struct ow_election *election);
 /** Reads the key. No request of the stage may be under way. */
 void ow_leader_key_read(struct ow_election *election);
--- a/src/core/election/leader_lease.c
+++ b/src/core/election/leader_lease.c
@@ -43,8 +43,8 @@
         ow_election_begin_to_lead(election, answer->store.revision);
         return;
     }
-    /* No response: the write may have been carried out, so the key is read before anything else.
-       A refused lease must not be used again. */
+    /* Without a response the write may have been committed, so the key is read before anything else.
+       BAD_REQUEST means that the lease has expired: it must not be used again. */
     if (status == OW_HTTP_STATUS_BAD_REQUEST)
         election->lease.id = 0;
     ow_election_look_again(election, status == OW_HTTP_STATUS_CONFLICT ? 0 : OW_ELECTION_RETRY_S);
@@ -70,7 +70,8 @@
     election->lease.is_renewing = false;
     if (election->stage != OW_ELECTION_LEADING || *lease_id != election->lease.id)
         return;
-    /* In an outage the lease keeps its full time, so only a clear "no such lease" ends our term. */
+    /* After an outage of the store every lease has its full duration again, so failed renewals prove nothing:
+       only a definite "no such lease" ends our term. */
     if (status == OW_HTTP_STATUS_NOT_FOUND) {
         ow_election_step_down(election, "its lease has expired");
         return;
--- a/src/core/election/leader_lease.h
+++ b/src/core/election/leader_lease.h
@@ -1,5 +1,5 @@
 /** @file
- * Taking the leader key, with a lease to which it is attached, and keeping that lease.
+ * Takes the leader key with a lease attached to it, and renews that lease.
  */
 #ifndef OW_CORE_ELECTION_LEADER_LEASE_H
 #define OW_CORE_ELECTION_LEADER_LEASE_H
@@ -12,7 +12,7 @@
 void ow_leader_lease_take_key(struct ow_election *election);
 /** Renews the lease: stage OW_ELECTION_LEADING. No renewal may be under way. */
 void ow_leader_lease_renew(struct ow_election *election);
-/** Deletes our own key, so that another controller can take it at once. */
+/** Deletes the key that this controller holds, so that another one can take it at once. */
 void ow_leader_lease_release_key(struct ow_election *election);
 
 #endif
--- a/src/core/election/succession.c
+++ b/src/core/election/succession.c
@@ -8,14 +8,15 @@
 #include "model/records.h"
 #include "util/clock_drift.h"
 
-/* Slack, beyond clock drift, for messages under way and for a worker's last heartbeat. */
+/* Slack beyond clock drift, for messages in flight and for a worker's last heartbeat. */
 static const double MARGIN_S = 3;
-/* However short the time for cancellations, a leader bears the silence of the store for so many leases. */
+/* However short `cancel_s` is, a leader tolerates a silent store for this many lease durations. */
 static const double LEASES_LEAST = 2;
-/* A leader so young is not taken over on a hint: two that can't reach each other would take turns. */
+/* A hint (a lost link) does not replace a leader that has held the key for less than this: two controllers
+   that can't reach each other would otherwise depose each other in turn. */
 static const double HINT_AGE_S = 8;
-/* During an upgrade: how long a controller that has just come back lets a leader of an earlier version lead,
-   and how recently that leader must have said which version it is. */
+/* During a rolling upgrade: how long an outdated leader must have held the key before it is replaced, and how
+   recently both it and this controller must have reached the store. */
 static const double OUTDATED_LEADER_S = 2;
 static const double PEER_FRESH_S = 5;
 
@@ -30,12 +31,11 @@
     return election->core->now - election->key.held_since >= HINT_AGE_S;
 }
 
-/* A leader that gets no answer at all from the key-value store, not even a refusal, may be cut off, alone
-   or together with workers and other controllers, and have a successor whose cancellations it does not hear
-   of: by answering heartbeats it would keep their tasks alive. It stops so early that leases expire within
-   the time that a cancelled task may last. In an ordinary outage the refusals themselves show that it is not
-   cut off.
- */
+/* A leader that gets no response at all from the key-value store, not even an error status, may be
+   partitioned from it, alone or together with workers and other controllers. A successor may then exist whose
+   cancellations it does not see; by answering heartbeats it would renew the leases of workers and keep
+   cancelled tasks running. So it steps down early enough for these leases to expire within `cancel_s`. In an
+   ordinary outage the store answers with an error status, which proves that the leader is not partitioned. */
 bool ow_succession_is_cut_off(const struct ow_election *election)
 {
     const struct ow_core *core = election->core;
--- a/src/core/election/succession.h
+++ b/src/core/election/succession.h
@@ -1,6 +1,6 @@
 /** @file
- * When leadership moves before a lease has expired: from a leader that has ended, that is cut off, or that is
- * about to be replaced by a newer version. The module decides only; it changes nothing.
+ * Decides when leadership moves before a lease has expired: from a leader that has ended, that is partitioned
+ * from the store, or whose version an upgrade is about to replace. It only decides; it changes nothing.
  */
 #ifndef OW_CORE_ELECTION_SUCCESSION_H
 #define OW_CORE_ELECTION_SUCCESSION_H
@@ -11,11 +11,12 @@
 
 /** Whether the key may be taken because the controller of this name has ended. */
 bool ow_succession_may_replace_ended(const struct ow_election *election, const char *controller_name);
-/** Whether we, the leader, are cut off from the key-value store for so long that we must stop leading. */
+/** Whether this controller, the leader, has had no response from the key-value store for so long that it must
+ * step down. */
 bool ow_succession_is_cut_off(const struct ow_election *election);
-/** Whether the leader's process is of an earlier version, which an upgrade is about to replace. Leadership
- * then moves once, now, instead of with every process of that version that happens to hold it as its turn
- * comes. An earlier version never takes it back for this reason, so the two do not alternate. */
+/** Whether the leader runs an earlier version, which a rolling upgrade is about to restart. Replacing it now
+ * moves leadership once; otherwise it might move at every restart of a controller of that version. Earlier
+ * versions do not replace a newer leader for this reason, so leadership does not alternate. */
 bool ow_succession_leader_is_outdated(const struct ow_election *election);
 
 #endif
--- a/src/core/leader/cutoff_detection.c
+++ b/src/core/leader/cutoff_detection.c
@@ -5,14 +5,15 @@
 #include "core/machines/machine.h"
 #include "core/peers/peer_status.h"
 
-/* Silent for so many heartbeat intervals, all machines together count as lost. */
+/* After this many heartbeat intervals without a message from any machine, all count as unreachable. */
 static const double LOST_HEARTBEATS = 2.5;
-/* How recently a peer must have said that workers send it heartbeats. */
+/* How recently a peer must have announced that workers send it heartbeats. */
 static const double PEER_RECENT_S = 3;
-/* One machine alone may be at fault itself. */
+/* With a single machine its silence may be its own fault. */
 enum { EXPECTED_LEAST = 2 };
 
-/* When the newest message of any machine came; no machine is missed before the leader is ready. */
+/* Time of the newest message of any machine; not before the leader became ready, as no heartbeat was due
+   until then. */
 static double last_message_at(const struct ow_leader *leader)
 {
     double last_at = leader->ready_at;
@@ -34,7 +35,8 @@
     return expected;
 }
 
-/* Workers of a leader that stands still wait for its answer before they turn to its successor. */
+/* How long all machines may be silent. After a leader stalls, its workers wait for a reply until
+   OW_HEARTBEAT_TIMEOUT_S before they try another controller. */
 static double patience_s(const struct ow_leader *leader)
 {
     double heartbeat_interval_s = leader->core->settings->heartbeat_interval_s;
--- a/src/core/leader/cutoff_detection.h
+++ b/src/core/leader/cutoff_detection.h
@@ -1,5 +1,5 @@
 /** @file
- * Whether this controller leads without hearing any worker, while another controller hears them.
+ * Detects that no worker reaches this leader while workers reach another controller.
  */
 #ifndef OW_CORE_LEADER_CUTOFF_DETECTION_H
 #define OW_CORE_LEADER_CUTOFF_DETECTION_H
@@ -8,9 +8,9 @@
 
 struct ow_leader;
 
-/** Whether every worker has fallen silent at once while they send heartbeats to other controllers: it is this
- * controller that is cut off from them, even if it reaches the key-value store. Where they send none,
- * they are gone. */
+/** Whether no machine has sent anything here for some heartbeat intervals while a peer receives heartbeats.
+ * Then this controller is cut off from the workers, even if it reaches the key-value store. If no peer
+ * receives heartbeats either, the workers are gone, and another leader would not help. */
 bool ow_cutoff_detection_is_cut_off(const struct ow_leader *leader);
 
 #endif
--- a/src/core/leader/cycle_timer.c
+++ b/src/core/leader/cycle_timer.c
@@ -4,23 +4,22 @@
 #include "core/leader/leader_state.h"
 #include "core/scheduling/schedule.h"
 
-/* The least and the longest time from one cycle to the next. */
+/* The minimum and maximum time from one cycle to the next. */
 static const double GAP_S = 0.1;
 static const double INTERVAL_MAX_S = 1;
-/* Up to so many machines cycles follow each other as soon as GAP_S allows. */
+/* Fleet size up to which the minimum is GAP_S; in a larger fleet it grows in proportion. */
 static const double GAP_MACHINES = 1500;
 
 static bool is_due(const struct ow_leader *leader)
 {
     double now = leader->core->now;
     double last_at = leader->cycle.last_at;
-    /* A cycle looks at every machine: in a large fleet cycles are as much rarer as there are more machines.
-     */
+    /* The cost of a cycle is proportional to the number of machines. */
     double gap_s = GAP_S * MAX(1, (double)leader->machines->len / GAP_MACHINES);
     return (leader->cycle.due && now >= last_at + gap_s) || now >= last_at + INTERVAL_MAX_S;
 }
 
-/* What users and other controllers are shown of the jobs. */
+/* Updates the task counts that users and other controllers are shown. */
 static void update_job_counts(struct ow_leader *leader)
 {
     for (guint i = 0; i < leader->executions->len; i++) {
--- a/src/core/leader/heartbeat_answer.c
+++ b/src/core/leader/heartbeat_answer.c
@@ -9,10 +9,9 @@
 #include "model/effect.h"
 #include "model/worker.h"
 
-/* A worker has one heartbeat under way at a time, and when it gets no answer turns to the next controller
-   after OW_HEARTBEAT_TIMEOUT_S. So a heartbeat that comes sooner after the last one shows that our answer to
-   that one arrived: the machine receives our answers, whatever has become of the commands sent to its own
-   address. */
+/* A worker has one heartbeat in flight, and tries the next controller if it gets no reply within
+   OW_HEARTBEAT_TIMEOUT_S. So a heartbeat that follows the last one sooner proves that our reply arrived: the
+   machine can be commanded by replies even if commands sent to its own address fail. */
 static void note_answers_arrive(struct ow_machine *machine, double now)
 {
     if (machine->last_heartbeat_at > 0 && now - machine->last_heartbeat_at < OW_HEARTBEAT_TIMEOUT_S)
@@ -25,15 +24,15 @@
     return machine != NULL ? machine->incarnation : 0;
 }
 
-/* Whether nothing newer is known of the machine: late copies of heartbeats say nothing. */
+/* Whether this is the machine's newest heartbeat. Delayed duplicates say nothing about its present state. */
 static bool is_newest(const struct ow_machine *machine, const struct ow_heartbeat *heartbeat)
 {
     return machine != NULL && heartbeat->incarnation == machine->incarnation &&
            heartbeat->sequence == machine->sequence;
 }
 
-/* Whether the worker accepts commands of this leader, and this leader knows what to command. Commands go only
-   to the incarnation that they are meant for, and not in answer to a late copy. */
+/* Whether the reply may carry commands: the worker accepts this leader's commands, and the leader is ready.
+   Commands go only to the incarnation that they are meant for, and not in reply to a delayed duplicate. */
 static bool may_be_commanded(const struct ow_leader *leader, const struct ow_machine *machine,
                              const struct ow_heartbeat *heartbeat)
 {
@@ -41,8 +40,8 @@
            heartbeat->fencing_token == leader->fencing_token && leader->phase == OW_LEADER_READY;
 }
 
-/* The commands of the answer, as struct ow_worker_command. `clears` are those that the heartbeat itself has
-   brought about. */
+/* The commands of the reply (struct ow_worker_command). `clears` are those that reconciling this heartbeat
+   has produced. */
 static GArray *choose_commands(struct ow_leader *leader, struct ow_machine *machine,
                                const struct ow_heartbeat *heartbeat, const GArray *clears)
 {
@@ -66,8 +65,9 @@
         machine->last_heartbeat_at = leader->core->now;
     }
     struct ow_effect *effect = ow_effect_new(OW_EFFECT_WORKER_COMMANDS, request);
-    /* Until the job table has been read, an answer could keep tasks alive whose cancellation has been
-       acknowledged to a user. One without our fencing token renews nothing, and the worker stays. */
+    /* Until the job table has been read, renewing the worker's lease could keep a task running whose
+       cancellation has been acknowledged to a user. A reply without our fencing token does not renew the
+       lease, but keeps the worker from trying another controller. */
     effect->fencing_token = leader->phase == OW_LEADER_REFRESH ? 0 : leader->fencing_token;
     effect->commands = choose_commands(leader, machine, heartbeat, clears);
     ow_core_emit(leader->core, effect);
--- a/src/core/leader/job_cancellation.c
+++ b/src/core/leader/job_cancellation.c
@@ -6,9 +6,9 @@
 #include "core/leader/leader_state.h"
 #include "core/machines/machine.h"
 
-/* Whether an attempt of a cancelled job is where it can only end: running, on a machine that accepts commands
-   of this leader alone. Whatever has yet to begin might do so after the cancellation was acknowledged, for as
-   long as its stop is on the way. */
+/* Whether an attempt of a cancelled job can only end from now on: it is running, on a machine that accepts
+   commands of this leader alone. An attempt that has not begun might still begin after the cancellation was
+   acknowledged, while its stop is in flight. */
 static bool can_only_end(const struct ow_attempt *attempt)
 {
     return attempt->stop && attempt->state == OW_ATTEMPT_SEEN && attempt->machine->fenced &&
@@ -17,7 +17,7 @@
 
 bool ow_job_cancellation_apply(struct ow_leader *leader, struct ow_job *job)
 {
-    /* Before it is ready a leader does not know what there is to end. */
+    /* Before the leader is ready it does not know all attempts of the job. */
     if (leader->phase != OW_LEADER_READY)
         return false;
     ow_leader_request_cycle(leader);
--- a/src/core/leader/job_cancellation.h
+++ b/src/core/leader/job_cancellation.h
@@ -1,5 +1,6 @@
 /** @file
- * Applying a cancellation on the leader: its stops, and whether anything of the job may still start.
+ * Applies a cancellation on the leader: stops the job's attempts, and tells whether any of them may still
+ * start.
  */
 #ifndef OW_CORE_LEADER_JOB_CANCELLATION_H
 #define OW_CORE_LEADER_JOB_CANCELLATION_H
@@ -9,8 +10,8 @@
 struct ow_job;
 struct ow_leader;
 
-/** Applies a committed cancellation: its stops are queued. False while something of the job may still start,
- * or before the leader is ready and knows all its tasks; it is to be repeated then. */
+/** Applies a committed cancellation: queues the stops of all attempts. Returns false while an attempt of the
+ * job may still start, or before the leader is ready; the caller repeats it then. */
 bool ow_job_cancellation_apply(struct ow_leader *leader, struct ow_job *job);
 
 #endif
--- a/src/core/leader/leader.c
+++ b/src/core/leader/leader.c
@@ -84,7 +84,8 @@
     g_free(leader);
 }
 
-/* Checks machines when that is due. False if the leader found itself cut off: it is freed by then. */
+/* Checks the health of machines when that is due. Returns false if the leader has stepped down because it is
+   cut off: it has been freed then. */
 static bool check_health(struct ow_leader *leader)
 {
     double now = leader->core->now;
--- a/src/core/leader/leader_state.h
+++ b/src/core/leader/leader_state.h
@@ -1,6 +1,6 @@
 /** @file
- * The state of a leader, which exists only while this controller holds the leader key. A field is changed by
- * the module named at it alone; the opaque ones belong to the module of their name.
+ * The state of a leader, which exists only while this controller holds the leader key. Only the module named
+ * in a field's comment changes it; an opaque struct belongs to the module of the same name.
  */
 #ifndef OW_CORE_LEADER_LEADER_STATE_H
 #define OW_CORE_LEADER_LEADER_STATE_H
@@ -36,11 +36,11 @@
     double gpu_cpus;             /* gpu_reserve.c: CPUs that a GPU needs to be of use, by the open jobs */
 };
 
-/** How far a new leader is with taking over. Only failover.c moves it on. */
+/** The phases of a new leader's failover. Only failover.c changes the phase. */
 enum ow_leader_phase {
-    OW_LEADER_REFRESH, /**< the job table is brought up to date */
-    OW_LEADER_LOADING, /**< the progress records are read */
-    OW_LEADER_READY,   /**< everything is known: it decides */
+    OW_LEADER_REFRESH, /**< the copy of the job table is being refreshed */
+    OW_LEADER_LOADING, /**< the progress records are being read */
+    OW_LEADER_READY,   /**< all records are known: the leader makes decisions */
 };
 
 /** The leader of a shard. */
@@ -54,10 +54,10 @@
     /* Machines. */
     GHashTable *machines_by_name;  /**< name -> struct ow_machine, not owned: machine_registry.c */
     GPtrArray *machines;           /**< struct ow_machine, owned: machine_registry.c */
-    uint32_t heartbeat_generation; /**< heartbeats taken in so far: reconciliation.c */
+    uint32_t heartbeat_generation; /**< count of heartbeats applied: reconciliation.c */
     struct ow_command_queue *command_queue;
-    unsigned probes; /**< direct commands under way to machines that may not answer: worker_commands.c */
-    struct ow_rate_limiter cloud_limiter; /**< of all calls to the cloud, by whichever module */
+    unsigned probes; /**< direct commands in flight to unresponsive machines: worker_commands.c */
+    struct ow_rate_limiter cloud_limiter; /**< shared by all modules that call the cloud */
     struct ow_fleet *fleet;
     struct ow_scale_out *scale_out;
     GArray *offer_refusals; /**< struct ow_offer_refusal: instance_offers.c */
@@ -79,7 +79,7 @@
     struct ow_leader_broadcast *broadcast;
 };
 
-/** Something that a scheduling cycle depends on has changed: one is due. */
+/** Makes a scheduling cycle due; called when anything has changed that a cycle depends on. */
 void ow_leader_request_cycle(struct ow_leader *leader);
 
 #endif
--- a/src/core/leader/leader_status.c
+++ b/src/core/leader/leader_status.c
@@ -3,7 +3,7 @@
 #include "core/leader/leader_state.h"
 #include "core/machines/machine.h"
 
-/* Workers send a heartbeat every interval, give or take a quarter. */
+/* Workers send a heartbeat every interval, with a jitter of up to a quarter of it. */
 static const double SETTLING_HEARTBEATS = 1.25;
 
 static bool has_settled(const struct ow_leader *leader)
--- a/src/core/leader/leader_status.h
+++ b/src/core/leader/leader_status.h
@@ -1,5 +1,5 @@
 /** @file
- * How far a leader is with taking over, for those who watch the controller from outside.
+ * The progress of a leader's failover, for code outside of the core.
  */
 #ifndef OW_CORE_LEADER_LEADER_STATUS_H
 #define OW_CORE_LEADER_LEADER_STATUS_H
@@ -10,10 +10,10 @@
 
 /** A snapshot of a leader. */
 struct ow_leader_status {
-    bool is_ready;            /**< it has read all records */
-    bool has_settled;         /**< ready for so long that every live worker has sent it a heartbeat */
+    bool is_ready;            /**< it has read all records and makes decisions */
+    bool has_settled;         /**< ready long enough for every live worker to have sent it a heartbeat */
     unsigned machines;        /**< that have ever sent a heartbeat */
-    unsigned fenced_machines; /**< those of them that have shown its fencing token */
+    unsigned fenced_machines; /**< of `machines`: those whose heartbeat carried its fencing token */
 };
 
 /** How the leader is now. */
--- a/src/core/leader/machine_type_polling.c
+++ b/src/core/leader/machine_type_polling.c
@@ -10,7 +10,7 @@
 
 #include <string.h>
 
-/* How long the types last read are good for, and the time until a failed read is repeated. */
+/* The polling interval, and the pause after a failed poll. */
 static const double INTERVAL_S = 60;
 static const double RETRY_S = 2;
 
@@ -29,7 +29,7 @@
     g_free(polling);
 }
 
-/* For controllers that start while the cloud is down. */
+/* Records the types for controllers that start while the cloud is down. */
 static void record_types(struct ow_leader *leader, const GArray *types)
 {
     struct ow_store_request *transaction = ow_store_request_new(OW_STORE_TXN, NULL);
--- a/src/core/leader/machine_type_polling.h
+++ b/src/core/leader/machine_type_polling.h
@@ -1,6 +1,6 @@
 /** @file
- * The leader's reading of the machine types from the cloud, and their record for controllers that start while
- * the cloud is down.
+ * Polls the machine types from the cloud, and records them for controllers that start while the cloud is
+ * down.
  */
 #ifndef OW_CORE_LEADER_MACHINE_TYPE_POLLING_H
 #define OW_CORE_LEADER_MACHINE_TYPE_POLLING_H
