--- a/src/core/api/cancel.c
+++ b/src/core/api/cancel.c
@@ -57,7 +57,7 @@
     if (leader_has_changed(reply)) {
         /* A new leader may have read the records already, without this one, and may start tasks of the job.
          */
-        ow_election_invalidate(core->election);
+        ow_election_invalidate_key(core->election);
         ow_job_reply_retry(core, pending->request, "the leader has just changed");
         return;
     }
@@ -134,7 +134,7 @@
 
 static void cancel_known(struct ow_core *core, uint64_t request, const struct ow_job *job)
 {
-    uint64_t leader_fencing_token = ow_election_key(core->election);
+    uint64_t leader_fencing_token = ow_election_key_revision(core->election);
     if (ow_job_over(job))
         ow_job_answer(core, request, OW_HTTP_STATUS_OK, job);
     else if (leader_fencing_token == 0)
--- a/src/core/election/election.c
+++ b/src/core/election/election.c
@@ -34,7 +34,7 @@
     return election->stage == OW_ELECTION_LEADING ? election->fencing_token : 0;
 }
 
-uint64_t ow_election_key(const struct ow_election *election)
+uint64_t ow_election_key_revision(const struct ow_election *election)
 {
     if (election->stage == OW_ELECTION_LEADING)
         return election->fencing_token;
@@ -53,7 +53,7 @@
     return election->stage != OW_ELECTION_LEADING && election->key.is_missing;
 }
 
-void ow_election_peer_ended(struct ow_election *election, const char *controller_name)
+void ow_election_note_peer_ended(struct ow_election *election, const char *controller_name)
 {
     if (!ow_succession_may_replace_ended(election, controller_name))
         return;
@@ -64,15 +64,15 @@
     ow_election_run_for_leader(election);
 }
 
-void ow_election_deposed(struct ow_election *election)
+void ow_election_note_deposed(struct ow_election *election)
 {
     if (election->stage == OW_ELECTION_LEADING)
         ow_election_step_down(election, "the key has changed hands");
 }
 
-void ow_election_invalidate(struct ow_election *election)
+void ow_election_invalidate_key(struct ow_election *election)
 {
-    ow_election_deposed(election);
+    ow_election_note_deposed(election);
     if (election->stage == OW_ELECTION_LOOKING)
         election->key.is_known = false;
 }
--- a/src/core/election/election.h
+++ b/src/core/election/election.h
@@ -28,12 +28,12 @@
 uint64_t ow_election_fencing_token(const struct ow_election *election);
 /** The last known mod_revision of the leader key, also while this controller holds it; 0: the key does not
  * exist, or is unknown. */
-uint64_t ow_election_key(const struct ow_election *election);
+uint64_t ow_election_key_revision(const struct ow_election *election);
 /** Whether the key did not exist when it was last read, and no new holder is known since. */
 bool ow_election_key_is_missing(const struct ow_election *election);
 /** A compare on the leader key failed: our copy of it is stale. Ends our term if we lead, and reads the key
  * again. */
-void ow_election_invalidate(struct ow_election *election);
+void ow_election_invalidate_key(struct ow_election *election);
 /** The name of the controller that leads as far as we know, or NULL; valid until the next event. */
 const char *ow_election_leader_name(const struct ow_election *election);
 /** Takes note of a fencing token seen in a message or heartbeat. One higher than ours ends our term.
@@ -42,11 +42,11 @@
                                        const char *leader_name);
 /** Handles the hint that a controller's process has ended. If it leads, this controller tries to take the key
  * without waiting for the lease to expire. */
-void ow_election_peer_ended(struct ow_election *election, const char *controller_name);
+void ow_election_note_peer_ended(struct ow_election *election, const char *controller_name);
 /** Gives up leadership, for example because no worker reaches this controller: deletes the key, and leaves it
  * to others for a while. `why` is for the log. */
 void ow_election_yield(struct ow_election *election, const char *why);
 /** A write failed its compare on the leader key: another controller has taken it. Ends our term. */
-void ow_election_deposed(struct ow_election *election);
+void ow_election_note_deposed(struct ow_election *election);
 
 #endif
--- a/src/core/election/succession.c
+++ b/src/core/election/succession.c
@@ -11,10 +11,10 @@
 /* Slack beyond clock drift, for messages in flight and for a worker's last heartbeat. */
 static const double MARGIN_S = 3;
 /* However short `cancel_s` is, a leader tolerates a silent store for this many lease durations. */
-static const double LEASES_LEAST = 2;
+static const double SILENCE_LEASES_MIN = 2;
 /* A hint (a lost link) does not replace a leader that has held the key for less than this: two controllers
    that can't reach each other would otherwise depose each other in turn. */
-static const double HINT_AGE_S = 8;
+static const double HINT_TERM_MIN_S = 8;
 /* During a rolling upgrade: how long an outdated leader must have held the key before it is replaced, and how
    recently both it and this controller must have reached the store. */
 static const double OUTDATED_LEADER_S = 2;
@@ -28,7 +28,7 @@
         return false;
     if (g_strcmp0(election->leader_name, controller_name) != 0)
         return false;
-    return election->core->now - election->key.held_since >= HINT_AGE_S;
+    return election->core->now - election->key.held_since >= HINT_TERM_MIN_S;
 }
 
 /* A leader that gets no response at all from the key-value store, not even an error status, may be
@@ -42,9 +42,9 @@
     const struct ow_settings *settings = core->settings;
     if (settings->peers->len == 0)
         return false;
-    double patience_s = settings->cancel_s - ow_clock_drift_longest_s(settings->lease_s) - MARGIN_S;
-    double heard_at = MAX(election->began_at, ow_store_health_last_reachable_at(core->store_health));
-    return core->now - heard_at > MAX(patience_s, LEASES_LEAST * core->tuning->leader_lease_s);
+    double silence_max_s = settings->cancel_s - ow_clock_drift_longest_s(settings->lease_s) - MARGIN_S;
+    double reachable_at = MAX(election->began_at, ow_store_health_last_reachable_at(core->store_health));
+    return core->now - reachable_at > MAX(silence_max_s, SILENCE_LEASES_MIN * core->tuning->leader_lease_s);
 }
 
 static bool leader_format_is_outdated(const struct ow_election *election)
--- a/src/core/leader/cutoff_detection.c
+++ b/src/core/leader/cutoff_detection.c
@@ -6,11 +6,11 @@
 #include "core/peers/peer_status.h"
 
 /* After this many heartbeat intervals without a message from any machine, all count as unreachable. */
-static const double LOST_HEARTBEATS = 2.5;
+static const double SILENCE_HEARTBEATS = 2.5;
 /* How recently a peer must have announced that workers send it heartbeats. */
 static const double PEER_RECENT_S = 3;
 /* With a single machine its silence may be its own fault. */
-enum { EXPECTED_LEAST = 2 };
+enum { EXPECTED_MACHINES_MIN = 2 };
 
 /* Time of the newest message of any machine; not before the leader became ready, as no heartbeat was due
    until then. */
@@ -37,16 +37,16 @@
 
 /* How long all machines may be silent. After a leader stalls, its workers wait for a reply until
    OW_HEARTBEAT_TIMEOUT_S before they try another controller. */
-static double patience_s(const struct ow_leader *leader)
+static double silence_max_s(const struct ow_leader *leader)
 {
     double heartbeat_interval_s = leader->core->settings->heartbeat_interval_s;
-    return MAX(LOST_HEARTBEATS * heartbeat_interval_s, OW_HEARTBEAT_TIMEOUT_S + heartbeat_interval_s);
+    return MAX(SILENCE_HEARTBEATS * heartbeat_interval_s, OW_HEARTBEAT_TIMEOUT_S + heartbeat_interval_s);
 }
 
 bool ow_cutoff_detection_is_cut_off(const struct ow_leader *leader)
 {
     double now = leader->core->now;
-    return count_expected(leader) >= EXPECTED_LEAST &&
+    return count_expected(leader) >= EXPECTED_MACHINES_MIN &&
            ow_peer_status_receives_heartbeats(leader->core->peer_status, now, PEER_RECENT_S) &&
-           now - last_message_at(leader) > patience_s(leader);
+           now - last_message_at(leader) > silence_max_s(leader);
 }
--- a/src/core/peers/peer_messages.c
+++ b/src/core/peers/peer_messages.c
@@ -59,7 +59,7 @@
         ow_cancellation_ack_received(core->cancellation_ack, message);
         break;
     case OW_PEER_LINK_LOST:
-        ow_election_peer_ended(core->election, message->sender);
+        ow_election_note_peer_ended(core->election, message->sender);
         break;
     case OW_PEER_HEARTBEAT:
     case OW_PEER_PROBE:
--- a/src/core/records/transaction_reply.c
+++ b/src/core/records/transaction_reply.c
@@ -250,7 +250,7 @@
     if (reply->status == OW_HTTP_STATUS_OK)
         commit(leader, reply->revision);
     else if (reply->status == OW_HTTP_STATUS_CONFLICT && ow_store_reply_failed_on(reply, OW_KEY_LEADER))
-        ow_election_deposed(leader->core->election);
+        ow_election_note_deposed(leader->core->election);
     else
         handle_failure(leader, reply);
 }
