--- a/src/core/machines/machine.h
+++ b/src/core/machines/machine.h
@@ -77,7 +77,8 @@
     double probation_until; /* it has failed a job, and it is not known yet which of the two is at fault */
     double slowness;        /* observed run time divided by the estimate; 1: as expected */
 
-    /* Scratch of the scheduling cycle: schedule.c, gpu_reserve.c, array_preemption.c and reservation.c. */
+    /* Scratch of the scheduling cycle: schedule.c, gpu_reserve.c, gang_start.c, array_preemption.c,
+       replica_move.c; `holders`: reservation.c. */
     bool gpus_kept;                     /* waiting work needs its GPUs: other work stays off */
     struct ow_resources held;           /* kept from every job behind in the queue */
     struct ow_resources held_for_gangs; /* the same, but a gang that can start at once may take it */
--- a/src/core/scheduling/array_preemption.c
+++ b/src/core/scheduling/array_preemption.c
@@ -78,7 +78,7 @@
         return;
     const struct ow_job_spec *spec = execution->job->spec;
     uint32_t wanted = ow_team_admits(leader, spec, ow_execution_pending(execution));
-    const GPtrArray *machines = ow_shortlist_with_preemption(leader, spec->class_index);
+    const GPtrArray *machines = ow_shortlist_find_with_preemption(leader, spec->class_index);
     int only_zone =
         spec->submission->one_zone ? best_zone_with_preemption(leader, execution, machines) : OW_NO_NAME;
     g_autoptr(GArray) made_zones = g_array_new(FALSE, FALSE, sizeof(int));
--- a/src/core/scheduling/gang_selection.c
+++ b/src/core/scheduling/gang_selection.c
@@ -1,13 +1,9 @@
 #include "core/scheduling/gang_selection.h"
 
 #include "core/jobs/execution.h"
-#include "core/leader/leader_state.h"
 #include "core/machines/machine.h"
 #include "core/scheduling/candidates.h"
 #include "core/scheduling/placement.h"
-#include "core/scheduling/placement_score.h"
-#include "core/scheduling/preempt.h"
-#include "core/scheduling/shortlist.h"
 #include "model/submission.h"
 
 #include <math.h>
@@ -90,7 +86,8 @@
     return false;
 }
 
-uint32_t ow_gang_select(const struct ow_execution *execution, const GArray *candidates, GArray *picks)
+uint32_t ow_gang_selection_choose(const struct ow_execution *execution, const GArray *candidates,
+                                  GArray *picks)
 {
     struct selection best = {.picks = picks, .members_left = execution->count + 1, .score_s = INFINITY};
     if (!execution->job->spec->submission->one_zone || candidates->len == 0) {
@@ -107,33 +104,3 @@
     }
     return best.members_left;
 }
-
-/* Inserts the candidate behind all whose score is no higher. */
-static void insert_by_score(GArray *candidates, const struct ow_candidate *candidate)
-{
-    guint index = 0;
-    while (index < candidates->len &&
-           g_array_index(candidates, struct ow_candidate, index).score_s <= candidate->score_s)
-        index++;
-    g_array_insert_vals(candidates, index, candidate, 1);
-}
-
-GArray *ow_gang_candidates_with_preemption(struct ow_leader *leader, const struct ow_execution *execution)
-{
-    GArray *candidates = ow_candidates_new();
-    const struct ow_job_spec *spec = execution->job->spec;
-    const GPtrArray *machines = ow_shortlist_with_preemption(leader, spec->class_index);
-    for (guint i = 0; i < machines->len; i++) {
-        struct ow_machine *machine = g_ptr_array_index(machines, i);
-        if (!ow_placement_is_permitted(leader, execution, machine))
-            continue;
-        uint32_t slots = MIN(ow_preempt_slots(leader, execution, machine), execution->count);
-        if (slots == 0)
-            continue;
-        double score_s = ow_placement_score_s(leader, execution, machine);
-        score_s += ow_preempt_loss_s(leader, execution, machine, slots);
-        struct ow_candidate candidate = {.machine = machine, .slots = slots, .score_s = score_s};
-        insert_by_score(candidates, &candidate);
-    }
-    return candidates;
-}
--- a/src/core/scheduling/gang_selection.h
+++ b/src/core/scheduling/gang_selection.h
@@ -12,7 +12,6 @@
 #include <stdint.h>
 
 struct ow_execution;
-struct ow_leader;
 struct ow_machine;
 
 /** A machine selected for some members of a gang. */
@@ -25,9 +24,7 @@
 GArray *ow_gang_selection_new(void);
 /** Selects machines from struct ow_candidate into `picks`, which is empty before. Returns how many members
  * are left without a machine. */
-uint32_t ow_gang_select(const struct ow_execution *execution, const GArray *candidates, GArray *picks);
-/** Candidates as they would be after stopping what may be stopped for the gang. What that loses is part of
- * their score. Lowest score first; the caller frees the array of struct ow_candidate. */
-GArray *ow_gang_candidates_with_preemption(struct ow_leader *leader, const struct ow_execution *execution);
+uint32_t ow_gang_selection_choose(const struct ow_execution *execution, const GArray *candidates,
+                                  GArray *picks);
 
 #endif
--- a/src/core/scheduling/gang_start.c
+++ b/src/core/scheduling/gang_start.c
@@ -75,9 +75,9 @@
 /* Stops less urgent work if that makes capacity for every member, and holds it; returns whether it does. */
 static bool preempt_for_all(struct ow_leader *leader, struct ow_execution *execution)
 {
-    g_autoptr(GArray) candidates = ow_gang_candidates_with_preemption(leader, execution);
+    g_autoptr(GArray) candidates = ow_candidates_find_with_preemption(leader, execution);
     g_autoptr(GArray) picks = ow_gang_selection_new();
-    if (ow_gang_select(execution, candidates, picks) > 0)
+    if (ow_gang_selection_choose(execution, candidates, picks) > 0)
         return false;
     for (guint i = 0; i < picks->len; i++) {
         const struct ow_gang_pick *pick = &g_array_index(picks, struct ow_gang_pick, i);
@@ -94,9 +94,9 @@
     struct ow_reservation *reservation = execution->reservation;
     double now = leader->core->now;
     double limit_s = leader->core->tuning->waiting_limit_s;
-    if (reservation->suspended || now - reservation->short_since <= limit_s)
+    if (reservation->is_suspended || now - reservation->short_since <= limit_s)
         return;
-    reservation->suspended = true;
+    reservation->is_suspended = true;
     reservation->resume_at = now + RESUME_SHARE_OF_LIMIT * limit_s;
     ow_reservation_drop_holds(reservation);
     g_info("gang holds dropped at the waiting limit: job=%s wait_s=%.0f", execution->job->id, limit_s);
@@ -113,15 +113,15 @@
         collect_candidates(leader, execution, candidates);
         return;
     }
-    if (!reservation->window_closed) {
-        reservation->window_closed = true;
+    if (!reservation->is_window_closed) {
+        reservation->is_window_closed = true;
         reservation->short_since = now;
     }
     suspend_after_limit(leader, execution);
-    if (reservation->suspended && now < reservation->resume_at)
+    if (reservation->is_suspended && now < reservation->resume_at)
         return;
-    if (reservation->suspended) {
-        reservation->suspended = false;
+    if (reservation->is_suspended) {
+        reservation->is_suspended = false;
         reservation->short_since = now;
     }
     hold_picks(leader, reservation, picks);
@@ -135,13 +135,13 @@
     double now = leader->core->now;
     /* Until preemption is considered again, what was selected with it stays held. */
     bool was_considered_lately = now < reservation->preemption_considered_at + PREEMPTION_INTERVAL_S;
-    if (was_considered_lately && reservation->preempting)
+    if (was_considered_lately && reservation->is_preempting)
         return;
     if (!was_considered_lately) {
-        reservation->preempting = preempt_for_all(leader, execution);
+        reservation->is_preempting = preempt_for_all(leader, execution);
         reservation->preemption_considered_at = now;
     }
-    if (!reservation->preempting)
+    if (!reservation->is_preempting)
         hold_while_short(leader, execution, candidates, picks);
 }
 
@@ -158,7 +158,7 @@
     g_autoptr(GArray) picks = ow_gang_selection_new();
     /* The window closes as soon as every member has a candidate, which in the leader's own view of the fleet
        is often at once. */
-    if (ow_gang_select(execution, candidates, picks) == 0)
+    if (ow_gang_selection_choose(execution, candidates, picks) == 0)
         start_all(leader, execution, picks);
     else
         wait_for_capacity(leader, execution, candidates, picks);
@@ -166,9 +166,9 @@
 
 /* Whether other gangs may not take what the gang holds, either: work is being stopped for it, or the gang
    starves, and smaller ones that starve would otherwise pass it for ever. */
-static bool are_holds_exclusive(struct ow_leader *leader, const struct ow_execution *execution)
+static bool claim_exclusive_holds(struct ow_leader *leader, const struct ow_execution *execution)
 {
-    return execution->reservation->preempting || execution->starves ||
+    return execution->reservation->is_preempting || execution->starves ||
            ow_gang_hold_priority_claim(leader, execution);
 }
 
@@ -180,7 +180,7 @@
     if (execution->reservation == NULL)
         return;
     const struct ow_resources *need = &execution->job->spec->submission->need;
-    bool exclusive = are_holds_exclusive(leader, execution);
+    bool exclusive = claim_exclusive_holds(leader, execution);
     for (guint i = 0; i < execution->reservation->holds->len; i++) {
         const struct ow_hold *hold = &g_array_index(execution->reservation->holds, struct ow_hold, i);
         if (hold->kind != OW_HOLD_SELECTED)
--- a/src/core/scheduling/queue.c
+++ b/src/core/scheduling/queue.c
@@ -23,7 +23,7 @@
 struct queue_entry {
     struct ow_execution *execution;
     enum ow_rank rank;
-    bool borrowing;       /* with it its team is beyond its guarantee */
+    bool is_borrowing;    /* with it its team is beyond its guarantee */
     unsigned missed_slos; /* for its start, and its deadline if that is missed */
     double queue_time;    /* earlier goes first */
 };
@@ -57,8 +57,8 @@
     const struct queue_entry *second = b;
     if (first->rank != second->rank)
         return first->rank < second->rank ? -1 : 1;
-    if (first->borrowing != second->borrowing)
-        return first->borrowing ? 1 : -1;
+    if (first->is_borrowing != second->is_borrowing)
+        return first->is_borrowing ? 1 : -1;
     /* Who can still be in time goes before who can't any more. That is bounded: nobody starves. */
     if (first->missed_slos != second->missed_slos)
         return first->missed_slos < second->missed_slos ? -1 : 1;
@@ -146,7 +146,7 @@
         struct queue_entry entry = {
             .execution = execution,
             .rank = ow_promotion_rank(execution),
-            .borrowing = !is_guaranteed(leader, execution),
+            .is_borrowing = !is_guaranteed(leader, execution),
             .missed_slos = missed_slos(leader, execution),
             .queue_time = queue_time(leader, execution, &capacity),
         };
--- a/src/core/scheduling/replica_spread.h
+++ b/src/core/scheduling/replica_spread.h
@@ -32,6 +32,7 @@
 /** The number of zones with replicas. */
 guint ow_replica_spread_zones(const struct ow_replica_spread *spread);
 
+/** For g_auto(). */
 typedef struct ow_replica_spread ow_replica_spread;
 G_DEFINE_AUTO_CLEANUP_CLEAR_FUNC(ow_replica_spread, ow_replica_spread_clear)
 
--- a/src/core/scheduling/reservation.h
+++ b/src/core/scheduling/reservation.h
@@ -35,13 +35,13 @@
 /** What a waiting gang holds, and since when it waits. Times are by the core's clock, in seconds. */
 struct ow_reservation {
     double window_opened_at; /**< when the window to collect candidates opened */
-    bool window_closed;
+    bool is_window_closed;
     double short_since;              /**< since the window closed without a candidate for each member */
-    bool preempting;                 /**< work is being stopped for the capacity that is held */
+    bool is_preempting;              /**< work is being stopped for the capacity that is held */
     double preemption_considered_at; /**< when that was last decided */
-    bool suspended;   /**< waited past the limit: the holds are dropped, the place in the queue is kept */
-    double resume_at; /**< when a suspended gang holds again */
-    GArray *holds;    /**< struct ow_hold, owned */
+    bool is_suspended; /**< waited past the limit: the holds are dropped, the place in the queue is kept */
+    double resume_at;  /**< when a suspended gang holds again */
+    GArray *holds;     /**< struct ow_hold, owned */
 };
 
 /** The reservation of the execution, which is opened if there is none; the execution keeps it. */
--- a/src/core/scheduling/shortlist.c
+++ b/src/core/scheduling/shortlist.c
@@ -18,8 +18,8 @@
 
 /* The lists of one class. */
 struct shortlist {
-    bool wanted; /* a job of the class waits */
-    bool mixed;  /* some of its jobs need GPUs and some don't: capacity for one says nothing of the other */
+    bool has_waiting_job; /* a job of the class waits */
+    bool is_mixed; /* some of its jobs need GPUs and some don't: capacity for one says nothing of the other */
     struct ow_submission least; /* the least that its jobs need */
     int top_rank;               /* the most urgent rank that may be stopped for any of its jobs */
     GPtrArray *free;            /* struct ow_machine *; NULL: not listed yet */
@@ -51,13 +51,13 @@
 static void include_job(struct shortlist *list, const struct ow_submission *job, int top_rank)
 {
     struct ow_submission *least = &list->least;
-    list->top_rank = list->wanted ? MIN(list->top_rank, top_rank) : top_rank;
-    if (!list->wanted) {
+    list->top_rank = list->has_waiting_job ? MIN(list->top_rank, top_rank) : top_rank;
+    if (!list->has_waiting_job) {
         *least = (struct ow_submission){.need = job->need, .rank = job->rank, .kind = job->kind};
-        list->wanted = true;
+        list->has_waiting_job = true;
         return;
     }
-    list->mixed = list->mixed || (least->need.gpus > 0) != (job->need.gpus > 0);
+    list->is_mixed = list->is_mixed || (least->need.gpus > 0) != (job->need.gpus > 0);
     least->need.cpus = MIN(least->need.cpus, job->need.cpus);
     least->need.gpus = MIN(least->need.gpus, job->need.gpus);
     least->need.memory_gb = MIN(least->need.memory_gb, job->need.memory_gb);
@@ -96,17 +96,17 @@
     struct ow_submission least = list->least;
     struct ow_job_spec spec = {.submission = &least};
     GPtrArray *found = g_ptr_array_new();
-    for (guint i = 0; list->wanted && i < leader->machines->len; i++) {
+    for (guint i = 0; list->has_waiting_job && i < leader->machines->len; i++) {
         struct ow_machine *machine = g_ptr_array_index(leader->machines, i);
         if (!ow_machine_is_usable(leader, machine))
             continue;
-        if (list->mixed || slots_for_least(leader, list, &spec, machine, view) > 0)
+        if (list->is_mixed || slots_for_least(leader, list, &spec, machine, view) > 0)
             g_ptr_array_add(found, machine);
     }
     return found;
 }
 
-const GPtrArray *ow_shortlist(struct ow_leader *leader, int class_index)
+const GPtrArray *ow_shortlist_find(struct ow_leader *leader, int class_index)
 {
     struct shortlist *list = find_or_add(leader, class_index);
     if (list->free == NULL)
@@ -114,7 +114,7 @@
     return list->free;
 }
 
-const GPtrArray *ow_shortlist_with_preemption(struct ow_leader *leader, int class_index)
+const GPtrArray *ow_shortlist_find_with_preemption(struct ow_leader *leader, int class_index)
 {
     struct shortlist *list = find_or_add(leader, class_index);
     if (list->with_preemption == NULL)
--- a/src/core/scheduling/shortlist.h
+++ b/src/core/scheduling/shortlist.h
@@ -20,8 +20,8 @@
 void ow_shortlists_begin_cycle(struct ow_leader *leader);
 /** Machines (struct ow_machine *) that may have capacity for a job of the class. Valid until the next cycle.
  */
-const GPtrArray *ow_shortlist(struct ow_leader *leader, int class_index);
+const GPtrArray *ow_shortlist_find(struct ow_leader *leader, int class_index);
 /** The same, counting capacity that could be freed by stopping work. */
-const GPtrArray *ow_shortlist_with_preemption(struct ow_leader *leader, int class_index);
+const GPtrArray *ow_shortlist_find_with_preemption(struct ow_leader *leader, int class_index);
 
 #endif
