--- a/tests/cluster/test_cancellation.c
+++ b/tests/cluster/test_cancellation.c
@@ -15,15 +15,15 @@
 static void test_acknowledged_cancellation_holds_through_an_outage(void **state)
 {
     (void)state;
-    struct sim_cluster *cluster = failure_sim(2);
-    failure_start_job(cluster, sim_job("run-1", 3, 1));
-    cluster->denied_controller = sim_leader(cluster);
+    struct sim_cluster *cluster = sim_with_long_tasks(2);
+    sim_start_job_at_follower(cluster, sim_job("run-1", 3, 1));
+    cluster->controller_without_store = sim_leader(cluster);
     struct canceller canceller = {.id = "run-1", .controller = sim_follower(cluster)};
-    run_cancelling(cluster, &canceller, 1);
+    sim_run_with_canceller(cluster, &canceller, 1);
     assert_true(canceller.answered_at > 0);
     cluster->store_down = true;
     sim_run(cluster, 60);
-    assert_int_equal(sim_running(cluster, "run-1"), 0);
+    assert_int_equal(sim_count_running(cluster, "run-1"), 0);
     sim_finish(cluster);
 }
 
@@ -31,27 +31,27 @@
 static void test_unacknowledged_cancellation_is_not_answered_in_an_outage(void **state)
 {
     (void)state;
-    struct sim_cluster *cluster = failure_sim(2);
-    failure_start_job(cluster, sim_job("run-1", 3, 1));
-    cluster->denied_controller = sim_leader(cluster);
-    cluster->peers_cut = true;
+    struct sim_cluster *cluster = sim_with_long_tasks(2);
+    sim_start_job_at_follower(cluster, sim_job("run-1", 3, 1));
+    cluster->controller_without_store = sim_leader(cluster);
+    cluster->peers_partitioned = true;
     struct canceller canceller = {.id = "run-1", .controller = sim_follower(cluster)};
-    run_cancelling(cluster, &canceller, 1.2);
+    sim_run_with_canceller(cluster, &canceller, 1.2);
     cluster->store_down = true;
-    run_cancelling(cluster, &canceller, 60);
+    sim_run_with_canceller(cluster, &canceller, 60);
     assert_true(canceller.answered_at == 0);
     sim_run(cluster, 1);
     assert_int_equal(sim_status(cluster, canceller.request), 503);
-    assert_true(sim_answer(cluster, canceller.request)->retry_after_s > 0);
+    assert_true(sim_response(cluster, canceller.request)->retry_after_s > 0);
     uint64_t poll = sim_poll(cluster, canceller.controller, "run-1");
     sim_run(cluster, 1);
     assert_int_equal(sim_status(cluster, poll), 503);
     /* The commit is kept: the cancellation takes effect and is confirmed once a leader has read it. */
-    cluster->store_down = cluster->peers_cut = false;
-    cluster->denied_controller = -1;
-    run_cancelling(cluster, &canceller, 12);
+    cluster->store_down = cluster->peers_partitioned = false;
+    cluster->controller_without_store = -1;
+    sim_run_with_canceller(cluster, &canceller, 12);
     assert_true(canceller.answered_at > 0);
-    assert_int_equal(sim_running(cluster, "run-1"), 0);
+    assert_int_equal(sim_count_running(cluster, "run-1"), 0);
     sim_finish(cluster);
 }
 
@@ -72,11 +72,11 @@
 static void test_acknowledgement_of_a_deposed_leader_is_ignored(void **state)
 {
     (void)state;
-    struct sim_cluster *cluster = failure_sim(2);
-    failure_start_job(cluster, sim_job("run-1", 1, 1));
+    struct sim_cluster *cluster = sim_with_long_tasks(2);
+    sim_start_job_at_follower(cluster, sim_job("run-1", 1, 1));
     uint64_t fencing_token = sim_fencing_token(cluster, sim_leader(cluster));
-    cluster->denied_controller = sim_leader(cluster);
-    cluster->peers_cut = true;
+    cluster->controller_without_store = sim_leader(cluster);
+    cluster->peers_partitioned = true;
     int controller = sim_follower(cluster);
     sim_cancel(cluster, controller, "run-1");
     sim_run(cluster, 1);
@@ -98,22 +98,22 @@
 static void test_cancellation_received_before_its_job_prevents_the_start(void **state)
 {
     (void)state;
-    struct sim_cluster *cluster = failure_sim(2);
+    struct sim_cluster *cluster = sim_with_long_tasks(2);
     int leader = sim_leader(cluster);
-    cluster->slow_controller = leader;
-    cluster->store_slow_s = 1.2; /* each read is stale by this time when it arrives */
+    cluster->store_latency_controller = leader;
+    cluster->store_latency_s = 1.2; /* each read is stale by this time when it arrives */
     sim_submit(cluster, sim_follower(cluster), sim_job("run-1", 1, 1));
     sim_run(cluster, 0.3);
     struct canceller canceller = {.id = "run-1", .controller = sim_follower(cluster)};
-    run_cancelling(cluster, &canceller, 0.6);
+    sim_run_with_canceller(cluster, &canceller, 0.6);
     assert_true(canceller.answered_at > 0);
     sim_run(cluster, 4);
-    cluster->store_slow_s = 0;
+    cluster->store_latency_s = 0;
     sim_run(cluster, 16);
     assert_int_equal(sim_leader(cluster), leader);
-    assert_int_equal(sim_machine(cluster, "m-0")->starts + sim_machine(cluster, "m-1")->starts, 0);
+    assert_int_equal(sim_machine(cluster, "m-0")->launches + sim_machine(cluster, "m-1")->launches, 0);
     /* Its final record is written nevertheless. */
-    assert_string_equal(sim_value_text(cluster, OW_KEY_JOBS "run-1"), "{\"e\":3}");
+    assert_string_equal(sim_read_value(cluster, OW_KEY_JOBS "run-1"), "{\"e\":3}");
     sim_finish(cluster);
 }
 
@@ -122,21 +122,21 @@
 static void test_cancellation_written_after_a_failover_is_rejected(void **state)
 {
     (void)state;
-    struct sim_cluster *cluster = failure_sim(2);
-    failure_start_job(cluster, sim_job("run-1", 1, 1));
+    struct sim_cluster *cluster = sim_with_long_tasks(2);
+    sim_start_job_at_follower(cluster, sim_job("run-1", 1, 1));
     int old = sim_leader(cluster);
-    cluster->hold_controller = sim_follower(cluster);
-    cluster->hold_next = 1;
-    cluster->keep_held = true;
-    uint64_t first = sim_cancel(cluster, cluster->hold_controller, "run-1");
+    cluster->delay_next_controller = sim_follower(cluster);
+    cluster->delay_next_txns = 1;
+    cluster->keep_txns_delayed = true;
+    uint64_t first = sim_cancel(cluster, cluster->delay_next_controller, "run-1");
     sim_run(cluster, 3);
     assert_int_equal(sim_status(cluster, first), 503);
     sim_kill_controller(cluster, old);
     sim_run(cluster, 10);
     assert_true(sim_leader(cluster) >= 0 && sim_leader(cluster) != old);
-    cluster->keep_held = false;
+    cluster->keep_txns_delayed = false;
     sim_run(cluster, 3);
-    assert_int_equal(cluster->held->len, 0);
+    assert_int_equal(cluster->delayed_txns->len, 0);
     assert_int_equal(sim_job_state(cluster, "run-1"), OW_JOB_RUNNING);
     sim_finish(cluster);
 }
@@ -145,7 +145,7 @@
 static void run_until_taken(struct sim_cluster *cluster, int old)
 {
     for (int i = 0; i < 200; i++) {
-        const char *key = sim_value_text(cluster, OW_KEY_LEADER);
+        const char *key = sim_read_value(cluster, OW_KEY_LEADER);
         if (key != NULL && strstr(key, cluster->settings[old].controller_name) == NULL)
             return;
         sim_run(cluster, 0.05);
@@ -158,21 +158,21 @@
 static void test_leader_renews_no_lease_before_its_first_read(void **state)
 {
     (void)state;
-    struct sim_cluster *cluster = failure_sim(2);
-    struct sim_machine *machine = failure_start_job(cluster, sim_job("run-1", 1, 1));
+    struct sim_cluster *cluster = sim_with_long_tasks(2);
+    struct sim_machine *machine = sim_start_job_at_follower(cluster, sim_job("run-1", 1, 1));
     int old = sim_leader(cluster);
-    machine->hangs = true; /* so that it does not receive the stop */
+    machine->hung = true; /* so that it does not receive the stop */
     struct canceller canceller = {.id = "run-1", .controller = sim_follower(cluster)};
-    run_cancelling(cluster, &canceller, 0.5);
+    sim_run_with_canceller(cluster, &canceller, 0.5);
     assert_true(canceller.answered_at > 0);
     sim_kill_controller(cluster, old);
-    cluster->store_slow_s = 0.5;
+    cluster->store_latency_s = 0.5;
     run_until_taken(cluster, old);
     cluster->store_down = true;
-    machine->hangs = false;
+    machine->hung = false;
     sim_run(cluster, 60);
     assert_true(sim_leader(cluster) >= 0);
-    assert_int_equal(sim_running(cluster, "run-1"), 0);
+    assert_int_equal(sim_count_running(cluster, "run-1"), 0);
     sim_finish(cluster);
 }
 
@@ -180,48 +180,48 @@
 static void test_leader_acknowledges_no_cancellation_before_it_is_ready(void **state)
 {
     (void)state;
-    struct sim_cluster *cluster = failure_sim(2);
-    struct sim_machine *machine = failure_start_job(cluster, sim_job("run-1", 1, 1));
+    struct sim_cluster *cluster = sim_with_long_tasks(2);
+    struct sim_machine *machine = sim_start_job_at_follower(cluster, sim_job("run-1", 1, 1));
     cluster->cloud_down = true;
     int old = sim_leader(cluster);
-    machine->cut = true;
+    machine->partitioned = true;
     sim_kill_controller(cluster, old);
     run_until_taken(cluster, old);
     while (sim_leader(cluster) < 0)
         sim_run(cluster, 0.05);
-    cluster->slow_controller = sim_leader(cluster);
-    cluster->store_slow_s = 3;
+    cluster->store_latency_controller = sim_leader(cluster);
+    cluster->store_latency_s = 3;
     sim_run(cluster, 0.3); /* the others learn who leads */
     struct canceller canceller = {.id = "run-1", .controller = 3 - old - sim_leader(cluster)};
-    run_cancelling(cluster, &canceller, 2);
+    sim_run_with_canceller(cluster, &canceller, 2);
     assert_true(canceller.answered_at == 0);
-    cluster->store_slow_s = 0;
-    machine->cut = false;
-    run_cancelling(cluster, &canceller, 15);
+    cluster->store_latency_s = 0;
+    machine->partitioned = false;
+    sim_run_with_canceller(cluster, &canceller, 15);
     assert_true(canceller.answered_at > 0);
-    assert_int_equal(sim_running(cluster, "run-1"), 0);
+    assert_int_equal(sim_count_running(cluster, "run-1"), 0);
     sim_finish(cluster);
 }
 
 static void run_zone_partition(bool cloud_down)
 {
-    struct sim_cluster *cluster = failure_sim(2);
-    struct sim_machine *machine = failure_start_job(cluster, sim_job("run-1", 1, 1));
+    struct sim_cluster *cluster = sim_with_long_tasks(2);
+    struct sim_machine *machine = sim_start_job_at_follower(cluster, sim_job("run-1", 1, 1));
     int old = sim_leader(cluster);
-    cluster->isolated_controller = machine->only_controller = old;
+    cluster->isolated_controller = machine->only_reachable_controller = old;
     cluster->cloud_down = cloud_down;
     sim_run(cluster, 6);
     assert_true(sim_leader(cluster) != old);
     struct canceller canceller = {.id = "run-1", .controller = sim_leader(cluster)};
-    run_cancelling(cluster, &canceller, 45);
+    sim_run_with_canceller(cluster, &canceller, 45);
     /* The partitioned leader stops answering in time; outside, only proof of the end confirms the
      * cancellation. */
-    assert_int_equal(sim_running(cluster, "run-1"), 0);
-    assert_true(machine->gone == !cloud_down);
+    assert_int_equal(sim_count_running(cluster, "run-1"), 0);
+    assert_true(machine->deleted == !cloud_down);
     assert_true((canceller.answered_at > 0) == !cloud_down);
-    cluster->isolated_controller = machine->only_controller = -1;
+    cluster->isolated_controller = machine->only_reachable_controller = -1;
     cluster->cloud_down = false;
-    run_cancelling(cluster, &canceller, 10);
+    sim_run_with_canceller(cluster, &canceller, 10);
     assert_true(canceller.answered_at > 0);
     sim_finish(cluster);
 }
--- a/tests/cluster/test_cancellation_races.c
+++ b/tests/cluster/test_cancellation_races.c
@@ -11,7 +11,7 @@
     for (int offset = 0; offset < 40; offset++) {
         struct sim_cluster *cluster = sim_with_machines(2);
         cluster->run_time_s = 1;
-        cluster->store_slow_s = offset % 2 == 0 ? 0 : 0.2;
+        cluster->store_latency_s = offset % 2 == 0 ? 0 : 0.2;
         sim_submit(cluster, offset % SIM_CONTROLLERS, sim_job("run-1", 2, 1));
         sim_run(cluster, 1 + 0.1 * offset);
         uint64_t cancel = sim_cancel(cluster, (offset + 1) % SIM_CONTROLLERS, "run-1");
@@ -26,7 +26,7 @@
         int end = sim_job_state(cluster, "run-1");
         assert_true(end == OW_JOB_DONE || end == OW_JOB_CANCELLED);
         if (sim_status(cluster, cancel) == 200)
-            assert_int_equal(sim_answer(cluster, cancel)->state, end);
+            assert_int_equal(sim_response(cluster, cancel)->state, end);
         sim_finish(cluster);
     }
 }
@@ -35,15 +35,15 @@
 static void test_cancelled_task_ends_on_a_machine_that_hung(void **state)
 {
     (void)state;
-    struct sim_cluster *cluster = failure_sim(2);
-    struct sim_machine *machine = failure_start_job(cluster, sim_job("run-1", 2, 1));
-    machine->hangs = true;
+    struct sim_cluster *cluster = sim_with_long_tasks(2);
+    struct sim_machine *machine = sim_start_job_at_follower(cluster, sim_job("run-1", 2, 1));
+    machine->hung = true;
     struct canceller canceller = {.id = "run-1", .controller = sim_follower(cluster)};
-    run_cancelling(cluster, &canceller, 16);
-    machine->hangs = false;
-    run_cancelling(cluster, &canceller, 4);
+    sim_run_with_canceller(cluster, &canceller, 16);
+    machine->hung = false;
+    sim_run_with_canceller(cluster, &canceller, 4);
     assert_true(canceller.answered_at > 0);
-    assert_int_equal(sim_running(cluster, "run-1"), 0);
+    assert_int_equal(sim_count_running(cluster, "run-1"), 0);
     sim_finish(cluster);
 }
 
@@ -51,18 +51,18 @@
 static void test_delayed_launch_does_not_outlive_a_cancellation(void **state)
 {
     (void)state;
-    struct sim_cluster *cluster = failure_sim(1);
+    struct sim_cluster *cluster = sim_with_long_tasks(1);
     struct sim_machine *machine = sim_machine(cluster, "m-0");
-    cluster->hold_directs = true;
-    machine->heartbeat_at = cluster->now + 10;
+    cluster->delay_direct_commands = true;
+    machine->next_heartbeat_at = cluster->now + 10;
     sim_submit(cluster, 0, sim_job("run-1", 1, 1));
     sim_run(cluster, 1);
     struct canceller canceller = {.id = "run-1", .controller = sim_follower(cluster)};
-    run_cancelling(cluster, &canceller, 3);
-    cluster->hold_directs = false;
-    run_cancelling(cluster, &canceller, 15);
+    sim_run_with_canceller(cluster, &canceller, 3);
+    cluster->delay_direct_commands = false;
+    sim_run_with_canceller(cluster, &canceller, 15);
     assert_true(canceller.answered_at > 0);
-    assert_int_equal(sim_running(cluster, "run-1"), 0);
+    assert_int_equal(sim_count_running(cluster, "run-1"), 0);
     sim_finish(cluster);
 }
 
@@ -70,7 +70,7 @@
 static void test_team_limit_holds_across_a_leader_change(void **state)
 {
     (void)state;
-    struct sim_cluster *cluster = failure_sim(2);
+    struct sim_cluster *cluster = sim_with_long_tasks(2);
     cluster->cloud_down = true;
     const char *ids[] = {"run-1", "run-2"};
     for (int i = 0; i < 2; i++) {
@@ -79,25 +79,25 @@
         sim_submit(cluster, 0, job);
         sim_run(cluster, 4);
     }
-    assert_int_equal(sim_running(cluster, "run-1"), 2);
-    struct sim_machine *machine = sim_where(cluster, "run-1");
-    machine->cut = true;
+    assert_int_equal(sim_count_running(cluster, "run-1"), 2);
+    struct sim_machine *machine = sim_find_machine_of_job(cluster, "run-1");
+    machine->partitioned = true;
     sim_kill_controller(cluster, sim_leader(cluster));
     struct canceller canceller = {.id = "run-1", .controller = sim_leader(cluster) == 0 ? 1 : 0};
     for (int i = 0; i < SIM_CONTROLLERS; i++)
         canceller.controller = cluster->controllers[i] != NULL ? i : canceller.controller;
-    run_cancelling(cluster, &canceller, 50);
-    machine->cut = false;
-    run_cancelling(cluster, &canceller, 20);
+    sim_run_with_canceller(cluster, &canceller, 50);
+    machine->partitioned = false;
+    sim_run_with_canceller(cluster, &canceller, 20);
     assert_true(canceller.answered_at > 0);
-    assert_true(sim_until(cluster, 20, sim_some_running, "run-2"));
+    assert_true(sim_run_until(cluster, 20, sim_job_is_running, "run-2"));
     sim_finish(cluster);
 }
 
 static void test_ten_leader_changes(void **state)
 {
     (void)state;
-    struct sim_cluster *cluster = failure_sim(3);
+    struct sim_cluster *cluster = sim_with_long_tasks(3);
     cluster->run_time_s = 8;
     struct canceller canceller = {.id = "run-3", .controller = 0};
     for (int i = 1; i <= 6; i++) {
@@ -110,20 +110,20 @@
         int old = sim_leader(cluster);
         if (old >= 0)
             sim_kill_controller(cluster, old);
-        run_cancelling(cluster, &canceller, 1);
+        sim_run_with_canceller(cluster, &canceller, 1);
         if (old >= 0)
             sim_start_controller(cluster, old);
         canceller.controller = change % SIM_CONTROLLERS;
         cluster->store_down = change == 4 || change == 5;
-        run_cancelling(cluster, &canceller, 10);
+        sim_run_with_canceller(cluster, &canceller, 10);
     }
-    run_cancelling(cluster, &canceller, 5);
+    sim_run_with_canceller(cluster, &canceller, 5);
     assert_true(canceller.answered_at > 0);
     for (int i = 1; i <= 6; i++) {
         char id[16];
         g_snprintf(id, sizeof id, "run-%d", i);
         if (i != 3)
-            assert_true(sim_until(cluster, 90, sim_all_done, id));
+            assert_true(sim_run_until(cluster, 90, sim_job_is_done, id));
     }
     sim_finish(cluster);
 }
--- a/tests/cluster/test_deadlines.c
+++ b/tests/cluster/test_deadlines.c
@@ -26,8 +26,8 @@
 
 static void assert_starts_first(struct sim_cluster *cluster, const char *first, const char *second)
 {
-    assert_true(sim_until(cluster, 40, sim_some_running, first));
-    assert_int_equal(sim_running(cluster, second), 0);
+    assert_true(sim_run_until(cluster, 40, sim_job_is_running, first));
+    assert_int_equal(sim_count_running(cluster, second), 0);
 }
 
 static void test_feasible_deadline_goes_before_a_missed_one(void **state)
@@ -39,7 +39,7 @@
     sim_run(cluster, 1);
     sim_submit(cluster, 0, array_with_deadline(3, 20, 90));
     assert_starts_first(cluster, "run-3", "run-2");
-    assert_true(sim_until(cluster, 60, sim_all_done, "run-2"));
+    assert_true(sim_run_until(cluster, 60, sim_job_is_done, "run-2"));
     sim_finish(cluster);
 }
 
@@ -73,11 +73,11 @@
 {
     cluster->run_time_s = 10;
     double end = cluster->now + seconds;
-    for (int n = 100; cluster->now < end && sim_running(cluster, id) == 0; n++) {
+    for (int n = 100; cluster->now < end && sim_count_running(cluster, id) == 0; n++) {
         sim_submit(cluster, 0, array_with_deadline(n, 5, 1000));
         sim_run(cluster, 8);
     }
-    return sim_running(cluster, id) > 0;
+    return sim_count_running(cluster, id) > 0;
 }
 
 static void test_overdue_job_starts_in_the_end(void **state)
@@ -104,12 +104,12 @@
 {
     struct sim_cluster *cluster = sim_with_one_controller_and_machines(1);
     cluster->run_time_s = 60;
-    sim_start_settled_job(cluster, array_with_deadline(1, 60, 500));
+    sim_start_and_settle_job(cluster, array_with_deadline(1, 60, 500));
     struct ow_submission *urgent = array_with_deadline(2, 20, urgent_deadline_s);
     urgent->rank = OW_RANK_URGENT;
     sim_submit(cluster, 0, urgent);
     sim_run(cluster, 15);
-    bool survives = sim_running(cluster, "run-1") == 1;
+    bool survives = sim_count_running(cluster, "run-1") == 1;
     sim_finish(cluster);
     return survives;
 }
--- a/tests/cluster/test_election.c
+++ b/tests/cluster/test_election.c
@@ -27,14 +27,14 @@
     int first = sim_leader(cluster);
     int other = (first + 1) % SIM_CONTROLLERS;
     sim_kill_controller(cluster, first);
-    sim_lose_link(cluster, other, first);
+    sim_break_peer_link(cluster, other, first);
     sim_run(cluster, 0.5);
     assert_int_equal(sim_leader(cluster), other);
     /* Two controllers without a link must not depose each other in turn. */
     sim_start_controller(cluster, first);
     sim_run(cluster, 2);
     uint64_t fencing_token = sim_fencing_token(cluster, other);
-    sim_lose_link(cluster, first, other);
+    sim_break_peer_link(cluster, first, other);
     sim_run(cluster, 1);
     assert_true(sim_fencing_token(cluster, other) == fencing_token);
     sim_finish(cluster);
@@ -56,10 +56,10 @@
 {
     (void)state;
     struct sim_cluster *cluster = sim_new();
-    cluster->lose_txn_answers = true;
+    cluster->lose_txn_responses = true;
     sim_start_controller(cluster, 0);
     sim_run(cluster, 2);
-    cluster->lose_txn_answers = false;
+    cluster->lose_txn_responses = false;
     sim_run(cluster, 2);
     assert_true(sim_fencing_token(cluster, 0) > 0);
     sim_finish(cluster);
@@ -73,11 +73,11 @@
     uint64_t fencing_token = sim_fencing_token(cluster, leader);
     sim_submit(cluster, 0, sim_job("run-1", 2, 1));
     cluster->run_time_s = 60;
-    assert_true(sim_until(cluster, 10, sim_some_running, "run-1"));
+    assert_true(sim_run_until(cluster, 10, sim_job_is_running, "run-1"));
     cluster->store_down = true;
     sim_run(cluster, 45);
     /* Rule 8: workers are answered all along, so their tasks outlive the outage. */
-    assert_int_equal(sim_running(cluster, "run-1"), 2);
+    assert_int_equal(sim_count_running(cluster, "run-1"), 2);
     cluster->store_down = false;
     sim_run(cluster, 2);
     assert_true(sim_fencing_token(cluster, leader) == fencing_token);
@@ -88,13 +88,13 @@
 {
     (void)state;
     struct sim_cluster *cluster = sim_with_controllers(3, 1);
-    cluster->denied_controller = 2;
+    cluster->controller_without_store = 2;
     sim_poll(cluster, 2, "run-1"); /* so that it notices */
     sim_run(cluster, 5);
     assert_false(ow_shard_manager_is_ready(cluster->controllers[2]));
     assert_true(ow_shard_manager_is_ready(cluster->controllers[0]) &&
                 ow_shard_manager_is_ready(cluster->controllers[1]));
-    cluster->denied_controller = -1;
+    cluster->controller_without_store = -1;
     cluster->store_down = true;
     sim_run(cluster, 18);
     sim_kill_controller(cluster, 0);
--- a/tests/cluster/test_failover.c
+++ b/tests/cluster/test_failover.c
@@ -8,7 +8,7 @@
 
 static bool job_runs(struct sim_cluster *cluster, const void *job)
 {
-    return sim_where(cluster, job) != NULL;
+    return sim_find_machine_of_job(cluster, job) != NULL;
 }
 
 /* Tasks recorded on a machine that is deleted before another leader takes over. */
@@ -18,11 +18,11 @@
     struct sim_cluster *cluster = sim_with_machines(2);
     cluster->run_time_s = 100;
     sim_start_job(cluster, sim_job("run-1", 1, 1));
-    struct sim_machine *machine = sim_where(cluster, "run-1");
+    struct sim_machine *machine = sim_find_machine_of_job(cluster, "run-1");
     sim_kill_controllers(cluster);
     sim_delete_machine(machine);
     sim_start_controllers(cluster);
-    assert_true(sim_until(cluster, 22, job_runs, "run-1"));
+    assert_true(sim_run_until(cluster, 22, job_runs, "run-1"));
     sim_finish(cluster);
 }
 
@@ -39,11 +39,11 @@
     sim_add_machine(cluster, "m-9", "big", "west", false);
     sim_submit(cluster, 0, other);
     sim_run(cluster, 5);
-    assert_int_equal(sim_running(cluster, "run-2"), 1);
-    struct sim_machine *machine = sim_where(cluster, "run-1");
+    assert_int_equal(sim_count_running(cluster, "run-2"), 1);
+    struct sim_machine *machine = sim_find_machine_of_job(cluster, "run-1");
     sim_kill_controller(cluster, sim_leader(cluster));
     sim_delete_machine(machine);
-    assert_true(sim_until(cluster, 33, job_runs, "run-1"));
+    assert_true(sim_run_until(cluster, 33, job_runs, "run-1"));
     sim_finish(cluster);
 }
 
@@ -55,19 +55,19 @@
     struct sim_cluster *cluster = sim_with_machines(2);
     cluster->run_time_s = 200;
     cluster->cloud_down = true;
-    struct sim_machine *machine = sim_start_settled_job(cluster, sim_job("run-1", 1, 1));
+    struct sim_machine *machine = sim_start_and_settle_job(cluster, sim_job("run-1", 1, 1));
     int old = sim_leader(cluster);
-    machine->cut = true;
+    machine->partitioned = true;
     sim_kill_controller(cluster, old);
     /* No controller renews the machine's lease here, but the new leader can't know: an isolated old leader
      * might. */
-    machine->renewed_at = cluster->now + 1000;
+    machine->lease_renewed_at = cluster->now + 1000;
     sim_run(cluster, 60);
     assert_true(sim_leader(cluster) != old);
-    assert_false(sim_runs_on_another(cluster, machine));
-    machine->cut = false;
+    assert_false(sim_job_runs_on_another(cluster, machine));
+    machine->partitioned = false;
     sim_run(cluster, 10);
-    assert_true(sim_where(cluster, "run-1") == machine);
+    assert_true(sim_find_machine_of_job(cluster, "run-1") == machine);
     sim_finish(cluster);
 }
 
@@ -79,21 +79,21 @@
     struct sim_cluster *cluster = sim_with_machines(2);
     cluster->run_time_s = 200;
     cluster->cloud_down = true;
-    struct sim_machine *machine = sim_start_settled_job(cluster, sim_job("run-1", 1, 1));
+    struct sim_machine *machine = sim_start_and_settle_job(cluster, sim_job("run-1", 1, 1));
     uint64_t fencing_token = machine->fencing_token;
     for (guint i = 0; i < cluster->machines->len; i++)
-        sim_machine_at(cluster, i)->cut = true;
-    machine->renewed_at = cluster->now + 1000;
+        sim_machine_at(cluster, i)->partitioned = true;
+    machine->lease_renewed_at = cluster->now + 1000;
     sim_kill_controller(cluster, sim_leader(cluster));
     sim_run(cluster, 8);
     int controller = sim_leader(cluster);
-    sim_heartbeat(cluster, controller, machine, machine->sequence + 1, fencing_token);
+    sim_send_empty_heartbeat(cluster, controller, machine, machine->sequence + 1, fencing_token);
     sim_submit(cluster, controller, sim_job("run-2", 1, 1));
     sim_run(cluster, 3);
-    char *first = sim_progress(cluster, "run-1/0");
+    char *first = sim_read_progress_record(cluster, "run-1/0");
     assert_non_null(first);
     assert_non_null(strstr(first, machine->name));
-    assert_null(sim_progress(cluster, "run-2/0"));
+    assert_null(sim_read_progress_record(cluster, "run-2/0"));
     g_free(first);
     sim_finish(cluster);
 }
@@ -104,24 +104,25 @@
     (void)state;
     struct sim_cluster *cluster = sim_with_machines(1);
     int old = sim_leader(cluster);
-    cluster->keep_held = true;
-    cluster->hold_next = 1;
-    cluster->hold_controller = old;
+    cluster->keep_txns_delayed = true;
+    cluster->delay_next_txns = 1;
+    cluster->delay_next_controller = old;
     sim_submit(cluster, (old + 1) % SIM_CONTROLLERS, sim_job("run-1", 1, 1));
     sim_run(cluster, 0.4);
-    assert_int_equal(cluster->held->len, 1);
-    cluster->denied_controller = old;
-    sim_machine(cluster, "m-0")->cut = true; /* so that the new leader has nothing to write */
+    assert_int_equal(cluster->delayed_txns->len, 1);
+    cluster->controller_without_store = old;
+    sim_machine(cluster, "m-0")->partitioned = true; /* so that the new leader has nothing to write */
     sim_run(cluster, 12);
     assert_true(sim_leader(cluster) != old);
-    cluster->keep_held = false;
+    cluster->keep_txns_delayed = false;
     sim_run(cluster, 1);
-    assert_int_equal(cluster->held->len, 0);
-    assert_null(sim_progress(cluster, "run-1/0"));
+    assert_int_equal(cluster->delayed_txns->len, 0);
+    assert_null(sim_read_progress_record(cluster, "run-1/0"));
     sim_finish(cluster);
 }
 
-/* Rule 4: a new leader starts nothing on a machine before it has its report under the new fencing token. */
+/* Rule 4: a new leader starts nothing on a machine before it has its heartbeat under the new fencing token.
+ */
 static void test_no_launch_before_the_machine_heartbeats_the_new_fencing_token(void **state)
 {
     (void)state;
@@ -129,15 +130,15 @@
     cluster->cloud_down = true;
     struct sim_machine *machine = sim_machine(cluster, "m-0");
     uint64_t before = machine->fencing_token;
-    machine->cut = true;
+    machine->partitioned = true;
     sim_kill_controller(cluster, sim_leader(cluster));
     sim_run(cluster, 8);
     int controller = sim_leader(cluster);
     sim_submit(cluster, controller, sim_job("run-1", 1, 1));
     sim_run(cluster, 5);
-    assert_int_equal(machine->starts, 0);
-    machine->cut = false;
-    assert_true(sim_until(cluster, 15, sim_some_running, "run-1"));
+    assert_int_equal(machine->launches, 0);
+    machine->partitioned = false;
+    assert_true(sim_run_until(cluster, 15, sim_job_is_running, "run-1"));
     assert_true(machine->fencing_token > before);
     sim_finish(cluster);
 }
@@ -153,14 +154,14 @@
     struct ow_submission *second = sim_job("run-2", 1, 4);
     sim_set_team(first, "tight");
     sim_set_team(second, "tight");
-    struct sim_machine *machine = sim_start_settled_job(cluster, first);
-    machine->cut = true;
-    machine->renewed_at = cluster->now + 1000;
+    struct sim_machine *machine = sim_start_and_settle_job(cluster, first);
+    machine->partitioned = true;
+    machine->lease_renewed_at = cluster->now + 1000;
     sim_kill_controller(cluster, sim_leader(cluster));
     sim_run(cluster, 8);
     sim_submit(cluster, sim_leader(cluster), second);
     sim_run(cluster, 20);
-    assert_int_equal(sim_running(cluster, "run-2"), 0);
+    assert_int_equal(sim_count_running(cluster, "run-2"), 0);
     sim_finish(cluster);
 }
 
@@ -187,20 +188,20 @@
     for (int i = 0; i < 3; i++) {
         char name[16];
         g_snprintf(name, sizeof name, "booting-%d", i);
-        sim_add_machine(cluster, name, "big", "east", false)->up_at = cluster->now + 100;
+        sim_add_machine(cluster, name, "big", "east", false)->booted_at = cluster->now + 100;
     }
     sim_run(cluster, 20); /* the cloud's list tells their addresses, and the leader its peers */
     cluster->cloud_down = true;
-    cluster->directs = 0;
+    cluster->direct_commands_sent = 0;
     sim_kill_controller(cluster, sim_leader(cluster));
     sim_run(cluster, 10);
     assert_true(sim_leader(cluster) >= 0);
-    assert_int_equal(cluster->directs, 2);
+    assert_int_equal(cluster->direct_commands_sent, 2);
     sim_finish(cluster);
 }
 
-/* A machine that boots for longer than an unresponsive one is left alone is not returned when it reports at
- * last. */
+/* A machine that boots for longer than an unresponsive one is left alone is not returned when it sends
+ * heartbeats at last. */
 static void test_slow_boot_is_not_taken_for_unresponsive(void **state)
 {
     (void)state;
@@ -211,13 +212,13 @@
     sim_start_controllers(cluster);
     sim_add_machines(cluster, 1);
     struct sim_machine *slow = sim_add_machine(cluster, "slow", "big", "east", false);
-    slow->up_at = slow->renewed_at = cluster->now + 24;
+    slow->booted_at = slow->lease_renewed_at = cluster->now + 24;
     sim_run(cluster, 4);
     cluster->run_time_s = 300;
     sim_submit(cluster, 0, sim_job("run-1", 2, 16));
     sim_run(cluster, 40);
-    assert_false(slow->gone);
-    assert_int_equal(slow->starts, 1);
+    assert_false(slow->deleted);
+    assert_int_equal(slow->launches, 1);
     sim_finish(cluster);
 }
 
--- a/tests/cluster/test_fleet.c
+++ b/tests/cluster/test_fleet.c
@@ -13,8 +13,8 @@
 static struct sim_cluster *fleet_sim(void)
 {
     struct sim_cluster *cluster = sim_new();
-    sim_set_large_rates(cluster);
-    cluster->capacity = MACHINES;
+    sim_set_largest_limits(cluster);
+    cluster->provisionable_machines = MACHINES;
     sim_start_controllers(cluster);
     for (int i = 0; i < MACHINES; i++) {
         char name[16];
@@ -87,7 +87,7 @@
     char id[16];
     for (int n = 0; n < *(const int *)count; n++) {
         name_job(id, sizeof id, n);
-        if (!sim_all_done(cluster, id))
+        if (!sim_job_is_done(cluster, id))
             return false;
     }
     return true;
@@ -113,7 +113,7 @@
 {
     (void)state;
     struct sim_cluster *cluster = fleet_sim();
-    cluster->capacity = 0;
+    cluster->provisionable_machines = 0;
     cluster->run_time_s = 100;
     int jobs = 0;
     for (int i = 0; i < 8; i++)
@@ -123,7 +123,7 @@
     sim_run(cluster, 10);
     double machines = 0;
     for (guint i = 0; i < cluster->machines->len; i++)
-        machines += !sim_machine_at(cluster, i)->gone;
+        machines += !sim_machine_at(cluster, i)->deleted;
     assert_true(2 * machines > MACHINES);
     assert_true((double)looks / machines < LOOKS_MOST);
     sim_finish(cluster);
@@ -142,13 +142,13 @@
     sim_run(cluster, 3);
     lose_a_third(cluster);
     double since = cluster->now;
-    cluster->store_requests = cluster->store_mutations = cluster->cloud_calls = 0;
-    assert_true(sim_until(cluster, 240, all_jobs_done, &jobs));
+    cluster->store_requests = cluster->store_mutations = cluster->cloud_requests = 0;
+    assert_true(sim_run_until(cluster, 240, all_jobs_done, &jobs));
     /* Within the rate limits of the services, with a reserve for users. */
     double took = cluster->now - since;
     assert_true(cluster->store_requests < 0.5 * cluster->settings[0].store_rps * took);
     assert_true(cluster->store_mutations < 0.8 * cluster->settings[0].store_write_rps * took);
-    assert_true(cluster->cloud_calls < 0.8 * cluster->settings[0].cloud_rps * took);
+    assert_true(cluster->cloud_requests < 0.8 * cluster->settings[0].cloud_rps * took);
     sim_finish(cluster);
 }
 
--- a/tests/cluster/test_gangs.c
+++ b/tests/cluster/test_gangs.c
@@ -14,7 +14,7 @@
     cluster->run_time_s = 50;
     sim_start_job(cluster, sim_gang("run-1", 2, 10));
     sim_run(cluster, 0.2);
-    assert_int_equal(sim_running(cluster, "run-1"), 2);
+    assert_int_equal(sim_count_running(cluster, "run-1"), 2);
     const struct sim_task *first = &g_array_index(sim_machine(cluster, "m-0")->tasks, struct sim_task, 0);
     const struct sim_task *second = &g_array_index(sim_machine(cluster, "m-1")->tasks, struct sim_task, 0);
     assert_true(first->attempt == second->attempt);
@@ -38,11 +38,11 @@
     cluster->run_time_s = 200;
     sim_submit(cluster, 0, sim_job("run-3", 16, 1)); /* fits the free machine, but was submitted later */
     sim_run(cluster, 10);
-    assert_int_equal(sim_running(cluster, "run-2"), 0);
-    assert_int_equal(sim_running(cluster, "run-3"), 0);
-    assert_true(sim_until(cluster, 20, sim_some_running, "run-2"));
+    assert_int_equal(sim_count_running(cluster, "run-2"), 0);
+    assert_int_equal(sim_count_running(cluster, "run-3"), 0);
+    assert_true(sim_run_until(cluster, 20, sim_job_is_running, "run-2"));
     sim_run(cluster, 1);
-    assert_int_equal(sim_running(cluster, "run-2"), 2);
+    assert_int_equal(sim_count_running(cluster, "run-2"), 2);
     sim_finish(cluster);
 }
 
@@ -60,9 +60,9 @@
     sim_run(cluster, 1);
     sim_submit(cluster, 0, sim_job("run-3", 1, 4));
     sim_run(cluster, 10);
-    assert_int_equal(sim_running(cluster, "run-3"), 0);
+    assert_int_equal(sim_count_running(cluster, "run-3"), 0);
     /* The window of 5 s, then the waiting limit. */
-    assert_true(sim_until(cluster, 10, sim_some_running, "run-3"));
+    assert_true(sim_run_until(cluster, 10, sim_job_is_running, "run-3"));
     sim_finish(cluster);
 }
 
@@ -79,7 +79,7 @@
     submission->one_zone = true;
     sim_start_job(cluster, submission);
     sim_run(cluster, 1);
-    assert_int_equal(sim_running_in(cluster, "run-1", "west"), 2);
+    assert_int_equal(sim_count_running_in_zone(cluster, "run-1", "west"), 2);
     sim_finish(cluster);
 }
 
@@ -97,9 +97,9 @@
     sim_start_job(cluster, low);
     sim_submit(cluster, 0, peer); /* equal rank: must not preempt */
     sim_run(cluster, 5);
-    assert_int_equal(sim_running(cluster, "run-1"), 16);
+    assert_int_equal(sim_count_running(cluster, "run-1"), 16);
     sim_start_job(cluster, urgent);
-    assert_int_equal(sim_running(cluster, "run-1"), 4);
+    assert_int_equal(sim_count_running(cluster, "run-1"), 4);
     sim_finish(cluster);
 }
 
@@ -115,9 +115,9 @@
     uint64_t attempt = task->attempt;
     task->phase = OW_PHASE_EXITED;
     task->cause = OW_CAUSE_FULL; /* rejected by the worker: the member that did start is stopped */
-    machine->heartbeat_at = cluster->now;
+    machine->next_heartbeat_at = cluster->now;
     sim_run(cluster, 6);
-    assert_int_equal(sim_running(cluster, "run-1"), 2);
+    assert_int_equal(sim_count_running(cluster, "run-1"), 2);
     task = &g_array_index(machine->tasks, struct sim_task, machine->tasks->len - 1);
     assert_true(task->attempt > attempt);
     sim_finish(cluster);
--- a/tests/cluster/test_isolation.c
+++ b/tests/cluster/test_isolation.c
@@ -7,7 +7,7 @@
 static void test_isolated_leader_steps_down(void **state)
 {
     (void)state;
-    struct sim_cluster *cluster = sim_with_capacity(2, 6);
+    struct sim_cluster *cluster = sim_with_provisionable_machines(2, 6);
     struct sim_machine *machine = sim_start_long_job(cluster);
     int old = sim_leader(cluster);
     cluster->isolated_controller = old;
@@ -16,18 +16,18 @@
     sim_submit(cluster, old, sim_job("run-2", 1, 1));
     sim_run(cluster, 4);
     assert_false(ow_shard_manager_is_ready(cluster->controllers[old]));
-    const struct sim_answer *answer = sim_answer(cluster, poll);
+    const struct sim_response *answer = sim_response(cluster, poll);
     assert_true(answer != NULL && answer->status == 503);
-    assert_true(sim_until(cluster, 20, sim_some_running, "run-1"));
+    assert_true(sim_run_until(cluster, 20, sim_job_is_running, "run-1"));
     sim_run(cluster, 10);
     assert_true(sim_leader(cluster) != old && sim_fencing_token(cluster, old) == 0);
     /* The task has survived on its machine. */
-    assert_true(sim_where(cluster, "run-1") == machine);
-    assert_int_equal(machine->starts, 1);
+    assert_true(sim_find_machine_of_job(cluster, "run-1") == machine);
+    assert_int_equal(machine->launches, 1);
     cluster->run_time_s = 1;
     sim_submit(cluster, sim_leader(cluster), sim_job("run-3", 1, 1));
-    assert_true(sim_until(cluster, 20, sim_all_done, "run-3"));
-    assert_int_equal(sim_running(cluster, "run-2"), 0);
+    assert_true(sim_run_until(cluster, 20, sim_job_is_done, "run-3"));
+    assert_int_equal(sim_count_running(cluster, "run-2"), 0);
     cluster->isolated_controller = -1;
     sim_run(cluster, 10);
     assert_true(ow_shard_manager_is_ready(cluster->controllers[old]));
@@ -37,7 +37,7 @@
 static void test_isolated_follower_is_unhealthy(void **state)
 {
     (void)state;
-    struct sim_cluster *cluster = sim_with_capacity(1, 6);
+    struct sim_cluster *cluster = sim_with_provisionable_machines(1, 6);
     int other = (sim_leader(cluster) + 1) % SIM_CONTROLLERS;
     cluster->isolated_controller = other;
     sim_run(cluster, 8);
@@ -53,13 +53,13 @@
 static void test_leader_without_workers_steps_down(void **state)
 {
     (void)state;
-    struct sim_cluster *cluster = sim_with_capacity(2, 6);
+    struct sim_cluster *cluster = sim_with_provisionable_machines(2, 6);
     struct sim_machine *machine = sim_start_long_job(cluster);
     int old = sim_leader(cluster);
-    cluster->workerless_controller = old;
+    cluster->controller_without_workers = old;
     sim_run(cluster, 18);
     assert_true(sim_leader(cluster) >= 0 && sim_leader(cluster) != old);
-    assert_true(sim_where(cluster, "run-1") == machine);
+    assert_true(sim_find_machine_of_job(cluster, "run-1") == machine);
     sim_finish(cluster);
 }
 
@@ -67,27 +67,27 @@
 {
     (void)state;
     for (int step = 0; step < 30; step++) {
-        struct sim_cluster *cluster = sim_with_capacity(2, 6);
+        struct sim_cluster *cluster = sim_with_provisionable_machines(2, 6);
         cluster->run_time_s = 4;
         sim_submit(cluster, 0, sim_job("run-1", 3, 1));
         sim_run(cluster, 0.1);
         /* The leader crashes, its successor crashes during the election, and both restart at once. */
         int old = sim_leader(cluster);
         int next = (old + 1) % SIM_CONTROLLERS;
-        cluster->lose_txn_answers = step % 3 == 0;
+        cluster->lose_txn_responses = step % 3 == 0;
         sim_kill_controller(cluster, old);
-        sim_lose_link(cluster, next, old);
+        sim_break_peer_link(cluster, next, old);
         sim_start_controller(cluster, old);
         sim_run(cluster, 0.05 * step);
         sim_kill_controller(cluster, next);
         sim_start_controller(cluster, next);
-        cluster->lose_txn_answers = false;
+        cluster->lose_txn_responses = false;
         sim_run(cluster, 0.1);
         sim_submit(cluster, next, sim_job("run-1", 3, 1));
         sim_submit(cluster, old, sim_job("run-2", 2, 1));
-        assert_true(sim_until(cluster, 60, sim_all_done, "run-1"));
+        assert_true(sim_run_until(cluster, 60, sim_job_is_done, "run-1"));
         sim_submit(cluster, next, sim_job("run-2", 2, 1));
-        assert_true(sim_until(cluster, 60, sim_all_done, "run-2"));
+        assert_true(sim_run_until(cluster, 60, sim_job_is_done, "run-2"));
         sim_finish(cluster);
     }
 }
@@ -96,7 +96,7 @@
 {
     (void)state;
     enum { JOBS = 300 };
-    struct sim_cluster *cluster = sim_with_capacity(4, 6);
+    struct sim_cluster *cluster = sim_with_provisionable_machines(4, 6);
     uint64_t polls[JOBS];
     char id[16];
     cluster->run_time_s = 1;
@@ -120,7 +120,7 @@
     }
     sim_run(cluster, 2);
     for (int i = 0; i < JOBS; i++) {
-        const struct sim_answer *answer = sim_answer(cluster, polls[i]);
+        const struct sim_response *answer = sim_response(cluster, polls[i]);
         assert_true(answer != NULL && answer->status == 200 && answer->state == OW_JOB_DONE);
     }
     sim_finish(cluster);
@@ -130,34 +130,34 @@
 static void test_job_is_retried_on_machines_that_failed_it(void **state)
 {
     (void)state;
-    struct sim_cluster *cluster = sim_with_capacity(2, 6);
-    cluster->capacity = 0;
+    struct sim_cluster *cluster = sim_with_provisionable_machines(2, 6);
+    cluster->provisionable_machines = 0;
     cluster->cloud_down = true; /* no machine is deleted or provisioned */
     for (guint i = 0; i < cluster->machines->len; i++)
-        sim_machine_at(cluster, i)->faulty = true;
+        sim_machine_at(cluster, i)->fails_tasks = true;
     cluster->run_time_s = 1;
     sim_submit(cluster, 0, sim_job("run-1", 1, 1));
     sim_run(cluster, 20);
     for (guint i = 0; i < cluster->machines->len; i++)
-        sim_machine_at(cluster, i)->faulty = false;
-    assert_true(sim_until(cluster, 75, sim_all_done, "run-1"));
+        sim_machine_at(cluster, i)->fails_tasks = false;
+    assert_true(sim_run_until(cluster, 75, sim_job_is_done, "run-1"));
     sim_finish(cluster);
 }
 
-/* Without free sockets, commands are sent with the responses to reports, and no machine counts as
+/* Without free sockets, commands are sent with the responses to heartbeats, and no machine counts as
  * unresponsive. */
 static void test_work_continues_without_free_sockets(void **state)
 {
     (void)state;
-    struct sim_cluster *cluster = sim_with_capacity(3, 6);
+    struct sim_cluster *cluster = sim_with_provisionable_machines(3, 6);
     cluster->no_sockets = true;
     sim_submit(cluster, 0, sim_gang("run-1", 3, 16));
-    assert_true(sim_until(cluster, 40, sim_all_done, "run-1"));
+    assert_true(sim_run_until(cluster, 40, sim_job_is_done, "run-1"));
     sim_run(cluster, 15);
     for (guint i = 0; i < cluster->machines->len; i++)
         assert_int_equal(sim_machine_at(cluster, i)->incarnation, 1);
     sim_submit(cluster, 0, sim_job("run-2", 4, 1));
-    assert_true(sim_until(cluster, 40, sim_all_done, "run-2"));
+    assert_true(sim_run_until(cluster, 40, sim_job_is_done, "run-2"));
     sim_finish(cluster);
 }
 
@@ -169,7 +169,7 @@
     struct sim_cluster *cluster = sim_with_machines(2);
     int follower = sim_follower(cluster);
     cluster->isolated_controller = follower;
-    cluster->changes_most = 5;
+    cluster->watch_changes_max = 5;
     char id[16];
     for (int n = 1; n <= 12; n++) {
         g_snprintf(id, sizeof id, "run-%d", n);
--- a/tests/cluster/test_large_fleet.c
+++ b/tests/cluster/test_large_fleet.c
@@ -11,7 +11,7 @@
 static struct sim_cluster *large_sim(void)
 {
     struct sim_cluster *cluster = sim_new();
-    sim_set_large_rates(cluster);
+    sim_set_largest_limits(cluster);
     for (int i = 0; i < SIM_CONTROLLERS; i++)
         cluster->settings[i].sockets = 2 * MACHINES;
     sim_start_controllers(cluster);
@@ -30,9 +30,9 @@
 {
     sim_submit(cluster, 0, sim_job("run-1", MACHINES, 16));
     sim_run(cluster, 25);
-    assert_int_equal(sim_running(cluster, "run-1"), MACHINES);
+    assert_int_equal(sim_count_running(cluster, "run-1"), MACHINES);
     for (int i = 0; i < MACHINES; i++)
-        assert_int_equal(sim_machine_at(cluster, (guint)i)->starts, 1);
+        assert_int_equal(sim_machine_at(cluster, (guint)i)->launches, 1);
 }
 
 /* The cloud's list has ten pages, and the array a task for every machine; the cancellation ends them all. */
@@ -41,19 +41,19 @@
     (void)state;
     struct sim_cluster *cluster = large_sim();
     fill(cluster);
-    cluster->directs = 0;
+    cluster->direct_commands_sent = 0;
     uint64_t request = sim_cancel(cluster, 1, "run-1");
-    assert_true(sim_until(cluster, 20, sim_none_running, "run-1"));
+    assert_true(sim_run_until(cluster, 20, sim_job_is_not_running, "run-1"));
     sim_run(cluster, 2);
-    assert_int_equal(sim_answer(cluster, request)->state, OW_JOB_CANCELLED);
-    assert_true(cluster->directs <= DIRECTS_MOST * MACHINES);
+    assert_int_equal(sim_response(cluster, request)->state, OW_JOB_CANCELLED);
+    assert_true(cluster->direct_commands_sent <= DIRECTS_MOST * MACHINES);
     sim_finish(cluster);
 }
 
-static void set_reporting(struct sim_cluster *cluster, bool reporting)
+static void set_heartbeats_lost(struct sim_cluster *cluster, bool lost)
 {
     for (int i = 0; i < MACHINES; i++)
-        sim_machine_at(cluster, (guint)i)->stopped_reporting = !reporting;
+        sim_machine_at(cluster, (guint)i)->heartbeats_lost = lost;
 }
 
 /* The successor reaches every machine with what the leader told it alone: no heartbeat comes, and no list of
@@ -65,19 +65,19 @@
     struct sim_cluster *cluster = large_sim();
     fill(cluster);
     cluster->cloud_down = true;
-    cluster->directs = 0;
-    set_reporting(cluster, false);
+    cluster->direct_commands_sent = 0;
+    set_heartbeats_lost(cluster, true);
     uint64_t old_fencing_token = sim_machine_at(cluster, 0)->fencing_token;
     sim_kill_controller(cluster, sim_leader(cluster));
     sim_run(cluster, 15);
     assert_true(sim_leader(cluster) >= 0);
     for (int i = 0; i < MACHINES; i++)
         assert_true(sim_machine_at(cluster, (guint)i)->fencing_token > old_fencing_token);
-    set_reporting(cluster, true);
+    set_heartbeats_lost(cluster, false);
     sim_run(cluster, 20);
-    assert_int_equal(sim_running(cluster, "run-1"), MACHINES);
-    assert_int_equal(sim_total_starts(cluster), MACHINES);
-    assert_true(cluster->directs <= DIRECTS_MOST * MACHINES);
+    assert_int_equal(sim_count_running(cluster, "run-1"), MACHINES);
+    assert_int_equal(sim_count_launches(cluster), MACHINES);
+    assert_true(cluster->direct_commands_sent <= DIRECTS_MOST * MACHINES);
     sim_finish(cluster);
 }
 
--- a/tests/cluster/test_leader_changes.c
+++ b/tests/cluster/test_leader_changes.c
@@ -9,7 +9,7 @@
 static void test_returning_leader_takes_a_new_fencing_token(void **state)
 {
     (void)state;
-    struct sim_cluster *cluster = failure_sim(2);
+    struct sim_cluster *cluster = sim_with_long_tasks(2);
     int old = sim_leader(cluster);
     uint64_t before = sim_fencing_token(cluster, old);
     cluster->isolated_controller = old;
@@ -24,28 +24,28 @@
     sim_finish(cluster);
 }
 
-/* Its reports reach no controller, so its lease expires repeatedly although it answers commands. */
+/* Its heartbeats reach no controller, so its lease expires repeatedly although it answers commands. */
 static void test_machine_that_stopped_reporting_gets_no_new_tasks(void **state)
 {
     (void)state;
-    struct sim_cluster *cluster = failure_sim(2);
+    struct sim_cluster *cluster = sim_with_long_tasks(2);
     cluster->run_time_s = 15;
-    struct sim_machine *machine = failure_start_job(cluster, sim_job("run-1", 1, 1));
-    machine->stopped_reporting = true;
+    struct sim_machine *machine = sim_start_job_at_follower(cluster, sim_job("run-1", 1, 1));
+    machine->heartbeats_lost = true;
     /* A new leader queries it at its own address and gets responses to every command. */
     sim_kill_controller(cluster, sim_leader(cluster));
     sim_run(cluster, 6);
-    unsigned before = machine->starts;
+    unsigned before = machine->launches;
     for (int i = 2; i < 32; i++) {
         char id[16];
         g_snprintf(id, sizeof id, "run-%d", i);
         sim_submit(cluster, sim_leader(cluster), sim_job(id, 1, 0.5));
         sim_run(cluster, 1);
-        before = i == 10 ? machine->starts : before;
+        before = i == 10 ? machine->launches : before;
     }
-    assert_int_equal(machine->starts, before);
-    assert_true(sim_until(cluster, 120, sim_all_done, "run-31"));
-    assert_true(sim_until(cluster, 70, sim_all_done, "run-1"));
+    assert_int_equal(machine->launches, before);
+    assert_true(sim_run_until(cluster, 120, sim_job_is_done, "run-31"));
+    assert_true(sim_run_until(cluster, 70, sim_job_is_done, "run-1"));
     sim_finish(cluster);
 }
 
@@ -54,17 +54,17 @@
 static void test_one_zone_array_survives_a_machine_loss(void **state)
 {
     (void)state;
-    struct sim_cluster *cluster = failure_sim(1);
-    cluster->capacity = 4;
+    struct sim_cluster *cluster = sim_with_long_tasks(1);
+    cluster->provisionable_machines = 4;
     sim_add_machine(cluster, "w-0", "big", "west", false);
     sim_add_machine(cluster, "w-1", "big", "west", false);
     struct ow_submission *job = sim_job("run-1", 4, 8);
     job->one_zone = true;
-    struct sim_machine *machine = failure_start_job(cluster, job);
-    machine->hangs = true;
+    struct sim_machine *machine = sim_start_job_at_follower(cluster, job);
+    machine->hung = true;
     sim_kill_controller(cluster, sim_leader(cluster));
     sim_run(cluster, 15);
-    machine->hangs = false;
+    machine->hung = false;
     cluster->run_time_s = 3;
     sim_run(cluster, 5);
     sim_start_controllers(cluster);
@@ -74,23 +74,23 @@
     for (guint i = 0; i < cluster->machines->len; i++) {
         struct sim_machine *other = sim_machine_at(cluster, i);
         for (guint k = 0; k < other->tasks->len; k++)
-            g_array_index(other->tasks, struct sim_task, k).phase_at = cluster->now;
+            g_array_index(other->tasks, struct sim_task, k).next_phase_at = cluster->now;
     }
-    assert_true(sim_until(cluster, 60, sim_all_done, "run-1"));
+    assert_true(sim_run_until(cluster, 60, sim_job_is_done, "run-1"));
     sim_finish(cluster);
 }
 
 static void test_all_controllers_down_for_longer_than_a_lease(void **state)
 {
     (void)state;
-    struct sim_cluster *cluster = failure_sim(2);
-    failure_start_job(cluster, sim_job("run-1", 3, 1));
+    struct sim_cluster *cluster = sim_with_long_tasks(2);
+    sim_start_job_at_follower(cluster, sim_job("run-1", 3, 1));
     sim_kill_controllers(cluster);
     sim_run(cluster, 30);
-    assert_int_equal(sim_running(cluster, "run-1"), 0);
+    assert_int_equal(sim_count_running(cluster, "run-1"), 0);
     cluster->run_time_s = 3;
     sim_start_controllers(cluster);
-    assert_true(sim_until(cluster, 30, sim_all_done, "run-1"));
+    assert_true(sim_run_until(cluster, 30, sim_job_is_done, "run-1"));
     sim_finish(cluster);
 }
 
@@ -99,8 +99,8 @@
 static void test_recorded_results_survive_leader_changes(void **state)
 {
     (void)state;
-    struct sim_cluster *cluster = failure_sim(3);
-    failure_start_job(cluster, sim_job("run-1", 3, 1));
+    struct sim_cluster *cluster = sim_with_long_tasks(3);
+    sim_start_job_at_follower(cluster, sim_job("run-1", 3, 1));
     struct sim_task *tasks[3];
     guint count = 0;
     for (guint i = 0; i < cluster->machines->len; i++) {
@@ -110,7 +110,7 @@
     }
     assert_int_equal(count, 3);
     for (guint i = 0; i < count; i++)
-        tasks[i]->phase_at = cluster->now + 2 + 15 * i;
+        tasks[i]->next_phase_at = cluster->now + 2 + 15 * i;
     for (int i = 0; i < 3; i++) {
         sim_run(cluster, 9);
         int old = sim_leader(cluster);
@@ -119,7 +119,7 @@
         sim_start_controller(cluster, old);
         assert_int_equal(sim_job_state(cluster, "run-1") == OW_JOB_DONE, i == 2);
     }
-    assert_int_equal(sim_total_starts(cluster), 3);
+    assert_int_equal(sim_count_launches(cluster), 3);
     sim_finish(cluster);
 }
 
--- a/tests/cluster/test_limits.c
+++ b/tests/cluster/test_limits.c
@@ -12,11 +12,11 @@
     cluster->value_kb = 0.8;
     cluster->txn_ops = 3;
     sim_submit(cluster, 1, sim_job("run-2", 40, 0.4));
-    assert_true(sim_until(cluster, 10, sim_some_running, "run-2"));
-    assert_true(sim_until(cluster, 90, sim_all_done, "run-1"));
-    assert_true(sim_until(cluster, 60, sim_all_done, "run-2"));
+    assert_true(sim_run_until(cluster, 10, sim_job_is_running, "run-2"));
+    assert_true(sim_run_until(cluster, 90, sim_job_is_done, "run-1"));
+    assert_true(sim_run_until(cluster, 60, sim_job_is_done, "run-2"));
     /* Each refusal halves the size of the next attempt, so that retries are bounded. */
-    assert_true(cluster->too_large > 0 && cluster->too_large < 20);
+    assert_true(cluster->oversized_txns > 0 && cluster->oversized_txns < 20);
     assert_string_equal(cluster->violations->str, "");
     sim_free(cluster);
 }
@@ -33,7 +33,7 @@
     }
     sim_add_machines(cluster, 6);
     sim_run(cluster, 8);
-    cluster->capacity = 4;
+    cluster->provisionable_machines = 4;
     cluster->txn_ops = 1;
     cluster->value_kb = 1;
     for (int i = 0; i < 40; i++) {
@@ -42,11 +42,11 @@
         sim_submit(cluster, sim_leader(cluster), sim_job(id, 1, 0.4));
     }
     sim_run(cluster, 30);
-    assert_true(cluster->too_large > 0);
+    assert_true(cluster->oversized_txns > 0);
     uint64_t asked = sim_submit(cluster, sim_leader(cluster), sim_job("run-1", 2, 0.4));
     sim_run(cluster, 2);
     assert_int_equal(sim_status(cluster, asked), 201);
-    assert_true(sim_until(cluster, 30, sim_all_done, "run-1"));
+    assert_true(sim_run_until(cluster, 30, sim_job_is_done, "run-1"));
     assert_string_equal(cluster->violations->str, "");
     sim_free(cluster);
 }
@@ -64,7 +64,7 @@
     sim_run(cluster, 2);
     cluster->value_kb = value_kb;
     cluster->silent_watches = true;
-    cluster->peers_cut = true;
+    cluster->peers_partitioned = true;
     uint64_t accepted = sim_submit(cluster, sim_leader(cluster), sim_job("run-2", 1, 1));
     sim_run(cluster, 1);
     assert_int_equal(sim_status(cluster, accepted), 201);
@@ -101,7 +101,7 @@
     submission->types = (char **)g_ptr_array_free(types, FALSE);
     uint64_t asked = sim_submit(cluster, 0, submission);
     sim_run(cluster, 1);
-    assert_int_equal(sim_answer(cluster, asked)->status, 422);
+    assert_int_equal(sim_response(cluster, asked)->status, 422);
     sim_finish(cluster);
 }
 
--- a/tests/cluster/test_placement.c
+++ b/tests/cluster/test_placement.c
@@ -17,8 +17,8 @@
     sim_start_job(cluster, submission);
     sim_add_machine(cluster, "m-1", "big", "west", false);
     sim_run(cluster, 15);
-    assert_int_equal(sim_machine(cluster, "m-1")->starts, 0);
-    assert_true(sim_until(cluster, 120, sim_all_done, "run-1"));
+    assert_int_equal(sim_machine(cluster, "m-1")->launches, 0);
+    assert_true(sim_run_until(cluster, 120, sim_job_is_done, "run-1"));
     sim_finish(cluster);
 }
 
@@ -39,12 +39,12 @@
     array->spread = true;
     sim_submit(cluster, 0, submission);
     sim_submit(cluster, 0, array);
-    assert_true(sim_until(cluster, 10, sim_some_running, "run-1"));
+    assert_true(sim_run_until(cluster, 10, sim_job_is_running, "run-1"));
     sim_run(cluster, 2);
-    assert_int_equal(sim_running_in(cluster, "run-1", "east"), 2);
-    assert_int_equal(sim_running_in(cluster, "run-1", "west"), 1);
-    assert_int_equal(sim_running_in(cluster, "run-2", "east"), 2);
-    assert_int_equal(sim_running_in(cluster, "run-2", "west"), 2);
+    assert_int_equal(sim_count_running_in_zone(cluster, "run-1", "east"), 2);
+    assert_int_equal(sim_count_running_in_zone(cluster, "run-1", "west"), 1);
+    assert_int_equal(sim_count_running_in_zone(cluster, "run-2", "east"), 2);
+    assert_int_equal(sim_count_running_in_zone(cluster, "run-2", "west"), 2);
     sim_finish(cluster);
 }
 
@@ -63,7 +63,7 @@
     submission->zone = g_strdup("east");
     submission->types = g_strsplit("big", ",", 0);
     sim_start_job(cluster, submission);
-    assert_int_equal(sim_machine(cluster, "m-3")->starts, 1);
+    assert_int_equal(sim_machine(cluster, "m-3")->launches, 1);
     sim_finish(cluster);
 }
 
@@ -87,10 +87,10 @@
     struct ow_submission *submission = sim_job("run-2", 8, 1);
     sim_set_team(submission, "tight");
     sim_submit(cluster, 0, submission);
-    assert_true(sim_until(cluster, 60, sim_some_running, "run-2"));
+    assert_true(sim_run_until(cluster, 60, sim_job_is_running, "run-2"));
     sim_run(cluster, 5);
-    assert_int_equal(sim_running(cluster, "run-2"), 8);
-    assert_int_equal(sim_running(cluster, "run-1"), 8);
+    assert_int_equal(sim_count_running(cluster, "run-2"), 8);
+    assert_int_equal(sim_count_running(cluster, "run-1"), 8);
     sim_finish(cluster);
 }
 
@@ -103,7 +103,7 @@
     sim_set_team(submission, "tight");
     sim_start_job(cluster, submission);
     sim_run(cluster, 5);
-    assert_int_equal(sim_running(cluster, "run-1"), 8);
+    assert_int_equal(sim_count_running(cluster, "run-1"), 8);
     sim_finish(cluster);
 }
 
@@ -113,11 +113,11 @@
     struct sim_cluster *cluster = sim_with_one_controller_and_machines(4);
     cluster->run_time_s = 0.5;
     sim_submit(cluster, 0, sim_job("run-1", 700, 0.1));
-    assert_true(sim_until(cluster, 120, sim_all_done, "run-1"));
+    assert_true(sim_run_until(cluster, 120, sim_job_is_done, "run-1"));
     /* The progress records are deleted with the job. */
     sim_run(cluster, 3);
-    assert_null(sim_progress(cluster, "run-1/0"));
-    assert_null(sim_progress(cluster, "run-1/2"));
+    assert_null(sim_read_progress_record(cluster, "run-1/0"));
+    assert_null(sim_read_progress_record(cluster, "run-1/2"));
     sim_finish(cluster);
 }
 
@@ -145,7 +145,8 @@
     for (guint i = 0; i < cluster->machines->len; i++) {
         const struct sim_machine *machine = sim_machine_at(cluster, i);
         for (guint k = 0; k < machine->tasks->len; k += 2)
-            g_array_index(machine->tasks, struct sim_task, k).phase_at = cluster->now + 1 + 0.3 * (k % 5);
+            g_array_index(machine->tasks, struct sim_task, k).next_phase_at =
+                cluster->now + 1 + 0.3 * (k % 5);
     }
     sim_run(cluster, kill_after_s);
     /* The next leader knows every attempt: none is started twice, none is lost. */
@@ -153,9 +154,9 @@
     sim_start_controller(cluster, 0);
     for (int i = 0; i < 8; i++) {
         g_snprintf(id, sizeof id, "run-%d", i);
-        assert_true(sim_until(cluster, 90, sim_all_done, id));
+        assert_true(sim_run_until(cluster, 90, sim_job_is_done, id));
     }
-    assert_int_equal(sim_total_starts(cluster), 96);
+    assert_int_equal(sim_count_launches(cluster), 96);
     sim_finish(cluster);
 }
 
@@ -173,7 +174,7 @@
 static void test_services_spread_over_machines(void **state)
 {
     (void)state;
-    struct sim_cluster *cluster = sim_with_capacity(2, 0);
+    struct sim_cluster *cluster = sim_with_provisionable_machines(2, 0);
     cluster->run_time_s = 300;
     sim_submit(cluster, 0, sim_job("run-9", 2, 11));
     sim_run(cluster, 6);
@@ -207,7 +208,7 @@
     sim_run(cluster, 6);
     cluster->run_time_s = 20;
     sim_submit(cluster, 0, sim_job("run-1", 6, 16));
-    assert_true(sim_until(cluster, 60, sim_all_done, "run-1"));
+    assert_true(sim_run_until(cluster, 60, sim_job_is_done, "run-1"));
     cluster->run_time_s = 1;
     for (double end = cluster->now + seconds; cluster->now < end;) {
         char id[16];
@@ -218,7 +219,7 @@
     }
     unsigned kept = 0;
     for (guint i = 0; i < cluster->machines->len; i++)
-        kept += sim_machine_at(cluster, i)->gone ? 0 : 1;
+        kept += sim_machine_at(cluster, i)->deleted ? 0 : 1;
     sim_finish(cluster);
     return kept;
 }
--- a/tests/cluster/test_reconciliation.c
+++ b/tests/cluster/test_reconciliation.c
@@ -1,4 +1,4 @@
-/* Unresponsive machines, and reports that are duplicated, late or out of sequence. */
+/* Unresponsive machines, and heartbeats that are duplicated, late or out of sequence. */
 #include "check.h"
 #include "sim_cluster.h"
 #include "model/worker.h"
@@ -6,15 +6,15 @@
 static void test_unresponsive_machine_is_avoided_and_deleted(void **state)
 {
     (void)state;
-    struct sim_cluster *cluster = sim_with_capacity(3, 6);
+    struct sim_cluster *cluster = sim_with_provisionable_machines(3, 6);
     struct sim_machine *unresponsive = sim_start_long_job(cluster);
     unresponsive->unresponsive = true;
     /* A gang that needs a whole machine may pick it before the fault shows: it must not wait for it. */
     cluster->run_time_s = 2;
     sim_submit(cluster, 0, sim_gang("run-2", 2, 16));
-    assert_true(sim_until(cluster, 40, sim_is_gone, unresponsive));
-    assert_true(sim_until(cluster, 40, sim_all_done, "run-2"));
-    assert_true(sim_until(cluster, 40, sim_all_done, "run-1"));
+    assert_true(sim_run_until(cluster, 40, sim_machine_is_deleted, unresponsive));
+    assert_true(sim_run_until(cluster, 40, sim_job_is_done, "run-2"));
+    assert_true(sim_run_until(cluster, 40, sim_job_is_done, "run-1"));
     sim_finish(cluster);
 }
 
@@ -22,42 +22,42 @@
 static void test_unresponsive_machine_gets_no_new_tasks(void **state)
 {
     (void)state;
-    struct sim_cluster *cluster = sim_with_capacity(2, 6);
+    struct sim_cluster *cluster = sim_with_provisionable_machines(2, 6);
     struct sim_machine *unresponsive = sim_start_long_job(cluster);
     unresponsive->unresponsive = true;
     cluster->run_time_s = 1;
     sim_submit(cluster, 0, sim_job("run-2", 1, 1)); /* fits best beside the other task */
     sim_run(cluster, 5);
-    assert_false(unresponsive->gone);
+    assert_false(unresponsive->deleted);
     sim_submit(cluster, 0, sim_job("run-3", 1, 1));
-    assert_true(sim_until(cluster, 4, sim_all_done, "run-3"));
-    assert_false(unresponsive->gone);
+    assert_true(sim_run_until(cluster, 4, sim_job_is_done, "run-3"));
+    assert_false(unresponsive->deleted);
     sim_finish(cluster);
 }
 
 static void test_unresponsive_machine_is_replaced_after_a_failover(void **state)
 {
     (void)state;
-    struct sim_cluster *cluster = sim_with_capacity(3, 6);
+    struct sim_cluster *cluster = sim_with_provisionable_machines(3, 6);
     struct sim_machine *unresponsive = sim_start_long_job(cluster);
     unresponsive->unresponsive = true;
     sim_kill_controller(cluster, sim_leader(cluster));
-    /* Its reports under an old fencing token keep arriving: they are no sign of health. */
-    assert_true(sim_until(cluster, 60, sim_runs_on_another, unresponsive));
-    assert_true(sim_until(cluster, 90, sim_is_gone, unresponsive));
+    /* Its heartbeats under an old fencing token keep arriving: they are no sign of health. */
+    assert_true(sim_run_until(cluster, 60, sim_job_runs_on_another, unresponsive));
+    assert_true(sim_run_until(cluster, 90, sim_machine_is_deleted, unresponsive));
     sim_finish(cluster);
 }
 
 static void test_unresponsive_machine_with_a_cancelled_task_is_deleted(void **state)
 {
     (void)state;
-    struct sim_cluster *cluster = sim_with_capacity(2, 6);
+    struct sim_cluster *cluster = sim_with_provisionable_machines(2, 6);
     struct sim_machine *unresponsive = sim_start_long_job(cluster);
     unresponsive->unresponsive = true;
-    unresponsive->renewed_at = cluster->now + 1000; /* its lease does not end it */
+    unresponsive->lease_renewed_at = cluster->now + 1000; /* its lease does not end it */
     sim_cancel(cluster, 0, "run-1");
     sim_run(cluster, 39);
-    assert_true(unresponsive->gone);
+    assert_true(unresponsive->deleted);
     sim_run(cluster, 5);
     sim_finish(cluster);
 }
@@ -65,20 +65,20 @@
 static void test_duplicate_heartbeat_renews_no_lease(void **state)
 {
     (void)state;
-    struct sim_cluster *cluster = sim_with_capacity(2, 6);
+    struct sim_cluster *cluster = sim_with_provisionable_machines(2, 6);
     cluster->cloud_down = true; /* no proof by deletion */
     struct sim_machine *machine = sim_start_long_job(cluster);
     enum { COPIES = 26 };
     struct ow_heartbeat *copies[COPIES];
     for (int i = 0; i < COPIES; i++)
-        copies[i] = sim_last_heartbeat(machine);
-    machine->cut = true;
+        copies[i] = sim_copy_last_heartbeat(machine);
+    machine->partitioned = true;
     for (int i = 0; i < COPIES; i++) {
-        sim_send_copy(cluster, sim_leader(cluster), copies[i]);
+        sim_send_heartbeat(cluster, sim_leader(cluster), copies[i]);
         sim_run(cluster, 1);
     }
-    assert_true(sim_runs_on_another(cluster, machine));
-    machine->cut = false;
+    assert_true(sim_job_runs_on_another(cluster, machine));
+    machine->partitioned = false;
     sim_run(cluster, 20);
     sim_finish(cluster);
 }
@@ -86,66 +86,66 @@
 static void test_duplicate_heartbeat_frees_no_task_after_a_failover(void **state)
 {
     (void)state;
-    struct sim_cluster *cluster = sim_with_capacity(2, 6);
+    struct sim_cluster *cluster = sim_with_provisionable_machines(2, 6);
     cluster->cloud_down = true;
     struct sim_machine *machine = sim_machine(cluster, "m-0");
-    struct ow_heartbeat *before = sim_last_heartbeat(machine);
-    struct ow_heartbeat *other = sim_last_heartbeat(sim_machine(cluster, "m-1"));
+    struct ow_heartbeat *before = sim_copy_last_heartbeat(machine);
+    struct ow_heartbeat *other = sim_copy_last_heartbeat(sim_machine(cluster, "m-1"));
     machine = sim_start_long_job(cluster);
     ow_heartbeat_free(machine == sim_machine(cluster, "m-0") ? other : before);
     struct ow_heartbeat *copy = machine == sim_machine(cluster, "m-0") ? before : other;
-    machine->cut = true;
-    machine->renewed_at = cluster->now + 1000;
+    machine->partitioned = true;
+    machine->lease_renewed_at = cluster->now + 1000;
     sim_kill_controller(cluster, sim_leader(cluster));
     sim_run(cluster, 8);
     /* It lists no task, and it is the first heartbeat of the machine that this leader receives. */
-    sim_send_copy(cluster, sim_leader(cluster), copy);
+    sim_send_heartbeat(cluster, sim_leader(cluster), copy);
     sim_run(cluster, 15);
-    assert_false(sim_runs_on_another(cluster, machine));
-    machine->cut = false;
+    assert_false(sim_job_runs_on_another(cluster, machine));
+    machine->partitioned = false;
     sim_run(cluster, 10);
-    assert_true(sim_where(cluster, "run-1") == machine);
+    assert_true(sim_find_machine_of_job(cluster, "run-1") == machine);
     sim_finish(cluster);
 }
 
 static void test_duplicate_heartbeat_restores_no_deleted_machine(void **state)
 {
     (void)state;
-    struct sim_cluster *cluster = sim_with_capacity(1, 6);
+    struct sim_cluster *cluster = sim_with_provisionable_machines(1, 6);
     struct sim_machine *machine = sim_start_long_job(cluster);
-    struct ow_heartbeat *copy = sim_last_heartbeat(machine);
+    struct ow_heartbeat *copy = sim_copy_last_heartbeat(machine);
     copy->sequence += 100; /* newer than every heartbeat received from it */
     g_array_set_size(copy->tasks, 0);
     machine->reclaim_notice_s = 1;
-    machine->heartbeat_at = cluster->now;
+    machine->next_heartbeat_at = cluster->now;
     sim_run(cluster, 1.5);
     sim_delete_machine(machine);
     cluster->run_time_s = 1;
-    assert_true(sim_until(cluster, 40, sim_all_done, "run-1"));
-    sim_send_copy(cluster, sim_leader(cluster), copy);
+    assert_true(sim_run_until(cluster, 40, sim_job_is_done, "run-1"));
+    sim_send_heartbeat(cluster, sim_leader(cluster), copy);
     sim_run(cluster, 0.5);
     sim_submit(cluster, 0, sim_job("run-2", 16, 2));
-    assert_true(sim_until(cluster, 20, sim_all_done, "run-2"));
+    assert_true(sim_run_until(cluster, 20, sim_job_is_done, "run-2"));
     sim_finish(cluster);
 }
 
 /* Sequence numbers only grow, by the protocol. Reports of a worker that restarts them can't be distinguished
- * from late duplicates: they are ignored, and its machine is deleted like one that does not report. */
+ * from late duplicates: they are ignored, and its machine is deleted like one that sends no heartbeats. */
 static void test_worker_with_reset_sequence_numbers_is_replaced(void **state)
 {
     (void)state;
-    struct sim_cluster *cluster = sim_with_capacity(1, 6);
+    struct sim_cluster *cluster = sim_with_provisionable_machines(1, 6);
     struct sim_machine *machine = sim_start_long_job(cluster);
     machine->incarnation = 3;
     machine->sequence = 500;
     sim_run(cluster, 10);
-    struct ow_heartbeat *copy = sim_last_heartbeat(machine);
+    struct ow_heartbeat *copy = sim_copy_last_heartbeat(machine);
     copy->sequence += 100;
     cluster->run_time_s = 2;
-    sim_reboot(cluster, machine);
-    assert_true(sim_until(cluster, 60, sim_all_done, "run-1"));
-    sim_send_copy(cluster, sim_leader(cluster), copy);
-    assert_true(sim_until(cluster, 60, sim_is_gone, machine));
+    sim_restart_worker(cluster, machine);
+    assert_true(sim_run_until(cluster, 60, sim_job_is_done, "run-1"));
+    sim_send_heartbeat(cluster, sim_leader(cluster), copy);
+    assert_true(sim_run_until(cluster, 60, sim_machine_is_deleted, machine));
     sim_finish(cluster);
 }
 
--- a/tests/cluster/test_replica_moves.c
+++ b/tests/cluster/test_replica_moves.c
@@ -9,12 +9,12 @@
 static void test_replica_moves_off_a_preempted_spot_machine(void **state)
 {
     (void)state;
-    struct sim_cluster *cluster = sim_with_capacity(0, 4);
+    struct sim_cluster *cluster = sim_with_provisionable_machines(0, 4);
     sim_add_machine(cluster, "s-0", "big", "east", true);
     struct ow_submission *service = sim_service("run-1", 1, 1);
     service->spot = true;
     sim_start_job(cluster, service);
-    struct sim_machine *old = sim_where(cluster, "run-1");
+    struct sim_machine *old = sim_find_machine_of_job(cluster, "run-1");
     /* Another machine that has the image. */
     sim_add_machine(cluster, "m-0", "big", "east", false);
     struct ow_submission *other = sim_job("run-2", 16, 1);
@@ -22,9 +22,10 @@
     sim_submit(cluster, 0, other);
     sim_run(cluster, 12);
     old->reclaim_notice_s = 12;
-    old->heartbeat_at = cluster->now;
+    old->next_heartbeat_at = cluster->now;
     sim_run(cluster, 4);
-    assert_true(sim_where(cluster, "run-1") != NULL && sim_where(cluster, "run-1") != old);
+    assert_true(sim_find_machine_of_job(cluster, "run-1") != NULL &&
+                sim_find_machine_of_job(cluster, "run-1") != old);
     sim_finish(cluster);
 }
 
@@ -33,7 +34,7 @@
     unsigned count = 0;
     for (guint i = 0; i < cluster->machines->len; i++) {
         const struct sim_machine *machine = sim_machine_at(cluster, i);
-        count += machine->spot && !machine->gone ? sim_tasks_on(machine, job) : 0;
+        count += machine->spot && !machine->deleted ? sim_count_running_on(machine, job) : 0;
     }
     return count;
 }
@@ -47,7 +48,7 @@
             if (!machine->spot)
                 continue;
             machine->reclaim_notice_s = left;
-            machine->heartbeat_at = cluster->now;
+            machine->next_heartbeat_at = cluster->now;
         }
         sim_run(cluster, 1);
     }
@@ -56,9 +57,9 @@
 /* A service whose replicas run on spot machines, one on each. */
 static struct sim_cluster *with_replicas_on_spot_machines(uint32_t replicas)
 {
-    struct sim_cluster *cluster = sim_with_capacity(0, 4);
+    struct sim_cluster *cluster = sim_with_provisionable_machines(0, 4);
     struct ow_submission *service = sim_service("run-1", replicas, 1);
-    cluster->capacity = 0;
+    cluster->provisionable_machines = 0;
     service->spot = true;
     sim_add_group(cluster, "s", (int)replicas, "east", true);
     sim_run(cluster, 4);
@@ -78,8 +79,8 @@
     sim_add_machine(cluster, "m-0", "big", "east", false);
     sim_run(cluster, 4);
     take_spot_machines(cluster, 7);
-    assert_int_equal(sim_tasks_on(old, "run-1"), 0);
-    assert_int_equal(sim_tasks_on(sim_machine(cluster, "m-0"), "run-1"), 1);
+    assert_int_equal(sim_count_running_on(old, "run-1"), 0);
+    assert_int_equal(sim_count_running_on(sim_machine(cluster, "m-0"), "run-1"), 1);
     sim_finish(cluster);
 }
 
@@ -94,12 +95,12 @@
     sim_add_machines(cluster, 6);
     cluster->run_time_s = 2;
     sim_submit(cluster, 0, other);
-    assert_true(sim_until(cluster, 30, sim_all_done, "run-2"));
+    assert_true(sim_run_until(cluster, 30, sim_job_is_done, "run-2"));
     cluster->run_time_s = 200;
     take_spot_machines(cluster, 8);
     assert_int_equal(replicas_on_spot(cluster, "run-1"), 0);
     sim_run(cluster, 2);
-    assert_int_equal(sim_running(cluster, "run-1"), 6);
+    assert_int_equal(sim_count_running(cluster, "run-1"), 6);
     sim_finish(cluster);
 }
 
@@ -117,25 +118,25 @@
 static void test_replica_moves_off_a_faulty_machine(void **state)
 {
     (void)state;
-    struct sim_cluster *cluster = sim_with_capacity(3, 4);
+    struct sim_cluster *cluster = sim_with_provisionable_machines(3, 4);
     struct sim_machine *faulty = sim_add_machine(cluster, "w-0", "big", "west", false);
-    cluster->capacity = 0;
+    cluster->provisionable_machines = 0;
     cluster->run_time_s = 200;
     sim_run(cluster, 4);
     sim_submit(cluster, 0, sim_service("run-1", 3, 1));
     sim_run(cluster, 6);
-    assert_int_equal(sim_tasks_on(faulty, "run-1"), 1);
+    assert_int_equal(sim_count_running_on(faulty, "run-1"), 1);
     /* The machine without a replica has the image and is not idle. */
     struct ow_submission *other = sim_job("run-9", 3, 15);
     other->zone = g_strdup("east");
     sim_submit(cluster, 0, other);
     sim_run(cluster, 6);
-    faulty->faulty = true;
+    faulty->fails_tasks = true;
     sim_submit(cluster, 0, western_job("run-2"));
     sim_run(cluster, 26);
     sim_submit(cluster, 0, western_job("run-3"));
-    assert_true(sim_until(cluster, 40, sim_is_gone, faulty));
-    assert_true(sim_until(cluster, 4, sim_three_running, "run-1"));
+    assert_true(sim_run_until(cluster, 40, sim_machine_is_deleted, faulty));
+    assert_true(sim_run_until(cluster, 4, sim_job_runs_three_tasks, "run-1"));
     sim_finish(cluster);
 }
 
@@ -143,27 +144,27 @@
 static void test_replicas_separate_when_capacity_returns(void **state)
 {
     (void)state;
-    struct sim_cluster *cluster = sim_with_capacity(1, 4);
-    cluster->capacity = 0;
+    struct sim_cluster *cluster = sim_with_provisionable_machines(1, 4);
+    cluster->provisionable_machines = 0;
     cluster->run_time_s = 200;
     sim_submit(cluster, 0, sim_service("run-1", 2, 1));
     sim_run(cluster, 6);
-    assert_int_equal(sim_tasks_on(sim_machine(cluster, "m-0"), "run-1"), 2);
+    assert_int_equal(sim_count_running_on(sim_machine(cluster, "m-0"), "run-1"), 2);
     sim_add_machine(cluster, "n-0", "big", "west", false);
     sim_submit(cluster, 0, sim_job("run-2", 20, 1));
     sim_run(cluster, 90);
-    assert_int_equal(sim_tasks_on(sim_machine(cluster, "m-0"), "run-1"), 1);
-    assert_int_equal(sim_tasks_on(sim_machine(cluster, "n-0"), "run-1"), 1);
+    assert_int_equal(sim_count_running_on(sim_machine(cluster, "m-0"), "run-1"), 1);
+    assert_int_equal(sim_count_running_on(sim_machine(cluster, "n-0"), "run-1"), 1);
     sim_finish(cluster);
 }
 
 static bool has_no_replica(struct sim_cluster *cluster, const void *machine)
 {
     (void)cluster;
-    return sim_tasks_on(machine, "run-1") == 0;
+    return sim_count_running_on(machine, "run-1") == 0;
 }
 
-/* A machine whose reports don't arrive loses its lease, although it answers commands: its replica moves
+/* A machine whose heartbeats don't arrive loses its lease, although it answers commands: its replica moves
  * before that. */
 static void test_replica_moves_before_its_machine_loses_its_lease(void **state)
 {
@@ -172,40 +173,40 @@
     cluster->run_time_s = 200;
     sim_submit(cluster, 0, sim_job("run-9", 4, 12));
     sim_run(cluster, 6);
-    struct sim_machine *machine = sim_where(cluster, "run-1");
-    unsigned starts = machine->starts;
-    machine->stopped_reporting = true;
+    struct sim_machine *machine = sim_find_machine_of_job(cluster, "run-1");
+    unsigned starts = machine->launches;
+    machine->heartbeats_lost = true;
     double lost_at = cluster->now + cluster->settings[0].lease_s;
-    assert_true(sim_until(cluster, cluster->settings[0].lease_s, has_no_replica, machine));
-    assert_true(sim_until(cluster, 4, sim_three_running, "run-1"));
+    assert_true(sim_run_until(cluster, cluster->settings[0].lease_s, has_no_replica, machine));
+    assert_true(sim_run_until(cluster, 4, sim_job_runs_three_tasks, "run-1"));
     assert_true(cluster->now < lost_at - 2);
-    assert_int_equal(machine->starts, starts);
+    assert_int_equal(machine->launches, starts);
     sim_finish(cluster);
 }
 
-/* Nobody else has the image, and it takes long to fetch: the machine may report again in time, so its replica
- * is left alone. */
+/* Nobody else has the image, and it takes long to fetch: the machine may send heartbeats again in time, so
+ * its replica is left alone. */
 static void test_replica_with_a_large_image_waits_for_its_machine(void **state)
 {
     (void)state;
     struct sim_cluster *cluster = sim_with_machines(1);
-    cluster->capacity = 0;
+    cluster->provisionable_machines = 0;
     struct ow_submission *service = sim_service("run-1", 1, 1);
     service->image_gb = 60;
     sim_submit(cluster, 0, service);
-    assert_true(sim_until(cluster, 10, sim_some_running, "run-1"));
-    struct sim_machine *machine = sim_where(cluster, "run-1");
+    assert_true(sim_run_until(cluster, 10, sim_job_is_running, "run-1"));
+    struct sim_machine *machine = sim_find_machine_of_job(cluster, "run-1");
     sim_add_machine(cluster, "n-0", "big", "west", false);
     sim_run(cluster, 4);
-    machine->heartbeat_at = cluster->now;
+    machine->next_heartbeat_at = cluster->now;
     sim_run(cluster, 0.5);
-    machine->stopped_reporting = true;
+    machine->heartbeats_lost = true;
     sim_run(cluster, cluster->settings[0].lease_s - 2);
-    machine->stopped_reporting = false;
-    machine->heartbeat_at = cluster->now;
+    machine->heartbeats_lost = false;
+    machine->next_heartbeat_at = cluster->now;
     sim_run(cluster, 10);
-    assert_int_equal(sim_tasks_on(machine, "run-1"), 1);
-    assert_int_equal(machine->starts, 1);
+    assert_int_equal(sim_count_running_on(machine, "run-1"), 1);
+    assert_int_equal(machine->launches, 1);
     sim_finish(cluster);
 }
 
--- a/tests/cluster/test_safety.c
+++ b/tests/cluster/test_safety.c
@@ -9,35 +9,35 @@
 {
     (void)state;
     struct sim_cluster *cluster = sim_with_machines(2);
-    cluster->hold_controller = sim_leader(cluster);
-    cluster->hold_next = 1000;
-    cluster->keep_held = true;
-    sim_submit(cluster, (cluster->hold_controller + 1) % SIM_CONTROLLERS, sim_job("run-1", 2, 1));
+    cluster->delay_next_controller = sim_leader(cluster);
+    cluster->delay_next_txns = 1000;
+    cluster->keep_txns_delayed = true;
+    sim_submit(cluster, (cluster->delay_next_controller + 1) % SIM_CONTROLLERS, sim_job("run-1", 2, 1));
     for (int i = 0; i < 60; i++) {
         sim_run(cluster, 0.1);
-        assert_int_equal(sim_running(cluster, "run-1"), 0);
+        assert_int_equal(sim_count_running(cluster, "run-1"), 0);
     }
-    assert_true(cluster->held->len > 0);
-    cluster->hold_next = 0;
-    cluster->keep_held = false;
-    assert_true(sim_until(cluster, 10, sim_some_running, "run-1"));
+    assert_true(cluster->delayed_txns->len > 0);
+    cluster->delay_next_txns = 0;
+    cluster->keep_txns_delayed = false;
+    assert_true(sim_run_until(cluster, 10, sim_job_is_running, "run-1"));
     sim_finish(cluster);
 }
 
-/* Rule 2: missing reports do not prove that a task has ended; the expiry of the machine's lease does. */
+/* Rule 2: missing heartbeats do not prove that a task has ended; the expiry of the machine's lease does. */
 static void test_unreachable_machine_keeps_its_task_until_its_lease_expires(void **state)
 {
     (void)state;
     struct sim_cluster *cluster = sim_with_machines(2);
     cluster->run_time_s = 100;
     cluster->cloud_down = true; /* no proof by deletion */
-    struct sim_machine *machine = sim_start_settled_job(cluster, sim_job("run-1", 1, 1));
-    machine->cut = true;
+    struct sim_machine *machine = sim_start_and_settle_job(cluster, sim_job("run-1", 1, 1));
+    machine->partitioned = true;
     sim_run(cluster, 15);
-    assert_false(sim_runs_on_another(cluster, machine));
-    assert_true(sim_until(cluster, 20, sim_runs_on_another, machine));
+    assert_false(sim_job_runs_on_another(cluster, machine));
+    assert_true(sim_run_until(cluster, 20, sim_job_runs_on_another, machine));
     /* When the partition heals, delayed packets arrive: they must be ignored. */
-    machine->cut = false;
+    machine->partitioned = false;
     sim_run(cluster, 20);
     sim_finish(cluster);
 }
@@ -48,12 +48,12 @@
     (void)state;
     struct sim_cluster *cluster = sim_with_machines(2);
     cluster->run_time_s = 100;
-    struct sim_machine *machine = sim_start_settled_job(cluster, sim_job("run-1", 1, 1));
+    struct sim_machine *machine = sim_start_and_settle_job(cluster, sim_job("run-1", 1, 1));
     machine->reclaim_notice_s = 1;
-    machine->heartbeat_at = cluster->now;
+    machine->next_heartbeat_at = cluster->now;
     sim_run(cluster, 1.5);
     sim_delete_machine(machine);
-    assert_true(sim_until(cluster, 12, sim_runs_on_another, machine));
+    assert_true(sim_run_until(cluster, 12, sim_job_runs_on_another, machine));
     sim_finish(cluster);
 }
 
@@ -64,16 +64,16 @@
     (void)state;
     struct sim_cluster *cluster = sim_with_machines(1);
     struct sim_machine *machine = sim_machine(cluster, "m-0");
-    cluster->hold_directs = true; /* direct commands are delayed; responses to reports arrive */
+    cluster->delay_direct_commands = true; /* direct commands are delayed; responses to heartbeats arrive */
     cluster->run_time_s = 1;
     sim_submit(cluster, 0, sim_job("run-1", 1, 1));
-    assert_true(sim_until(cluster, 30, sim_all_done, "run-1"));
+    assert_true(sim_run_until(cluster, 30, sim_job_is_done, "run-1"));
     sim_run(cluster, 10);
-    assert_int_equal(machine->starts, 1);
-    assert_int_equal(machine->clears, 0);
-    cluster->hold_directs = false;
+    assert_int_equal(machine->launches, 1);
+    assert_int_equal(machine->cleared_results, 0);
+    cluster->delay_direct_commands = false;
     sim_run(cluster, 5);
-    assert_int_equal(machine->starts, 1);
+    assert_int_equal(machine->launches, 1);
     sim_finish(cluster);
 }
 
@@ -84,18 +84,18 @@
     struct sim_cluster *cluster = sim_with_machines(1);
     cluster->run_time_s = 1;
     sim_start_job(cluster, sim_job("run-1", 1, 1));
-    cluster->hold_txns = true;
+    cluster->delay_txns = true;
     sim_run(cluster, 8);
-    assert_true(sim_none_running(cluster, "run-1"));
-    assert_int_equal(sim_machine(cluster, "m-0")->clears, 0);
+    assert_true(sim_job_is_not_running(cluster, "run-1"));
+    assert_int_equal(sim_machine(cluster, "m-0")->cleared_results, 0);
     /* All controllers crash with the result unrecorded: it is still on the machine. */
     sim_kill_controllers(cluster);
-    cluster->hold_txns = false;
+    cluster->delay_txns = false;
     sim_start_controllers(cluster);
-    assert_true(sim_until(cluster, 20, sim_all_done, "run-1"));
-    assert_int_equal(sim_machine(cluster, "m-0")->starts, 1);
+    assert_true(sim_run_until(cluster, 20, sim_job_is_done, "run-1"));
+    assert_int_equal(sim_machine(cluster, "m-0")->launches, 1);
     sim_run(cluster, 10);
-    assert_int_equal(sim_machine(cluster, "m-0")->clears, 1);
+    assert_int_equal(sim_machine(cluster, "m-0")->cleared_results, 1);
     sim_finish(cluster);
 }
 
@@ -105,22 +105,22 @@
     (void)state;
     struct sim_cluster *cluster = sim_with_machines(2);
     cluster->run_time_s = 200;
-    cluster->capacity = 2;
+    cluster->provisionable_machines = 2;
     int leader = sim_leader(cluster);
-    cluster->keep_held = true;
-    cluster->hold_next = 1;
-    cluster->hold_controller = leader;
+    cluster->keep_txns_delayed = true;
+    cluster->delay_next_txns = 1;
+    cluster->delay_next_controller = leader;
     sim_submit(cluster, (leader + 1) % SIM_CONTROLLERS, sim_job("run-1", 1, 1));
-    assert_true(sim_until(cluster, 10, sim_some_running, "run-1"));
-    assert_int_equal(cluster->held->len, 1);
-    struct sim_machine *machine = sim_where(cluster, "run-1");
+    assert_true(sim_run_until(cluster, 10, sim_job_is_running, "run-1"));
+    assert_int_equal(cluster->delayed_txns->len, 1);
+    struct sim_machine *machine = sim_find_machine_of_job(cluster, "run-1");
     sim_delete_machine(machine);
-    assert_true(sim_until(cluster, 60, sim_runs_on_another, machine));
-    char *before = sim_progress(cluster, "run-1/0");
-    cluster->keep_held = false;
+    assert_true(sim_run_until(cluster, 60, sim_job_runs_on_another, machine));
+    char *before = sim_read_progress_record(cluster, "run-1/0");
+    cluster->keep_txns_delayed = false;
     sim_run(cluster, 0.2);
-    assert_int_equal(cluster->held->len, 0);
-    char *after = sim_progress(cluster, "run-1/0");
+    assert_int_equal(cluster->delayed_txns->len, 0);
+    char *after = sim_read_progress_record(cluster, "run-1/0");
     assert_string_equal(after, before);
     g_free(after);
     g_free(before);
@@ -134,21 +134,21 @@
     struct sim_cluster *cluster = sim_with_machines(1);
     struct sim_machine *machine = sim_machine(cluster, "m-0");
     cluster->run_time_s = 200;
-    machine->cut = true;
+    machine->partitioned = true;
     sim_submit(cluster, 0, sim_job("run-1", 2, 1));
     sim_run(cluster, 2);
     uint64_t cancellation = sim_cancel(cluster, 1, "run-1");
     sim_run(cluster, 4);
     /* While the launch may still be delivered, the cancellation is not confirmed. */
-    assert_int_equal(sim_answer(cluster, cancellation)->status, 503);
-    assert_true(sim_answer(cluster, cancellation)->retry_after_s > 0);
-    machine->cut = false; /* the delayed launch is delivered now */
+    assert_int_equal(sim_response(cluster, cancellation)->status, 503);
+    assert_true(sim_response(cluster, cancellation)->retry_after_s > 0);
+    machine->partitioned = false; /* the delayed launch is delivered now */
     sim_run(cluster, 6);
-    assert_int_equal(sim_running(cluster, "run-1"), 0);
+    assert_int_equal(sim_count_running(cluster, "run-1"), 0);
     cancellation = sim_cancel(cluster, 1, "run-1");
     sim_run(cluster, 0.3);
-    assert_int_equal(sim_answer(cluster, cancellation)->status, 200);
-    assert_int_equal(sim_answer(cluster, cancellation)->state, OW_JOB_CANCELLED);
+    assert_int_equal(sim_response(cluster, cancellation)->status, 200);
+    assert_int_equal(sim_response(cluster, cancellation)->state, OW_JOB_CANCELLED);
     sim_run(cluster, 60);
     sim_finish(cluster);
 }
@@ -161,14 +161,14 @@
     cluster->run_time_s = 200;
     sim_start_job(cluster, sim_job("run-1", 1, 1));
     struct sim_machine *machine = sim_machine(cluster, "m-0");
-    machine->cut = true;
-    machine->renewed_at = cluster->now + 1000; /* the isolated leader keeps its lease alive */
+    machine->partitioned = true;
+    machine->lease_renewed_at = cluster->now + 1000; /* the isolated leader keeps its lease alive */
     int old = sim_leader(cluster);
     sim_cancel(cluster, (old + 1) % SIM_CONTROLLERS, "run-1");
     sim_run(cluster, 0.2);
     sim_kill_controller(cluster, old);
     sim_run(cluster, 38);
-    assert_true(machine->gone);
+    assert_true(machine->deleted);
     sim_run(cluster, 10);
     sim_finish(cluster);
 }
@@ -181,11 +181,11 @@
     cluster->run_time_s = 3;
     sim_submit(cluster, 0, sim_job("run-1", 4, 1));
     sim_run(cluster, 0.1);
-    cluster->hold_txns = true;
+    cluster->delay_txns = true;
     sim_run(cluster, 3); /* timed out at the controller, still in flight */
-    cluster->hold_txns = false;
-    assert_true(sim_until(cluster, 30, sim_all_done, "run-1"));
-    unsigned starts = sim_machine(cluster, "m-0")->starts + sim_machine(cluster, "m-1")->starts;
+    cluster->delay_txns = false;
+    assert_true(sim_run_until(cluster, 30, sim_job_is_done, "run-1"));
+    unsigned starts = sim_machine(cluster, "m-0")->launches + sim_machine(cluster, "m-1")->launches;
     assert_int_equal(starts, 4);
     sim_finish(cluster);
 }
@@ -198,15 +198,15 @@
     cluster->run_time_s = 2;
     sim_submit(cluster, 0, sim_job("run-1", 3, 1));
     sim_run(cluster, 0.3);
-    cluster->lose_txn_answers = true;
+    cluster->lose_txn_responses = true;
     sim_run(cluster, 3);
-    cluster->lose_txn_answers = false;
-    assert_true(sim_until(cluster, 30, sim_all_done, "run-1"));
-    cluster->lose_txn_answers = true;
+    cluster->lose_txn_responses = false;
+    assert_true(sim_run_until(cluster, 30, sim_job_is_done, "run-1"));
+    cluster->lose_txn_responses = true;
     sim_submit(cluster, 1, sim_job("run-2", 1, 1));
     sim_run(cluster, 2);
-    cluster->lose_txn_answers = false;
-    assert_true(sim_until(cluster, 30, sim_all_done, "run-2"));
+    cluster->lose_txn_responses = false;
+    assert_true(sim_run_until(cluster, 30, sim_job_is_done, "run-2"));
     assert_int_equal(sim_job_state(cluster, "run-2"), OW_JOB_DONE);
     sim_finish(cluster);
 }
@@ -214,7 +214,7 @@
 static bool one_task_started(struct sim_cluster *cluster, const void *faulty)
 {
     (void)cluster;
-    return ((const struct sim_machine *)faulty)->starts >= 1;
+    return ((const struct sim_machine *)faulty)->launches >= 1;
 }
 
 /* A machine on which every task fails is avoided after a few failures. */
@@ -223,16 +223,16 @@
     (void)state;
     struct sim_cluster *cluster = sim_with_machines(2);
     struct sim_machine *faulty = sim_machine(cluster, "m-0");
-    faulty->faulty = true;
+    faulty->fails_tasks = true;
     cluster->run_time_s = 1;
     for (int i = 1; i <= 6; i++) {
         char id[16];
         g_snprintf(id, sizeof id, "run-%d", i);
         sim_submit(cluster, 0, sim_job(id, 4, 2));
     }
-    assert_true(sim_until(cluster, 20, one_task_started, faulty));
-    assert_true(sim_until(cluster, 60, sim_all_done, "run-6"));
-    assert_true(faulty->starts < 24);
+    assert_true(sim_run_until(cluster, 20, one_task_started, faulty));
+    assert_true(sim_run_until(cluster, 60, sim_job_is_done, "run-6"));
+    assert_true(faulty->launches < 24);
     sim_finish(cluster);
 }
 
--- a/tests/cluster/test_services.c
+++ b/tests/cluster/test_services.c
@@ -11,14 +11,14 @@
     (void)state;
     struct sim_cluster *cluster = sim_with_service(3, 3);
     for (guint i = 0; i < 3; i++)
-        assert_int_equal(sim_tasks_on(sim_machine_at(cluster, i), "run-1"), 1);
+        assert_int_equal(sim_count_running_on(sim_machine_at(cluster, i), "run-1"), 1);
     sim_run(cluster, 60);
-    assert_int_equal(sim_running(cluster, "run-1"), 3);
+    assert_int_equal(sim_count_running(cluster, "run-1"), 3);
     assert_int_equal(sim_job_state(cluster, "run-1"), OW_JOB_RUNNING);
     uint64_t cancel = sim_cancel(cluster, 1, "run-1");
     sim_run(cluster, 2);
-    assert_int_equal(sim_answer(cluster, cancel)->state, OW_JOB_CANCELLED);
-    assert_int_equal(sim_running(cluster, "run-1"), 0);
+    assert_int_equal(sim_response(cluster, cancel)->state, OW_JOB_CANCELLED);
+    assert_int_equal(sim_count_running(cluster, "run-1"), 0);
     sim_finish(cluster);
 }
 
@@ -28,46 +28,46 @@
     (void)state;
     for (int cause = 0; cause < 2; cause++) {
         struct sim_cluster *cluster = sim_with_service(4, 3);
-        struct sim_machine *machine = sim_where(cluster, "run-1");
-        machine->faulty = cause == 1;
-        unsigned before = machine->starts;
-        g_array_index(machine->tasks, struct sim_task, 0).phase_at = cluster->now;
+        struct sim_machine *machine = sim_find_machine_of_job(cluster, "run-1");
+        machine->fails_tasks = cause == 1;
+        unsigned before = machine->launches;
+        g_array_index(machine->tasks, struct sim_task, 0).next_phase_at = cluster->now;
         sim_run(cluster, 1);
-        assert_true(sim_until(cluster, 6, sim_three_running, "run-1"));
-        assert_int_equal(machine->starts, before);
+        assert_true(sim_run_until(cluster, 6, sim_job_runs_three_tasks, "run-1"));
+        assert_int_equal(machine->launches, before);
         assert_int_equal(sim_job_state(cluster, "run-1"), OW_JOB_RUNNING);
         sim_finish(cluster);
     }
 }
 
-/* A single machine that stops reporting is deleted for its replicas, long before its lease expires. */
+/* A single machine that stops its heartbeats is deleted for its replicas, long before its lease expires. */
 static void test_replicas_of_a_dead_machine_restart_before_its_lease_expires(void **state)
 {
     (void)state;
     struct sim_cluster *cluster = sim_with_service(4, 3);
-    struct sim_machine *machine = sim_where(cluster, "run-1");
-    machine->hangs = true;
-    assert_true(sim_until(cluster, 14, sim_is_gone, machine));
-    assert_true(sim_until(cluster, 4, sim_three_running, "run-1"));
+    struct sim_machine *machine = sim_find_machine_of_job(cluster, "run-1");
+    machine->hung = true;
+    assert_true(sim_run_until(cluster, 14, sim_machine_is_deleted, machine));
+    assert_true(sim_run_until(cluster, 4, sim_job_runs_three_tasks, "run-1"));
     sim_finish(cluster);
 }
 
-/* Many machines that stop reporting at once may be partitioned: their replicas keep running, and none is
- * deleted. */
+/* Many machines that stop their heartbeats at once may be partitioned: their replicas keep running, and none
+ * is deleted. */
 static void test_replicas_behind_a_partition_keep_running(void **state)
 {
     (void)state;
     struct sim_cluster *cluster = sim_with_service(8, 6);
     for (guint i = 0; i < 5; i++)
-        sim_machine_at(cluster, i)->cut = true;
+        sim_machine_at(cluster, i)->partitioned = true;
     sim_run(cluster, 14);
     for (guint i = 0; i < 5; i++)
-        assert_false(sim_machine_at(cluster, i)->gone);
-    assert_int_equal(sim_running(cluster, "run-1"), 6);
+        assert_false(sim_machine_at(cluster, i)->deleted);
+    assert_int_equal(sim_count_running(cluster, "run-1"), 6);
     for (guint i = 0; i < 5; i++)
-        sim_machine_at(cluster, i)->cut = false;
+        sim_machine_at(cluster, i)->partitioned = false;
     sim_run(cluster, 20);
-    assert_int_equal(sim_running(cluster, "run-1"), 6);
+    assert_int_equal(sim_count_running(cluster, "run-1"), 6);
     sim_finish(cluster);
 }
 
@@ -81,18 +81,18 @@
     low->rank = OW_RANK_LOW;
     sim_submit(cluster, 0, low);
     sim_run(cluster, 8);
-    assert_int_equal(sim_running(cluster, "run-9"), 32);
+    assert_int_equal(sim_count_running(cluster, "run-9"), 32);
     struct ow_submission *service = sim_service("run-1", 3, 1);
     sim_submit(cluster, 0, service);
     sim_run(cluster, 5);
-    assert_int_equal(sim_running(cluster, "run-1"), 3);
+    assert_int_equal(sim_count_running(cluster, "run-1"), 3);
     sim_finish(cluster);
 }
 
 static void test_spread_and_limits(void **state)
 {
     (void)state;
-    struct sim_cluster *cluster = sim_with_capacity(2, 4);
+    struct sim_cluster *cluster = sim_with_provisionable_machines(2, 4);
     sim_add_machine(cluster, "w-0", "big", "west", false);
     sim_run(cluster, 4);
     struct ow_submission *service = sim_service("run-1", 4, 1);
@@ -102,10 +102,10 @@
     uint64_t service_request = sim_submit(cluster, 0, service);
     uint64_t large_request = sim_submit(cluster, 0, large);
     sim_run(cluster, 8);
-    assert_int_equal(sim_answer(cluster, service_request)->status, 201);
-    assert_int_equal(sim_answer(cluster, large_request)->status, 422);
-    assert_int_equal(sim_running(cluster, "run-1"), 4);
-    assert_int_equal(sim_tasks_on(sim_machine(cluster, "w-0"), "run-1"), 2);
+    assert_int_equal(sim_response(cluster, service_request)->status, 201);
+    assert_int_equal(sim_response(cluster, large_request)->status, 422);
+    assert_int_equal(sim_count_running(cluster, "run-1"), 4);
+    assert_int_equal(sim_count_running_on(sim_machine(cluster, "w-0"), "run-1"), 2);
     sim_finish(cluster);
 }
 
@@ -120,13 +120,13 @@
         sim_run(cluster, 8);
         sim_start_controller(cluster, old);
         sim_run(cluster, 4);
-        assert_int_equal(sim_running(cluster, "run-1"), 3);
+        assert_int_equal(sim_count_running(cluster, "run-1"), 3);
     }
-    assert_int_equal(sim_total_starts(cluster), 3);
+    assert_int_equal(sim_count_launches(cluster), 3);
     sim_finish(cluster);
 }
 
-/* Only commands to the machines' own addresses are delayed; responses to reports arrive. No machine is
+/* Only commands to the machines' own addresses are delayed; responses to heartbeats arrive. No machine is
  * deleted, and new replicas start by the responses. */
 static void test_delayed_direct_commands_delete_no_machine(void **state)
 {
@@ -135,14 +135,14 @@
     cluster->run_time_s = 200;
     sim_submit(cluster, 0, sim_job("run-9", 4, 12));
     sim_run(cluster, 6);
-    cluster->hold_directs = true;
+    cluster->delay_direct_commands = true;
     sim_submit(cluster, 0, sim_service("run-2", 2, 1));
     sim_run(cluster, 25);
     for (guint i = 0; i < 4; i++)
-        assert_false(sim_machine_at(cluster, i)->gone);
-    assert_int_equal(sim_running(cluster, "run-1"), 3);
-    assert_int_equal(sim_running(cluster, "run-2"), 2);
-    cluster->hold_directs = false;
+        assert_false(sim_machine_at(cluster, i)->deleted);
+    assert_int_equal(sim_count_running(cluster, "run-1"), 3);
+    assert_int_equal(sim_count_running(cluster, "run-2"), 2);
+    cluster->delay_direct_commands = false;
     sim_run(cluster, 10);
     sim_finish(cluster);
 }
@@ -151,18 +151,18 @@
 static void test_old_service_is_preempted_by_more_urgent_work(void **state)
 {
     (void)state;
-    struct sim_cluster *cluster = sim_with_capacity(1, 4);
-    cluster->capacity = 0;
+    struct sim_cluster *cluster = sim_with_provisionable_machines(1, 4);
+    cluster->provisionable_machines = 0;
     struct ow_submission *low = sim_service("run-1", 1, 16);
     low->rank = OW_RANK_LOW;
     sim_submit(cluster, 0, low);
     sim_run(cluster, 230);
     struct sim_machine *machine = sim_machine(cluster, "m-0");
-    machine->faulty = true;
-    g_array_index(machine->tasks, struct sim_task, 0).phase_at = cluster->now;
+    machine->fails_tasks = true;
+    g_array_index(machine->tasks, struct sim_task, 0).next_phase_at = cluster->now;
     sim_run(cluster, 2);
-    machine->faulty = false;
-    assert_true(sim_until(cluster, 90, sim_some_running, "run-1"));
+    machine->fails_tasks = false;
+    assert_true(sim_run_until(cluster, 90, sim_job_is_running, "run-1"));
     sim_start_job(cluster, sim_service("run-2", 1, 16));
     sim_finish(cluster);
 }
@@ -171,8 +171,8 @@
 static void test_preemption_frees_capacity_in_one_zone(void **state)
 {
     (void)state;
-    struct sim_cluster *cluster = sim_with_capacity(2, 4);
-    cluster->capacity = 0;
+    struct sim_cluster *cluster = sim_with_provisionable_machines(2, 4);
+    cluster->provisionable_machines = 0;
     cluster->run_time_s = 200;
     sim_add_machine(cluster, "w-0", "big", "west", false);
     struct ow_submission *low = sim_job("run-9", 48, 1);
@@ -183,8 +183,8 @@
     service->one_zone = true;
     sim_submit(cluster, 0, service);
     sim_run(cluster, 6);
-    assert_int_equal(sim_running(cluster, "run-1"), 2);
-    assert_int_equal(sim_tasks_on(sim_machine(cluster, "w-0"), "run-9"), 16);
+    assert_int_equal(sim_count_running(cluster, "run-1"), 2);
+    assert_int_equal(sim_count_running_on(sim_machine(cluster, "w-0"), "run-9"), 16);
     sim_finish(cluster);
 }
 
@@ -192,8 +192,8 @@
 static void test_preemption_respects_the_spread_limit(void **state)
 {
     (void)state;
-    struct sim_cluster *cluster = sim_with_capacity(4, 4);
-    cluster->capacity = 0;
+    struct sim_cluster *cluster = sim_with_provisionable_machines(4, 4);
+    cluster->provisionable_machines = 0;
     cluster->run_time_s = 200;
     sim_add_group(cluster, "w", 4, "west", false);
     struct ow_submission *low = sim_job("run-9", 128, 1);
@@ -204,8 +204,8 @@
     service->spread = true;
     sim_submit(cluster, 0, service);
     sim_run(cluster, 8);
-    assert_int_equal(sim_running(cluster, "run-1"), 4);
-    assert_int_equal(sim_total_starts(cluster), 128 + 4);
+    assert_int_equal(sim_count_running(cluster, "run-1"), 4);
+    assert_int_equal(sim_count_launches(cluster), 128 + 4);
     sim_finish(cluster);
 }
 
@@ -213,7 +213,7 @@
 static void end_tasks(struct sim_cluster *cluster, struct sim_machine *machine)
 {
     for (guint i = 0; i < machine->tasks->len; i++)
-        g_array_index(machine->tasks, struct sim_task, i).phase_at = cluster->now;
+        g_array_index(machine->tasks, struct sim_task, i).next_phase_at = cluster->now;
 }
 
 /* On most machines every task fails for a while. A replica that keeps running shows that the service is
@@ -222,24 +222,24 @@
 {
     (void)state;
     enum { REPLICAS = 5 };
-    struct sim_cluster *cluster = sim_with_capacity(REPLICAS, 4);
-    cluster->capacity = 0;
+    struct sim_cluster *cluster = sim_with_provisionable_machines(REPLICAS, 4);
+    cluster->provisionable_machines = 0;
     sim_submit(cluster, 0, sim_service("run-1", REPLICAS, 16));
     sim_run(cluster, 30);
-    assert_int_equal(sim_running(cluster, "run-1"), REPLICAS);
+    assert_int_equal(sim_count_running(cluster, "run-1"), REPLICAS);
     for (int i = 0; i < 180; i++) {
         for (guint k = 1; k < REPLICAS; k++) {
             struct sim_machine *machine = sim_machine_at(cluster, k);
-            machine->faulty = true;
+            machine->fails_tasks = true;
             end_tasks(cluster, machine);
         }
         sim_run(cluster, 0.5);
     }
     for (guint k = 1; k < REPLICAS; k++)
-        sim_machine_at(cluster, k)->faulty = false;
+        sim_machine_at(cluster, k)->fails_tasks = false;
     sim_run(cluster, 25);
     /* One machine may still be excluded for the service: the last on which it failed, for a minute. */
-    assert_in_range(sim_running(cluster, "run-1"), REPLICAS - 1, REPLICAS);
+    assert_in_range(sim_count_running(cluster, "run-1"), REPLICAS - 1, REPLICAS);
     sim_finish(cluster);
 }
 
@@ -247,19 +247,19 @@
 static void test_paused_service_heartbeats_its_reason(void **state)
 {
     (void)state;
-    struct sim_cluster *cluster = sim_with_capacity(4, 4);
-    cluster->capacity = 0;
+    struct sim_cluster *cluster = sim_with_provisionable_machines(4, 4);
+    cluster->provisionable_machines = 0;
     for (guint i = 0; i < 4; i++)
-        sim_machine_at(cluster, i)->faulty = true;
+        sim_machine_at(cluster, i)->fails_tasks = true;
     sim_submit(cluster, 0, sim_service("run-1", 2, 1));
-    bool reported = false;
-    for (int i = 0; i < 60 && !reported; i++) {
+    bool was_answered = false;
+    for (int i = 0; i < 60 && !was_answered; i++) {
         uint64_t request = sim_poll(cluster, sim_leader(cluster), "run-1");
         sim_run(cluster, 1);
-        const struct sim_answer *answer = sim_answer(cluster, request);
-        reported = answer != NULL && answer->reason != NULL && strstr(answer->reason, "paused") != NULL;
+        const struct sim_response *answer = sim_response(cluster, request);
+        was_answered = answer != NULL && answer->reason != NULL && strstr(answer->reason, "paused") != NULL;
     }
-    assert_true(reported);
+    assert_true(was_answered);
     assert_int_not_equal(sim_job_state(cluster, "run-1"), OW_JOB_DONE);
     sim_finish(cluster);
 }
--- a/tests/cluster/test_shard_jobs.c
+++ b/tests/cluster/test_shard_jobs.c
@@ -12,8 +12,8 @@
     (void)state;
     struct sim_cluster *cluster = sim_with_shards(2);
     cluster->run_time_s = 100;
-    sim_accept(cluster, 0, sim_job_in("run-1", "east", 1));
-    sim_accept(cluster, 1, sim_job_in("run-2", "west", 1));
+    sim_submit_accepted(cluster, 0, sim_job_in_zone("run-1", "east", 1));
+    sim_submit_accepted(cluster, 1, sim_job_in_zone("run-2", "west", 1));
     for (int i = 0; i < SIM_CONTROLLERS; i++) {
         uint64_t east = sim_poll(cluster, i, "run-1");
         uint64_t west = sim_poll(cluster, i, "run-2");
@@ -23,8 +23,8 @@
         assert_int_equal(sim_status(cluster, west), 200);
         assert_int_equal(sim_status(cluster, nobody), 404);
     }
-    assert_string_equal(sim_where(cluster, "run-1")->zone, "east");
-    assert_string_equal(sim_where(cluster, "run-2")->zone, "west");
+    assert_string_equal(sim_find_machine_of_job(cluster, "run-1")->zone, "east");
+    assert_string_equal(sim_find_machine_of_job(cluster, "run-2")->zone, "west");
     sim_finish(cluster);
 }
 
@@ -34,14 +34,14 @@
     (void)state;
     struct sim_cluster *cluster = sim_with_shards(2);
     cluster->run_time_s = 100;
-    uint64_t first = sim_submit(cluster, 0, sim_job_in("run-1", "east", 1));
-    uint64_t second = sim_submit(cluster, 1, sim_job_in("run-1", "west", 1));
+    uint64_t first = sim_submit(cluster, 0, sim_job_in_zone("run-1", "east", 1));
+    uint64_t second = sim_submit(cluster, 1, sim_job_in_zone("run-1", "west", 1));
     sim_run(cluster, 3);
     assert_int_equal(MIN(sim_status(cluster, first), sim_status(cluster, second)), 200);
     assert_int_equal(MAX(sim_status(cluster, first), sim_status(cluster, second)), 201);
-    assert_int_equal(sim_running(cluster, "run-1"), 1);
-    unsigned records = (sim_value_text(cluster, "shard/east/j/run-1") != NULL ? 1 : 0) +
-                       (sim_value_text(cluster, "shard/west/j/run-1") != NULL ? 1 : 0);
+    assert_int_equal(sim_count_running(cluster, "run-1"), 1);
+    unsigned records = (sim_read_value(cluster, "shard/east/j/run-1") != NULL ? 1 : 0) +
+                       (sim_read_value(cluster, "shard/west/j/run-1") != NULL ? 1 : 0);
     assert_int_equal(records, 1);
     sim_finish(cluster);
 }
@@ -52,10 +52,10 @@
     (void)state;
     struct sim_cluster *cluster = sim_with_shards(2);
     cluster->run_time_s = 100;
-    sim_accept(cluster, 0, sim_job_in("run-1", "east", 1));
+    sim_submit_accepted(cluster, 0, sim_job_in_zone("run-1", "east", 1));
     for (int i = 0; i < SIM_CONTROLLERS; i++) {
         struct ow_submission *impossible = sim_job("run-1", 1, 1e6);
-        uint64_t other_zone = sim_submit(cluster, i, sim_job_in("run-1", "west", 1));
+        uint64_t other_zone = sim_submit(cluster, i, sim_job_in_zone("run-1", "west", 1));
         uint64_t too_large = sim_submit(cluster, i, impossible);
         uint64_t malformed = sim_submit_malformed(cluster, i, "run-1");
         sim_run(cluster, 3);
@@ -63,7 +63,7 @@
         assert_int_equal(sim_status(cluster, too_large), 200);
         assert_int_equal(sim_status(cluster, malformed), 200);
     }
-    assert_int_equal(sim_running(cluster, "run-1"), 1);
+    assert_int_equal(sim_count_running(cluster, "run-1"), 1);
     sim_finish(cluster);
 }
 
@@ -73,7 +73,7 @@
 {
     (void)state;
     struct sim_cluster *cluster = sim_with_shards(2);
-    uint64_t accepted = sim_submit(cluster, 0, sim_job_in("run-1", "east", 1));
+    uint64_t accepted = sim_submit(cluster, 0, sim_job_in_zone("run-1", "east", 1));
     sim_run(cluster, 0.1);
     uint64_t repeat = sim_submit(cluster, 1, sim_job("run-1", 1, 1e6));
     uint64_t malformed = sim_submit_malformed(cluster, 2, "run-1");
@@ -101,15 +101,15 @@
     (void)state;
     struct sim_cluster *cluster = sim_with_shards(2);
     cluster->run_time_s = 100;
-    sim_accept(cluster, 0, sim_job_in("run-1", "west", 2));
+    sim_submit_accepted(cluster, 0, sim_job_in_zone("run-1", "west", 2));
     int elsewhere = sim_shard_leader(cluster, EAST);
     uint64_t request = sim_cancel(cluster, elsewhere, "run-1");
     uint64_t nobody = sim_cancel(cluster, elsewhere, "run-9");
     sim_run(cluster, 4);
     assert_int_equal(sim_status(cluster, request), 200);
-    assert_int_equal(sim_answer(cluster, request)->state, OW_JOB_CANCELLED);
+    assert_int_equal(sim_response(cluster, request)->state, OW_JOB_CANCELLED);
     assert_int_equal(sim_status(cluster, nobody), 404);
-    assert_int_equal(sim_running(cluster, "run-1"), 0);
+    assert_int_equal(sim_count_running(cluster, "run-1"), 0);
     sim_finish(cluster);
 }
 
@@ -119,12 +119,12 @@
     (void)state;
     struct sim_cluster *cluster = sim_with_shards(1);
     cluster->run_time_s = 200;
-    sim_accept(cluster, 0, sim_job_in("run-1", "east", 60));
+    sim_submit_accepted(cluster, 0, sim_job_in_zone("run-1", "east", 60));
     for (int i = 2; i <= 4; i++) {
         char id[16];
         g_snprintf(id, sizeof id, "run-%d", i);
-        sim_accept(cluster, i % SIM_CONTROLLERS, sim_job(id, 1, 1));
-        assert_int_equal(sim_running_in(cluster, id, "west"), 1);
+        sim_submit_accepted(cluster, i % SIM_CONTROLLERS, sim_job(id, 1, 1));
+        assert_int_equal(sim_count_running_in_zone(cluster, id, "west"), 1);
     }
     sim_finish(cluster);
 }
@@ -136,14 +136,14 @@
     struct sim_cluster *cluster = sim_with_shards(2);
     cluster->run_time_s = 100;
     for (int i = 0; i < 2; i++) {
-        struct ow_submission *job = sim_job_in(i == 0 ? "run-1" : "run-2", i == 0 ? "east" : "west", 8);
+        struct ow_submission *job = sim_job_in_zone(i == 0 ? "run-1" : "run-2", i == 0 ? "east" : "west", 8);
         sim_set_team(job, "tight");
-        sim_accept(cluster, i, job);
+        sim_submit_accepted(cluster, i, job);
     }
     sim_run(cluster, 10);
     /* 8 CPUs at most, half of them in each shard. */
-    assert_int_equal(sim_running(cluster, "run-1"), 4);
-    assert_int_equal(sim_running(cluster, "run-2"), 4);
+    assert_int_equal(sim_count_running(cluster, "run-1"), 4);
+    assert_int_equal(sim_count_running(cluster, "run-2"), 4);
     sim_finish(cluster);
 }
 
@@ -154,7 +154,7 @@
             continue;
         uint64_t request = sim_poll(cluster, i, id);
         sim_run(cluster, 0.3);
-        const struct sim_answer *answer = sim_answer(cluster, request);
+        const struct sim_response *answer = sim_response(cluster, request);
         if (answer != NULL && answer->reason != NULL && strstr(answer->reason, text) != NULL)
             return true;
     }
@@ -167,9 +167,9 @@
     struct sim_cluster *cluster = sim_with_shards(1);
     cluster->run_time_s = 200;
     sim_run(cluster, 20);
-    sim_accept(cluster, 0, sim_job_in("run-1", "east", 60));
-    sim_accept(cluster, 0, sim_job_in("run-2", "east", 60));
-    sim_freeze(cluster, sim_shard_leader(cluster, EAST));
+    sim_submit_accepted(cluster, 0, sim_job_in_zone("run-1", "east", 60));
+    sim_submit_accepted(cluster, 0, sim_job_in_zone("run-2", "east", 60));
+    sim_freeze_controller(cluster, sim_shard_leader(cluster, EAST));
     bool told = false;
     for (int i = 0; i < 20 && !told; i++)
         told = shows_reason(cluster, "run-2", "handover of shard east");
--- a/tests/cluster/test_shard_settings.c
+++ b/tests/cluster/test_shard_settings.c
@@ -29,10 +29,10 @@
 {
     (void)state;
     struct sim_cluster *cluster = sim_with_controllers(SIM_CONTROLLERS, 1);
-    struct sim_cluster *divided = sim_with_shards(0);
+    struct sim_cluster *sharded = sim_with_shards(0);
     sim_kill_controllers(cluster);
-    cluster->sharding = g_steal_pointer(&divided->sharding);
-    sim_kill_controllers(divided);
+    cluster->sharding = g_steal_pointer(&sharded->sharding);
+    sim_kill_controllers(sharded);
     sim_start_controllers(cluster);
     sim_run(cluster, 10);
     for (int i = 0; i < SIM_CONTROLLERS; i++) {
@@ -41,10 +41,10 @@
             strstr(ow_shard_manager_difference(cluster->controllers[i]), "in use without shards"));
     }
     sim_finish(cluster);
-    sim_free(divided);
+    sim_free(sharded);
 }
 
-/* A controller that does not know of shards must not lead the machines of a divided fleet. */
+/* A controller that does not know of shards must not lead the machines of a sharded fleet. */
 static void test_undivided_controller_leads_nothing_of_a_divided_fleet(void **state)
 {
     (void)state;
--- a/tests/cluster/test_shards.c
+++ b/tests/cluster/test_shards.c
@@ -54,14 +54,14 @@
     int old = sim_shard_leader(cluster, EAST);
     uint64_t fencing_token = shard_fencing_token(cluster, EAST);
     uint64_t west_fencing_token = shard_fencing_token(cluster, WEST);
-    sim_accept(cluster, 0, sim_job_in("run-1", "east", 2));
+    sim_submit_accepted(cluster, 0, sim_job_in_zone("run-1", "east", 2));
     sim_kill_controller(cluster, old);
-    assert_true(sim_until(cluster, 15, handed_over, &fencing_token));
+    assert_true(sim_run_until(cluster, 15, handed_over, &fencing_token));
     int successor = sim_shard_leader(cluster, EAST);
     /* Its tasks ran on through the handover, and new ones start. */
-    sim_accept(cluster, successor, sim_job_in("run-2", "east", 1));
-    assert_int_equal(sim_running(cluster, "run-1"), 2);
-    assert_int_equal(sim_running(cluster, "run-2"), 1);
+    sim_submit_accepted(cluster, successor, sim_job_in_zone("run-2", "east", 1));
+    assert_int_equal(sim_count_running(cluster, "run-1"), 2);
+    assert_int_equal(sim_count_running(cluster, "run-2"), 1);
     assert_int_equal(shard_fencing_token(cluster, WEST), west_fencing_token);
     /* When it is back, work does not bounce. */
     fencing_token = shard_fencing_token(cluster, EAST);
@@ -80,8 +80,8 @@
     sim_run(cluster, 10);
     int old = sim_shard_leader(cluster, EAST);
     uint64_t fencing_token = shard_fencing_token(cluster, EAST);
-    sim_lose_link(cluster, (old + 1) % SIM_CONTROLLERS, old);
-    cluster->peers_cut = true;
+    sim_break_peer_link(cluster, (old + 1) % SIM_CONTROLLERS, old);
+    cluster->peers_partitioned = true;
     sim_run(cluster, 30);
     assert_int_equal(shard_fencing_token(cluster, EAST), fencing_token);
     int other = (old + 1) % SIM_CONTROLLERS;
@@ -97,7 +97,7 @@
 {
     (void)state;
     struct sim_cluster *cluster = sim_new();
-    sim_divide(cluster);
+    sim_enable_sharding(cluster);
     g_ptr_array_set_size(cluster->sharding->shards, 1);
     struct ow_shard_settings *only = g_ptr_array_index(cluster->sharding->shards, 0);
     g_free(only->name);
@@ -108,12 +108,12 @@
     sim_start_controllers(cluster);
     sim_add_group(cluster, "east", 1, "east", false);
     sim_run(cluster, 20);
-    sim_accept(cluster, 0, sim_job("run-1", 1, 1));
-    assert_non_null(sim_value_text(cluster, "coordinator"));
-    assert_non_null(sim_value_text(cluster, "j/run-1"));
+    sim_submit_accepted(cluster, 0, sim_job("run-1", 1, 1));
+    assert_non_null(sim_read_value(cluster, "coordinator"));
+    assert_non_null(sim_read_value(cluster, "j/run-1"));
     int old = sim_shard_leader(cluster, 0);
     uint64_t fencing_token = shard_fencing_token(cluster, 0);
-    sim_lose_link(cluster, (old + 1) % SIM_CONTROLLERS, old);
+    sim_break_peer_link(cluster, (old + 1) % SIM_CONTROLLERS, old);
     sim_run(cluster, 10);
     assert_int_equal(sim_shard_leader(cluster, 0), old);
     assert_int_equal(shard_fencing_token(cluster, 0), fencing_token);
@@ -126,14 +126,14 @@
     (void)state;
     struct sim_cluster *cluster = sim_with_shards(2);
     cluster->run_time_s = 200;
-    sim_accept(cluster, 0, sim_job_in("run-1", "east", 2));
+    sim_submit_accepted(cluster, 0, sim_job_in_zone("run-1", "east", 2));
     uint64_t fencing_token = shard_fencing_token(cluster, EAST);
     cluster->store_down = true;
     sim_run(cluster, 60);
     cluster->store_down = false;
     sim_run(cluster, 10);
     assert_int_equal(shard_fencing_token(cluster, EAST), fencing_token);
-    assert_int_equal(sim_running(cluster, "run-1"), 2);
+    assert_int_equal(sim_count_running(cluster, "run-1"), 2);
     sim_finish(cluster);
 }
 
@@ -145,17 +145,17 @@
     struct sim_cluster *cluster = sim_with_shards(2);
     int old = sim_shard_leader(cluster, EAST);
     uint64_t fencing_token = shard_fencing_token(cluster, EAST);
-    sim_accept(cluster, (old + 1) % SIM_CONTROLLERS, sim_job_in("run-1", "east", 3));
-    sim_freeze(cluster, old);
+    sim_submit_accepted(cluster, (old + 1) % SIM_CONTROLLERS, sim_job_in_zone("run-1", "east", 3));
+    sim_freeze_controller(cluster, old);
     sim_run(cluster, 30);
     assert_true(shard_fencing_token(cluster, EAST) > fencing_token);
     uint64_t successor_fencing_token = shard_fencing_token(cluster, EAST);
-    sim_accept(cluster, (old + 1) % SIM_CONTROLLERS, sim_job_in("run-2", "east", 3));
-    unsigned directs = cluster->directs;
-    sim_thaw(cluster, old);
+    sim_submit_accepted(cluster, (old + 1) % SIM_CONTROLLERS, sim_job_in_zone("run-2", "east", 3));
+    unsigned directs = cluster->direct_commands_sent;
+    sim_thaw_controller(cluster, old);
     /* Its first run after the pause has much that is due, and sends none of it. */
     sim_run(cluster, 0.05);
-    assert_true(cluster->directs - directs <= 2);
+    assert_true(cluster->direct_commands_sent - directs <= 2);
     sim_run(cluster, 10);
     assert_int_equal(count_leaders(cluster, EAST), 1);
     assert_int_equal(shard_fencing_token(cluster, EAST), successor_fencing_token);
@@ -164,7 +164,7 @@
 }
 
 /* Workers of a leader that stands still turn to its successor only when they have waited for its answer. With
-   short report intervals the successor took that for a loss of its own and gave the shard back: seen on a
+   short heartbeat intervals the successor took that for a loss of its own and gave the shard back: seen on a
    loopback cluster. */
 static void test_successor_waits_for_workers_of_a_frozen_leader(void **state)
 {
@@ -173,18 +173,18 @@
     for (int i = 0; i < SIM_CONTROLLERS; i++)
         cluster->settings[i].heartbeat_interval_s = 1;
     cluster->tuning.leader_lease_s = 2;
-    sim_divide(cluster);
+    sim_enable_sharding(cluster);
     sim_start_controllers(cluster);
     sim_add_group(cluster, "east", 3, "east", false);
     sim_add_group(cluster, "west", 3, "west", false);
     sim_run(cluster, 10);
     int old = sim_shard_leader(cluster, EAST);
     uint64_t fencing_token = shard_fencing_token(cluster, EAST);
-    sim_freeze(cluster, old);
-    assert_true(sim_until(cluster, 4, handed_over, &fencing_token));
+    sim_freeze_controller(cluster, old);
+    assert_true(sim_run_until(cluster, 4, handed_over, &fencing_token));
     fencing_token = shard_fencing_token(cluster, EAST);
     sim_run(cluster, 2.9); /* the workers still wait for the one that stands still */
-    sim_thaw(cluster, old);
+    sim_thaw_controller(cluster, old);
     sim_run(cluster, 20);
     assert_int_equal(shard_fencing_token(cluster, EAST), fencing_token);
     sim_finish(cluster);
@@ -203,23 +203,23 @@
     struct sim_cluster *cluster = sim_with_shards(2);
     cluster->run_time_s = 100;
     int old = sim_shard_leader(cluster, EAST);
-    sim_accept(cluster, old, sim_job_in("run-1", "east", 2));
+    sim_submit_accepted(cluster, old, sim_job_in_zone("run-1", "east", 2));
     for (int i = 0; i < SIM_CONTROLLERS; i++)
         if (i != old)
             sim_kill_controller(cluster, i);
-    sim_freeze(cluster, old);
+    sim_freeze_controller(cluster, old);
     sim_run(cluster, 8);
-    sim_thaw(cluster, old);
-    cluster->store_slow_s = 1;
+    sim_thaw_controller(cluster, old);
+    cluster->store_latency_s = 1;
     unsigned before = withheld(cluster, old, EAST);
     assert_int_equal(ow_lease_guard_state(&shard_view(cluster, old, EAST)->guard, cluster->now),
                      OW_LEASE_UNPROVEN);
     /* Reports come in, and what would be answered is not. */
-    sim_heartbeat(cluster, old, sim_machine(cluster, "east-0"), 1000,
-                  sim_machine(cluster, "east-0")->fencing_token);
+    sim_send_empty_heartbeat(cluster, old, sim_machine(cluster, "east-0"), 1000,
+                             sim_machine(cluster, "east-0")->fencing_token);
     sim_run(cluster, 0.6);
     assert_true(withheld(cluster, old, EAST) > before);
-    cluster->store_slow_s = 0;
+    cluster->store_latency_s = 0;
     sim_run(cluster, 20);
     assert_int_equal(count_leaders(cluster, EAST), 1);
     sim_finish(cluster);
--- a/tests/cluster/test_starvation.c
+++ b/tests/cluster/test_starvation.c
@@ -10,11 +10,12 @@
 static bool starts_within(struct sim_cluster *cluster, const char *id, double seconds, double gap,
                           struct ow_submission *(*next)(int n), int n)
 {
-    for (double end = cluster->now + seconds; cluster->now < end && sim_running(cluster, id) == 0; n++) {
+    for (double end = cluster->now + seconds; cluster->now < end && sim_count_running(cluster, id) == 0;
+         n++) {
         sim_submit(cluster, 0, next(n));
         sim_run(cluster, gap);
     }
-    return sim_running(cluster, id) > 0;
+    return sim_count_running(cluster, id) > 0;
 }
 
 static bool starts_under_load(struct sim_cluster *cluster, const char *id, double gap,
@@ -120,7 +121,7 @@
         sim_submit(cluster, 0, small_gang(n));
     sim_run(cluster, 165);
     sim_submit(cluster, 0, small_gang(1));
-    assert_true(sim_until(cluster, 30, sim_some_running, "run-1"));
+    assert_true(sim_run_until(cluster, 30, sim_job_is_running, "run-1"));
     sim_finish(cluster);
 }
 
@@ -131,11 +132,11 @@
     struct sim_cluster *cluster = sim_with_waiting_arrays(small_array);
     sim_submit(cluster, 0, numbered(1, 60, 8, false, OW_RANK_STANDARD));
     assert_true(starts_under_load(cluster, "run-1", 1, small_array));
-    for (int n = 1000; n < 1250 && !sim_all_done(cluster, "run-1"); n++) {
+    for (int n = 1000; n < 1250 && !sim_job_is_done(cluster, "run-1"); n++) {
         sim_submit(cluster, 0, small_array(n));
         sim_run(cluster, 1);
     }
-    assert_true(sim_all_done(cluster, "run-1"));
+    assert_true(sim_job_is_done(cluster, "run-1"));
     sim_finish(cluster);
 }
 
@@ -159,18 +160,18 @@
     cluster->run_time_s = 1000;
     sim_submit(cluster, 0, numbered(1, 1, 4, false, OW_RANK_LOW));
     sim_submit(cluster, 0, numbered(2, 2, 10, false, OW_RANK_STANDARD));
-    assert_true(sim_until(cluster, 10, sim_some_running, "run-2"));
-    assert_int_equal(sim_running(cluster, "run-1"), 0);
+    assert_true(sim_run_until(cluster, 10, sim_job_is_running, "run-2"));
+    assert_int_equal(sim_count_running(cluster, "run-1"), 0);
     uint64_t request = sim_poll(cluster, 0, "run-1");
     sim_run(cluster, 1);
-    assert_non_null(strstr(sim_answer(cluster, request)->reason, "cheap"));
+    assert_non_null(strstr(sim_response(cluster, request)->reason, "cheap"));
     /* They don't wait for ever either, although the controller restarts repeatedly. */
     for (int i = 0; i < 4; i++) {
         sim_run(cluster, 60);
         sim_kill_controller(cluster, 0);
         sim_start_controller(cluster, 0);
     }
-    assert_true(sim_until(cluster, 20, sim_some_running, "run-1"));
+    assert_true(sim_run_until(cluster, 20, sim_job_is_running, "run-1"));
     sim_finish(cluster);
 }
 
--- a/tests/cluster/test_upgrade.c
+++ b/tests/cluster/test_upgrade.c
@@ -11,7 +11,7 @@
 static void set_all_old(struct sim_cluster *cluster, bool old)
 {
     for (int i = 0; i < SIM_CONTROLLERS; i++)
-        cluster->old_controller[i] = old;
+        cluster->runs_old_version[i] = old;
 }
 
 /* Announces lower limits, which only the new version can read. */
@@ -19,9 +19,9 @@
 {
     for (int i = 0; i < SIM_CONTROLLERS; i++) {
         cluster->settings[i].next_value_kb =
-            cluster->old_controller[i] ? cluster->settings[i].value_kb : value_kb;
+            cluster->runs_old_version[i] ? cluster->settings[i].value_kb : value_kb;
         cluster->settings[i].next_txn_ops =
-            cluster->old_controller[i] ? cluster->settings[i].txn_ops : txn_ops;
+            cluster->runs_old_version[i] ? cluster->settings[i].txn_ops : txn_ops;
     }
 }
 
@@ -30,7 +30,7 @@
     if (cluster->controllers[controller] != NULL)
         sim_kill_controller(cluster, controller);
     sim_run(cluster, away_s);
-    cluster->old_controller[controller] = false;
+    cluster->runs_old_version[controller] = false;
     announce(cluster, 0.6, 4);
     sim_start_controller(cluster, controller);
 }
@@ -54,7 +54,7 @@
         for (guint k = 0; k < machine->tasks->len; k++) {
             struct sim_task *task = &g_array_index(machine->tasks, struct sim_task, k);
             if (task->phase == OW_PHASE_RUNNING)
-                task->phase_at = cluster->now + 1 + 0.01 * within_s * (ended++ % 100);
+                task->next_phase_at = cluster->now + 1 + 0.01 * within_s * (ended++ % 100);
         }
     }
 }
@@ -62,7 +62,7 @@
 static bool format_gate_is_open(struct sim_cluster *cluster, const void *what)
 {
     (void)what;
-    return sim_value_text(cluster, OW_KEY_FORMAT) != NULL;
+    return sim_read_value(cluster, OW_KEY_FORMAT) != NULL;
 }
 
 /* A complete rolling upgrade: three controllers, one after the other, then smaller values without notice.
@@ -85,21 +85,21 @@
         }
     }
     sim_run(cluster, 12);
-    assert_string_equal(sim_value_text(cluster, OW_KEY_FORMAT), "{\"v\":2}");
+    assert_string_equal(sim_read_value(cluster, OW_KEY_FORMAT), "{\"v\":2}");
     cluster->value_kb = 0.6;
     cluster->txn_ops = 4;
     sim_run(cluster, 4);
-    assert_int_equal(sim_running(cluster, "run-1"), 100);
+    assert_int_equal(sim_count_running(cluster, "run-1"), 100);
     end_tasks_gradually(cluster, 30);
     uint64_t more = sim_submit(cluster, 1, sim_job("run-2", 150, 0.4));
     uint64_t cancel = 0;
     sim_run(cluster, 6);
-    assert_int_equal(sim_answer(cluster, more)->status, 201);
+    assert_int_equal(sim_response(cluster, more)->status, 201);
     cancel = sim_cancel(cluster, 2, "run-2");
     sim_run(cluster, 3);
-    assert_int_equal(sim_answer(cluster, cancel)->state, OW_JOB_CANCELLED);
-    assert_true(sim_until(cluster, 90, sim_all_done, "run-1"));
-    assert_true(sim_total_starts(cluster) >= 200 && sim_total_starts(cluster) <= 350);
+    assert_int_equal(sim_response(cluster, cancel)->state, OW_JOB_CANCELLED);
+    assert_true(sim_run_until(cluster, 90, sim_job_is_done, "run-1"));
+    assert_true(sim_count_launches(cluster) >= 200 && sim_count_launches(cluster) <= 350);
     sim_finish(cluster);
 }
 
@@ -160,7 +160,7 @@
         sim_submit_interleaved(cluster, "run-1", 200);
         for (int i = 0; i < SIM_CONTROLLERS; i++)
             upgrade(cluster, i, 0.3);
-        assert_true(sim_until(cluster, 20, format_gate_is_open, NULL));
+        assert_true(sim_run_until(cluster, 20, format_gate_is_open, NULL));
         end_tasks_gradually(cluster, 40);
         sim_run(cluster, 1 + 0.1 * step);
         int leader = sim_leader(cluster);
@@ -172,9 +172,9 @@
         sim_run(cluster, 14);
         cluster->value_kb = 0.6;
         cluster->txn_ops = 4;
-        assert_true(sim_running(cluster, "run-1") > 20);
-        assert_true(sim_until(cluster, 90, sim_all_done, "run-1"));
-        assert_int_equal(sim_total_starts(cluster), 200);
+        assert_true(sim_count_running(cluster, "run-1") > 20);
+        assert_true(sim_run_until(cluster, 90, sim_job_is_done, "run-1"));
+        assert_int_equal(sim_count_launches(cluster), 200);
         sim_finish(cluster);
     }
 }
@@ -184,7 +184,7 @@
     size_t largest = 0;
     for (int i = 0; i < 200; i++) {
         char *key = g_strdup_printf("%s%d", OW_KEY_PROGRESS, i);
-        const char *text = sim_value_text(cluster, key);
+        const char *text = sim_read_value(cluster, key);
         largest = MAX(largest, text != NULL ? strlen(text) : 0);
         g_free(key);
     }
@@ -202,14 +202,14 @@
     assert_true(largest_progress(cluster) > 614);
     for (int i = 0; i < SIM_CONTROLLERS; i++)
         upgrade(cluster, i, 0.3);
-    assert_true(sim_until(cluster, 20, format_gate_is_open, NULL));
+    assert_true(sim_run_until(cluster, 20, format_gate_is_open, NULL));
     int leader = sim_leader(cluster);
     sim_kill_controller(cluster, leader);
     sim_run(cluster, 6);
     sim_start_controller(cluster, leader);
     sim_run(cluster, 20);
     assert_true(largest_progress(cluster) <= 614);
-    assert_int_equal(sim_running(cluster, "run-1"), 100);
+    assert_int_equal(sim_count_running(cluster, "run-1"), 100);
     sim_finish(cluster);
 }
 
@@ -224,13 +224,13 @@
     sim_run(cluster, 10);
     sim_submit(cluster, 0, sim_job("run-1", 100, 0.4));
     sim_run(cluster, 8);
-    assert_null(sim_value_text(cluster, OW_KEY_FORMAT));
+    assert_null(sim_read_value(cluster, OW_KEY_FORMAT));
     /* Nor while it is down: it would restart with the old version. */
     sim_kill_controller(cluster, 2);
     sim_run(cluster, 20);
-    assert_null(sim_value_text(cluster, OW_KEY_FORMAT));
+    assert_null(sim_read_value(cluster, OW_KEY_FORMAT));
     sim_start_controller(cluster, 2);
-    assert_true(sim_until(cluster, 60, sim_all_done, "run-1"));
+    assert_true(sim_run_until(cluster, 60, sim_job_is_done, "run-1"));
     sim_finish(cluster);
 }
 
@@ -245,13 +245,13 @@
         sim_run(cluster, 6);
         upgrade(cluster, first, 0.3);
         sim_run(cluster, 10);
-        cluster->denied_controller = sim_leader(cluster);
+        cluster->controller_without_store = sim_leader(cluster);
         uint64_t cancel = sim_cancel(cluster, (sim_leader(cluster) + 1) % SIM_CONTROLLERS, "run-1");
         sim_run(cluster, 1);
-        assert_int_equal(sim_answer(cluster, cancel)->state, OW_JOB_CANCELLED);
+        assert_int_equal(sim_response(cluster, cancel)->state, OW_JOB_CANCELLED);
         cluster->store_down = true;
         sim_run(cluster, 60);
-        assert_int_equal(sim_running(cluster, "run-1"), 0);
+        assert_int_equal(sim_count_running(cluster, "run-1"), 0);
         sim_finish(cluster);
     }
 }
@@ -266,7 +266,7 @@
     sim_submit_interleaved(cluster, "run-1", 200);
     for (int i = 0; i < SIM_CONTROLLERS; i++)
         upgrade(cluster, i, 0.3);
-    cluster->peers_cut = true;
+    cluster->peers_partitioned = true;
     sim_run(cluster, 3);
     assert_false(format_gate_is_open(cluster, NULL));
     cluster->value_kb = 0.6;
@@ -281,11 +281,11 @@
         job->class_name = g_strdup("other");
         sim_submit(cluster, sim_leader(cluster), job);
         sim_run(cluster, 2.5);
-        assert_int_equal(sim_running(cluster, id), 2);
+        assert_int_equal(sim_count_running(cluster, id), 2);
     }
-    assert_true(cluster->too_large > 0);
-    cluster->peers_cut = false;
-    assert_true(sim_until(cluster, 90, sim_all_done, "run-1"));
+    assert_true(cluster->oversized_txns > 0);
+    cluster->peers_partitioned = false;
+    assert_true(sim_run_until(cluster, 90, sim_job_is_done, "run-1"));
     assert_string_equal(cluster->violations->str, "");
     sim_free(cluster);
 }
--- a/tests/cluster/test_user_api.c
+++ b/tests/cluster/test_user_api.c
@@ -13,7 +13,7 @@
     uint64_t request = sim_submit(cluster, 1, sim_job("run-1", 1, 1));
     sim_run(cluster, 0.3);
     assert_int_equal(sim_status(cluster, request), 503);
-    assert_true(sim_answer(cluster, request)->retry_after_s > 0);
+    assert_true(sim_response(cluster, request)->retry_after_s > 0);
     cluster->store_down = false;
     assert_int_equal(sim_job_state(cluster, "run-1"), -404);
     sim_finish(cluster);
@@ -133,7 +133,7 @@
     poll = sim_poll(cluster, asked, "run-1");
     sim_run(cluster, 0.3);
     assert_int_equal(sim_status(cluster, poll), 200);
-    assert_int_equal(sim_answer(cluster, poll)->state, OW_JOB_CANCELLED);
+    assert_int_equal(sim_response(cluster, poll)->state, OW_JOB_CANCELLED);
     cluster->store_down = true;
     uint64_t blind = sim_poll(cluster, other, "run-9");
     uint64_t sure = sim_poll(cluster, asked, "run-1");
@@ -149,16 +149,16 @@
     struct sim_cluster *cluster = sim_with_controllers(3, 1);
     cluster->run_time_s = 2;
     sim_start_job(cluster, sim_job("run-1", 1, 1));
-    cluster->hold_txns = true;
+    cluster->delay_txns = true;
     sim_run(cluster, 4);
-    assert_true(sim_none_running(cluster, "run-1"));
+    assert_true(sim_job_is_not_running(cluster, "run-1"));
     for (int controller = 0; controller < SIM_CONTROLLERS; controller++) {
         uint64_t poll = sim_poll(cluster, controller, "run-1");
         sim_run(cluster, 0.3);
-        assert_true(sim_status(cluster, poll) == 200 && sim_answer(cluster, poll)->state != OW_JOB_DONE);
+        assert_true(sim_status(cluster, poll) == 200 && sim_response(cluster, poll)->state != OW_JOB_DONE);
     }
-    cluster->hold_txns = false;
-    assert_true(sim_until(cluster, 10, sim_all_done, "run-1"));
+    cluster->delay_txns = false;
+    assert_true(sim_run_until(cluster, 10, sim_job_is_done, "run-1"));
     assert_int_equal(sim_job_state(cluster, "run-1"), OW_JOB_DONE);
     sim_finish(cluster);
 }
@@ -169,11 +169,11 @@
     struct sim_cluster *cluster = sim_with_controllers(3, 1);
     cluster->run_time_s = 2;
     sim_start_job(cluster, sim_job("run-1", 1, 1));
-    assert_true(sim_until(cluster, 10, sim_none_running, "run-1"));
+    assert_true(sim_run_until(cluster, 10, sim_job_is_not_running, "run-1"));
     uint64_t late = sim_cancel(cluster, 1, "run-1");
     sim_run(cluster, 5);
     assert_int_equal(sim_status(cluster, late), 200);
-    enum ow_job_state announced_state = sim_answer(cluster, late)->state;
+    enum ow_job_state announced_state = sim_response(cluster, late)->state;
     assert_true(announced_state == OW_JOB_DONE || announced_state == OW_JOB_CANCELLED);
     assert_int_equal(sim_job_state(cluster, "run-1"), announced_state);
     sim_finish(cluster);
@@ -191,7 +191,7 @@
     for (int controller = 0; controller < 2; controller++) {
         uint64_t poll = sim_poll(cluster, controller, "run-2");
         sim_run(cluster, 0.3);
-        const struct sim_answer *answer = sim_answer(cluster, poll);
+        const struct sim_response *answer = sim_response(cluster, poll);
         assert_int_equal(answer->status, 200);
         assert_non_null(answer->reason);
         assert_non_null(strstr(answer->reason, "wait"));
@@ -209,20 +209,20 @@
     sim_run(cluster, 1);
     uint64_t request = sim_poll(cluster, 0, "run-1");
     sim_run(cluster, 1);
-    assert_non_null(strstr(sim_answer(cluster, request)->reason, "rented yet"));
-    cluster->capacity = 1;
+    assert_non_null(strstr(sim_response(cluster, request)->reason, "rented yet"));
+    cluster->provisionable_machines = 1;
     /* The cloud's refusals are remembered for a minute; then the machine boots for five seconds. */
     const char *reason = NULL;
     for (int i = 0; i < 200 && (reason == NULL || strstr(reason, "booting") == NULL); i++) {
         request = sim_poll(cluster, 0, "run-1");
         sim_run(cluster, 0.5);
-        reason = sim_answer(cluster, request)->reason;
+        reason = sim_response(cluster, request)->reason;
     }
     assert_non_null(reason);
     assert_non_null(strstr(reason, "booting"));
     request = sim_cancel(cluster, 0, "run-1");
     sim_run(cluster, 2);
-    assert_int_equal(sim_answer(cluster, request)->state, OW_JOB_CANCELLED);
+    assert_int_equal(sim_response(cluster, request)->state, OW_JOB_CANCELLED);
     sim_finish(cluster);
 }
 
--- a/tests/digest/decision_digest.c
+++ b/tests/digest/decision_digest.c
@@ -19,8 +19,8 @@
 /* A kind of days. */
 struct fleet {
     const char *name;
-    void (*play)(guint32 seed, bool divided, const struct sim_observer *observer);
-    bool divided;
+    void (*play)(guint32 seed, bool sharded, const struct sim_observer *observer);
+    bool sharded;
 };
 
 static const struct fleet FLEETS[] = {
@@ -56,7 +56,7 @@
 {
     struct day_digest digest = {.checksum = g_checksum_new(G_CHECKSUM_SHA256), .dump = dump};
     struct sim_observer observer = {add_effect, &digest};
-    fleet->play(seed, fleet->divided, &observer);
+    fleet->play(seed, fleet->sharded, &observer);
     printf("%s %u %s %u\n", fleet->name, seed, g_checksum_get_string(digest.checksum), digest.effects);
     g_checksum_free(digest.checksum);
 }
--- a/tests/sim/chaos_day.c
+++ b/tests/sim/chaos_day.c
@@ -27,14 +27,14 @@
 /* Keeps a duplicate of the machine's last heartbeat, to be sent later to any controller. */
 static void keep_copy(struct failures *failures, const struct sim_machine *machine)
 {
-    g_ptr_array_add(failures->copies, sim_last_heartbeat(machine));
+    g_ptr_array_add(failures->copies, sim_copy_last_heartbeat(machine));
 }
 
 static void send_copies(struct failures *failures)
 {
     while (failures->copies->len > 0) {
         int controller = g_rand_int_range(failures->rand, 0, SIM_CONTROLLERS);
-        sim_send_copy(failures->cluster, controller, g_ptr_array_index(failures->copies, 0));
+        sim_send_heartbeat(failures->cluster, controller, g_ptr_array_index(failures->copies, 0));
         g_ptr_array_steal_index(failures->copies, 0);
     }
 }
@@ -44,11 +44,12 @@
     struct sim_machine *machine = any_machine(failures);
     switch (g_rand_int_range(failures->rand, 0, 9)) {
     case 7:
-        machine->stopped_reporting = !machine->stopped_reporting;
+        machine->heartbeats_lost = !machine->heartbeats_lost;
         break;
     case 8:
-        machine->only_controller =
-            machine->only_controller < 0 ? g_rand_int_range(failures->rand, 0, SIM_CONTROLLERS) : -1;
+        machine->only_reachable_controller = machine->only_reachable_controller < 0
+                                                 ? g_rand_int_range(failures->rand, 0, SIM_CONTROLLERS)
+                                                 : -1;
         break;
     case 4:
         machine->unresponsive = !machine->unresponsive;
@@ -60,13 +61,13 @@
         send_copies(failures);
         break;
     case 0:
-        machine->cut = !machine->cut;
+        machine->partitioned = !machine->partitioned;
         break;
     case 1:
-        machine->hangs = !machine->hangs;
+        machine->hung = !machine->hung;
         break;
     case 2:
-        machine->faulty = !machine->faulty;
+        machine->fails_tasks = !machine->fails_tasks;
         break;
     default:
         sim_delete_machine(machine);
@@ -79,9 +80,9 @@
 {
     int controller = g_rand_int_range(failures->rand, 0, SIM_CONTROLLERS);
     if (failures->cluster->frozen[controller])
-        sim_thaw(failures->cluster, controller);
+        sim_thaw_controller(failures->cluster, controller);
     else if (failures->cluster->controllers[controller] != NULL)
-        sim_freeze(failures->cluster, controller);
+        sim_freeze_controller(failures->cluster, controller);
 }
 
 static void disturb_controller(struct failures *failures)
@@ -90,7 +91,7 @@
     int other = (controller + 1) % SIM_CONTROLLERS;
     /* Links break with and without their process. */
     if (g_rand_boolean(failures->rand) && failures->cluster->controllers[other] != NULL)
-        sim_lose_link(failures->cluster, other, controller);
+        sim_break_peer_link(failures->cluster, other, controller);
     if (g_rand_int_range(failures->rand, 0, 4) == 0)
         return;
     if (failures->cluster->controllers[controller] != NULL)
@@ -106,20 +107,20 @@
 {
     switch (g_rand_int_range(failures->rand, 0, 10)) {
     case 7:
-        failures->cluster->denied_controller = g_rand_int_range(failures->rand, -1, SIM_CONTROLLERS);
+        failures->cluster->controller_without_store = g_rand_int_range(failures->rand, -1, SIM_CONTROLLERS);
         break;
     case 8:
-        failures->cluster->peers_cut = !failures->cluster->peers_cut;
+        failures->cluster->peers_partitioned = !failures->cluster->peers_partitioned;
         break;
     case 9:
-        failures->cluster->store_slow_s =
-            failures->cluster->store_slow_s > 0 ? 0 : g_rand_double_range(failures->rand, 0.1, 1.2);
+        failures->cluster->store_latency_s =
+            failures->cluster->store_latency_s > 0 ? 0 : g_rand_double_range(failures->rand, 0.1, 1.2);
         break;
     case 5:
         failures->cluster->isolated_controller = g_rand_int_range(failures->rand, -1, SIM_CONTROLLERS);
         break;
     case 6:
-        failures->cluster->workerless_controller = g_rand_int_range(failures->rand, -1, SIM_CONTROLLERS);
+        failures->cluster->controller_without_workers = g_rand_int_range(failures->rand, -1, SIM_CONTROLLERS);
         break;
     case 0:
         failures->cluster->store_down = !failures->cluster->store_down;
@@ -128,21 +129,21 @@
         failures->cluster->cloud_down = !failures->cluster->cloud_down;
         break;
     case 2:
-        failures->cluster->hold_txns = !failures->cluster->hold_txns;
+        failures->cluster->delay_txns = !failures->cluster->delay_txns;
         break;
     case 3:
-        failures->cluster->lose_txn_answers = !failures->cluster->lose_txn_answers;
+        failures->cluster->lose_txn_responses = !failures->cluster->lose_txn_responses;
         break;
     default:
-        failures->cluster->hold_directs = !failures->cluster->hold_directs;
+        failures->cluster->delay_direct_commands = !failures->cluster->delay_direct_commands;
         break;
     }
 }
 
 static void disturb(struct failures *failures)
 {
-    bool divided = failures->cluster->sharding != NULL;
-    if (divided && g_rand_int_range(failures->rand, 0, 4) == 0) {
+    bool sharded = failures->cluster->sharding != NULL;
+    if (sharded && g_rand_int_range(failures->rand, 0, 4) == 0) {
         freeze_or_thaw(failures);
         return;
     }
@@ -158,19 +159,20 @@
 static void end_failures(struct failures *failures)
 {
     struct sim_cluster *cluster = failures->cluster;
-    cluster->isolated_controller = cluster->workerless_controller = cluster->denied_controller = -1;
-    cluster->peers_cut = false;
-    cluster->store_slow_s = 0;
-    cluster->store_down = cluster->cloud_down = cluster->hold_txns = cluster->lose_txn_answers =
-        cluster->hold_directs = false;
+    cluster->isolated_controller = cluster->controller_without_workers = cluster->controller_without_store =
+        -1;
+    cluster->peers_partitioned = false;
+    cluster->store_latency_s = 0;
+    cluster->store_down = cluster->cloud_down = cluster->delay_txns = cluster->lose_txn_responses =
+        cluster->delay_direct_commands = false;
     for (guint i = 0; i < cluster->machines->len; i++) {
         struct sim_machine *machine = sim_machine_at(cluster, i);
-        machine->cut = machine->hangs = machine->faulty = machine->unresponsive = machine->stopped_reporting =
-            false;
-        machine->only_controller = -1;
+        machine->partitioned = machine->hung = machine->fails_tasks = machine->unresponsive =
+            machine->heartbeats_lost = false;
+        machine->only_reachable_controller = -1;
     }
     for (int i = 0; i < SIM_CONTROLLERS; i++)
-        sim_thaw(cluster, i);
+        sim_thaw_controller(cluster, i);
     sim_start_controllers(cluster);
 }
 
@@ -192,7 +194,7 @@
         submission->one_zone = i % 2 == 0;
         uint64_t request = sim_submit(cluster, attempt % SIM_CONTROLLERS, submission);
         sim_run(cluster, 1);
-        const struct sim_answer *answer = sim_answer(cluster, request);
+        const struct sim_response *answer = sim_response(cluster, request);
         if (answer != NULL && (answer->status == 200 || answer->status == 201))
             return;
         if (g_rand_int_range(failures->rand, 0, 4) == 0)
@@ -239,8 +241,8 @@
             job_id(id, sizeof id, i);
             const struct sim_requirements *requirements =
                 g_hash_table_lookup(failures->cluster->requirements, id);
-            bool waits = !failures->cancelled[i] && !sim_all_done(failures->cluster, id) &&
-                         sim_running(failures->cluster, id) == 0 &&
+            bool waits = !failures->cancelled[i] && !sim_job_is_done(failures->cluster, id) &&
+                         sim_count_running(failures->cluster, id) == 0 &&
                          sim_has_room_for(failures->cluster, requirements);
             waited[i] = waits ? waited[i] + 1 : 0;
             if (waited[i] >= 90)
@@ -258,14 +260,14 @@
     }
 }
 
-static struct sim_cluster *start_sim(guint32 seed, bool divided, const struct sim_observer *observer)
+static struct sim_cluster *start_sim(guint32 seed, bool sharded, const struct sim_observer *observer)
 {
     struct sim_cluster *cluster = sim_new();
     if (observer != NULL)
         cluster->observer = *observer;
-    cluster->capacity = 40;
-    if (divided)
-        sim_divide(cluster);
+    cluster->provisionable_machines = 40;
+    if (sharded)
+        sim_enable_sharding(cluster);
     /* With every other seed the records need many values. */
     for (int i = 0; i < SIM_CONTROLLERS && seed % 2 == 0; i++)
         cluster->settings[i].value_kb = cluster->value_kb = 0.5;
@@ -302,13 +304,13 @@
         if (state != OW_JOB_DONE && !(state == OW_JOB_CANCELLED && failures->cancelled[i]))
             fail_msg("seed %u: %s ends as %d", seed, id, state);
     }
-    if (cluster->violations->len > 0 || cluster->too_large > 0)
+    if (cluster->violations->len > 0 || cluster->oversized_txns > 0)
         fail_msg("seed %u: %s", seed, cluster->violations->str);
 }
 
-void chaos_day_play(guint32 seed, bool divided, const struct sim_observer *observer)
+void chaos_day_play(guint32 seed, bool sharded, const struct sim_observer *observer)
 {
-    struct failures failures = {.cluster = start_sim(seed, divided, observer),
+    struct failures failures = {.cluster = start_sim(seed, sharded, observer),
                                 .rand = g_rand_new_with_seed(seed),
                                 .copies = g_ptr_array_new_with_free_func(free_heartbeat)};
     play_failures(&failures);
--- a/tests/sim/chaos_day.h
+++ b/tests/sim/chaos_day.h
@@ -9,6 +9,6 @@
 
 /** Plays the day of the seed, with the fleet divided into two shards or not, and fails if a safety rule is
  * broken or a job does not complete in the end. The observer, which may be NULL, is told of every effect. */
-void chaos_day_play(guint32 seed, bool divided, const struct sim_observer *observer);
+void chaos_day_play(guint32 seed, bool sharded, const struct sim_observer *observer);
 
 #endif
--- a/tests/sim/failure_setup.c
+++ b/tests/sim/failure_setup.c
@@ -4,21 +4,21 @@
 #include "check.h"
 #include "model/submission.h"
 
-struct sim_cluster *failure_sim(int machines)
+struct sim_cluster *sim_with_long_tasks(int machines)
 {
     struct sim_cluster *cluster = sim_with_machines(machines);
     cluster->run_time_s = 300;
     return cluster;
 }
 
-struct sim_machine *failure_start_job(struct sim_cluster *cluster, struct ow_submission *job)
+struct sim_machine *sim_start_job_at_follower(struct sim_cluster *cluster, struct ow_submission *job)
 {
     char id[OW_ID_MAX + 1];
     g_strlcpy(id, job->id, sizeof id);
     sim_submit(cluster, sim_follower(cluster), job);
-    assert_true(sim_until(cluster, 10, sim_some_running, id));
+    assert_true(sim_run_until(cluster, 10, sim_job_is_running, id));
     sim_run(cluster, 4);
-    return sim_where(cluster, id);
+    return sim_find_machine_of_job(cluster, id);
 }
 
 static void cancel_step(struct sim_cluster *cluster, struct canceller *canceller)
@@ -33,7 +33,7 @@
     }
 }
 
-void run_cancelling(struct sim_cluster *cluster, struct canceller *canceller, double seconds)
+void sim_run_with_canceller(struct sim_cluster *cluster, struct canceller *canceller, double seconds)
 {
     for (double end = cluster->now + seconds; cluster->now < end;) {
         cancel_step(cluster, canceller);
--- a/tests/sim/failure_setup.h
+++ b/tests/sim/failure_setup.h
@@ -17,10 +17,10 @@
 };
 
 /** A cluster with all controllers and these machines, on which tasks run for 300 s. */
-struct sim_cluster *failure_sim(int machines);
+struct sim_cluster *sim_with_long_tasks(int machines);
 /** Submits the job to a controller that does not lead and waits until it runs; returns its machine. */
-struct sim_machine *failure_start_job(struct sim_cluster *cluster, struct ow_submission *job);
+struct sim_machine *sim_start_job_at_follower(struct sim_cluster *cluster, struct ow_submission *job);
 /** Runs the cluster while the user cancels the job. */
-void run_cancelling(struct sim_cluster *cluster, struct canceller *canceller, double seconds);
+void sim_run_with_canceller(struct sim_cluster *cluster, struct canceller *canceller, double seconds);
 
 #endif
--- a/tests/sim/sim_checks.c
+++ b/tests/sim/sim_checks.c
@@ -6,25 +6,26 @@
 #include <string.h>
 
 /* A task may only be on the machine where it was started last. */
-void sim_check_twice(struct sim_cluster *cluster, struct sim_machine *here,
-                     const struct ow_worker_command *command)
+void sim_check_runs_once(struct sim_cluster *cluster, struct sim_machine *here,
+                         const struct ow_worker_command *command)
 {
     char *name = g_strdup_printf("%s/%u", command->job, command->task);
-    const struct sim_machine *machine = g_hash_table_lookup(cluster->started_on, name);
-    for (guint k = 0; machine != NULL && machine != here && !machine->gone && k < machine->tasks->len; k++) {
+    const struct sim_machine *machine = g_hash_table_lookup(cluster->last_machine_of_task, name);
+    for (guint k = 0; machine != NULL && machine != here && !machine->deleted && k < machine->tasks->len;
+         k++) {
         const struct sim_task *task = &g_array_index(machine->tasks, struct sim_task, k);
         if (task->phase != OW_PHASE_EXITED && task->task == command->task &&
             strcmp(task->job, command->job) == 0)
             g_string_append_printf(cluster->violations, "%s runs twice, on %s and %s; ", name, machine->name,
                                    here->name);
     }
-    g_hash_table_replace(cluster->started_on, name, here);
+    g_hash_table_replace(cluster->last_machine_of_task, name, here);
 }
 
 /* No task of a job may start once its user was answered that the job has ended. */
-void sim_check_over(struct sim_cluster *cluster, const char *job)
+void sim_check_not_ended(struct sim_cluster *cluster, const char *job)
 {
-    const struct sim_announcement *announcement = g_hash_table_lookup(cluster->announced, job);
+    const struct sim_announcement *announcement = g_hash_table_lookup(cluster->announcements, job);
     if (announcement != NULL)
         g_string_append_printf(cluster->violations, "%s was told %s and is started; ", job,
                                announcement->state == OW_JOB_DONE ? "done" : "cancelled");
@@ -43,7 +44,7 @@
 {
     for (guint i = 0; i < cluster->machines->len; i++) {
         const struct sim_machine *machine = sim_machine_at(cluster, i);
-        for (guint k = 0; !machine->gone && k < machine->tasks->len; k++) {
+        for (guint k = 0; !machine->deleted && k < machine->tasks->len; k++) {
             const struct sim_task *task = &g_array_index(machine->tasks, struct sim_task, k);
             if (task->phase != OW_PHASE_EXITED)
                 take(cluster, machine, task, sum);
@@ -67,7 +68,7 @@
 }
 
 /* Checks the team's limit against the tasks that are really on machines. */
-void sim_check_limit(struct sim_cluster *cluster, const char *job)
+void sim_check_team_limit(struct sim_cluster *cluster, const char *job)
 {
     const struct sim_requirements *requirements = sim_requirements_of(cluster, job);
     for (guint i = 0; requirements != NULL && i < cluster->settings[0].teams->len; i++) {
@@ -102,7 +103,7 @@
         place->elsewhere++;
 }
 
-void sim_check_place(struct sim_cluster *cluster, const struct sim_machine *machine, const char *job)
+void sim_check_placement(struct sim_cluster *cluster, const struct sim_machine *machine, const char *job)
 {
     const struct sim_requirements *requirements = sim_requirements_of(cluster, job);
     struct place place = {job, machine, 0, 0};
@@ -116,11 +117,11 @@
         g_string_append_printf(cluster->violations, "%s is at a wrong place on %s; ", job, machine->name);
 }
 
-void sim_check_cancelled(struct sim_cluster *cluster, const struct sim_machine *machine)
+void sim_check_cancellations(struct sim_cluster *cluster, const struct sim_machine *machine)
 {
     for (guint i = 0; i < machine->tasks->len; i++) {
         const struct sim_task *task = &g_array_index(machine->tasks, struct sim_task, i);
-        const struct sim_announcement *announcement = g_hash_table_lookup(cluster->announced, task->job);
+        const struct sim_announcement *announcement = g_hash_table_lookup(cluster->announcements, task->job);
         if (task->phase != OW_PHASE_EXITED && announcement != NULL &&
             announcement->state == OW_JOB_CANCELLED &&
             cluster->now > announcement->at + cluster->settings[0].cancel_s)
--- a/tests/sim/sim_cloud.c
+++ b/tests/sim/sim_cloud.c
@@ -1,4 +1,6 @@
-/* The simulated cloud. */
+/* The simulated cloud: types, lists, provisioning and termination of machines. Tests may take it down
+ * (`cloud_down`) and bound what can be provisioned (`provisionable_machines`); sim_delete_machine() reclaims
+ * a machine. */
 #include "sim_parts.h"
 #include "model/cloud.h"
 #include "model/event.h"
@@ -47,10 +49,10 @@
                                            g_strdup(machine->type),
                                            g_strdup(machine->zone),
                                            machine->spot,
-                                           cluster->now < machine->up_at ? OW_LISTED_BOOTING
-                                                                         : OW_LISTED_RUNNING,
+                                           cluster->now < machine->booted_at ? OW_LISTED_BOOTING
+                                                                             : OW_LISTED_RUNNING,
                                            10};
-        if (machine->gone || *more)
+        if (machine->deleted || *more)
             ow_listed_machine_clear(&listed);
         else
             g_array_append_val(list, listed);
@@ -58,16 +60,17 @@
     return list;
 }
 
-static void rent(struct sim_cluster *cluster, const struct ow_cloud_request *request,
-                 struct ow_cloud_reply *reply)
+static void provision(struct sim_cluster *cluster, const struct ow_cloud_request *request,
+                      struct ow_cloud_reply *reply)
 {
     GPtrArray *names = g_ptr_array_new();
-    for (unsigned i = 0; i < request->count && cluster->capacity > 0; i++, cluster->capacity--) {
+    for (unsigned i = 0; i < request->count && cluster->provisionable_machines > 0;
+         i++, cluster->provisionable_machines--) {
         char name[32];
-        g_snprintf(name, sizeof name, "r-%03u", ++cluster->provisioned);
+        g_snprintf(name, sizeof name, "r-%03u", ++cluster->provisioned_machines);
         struct sim_machine *machine =
             sim_add_machine(cluster, name, request->type, request->zone, request->spot);
-        machine->up_at = machine->renewed_at = cluster->now + 5;
+        machine->booted_at = machine->lease_renewed_at = cluster->now + 5;
         g_ptr_array_add(names, g_strdup(name));
     }
     reply->status = names->len > 0 ? 200 : 503;
@@ -75,7 +78,7 @@
     reply->provisioned = (char **)g_ptr_array_free(names, FALSE);
 }
 
-static void delete_machines(struct sim_cluster *cluster, const GPtrArray *names)
+static void terminate(struct sim_cluster *cluster, const GPtrArray *names)
 {
     for (guint i = 0; i < names->len; i++) {
         struct sim_machine *machine = sim_machine(cluster, g_ptr_array_index(names, i));
@@ -85,13 +88,14 @@
     }
 }
 
-void sim_cloud_take(struct sim_cluster *cluster, int controller, const struct ow_cloud_request *request)
+void sim_cloud_handle_request(struct sim_cluster *cluster, int controller,
+                              const struct ow_cloud_request *request)
 {
-    struct ow_event *event = sim_command(OW_EVENT_CLOUD, request->tag);
+    struct ow_event *event = ow_event_new(OW_EVENT_CLOUD, request->tag);
     event->cloud.status = cluster->cloud_down ? 503 : 200;
-    cluster->cloud_calls++;
+    cluster->cloud_requests++;
     if (cluster->cloud_down) {
-        sim_deliver(cluster, controller, cluster->controller_nonce[controller], 0.1, event);
+        sim_deliver(cluster, controller, cluster->process_nonce[controller], 0.1, event);
         return;
     }
     if (request->op == OW_CLOUD_TYPES)
@@ -99,8 +103,8 @@
     else if (request->op == OW_CLOUD_LIST)
         event->cloud.listed = list_machines(cluster, request->after, &event->cloud.has_more);
     else if (request->op == OW_CLOUD_PROVISION)
-        rent(cluster, request, &event->cloud);
+        provision(cluster, request, &event->cloud);
     else
-        delete_machines(cluster, request->machines);
-    sim_deliver(cluster, controller, cluster->controller_nonce[controller], 0.1, event);
+        terminate(cluster, request->machines);
+    sim_deliver(cluster, controller, cluster->process_nonce[controller], 0.1, event);
 }
--- a/tests/sim/sim_machines.c
+++ b/tests/sim/sim_machines.c
@@ -1,4 +1,5 @@
-/* The simulated machines: their creation and deletion, and their heartbeats. */
+/* The simulated machines: their creation and deletion, and the heartbeats that they send. Tests may send
+ * copies of heartbeats late or twice, and set the reclaim notice (`reclaim_notice_s`). */
 #include "sim_parts.h"
 #include "model/event.h"
 #include "model/worker.h"
@@ -24,8 +25,8 @@
     machine->spot = spot;
     machine->incarnation = 1;
     machine->reclaim_notice_s = -1;
-    machine->only_controller = -1;
-    machine->up_at = machine->renewed_at = machine->heartbeat_at = cluster->now;
+    machine->only_reachable_controller = -1;
+    machine->booted_at = machine->lease_renewed_at = machine->next_heartbeat_at = cluster->now;
     machine->tasks = g_array_new(FALSE, TRUE, sizeof(struct sim_task));
     g_ptr_array_add(cluster->machines, machine);
     g_hash_table_insert(cluster->machines_by_name, machine->name, machine);
@@ -49,11 +50,11 @@
 
 void sim_delete_machine(struct sim_machine *machine)
 {
-    machine->gone = true;
+    machine->deleted = true;
     g_array_set_size(machine->tasks, 0);
 }
 
-struct ow_heartbeat *sim_make_heartbeat(struct sim_machine *machine)
+struct ow_heartbeat *sim_heartbeat_new(struct sim_machine *machine)
 {
     struct ow_heartbeat *heartbeat = g_new0(struct ow_heartbeat, 1);
     heartbeat->machine = g_strdup(machine->name);
@@ -79,37 +80,37 @@
     return heartbeat;
 }
 
-void sim_heartbeat(struct sim_cluster *cluster, int controller, const struct sim_machine *machine,
-                   uint64_t seq, uint64_t fencing_token)
+void sim_send_empty_heartbeat(struct sim_cluster *cluster, int controller, const struct sim_machine *machine,
+                              uint64_t seq, uint64_t fencing_token)
 {
     struct sim_machine copy = *machine;
-    struct ow_event *event = sim_command(OW_EVENT_HEARTBEAT, (uint64_t)1 << 60);
+    struct ow_event *event = ow_event_new(OW_EVENT_HEARTBEAT, (uint64_t)1 << 60);
     copy.sequence = seq - 1;
     copy.fencing_token = fencing_token;
-    event->heartbeat = sim_make_heartbeat(&copy);
+    event->heartbeat = sim_heartbeat_new(&copy);
     g_array_set_size(event->heartbeat->tasks, 0);
-    sim_deliver(cluster, controller, cluster->controller_nonce[controller], 0, event);
+    sim_deliver(cluster, controller, cluster->process_nonce[controller], 0, event);
 }
 
-struct ow_heartbeat *sim_last_heartbeat(const struct sim_machine *machine)
+struct ow_heartbeat *sim_copy_last_heartbeat(const struct sim_machine *machine)
 {
     struct sim_machine copy = *machine;
     copy.sequence--;
-    return sim_make_heartbeat(&copy);
+    return sim_heartbeat_new(&copy);
 }
 
-void sim_send_copy(struct sim_cluster *cluster, int controller, struct ow_heartbeat *heartbeat)
+void sim_send_heartbeat(struct sim_cluster *cluster, int controller, struct ow_heartbeat *heartbeat)
 {
-    struct ow_event *event = sim_command(OW_EVENT_HEARTBEAT, (uint64_t)1 << 60);
+    struct ow_event *event = ow_event_new(OW_EVENT_HEARTBEAT, (uint64_t)1 << 60);
     event->heartbeat = heartbeat;
-    sim_deliver(cluster, controller, cluster->controller_nonce[controller], 0, event);
+    sim_deliver(cluster, controller, cluster->process_nonce[controller], 0, event);
 }
 
-void sim_reboot(struct sim_cluster *cluster, struct sim_machine *machine)
+void sim_restart_worker(struct sim_cluster *cluster, struct sim_machine *machine)
 {
     g_array_set_size(machine->tasks, 0);
     machine->incarnation = 1;
     machine->sequence = machine->fencing_token = 0;
-    machine->heartbeat_busy = false;
-    machine->renewed_at = machine->heartbeat_at = cluster->now;
+    machine->awaits_response = false;
+    machine->lease_renewed_at = machine->next_heartbeat_at = cluster->now;
 }
--- a/tests/sim/sim_parts.h
+++ b/tests/sim/sim_parts.h
@@ -1,4 +1,4 @@
-/* What the files of the simulated cluster share. */
+/** @file What the files of the simulated cluster share, and tests do not use. */
 #ifndef OW_TESTS_SIM_PARTS_H
 #define OW_TESTS_SIM_PARTS_H
 
@@ -9,41 +9,80 @@
 #include "model/worker.h"
 
 /* sim_cluster.c */
+
+/** Delivers the event, which it takes ownership of, to a process of the controller after this time.
+ * @param nonce of the process; it is dropped if another one runs then. 0: any. */
 void sim_deliver(struct sim_cluster *cluster, int controller, uint64_t nonce, double after_s,
                  struct ow_event *event);
-struct ow_event *sim_command(enum ow_event_kind kind, uint64_t request);
 
-/* world_users.c */
+/* sim_controllers.c */
+
+/** Gives the controller the settings that all tests start from. */
+void sim_settings_init(struct ow_settings *settings, int controller);
+/** Frees what sim_settings_init() has allocated. */
+void sim_settings_clear(struct ow_settings *settings);
+/** Delivers a message to the peers that it is for. */
+void sim_deliver_peer_message(struct sim_cluster *cluster, int from, struct ow_peer_message *message);
+
+/* sim_users.c */
+
+/** Creates the tables of requests and responses. */
 void sim_users_init(struct sim_cluster *cluster);
+/** Frees them. */
 void sim_users_clear(struct sim_cluster *cluster);
-void sim_users_take_answer(struct sim_cluster *cluster, const struct ow_effect *effect);
+/** Records the response to a user's request. */
+void sim_users_handle_response(struct sim_cluster *cluster, const struct ow_effect *effect);
+
+/* sim_checks.c: each records a violation if its rule is broken. */
 
-/* world_checks.c */
+/** What the job requires, or NULL if it was never submitted. */
 const struct sim_requirements *sim_requirements_of(struct sim_cluster *cluster, const char *job);
-void sim_check_twice(struct sim_cluster *cluster, struct sim_machine *here,
-                     const struct ow_worker_command *command);
-void sim_check_over(struct sim_cluster *cluster, const char *job);
-void sim_check_limit(struct sim_cluster *cluster, const char *job);
-void sim_check_place(struct sim_cluster *cluster, const struct sim_machine *machine, const char *job);
-void sim_check_cancelled(struct sim_cluster *cluster, const struct sim_machine *machine);
+/** The task that is launched here runs on no other machine. */
+void sim_check_runs_once(struct sim_cluster *cluster, struct sim_machine *here,
+                         const struct ow_worker_command *command);
+/** No user was answered that the job, of which a task starts, has ended. */
+void sim_check_not_ended(struct sim_cluster *cluster, const char *job);
+/** The tasks of the job's team do not exceed its limit. */
+void sim_check_team_limit(struct sim_cluster *cluster, const char *job);
+/** The job may have a task on this machine. */
+void sim_check_placement(struct sim_cluster *cluster, const struct sim_machine *machine, const char *job);
+/** No task runs on the machine long after its cancellation was answered. */
+void sim_check_cancellations(struct sim_cluster *cluster, const struct sim_machine *machine);
 
 /* sim_store.c */
-void sim_state_init(struct sim_cluster *cluster);
-void sim_state_clear(struct sim_cluster *cluster);
-void sim_state_take(struct sim_cluster *cluster, int controller, struct ow_effect *effect);
-void sim_state_step(struct sim_cluster *cluster);
 
-/* world_machines.c */
-struct ow_heartbeat *sim_make_heartbeat(struct sim_machine *machine);
+/** Creates the empty store. */
+void sim_store_init(struct sim_cluster *cluster);
+/** Frees the store. */
+void sim_store_clear(struct sim_cluster *cluster);
+/** Carries out a request, or delays it; may take the request out of the effect. */
+void sim_store_handle_request(struct sim_cluster *cluster, int controller, struct ow_effect *effect);
+/** Expires leases, releases delayed transactions and answers watches. */
+void sim_store_step(struct sim_cluster *cluster);
 
-/* world_workers.c */
+/* sim_machines.c */
+
+/** The next heartbeat of the machine, which the caller owns. */
+struct ow_heartbeat *sim_heartbeat_new(struct sim_machine *machine);
+
+/* sim_workers.c */
+
+/** Creates the tables of machines. */
 void sim_workers_init(struct sim_cluster *cluster);
+/** Frees the machines with their tasks. */
 void sim_workers_clear(struct sim_cluster *cluster);
+/** Advances the tasks of all workers and sends the heartbeats that are due. */
 void sim_workers_step(struct sim_cluster *cluster);
-void sim_workers_take_direct(struct sim_cluster *cluster, int controller, struct ow_effect *effect);
-void sim_workers_take_answer(struct sim_cluster *cluster, int controller, const struct ow_effect *effect);
+/** Carries out direct commands, or delays them; may take the commands out of the effect. */
+void sim_workers_handle_direct_commands(struct sim_cluster *cluster, int controller,
+                                        struct ow_effect *effect);
+/** Takes the response to a heartbeat. */
+void sim_workers_handle_response(struct sim_cluster *cluster, int controller, const struct ow_effect *effect);
+
+/* sim_cloud.c */
 
-/* world_cloud.c */
-void sim_cloud_take(struct sim_cluster *cluster, int controller, const struct ow_cloud_request *request);
+/** Carries out a request to the cloud. */
+void sim_cloud_handle_request(struct sim_cluster *cluster, int controller,
+                              const struct ow_cloud_request *request);
 
 #endif
--- a/tests/sim/sim_queries.c
+++ b/tests/sim/sim_queries.c
@@ -1,4 +1,4 @@
-/* Queries of the tasks and jobs in the simulated cluster. */
+/* What tests ask about the tasks on the simulated machines. */
 #include "sim_parts.h"
 
 #include "model/records.h"
@@ -6,7 +6,7 @@
 
 #include <string.h>
 
-unsigned sim_tasks_on(const struct sim_machine *machine, const char *job)
+unsigned sim_count_running_on(const struct sim_machine *machine, const char *job)
 {
     unsigned count = 0;
     for (guint k = 0; k < machine->tasks->len; k++) {
@@ -16,82 +16,77 @@
     return count;
 }
 
-unsigned sim_running(struct sim_cluster *cluster, const char *job)
+unsigned sim_count_running(struct sim_cluster *cluster, const char *job)
 {
     unsigned count = 0;
     for (guint i = 0; i < cluster->machines->len; i++) {
         const struct sim_machine *machine = sim_machine_at(cluster, i);
-        count += machine->gone ? 0 : sim_tasks_on(machine, job);
+        count += machine->deleted ? 0 : sim_count_running_on(machine, job);
     }
     return count;
 }
 
-unsigned sim_total_starts(const struct sim_cluster *cluster)
+unsigned sim_count_launches(const struct sim_cluster *cluster)
 {
     unsigned starts = 0;
     for (guint i = 0; i < cluster->machines->len; i++)
-        starts += sim_machine_at(cluster, i)->starts;
+        starts += sim_machine_at(cluster, i)->launches;
     return starts;
 }
 
-bool sim_some_running(struct sim_cluster *cluster, const void *job)
+bool sim_job_is_running(struct sim_cluster *cluster, const void *job)
 {
-    return sim_running(cluster, job) > 0;
+    return sim_count_running(cluster, job) > 0;
 }
 
-bool sim_none_running(struct sim_cluster *cluster, const void *job)
+bool sim_job_is_not_running(struct sim_cluster *cluster, const void *job)
 {
-    return sim_running(cluster, job) == 0;
+    return sim_count_running(cluster, job) == 0;
 }
 
-bool sim_all_done(struct sim_cluster *cluster, const void *job)
+bool sim_job_is_done(struct sim_cluster *cluster, const void *job)
 {
     char *key = g_strconcat(OW_KEY_JOBS, job, NULL);
-    const char *text = sim_value_text(cluster, key);
+    const char *text = sim_read_value(cluster, key);
     g_free(key);
     return text != NULL && strcmp(text, "{\"e\":2}") == 0;
 }
 
-struct sim_machine *sim_where(struct sim_cluster *cluster, const char *job)
+struct sim_machine *sim_find_machine_of_job(struct sim_cluster *cluster, const char *job)
 {
     for (guint i = 0; i < cluster->machines->len; i++) {
         struct sim_machine *machine = sim_machine_at(cluster, i);
-        if (!machine->gone && sim_tasks_on(machine, job) > 0)
+        if (!machine->deleted && sim_count_running_on(machine, job) > 0)
             return machine;
     }
     return NULL;
 }
 
-bool sim_is_gone(struct sim_cluster *cluster, const void *machine)
+bool sim_machine_is_deleted(struct sim_cluster *cluster, const void *machine)
 {
     (void)cluster;
-    return ((const struct sim_machine *)machine)->gone;
+    return ((const struct sim_machine *)machine)->deleted;
 }
 
-bool sim_runs_on_another(struct sim_cluster *cluster, const void *machine)
+bool sim_job_runs_on_another(struct sim_cluster *cluster, const void *machine)
 {
-    const struct sim_machine *m = sim_where(cluster, "run-1");
+    const struct sim_machine *m = sim_find_machine_of_job(cluster, "run-1");
     return m != NULL && m != machine;
 }
 
-unsigned sim_running_in(struct sim_cluster *cluster, const char *job, const char *zone)
+unsigned sim_count_running_in_zone(struct sim_cluster *cluster, const char *job, const char *zone)
 {
     unsigned count = 0;
     for (guint i = 0; i < cluster->machines->len; i++) {
         const struct sim_machine *machine = sim_machine_at(cluster, i);
-        count += strcmp(machine->zone, zone) == 0 ? sim_tasks_on(machine, job) : 0;
+        count += strcmp(machine->zone, zone) == 0 ? sim_count_running_on(machine, job) : 0;
     }
     return count;
 }
 
-bool sim_three_running(struct sim_cluster *cluster, const void *job)
+bool sim_job_runs_three_tasks(struct sim_cluster *cluster, const void *job)
 {
-    return sim_running(cluster, job) == 3;
-}
-
-int sim_follower(const struct sim_cluster *cluster)
-{
-    return (sim_leader(cluster) + 1) % SIM_CONTROLLERS;
+    return sim_count_running(cluster, job) == 3;
 }
 
 /* CPUs of a machine that its tasks leave free. */
@@ -110,7 +105,7 @@
 {
     for (guint i = 0; i < cluster->machines->len; i++) {
         const struct sim_machine *machine = sim_machine_at(cluster, i);
-        if (!machine->gone && cluster->now > machine->up_at + 10 &&
+        if (!machine->deleted && cluster->now > machine->booted_at + 10 &&
             free_cpus(cluster, machine) >= requirements->tasks * requirements->cpus)
             return true;
     }
--- a/tests/sim/sim_setup.c
+++ b/tests/sim/sim_setup.c
@@ -3,7 +3,7 @@
 
 #include "check.h"
 
-void sim_set_large_rates(struct sim_cluster *cluster)
+void sim_set_largest_limits(struct sim_cluster *cluster)
 {
     for (int i = 0; i < SIM_CONTROLLERS; i++) {
         struct ow_settings *settings = &cluster->settings[i];
@@ -27,20 +27,20 @@
     return cluster;
 }
 
-struct sim_cluster *sim_with_capacity(int machines, unsigned capacity)
+struct sim_cluster *sim_with_provisionable_machines(int machines, unsigned provisionable)
 {
     struct sim_cluster *cluster = sim_with_machines(machines);
-    cluster->capacity = capacity;
+    cluster->provisionable_machines = provisionable;
     return cluster;
 }
 
 struct sim_cluster *sim_with_service(int machines, uint32_t replicas)
 {
-    struct sim_cluster *cluster = sim_with_capacity(machines, 4);
+    struct sim_cluster *cluster = sim_with_provisionable_machines(machines, 4);
     uint64_t request = sim_submit(cluster, 0, sim_service("run-1", replicas, 1));
     sim_run(cluster, 6);
-    assert_int_equal(sim_answer(cluster, request)->status, 201);
-    assert_int_equal(sim_running(cluster, "run-1"), replicas);
+    assert_int_equal(sim_response(cluster, request)->status, 201);
+    assert_int_equal(sim_count_running(cluster, "run-1"), replicas);
     return cluster;
 }
 
@@ -73,21 +73,30 @@
     return cluster;
 }
 
-struct sim_machine *sim_start_long_job(struct sim_cluster *cluster)
+static void add_shard(struct ow_sharding_settings *sharding, const char *zone)
 {
-    cluster->run_time_s = 100;
-    return sim_start_settled_job(cluster, sim_job("run-1", 1, 1));
+    struct ow_shard_settings *shard = g_new0(struct ow_shard_settings, 1);
+    shard->name = g_strdup(zone);
+    shard->zones = g_strsplit(zone, " ", 0);
+    shard->share = 0.5;
+    g_ptr_array_add(sharding->shards, shard);
 }
 
-void sim_submit_interleaved(struct sim_cluster *cluster, const char *id, uint32_t tasks)
+void sim_enable_sharding(struct sim_cluster *cluster)
 {
-    sim_submit(cluster, 0, sim_job(id, tasks, 0.4));
-    sim_run(cluster, 6);
-    assert_int_equal(sim_running(cluster, id), tasks);
-    for (guint i = 0; i < cluster->machines->len; i++) {
-        struct sim_machine *machine = sim_machine_at(cluster, i);
-        for (guint k = 0; k < machine->tasks->len; k += 2)
-            g_array_index(machine->tasks, struct sim_task, k).phase_at = cluster->now + 1;
-    }
-    sim_run(cluster, 4);
+    cluster->sharding = ow_sharding_settings_new();
+    cluster->sharding->is_enabled = true;
+    add_shard(cluster->sharding, "east");
+    add_shard(cluster->sharding, "west");
+}
+
+struct sim_cluster *sim_with_shards(int machines)
+{
+    struct sim_cluster *cluster = sim_new();
+    sim_enable_sharding(cluster);
+    sim_start_controllers(cluster);
+    sim_add_group(cluster, "east", machines, "east", false);
+    sim_add_group(cluster, "west", machines, "west", false);
+    sim_run(cluster, 8);
+    return cluster;
 }
--- a/tests/sim/sim_leases.c
+++ b/tests/sim/sim_store_leases.c
@@ -1,4 +1,5 @@
-/* The leases of the simulated key-value store. */
+/* The leases of the simulated key-value store: their expiry removes their keys. Leases do not expire in an
+ * outage (`store_down`). */
 #include "sim_store_parts.h"
 
 static void end_lease(struct sim_cluster *cluster, uint64_t lease)
@@ -11,7 +12,7 @@
     while (g_hash_table_iter_next(&iter, &key, &value)) {
         if (((struct sim_value *)value)->lease != lease)
             continue;
-        sim_log_change(cluster, key, NULL);
+        sim_append_change(cluster, key, NULL);
         g_hash_table_iter_remove(&iter);
     }
 }
--- a/tests/sim/sim_store_parts.h
+++ b/tests/sim/sim_store_parts.h
@@ -1,36 +1,49 @@
-/* What the files of the simulated key-value store share. */
+/** @file What the files of the simulated key-value store share. */
 #ifndef OW_TESTS_SIM_STORE_PARTS_H
 #define OW_TESTS_SIM_STORE_PARTS_H
 
 #include "sim_parts.h"
 
-/* The value of a key. */
+/** The value of a key. */
 struct sim_value {
     char *text;
-    uint64_t version, lease;
+    uint64_t version; /**< the revision of its last change */
+    uint64_t lease;   /**< 0: none */
 };
 
-/* A change of a key. */
-struct sim_event {
+/** A change of a key. */
+struct sim_change {
     char *key;
-    char *text; /* NULL: deleted */
+    char *text; /**< NULL: deleted */
     uint64_t version;
 };
 
+/** Frees a struct sim_value. */
 void sim_value_free(void *item);
-/* Appends a change at the current revision; the text is NULL for a deletion. */
-void sim_log_change(struct sim_cluster *cluster, const char *key, const char *text);
-/* The status of the transaction, which is applied if it is 200; the keys of failed conditions. */
+/** Appends a change at the current revision; the text is NULL for a deletion. */
+void sim_append_change(struct sim_cluster *cluster, const char *key, const char *text);
+/** Applies the transaction if it holds.
+ * @param failed the keys of failed comparisons, to be freed with g_strfreev().
+ * @return its status: 200 if it was applied. */
 int sim_apply_txn(struct sim_cluster *cluster, const struct ow_store_request *request, char ***failed);
-/* An empty array of struct ow_store_item. */
-GArray *sim_new_items(void);
-void sim_add_item(GArray *items, const char *key, const char *text, uint64_t version);
-/* The changes of keys with this prefix after the revision, as items. */
+/** An empty array of struct ow_store_item, which the caller owns. */
+GArray *sim_store_items_new(void);
+/** Appends an item; the text is NULL for a deleted key. */
+void sim_store_items_add(GArray *items, const char *key, const char *text, uint64_t version);
+/** The changes of keys with this prefix after the revision, as items that the caller owns. */
 GArray *sim_changes_since(struct sim_cluster *cluster, const char *prefix, uint64_t since);
 
-/* world_leases.c: removes the keys of leases that have run out. */
+/* sim_store_leases.c */
+
+/** Removes the keys of leases that have expired, unless the store is down. */
 void sim_expire_leases(struct sim_cluster *cluster);
-/* After an outage every lease has its full time again. */
+/** While the store is down, no lease gets shorter: after the outage each has its full time again. */
 void sim_extend_leases(struct sim_cluster *cluster);
 
+/* sim_store.c */
+
+/** Answers a request; takes ownership of the items (NULL: none) and of the keys of failed comparisons. */
+void sim_store_respond(struct sim_cluster *cluster, int controller, uint64_t nonce,
+                       const struct ow_store_reply *reply);
+
 #endif
--- a/tests/sim/sim_values.c
+++ b/tests/sim/sim_store_values.c
@@ -1,4 +1,6 @@
-/* The simulated key-value store's values, log of changes and transactions. */
+/* The simulated key-value store's values, changes and transactions. Tests may lower the limits of a value's
+ * size
+ * (`value_kb`) and of a transaction's mutations (`txn_ops`). */
 #include "sim_store_parts.h"
 
 #include "model/records.h"
@@ -13,10 +15,10 @@
     g_free(value);
 }
 
-void sim_log_change(struct sim_cluster *cluster, const char *key, const char *text)
+void sim_append_change(struct sim_cluster *cluster, const char *key, const char *text)
 {
-    struct sim_event change = {g_strdup(key), g_strdup(text), cluster->revision};
-    g_array_append_val(cluster->log, change);
+    struct sim_change change = {g_strdup(key), g_strdup(text), cluster->revision};
+    g_array_append_val(cluster->changes, change);
 }
 
 static uint64_t version_of(struct sim_cluster *cluster, const char *key)
@@ -32,7 +34,7 @@
 
 static void put(struct sim_cluster *cluster, const struct ow_store_mutation *change)
 {
-    sim_log_change(cluster, change->key, change->value);
+    sim_append_change(cluster, change->key, change->value);
     if (change->value == NULL) {
         g_hash_table_remove(cluster->keys, change->key);
         return;
@@ -47,7 +49,7 @@
 {
     bool old = false;
     for (int i = 0; i < SIM_CONTROLLERS; i++)
-        old = old || cluster->old_controller[i];
+        old = old || cluster->runs_old_version[i];
     if (!old || change->value == NULL || !g_str_has_prefix(change->key, OW_KEY_PROGRESS))
         return;
     json_t *record_value = json_loads(change->value, 0, NULL);
@@ -79,7 +81,7 @@
         large = large || (change->value != NULL && (double)strlen(change->value) > 1024 * cluster->value_kb);
         check_format(cluster, change);
     }
-    cluster->too_large += large ? 1 : 0;
+    cluster->oversized_txns += large ? 1 : 0;
     bool ok = failed_keys->len == 0;
     g_ptr_array_add(failed_keys, NULL);
     *failed = (char **)g_ptr_array_free(failed_keys, FALSE);
@@ -103,14 +105,14 @@
     json_decref(i->value);
 }
 
-GArray *sim_new_items(void)
+GArray *sim_store_items_new(void)
 {
     GArray *items = g_array_new(FALSE, FALSE, sizeof(struct ow_store_item));
     g_array_set_clear_func(items, item_clear);
     return items;
 }
 
-void sim_add_item(GArray *items, const char *key, const char *text, uint64_t version)
+void sim_store_items_add(GArray *items, const char *key, const char *text, uint64_t version)
 {
     struct ow_store_item item = {g_strdup(key), text != NULL ? json_loads(text, JSON_DECODE_ANY, NULL) : NULL,
                                  version};
@@ -119,38 +121,14 @@
 
 GArray *sim_changes_since(struct sim_cluster *cluster, const char *prefix, uint64_t since)
 {
-    GArray *items = sim_new_items();
-    guint first = cluster->log->len;
-    while (first > 0 && g_array_index(cluster->log, struct sim_event, first - 1).version > since)
+    GArray *items = sim_store_items_new();
+    guint first = cluster->changes->len;
+    while (first > 0 && g_array_index(cluster->changes, struct sim_change, first - 1).version > since)
         first--;
-    for (guint i = first; i < cluster->log->len; i++) {
-        const struct sim_event *change = &g_array_index(cluster->log, struct sim_event, i);
+    for (guint i = first; i < cluster->changes->len; i++) {
+        const struct sim_change *change = &g_array_index(cluster->changes, struct sim_change, i);
         if (g_str_has_prefix(change->key, prefix))
-            sim_add_item(items, change->key, change->text, change->version);
+            sim_store_items_add(items, change->key, change->text, change->version);
     }
     return items;
 }
-
-const char *sim_value_text(struct sim_cluster *cluster, const char *key)
-{
-    const struct sim_value *value = g_hash_table_lookup(cluster->keys, key);
-    return value != NULL ? value->text : NULL;
-}
-
-char *sim_progress(struct sim_cluster *cluster, const char *name)
-{
-    GHashTableIter iter;
-    void *key;
-    void *value;
-    char *found = NULL;
-    g_hash_table_iter_init(&iter, cluster->keys);
-    while (found == NULL && g_hash_table_iter_next(&iter, &key, &value)) {
-        if (!g_str_has_prefix(key, OW_KEY_PROGRESS))
-            continue;
-        json_t *record_value = json_loads(((struct sim_value *)value)->text, 0, NULL);
-        json_t *record = json_object_get(record_value, name);
-        found = record != NULL ? wire_json_print(record) : NULL;
-        json_decref(record_value);
-    }
-    return found;
-}
--- /dev/null
+++ b/tests/sim/sim_users.h
@@ -0,0 +1,72 @@
+/**
+ * @file
+ * The simulated users: their requests to controllers, and the responses. Each request returns its number; the
+ * response arrives while the cluster runs. Users check that a final state which they were answered does not
+ * change. They bring no failures about.
+ */
+#ifndef OW_TESTS_SIM_USERS_H
+#define OW_TESTS_SIM_USERS_H
+
+#include "model/submission.h"
+
+#include <stdbool.h>
+#include <stdint.h>
+
+struct sim_cluster;
+struct sim_machine;
+
+/** What a submission requires, for the checks on the machines. */
+struct sim_requirements {
+    char team[16];
+    char zone[16]; /**< "": any */
+    uint32_t tasks;
+    double cpus; /**< of each task */
+    bool one_zone;
+    bool spread;
+    bool spot;
+    bool service;
+};
+
+/** The final state of a job as its user was first answered. */
+struct sim_announcement {
+    enum ow_job_state state;
+    double at;
+};
+
+/** A response to a user's request. */
+struct sim_response {
+    uint64_t request;
+    int status;
+    enum ow_job_state state;
+    int retry_after_s;
+    char *reason; /**< why the job waits, or why the request is refused; may be NULL */
+};
+
+/** Submits a job; takes ownership of the submission. */
+uint64_t sim_submit(struct sim_cluster *cluster, int controller, struct ow_submission *submission);
+/** Sends a submission of which only the id can be parsed. */
+uint64_t sim_submit_malformed(struct sim_cluster *cluster, int controller, const char *id);
+uint64_t sim_poll(struct sim_cluster *cluster, int controller, const char *id);
+uint64_t sim_cancel(struct sim_cluster *cluster, int controller, const char *id);
+/** The response to the request, which the cluster owns; NULL: there is none yet. */
+const struct sim_response *sim_response(struct sim_cluster *cluster, uint64_t request);
+/** The HTTP status of the response; 0: there is none yet. */
+int sim_status(struct sim_cluster *cluster, uint64_t request);
+/** Polls every second until a controller answers the job's state, and returns that; -404: there is no such
+ * job; -1: no answer in 30 s. */
+int sim_job_state(struct sim_cluster *cluster, const char *id);
+
+/** Submits the job, which it takes ownership of, and fails unless it is accepted within 3 s. */
+void sim_submit_accepted(struct sim_cluster *cluster, int controller, struct ow_submission *job);
+/** Submits the job, which it takes ownership of, to the first controller and waits until one of its tasks
+ * runs; returns its machine. */
+struct sim_machine *sim_start_job(struct sim_cluster *cluster, struct ow_submission *job);
+/** The same; returns once the job has run for 3 s. */
+struct sim_machine *sim_start_and_settle_job(struct sim_cluster *cluster, struct ow_submission *job);
+/** Starts the job "run-1" of one task that runs for 100 s; returns its machine. */
+struct sim_machine *sim_start_long_job(struct sim_cluster *cluster);
+/** Submits an array of which every other task on each machine ends soon, so that the ranges of its progress
+ * records can't merge. */
+void sim_submit_interleaved(struct sim_cluster *cluster, const char *id, uint32_t tasks);
+
+#endif
--- a/tests/sim/workload_day.c
+++ b/tests/sim/workload_day.c
@@ -23,11 +23,11 @@
     struct sim_cluster *cluster;
     GRand *rand;
     guint32 seed;
-    int jobs;             /* submitted so far; numbered from 0 */
-    GArray *submissions;  /* uint64_t: the request of each job's first submission */
-    double store_up_at;   /* the end of an outage of the key-value store */
-    double cloud_up_at;   /* the end of an outage of the cloud */
-    double control_up_at; /* when controllers that are down restart */
+    int jobs;                   /* submitted so far; numbered from 0 */
+    GArray *submissions;        /* uint64_t: the request of each job's first submission */
+    double store_back_at;       /* the end of an outage of the key-value store */
+    double cloud_back_at;       /* the end of an outage of the cloud */
+    double controllers_back_at; /* when controllers that are down restart */
 };
 
 static bool one_in(GRand *rand, int count)
@@ -204,23 +204,23 @@
     if (leader < 0)
         return;
     sim_kill_controller(day->cluster, leader);
-    day->control_up_at = day->cluster->now + g_rand_double_range(day->rand, 0, 15);
+    day->controllers_back_at = day->cluster->now + g_rand_double_range(day->rand, 0, 15);
 }
 
 /* The cloud will take a spot machine back. */
 static void announce_reclaim(struct workload *day)
 {
     struct sim_machine *machine = random_machine(day);
-    if (!machine->spot || machine->gone || machine->reclaim_notice_s >= 0)
+    if (!machine->spot || machine->deleted || machine->reclaim_notice_s >= 0)
         return;
     machine->reclaim_notice_s = g_rand_double_range(day->rand, 5, 30);
-    machine->heartbeat_at = day->cluster->now;
+    machine->next_heartbeat_at = day->cluster->now;
 }
 
 static void repair_machine(struct sim_machine *machine)
 {
-    machine->cut = machine->hangs = machine->faulty = machine->unresponsive = machine->stopped_reporting =
-        false;
+    machine->partitioned = machine->hung = machine->fails_tasks = machine->unresponsive =
+        machine->heartbeats_lost = false;
 }
 
 static void disturb_machine(struct workload *day)
@@ -228,19 +228,19 @@
     struct sim_machine *machine = random_machine(day);
     switch (g_rand_int_range(day->rand, 0, 8)) {
     case 0:
-        machine->hangs = true;
+        machine->hung = true;
         break;
     case 1:
-        machine->stopped_reporting = true;
+        machine->heartbeats_lost = true;
         break;
     case 2:
-        machine->cut = true;
+        machine->partitioned = true;
         break;
     case 3:
         sim_delete_machine(machine);
         break;
     default:
-        machine->faulty = true;
+        machine->fails_tasks = true;
         break;
     }
 }
@@ -251,11 +251,11 @@
     switch (g_rand_int_range(day->rand, 0, 4)) {
     case 0:
         cluster->store_down = true;
-        day->store_up_at = cluster->now + g_rand_double_range(day->rand, 1, 8);
+        day->store_back_at = cluster->now + g_rand_double_range(day->rand, 1, 8);
         break;
     case 1:
         cluster->cloud_down = true;
-        day->cloud_up_at = cluster->now + g_rand_double_range(day->rand, 1, 15);
+        day->cloud_back_at = cluster->now + g_rand_double_range(day->rand, 1, 15);
         break;
     default:
         kill_leader(day);
@@ -290,7 +290,7 @@
 {
     for (guint i = 0; i < cluster->machines->len; i++) {
         struct sim_machine *machine = sim_machine_at(cluster, i);
-        if (machine->gone || machine->reclaim_notice_s < 0)
+        if (machine->deleted || machine->reclaim_notice_s < 0)
             continue;
         machine->reclaim_notice_s = MAX(machine->reclaim_notice_s - seconds, 0);
         if (machine->reclaim_notice_s <= 0)
@@ -304,9 +304,9 @@
     for (int i = 0; i < seconds; i++) {
         sim_run(cluster, 1);
         pass_notices(cluster, 1);
-        cluster->store_down = cluster->store_down && cluster->now < day->store_up_at;
-        cluster->cloud_down = cluster->cloud_down && cluster->now < day->cloud_up_at;
-        if (cluster->now >= day->control_up_at)
+        cluster->store_down = cluster->store_down && cluster->now < day->store_back_at;
+        cluster->cloud_down = cluster->cloud_down && cluster->now < day->cloud_back_at;
+        if (cluster->now >= day->controllers_back_at)
             sim_start_controllers(cluster);
     }
 }
@@ -341,16 +341,16 @@
     g_array_append_vals(settings->slos, slos, G_N_ELEMENTS(slos));
 }
 
-static struct sim_cluster *start_sim(bool divided, const struct sim_observer *observer)
+static struct sim_cluster *start_sim(bool sharded, const struct sim_observer *observer)
 {
     struct sim_cluster *cluster = sim_new();
     if (observer != NULL)
         cluster->observer = *observer;
-    cluster->capacity = PROVISIONABLE_MACHINES;
+    cluster->provisionable_machines = PROVISIONABLE_MACHINES;
     for (int i = 0; i < SIM_CONTROLLERS; i++)
         set_teams_and_objectives(&cluster->settings[i]);
-    if (divided)
-        sim_divide(cluster);
+    if (sharded)
+        sim_enable_sharding(cluster);
     sim_start_controllers(cluster);
     add_machines(cluster);
     sim_run(cluster, 5);
@@ -381,13 +381,13 @@
             fail_msg("seed %u: run-%d was accepted; a poll is answered %d", day->seed, job, status);
     }
     g_array_free(polls, TRUE);
-    if (cluster->violations->len > 0 || cluster->too_large > 0)
+    if (cluster->violations->len > 0 || cluster->oversized_txns > 0)
         fail_msg("seed %u: %s", day->seed, cluster->violations->str);
 }
 
-void workload_day_play(guint32 seed, bool divided, const struct sim_observer *observer)
+void workload_day_play(guint32 seed, bool sharded, const struct sim_observer *observer)
 {
-    struct workload day = {.cluster = start_sim(divided, observer),
+    struct workload day = {.cluster = start_sim(sharded, observer),
                            .rand = g_rand_new_with_seed(seed),
                            .seed = seed,
                            .submissions = g_array_new(FALSE, FALSE, sizeof(uint64_t))};
--- a/tests/sim/workload_day.h
+++ b/tests/sim/workload_day.h
@@ -11,6 +11,6 @@
 /** Plays the day of the seed, with the fleet divided into two shards or not, and fails if a safety rule is
  * broken or an accepted job is not known in the end. The observer, which may be NULL, is told of every
  * effect. */
-void workload_day_play(guint32 seed, bool divided, const struct sim_observer *observer);
+void workload_day_play(guint32 seed, bool sharded, const struct sim_observer *observer);
 
 #endif
--- a/tests/unit/test_sharding_wire.c
+++ b/tests/unit/test_sharding_wire.c
@@ -1,4 +1,4 @@
-/* Messages between the controllers of a divided fleet, its stored map, and what operators are told of it. */
+/* Messages between the controllers of a sharded fleet, its stored map, and what operators are told of it. */
 #include "check.h"
 #include "model/operator_view.h"
 #include "model/peer.h"
