--- a/src/core/jobs/attempt.h
+++ b/src/core/jobs/attempt.h
@@ -16,12 +16,13 @@
 enum ow_attempt_state {
     OW_ATTEMPT_PLANNED,   /**< its record is not committed: no launch may leave */
     OW_ATTEMPT_COMMITTED, /**< recorded; no launch has left */
-    OW_ATTEMPT_SENT,      /**< a launch may be on its way or carried out */
-    OW_ATTEMPT_SEEN,      /**< the worker reports it */
-    OW_ATTEMPT_INHERITED, /**< recorded by an earlier leader; not accounted for yet */
+    OW_ATTEMPT_SENT,      /**< a launch has left and may have been executed */
+    OW_ATTEMPT_SEEN,      /**< a heartbeat has listed it */
+    OW_ATTEMPT_INHERITED, /**< recorded by an earlier leader; no heartbeat has shown its state yet */
 };
 
-/** One try to run a task on a machine. It exists until there is proof that the worker does not run it. */
+/** One try to run a task on a machine. It is kept until there is proof that the worker does not run it and
+ * never will. */
 struct ow_attempt {
     struct ow_job *job;
     uint32_t task;
@@ -29,12 +30,12 @@
     struct ow_machine *machine;
     uint64_t incarnation; /**< the worker's incarnation that it belongs to */
     enum ow_attempt_state state;
-    enum ow_task_phase phase;      /**< as last reported; counts in state OW_ATTEMPT_SEEN */
+    enum ow_task_phase phase;      /**< from the last heartbeat; valid in state OW_ATTEMPT_SEEN */
     uint64_t transaction_serial;   /**< of the transaction that carries its record */
     uint32_t heartbeat_generation; /**< of the last heartbeat that lists it */
     double placed_at;
     double running_at;    /**< 0: not yet seen running */
-    bool not_preemptible; /**< its job starved: it is not stopped again for others */
+    bool not_preemptible; /**< it was started for a starving job: it is not preempted */
     bool stop;            /**< it is to be stopped */
     double stop_grace_s;  /**< time to save its work */
     double stop_at;       /**< when the stop was decided */
--- a/src/core/jobs/attempt_end.c
+++ b/src/core/jobs/attempt_end.c
@@ -13,9 +13,9 @@
 
 /* Weight of the newest completed task in a machine's slowness. */
 static const double SLOWNESS_WEIGHT = 0.1;
-/* The most that one task may add to it, as a multiple of the expected run time. */
+/* Upper bound of one task's run time, as a multiple of the expected one. */
 static const double SLOWNESS_MOST = 6;
-/* An execution waits so long after a machine has lost or refused a task of it. */
+/* Pause before an execution starts tasks again after a machine has lost or refused one. */
 static const double RETRY_PAUSE_S = 1;
 
 static void mark_done(struct ow_execution *execution, uint32_t task)
@@ -39,7 +39,7 @@
     }
 }
 
-/* Takes in what the run time of a completed task shows of its class and its machine. */
+/* Updates the estimates of the class and the machine from the run time of a completed task. */
 static void observe_run_time(struct ow_leader *leader, const struct ow_attempt *attempt)
 {
     const struct ow_job_spec *spec = attempt->job->spec;
@@ -54,12 +54,13 @@
     ow_class_observe_run_time(leader->core, spec, ran_s);
 }
 
-/* The attempt at the task has ended with a result: its machine is sound. */
+/* Handles the end of an attempt with a result, which proves that its machine works. */
 static void take_result(struct ow_leader *leader, struct ow_execution *execution, uint32_t task,
                         struct ow_machine *machine)
 {
     if (ow_execution_is_service(execution)) {
-        /* Its machine keeps the result and would end the replica again: it goes elsewhere. */
+        /* The machine keeps the result and would end a new attempt at the replica at once, so it is avoided.
+         */
         ow_machine_faults_avoid(leader, machine, execution);
         return;
     }
@@ -69,7 +70,7 @@
     complete_tasks(leader, execution, task);
 }
 
-/* The attempt at the task has ended without a result. */
+/* Handles the end of an attempt without a result. */
 static void take_failure(struct ow_leader *leader, struct ow_execution *execution, uint32_t task,
                          struct ow_machine *machine, enum ow_exit_cause cause, bool stopped)
 {
@@ -77,7 +78,8 @@
         ow_machine_faults_note_error(leader, machine, execution);
     if (cause == OW_CAUSE_UNKNOWN || cause == OW_CAUSE_FULL || cause == OW_CAUSE_BUSY)
         execution->ready_at = MAX(execution->ready_at, leader->core->now + RETRY_PAUSE_S);
-    /* One that is gone, or refused, ends the gang's attempt: the others would wait or fail, too. */
+    /* The loss of one task, or its refusal, ends the gang's attempt: the other tasks would wait or fail, too.
+     */
     if (ow_submission_is_gang(execution->job->spec->submission) && !stopped && !execution->tasks[task].done)
         ow_execution_stop(leader, execution, 0, "another task of the gang is gone");
 }
--- a/src/core/jobs/attempt_end.h
+++ b/src/core/jobs/attempt_end.h
@@ -1,6 +1,6 @@
 /** @file
- * Stopping and ending attempts, and what the end of one means: for its task, its gang, its machine and its
- * class. Any call may end and free further attempts of the same gang.
+ * Stops and ends attempts, and applies the consequences for the task, its gang, its machine and its class.
+ * Any call may end and free further attempts of the same gang.
  */
 #ifndef OW_CORE_JOBS_ATTEMPT_END_H
 #define OW_CORE_JOBS_ATTEMPT_END_H
@@ -11,12 +11,12 @@
 struct ow_execution;
 struct ow_leader;
 
-/** Ends and frees an attempt that is proven gone, or of which no launch ever left. `proof` is for the log.
+/** Ends and frees an attempt that is proven gone, or whose launch has never left. `proof` is for the log.
  * Other attempts of a gang may end with it. */
 void ow_attempt_end(struct ow_leader *leader, struct ow_attempt *attempt, enum ow_exit_cause cause,
                     const char *proof);
 /** Decides to stop the attempt with `grace_s` seconds to save its work; a shorter grace replaces a longer
- * one. An attempt of which no launch has left ends, and is freed, at once. `why` is for the log. */
+ * one. An attempt whose launch has not left ends, and is freed, at once. `why` is for the log. */
 void ow_attempt_stop(struct ow_leader *leader, struct ow_attempt *attempt, double grace_s, const char *why);
 /** Stops all attempts of an execution in one round, each with `grace_s` seconds to save its work. */
 void ow_execution_stop(struct ow_leader *leader, struct ow_execution *execution, double grace_s,
--- a/src/core/jobs/attempt_table.c
+++ b/src/core/jobs/attempt_table.c
@@ -10,7 +10,7 @@
 
 #include <string.h>
 
-/* The sums with the attempt's needs (`sign` 1) or without them (-1). */
+/* Adds the attempt's needs to the sums (`sign` 1) or subtracts them (-1). */
 static void add_to_sums(struct ow_leader *leader, const struct ow_attempt *attempt, int sign)
 {
     const struct ow_job_spec *spec = attempt->job->spec;
@@ -38,7 +38,7 @@
     return attempt;
 }
 
-/* Sums of fractions drift: those of a machine without attempts begin anew. */
+/* Sums of fractions accumulate rounding errors: they are reset when the machine has no attempt. */
 static void reset_sums(struct ow_machine *machine)
 {
     machine->used = (struct ow_resources){0};
--- a/src/core/jobs/attempt_table.h
+++ b/src/core/jobs/attempt_table.h
@@ -1,7 +1,7 @@
 /** @file
- * Which attempts exist: one from its placement until there is proof that it is gone. The module creates and
- * frees them and keeps the lists of executions and machines and the resource sums of machines and teams in
- * step; what the end of an attempt means for its task is in attempt_end.h.
+ * Creates and frees attempts. An attempt exists from its placement until there is proof that it is gone. The
+ * module keeps the attempt lists of executions and machines, and the resource sums of machines and teams,
+ * consistent with them. attempt_end.h has the consequences of an attempt's end.
  */
 #ifndef OW_CORE_JOBS_ATTEMPT_TABLE_H
 #define OW_CORE_JOBS_ATTEMPT_TABLE_H
--- a/src/core/jobs/execution.h
+++ b/src/core/jobs/execution.h
@@ -1,7 +1,7 @@
 /** @file
  * An execution: the leader's view of a job whose tasks may still exist, with its tasks, and the chunks in
- * which they are recorded. The data is shared by the leader's modules, each field named with the one that
- * keeps it; execution_table.h creates and frees executions.
+ * which they are recorded. The leader's modules share the data; comments name the module that changes a
+ * field. execution_table.h creates and frees executions.
  */
 #ifndef OW_CORE_JOBS_EXECUTION_H
 #define OW_CORE_JOBS_EXECUTION_H
@@ -27,10 +27,10 @@
 struct ow_chunk {
     struct ow_job *job;
     uint32_t index;                       /**< its place among the execution's chunks */
-    struct ow_record_value *record_value; /**< where its record stands; NULL: nowhere yet */
+    struct ow_record_value *record_value; /**< the value that holds its record; NULL: none yet */
     uint64_t last_attempt;                /**< the highest attempt number used */
     bool dirty;                           /**< it differs from its record */
-    bool writing;                         /**< it is in the transaction under way */
+    bool writing;                         /**< it is in the transaction in flight */
 };
 
 /** The execution of a job. Times are by the core's clock, in seconds. */
@@ -50,14 +50,14 @@
     struct ow_chunk *chunks; /**< `chunk_count` of them, owned */
     uint32_t chunk_count;
     uint32_t chunk_tasks; /**< of each chunk but the last */
-    bool finishing;       /**< its last record is queued or under way */
+    bool finishing;       /**< its final record is queued or in flight */
 
     /* Scheduling. */
-    bool aged;            /**< it is old, begun or not; set by each scheduling cycle: promotion.c */
-    bool starves;         /**< nothing of it starts for too long; the same */
-    double ready_at;      /**< not to be started before */
-    double missing_since; /**< a task of it waits since then; 0: none does: queue.c */
-    double separate_at;   /**< when its replicas are next looked at: replica_separation.c */
+    bool aged; /**< it is old, whether or not tasks have started; set by each scheduling cycle: promotion.c */
+    bool starves;                       /**< none of its tasks has started for too long; set like `aged` */
+    double ready_at;                    /**< not to be started before */
+    double missing_since;               /**< since when a task is pending; 0: none is: queue.c */
+    double separate_at;                 /**< when its replicas are next looked at: replica_separation.c */
     struct ow_reservation *reservation; /**< of a waiting gang, owned; NULL: none: reservation.c */
 
     /* Faults: machine_faults.c. */
@@ -66,7 +66,7 @@
     GHashTable *failed_machines;  /**< set of struct ow_machine *, not owned, where a task of it failed */
 };
 
-/** Whether it is a service. Its replicas are never done: one that ends, for whatever cause, runs again. */
+/** Whether it is a service. Its replicas are never done: one that ends for any cause is started again. */
 static inline bool ow_execution_is_service(const struct ow_execution *execution)
 {
     return execution->job->spec->submission->kind == OW_KIND_SERVICE;
--- a/src/core/jobs/execution_table.h
+++ b/src/core/jobs/execution_table.h
@@ -1,6 +1,6 @@
 /** @file
- * Which executions a leader has: one for each job whose tasks may still exist. The module creates and frees
- * them; they stand in `struct ow_leader` in no order.
+ * Creates and frees the executions of a leader, one for each job whose tasks may still exist. They are in
+ * `ow_leader.executions`, in no order.
  */
 #ifndef OW_CORE_JOBS_EXECUTION_TABLE_H
 #define OW_CORE_JOBS_EXECUTION_TABLE_H
--- a/src/core/jobs/job.c
+++ b/src/core/jobs/job.c
@@ -20,7 +20,7 @@
     spec->types = submission->types == NULL ? UINT64_MAX : 0;
     for (char **type = submission->types; type != NULL && *type != NULL; type++) {
         int index = ow_interner_intern(names->types, *type);
-        /* Types past the bound are never provisioned, so a job loses nothing by not allowing them. */
+        /* Types past the bound are never provisioned, so the job may ignore them. */
         if (index < OW_MAX_TYPES)
             spec->types |= UINT64_C(1) << index;
     }
@@ -82,17 +82,17 @@
     return job;
 }
 
-/* Whether a record of this mod_revision tells anything new. Watches and lists may answer out of order: a job
-   that is over must never be reopened. */
+/* Whether a record of this mod_revision is newer than the known state. Replies to watches and lists may come
+   out of order, and a job that is over must never be reopened. */
 static bool is_news(const struct ow_job *job, uint64_t mod_revision)
 {
     if (job == NULL || mod_revision > job->mod_revision)
         return true;
-    /* The record of a cancellation that was announced ahead of it brings the rest of what is to be known. */
+    /* The cancellation was announced before its record was read: the record adds the other fields. */
     return job->is_record_unread && mod_revision >= job->mod_revision;
 }
 
-/* A cancelled job keeps its description until the leader has seen its last task end. */
+/* A cancelled job keeps its spec until the leader has proof that its last task has ended. */
 static void take_description(struct ow_jobs *jobs, struct ow_job *job, struct ow_submission *submission)
 {
     if (submission != NULL && job->spec == NULL)
@@ -124,7 +124,7 @@
     take_description(jobs, job, submission);
     if (ow_job_over(job))
         ow_job_set_reason(job, NULL);
-    /* The last record of a cancelled job is written when no task is left. */
+    /* The final record of a cancelled job is written when no task is left. */
     if (job->state == OW_JOB_CANCELLED && is_settled)
         job->cancellation_acked = true;
     if (is_first_record && job->spec != NULL)
--- a/src/core/jobs/job.h
+++ b/src/core/jobs/job.h
@@ -37,17 +37,18 @@
 /** A job, as this controller knows it. Times are by the core's clock, in seconds. */
 struct ow_job {
     char *id;                       /**< owned */
-    enum ow_job_state state;        /**< OW_JOB_QUEUED stands for every job that is not over */
+    enum ow_job_state state;        /**< OW_JOB_QUEUED for every job that is not over, running or not */
     uint64_t mod_revision;          /**< of its record: the revision of the last change */
-    uint64_t accepted_revision;     /**< the revision that accepted it: its place in the queue */
+    uint64_t accepted_revision;     /**< the revision that accepted it, by which jobs are queued */
     double accepted_at;             /**< may be negative: before the clock began */
     double first_seen_at;           /**< when this controller first saw it */
     struct ow_job_spec *spec;       /**< owned; NULL once it is over and no task is left */
     struct ow_execution *execution; /**< the leader's; NULL: none */
-    uint64_t cancel_fencing_token;  /**< of a cancelled one: who led when that was recorded */
-    bool cancellation_acked;        /**< its cancellation has been acknowledged: users may be told of it */
+    uint64_t cancel_fencing_token;  /**< of a cancelled job: that of the leader when the cancellation was
+                                       recorded */
+    bool cancellation_acked;        /**< the leader has acknowledged the cancellation: users may be told */
     bool is_record_unread; /**< cancelled before its record has been read: nothing else is known of it */
-    /* Shown to users; nothing is decided by them. */
+    /* Shown to users; no decision depends on them. */
     int done;     /**< tasks; OW_UNCOUNTED: not counted yet */
     int running;  /**< tasks; OW_UNCOUNTED: not counted yet */
     char *reason; /**< owned; why it waits; NULL: it does not, or that is not known */
@@ -59,20 +60,21 @@
 void ow_jobs_free(struct ow_jobs *jobs);
 /** The job with this id, or NULL. */
 struct ow_job *ow_jobs_find(const struct ow_jobs *jobs, const char *id);
-/** Applies a job's record, last changed at `mod_revision`. `submission` (NULL: the job is over and has no
- * task left) is taken over. `now` is by the core's clock, `age_s` how long ago a job was accepted that is new
- * to the table. Returns the job, or NULL if a record as new was known: nothing has changed then. */
+/** Applies a job's record, last changed at `mod_revision`. Takes ownership of `submission`; NULL: the job is
+ * over and has no task left. `now` is by the core's clock. `age_s` is how long ago the job was accepted; used
+ * only if it is new to the table. Returns the job, or NULL if the record is not newer than the known one:
+ * nothing has changed then. */
 struct ow_job *ow_jobs_apply(struct ow_jobs *jobs, const char *id, uint64_t mod_revision,
                              enum ow_job_state state, struct ow_submission *submission, double now,
                              double age_s);
 /** Applies a cancellation that is committed, here or elsewhere; the job's tasks may still have to be ended. A
- * job that is not known yet is recorded in the table, so that no older record of it, read later, lets it
+ * job that is not known yet is added to the table, so that an older record that is read later can't let it
  * start. Never returns NULL. */
 struct ow_job *ow_jobs_cancel(struct ow_jobs *jobs, const char *id, uint64_t mod_revision,
                               uint64_t fencing_token);
 /** The jobs (struct ow_job) that are not over, or are cancelled and may still have tasks, in no order. */
 const GPtrArray *ow_jobs_open(const struct ow_jobs *jobs);
-/** To be called when a job is over and no task of it is left: it leaves the open ones. */
+/** Removes a job from the open ones and frees its spec. The job must be over, with no task left. */
 void ow_jobs_close(struct ow_jobs *jobs, struct ow_job *job);
 /** CPUs that the tasks of open jobs wait for, by the counts that are shown to users. */
 double ow_jobs_waiting_cpus(const struct ow_jobs *jobs);
@@ -81,8 +83,8 @@
 bool ow_job_over(const struct ow_job *job);
 /** Sets the reason shown to users, which is copied; NULL: none. */
 void ow_job_set_reason(struct ow_job *job, const char *reason);
-/** A job's spec, which takes over `submission`; its names are added to `names`. Freed by ow_job_spec_free().
- */
+/** Creates a job's spec, which takes ownership of `submission`; its names are added to `names`. Freed by
+ * ow_job_spec_free(). */
 struct ow_job_spec *ow_job_spec_new(struct ow_interners *names, struct ow_submission *submission);
 /** Frees it and its submission; NULL is allowed. */
 void ow_job_spec_free(struct ow_job_spec *spec);
--- a/src/core/jobs/job_cache.c
+++ b/src/core/jobs/job_cache.c
@@ -11,17 +11,17 @@
 
 /* How long a watch may stay open. */
 static const double WATCH_S = 10;
-/* The least time between two watches, on a leader and on any other controller. */
+/* Minimum time between two watches, on a leader and on any other controller. */
 static const double WATCH_GAP_LEADER_S = 0.1;
 static const double WATCH_GAP_S = 1.0;
-/* The least time between two reads that somebody waits for, and the share of the permitted requests to the
-   key-value store that all controllers together may use for them. */
+/* Minimum time between two refreshes (reads that a caller waits for), and the share of the permitted requests
+   to the key-value store that all controllers together may use for them. */
 static const double REFRESH_GAP_S = 0.05;
 static const double REFRESH_SHARE = 0.4;
 /* The time until a failed read is repeated. */
 static const double RETRY_S = 0.5;
 
-/* Somebody who waits for a read that begins after they have asked. */
+/* A caller that waits for a read that begins after its request. */
 struct waiter {
     ow_fresh_fn fn;
     void *data;
@@ -42,11 +42,11 @@
     uint64_t revision;  /* up to which changes have been taken in */
     bool is_watching;   /* a watch is open */
     double watch_at;    /* no watch before this time */
-    bool is_refreshing; /* a read that somebody waits for is under way */
-    double refresh_at;  /* no such read before this time */
+    bool is_refreshing; /* a refresh is in flight */
+    double refresh_at;  /* no refresh before this time */
     bool is_hinted;     /* the table is known to have changed since our revision */
-    GArray *waiting;    /* struct waiter: for the next read */
-    GArray *asked;      /* struct waiter: for the read under way */
+    GArray *waiting;    /* struct waiter: for the next refresh */
+    GArray *asked;      /* struct waiter: for the refresh in flight */
 };
 
 struct ow_job_cache *ow_job_cache_new(struct ow_core *core)
@@ -78,8 +78,8 @@
     return job_cache->loading.is_done;
 }
 
-/* A job keeps its age, and with it its place among those that have waited, when every controller begins anew.
- */
+/* From the recorded time of acceptance, so that a job keeps its age, and the priority that comes with it,
+   when all controllers restart. */
 static double age_s(const struct ow_core *core, double accepted_at)
 {
     return accepted_at > 0 ? MAX(0, core->time_of_day - accepted_at) : 0;
@@ -112,7 +112,7 @@
 
 static void answer_waiters(struct ow_job_cache *job_cache, GArray *waiters, bool ok)
 {
-    /* Detached first: an answered waiter may ask again. */
+    /* Detached first: a callback may add a waiter. */
     GArray *batch = g_array_new(FALSE, FALSE, sizeof(struct waiter));
     g_array_append_vals(batch, waiters->data, waiters->len);
     g_array_set_size(waiters, 0);
@@ -123,8 +123,8 @@
     free_waiters(batch);
 }
 
-/* Whether the changes since our revision can't be had in one answer: the key-value store no longer holds
-   them, or they are more than we take in at once. Asking for them again would never end. */
+/* Whether the changes since our revision can't be read in one reply: the key-value store no longer keeps
+   them, or they exceed the size limit of a reply. The same request would fail for ever. */
 static bool is_beyond_reach(int status)
 {
     return status == OW_HTTP_STATUS_GONE || status == OW_HTTP_STATUS_CONTENT_TOO_LARGE;
@@ -182,7 +182,7 @@
     ow_core_call_store(job_cache->core, request, fn, job_cache, NULL, NULL);
 }
 
-/* The next page begins behind the last key of this one. */
+/* The next page begins after the last key of this one. */
 static void note_page_end(struct ow_job_cache *job_cache, const GArray *items)
 {
     const struct ow_store_item *last = &g_array_index(items, struct ow_store_item, items->len - 1);
@@ -193,7 +193,8 @@
 static void finish_loading(struct ow_job_cache *job_cache)
 {
     g_clear_pointer(&job_cache->loading.last_key, g_free);
-    /* A record may have changed behind a page already read: the watch begins at the first page. */
+    /* Records on pages already read may have changed since: the watch begins at the revision of the first
+       page. */
     job_cache->revision = job_cache->loading.revision;
     job_cache->loading.is_done = true;
     g_info("job table read: revision=%" G_GUINT64_FORMAT, job_cache->revision);
@@ -237,8 +238,7 @@
     job_cache->is_hinted = job_cache->is_hinted || revision > job_cache->revision;
 }
 
-/* Reads that somebody waits for keep to a share of the key-value store's requests, whatever the number of
-   controllers. */
+/* Limits the refreshes of all controllers together to a share of the permitted requests. */
 static double refresh_gap_s(const struct ow_settings *settings)
 {
     double rps = REFRESH_SHARE * settings->store_rps / (settings->peers->len + 1);
@@ -260,7 +260,7 @@
 {
     if (!job_cache->loading.is_busy && job_cache->core->now >= job_cache->loading.next_at)
         load_page(job_cache);
-    /* Whoever asks while the table is not there is told so at once. */
+    /* Before the table is loaded every refresh fails at once. */
     if (job_cache->waiting->len > 0)
         answer_waiters(job_cache, job_cache->waiting, false);
 }
--- a/src/core/jobs/job_cache.h
+++ b/src/core/jobs/job_cache.h
@@ -1,6 +1,6 @@
 /** @file
- * Keeping this controller's job table current with the key-value store: it is read whole once, then changes
- * are watched for, and whoever needs to be sure asks for a read. The table itself is job.h's.
+ * Keeps this controller's job table up to date with the key-value store: loads it once, then watches for
+ * changes, and refreshes it on request for callers that need a current view. The table itself is in job.h.
  */
 #ifndef OW_CORE_JOBS_JOB_CACHE_H
 #define OW_CORE_JOBS_JOB_CACHE_H
@@ -11,21 +11,21 @@
 struct ow_core;
 struct ow_job_cache;
 
-/** Called once the table is at least as new as the call that asked for it, or with `ok` false if that failed.
- * `data` stays the job cache's. */
+/** Called when the table is at least as new as the request for the refresh, or with `ok` false if that
+ * failed. The job cache frees `data`. */
 typedef void (*ow_fresh_fn)(struct ow_core *core, void *data, bool ok);
 
-/** Nothing has been read yet; that is done by the ticks that follow. Freed by ow_job_cache_free(); `core`
- * must outlive it. */
+/** Creates a cache that loads the table in the following ticks. Freed by ow_job_cache_free(); `core` must
+ * outlive it. */
 struct ow_job_cache *ow_job_cache_new(struct ow_core *core);
-/** Frees it; calls that still wait are dropped. */
+/** Frees it; waiting callbacks are not called. */
 void ow_job_cache_free(struct ow_job_cache *job_cache);
 /** Whether the whole table has been read and no change since has been missed. */
 bool ow_job_cache_is_loaded(const struct ow_job_cache *job_cache);
-/** Calls `fn` after a read that begins later than this call. `data` is freed with g_free after the call.
- * Waiting calls share one read. */
+/** Calls `fn` after a read that begins later than this call, and then frees `data` with g_free(). Waiting
+ * callers share one read. */
 void ow_job_cache_refresh(struct ow_job_cache *job_cache, ow_fresh_fn fn, void *data);
-/** The table has changed elsewhere, up to `revision`: it is read soon if ours is older. */
+/** Tells that the stored table has changed at `revision`: it is read soon if our copy is older. */
 void ow_job_cache_hint(struct ow_job_cache *job_cache, uint64_t revision);
 /** Sends the reads that are due. */
 void ow_job_cache_tick(struct ow_job_cache *job_cache);
--- a/src/core/jobs/job_change.h
+++ b/src/core/jobs/job_change.h
@@ -1,6 +1,5 @@
 /** @file
- * Announcing to whoever leads that a job's record has changed, so that it is acted on before the next read
- * of the job table is due.
+ * Announces a change of a job's record to the leader, so that it acts before its next read of the job table.
  */
 #ifndef OW_CORE_JOBS_JOB_CHANGE_H
 #define OW_CORE_JOBS_JOB_CHANGE_H
--- a/src/core/jobs/quota.c
+++ b/src/core/jobs/quota.c
@@ -6,7 +6,7 @@
 
 #include <string.h>
 
-/* Sums of fractions drift: so much more than a limit or guarantee still lies within it, in CPUs or GPUs. */
+/* Tolerance for rounding errors in sums of fractions, in CPUs or GPUs. */
 static const double AMOUNT_TOLERANCE = 1e-6;
 
 struct ow_quota {
@@ -59,7 +59,7 @@
     return ow_team_settings_find(leader->core->settings, name);
 }
 
-/* How many of `wanted` tasks the limit of one resource admits; a limit of 0 is none. */
+/* How many of `wanted` tasks the limit of one resource admits. A limit of 0 means no limit. */
 static uint32_t limit_admits(double limit, double used, double need, uint32_t wanted)
 {
     if (limit <= 0 || need <= 0)
@@ -81,13 +81,13 @@
     return limit_admits(settings->gpus_max, used->gpus, need->gpus, wanted);
 }
 
-/* A resource of which a team is guaranteed none does not count. */
+/* A resource without a guarantee never exceeds it. */
 static bool exceeds(double guarantee, double amount)
 {
     return guarantee > 0 && amount > guarantee + AMOUNT_TOLERANCE;
 }
 
-/* Whether any of the amounts is of a resource of which the team is guaranteed some. */
+/* Whether the amounts include a resource for which the team has a guarantee. */
 static bool has_guaranteed_resource(const struct ow_team_settings *settings,
                                     const struct ow_resources *amounts)
 {
--- a/src/core/peers/hello.c
+++ b/src/core/peers/hello.c
@@ -6,7 +6,7 @@
 #include "model/peer.h"
 
 static const double INTERVAL_S = 1;
-/* A worker's heartbeat counts as recent for so long. */
+/* How long a worker's heartbeat counts as recent. */
 static const double WORKER_RECENT_S = 6;
 
 struct ow_hello {
--- a/src/core/peers/hello.h
+++ b/src/core/peers/hello.h
@@ -1,6 +1,6 @@
 /** @file
- * The hello message: how this controller fares, told to the others every second. Owns the time of the next
- * one and when a worker was last heard here.
+ * The hello message: tells peers every second whether this controller leads, reaches the key-value store and
+ * receives heartbeats. Owns the time of the next message and of the last worker heartbeat.
  */
 #ifndef OW_CORE_PEERS_HELLO_H
 #define OW_CORE_PEERS_HELLO_H
--- a/src/core/peers/leader_broadcast.h
+++ b/src/core/peers/leader_broadcast.h
@@ -1,6 +1,7 @@
 /** @file
- * When the leader tells the other controllers how its jobs fare (job_summary.h) and where its machines listen
- * (machine_list.h). Whoever takes over next is faster for it; nothing that must be safe rests on it.
+ * Schedules the leader's regular messages to its peers: the progress of its jobs (job_summary.h) and the
+ * addresses of its machines (machine_list.h). They make the next failover faster; no safety rule depends on
+ * them.
  */
 #ifndef OW_CORE_PEERS_LEADER_BROADCAST_H
 #define OW_CORE_PEERS_LEADER_BROADCAST_H
--- a/src/core/peers/machine_hints.c
+++ b/src/core/peers/machine_hints.c
@@ -7,7 +7,7 @@
     uint64_t fencing_token; /* of the newest leader that has sent a list */
     /* The list that comes in parts: */
     GArray *assembled;   /* struct ow_peer_machine of the parts so far; NULL: none is under way */
-    uint32_t next_part;  /* which is expected */
+    uint32_t next_part;  /* index of the expected part */
     uint32_t part_count; /* of the whole list */
 };
 
@@ -43,7 +43,7 @@
     hints->machines = machines;
 }
 
-/* Whether the part continues the list under way, or begins one. */
+/* Whether the part is the next one of the list being assembled, or begins a list. */
 static bool is_expected(const struct ow_machine_hints *hints, const struct ow_peer_machine_list *part)
 {
     if (part->part_index == 0)
@@ -88,7 +88,7 @@
                message->fencing_token);
         return;
     }
-    /* Parts of two leaders are not parts of one list. */
+    /* Parts sent by two leaders must not be combined. */
     if (message->fencing_token > hints->fencing_token)
         drop_parts(hints);
     hints->fencing_token = message->fencing_token;
--- a/src/core/peers/machine_hints.h
+++ b/src/core/peers/machine_hints.h
@@ -1,6 +1,6 @@
 /** @file
- * Where machines listen, as the leader last told: whoever takes over next reaches them before the cloud's
- * list is there. The list comes whole, or in parts of which none is used until all have come.
+ * The addresses of machines that the leader last announced, so that the next leader can command them before
+ * the cloud's list has come. The list comes whole, or in parts that are used only once all have come.
  */
 #ifndef OW_CORE_PEERS_MACHINE_HINTS_H
 #define OW_CORE_PEERS_MACHINE_HINTS_H
@@ -15,8 +15,8 @@
 struct ow_machine_hints *ow_machine_hints_new(void);
 /** Frees it. */
 void ow_machine_hints_free(struct ow_machine_hints *hints);
-/** Takes in a message of kind OW_PEER_MACHINES or OW_PEER_MACHINES_PART, whose list it takes over. A message
- * of an older leader is dropped; a part that is not the next one drops all parts before it. */
+/** Handles a message of kind OW_PEER_MACHINES or OW_PEER_MACHINES_PART, and takes ownership of its list. A
+ * message of an older leader is dropped; a part out of sequence drops all parts before it. */
 void ow_machine_hints_take(struct ow_machine_hints *hints, struct ow_peer_message *message);
 /** The last complete list, of struct ow_peer_machine; valid until the next message. It is empty if none has
  * come. */
--- a/src/core/peers/machine_list.c
+++ b/src/core/peers/machine_list.c
@@ -7,12 +7,12 @@
 
 #include <string.h>
 
-/* Earlier versions take a list of machines for the whole one, in a message of up to 4,000 machines and
-   262,144 bytes. Up to here one message has it. */
+/* Up to this size the list is sent in one message. Earlier versions know only whole lists, in a message of up
+   to 4,000 machines and 262,144 bytes. */
 enum { WHOLE_LIST_MACHINES = 4000, WHOLE_LIST_BYTES = 200 * 1024 };
 
-/* Whether a successor can use the machine. One that boots listens nowhere yet: it would be taken for one that
-   does not answer. */
+/* Whether the next leader can use the machine. A booting machine does not listen yet, and would be taken for
+   an unresponsive one. */
 static bool is_of_use(const struct ow_machine *machine)
 {
     bool listens = machine->last_message_at > 0;
@@ -92,7 +92,8 @@
     return parts;
 }
 
-/* Controllers of earlier versions skip the parts, for they would take each for the whole list. */
+/* Parts have a message kind of their own, which earlier versions ignore: they would take each part for the
+   whole list. */
 static void send_list_in_parts(struct ow_leader *leader, GArray *machines)
 {
     GPtrArray *parts = divide_list(leader, machines);
--- a/src/core/peers/machine_list.h
+++ b/src/core/peers/machine_list.h
@@ -1,5 +1,5 @@
 /** @file
- * The leader's message to the other controllers of where its machines listen; machine_hints.h takes it in.
+ * The leader's message to its peers with the addresses of its machines; machine_hints.h receives it.
  */
 #ifndef OW_CORE_PEERS_MACHINE_LIST_H
 #define OW_CORE_PEERS_MACHINE_LIST_H
--- a/src/core/peers/message_limits.h
+++ b/src/core/peers/message_limits.h
@@ -1,6 +1,5 @@
 /** @file
- * How much of a long list one message to the other controllers carries, so that a link is not busy with it
- * for long.
+ * Size limits of one message that carries a part of a long list, so that it does not block a link for long.
  */
 #ifndef OW_CORE_PEERS_MESSAGE_LIMITS_H
 #define OW_CORE_PEERS_MESSAGE_LIMITS_H
@@ -8,8 +7,7 @@
 enum {
     OW_MESSAGE_PART_BYTES = 64 * 1024, /**< of the entries of one message */
     OW_MESSAGE_PART_ENTRIES = 1000,
-    OW_MESSAGE_ENTRY_BYTES = 32, /**< what an entry takes at most beside its texts: four lengths, their
-                                    padding and a flag */
+    OW_MESSAGE_ENTRY_BYTES = 32, /**< upper bound of an entry without its texts */
 };
 
 #endif
--- a/src/core/peers/peer_messages.c
+++ b/src/core/peers/peer_messages.c
@@ -17,7 +17,7 @@
     }
 }
 
-/* How a job fares, as its leader counts; nothing is decided by it. */
+/* The progress of a job, as counted by its leader; no decision depends on it. */
 static void handle_job_summary(struct ow_core *core, const struct ow_peer_job *summary)
 {
     struct ow_job *job = ow_jobs_find(core->jobs, summary->id);
@@ -31,7 +31,7 @@
 
 static void handle_summary(struct ow_core *core, const struct ow_peer_message *message)
 {
-    /* A leader has counted the tasks of its jobs itself. */
+    /* A leader counts the tasks of its jobs itself. */
     if (core->leader != NULL)
         return;
     for (guint i = 0; i < message->summary.jobs->len; i++)
@@ -63,7 +63,7 @@
         break;
     case OW_PEER_HEARTBEAT:
     case OW_PEER_PROBE:
-        break; /* of sharding, which does not hand them on */
+        break; /* handled by src/sharding, which does not pass them to a core */
     case OW_PEER_MACHINES:
     case OW_PEER_MACHINES_PART:
         ow_machine_hints_take(core->machine_hints, message);
--- a/src/core/peers/peer_status.c
+++ b/src/core/peers/peer_status.c
@@ -4,7 +4,7 @@
 
 #include <glib.h>
 
-/* What a peer has said counts as recent for so long. */
+/* How long a peer's message counts as recent. */
 static const double RECENT_S = 4;
 
 struct ow_peer_status {
--- a/src/core/peers/peer_status.h
+++ b/src/core/peers/peer_status.h
@@ -1,6 +1,6 @@
 /** @file
- * What the other controllers last said of themselves in their hello messages, and when each was heard.
- * Owns `struct ow_peer_status`; all times are by the core's clock, in seconds.
+ * The status that peers last announced in their hello messages, with its time. Owns `struct ow_peer_status`;
+ * all times are by the core's clock, in seconds.
  */
 #ifndef OW_CORE_PEERS_PEER_STATUS_H
 #define OW_CORE_PEERS_PEER_STATUS_H
@@ -16,7 +16,7 @@
 void ow_peer_status_free(struct ow_peer_status *status);
 /** A message of any kind has come from a peer. */
 void ow_peer_status_note_message(struct ow_peer_status *status, double now);
-/** Takes in a message of kind OW_PEER_HELLO, which stays the caller's. */
+/** Handles a message of kind OW_PEER_HELLO; the caller keeps ownership. */
 void ow_peer_status_note_hello(struct ow_peer_status *status, const struct ow_peer_message *message,
                                double now);
 /** The format of messages and records that the controller of this name speaks; 0: not known. */
--- a/src/core/pending_calls.c
+++ b/src/core/pending_calls.c
@@ -60,7 +60,7 @@
     struct call *call = g_hash_table_lookup(calls->by_tag, &tag);
     if (call == NULL)
         return;
-    /* Taken out first: the function may end its owner and with it all of the owner's calls. */
+    /* Removed first: the callback may free the owner, which forgets all of its calls. */
     g_hash_table_steal(calls->by_tag, &tag);
     call->fn(call->owner, call->data, answer);
     call_free(call);
--- a/src/core/pending_calls.h
+++ b/src/core/pending_calls.h
@@ -1,6 +1,7 @@
 /** @file
- * Requests that wait for an answer from the key-value store, the cloud or a worker: who gets the answer. Each
- * has a tag, which the effect that carries the request names, and the event with its answer repeats.
+ * Requests that wait for a reply from the key-value store, the cloud or a worker, with the callback for each.
+ * A request is identified by its tag: the effect that carries the request has it, and so has the event with
+ * the reply.
  */
 #ifndef OW_CORE_PENDING_CALLS_H
 #define OW_CORE_PENDING_CALLS_H
--- a/src/core/readiness.c
+++ b/src/core/readiness.c
@@ -6,9 +6,9 @@
 #include "core/peers/peer_status.h"
 #include "core/store_health.h"
 
-/* Whether neither the key-value store nor any other controller is in reach. In an outage the key-value store
-   refuses. One that answers nothing at all is out of our reach, and if no other controller is in reach
-   either, it is this controller that is cut off. */
+/* Whether this controller is cut off: neither the key-value store nor any peer responds. In an outage the
+   store still answers with an error status, so no response at all means that it can't be reached; if no peer
+   can be reached either, the fault is on this side. */
 static bool is_cut_off(const struct ow_core *core)
 {
     bool has_peers = core->settings->peers->len > 0;
@@ -25,8 +25,8 @@
         return true;
     if (is_store_lost && is_cut_off(core))
         return false;
-    /* In an outage of the key-value store every controller is as good as the next, also one that has just
-       started: left out by the load balancer it would be missed for seconds after the outage. If it fails for
-       this one alone, users are better off elsewhere. */
+    /* In an outage of the key-value store all controllers are equal, also one that has just started: if the
+       load balancer removed it, it would be missing for seconds after the outage. Only if the store answers a
+       peer are users better served there. */
     return !ow_peer_status_any_store_answers(core->peer_status, core->now);
 }
--- a/src/core/readiness.h
+++ b/src/core/readiness.h
@@ -1,6 +1,5 @@
 /** @file
- * Whether this controller is in a state to serve users, or other controllers are better off. It keeps no
- * state of its own.
+ * Decides whether the load balancer should send users to this controller. Keeps no state.
  */
 #ifndef OW_CORE_READINESS_H
 #define OW_CORE_READINESS_H
--- a/src/core/records/chunk_division.c
+++ b/src/core/records/chunk_division.c
@@ -5,8 +5,9 @@
 #include "core/records/record_values.h"
 #include "core/records/recorder.h"
 
-/* Takes all chunks of the execution out of their record values, whose stored values go on recording the
-   tasks. Returns the highest attempt number that any of them has used. */
+/* Removes all chunks of the execution from their record values; the stored values remain the record of the
+   tasks until the new chunks are written. Returns the highest attempt number that any of the chunks has used.
+ */
 static uint64_t release_chunks(struct ow_leader *leader, struct ow_execution *execution)
 {
     uint64_t last_attempt = 0;
--- a/src/core/records/failover.c
+++ b/src/core/records/failover.c
@@ -44,7 +44,7 @@
     leader->failover->next_at = leader->core->now + RETRY_S;
 }
 
-/* Machines that the last leader told us of can be reached before any list names them. */
+/* Machines announced by the previous leader can be commanded before the cloud's list has come. */
 static void use_machine_hints(struct ow_leader *leader)
 {
     const GArray *hints = ow_machine_hints_list(leader->core->machine_hints);
@@ -64,7 +64,7 @@
     leader->ready_at = leader->core->now;
     ow_leader_request_cycle(leader);
     use_machine_hints(leader);
-    /* Fencing: a worker that has seen our fencing token obeys no older leader any more. */
+    /* Fencing: a worker that has seen our fencing token rejects commands of earlier leaders. */
     ow_command_queue_add_all(leader);
     g_info("failover complete: fencing_token=%" PRIu64 " jobs=%u machines=%u", leader->fencing_token,
            leader->executions->len, leader->machines->len);
@@ -102,7 +102,7 @@
     ow_core_call_store(leader->core, request, on_progress_page, leader, NULL, NULL);
 }
 
-/* `data` is the fencing token of the leader that asked: it may not lead any more. */
+/* `data` is the fencing token of the leader that asked: its term may have ended. */
 static void on_jobs_refreshed(struct ow_core *core, void *data, bool ok)
 {
     struct ow_leader *leader = core->leader;
@@ -117,8 +117,8 @@
     leader->phase = OW_LEADER_LOADING;
 }
 
-/* Progress of a job that the copy of the job table does not show yet would be taken for that of a job that is
-   over, and removed. */
+/* The copy of the job table must be current first: a progress record whose job is not in it would be taken
+   for a leftover of a job that is over, and removed. */
 static void refresh_jobs(struct ow_leader *leader)
 {
     uint64_t *fencing_token = g_memdup2(&leader->fencing_token, sizeof leader->fencing_token);
@@ -131,7 +131,7 @@
     const struct ow_failover *failover = leader->failover;
     if (leader->phase == OW_LEADER_READY || failover->is_reading || leader->core->now < failover->next_at)
         return;
-    /* How jobs are divided into chunks depends on the format of records, which must be known first. */
+    /* The format decides how jobs are divided into chunks, so it must be known first. */
     bool is_format_known = ow_record_format_is_known(leader->record_format);
     if (leader->phase == OW_LEADER_REFRESH)
         refresh_jobs(leader);
--- a/src/core/records/failover.h
+++ b/src/core/records/failover.h
@@ -1,11 +1,10 @@
 /** @file
- * The failover by a new leader, from taking the leader key until it is ready to decide.
+ * The failover of a new leader, from taking the leader key until it is ready to make decisions.
  *
- * Phases, in `ow_leader.phase`: the copy of the job table is brought up to date (OW_LEADER_REFRESH), all
- * progress records are read and the executions restored from them (OW_LEADER_LOADING), then the leader
- * decides (OW_LEADER_READY). Invariant: it decides nothing before it knows every attempt that an earlier
- * leader may have launched. Whether these still run is then told by the workers' heartbeats:
- * machines/reconciliation.h.
+ * Phases, in `ow_leader.phase`: the copy of the job table is refreshed (OW_LEADER_REFRESH), all progress
+ * records are read and the executions restored from them (OW_LEADER_LOADING), then the leader makes decisions
+ * (OW_LEADER_READY). Invariant: it makes none before it knows every attempt that an earlier leader may have
+ * launched. Heartbeats then show which of these still run: machines/reconciliation.h.
  */
 #ifndef OW_CORE_RECORDS_FAILOVER_H
 #define OW_CORE_RECORDS_FAILOVER_H
--- a/src/core/records/loaded_records.c
+++ b/src/core/records/loaded_records.c
@@ -16,7 +16,7 @@
 
 #include <string.h>
 
-/* A record as it was read. */
+/* A progress record read from the store, not yet applied. */
 struct loaded_record {
     struct ow_record_value *record_value;
     uint64_t mod_revision;
@@ -51,9 +51,9 @@
     g_free(loaded);
 }
 
-/* ---- taking in values ---- */
+/* ---- reading values ---- */
 
-/* Whether the value could not be written any more once the announced limits hold. */
+/* Whether the value exceeds the announced limit, so that it could not be written again once that holds. */
 static bool is_too_large(const struct ow_leader *leader, const json_t *value)
 {
     const struct ow_store_limits *limits = &leader->core->store_limits;
@@ -63,8 +63,8 @@
     return strlen(text) > limits->value_bytes;
 }
 
-/* Adds the record of this name in the value. False when it is of no use any more: its job is over, or its
-   name is not one of ours. */
+/* Adds one record of the value. Returns false if the record is obsolete: its job is over, or its name is
+   invalid. */
 static bool add_record(struct ow_loaded_records *loaded, const struct ow_leader *leader,
                        struct ow_record_value *record_value, const char *name, json_t *value)
 {
@@ -104,7 +104,7 @@
     return ow_chunk_task_range(record->chunk_index, record->chunk_tasks, record->job->execution->count);
 }
 
-/* Drops what records of lower mod_revision said of these tasks' attempts. */
+/* Removes the attempts of these tasks that records of lower mod_revision have restored. */
 static void unload_attempts(struct ow_leader *leader, struct ow_execution *execution,
                             struct ow_task_range tasks)
 {
@@ -115,7 +115,7 @@
     }
 }
 
-/* No attempt number up to the recorded one is used again, in any chunk that has one of these tasks. */
+/* Attempt numbers up to the recorded one must not be used again, in any chunk that has one of these tasks. */
 static void raise_last_attempt(struct ow_execution *execution, struct ow_task_range tasks,
                                uint64_t last_attempt)
 {
@@ -164,8 +164,8 @@
     wire_progress_record_clear(&progress);
 }
 
-/* Settles where the record stands from now on: in its record value or, if its job is divided into smaller
-   chunks now, in new ones, which are to be written before the old record goes. */
+/* Assigns the record's chunk to its record value or, if the job is now divided into smaller chunks, queues
+   these for new values, which must be written before the old record is removed. */
 static void place_record(struct ow_leader *leader, const struct loaded_record *record)
 {
     struct ow_execution *execution = record->job->execution;
@@ -183,7 +183,8 @@
         ow_recorder_queue_urgent(leader, execution, task);
 }
 
-/* Creates the job's execution if there is none. It keeps the smallest chunks that it was recorded in. */
+/* Creates the job's execution if there is none. Its chunk size is the smallest that any of its records has.
+ */
 static void create_execution(struct ow_leader *leader, const struct loaded_record *record)
 {
     bool is_new = record->job->execution == NULL;
--- a/src/core/records/record_format.c
+++ b/src/core/records/record_format.c
@@ -7,7 +7,7 @@
 #include "model/records.h"
 #include "wire/records_json.h"
 
-/* The least time from an answer to the next write or read of the stored format. */
+/* Minimum time from a reply to the next write or read of the stored format. */
 static const double WRITE_INTERVAL_S = 1;
 static const double READ_INTERVAL_S = 0.3;
 /* `current` while the stored format has not been read. */
@@ -62,7 +62,7 @@
                OW_FORMAT_SMALL_CHUNKS);
         format->current = OW_FORMAT_SMALL_CHUNKS;
     } else if (answer->store.status == OW_HTTP_STATUS_CONFLICT) {
-        /* An earlier write was carried out without an answer: the stored format is read again. */
+        /* An earlier write was committed, but its reply was lost: the stored format is read again. */
         format->current = FORMAT_UNKNOWN;
     }
 }
--- a/src/core/records/record_format.h
+++ b/src/core/records/record_format.h
@@ -1,10 +1,10 @@
 /** @file
- * The format in which records may be written: the newest one that every controller is known to read.
+ * Decides in which format records may be written: the newest one that every controller is known to read.
  *
- * A controller of an earlier version may still become leader, and would drop what it can't read. So the
- * newest format is written only once the key-value store says so (OW_KEY_FORMAT), and that is written only
- * once every controller has been heard to support it. The decision is never taken back: a controller that
- * supports a format never comes back as an earlier version. It holds for later leaders.
+ * A controller of an earlier version may become leader and would lose records that it can't read. So the
+ * newest format is used only if the stored format (OW_KEY_FORMAT) permits it, and the stored format is raised
+ * only once every controller has announced that it reads the new one. It is never lowered, and binds later
+ * leaders: a controller must not be downgraded to a version that can't read a format that it has announced.
  */
 #ifndef OW_CORE_RECORDS_RECORD_FORMAT_H
 #define OW_CORE_RECORDS_RECORD_FORMAT_H
@@ -18,7 +18,7 @@
 struct ow_record_format *ow_record_format_new(void);
 /** Frees it. */
 void ow_record_format_free(struct ow_record_format *format);
-/** Whether the stored format has been read. It may become unknown again while a change of it is in doubt. */
+/** Whether the stored format has been read. It becomes unknown again if a write of it had no clear result. */
 bool ow_record_format_is_known(const struct ow_record_format *format);
 /** Whether chunks may be recorded that have fewer tasks than OW_CHUNK_MAX_TASKS. */
 bool ow_record_format_has_small_chunks(const struct ow_record_format *format);
--- a/src/core/records/record_value.h
+++ b/src/core/records/record_value.h
@@ -2,7 +2,7 @@
  * One value of the key-value store that holds progress records, as plain data.
  *
  * record_values.c owns the record values of a leader and decides which chunks share one. The fields that
- * order its write belong to the modules named at them.
+ * control when it is written belong to the modules named in their comments.
  */
 #ifndef OW_CORE_RECORDS_RECORD_VALUE_H
 #define OW_CORE_RECORDS_RECORD_VALUE_H
@@ -26,12 +26,12 @@
     uint64_t mod_revision;   /**< of the last change that we know of; 0: the key does not exist */
     int class_index;         /**< of the jobs of its chunks; OW_NO_NAME: it never had a chunk */
     GPtrArray *chunks;       /**< struct ow_chunk, owned by their executions */
-    size_t estimated_bytes;  /**< size as last written, with an estimate of what was added since */
+    size_t estimated_bytes;  /**< size when last encoded, plus an estimate for chunks added since */
     struct ow_write *queued; /**< the queued write of it: write_queue.c; NULL: none */
     bool is_oversized;       /**< as last encoded it was above the limit of a value: transaction.c */
     bool
         needs_division; /**< its only chunk does not fit: set by transaction.c, cleared by chunk_division.c */
-    double refused_until;  /**< too large, and can't be made smaller: not written before this time */
+    double refused_until;  /**< too large and can't be divided: no write before this time */
     GArray *unmoved_tasks; /**< struct ow_unmoved_tasks: tasks that only its stored value records */
     /** Chunks moved from here to this one, which must be written first; NULL: none. */
     struct ow_record_value *waits_for;
--- a/src/core/records/record_values.c
+++ b/src/core/records/record_values.c
@@ -16,9 +16,9 @@
     struct ow_task_range tasks;
 };
 
-/* How full a record value is made: its records grow as their ranges of tasks break up. */
+/* Share of the size limit up to which chunks are added: records grow when their ranges of tasks fragment. */
 static const double FILL_SHARE = 0.6;
-/* What a chunk is taken to need before it has been written: its name and frame, and each of its tasks. */
+/* Estimated size of a chunk that has not been encoded yet: a fixed part, and a part for each task. */
 enum { CHUNK_BYTES = 100, TASK_BYTES = 8 };
 /* Room for growth of the text's buffer beyond the size as last written. */
 enum { TEXT_MARGIN_BYTES = 64 };
@@ -108,8 +108,8 @@
     g_ptr_array_add(record_value->chunks, chunk);
 }
 
-/* Whether the chunk suits the record value. Chunks of one class change at the same pace; a record value of
-   all classes would be written as often as the liveliest of them. */
+/* Whether the chunk may be added to the record value. Chunks of one class change at a similar rate; a value
+   with several classes would be rewritten at the rate of the fastest. */
 static bool suits(const struct ow_leader *leader, const struct ow_record_value *record_value,
                   const struct ow_chunk *chunk)
 {
@@ -156,7 +156,7 @@
     g_array_append_val(record_value->unmoved_tasks, unmoved);
 }
 
-/* Whether all of these tasks are recorded in other values by now, or their job is over. */
+/* Whether all of these tasks have been recorded in other values since, or their job is over. */
 static bool is_moved(const struct ow_unmoved_tasks *unmoved)
 {
     const struct ow_execution *execution = unmoved->job->execution;
--- a/src/core/records/record_values.h
+++ b/src/core/records/record_values.h
@@ -1,13 +1,13 @@
 /** @file
  * Record values of a leader: which chunks share a value of the key-value store, and the text of that value.
  *
- * The store's changes are scarcer than its bytes, so what changes together is written together. A chunk stays
+ * Mutations are scarcer than bytes in the store, so chunks that change together share a value. A chunk stays
  * in its record value until its job is over or the value outgrows the store's limit. Every chunk is in at
- * most one record value. When they are written is up to recorder.h and transaction.h.
+ * most one record value. recorder.h and transaction.h decide when they are written.
  *
- * Invariant: what only a stored value records must stay in it. A chunk that moves is therefore written in its
- * new value before the old value is replaced (`waits_for`), and a value that records tasks in chunks of an
- * earlier size stays until all of these tasks are recorded elsewhere (`unmoved_tasks`).
+ * Invariant: a stored value is not replaced while it is the only record of a task that the new text omits. So
+ * a chunk that moves is written in its new value before the old value is replaced (`waits_for`), and a value
+ * with chunks of an earlier size is kept until all of their tasks are recorded elsewhere (`unmoved_tasks`).
  */
 #ifndef OW_CORE_RECORDS_RECORD_VALUES_H
 #define OW_CORE_RECORDS_RECORD_VALUES_H
@@ -35,15 +35,16 @@
 
 /** Adds a chunk that is in no record value to this one. */
 void ow_record_value_add_chunk(struct ow_record_value *record_value, struct ow_chunk *chunk);
-/** Adds a chunk that is in no record value to the one that suits it best, or to a new one. */
+/** Adds a chunk that is in no record value to the fullest one that may take it, or to a new one. */
 void ow_record_values_assign_chunk(struct ow_leader *leader, struct ow_chunk *chunk);
 /** Removes the chunk from its record value, which is returned; NULL if it was in none. */
 struct ow_record_value *ow_record_value_remove_chunk(struct ow_chunk *chunk);
 
-/** The stored value keeps what it says of these tasks until all of them are recorded elsewhere. */
+/** Notes that only the stored value records these tasks: it is not replaced until all are recorded elsewhere.
+ */
 void ow_record_value_add_unmoved_tasks(struct ow_record_value *record_value, struct ow_job *job,
                                        struct ow_task_range tasks);
-/** Forgets the unmoved tasks that are recorded elsewhere by now, or whose job is over. */
+/** Forgets unmoved tasks that have been recorded elsewhere since, or whose job is over. */
 void ow_record_value_drop_moved_tasks(struct ow_record_value *record_value);
 
 /** The JSON text of the record value, which the caller frees. While it exceeds the limit of a value and has
--- a/src/core/records/recorder.c
+++ b/src/core/records/recorder.c
@@ -7,14 +7,14 @@
 #include "core/records/recorder_state.h"
 #include "model/submission.h"
 
-/* How long values wait that still hold records of jobs that are over: several jobs that end one after the
-   other are then removed by one write. */
+/* Delay before a value is rewritten without the records of jobs that are over, so that one write removes
+   several jobs. */
 static const double COMPACTION_DELAY_S = 10;
 /* The recorder's share of the permitted rate of mutations, and for how many seconds of that rate unused ones
    accumulate. The rest is left for submissions and cancellations, which any controller writes. */
 static const double RATE_SHARE = 0.8;
 static const double BURST_S = 0.7;
-/* From the order of the launches of a rank to that of the next rank. */
+/* Distance in write order between launches of one rank and of the next. */
 enum { LAUNCH_RANK_STEP = 10 };
 
 struct ow_recorder *ow_recorder_new(struct ow_leader *leader)
@@ -72,7 +72,7 @@
     if (execution->finishing)
         return;
     execution->finishing = true;
-    /* A cancelled job is recorded as such already: nobody waits for what this adds. */
+    /* A cancelled job is already recorded as cancelled: nothing waits for its final record. */
     bool is_cancelled = execution->job->state == OW_JOB_CANCELLED;
     int order = is_cancelled ? OW_ORDER_BACKGROUND : OW_ORDER_FINAL_RECORD;
     ow_write_queue_add_final_record(leader->recorder->queue, execution, order, leader->core->now);
@@ -84,7 +84,7 @@
     ow_write_queue_add_record_value(leader->recorder->queue, record_value, OW_ORDER_BACKGROUND, due_at);
 }
 
-/* The answer to the transaction in flight must not touch the execution any more. */
+/* Keeps the reply to the transaction in flight from accessing an execution that is about to be freed. */
 static void forget_in_flight(struct ow_recorder *recorder, const struct ow_execution *execution)
 {
     for (guint i = 0; i < recorder->writes_in_flight->len; i++) {
--- a/src/core/records/recorder_state.h
+++ b/src/core/records/recorder_state.h
@@ -16,7 +16,7 @@
 /** The queue of writes, and the one transaction that may be in flight. */
 struct ow_recorder {
     struct ow_write_queue *queue;            /**< owned */
-    struct ow_rate_limiter mutation_limiter; /**< of all mutations that the leader writes */
+    struct ow_rate_limiter mutation_limiter; /**< limits the mutations that the leader writes */
     double next_at;                          /**< no transaction before this time: transaction_reply.c */
     unsigned mod_revision_reads; /**< in flight; nothing is written meanwhile: transaction_reply.c */
 
--- a/src/core/records/store_limits.c
+++ b/src/core/records/store_limits.c
@@ -3,10 +3,10 @@
 #include "model/records.h"
 
 enum { BYTES_PER_KB = 1024 };
-/* What one task takes in a progress record at most: a machine with its incarnation, the task and its attempt,
-   or a mark among those that are done. Beside them a record has its name and its frame. */
+/* Upper bounds of the bytes of a progress record: for each task its machine, incarnation, number and attempt,
+   or its place in the list of done tasks; and for the record's name and frame. */
 enum { TASK_BYTES = 30, FRAME_BYTES = 150 };
-/* Values are not made smaller than this. */
+/* Lower bound of the limit of a value. */
 enum { VALUE_MIN_BYTES = 256 };
 
 struct ow_store_limits ow_store_limits_from_settings(const struct ow_settings *settings)
@@ -28,7 +28,8 @@
         return true;
     }
     limits->refused_value_bytes = MIN(limits->refused_value_bytes, largest_bytes);
-    /* A value that could not be made smaller: it tells nothing of those that can. */
+    /* The value was above the limit already because it can't be divided yet. Its refusal is no evidence about
+       values within the limit, so `value_bytes` stays. */
     if (largest_bytes > limits->value_bytes) {
         limits->accepted_value_bytes = limits->value_bytes;
         return false;
--- a/src/core/records/store_limits.h
+++ b/src/core/records/store_limits.h
@@ -1,9 +1,9 @@
 /** @file
- * What a write to the key-value store may hold, and how many writes there may be.
+ * The limits of writes to the key-value store: size of a value, mutations of a transaction, rate.
  *
- * The settings give two limits of each kind: that of today, and one that is announced for some later moment,
- * which comes without notice. The smaller one is kept to. The limits may fall below the settings, by
- * refusals, and never rise while the process runs.
+ * The settings give two limits of each kind: the present one, and one announced for some later time, which
+ * takes effect without notice. The smaller one is used from the start. Refused writes may lower the limits
+ * below the settings; they never rise while the process runs.
  */
 #ifndef OW_CORE_RECORDS_STORE_LIMITS_H
 #define OW_CORE_RECORDS_STORE_LIMITS_H
@@ -13,18 +13,17 @@
 #include <stdbool.h>
 #include <stddef.h>
 
-/** The limits that are kept to. Owned by the core, for records, submissions and cancellations. */
+/** The limits in use. Owned by the core; for records, submissions and cancellations. */
 struct ow_store_limits {
-    /** Of each value that can be made smaller. */
+    /** The limit for values that can be divided. */
     size_t value_bytes;
-    /** What is still accepted today, for a value that can't be made smaller yet. */
+    /** The present limit of the store, for a value that can't be divided yet. */
     size_t accepted_value_bytes;
-    /** The smallest value known to be refused, or announced to be: what can't be divided must stay below it.
-     */
+    /** The smallest size known or announced to be refused: what can never be divided must stay below it. */
     size_t refused_value_bytes;
-    /** The most mutations of a transaction. */
+    /** Maximum number of mutations in a transaction. */
     unsigned transaction_mutations;
-    /** Of all controllers together. */
+    /** Rate of mutations of all controllers together. */
     double mutations_per_s;
 };
 
--- a/src/core/records/transaction.c
+++ b/src/core/records/transaction.c
@@ -14,11 +14,11 @@
 
 #include <string.h>
 
-/* The most that a transaction may take, and what each mutation takes beside its key and value. */
+/* Maximum size of a transaction, and overhead of a mutation beside its key and value. */
 enum { TRANSACTION_BYTES = 60 * 1024, MUTATION_BYTES = 120 };
-/* With this share of the burst of mutations unused, writes that are due soon are written at once: ... */
+/* With at least this share of the burst of mutations unused, ... */
 static const double SPARE_SHARE = 0.8;
-/* ... those that are due within this time. */
+/* ... writes that are due within this time are sent at once. */
 static const double DUE_SOON_S = OW_PROGRESS_DELAY_S / 2;
 
 /* ---- putting a write into the transaction ---- */
@@ -34,7 +34,7 @@
     }
 }
 
-/* Marks what the value that is being written contains. */
+/* Marks the chunks and attempts that the value being written contains. */
 static void mark_written(struct ow_record_value *record_value, uint64_t transaction_serial)
 {
     for (guint i = 0; i < record_value->chunks->len; i++) {
@@ -50,8 +50,8 @@
     return strlen(value) > leader->core->store_limits.value_bytes;
 }
 
-/* Whether the value is too large although it holds a single chunk, which can be divided. Before every
-   controller reads smaller chunks it is written as it is, while the key-value store still takes it. */
+/* Whether the value is too large although it holds a single chunk, which can be divided. Until every
+   controller reads smaller chunks it is written undivided, as long as the key-value store accepts that. */
 static bool needs_division(const struct ow_leader *leader, const struct ow_record_value *record_value,
                            const char *value)
 {
@@ -62,10 +62,8 @@
            chunk->job->execution->chunk_tasks > OW_CHUNK_MIN_TASKS;
 }
 
-/* The text of the record value if it can go into this transaction. NULL if something else comes first: the
-   value that its chunks moved to, the division of its chunk, or the writes that are in the transaction
-   already.
- */
+/* The text of the record value, or NULL if it must not go into this transaction: a value that chunks have
+   moved to must be written first, its chunk must be divided first, or it is too large and must go alone. */
 static char *encode_for_transaction(struct ow_leader *leader, const struct ow_write *write,
                                     const struct ow_store_request *transaction)
 {
@@ -73,7 +71,8 @@
     struct ow_record_value *overflow = NULL;
     g_autofree char *value = ow_record_values_encode(leader, record_value, &overflow);
     if (overflow != NULL) {
-        /* The stored value still has what has moved: it must not be replaced before that is written. */
+        /* The stored value is the only record of the moved chunks: it must not be replaced before the
+           overflow is written. */
         record_value->waits_for = overflow;
         ow_write_queue_add_record_value(leader->recorder->queue, overflow, write->order, write->due_at);
         return NULL;
@@ -131,8 +130,8 @@
 
 /* ---- which writes go into the transaction ---- */
 
-/* Whether the stored value has to stay for now: the record value that its chunks moved to is written first,
-   or its chunk is divided first, or it records tasks that are not yet recorded elsewhere. */
+/* Whether the stored value must not be replaced yet: a value that chunks have moved to must be written first,
+   its chunk must be divided first, or it is the only record of some tasks. */
 static bool is_blocked(struct ow_record_value *record_value)
 {
     if (record_value->waits_for != NULL || record_value->needs_division)
@@ -141,14 +140,14 @@
     return record_value->unmoved_tasks->len > 0;
 }
 
-/* A value that may be refused for its size goes alone, or it would take the others down with it. */
+/* A value that may be refused for its size goes alone: the refusal would fail the whole transaction. */
 static bool must_go_alone(const struct ow_write *write)
 {
     return write->kind == OW_WRITE_RECORD_VALUE && write->record_value->is_oversized;
 }
 
-/* Whether the write may go into the transaction now. With mutations to spare nothing is gained by letting one
-   that is due soon wait any longer. */
+/* Whether the write may go into the transaction now. With spare mutations there is no gain in delaying one
+   that is due soon. */
 static bool may_go(const struct ow_write *write, const struct ow_store_request *transaction, double now,
                    bool has_spare)
 {
@@ -175,7 +174,7 @@
     return bytes;
 }
 
-/* Whether the transaction has room for one more mutation, which may be as large as a value may be now. */
+/* Whether the transaction has room for one more mutation with a value of the maximum size. */
 static bool has_room(const struct ow_leader *leader, const struct ow_store_request *transaction,
                      guint mutations_max)
 {
@@ -204,7 +203,7 @@
             position++;
             continue;
         }
-        /* What has to wait after all is queued again at the end. */
+        /* put() appends the write to the queue again if it has to wait after all. */
         g_autofree struct ow_write *write = ow_write_queue_take(recorder->queue, position);
         put(leader, write, transaction);
     }
--- a/src/core/records/transaction.h
+++ b/src/core/records/transaction.h
@@ -1,5 +1,5 @@
 /** @file
- * Building a transaction: which of the queued writes go into it, and with what text.
+ * Builds a transaction: selects the queued writes that go into it, and encodes their values.
  *
  * A write is left in the queue, or queued again, while something else must be written before it: see
  * recorder.h for the invariants of the write path.
--- a/src/core/records/transaction_reply.c
+++ b/src/core/records/transaction_reply.c
@@ -128,7 +128,7 @@
     ow_core_call_store(leader->core, request, on_mod_revision, leader, g_strdup(key), g_free);
 }
 
-/* `data` is the fencing token of the leader that asked: it may not lead any more. */
+/* `data` is the fencing token of the leader that asked: its term may have ended. */
 static void on_jobs_refreshed(struct ow_core *core, void *data, bool ok)
 {
     struct ow_leader *leader = core->leader;
@@ -162,7 +162,7 @@
 
 /* ---- refusal for its size ---- */
 
-/* Record values that can't be made smaller yet wait, so that all others are written meanwhile. */
+/* Postpones record values that can't be divided yet, so that all others are written meanwhile. */
 static bool postpone_refused(struct ow_recorder *recorder, double until)
 {
     bool postponed = false;
@@ -176,7 +176,7 @@
     return postponed;
 }
 
-/* Too large: the limits have changed otherwise than the settings say. The same again would fail for ever. */
+/* The store's limits are lower than the settings say: retrying the same transaction would fail for ever. */
 static void shrink_limits(struct ow_leader *leader)
 {
     double now = leader->core->now;
@@ -210,7 +210,7 @@
     ow_leader_request_cycle(leader);
 }
 
-/* Queues everything again: a record is made anew from the state at the time it is written. */
+/* Queues all writes again; each is encoded anew when it is sent, from the state at that time. */
 static void requeue(struct ow_leader *leader)
 {
     g_autoptr(GPtrArray) writes = take_writes(leader->recorder);
@@ -237,8 +237,9 @@
         refresh_failed_keys(leader, reply);
         break;
     default:
-        /* Without a response it may have been carried out, or may still be: its comparisons make a second
-           time harmless, and if it was, the next try fails on them and learns the present mod_revisions. */
+        /* Without a response the transaction may have been committed, or may be later. Its comparisons keep a
+           second attempt from being applied twice: that one fails on them and learns the present
+           mod_revisions. */
         break;
     }
     requeue(leader);
--- a/src/core/records/write_queue.h
+++ b/src/core/records/write_queue.h
@@ -1,9 +1,8 @@
 /** @file
- * The queue of writes: which records have to be written, how urgently, and from when on.
+ * The queue of writes: which records must be written, with their urgency and due time.
  *
  * It holds at most one write for each record value (`ow_record_value.queued`) and owns the writes in it. It
- * knows nothing of texts and transactions: a record is encoded only when its write is taken out, from the
- * state of then.
+ * does not encode anything: a record is encoded when its write is taken out, from the state at that time.
  */
 #ifndef OW_CORE_RECORDS_WRITE_QUEUE_H
 #define OW_CORE_RECORDS_WRITE_QUEUE_H
@@ -20,13 +19,13 @@
     OW_WRITE_FINAL_RECORD, /**< how a job ended */
 };
 
-/** The urgency of writes: a lower order is written first. Final records come before all else, then launches
-   by the rank of their job, then progress that nothing waits for. */
+/** The urgency of writes: a lower order is written first. Final records come first, then launches by the rank
+ * of their job, then progress that nothing depends on. */
 enum ow_write_order {
     OW_ORDER_FINAL_RECORD = 5,
     OW_ORDER_LAUNCH = 10, /**< of the most urgent rank */
     OW_ORDER_PROGRESS = 100,
-    OW_ORDER_BACKGROUND = 200, /**< removal of what is of no use any more */
+    OW_ORDER_BACKGROUND = 200, /**< removal of obsolete records */
 };
 
 /** A write that waits in the queue, or is in the transaction in flight. */
@@ -44,7 +43,7 @@
 void ow_write_queue_free(struct ow_write_queue *queue);
 /** How many writes wait. */
 guint ow_write_queue_length(const struct ow_write_queue *queue);
-/** The write at a position below the length; the queue goes on owning it. */
+/** The write at a position below the length; the queue keeps ownership. */
 struct ow_write *ow_write_queue_at(const struct ow_write_queue *queue, guint position);
 /** Queues the record value. If it is queued already, the more urgent order and the earlier time count. */
 void ow_write_queue_add_record_value(struct ow_write_queue *queue, struct ow_record_value *record_value,
--- a/src/core/store_health.c
+++ b/src/core/store_health.c
@@ -5,19 +5,19 @@
 #include "model/http_status.h"
 #include "model/records.h"
 
-/* How long without a good answer until the key-value store is probed. */
+/* After this long without a successful answer the key-value store is probed. */
 static const double PROBE_AFTER_S = 2;
-/* A good answer counts as recent for so long. */
+/* How long a successful answer counts as recent. */
 static const double ANSWER_RECENT_S = 12;
-/* After failing for so long the key-value store counts as lost. */
+/* After failing for this long the key-value store counts as lost. */
 static const double LOST_AFTER_S = 2;
 
 struct ow_store_health {
     struct ow_core *core;
-    double ok_at;         /* the last answer that was no failure; 0: none yet */
-    double failing_since; /* 0: the last answer was good */
-    double refused_at;    /* the last refusal: it can be reached, but may serve others */
-    bool is_silent;       /* the last failure was no answer, rather than a refusal */
+    double ok_at;         /* time of the last successful answer; 0: none yet */
+    double failing_since; /* 0: the last answer was successful */
+    double refused_at;    /* time of the last UNAVAILABLE: the store can be reached, but may serve others */
+    bool is_silent;       /* the last failure was a missing response, not an error status */
     bool is_probing;      /* a probe is under way */
     double probed_at;     /* when the last probe was sent */
 };
@@ -37,7 +37,7 @@
 void ow_store_health_note_reply(struct ow_store_health *health, int status)
 {
     double now = health->core->now;
-    /* UNAVAILABLE: the key-value store is there, but does not serve at present. */
+    /* UNAVAILABLE: the key-value store can be reached, but does not serve at present. */
     bool has_failed = status == OW_HTTP_STATUS_NONE || status == OW_HTTP_STATUS_UNAVAILABLE;
     health->is_silent = status == OW_HTTP_STATUS_NONE;
     if (status == OW_HTTP_STATUS_UNAVAILABLE)
@@ -55,7 +55,7 @@
 {
     struct ow_store_health *health = owner;
     (void)data;
-    (void)answer; /* that there is one has been noted by then */
+    (void)answer; /* ow_store_health_note_reply() has already recorded it */
     health->is_probing = false;
 }
 
@@ -77,7 +77,7 @@
 
 bool ow_store_health_is_ok(const struct ow_store_health *health)
 {
-    /* An open watch says nothing: it gives no answer in an outage nor in quiet times. */
+    /* An open watch is no evidence: it gives no answer, be it for an outage or for lack of changes. */
     return health->ok_at > 0 && ow_store_health_has_answered_within(health, ANSWER_RECENT_S);
 }
 
--- a/src/core/store_health.h
+++ b/src/core/store_health.h
@@ -1,6 +1,6 @@
 /** @file
- * How the key-value store answers this controller: when it last did, for how long it has failed, and probes
- * of it in quiet times. Owns `struct ow_store_health`; others only ask.
+ * Tracks whether the key-value store answers this controller: time of the last success, duration of a
+ * failure, and probes while no other request is sent. Owns `struct ow_store_health`.
  */
 #ifndef OW_CORE_STORE_HEALTH_H
 #define OW_CORE_STORE_HEALTH_H
--- a/src/io/daemon.c
+++ b/src/io/daemon.c
@@ -10,24 +10,24 @@
 
 #include <string.h>
 
-/* How often idle connections are looked at. */
+/* Interval between sweeps of connections. */
 static const double SWEEP_S = 0.1;
 /* How long an incoming connection may be idle. */
 static const double IDLE_S = 60;
 enum {
     BODY_LIMIT_BYTES = 64 * 1024, /* of a request to us */
     RESERVED_SOCKETS = 60,        /* for the key-value store, the cloud and other controllers */
-    SOCKETS_MIN = 200,            /* whatever the settings say */
+    SOCKETS_MIN = 200,            /* lower bound, even if the settings allow fewer */
 };
-/* Each machine sends its heartbeats on a connection of its own, and those come first. Ours, for commands, get
- * what is left, and at least this share. */
+/* Each machine has a connection for its heartbeats, and these have priority. Outgoing connections, for
+   commands, get the sockets that are left, but at least this share. */
 static const double CLIENT_SHARE_MIN = 0.05;
 
 G_DEFINE_QUARK(ow - daemon - error - quark, ow_daemon_error)
 
 /* ---- other controllers ---- */
 
-/* A message has come; `owner` is the daemon. */
+/* Queues a message from another controller as an event; `owner` is the daemon. */
 static void take_peer_message(void *owner, struct ow_peer_message *message)
 {
     struct ow_daemon *daemon = owner;
@@ -36,7 +36,8 @@
     ow_shard_manager_push(daemon->manager, event);
 }
 
-/* Nobody listens at the endpoint any more; `owner` is the daemon. */
+/* Tells the shard manager that no process listens at a controller's endpoint any more; `owner` is the daemon.
+ */
 static void take_link_loss(void *owner, const char *endpoint)
 {
     struct ow_daemon *daemon = owner;
@@ -63,7 +64,7 @@
     return NULL;
 }
 
-/* Sends a message to its addressee, if that is a controller of ours, or to all. */
+/* Sends a message to its addressee, if that is a known controller, or to all controllers. */
 static void send_to_peers(struct ow_daemon *daemon, struct ow_peer_message *message)
 {
     if (message->addressee == NULL) {
@@ -77,9 +78,9 @@
 
 /* ---- the loop ---- */
 
-/* The process goes on after a pause: what waits to be sent may be out of date, and is dropped unless our
- * leases are still ours. It comes before anything else, for the loop would send it at once. `owner` is the
- * daemon. */
+/* Handles a pause of the process. Bytes that still wait to be sent may be based on a lease that has expired
+   in the pause, and are dropped in that case. Runs before all other callbacks, because these would send the
+   bytes. `owner` is the daemon. */
 static void handle_wake(void *owner, double paused_s, double now)
 {
     struct ow_daemon *daemon = owner;
@@ -125,8 +126,7 @@
 {
     struct ow_daemon *daemon = owner;
     sweep_if_due(daemon, now);
-    /* Under load the answer to the renewal of the leader's lease must not wait behind thousands of
-     * heartbeats. */
+    /* Under load the reply to a lease renewal must not wait behind thousands of heartbeats. */
     if (ow_loop_is_saturated(daemon->loop))
         ow_http_client_read_from(daemon->client, daemon->settings->store_endpoint);
     double time_of_day = (double)g_get_real_time() / G_USEC_PER_SEC;
@@ -136,9 +136,9 @@
     return ow_shard_manager_idle_seconds(daemon->manager);
 }
 
-/* ---- life ---- */
+/* ---- creation and destruction ---- */
 
-/* Shares the sockets that the settings allow. */
+/* Divides the permitted sockets between incoming and outgoing connections. */
 static void share_sockets(struct ow_daemon *daemon)
 {
     daemon->sockets_max = MAX(daemon->settings->sockets, SOCKETS_MIN) - RESERVED_SOCKETS;
--- a/src/io/daemon.h
+++ b/src/io/daemon.h
@@ -1,9 +1,10 @@
 /** @file
- * The daemon: the serving process. It turns requests and replies into events for the shard manager, and
- * carries out the effects that the shard manager answers with.
+ * The daemon: the I/O of a controller's process. It converts requests and replies to events for the shard
+ * manager, and carries out the effects that this returns.
  *
- * It owns the sockets and the shard manager and decides nothing. It has no thread but the one that runs the
- * loop. */
+ * It owns the sockets and the shard manager and makes no decisions. Everything runs on the thread of the
+ * event loop.
+ */
 #ifndef OW_IO_DAEMON_H
 #define OW_IO_DAEMON_H
 
--- a/src/io/daemon_state.h
+++ b/src/io/daemon_state.h
@@ -22,9 +22,10 @@
     struct ow_http_client *client;
     struct ow_peer_links *peers;
     struct ow_pending_requests *pending_requests; /**< of the HTTP client */
-    unsigned sockets_max; /**< without those kept for the key-value store, the cloud and other controllers */
-    unsigned client_sockets_min; /**< of `sockets_max`, those that our own requests may always use */
-    double sweep_at;             /**< steady time: when connections are looked at next */
+    unsigned sockets_max; /**< without the sockets reserved for the key-value store, the cloud and other
+                             controllers */
+    unsigned client_sockets_min; /**< of `sockets_max`: always available to outgoing requests */
+    double sweep_at;             /**< steady time: time of the next sweep of connections */
 };
 
 #endif
--- a/src/io/http_client.c
+++ b/src/io/http_client.c
@@ -55,7 +55,8 @@
     return longest;
 }
 
-/* The connection idle for longest gives way to a new one; false where there is no room all the same. */
+/* Closes the connection that has been idle for longest to make room for a new one; false if there is still no
+   room. */
 static bool make_room(struct ow_http_client *client)
 {
     if (client->connections->len < client->connections_max)
@@ -74,8 +75,8 @@
     return connection;
 }
 
-/* Calls a function for every connection, from the last one on. It may close connections, the one at hand or
- * others (the reply to a request may lead to that): then some may be left out, or come twice. */
+/* Calls a function for every connection, in reverse order. The function may close this or other connections
+   (as a consequence of a reply): then some connections may be skipped or visited twice. */
 static void for_each_connection(struct ow_http_client *client,
                                 void (*visit)(struct ow_client_connection *connection, const void *argument),
                                 const void *argument)
@@ -124,7 +125,7 @@
     if (connection != NULL) {
         ow_idle_connections_remove(client->idle, endpoint, connection);
     } else {
-        /* Who sends without having asked for room gets a connection in any case. */
+        /* A caller that did not check for room gets a connection in any case. */
         make_room(client);
         connection = open_connection(client, endpoint);
     }
--- a/src/io/http_client.h
+++ b/src/io/http_client.h
@@ -1,9 +1,10 @@
 /** @file
- * The HTTP client: keeps connections by endpoint, and tells the end of every request exactly once.
+ * The HTTP client: pools connections by endpoint, and reports the result of every request exactly once.
  *
  * A request has a connection for itself until it ends; then the connection is kept for a while for the next
  * request to the same endpoint. io/http_client_connection.h has the states of a connection, which the client
- * owns and closes. */
+ * owns and closes.
+ */
 #ifndef OW_IO_HTTP_CLIENT_H
 #define OW_IO_HTTP_CLIENT_H
 
@@ -18,12 +19,11 @@
 struct ow_http_client;
 typedef struct ow_http_client ow_http_client; /**< for g_autoptr */
 
-/** Tells the end of a request. It may send new requests, but not free the client.
+/** Receives the result of a request. It may send new requests, but not free the client.
  * @param owner that of ow_http_client_new
  * @param tag of the request
- * @param status of the response, or one of our own: OW_HTTP_STATUS_NONE without a response (the request
- *   might have been carried out), OW_HTTP_STATUS_CONTENT_TOO_LARGE if the response was longer than the
- *   client reads
+ * @param status of the response, or one of our own: OW_HTTP_STATUS_NONE without a response (the request might
+ * have been carried out), OW_HTTP_STATUS_CONTENT_TOO_LARGE if the response was longer than the client reads
  * @param body of the response, ended by a NUL that `size` doesn't count; valid during the call only
  * @param size bytes of `body` */
 typedef void (*ow_http_reply_fn)(void *owner, uint64_t tag, int status, const char *body, size_t size);
@@ -36,7 +36,7 @@
  * @param owner handed to `reply`; must live until ow_http_client_free */
 struct ow_http_client *ow_http_client_new(struct ow_loop *loop, unsigned connections_max,
                                           ow_http_reply_fn reply, void *owner);
-/** Closes all connections without telling the ends of their requests. NULL is allowed. */
+/** Closes all connections without calling `reply` for their requests. NULL is allowed. */
 void ow_http_client_free(struct ow_http_client *client);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(ow_http_client, ow_http_client_free)
 
@@ -50,14 +50,14 @@
  * @param tag handed to `reply` */
 void ow_http_client_send(struct ow_http_client *client, const char *endpoint, const char *method,
                          const char *path, const char *body, double timeout_s, uint64_t tag);
-/** Takes in what has come from the endpoint, without waiting for the loop to get there. */
+/** Reads from the connections to the endpoint at once, ahead of their turn in the loop. */
 void ow_http_client_read_from(struct ow_http_client *client, const char *endpoint);
 /** Closes the connections that still have bytes to send: their requests end without a response. */
 void ow_http_client_drop_unsent(struct ow_http_client *client);
-/** From now on so many connections are kept open at most. */
+/** Sets the maximum number of open connections. */
 void ow_http_client_bound(struct ow_http_client *client, unsigned connections_max);
-/** Whether a request to the endpoint stays within the bound. To make room, the connection idle for longest is
- * closed. */
+/** Whether a request to the endpoint stays within the maximum. Closes the connection idle for longest if that
+ * makes room. */
 bool ow_http_client_has_room(struct ow_http_client *client, const char *endpoint);
 /** Ends requests that are out of time and closes connections long unused; to be called several times a
  * second. */
--- a/src/io/http_client_connection.c
+++ b/src/io/http_client_connection.c
@@ -14,7 +14,7 @@
     REQUEST_BYTES = 256, /* of a typical one, to begin with */
 };
 
-/* ---- ends ---- */
+/* ---- end of a request or connection ---- */
 
 /* Ends the connection, and the request under way on it, if any, with a status of our own. */
 static void fail_with(struct ow_client_connection *connection, enum ow_http_status status)
@@ -61,7 +61,7 @@
 static void handle_parsed(struct ow_client_connection *connection, enum ow_http_result result,
                           bool is_all_used)
 {
-    /* Anything unasked-for ends a connection, too: on an idle one, or behind a response. */
+    /* Unsolicited bytes, on an idle connection or after a response, end the connection, too. */
     if (result == OW_HTTP_DONE && is_all_used) {
         finish(connection);
     } else if (result == OW_HTTP_TOO_LARGE) {
@@ -111,7 +111,7 @@
         ow_client_connection_read(connection);
 }
 
-/* ---- life ---- */
+/* ---- creation and destruction ---- */
 
 struct ow_client_connection *ow_client_connection_new(struct ow_loop *loop, const char *endpoint,
                                                       ow_client_connection_end_fn end, void *owner)
@@ -158,7 +158,7 @@
     connection->tag = request->tag;
     append_request(connection->out, connection->endpoint, request);
     if (connection->state == OW_CLIENT_CONNECTION_UNREACHABLE) {
-        connection->deadline = 0; /* the next look at the deadline tells the owner */
+        connection->deadline = 0; /* the next check of the deadline tells the owner */
         return;
     }
     connection->state = OW_CLIENT_CONNECTION_BUSY;
@@ -179,7 +179,8 @@
         ow_client_connection_fail(connection);
         return;
     }
-    /* We may be late, not the answer: what has come is taken in, and the next look decides. */
+    /* This process may be late, not the response: what has arrived is read first, and the next check decides.
+     */
     connection->is_overdue = true;
     ow_client_connection_read(connection);
 }
--- a/src/io/http_client_connection.h
+++ b/src/io/http_client_connection.h
@@ -96,7 +96,7 @@
 void ow_client_connection_fail(struct ow_client_connection *connection);
 /** Ends a request that is out of time or a connection idle for too long; this may tell the owner. */
 void ow_client_connection_check_deadline(struct ow_client_connection *connection, double now);
-/** Whether a request has left on the connection, so that its answer may lie in the socket. */
+/** Whether a request has been sent on the connection, so that its response may be in the socket. */
 bool ow_client_connection_awaits_answer(const struct ow_client_connection *connection);
 
 #endif
--- a/src/io/http_connection.c
+++ b/src/io/http_connection.c
@@ -34,7 +34,7 @@
     }
 }
 
-/* ---- life ---- */
+/* ---- creation and destruction ---- */
 
 static void release(struct ow_http_connection *connection)
 {
@@ -89,7 +89,7 @@
     return true;
 }
 
-/* Answers what is no request, and closes; false when the connection is gone. */
+/* Answers a malformed request with an error, and closes; false when the connection is gone. */
 static bool refuse(struct ow_http_connection *connection, enum ow_http_status status, const char *body)
 {
     connection->state = OW_HTTP_CONNECTION_DRAINING;
@@ -99,8 +99,8 @@
 
 /* ---- reading ---- */
 
-/* Keeps bytes for later; false when the connection is gone. Pipelining does not occur: a peer that floods is
- * cut off rather than buffered. */
+/* Buffers bytes that arrive during a request; false when the connection is gone. Clients don't pipeline
+   requests, so one that sends too much is disconnected. */
 static bool keep_pending(struct ow_http_connection *connection, const char *data, size_t size)
 {
     if (connection->pending->len + size > connection->pending_limit_bytes) {
@@ -115,7 +115,8 @@
  * gone. */
 static bool hand_over(struct ow_http_connection *connection, const char *rest, size_t rest_size)
 {
-    /* Under load whoever has given up waiting is not served: that would delay those who still wait. */
+    /* A client that has closed the connection is not served: under load that would delay those that still
+       wait. */
     if (ow_loop_is_saturated(connection->loop) && ow_net_has_hung_up(connection->watch.fd)) {
         ow_http_connection_close(connection);
         return false;
@@ -126,7 +127,7 @@
     return connection->handlers->request(connection->handlers->owner, connection);
 }
 
-/* Takes bytes in; false when the connection is gone. */
+/* Parses received bytes; false when the connection is gone. */
 static bool take_bytes(struct ow_http_connection *connection, const char *data, size_t size)
 {
     if (connection->state != OW_HTTP_CONNECTION_READING)
--- a/src/io/http_connection.h
+++ b/src/io/http_connection.h
@@ -27,7 +27,7 @@
 
 /** The states, as above. */
 enum ow_http_connection_state {
-    OW_HTTP_CONNECTION_READING,       /**< a request is awaited, or a part of it is there */
+    OW_HTTP_CONNECTION_READING,       /**< waits for a request or the rest of one */
     OW_HTTP_CONNECTION_HANDLING,      /**< a request is with the handler */
     OW_HTTP_CONNECTION_HANDLING_LAST, /**< the same, and the connection ends with its answer */
     OW_HTTP_CONNECTION_DRAINING,      /**< to be closed once everything is sent */
@@ -77,7 +77,7 @@
 void ow_http_connection_close(struct ow_http_connection *connection);
 /** Whether a request waits for its answer. */
 bool ow_http_connection_is_handling(const struct ow_http_connection *connection);
-/** Answers the request at hand and turns to the next; this may close the connection.
+/** Answers the current request and reads the next one; this may close the connection.
  * @param connection HANDLING or HANDLING_LAST
  * @param status of the response
  * @param headers as in ow_http_server_answer
--- a/src/io/http_lines.c
+++ b/src/io/http_lines.c
@@ -3,8 +3,8 @@
 #include <glib.h>
 #include <string.h>
 
-/* More digits than any size within the limits has: with more the value could overflow, and a body run past
- * its limit. */
+/* More digits than any size within the limits needs; longer numbers are rejected, because the value could
+   overflow. */
 enum { SIZE_DIGITS_MAX = 9 };
 enum { DECIMAL = 10, HEXADECIMAL = 16 };
 
@@ -87,8 +87,8 @@
     return true;
 }
 
-/* Reads the digits of a size and the blanks behind them. @return where the text goes on, or NULL when
- * malformed */
+/* Reads the digits of a size and the blanks after them. @return the position after these, or NULL when
+   malformed */
 static const char *parse_digits(const char *text, int base, size_t *out)
 {
     size_t value = 0;
--- a/src/io/http_lines.h
+++ b/src/io/http_lines.h
@@ -1,6 +1,6 @@
 /** @file
- * The lines of HTTP/1.1 messages and what stands in them: text in, parts out, no state. Private to the
- * parser. */
+ * Parses the lines of HTTP/1.1 messages: text in, parts out, no state. Private to the parser.
+ */
 #ifndef OW_IO_HTTP_LINES_H
 #define OW_IO_HTTP_LINES_H
 
--- a/src/io/http_parse.c
+++ b/src/io/http_parse.c
@@ -5,12 +5,12 @@
 #include <string.h>
 
 enum { HEAD_LIMIT_BYTES = 16 * 1024, LINE_LIMIT_BYTES = 8 * 1024 };
-/* A buffer that has grown larger is given back before the next message. */
+/* Larger buffers are freed before the next message. */
 enum { KEEP_BUFFER_BYTES = 16 * 1024 };
 /* Informational responses (1xx) come before the proper one; nobody asked to switch to another protocol. */
 enum { STATUS_SWITCHING_PROTOCOLS = 101, STATUS_FINAL_LEAST = 200 };
 
-/* ---- life ---- */
+/* ---- creation and destruction ---- */
 
 void ow_http_parser_init(struct ow_http_parser *parser, enum ow_http_side side, size_t body_limit_bytes)
 {
@@ -24,7 +24,7 @@
     ow_http_parser_reset(parser);
 }
 
-/* One large body must not keep its memory for the life of a connection. */
+/* Otherwise one large body would keep its memory as long as the connection lives. */
 static void empty_buffer(GString **buffer)
 {
     if ((*buffer)->allocated_len > KEEP_BUFFER_BYTES) {
@@ -80,7 +80,7 @@
     return true;
 }
 
-/* Two lengths, or a length beside chunks, leave the end of a message open to dispute. */
+/* Two lengths, or a length together with chunks, make the end of a message ambiguous (request smuggling). */
 static bool has_framing(const struct ow_http_parser *parser)
 {
     return parser->has_length || parser->is_chunked;
@@ -189,7 +189,7 @@
     return OW_HTTP_MALFORMED;
 }
 
-/* A head without end must not grow the buffer. Chunk lines count too. */
+/* Limits the memory for an endless head. Chunk lines count, too. */
 static bool exceeds_limits(const struct ow_http_parser *parser, size_t line_part)
 {
     bool is_in_head = parser->phase == OW_HTTP_PHASE_START || parser->phase == OW_HTTP_PHASE_HEADERS;
--- a/src/io/http_server.c
+++ b/src/io/http_server.c
@@ -5,7 +5,7 @@
 
 #include <sys/epoll.h>
 
-/* A connection that has said something so lately is not dropped for another. */
+/* A connection that has received something this recently is not closed to make room for another. */
 static const double QUIET_S = 1;
 /* A request's id: the slot of its connection above, the serial number of the request below. */
 enum { ID_SLOT_SHIFT = 32 };
@@ -78,8 +78,8 @@
     server->count++;
 }
 
-/* Room for a new connection at the cost of the one that has been quiet for longest. Workers send a heartbeat
- * every few seconds: it is never theirs while anybody else's stands idle. */
+/* Makes room for a new connection by closing the one that has been quiet for longest. Workers send a
+   heartbeat every few seconds, so their connections are closed only if no other one is idle. */
 static bool drop_quietest(struct ow_http_server *server)
 {
     struct ow_http_connection *quietest = NULL;
@@ -103,7 +103,8 @@
         int fd = ow_net_accept(server->listener.fd);
         if (fd < 0)
             return;
-        /* Past the bound a connection is refused at once, so that the load balancer moves on. */
+        /* Past the maximum a connection is closed at once, so that the load balancer tries another
+           controller. */
         if (server->count >= server->options.max_connections && !drop_quietest(server))
             ow_net_refuse(fd);
         else
@@ -151,7 +152,7 @@
                            const char *body, size_t size)
 {
     struct ow_http_connection *connection = connection_at(server, (uint32_t)(id >> ID_SLOT_SHIFT));
-    /* The asker may have gone and its slot may serve somebody else by now. */
+    /* The client may have disconnected, and its slot may belong to another connection now. */
     if (connection == NULL || !ow_http_connection_is_handling(connection) ||
         connection->serial != (uint32_t)id)
         return;
@@ -172,7 +173,7 @@
     }
 }
 
-/* Whether nothing has come on the connection for too long; a request that is with the handler keeps it. */
+/* Whether the connection has been idle for too long; it is not while the handler has a request of it. */
 static bool is_idle(const struct ow_http_server *server, const struct ow_http_connection *connection,
                     double now)
 {
--- a/src/io/http_server.h
+++ b/src/io/http_server.h
@@ -16,8 +16,8 @@
 struct ow_http_server;
 typedef struct ow_http_server ow_http_server; /**< for g_autoptr */
 
-/** Names one request that waits for its answer. Of a connection that is gone, or a request that has been
- * answered, it is stale. */
+/** Identifies one request that waits for its answer. It is stale once the request has been answered or the
+ * connection is gone. */
 typedef uint64_t ow_request_id;
 
 /** One request, as the handler gets it. Its strings are valid during the call only. */
@@ -34,12 +34,12 @@
  * @param request valid during the call only */
 typedef void (*ow_http_handler)(void *owner, const struct ow_http_request *request);
 
-/** How a server is to be. */
+/** The options of a server. */
 struct ow_http_server_options {
     const char *endpoint;     /**< ADDRESS:PORT to listen on; used by ow_http_server_new only */
     size_t body_limit;        /**< bytes of a request's body at most; not 0 */
-    unsigned max_connections; /**< past it a quiet connection gives way, or the new one is refused */
-    double idle_s;            /**< a connection that sends nothing for so long is closed */
+    unsigned max_connections; /**< past it the quietest connection is closed, or the new one refused */
+    double idle_s;            /**< a connection that has sent nothing for this long is closed */
 };
 
 /** Begins to listen.
@@ -55,7 +55,7 @@
 void ow_http_server_free(struct ow_http_server *server);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(ow_http_server, ow_http_server_free)
 
-/** Answers a request. A stale id is ignored: who asked may have gone.
+/** Answers a request. A stale id is ignored: the client may have disconnected.
  * @param server that took the request
  * @param id of the request
  * @param status of the response
@@ -68,7 +68,7 @@
 unsigned ow_http_server_count(const struct ow_http_server *server);
 /** Closes the connections that still have bytes to send. */
 void ow_http_server_drop_unsent(struct ow_http_server *server);
-/** Closes connections that were idle for too long; to be called now and then.
+/** Closes connections that have been idle for too long; call it every few seconds.
  * @param server the server
  * @param now the steady time in seconds */
 void ow_http_server_sweep(struct ow_http_server *server, double now);
--- a/src/io/idle_connections.h
+++ b/src/io/idle_connections.h
@@ -1,8 +1,9 @@
 /** @file
  * The idle connections of the HTTP client, by the endpoint that they lead to: thousands may be open.
  *
- * The table points to connections that the client owns: whoever frees a connection removes it here first. Of
- * an endpoint without idle connections nothing is kept. */
+ * The table points to connections that the client owns: a connection must be removed here before it is freed.
+ * Endpoints without idle connections have no entry.
+ */
 #ifndef OW_IO_IDLE_CONNECTIONS_H
 #define OW_IO_IDLE_CONNECTIONS_H
 
--- a/src/io/incoming.c
+++ b/src/io/incoming.c
@@ -15,7 +15,7 @@
 
 /* ---- answering ---- */
 
-/* Answers with a body of JSON text, which is taken over. */
+/* Answers with a body of JSON text, and takes ownership of it. */
 static void answer(struct ow_daemon *daemon, ow_request_id id, int status, char *body)
 {
     ow_http_server_answer(daemon->server, id, status, NULL, body, strlen(body));
@@ -53,7 +53,7 @@
         answer_error(daemon, request, OW_HTTP_STATUS_BAD_REQUEST, error->message);
         return;
     }
-    /* Under the id of a job that was accepted it is a retry, whatever else it says: the core decides. */
+    /* If a job with this id has been accepted, this is a retry, however malformed: the core decides. */
     struct ow_event *event = ow_event_new(OW_EVENT_SUBMIT, request->id);
     event->submission = submission;
     event->submission_error = g_steal_pointer(&error);
@@ -61,7 +61,7 @@
     ow_shard_manager_push(daemon->manager, event);
 }
 
-/* Pushes an event about one job. What can't be the id of a job is answered with `invalid_status`. */
+/* Pushes an event about one job. An invalid job id is answered with `invalid_status`. */
 static void push_job_event(struct ow_daemon *daemon, const struct ow_http_request *request, const char *job,
                            enum ow_event_kind kind, enum ow_http_status invalid_status)
 {
@@ -122,11 +122,11 @@
     answer_operators(daemon, request, ow_operator_report_shards);
 }
 
-/* What is served: every path has one method. JOB stands for one segment, of OW_ID_MAX bytes at most. */
+/* The routes: every path has one method. JOB matches one segment of up to OW_ID_MAX bytes. */
 struct route {
     const char *method;
     const char *path;
-    /* Takes the request; `job` is the segment that stands for JOB, or empty. */
+    /* Handles the request; `job` is the segment that matched JOB, or empty. */
     void (*take)(struct ow_daemon *daemon, const struct ow_http_request *request, const char *job);
 };
 
--- a/src/io/incoming.h
+++ b/src/io/incoming.h
@@ -1,6 +1,7 @@
 /** @file
- * Requests of users, operators and workers: each becomes an event for the shard manager, or is answered at
- * once; and the answers to them. Part of the daemon. */
+ * Incoming HTTP requests of users, operators and workers: converts them to events for the shard manager, or
+ * answers them directly, and sends the answers. Part of the daemon.
+ */
 #ifndef OW_IO_INCOMING_H
 #define OW_IO_INCOMING_H
 
@@ -9,11 +10,11 @@
 
 struct ow_daemon;
 
-/** The handler of the HTTP server (ow_http_handler): finds the route of a request and follows it.
+/** The handler of the HTTP server (ow_http_handler): finds the route of a request and calls its handler.
  * @param owner the daemon
  * @param request valid during the call only */
 void ow_incoming_handle(void *owner, const struct ow_http_request *request);
-/** Answers a request as the effect says. Effects that answer nobody are ignored. */
+/** Sends the answer that the effect describes. Effects of other kinds are ignored. */
 void ow_incoming_answer(struct ow_daemon *daemon, const struct ow_effect *effect);
 
 #endif
--- a/src/io/log.c
+++ b/src/io/log.c
@@ -5,7 +5,8 @@
 #include <string.h>
 #include <unistd.h>
 
-/* What is shown. The one global: GLib takes a writer once in a process, and never gives it back. */
+/* The levels that are shown. Global, because GLib has one log writer per process, which can be set only once.
+ */
 static GLogLevelFlags shown_levels =
     G_LOG_LEVEL_ERROR | G_LOG_LEVEL_CRITICAL | G_LOG_LEVEL_WARNING | G_LOG_LEVEL_MESSAGE;
 
@@ -19,7 +20,7 @@
 static void write_line(GLogLevelFlags level, const char *message)
 {
     g_autofree char *line = g_strdup_printf("%s %s\n", level_word(level), message);
-    /* A log that can't be written must not stop the service. */
+    /* Errors of writing the log are ignored: they must not stop the service. */
     ssize_t written = write(STDERR_FILENO, line, strlen(line));
     (void)written;
 }
--- a/src/io/loop.c
+++ b/src/io/loop.c
@@ -74,8 +74,8 @@
     epoll_ctl(loop->epoll_fd, EPOLL_CTL_MOD, watch->fd, &event);
 }
 
-/* A callback may close another connection whose event is already fetched: it must not be called with freed
- * memory. */
+/* A callback may close another watch whose event has been fetched already: its callback must not run, as its
+   owner may have been freed. */
 static void drop_fetched_events(struct ow_loop *loop, const struct ow_watch *watch)
 {
     for (int i = 0; i < loop->ready_count; i++) {
@@ -106,7 +106,7 @@
     double before = loop->now;
     int count = epoll_wait(loop->epoll_fd, loop->ready, BATCH_EVENTS, pause_ms);
     loop->now = steady_now();
-    /* Lateness counts from the last batch on: the process may have stood still anywhere since. */
+    /* Lateness is counted from the last batch: the process may have been paused at any point since. */
     if (loop->wake != NULL)
         loop->wake(loop->wake_owner, loop->now - before - loop->pause_s, loop->now);
     loop->ready_count = MAX(count, 0);
--- a/src/io/loop.h
+++ b/src/io/loop.h
@@ -2,13 +2,14 @@
  * The event loop: epoll on one thread, a callback for each ready descriptor, and one round after each batch.
  *
  * Invariants:
- * - All callbacks run on the thread that runs the loop, one after the other; none is called from inside
- *   ow_loop_watch, ow_loop_change or ow_loop_close.
- * - A ready callback and a round may close any watch, the one at hand included: events of it that were
- *   already fetched are dropped.
- * - Descriptors: what ow_net_listen, ow_net_connect and ow_net_accept return belongs to the caller until it
- *   stands in a watch; from then on it belongs to the watch, and ow_loop_close, the one place that closes
- *   descriptors of watches, closes it. The memory of a watch stays its caller's. */
+ *  - All callbacks run on the thread that runs the loop, one after the other; none is called from inside
+ *    ow_loop_watch, ow_loop_change or ow_loop_close.
+ *  - A ready callback and a round may close any watch, also the current one: its events that were already
+ *    fetched are dropped.
+ *  - Descriptors: what ow_net_listen, ow_net_connect and ow_net_accept return belongs to the caller until it
+ *    is set in a watch; from then on it belongs to the watch, and ow_loop_close, the one place that closes
+ *    descriptors of watches, closes it. The memory of a watch stays its caller's.
+ */
 #ifndef OW_IO_LOOP_H
 #define OW_IO_LOOP_H
 
@@ -31,13 +32,13 @@
  * @return for how many seconds the loop may wait for descriptors before the next round */
 typedef double (*ow_round_fn)(void *owner, double now);
 
-/** The loop goes on after waiting; called before the callbacks of the batch.
+/** Called when the loop has finished waiting, before the callbacks of the batch.
  *
  * Known fault: the events of the batch are fetched by then, but not counted yet. So ow_loop_close does not
  * drop those of a watch that this function closes, and its owner, freed by then, is called with them.
  * @param owner what was handed to ow_loop_on_wake; it must live as long as the loop runs
- * @param late_s how many seconds later it goes on than it meant to, from the last batch on; up to the time
- * that the last round allowed, negative
+ * @param late_s seconds since the last batch beyond the waiting time that the last round allowed; negative if
+ * the loop woke up earlier
  * @param now the steady time of the batch, in seconds */
 typedef void (*ow_wake_fn)(void *owner, double late_s, double now);
 
@@ -47,7 +48,7 @@
 void ow_loop_free(struct ow_loop *loop);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(ow_loop, ow_loop_free)
 
-/** Sets the one function that is called whenever the loop goes on; `owner` is handed to it. */
+/** Sets the function that is called whenever the loop has finished waiting; `owner` is passed to it. */
 void ow_loop_on_wake(struct ow_loop *loop, ow_wake_fn wake, void *owner);
 /** The steady time of the batch at hand, in seconds. */
 double ow_loop_now(const struct ow_loop *loop);
@@ -70,11 +71,11 @@
 bool ow_loop_watch(struct ow_loop *loop, struct ow_watch *watch, uint32_t events);
 /** Watches for these epoll events from now on, in place of the earlier ones. */
 void ow_loop_change(struct ow_loop *loop, struct ow_watch *watch, uint32_t events);
-/** Ends the watch, drops its events that are still waiting in the current batch and closes its descriptor,
- * which is OW_LOOP_NO_DESCRIPTOR afterwards. Without a descriptor nothing happens. */
+/** Ends the watch, drops its events in the rest of the current batch and closes its descriptor, which is
+ * OW_LOOP_NO_DESCRIPTOR afterwards. Without a descriptor nothing happens. */
 void ow_loop_close(struct ow_loop *loop, struct ow_watch *watch);
 
-/** Whether more descriptors may be ready than the batch at hand has: what comes waits its turn. */
+/** Whether more descriptors may be ready than the current batch holds: they are handled in later batches. */
 bool ow_loop_is_saturated(const struct ow_loop *loop);
 /** Repeats ow_loop_once for ever. */
 void ow_loop_run(struct ow_loop *loop, ow_round_fn round, void *owner);
--- a/src/io/net.c
+++ b/src/io/net.c
@@ -12,7 +12,7 @@
 enum { LISTEN_BACKLOG = 4096 };
 enum { NO_DESCRIPTOR = -1 };
 
-/* Where connections begin; family AF_UNSPEC (0): wherever the system chooses. */
+/* Source address of outgoing connections; family AF_UNSPEC (0): chosen by the system. */
 static struct sockaddr_in source;
 
 static void enable_option(int fd, int level, int option)
@@ -54,12 +54,13 @@
     source.sin_port = 0;
 }
 
-/* Where it fails the system chooses the address, which is no reason not to connect. */
+/* If bind fails the system chooses the address: the connection works all the same. */
 static void bind_to_source(int fd)
 {
     if (source.sin_family == AF_UNSPEC)
         return;
-    /* The port is chosen when connecting: ports are then scarce for each destination, not in all. */
+    /* Delays the choice of the port to connect(): the number of ports then limits the connections to each
+       destination, not all of them. */
     enable_option(fd, IPPROTO_IP, IP_BIND_ADDRESS_NO_PORT);
     if (bind(fd, (struct sockaddr *)&source, sizeof source) != 0)
         g_debug("connection does not begin at the listening address: reason=\"bind failed\"");
--- a/src/io/net.h
+++ b/src/io/net.h
@@ -6,7 +6,8 @@
  * ow_loop_close then closes it) or refuses it with ow_net_refuse. All are non-blocking, close-on-exec, and
  * send without delay (TCP_NODELAY).
  *
- * State: the address at which connections begin is one for the whole process (ow_net_set_source). */
+ * State: the source address of outgoing connections is global to the process (ow_net_set_source).
+ */
 #ifndef OW_IO_NET_H
 #define OW_IO_NET_H
 
@@ -16,8 +17,8 @@
 
 /** @return a socket that listens on ADDRESS:PORT, or -1 */
 int ow_net_listen(const char *endpoint);
-/** From now on connections begin at the address of ADDRESS:PORT, so that others can tell who connects to
- * them. What is no endpoint leaves the choice to the system again. Called once, before the loop runs. */
+/** Sets the source address of outgoing connections to that of ADDRESS:PORT, so that others can tell who
+ * connects to them. With an invalid endpoint the system chooses. Called once, before the loop runs. */
 void ow_net_set_source(const char *endpoint);
 /** Begins a connection. @return a socket that turns writable once the connection is established or has failed
  * (ow_net_connect_error tells which); -1: it could not begin */
@@ -36,7 +37,7 @@
  * @return false when the connection is broken */
 bool ow_net_flush(int fd, GString *out, size_t *sent);
 
-/** What reading from a socket came to. */
+/** The result of reading from a socket. */
 enum ow_net_reading {
     OW_NET_DATA,   /**< some bytes */
     OW_NET_LATER,  /**< none so far */
--- a/src/io/outgoing.c
+++ b/src/io/outgoing.c
@@ -13,7 +13,7 @@
 static const double STORE_TIMEOUT_S = 1.5;
 static const double CLOUD_TIMEOUT_S = 8;
 static const double WORKER_TIMEOUT_S = 3;
-/* A watch may stay open for as long as it was asked to, by the key-value store's clock, and then some. */
+/* The timeout of a watch is its requested duration, plus an allowance for clock drift and a margin. */
 static const double WATCH_DRIFT = 1.01;
 static const double WATCH_MARGIN_S = 2;
 
@@ -79,7 +79,7 @@
 {
     struct ow_event *event = ow_event_new(OW_EVENT_DIRECT_REPLY, pending->core_tag);
     event->status = status;
-    /* A worker that refuses the commands tells its state, too. */
+    /* A worker that refuses the commands also sends its state. */
     if (status == OW_HTTP_STATUS_OK || status == OW_HTTP_STATUS_CONFLICT)
         event->heartbeat = wire_heartbeat_decode(body, size);
     return event;
@@ -143,7 +143,7 @@
                         CLOUD_TIMEOUT_S, tag);
 }
 
-/* Without a socket to spare the commands go with the answer to the machine's next heartbeat. */
+/* Without a free socket the commands are sent with the reply to the machine's next heartbeat. */
 static void give_up_direct(struct ow_daemon *daemon, const struct ow_effect *effect)
 {
     struct ow_event *event = ow_event_new(OW_EVENT_DIRECT_REPLY, effect->request);
--- a/src/io/outgoing.h
+++ b/src/io/outgoing.h
@@ -2,8 +2,9 @@
  * Requests to the key-value store, the cloud and workers, and the events that their replies become. Part of
  * the daemon.
  *
- * Invariant: every request that the HTTP client was given is in the table of pending requests until its reply
- * is taken. Each ends with exactly one event. */
+ * Invariant: every request passed to the HTTP client is in the table of pending requests until its reply
+ * comes, and each leads to exactly one event.
+ */
 #ifndef OW_IO_OUTGOING_H
 #define OW_IO_OUTGOING_H
 
@@ -23,17 +24,16 @@
 void ow_pending_requests_free(struct ow_pending_requests *pending);
 
 /** Sends the request of an effect to the key-value store, the cloud or a worker. Effects that are no such
- * request are ignored. Without a socket to spare, a command for a worker ends at once with OW_STATUS_UNSENT.
- */
+ * request are ignored. Without a free socket, a command for a worker ends at once with OW_STATUS_UNSENT. */
 void ow_outgoing_send(struct ow_daemon *daemon, const struct ow_effect *effect);
-/** The reply function of the HTTP client (ow_http_reply_fn): turns a reply into an event.
+/** The reply function of the HTTP client (ow_http_reply_fn): converts a reply to an event.
  * @param owner the daemon
  * @param tag that the request was sent with
  * @param status of the response, or OW_HTTP_STATUS_NONE
  * @param body valid during the call only
  * @param size bytes of `body` */
 void ow_outgoing_take_reply(void *owner, uint64_t tag, int status, const char *body, size_t size);
-/** Leaves the HTTP client the sockets that incoming connections don't use. */
+/** Adapts the HTTP client's maximum of connections to the sockets that incoming connections leave free. */
 void ow_outgoing_bound_sockets(struct ow_daemon *daemon);
 
 #endif
--- a/src/io/peer_handlers.h
+++ b/src/io/peer_handlers.h
@@ -1,5 +1,6 @@
 /** @file
- * What the links between controllers tell their owner. Plain types, shared by the three files of the links.
+ * Callbacks from the links between controllers to their owner. Plain types, shared by the three modules of
+ * the links.
  */
 #ifndef OW_IO_PEER_HANDLERS_H
 #define OW_IO_PEER_HANDLERS_H
@@ -9,10 +10,10 @@
 /** The owner's functions. All are called from the callbacks of the event loop, never from inside a function
  * of io/peer_link.h; neither may free the links. */
 struct ow_peer_handlers {
-    /** A message has come in; the callee takes it over. */
+    /** A message has arrived; the callee takes ownership. */
     void (*take)(void *owner, struct ow_peer_message *message);
-    /** A link that was established is gone and nobody listens there any more: a hint that the process has
-     * ended, no proof. */
+    /** An established link was lost, and connecting again is refused: a hint that the process has ended, but
+     * no proof. */
     void (*lost)(void *owner, const char *endpoint);
     /** Handed to both; must live until ow_peer_links_free. */
     void *owner;
--- a/src/io/peer_incoming.c
+++ b/src/io/peer_incoming.c
@@ -11,7 +11,7 @@
     READ_BYTES = 16 * 1024,
     LENGTH_BYTES = 4, /* before each frame, in network order */
 };
-/* How long a link may be silent. */
+/* After this long without bytes a link counts as dead. */
 static const double SILENT_S = 15;
 
 struct ow_peer_incoming {
@@ -28,10 +28,10 @@
 enum frame_result {
     FRAME_TAKEN,
     FRAME_INCOMPLETE,
-    FRAME_INVALID, /* no frame of ours */
+    FRAME_INVALID, /* not a valid frame */
 };
 
-/* Hands over the message of the frame that begins at *at, and moves *at behind it. */
+/* Passes on the message of the frame that begins at *at, and moves *at past it. */
 static enum frame_result take_frame(const struct ow_peer_incoming *link, size_t *at)
 {
     size_t available = link->received->len - *at;
@@ -48,14 +48,14 @@
     struct ow_peer_message *message = NULL;
     if (!wire_peer_decode(frame + LENGTH_BYTES, length, &message))
         return FRAME_INVALID;
-    /* NULL: of a kind that only newer controllers know. */
+    /* NULL: a kind of message that only newer versions know. */
     if (message != NULL)
         link->handlers->take(link->handlers->owner, message);
     *at += LENGTH_BYTES + length;
     return FRAME_TAKEN;
 }
 
-/* Hands over all complete frames; false when what came can't be a frame of ours. */
+/* Passes on the messages of all complete frames; false if the bytes are not a valid frame. */
 static bool take_frames(struct ow_peer_incoming *link)
 {
     size_t at = 0;
--- a/src/io/peer_incoming.h
+++ b/src/io/peer_incoming.h
@@ -14,7 +14,7 @@
 
 struct ow_peer_incoming;
 
-/** The link is of no more use. The callee frees it with ow_peer_incoming_free; it isn't touched afterwards.
+/** The link has ended. The callee must free it with ow_peer_incoming_free; it isn't accessed afterwards.
  * @param owner that of ow_peer_incoming_new
  * @param link to be freed by the callee */
 typedef void (*ow_peer_incoming_end_fn)(void *owner, struct ow_peer_incoming *link);
@@ -30,7 +30,7 @@
                                               ow_peer_incoming_end_fn end, void *owner);
 /** Closes and frees the link. */
 void ow_peer_incoming_free(struct ow_peer_incoming *link);
-/** Whether nothing has come on the link for so long that the other side must be taken for gone. */
+/** Whether the link has been silent for so long that it counts as dead. */
 bool ow_peer_incoming_is_silent(const struct ow_peer_incoming *link, double now);
 
 #endif
--- a/src/io/peer_link.c
+++ b/src/io/peer_link.c
@@ -9,8 +9,8 @@
 #include <sys/epoll.h>
 
 enum {
-    INCOMING_LEAST = 32,   /* links that may come in, however few controllers there are */
-    INCOMING_PER_PEER = 4, /* for each other controller: some may be ending */
+    INCOMING_LEAST = 32,   /* minimum of permitted incoming links, however few controllers there are */
+    INCOMING_PER_PEER = 4, /* permitted incoming links per controller: old ones may still be closing */
 };
 
 struct ow_peer_links {
--- a/src/io/peer_link.h
+++ b/src/io/peer_link.h
@@ -1,9 +1,10 @@
 /** @file
- * Links between controllers: one outgoing link to each, kept up, on which we only send; and the incoming
- * links of the others, on which we only receive.
+ * Links between controllers: one outgoing link to each, reopened when lost, on which this controller only
+ * sends; and the incoming links of the others, on which it only receives.
  *
  * Nothing is acknowledged: a message may be lost, and none is kept for a controller that is away. The number
- * of incoming links is bounded. io/peer_outgoing.h and io/peer_incoming.h have the states of the links. */
+ * of incoming links is bounded. io/peer_outgoing.h and io/peer_incoming.h have the states of the links.
+ */
 #ifndef OW_IO_PEER_LINK_H
 #define OW_IO_PEER_LINK_H
 
@@ -27,15 +28,15 @@
 void ow_peer_links_free(struct ow_peer_links *links);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(ow_peer_links, ow_peer_links_free)
 
-/** Keeps a link to the controller at ADDRESS:PORT up from now on. */
+/** Adds a link to the controller at ADDRESS:PORT, and reopens it whenever it is lost. */
 void ow_peer_links_add(struct ow_peer_links *links, const char *endpoint);
-/** Sends a message as far as links are established; it is not kept for the others. A message that is too
- * large to be encoded is not sent at all, which is logged.
+/** Sends a message on the established links; it is not queued for others. A message that is too large to be
+ * encoded is not sent at all, which is logged.
  * @param links the links
  * @param message stays the caller's
  * @param endpoint of the controller that it goes to; NULL: it goes to all */
 void ow_peer_links_send(struct ow_peer_links *links, struct ow_peer_message *message, const char *endpoint);
-/** Opens lost links again and drops those that take nothing or are silent; to be called several times a
+/** Reopens lost links and closes those that make no progress or are silent; to be called several times a
  * second.
  * @param links the links
  * @param now the steady time in seconds */
--- a/src/io/peer_outgoing.c
+++ b/src/io/peer_outgoing.c
@@ -6,7 +6,7 @@
 #include <sys/epoll.h>
 #include <sys/socket.h>
 
-/* A controller that takes nothing is cut off before its backlog matters. */
+/* A link with more unsent bytes drops messages. */
 enum { BACKLOG_MAX_BYTES = 1024 * 1024 };
 /* When a link that could not be opened is tried again. */
 static const double RETRY_S = 1;
@@ -31,7 +31,7 @@
 static void close_link(struct ow_peer_outgoing *link)
 {
     ow_loop_close(link->loop, &link->watch);
-    /* A lost link is tried again at once: whether anybody listens is worth knowing. */
+    /* A lost link is reopened at once: a refused connection is the hint that the process has ended. */
     double retry_s = link->state == LINK_ESTABLISHED ? 0 : RETRY_S;
     link->retry_at = ow_loop_now(link->loop) + retry_s;
     link->state = LINK_CLOSED;
@@ -61,7 +61,7 @@
     link->handlers->lost(link->handlers->owner, link->endpoint);
 }
 
-/* The other side never speaks on this link: readable means closed. */
+/* The other side never sends on this link: readable means closed. */
 static bool is_closed_by_peer(const struct ow_peer_outgoing *link, uint32_t events)
 {
     char byte;
--- a/src/io/peer_outgoing.h
+++ b/src/io/peer_outgoing.h
@@ -22,15 +22,16 @@
 /** Begins to connect.
  * @param loop must outlive the link
  * @param endpoint copied
- * @param handlers whose `lost` is told when nobody listens any more; must outlive the link */
+ * @param handlers whose `lost` is called when connections are refused after the link was lost; must outlive
+ * the link */
 struct ow_peer_outgoing *ow_peer_outgoing_new(struct ow_loop *loop, const char *endpoint,
                                               const struct ow_peer_handlers *handlers);
 /** Closes and frees the link. */
 void ow_peer_outgoing_free(struct ow_peer_outgoing *link);
 /** Where the link leads, ADDRESS:PORT. */
 const char *ow_peer_outgoing_endpoint(const struct ow_peer_outgoing *link);
-/** Sends a frame, as much at once as the socket takes. Left out unless the link is established and its
- * backlog small enough. */
+/** Queues a frame and sends what the socket accepts. The frame is dropped unless the link is established and
+ * its backlog is small enough. */
 void ow_peer_outgoing_send(struct ow_peer_outgoing *link, const GString *frame);
 /** Closes the link if it makes no progress, and opens it if it is closed and its time has come. */
 void ow_peer_outgoing_sweep(struct ow_peer_outgoing *link, double now);
--- a/src/model/cloud.h
+++ b/src/model/cloud.h
@@ -10,7 +10,7 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** The most machine types that are used; the core keeps sets of types in the bits of a 64-bit number. */
+/** Maximum number of machine types: the core stores sets of types as bits of a 64-bit number. */
 enum { OW_MAX_TYPES = 64 };
 
 /** A machine type that the cloud offers. It owns its name and zones. */
@@ -22,13 +22,13 @@
     double price;             /**< per machine and hour, ordinary */
     double spot_price;        /**< the same as a spot instance */
     double boot_s;            /**< from provisioning to the first heartbeat, typically */
-    char **zones;             /**< where it is offered, ended by NULL; NULL: not said */
+    char **zones;             /**< where it is offered, ended by NULL; NULL: not specified */
 };
 
 /** Frees what a struct ow_machine_type holds, not the struct: the clear function of arrays of them. */
 void ow_machine_type_clear(void *type);
 
-/** What the cloud's list says of an instance. */
+/** The state of an instance in the cloud's list. */
 enum ow_listed_state {
     OW_LISTED_NOT, /**< it is not in the list, or no list has come yet */
     OW_LISTED_BOOTING,
@@ -39,7 +39,7 @@
 /** An instance in the cloud's list. It owns its texts; none is NULL. */
 struct ow_listed_machine {
     char *name;
-    char *addr; /**< host:port of its agent; empty while the cloud does not say */
+    char *addr; /**< host:port of its agent; empty while unknown */
     char *type;
     char *zone;
     bool spot;
@@ -50,7 +50,7 @@
 /** Frees what a struct ow_listed_machine holds, not the struct: the clear function of arrays of them. */
 void ow_listed_machine_clear(void *machine);
 
-/** What is asked of the cloud. */
+/** The operations of the cloud API. */
 enum ow_cloud_op { OW_CLOUD_TYPES, OW_CLOUD_LIST, OW_CLOUD_PROVISION, OW_CLOUD_TERMINATE };
 
 /** A request to the cloud. It owns its texts and lists; those of other operations are NULL or 0. */
@@ -58,9 +58,9 @@
     enum ow_cloud_op op;
     uint64_t tag; /**< comes back in the reply */
     /* OW_CLOUD_LIST */
-    char *after; /**< begin behind the machine of this name; NULL or empty: at the first */
+    char *after; /**< begin after the machine of this name; NULL or empty: at the first */
     /* OW_CLOUD_PROVISION */
-    char *name; /**< of the request: the cloud recognises a retry by it */
+    char *name; /**< name of the request, by which the cloud recognizes a retry */
     char *type;
     char *zone;
     bool spot;
--- a/src/model/effect.c
+++ b/src/model/effect.c
@@ -2,7 +2,7 @@
 
 #include "model/http_status.h"
 
-/* How long who was refused for now should wait before trying again. */
+/* Retry-After of temporary refusals, in seconds. */
 enum { RETRY_AFTER_S = 1 };
 
 struct ow_effect *ow_effect_new(enum ow_effect_kind kind, uint64_t request)
--- a/src/model/effect.h
+++ b/src/model/effect.h
@@ -1,5 +1,6 @@
 /** @file
- * Effects: what the core wants done outside, that is answers and requests to other services. Plain data.
+ * Effects: what the core wants to be done outside, as answers to requests and requests to other services.
+ * Plain data.
  *
  * An effect is owned by the array that holds it. The core only describes effects; src/io carries them out.
  */
@@ -37,10 +38,10 @@
     OW_EFFECT_PEER,            /**< send a message to other controllers */
 };
 
-/** Something to be done outside. It owns its texts and lists; those of other kinds are NULL. */
+/** An effect. It owns its texts and lists; those of other kinds are NULL. */
 struct ow_effect {
     enum ow_effect_kind kind;
-    uint64_t request; /**< the request to answer, or the tag of direct commands and of calls; 0: none */
+    uint64_t request; /**< the request to answer, or the tag of direct commands and requests; 0: none */
     int status;       /**< OW_EFFECT_JOB, TEAMS, REFUSE: the HTTP status */
     /* OW_EFFECT_JOB */
     char id[OW_ID_MAX + 1];
@@ -50,7 +51,7 @@
     char *reason; /**< why the job waits; NULL: none */
     /* OW_EFFECT_REFUSE */
     char *error;       /**< what is told */
-    int retry_after_s; /**< when to try again; 0: it is not told */
+    int retry_after_s; /**< Retry-After in seconds; 0: none */
     /* OW_EFFECT_TEAMS */
     GArray *teams; /**< struct ow_team_view */
     /* OW_EFFECT_REDIRECT */
@@ -59,7 +60,7 @@
     uint64_t fencing_token;
     GArray *commands; /**< struct ow_worker_command; NULL: none */
     /* OW_EFFECT_DIRECT_COMMANDS */
-    uint64_t incarnation; /**< of the agent that is meant; any other refuses the commands */
+    uint64_t incarnation; /**< the agent's expected incarnation: any other refuses the commands */
     char *addr;           /**< host:port of the agent */
     /* OW_EFFECT_STORE, OW_EFFECT_CLOUD, OW_EFFECT_PEER */
     struct ow_store_request *store;
--- a/src/model/event.h
+++ b/src/model/event.h
@@ -1,5 +1,5 @@
 /** @file
- * Events: what the core is told, that is requests to answer and replies to its own requests. Plain data.
+ * Events: the core's input, as requests to answer and replies to its own requests. Plain data.
  *
  * An event is owned by the queue that holds it, and freed when the core has handled it.
  */
@@ -15,8 +15,8 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** What the core is told, in the order in which a crowded queue is worked off: the safety of what runs first
- * (heartbeats, replies), then decisions about known jobs, then new ones. */
+/** The kinds of events, in the order in which queued ones are handled: first what keeps running tasks safe
+ * (heartbeats, replies), then requests about known jobs, then new jobs. */
 enum ow_event_kind {
     OW_EVENT_HEARTBEAT,    /**< an agent's heartbeat, to be answered */
     OW_EVENT_DIRECT_REPLY, /**< an agent's reply to direct commands */
@@ -29,10 +29,10 @@
     OW_EVENT_SUBMIT,       /**< a user submits a job */
 };
 
-/** The status of direct commands that were not sent at all. */
+/** The status of direct commands that were not sent. */
 enum { OW_STATUS_UNSENT = -1 };
 
-/** Something that the core is told. It owns all that it points to; what other kinds use is NULL or empty. */
+/** An event. It owns all that it points to; fields of other kinds are NULL or empty. */
 struct ow_event {
     enum ow_event_kind kind;
     uint64_t request; /**< the request to answer, or the tag of the one that is replied to */
--- a/src/model/operator_view.h
+++ b/src/model/operator_view.h
@@ -1,8 +1,8 @@
 /**
  * @file
- * What operators are told of the controllers and shards of a divided fleet, as plain data: filled in by the
- * shard manager's operator report, written as JSON by wire/sharding_json. All texts and lists are borrowed
- * from the shard manager unless it says otherwise, and good until its next step.
+ * What operators see of the controllers and shards of a divided fleet, as plain data: filled in by the shard
+ * manager's operator report, written as JSON by wire/sharding_json. All strings and lists are borrowed from
+ * the shard manager unless a comment says otherwise, and valid until its next step.
  */
 #ifndef OW_MODEL_OPERATOR_VIEW_H
 #define OW_MODEL_OPERATOR_VIEW_H
@@ -25,7 +25,7 @@
 typedef struct ow_controllers_view {
     GArray *controllers;    /**< struct ow_controller_view; owned */
     const char *difference; /**< what differs from the stored shard map; NULL: nothing, as far as is known */
-    unsigned dropped_messages; /**< of controllers, because they could not be right */
+    unsigned dropped_messages; /**< messages of controllers dropped as invalid or outdated */
 } ow_controllers_view;
 
 /** One step of the failover of a shard. */
@@ -45,7 +45,7 @@
     unsigned withheld;      /**< effects that the lease guard has kept back */
     GArray *steps;          /**< struct ow_failover_step_view, in order; owned */
     const char *leader;     /**< who leads or led last; NULL: unknown */
-    const char *successor;  /**< who would run first if nobody led it */
+    const char *successor;  /**< the first candidate if it had no leader */
 };
 
 /** An empty view; free with ow_controllers_view_free(). */
--- a/src/model/peer.h
+++ b/src/model/peer.h
@@ -1,5 +1,5 @@
 /** @file
- * Messages between controllers. Plain data; src/wire/peer.x says how they are encoded.
+ * Messages between controllers. Plain data; src/wire/peer.x defines their encoding.
  */
 #ifndef OW_MODEL_PEER_H
 #define OW_MODEL_PEER_H
@@ -22,17 +22,18 @@
     /* 8 is the kind of the envelope around a shard's messages. */
     OW_PEER_HEARTBEAT = 9,
     OW_PEER_PROBE,
-    OW_PEER_LINK_LOST = 1000, /**< never sent: the link itself says that a controller seems to have ended */
+    OW_PEER_LINK_LOST = 1000, /**< never sent: created by a link that is lost, as a hint that the controller's
+                                 process has ended */
 };
 
-/** OW_PEER_HELLO: how the sender fares, every second. */
+/** OW_PEER_HELLO: the status of the sender, sent every second. */
 struct ow_peer_hello {
     bool leads;
-    bool store_ok;            /**< the key-value store answered the sender lately */
-    bool receives_heartbeats; /**< agents came to the sender lately */
+    bool store_ok;            /**< the key-value store answered the sender recently */
+    bool receives_heartbeats; /**< the sender received heartbeats of agents recently */
 };
 
-/** How a job fares, as its leader counts. */
+/** The progress of a job, as counted by its leader. */
 struct ow_peer_job {
     char id[OW_ID_MAX + 1];
     int done;     /**< tasks; OW_UNCOUNTED: not counted */
@@ -40,7 +41,7 @@
     char *reason; /**< why it waits, owned; NULL or empty: none */
 };
 
-/** OW_PEER_SUMMARY: how some jobs fare; a leader's messages one after the other tell of all. */
+/** OW_PEER_SUMMARY: the progress of some jobs; a leader sends as many messages as all of its jobs need. */
 struct ow_peer_summary {
     GArray *jobs; /**< struct ow_peer_job */
 };
@@ -62,22 +63,22 @@
 /** OW_PEER_MACHINES: the whole list of machines. OW_PEER_MACHINES_PART: one part of it. */
 struct ow_peer_machine_list {
     GArray *machines;    /**< struct ow_peer_machine */
-    uint32_t part_index; /**< of a list in parts: which this is, from 0 */
-    uint32_t part_count; /**< of a list in parts: how many there are; 0: the part is not to be used */
+    uint32_t part_index; /**< of a list in parts: index of this part, from 0 */
+    uint32_t part_count; /**< of a list in parts: number of parts; 0: the part must not be used */
 };
 
-/** OW_PEER_CANCELLATION: a job's cancellation is committed. OW_PEER_CANCELLATION_ACK: the leader knows it,
- * and nothing of the job can start any more. */
+/** OW_PEER_CANCELLATION: a job's cancellation is committed. OW_PEER_CANCELLATION_ACK: the leader has applied
+ * it, and no task of the job can start any more. */
 struct ow_peer_cancellation {
     char job[OW_ID_MAX + 1];
-    uint64_t revision; /**< of the record that says so */
+    uint64_t revision; /**< of the record of the cancellation */
 };
 
 /** A shard that the sender of a heartbeat leads. */
 struct ow_peer_shard {
     char *name; /**< owned by the list that it is in */
     uint64_t fencing_token;
-    bool serving;      /**< it has read the records and fenced every machine that it has heard */
+    bool serving;      /**< it has read the records and fenced every machine that has sent it a heartbeat */
     unsigned machines; /**< that have sent heartbeats */
 };
 
@@ -85,7 +86,7 @@
 struct ow_peer_heartbeat {
     uint64_t incarnation; /**< tells the sender's process from earlier ones; never 0 */
     uint64_t sequence;    /**< counts the heartbeats of the process, from 1 */
-    uint64_t digest;      /**< of the settings by which shards are shared */
+    uint64_t digest;      /**< of the sharding settings */
     GArray *shards;       /**< struct ow_peer_shard */
 };
 
@@ -114,13 +115,13 @@
 struct ow_peer_message {
     enum ow_peer_kind kind;
     uint32_t version; /**< of the sender's messages and records; set where a message is received */
-    char *shard;      /**< whose controllers are meant; NULL: the only one */
-    char *addressee;  /**< the controller that it goes to, never sent; NULL: all */
-    /** The controller that sent it: of hello, heartbeat, probe and link lost; of other kinds NULL. */
+    char *shard;      /**< the shard that the message is for; NULL: the only one */
+    char *addressee;  /**< the controller that it is sent to; not part of the encoded message; NULL: all */
+    /** The controller that sent it, for hello, heartbeat, probe and link lost; NULL for other kinds. */
     char *sender;
-    /** Of hello: the highest that the sender knows, its own if it leads; of summary, machines, machines part
-     * and cancellation ack: the leader's that sends it; of cancellation: the leader's when it was recorded.
-     */
+    /** Hello: the highest that the sender knows; its own if it leads. Summary, machines, machines part and
+     * cancellation ack: that of the sending leader. Cancellation: that of the leader when the cancellation
+     * was recorded. */
     uint64_t fencing_token;
     struct ow_peer_hello hello;
     struct ow_peer_summary summary;
--- a/src/model/settings.h
+++ b/src/model/settings.h
@@ -1,8 +1,9 @@
 /** @file
- * What the platform's settings and the operators say, checked. Plain data, shared by all parts.
+ * The platform's settings and the operators' tuning parameters, after validation. Plain data, shared by all
+ * modules.
  *
- * src/config reads and checks it, owns its texts and lists, and never changes it afterwards; what others hold
- * of it they borrow. A controller that leads one of several shards has a copy with its share of the amounts.
+ * src/config reads and validates them, owns their strings and lists, and never changes them afterwards; all
+ * others borrow them. A controller that leads one of several shards has a copy with its share of the amounts.
  */
 #ifndef OW_MODEL_SETTINGS_H
 #define OW_MODEL_SETTINGS_H
@@ -16,7 +17,7 @@
     char *endpoint; /**< host:port where it takes messages of controllers */
 };
 
-/** A team and its quotas; an amount of 0 means that there is none. */
+/** A team and its quotas; 0 means no guarantee or no limit. */
 struct ow_team_settings {
     char *name;
     double cpus;     /**< guaranteed CPUs */
@@ -25,7 +26,7 @@
     double gpus_max; /**< limit of GPUs */
 };
 
-/** What a service-level objective is about. */
+/** What a service-level objective measures. */
 enum ow_slo_kind {
     OW_SLO_WAIT,     /**< jobs start soon after their submission */
     OW_SLO_FINISHED, /**< jobs are done by their deadline */
@@ -65,35 +66,34 @@
     double store_write_rps; /**< mutations a second */
     double value_kb;        /**< size of a value */
     unsigned txn_ops;       /**< operations of a transaction */
-    /* the bounds from some moment on, which comes without notice; the same as above where nothing is said */
+    /* announced bounds, which take effect at some later time without notice; default: the same as above */
     double next_write_rps;
     double next_value_kb;
     unsigned next_txn_ops;
     /* the cloud */
     double cloud_rps;  /**< requests a second */
     double list_lag_s; /**< by how much its list of machines may lag behind */
-    /* what this process may use */
+    /* resource limits of this process */
     double core_share; /**< CPU cores */
     double memory_mb;
     unsigned sockets;
 };
 
 /**
- * Tuning parameters: starting values of the design, which operators may change. Their file's reader
- * (config/operators_file.c) holds the ranges, ow_tuning_default() the defaults.
- */
+ * Tuning parameters: starting values of the design, which operators may change. config/operators_file.c has
+ * the ranges, ow_tuning_default() the defaults. */
 struct ow_tuning {
     /** How long a gang collects holds at most (D_c of docs/design/paper.md). Seconds, 0 to 5; 5. */
     double window_s;
     /** How long a hold lasts that is not renewed. Seconds, 0.5 to 600; 10. */
     double hold_life_s;
-    /** A gang that is still short of machines after this time drops its holds, and keeps its place in the
-     * queue. Seconds, 1 to 86400; 120. */
+    /** A gang that still lacks machines after this time drops its holds, but keeps its place in the queue.
+     * Seconds, 1 to 86400; 120. */
     double waiting_limit_s;
     /** How many candidates are held for each member of a gang at most. 1 to 100; 3. */
     unsigned candidates;
-    /** The lease of the leader's key in the key-value store. Shorter finds a lost leader sooner, and deposes
-     * a slow one sooner, too. Seconds, 1 to 60; 4. With shards there are further bounds
+    /** The lease of the leader's key in the key-value store. A shorter lease replaces a failed leader sooner,
+     * but also deposes a slow one sooner. Seconds, 1 to 60; 4. With shards there are further bounds
      * (sharding/sharding_settings_check.h). */
     double leader_lease_s;
 };
--- a/src/model/store.h
+++ b/src/model/store.h
@@ -3,7 +3,7 @@
  *
  * The store gives every change a revision. A key remembers the revision of its last change (`mod_revision`),
  * and a transaction compares against it: all of its mutations are carried out in one step, or none of them.
- * Nothing here sends anything: wire/store_json.h turns requests into HTTP and responses into replies.
+ * wire/store_json.h converts requests to HTTP and responses to replies.
  */
 #ifndef OW_MODEL_STORE_H
 #define OW_MODEL_STORE_H
@@ -40,7 +40,7 @@
 
 /** A request; which fields count depends on `op`. */
 struct ow_store_request {
-    uint64_t tag; /**< the caller's name for it, which the reply repeats */
+    uint64_t tag; /**< identifies the request; the reply has the same tag */
     enum ow_store_op op;
     char *key;               /**< owned; get: the key; list and watch: the prefix; else NULL */
     char *start_after_key;   /**< owned; list: only keys beyond this one; NULL: from the first */
@@ -65,7 +65,7 @@
 /** The size in bytes of the largest value that a transaction writes; 0 if it only deletes. */
 size_t ow_store_largest_value(const struct ow_store_request *request);
 
-/** A key as it was read, or a change of it. */
+/** A key with its value, or a change of a key. */
 struct ow_store_item {
     char *key;             /**< owned */
     struct json_t *value;  /**< one reference is owned; NULL: the key was deleted */
@@ -75,15 +75,15 @@
 /** A reply. */
 struct ow_store_reply {
     uint64_t tag; /**< of the request */
-    /** enum ow_http_status, or another one. NONE: no response, so the request may have been carried out, or
-       may still be. BAD_REQUEST: a transaction or a value in it is too large. CONFLICT: a comparison did not
-       hold and nothing was changed. */
+    /** enum ow_http_status, or another one. NONE: no response: the request may have been carried out, or may
+     * be later. BAD_REQUEST: a transaction or a value in it is too large. CONFLICT: a comparison did not hold
+     * and nothing was changed. */
     int status;
     uint64_t revision;  /**< of the store at the reply; of a transaction: the revision that it made */
     uint64_t lease;     /**< grant: the new lease */
     bool has_more;      /**< list: there are further pages */
     GArray *items;      /**< get, list and watch: struct ow_store_item, owned; else NULL or empty */
-    char **failed_keys; /**< conflict: keys whose comparison did not hold, owned; NULL: not told */
+    char **failed_keys; /**< conflict: keys whose comparison did not hold, owned; NULL: unknown */
 };
 
 /** Whether the reply names `key` among those whose comparison did not hold. */
--- a/src/model/submission.h
+++ b/src/model/submission.h
@@ -16,7 +16,7 @@
 /** How urgent a job is; a lower value is more urgent and may preempt a higher one. */
 enum ow_rank { OW_RANK_CRITICAL, OW_RANK_URGENT, OW_RANK_STANDARD, OW_RANK_LOW };
 
-/** How the tasks of a job belong together. */
+/** How the tasks of a job depend on each other. */
 enum ow_job_kind {
     OW_KIND_ARRAY,   /**< each task runs and ends on its own */
     OW_KIND_GANG,    /**< all tasks run at the same time, or none does */
@@ -41,8 +41,8 @@
     bool spot;                    /**< may run on machines that the cloud may reclaim */
     double estimate_s;            /**< expected duration of a task; 0 for a service */
     double checkpoint_interval_s; /**< between checkpoints that a task saves by itself; 0: it saves none */
-    double checkpoint_duration_s; /**< that saving one takes when a task is asked to stop */
-    double deadline_s;            /**< by when the job should be done, counted from its submission; 0: none */
+    double checkpoint_duration_s; /**< duration of saving one when a task is told to stop */
+    double deadline_s;            /**< time from the submission by which the job should be done; 0: none */
 };
 
 /** Frees a submission with its texts. @param submission may be NULL */
@@ -58,7 +58,7 @@
     return submission->kind == OW_KIND_GANG;
 }
 
-/** Where a job stands; done and cancelled are final. The values are stored in records and never change. */
+/** The state of a job; done and cancelled are final. The values are stored in records and never change. */
 enum ow_job_state { OW_JOB_QUEUED, OW_JOB_RUNNING, OW_JOB_DONE, OW_JOB_CANCELLED };
 
 /** A count of a job's tasks that this controller does not know. */
--- a/src/model/worker.h
+++ b/src/model/worker.h
@@ -1,5 +1,5 @@
 /** @file
- * What agents and controllers say to each other: heartbeats and commands. Plain data.
+ * Messages between agents and controllers: heartbeats and commands. Plain data.
  */
 #ifndef OW_MODEL_WORKER_H
 #define OW_MODEL_WORKER_H
@@ -10,9 +10,9 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** How far an attempt of a task has come on its machine. */
+/** The phase of an attempt on its machine. */
 enum ow_task_phase {
-    OW_PHASE_FETCHING, /**< its image is on the way */
+    OW_PHASE_FETCHING, /**< its image is being fetched */
     OW_PHASE_WAITING,  /**< a gang's task waits for the others */
     OW_PHASE_RUNNING,
     OW_PHASE_CHECKPOINTING, /**< it was told to stop and saves a checkpoint */
@@ -26,16 +26,16 @@
     OW_CAUSE_STOPPED,    /**< a command stopped it */
     OW_CAUSE_PEERS,      /**< a gang's task: another one is gone */
     OW_CAUSE_INCOMPLETE, /**< a gang's task: the gang was not complete in time */
-    OW_CAUSE_ERROR,      /**< the task failed, or the cause is not one that we know */
-    OW_CAUSE_FULL,       /**< start refused: too little is free on the machine */
-    OW_CAUSE_BUSY,       /**< start refused: the task is there with another attempt */
+    OW_CAUSE_ERROR,      /**< the task failed, or the cause is unknown to this version */
+    OW_CAUSE_FULL,       /**< start refused: the machine lacks free resources */
+    OW_CAUSE_BUSY,       /**< start refused: another attempt of the task exists there */
     OW_CAUSE_UNKNOWN,    /**< start refused: no such job or task */
 };
 
 /** The cause as one word for log lines. @return a static text */
 const char *ow_exit_cause_name(enum ow_exit_cause cause);
 
-/** What a heartbeat says of one attempt of a task. */
+/** The status of one attempt in a heartbeat. */
 struct ow_task_status {
     char job[OW_ID_MAX + 1];
     uint32_t task; /**< its number in the job, from 0 */
@@ -53,7 +53,7 @@
     char *zone;
     bool spot;
     uint64_t incarnation;    /**< of the agent; grows whenever its lease expires */
-    uint64_t sequence;       /**< grows with every message of an incarnation: the greater one is the newer */
+    uint64_t sequence;       /**< increases with every message of an incarnation; the higher one is newer */
     uint64_t fencing_token;  /**< the highest that the agent has seen; 0: none */
     double reclaim_notice_s; /**< until the cloud reclaims the machine; negative: no notice */
     GArray *tasks;           /**< struct ow_task_status: every attempt on the machine */
@@ -66,7 +66,7 @@
 typedef struct ow_heartbeat ow_heartbeat;
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(ow_heartbeat, ow_heartbeat_free)
 
-/** What an agent is told to do with an attempt. */
+/** What a command does with an attempt. */
 enum ow_worker_command_kind {
     OW_WORKER_LAUNCH,
     OW_WORKER_STOP,
--- a/src/sharding/candidacy.c
+++ b/src/sharding/candidacy.c
@@ -1,20 +1,21 @@
 #include "sharding/candidacy.h"
 
-/* A controller that may run for a shard. */
+/* A controller that may become leader of a shard. */
 struct candidate {
     const char *name;
     unsigned led_count; /* shards that it leads already */
 };
 
-/* Mixes the bits of a hash; the multiplier is that of a well-known integer finalizer. */
+/* Constants of an integer hash finalizer (multiply and xor-shift). */
 enum { MIX_MULTIPLIER = 0x45d9f3b, MIX_SHIFT = 16 };
 
-/* Rendezvous hashing: among equals, each shard has an order of its own; the lowest hash comes first. */
+/* Rendezvous hashing: each shard has its own order of candidates with equal load; the lowest hash comes
+   first. */
 static guint rendezvous_hash(const char *controller, const char *shard)
 {
     g_autofree char *both = g_strconcat(controller, "/", shard, NULL);
     guint hash = g_str_hash(both);
-    /* Names that differ in the last letter have neighbouring hashes: the bits are mixed. */
+    /* g_str_hash() gives adjacent hashes to names that differ in the last letter, so the bits are mixed. */
     hash ^= hash >> MIX_SHIFT;
     hash *= (guint)MIX_MULTIPLIER;
     hash ^= hash >> MIX_SHIFT;
--- a/src/sharding/dropped_messages.h
+++ b/src/sharding/dropped_messages.h
@@ -1,15 +1,15 @@
 /**
  * @file
- * Counts messages of other controllers that could not be right and were dropped, and logs some of them.
+ * Counts and logs messages of other controllers that were invalid or outdated and have been dropped.
  */
 #ifndef OW_SHARDING_DROPPED_MESSAGES_H
 #define OW_SHARDING_DROPPED_MESSAGES_H
 
-/** Why a message does not count. */
+/** Why a message is dropped. */
 enum ow_drop_cause {
-    OW_DROP_NONE,               /**< it counts */
+    OW_DROP_NONE,               /**< it is not dropped */
     OW_DROP_UNKNOWN_SENDER,     /**< its sender is not in the settings */
-    OW_DROP_NO_INCARNATION,     /**< it names no process */
+    OW_DROP_NO_INCARNATION,     /**< it has no incarnation */
     OW_DROP_OLD_INCARNATION,    /**< it is of an earlier process of the sender */
     OW_DROP_OLD_SEQUENCE,       /**< it is not newer than the last one */
     OW_DROP_MISADDRESSED_PROBE, /**< a step of a probe that is not for this controller */
--- a/src/sharding/effect_guard.c
+++ b/src/sharding/effect_guard.c
@@ -4,7 +4,7 @@
 #include "model/http_status.h"
 #include "model/worker.h"
 
-/* Whether there were any. */
+/* Returns whether there were any. */
 static bool remove_launches(GArray *commands)
 {
     guint before = commands->len;
@@ -18,7 +18,7 @@
 {
     if (lease == OW_LEASE_EXPIRED)
         return remove_launches(effect->commands);
-    /* The worker turns to another controller, as it does when one is not entitled to act. */
+    /* The worker tries another controller, as after any 503. */
     ow_effect_refuse_temporarily(effect, "this controller does not know whether it still leads");
     return true;
 }
@@ -36,7 +36,7 @@
 {
     if (effect->cloud->op == OW_CLOUD_TYPES || effect->cloud->op == OW_CLOUD_LIST)
         return false;
-    /* The core takes a 503 for a request that was not carried out, and repeats it. */
+    /* The core knows that a 503 was not carried out, and sends the request again. */
     *reply = ow_event_new(OW_EVENT_CLOUD, effect->cloud->tag);
     (*reply)->cloud.status = OW_HTTP_STATUS_UNAVAILABLE;
     return true;
--- a/src/sharding/effect_guard.h
+++ b/src/sharding/effect_guard.h
@@ -1,7 +1,8 @@
 /**
  * @file
- * Takes out of an effect what the lease of its leader does not cover. Writes and answers to users pass:
- * writes are compared with the leader key by the store, and answers rest on reads of the store.
+ * Removes from an effect what must not leave without a valid lease. Writes and answers to users are not
+ * restricted: the store rejects writes of a deposed leader by their compare on the leader key, and answers
+ * are based on reads of the store.
  */
 #ifndef OW_SHARDING_EFFECT_GUARD_H
 #define OW_SHARDING_EFFECT_GUARD_H
@@ -13,12 +14,11 @@
 #include <stdbool.h>
 
 /**
- * Takes out of the effect what may not leave in this state of the lease, which is not OW_LEASE_HELD. `*reply`
- * is set to the event that the core gets in place of the effect, owned by the caller, where the effect must
- * not leave at all; NULL: what is left of the effect may leave.
+ * Removes from the effect what must not leave in this state of the lease, which is not OW_LEASE_HELD. If the
+ * effect must not leave at all, `*reply` is set to the event that the core gets instead, owned by the caller;
+ * NULL: the rest of the effect may leave.
  *
- * @return whether something was taken out.
- */
+ * @return whether anything was removed. */
 bool ow_effect_guard_apply(struct ow_effect *effect, enum ow_lease_state lease, struct ow_event **reply);
 
 #endif
--- a/src/sharding/failover_log.c
+++ b/src/sharding/failover_log.c
@@ -9,7 +9,7 @@
     g_free(step->cause);
 }
 
-/* Takes over `cause`. */
+/* Takes ownership of `cause`. */
 /* NOLINTNEXTLINE(readability-non-const-parameter): it is freed later */
 static void add_step(struct ow_failover_log *log, enum ow_failover_phase phase, double now, char *cause)
 {
@@ -100,7 +100,7 @@
 
 /* ---- updates ---- */
 
-/* Machines that come later make no new phase of a shard that this controller already serves. */
+/* A machine that joins while this controller serves the shard does not reset the phase to RECORDS_READ. */
 static bool is_late_machine(const struct ow_failover_log *log,
                             const struct ow_failover_observation *observation, enum ow_failover_phase phase)
 {
@@ -129,7 +129,7 @@
     note_first_sign(log, phase, now);
 }
 
-/* The clock was not known when the log was made. */
+/* The time was not known when the log was initialized. */
 static void date_first_step(struct ow_failover_log *log, double now)
 {
     struct ow_failover_step *first = &g_array_index(log->steps, struct ow_failover_step, 0);
--- a/src/sharding/failover_log.h
+++ b/src/sharding/failover_log.h
@@ -1,7 +1,7 @@
 /**
  * @file
  * The steps of a shard's failovers from one leader to the next, as this controller sees them, each with its
- * time and cause. Nothing is decided here: the log is for operators, users and measurements.
+ * time and cause. No decision depends on it: the log is for operators, users and measurements.
  */
 #ifndef OW_SHARDING_FAILOVER_LOG_H
 #define OW_SHARDING_FAILOVER_LOG_H
@@ -12,12 +12,12 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** How far a shard is on its way to a leader. */
+/** The phases of a shard's failover. */
 enum ow_failover_phase {
-    OW_FAILOVER_UNKNOWN,       /**< this controller does not know yet who leads */
+    OW_FAILOVER_UNKNOWN,       /**< the leader is not known yet */
     OW_FAILOVER_LED_ELSEWHERE, /**< another controller leads */
-    OW_FAILOVER_SUSPECTED,     /**< another one leads, and is suspected */
-    OW_FAILOVER_LEASE_EXPIRED, /**< the key-value store shows that nobody leads */
+    OW_FAILOVER_SUSPECTED,     /**< another controller leads, and is suspected to have failed */
+    OW_FAILOVER_LEASE_EXPIRED, /**< the leader key does not exist */
     OW_FAILOVER_KEY_TAKEN,     /**< our transaction has committed: the earlier leader is deposed, we lead */
     OW_FAILOVER_RECORDS_READ,  /**< we lead, and have read the records */
     OW_FAILOVER_SERVING,       /**< we lead, and every machine that sends heartbeats has seen our token */
@@ -38,7 +38,7 @@
     double first_sign_at;   /**< of the failover under way: first sign that the leader is gone; 0: none */
 };
 
-/** What the phase follows from. Everything is borrowed. */
+/** What the phase is derived from. Everything is borrowed. */
 struct ow_failover_observation {
     const char *self;
     const char *leader_name;        /**< who leads as far as known, or NULL */
@@ -46,12 +46,12 @@
     uint64_t fencing_token;         /**< ours; 0: we do not lead */
     bool is_key_missing;            /**< the key-value store has shown that nobody holds the leader key */
     bool are_records_read;
-    bool is_settled;   /**< every live machine has had the time to send us a heartbeat */
+    bool is_settled;   /**< we have led long enough for every live machine to send us a heartbeat */
     unsigned machines; /**< that have sent a heartbeat */
     unsigned fenced;   /**< of them, those that have seen our fencing token */
 };
 
-/** Makes it a log with one step of an unknown phase, which the first update dates. */
+/** Initializes a log with one step of phase OW_FAILOVER_UNKNOWN; the first update sets its time. */
 void ow_failover_log_init(struct ow_failover_log *log);
 /** Frees what it holds. */
 void ow_failover_log_clear(struct ow_failover_log *log);
--- a/src/sharding/indirect_probe.c
+++ b/src/sharding/indirect_probe.c
@@ -37,7 +37,7 @@
     target->probed_at = now;
     target->relays = 0;
     for (guint i = 0; i < members->len && target->relays < prober->relays_max; i++) {
-        /* Each probe begins with another member, so that not the same relays are asked every time. */
+        /* Each probe starts at another member, so that probes spread over all relays. */
         guint index = (guint)((i + target->probe_number) % members->len);
         const struct ow_member *relay = g_ptr_array_index(members, index);
         if (relay == target || relay->state != OW_MEMBER_ALIVE)
--- a/src/sharding/indirect_probe.h
+++ b/src/sharding/indirect_probe.h
@@ -1,7 +1,7 @@
 /**
  * @file
- * Indirect probes, as in SWIM: before a silent controller is suspected, others are asked whether they reach
- * it. Steps: origin -> relay (request) -> target (ping) -> relay (ack) -> origin (relayed).
+ * Indirect probes, as in SWIM: before a silent controller is suspected, other controllers are asked to
+ * contact it. Steps: origin -> relay (request) -> target (ping) -> relay (ack) -> origin (relayed).
  */
 #ifndef OW_SHARDING_INDIRECT_PROBE_H
 #define OW_SHARDING_INDIRECT_PROBE_H
@@ -13,7 +13,7 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** What probing needs; part of the membership, which owns the members. */
+/** The state of probing; part of the membership, which owns the members. */
 struct ow_indirect_prober {
     const char *self;         /**< this controller's name; borrowed */
     const GPtrArray *members; /**< struct ow_member; borrowed */
@@ -27,10 +27,9 @@
                              GPtrArray *out);
 
 /**
- * Takes a step of a probe: passes it on, or notes that a relay reaches the target.
+ * Handles a step of a probe: sends the next step, or records that a relay reaches the target.
  *
- * @return false if this controller has no part in that step: the message is to be dropped.
- */
+ * @return false if this controller has no part in that step: the message is to be dropped. */
 bool ow_indirect_probe_receive(const struct ow_indirect_prober *prober, const struct ow_peer_probe *probe,
                                double now, GPtrArray *out);
 
--- a/src/sharding/lease_guard.c
+++ b/src/sharding/lease_guard.c
@@ -3,7 +3,8 @@
 #include "model/http_status.h"
 #include "util/clock_drift.h"
 
-/* Beyond the drift of the key-value store's clock: an effect may need as long from the check to the wire. */
+/* Safety margin beyond clock drift: upper bound for the time from the check until the effect is on the wire.
+ */
 static const double MARGIN_S = 0.1;
 
 void ow_lease_guard_init(struct ow_lease_guard *guard, double lease_s)
@@ -22,9 +23,10 @@
     if (tag != guard->renewal_tag || status == OW_HTTP_STATUS_NONE)
         return;
     guard->renewal_tag = 0;
-    /* A reply may have lain in a socket during a pause: it counts from when its request was sent. */
+    /* The reply may have waited in the socket during a pause, so it proves contact only for when its request
+       was sent. */
     guard->answered_sent_at = guard->renewal_sent_at;
-    /* The store may have begun the lease as soon as the request was sent. */
+    /* The store may have started the lease as early as when the request was sent. */
     if (status == OW_HTTP_STATUS_OK)
         guard->held_until = guard->renewal_sent_at + ow_clock_drift_shortest_s(guard->lease_s) - MARGIN_S;
 }
@@ -36,7 +38,8 @@
 
 enum ow_lease_state ow_lease_guard_state(const struct ow_lease_guard *guard, double now)
 {
-#ifndef OW_FAULT_NO_LEASE_CHECK /* planted by tests/loopback, to see that its checker notices */
+#ifndef OW_FAULT_NO_LEASE_CHECK /* fault injection: tests/loopback verifies that its checker detects the     \
+                                   missing guard */
     if (now < guard->held_until)
         return OW_LEASE_HELD;
     return guard->answered_sent_at >= guard->resumed_at ? OW_LEASE_EXPIRED : OW_LEASE_UNPROVEN;
--- a/src/sharding/map_agreement.c
+++ b/src/sharding/map_agreement.c
@@ -9,12 +9,13 @@
 
 /* The key of the map. */
 #define MAP_KEY "shards"
-/* Who holds the leader key of a fleet that is divided: a controller without shards then never takes it. */
+/* Holder of the unprefixed leader key of a divided fleet: keeps controllers without sharding settings from
+   taking it. */
 #define DIVIDED_NAME "(divided into shards)"
 
 /* How often the stored map is compared again. */
 static const double COMPARE_INTERVAL_S = 10;
-/* How long a failed request waits for the next one. */
+/* Pause after a failed request. */
 static const double RETRY_INTERVAL_S = 0.5;
 
 enum agreement_state {
@@ -71,7 +72,8 @@
     ow_store_put(request, MAP_KEY, wire_shard_map_encode(agreement->values), 0);
     if (agreement->has_only_default_shard)
         return request;
-    /* Records without shards would be lost from sight, and their machines would get two owners. */
+    /* Otherwise the records without a shard prefix would be ignored, and their machines would get a second
+       owner. */
     ow_store_compare(request, OW_KEY_TYPES, 0);
     ow_store_compare(request, OW_KEY_FORMAT, 0);
     ow_store_compare(request, OW_KEY_LEADER, 0);
@@ -93,7 +95,7 @@
 
 /* ---- replies ---- */
 
-/* Takes over `difference`; NULL: the settings agree. */
+/* Takes ownership of `difference`; NULL: the settings agree. */
 static void conclude(struct ow_map_agreement *agreement, char *difference)
 {
     if (g_strcmp0(difference, agreement->difference) != 0)
@@ -144,7 +146,7 @@
         explain_conflict(agreement, reply);
         return;
     }
-    /* Also without a response: it is read whether the map was stored. */
+    /* Also without a response: reading the map shows whether it was stored. */
     agreement->state = AGREEMENT_READING;
     if (reply->status == OW_HTTP_STATUS_OK)
         agreement->next_request_at = now;
--- a/src/sharding/map_agreement.h
+++ b/src/sharding/map_agreement.h
@@ -1,10 +1,10 @@
 /**
  * @file
- * The shard map in the key-value store: the first controller stores the values that its settings say, and
- * every controller takes leader keys only while its own are the same.
+ * The shard map in the key-value store: the first controller stores the values of its settings, and a
+ * controller takes leader keys only while its own values are equal.
  *
- * Invariant: a stored map is never changed. A machine or job that moved between shards with a lease still
- * running could be started twice. No I/O: requests are added to an array.
+ * Invariant: a stored map is never changed. If machines or jobs moved between shards while a lease is valid,
+ * tasks could be started twice. No I/O: requests are added to an array.
  */
 #ifndef OW_SHARDING_MAP_AGREEMENT_H
 #define OW_SHARDING_MAP_AGREEMENT_H
@@ -18,8 +18,9 @@
 /** The comparison of our shard map with the stored one. */
 typedef struct ow_map_agreement ow_map_agreement;
 
-/** An agreement that has not been compared yet. `values` are ours, name -> value (shard_map.h), and taken
- * over. A map that has only the default shard may be laid over a fleet that has been in use without one. */
+/** Creates an agreement that has not been compared yet. Takes ownership of `values`, which are ours: name ->
+ * value (shard_map.h). Only a map with nothing but the default shard may be created for a fleet that has been
+ * in use without shards. */
 struct ow_map_agreement *ow_map_agreement_new(GHashTable *values, bool has_only_default_shard);
 /** NULL is not allowed. */
 void ow_map_agreement_free(struct ow_map_agreement *agreement);
@@ -28,11 +29,11 @@
 /** Appends the request that is due, if one is, to `out` as a struct ow_effect; its reply is to be handed to
  * ow_map_agreement_receive(). */
 void ow_map_agreement_tick(struct ow_map_agreement *agreement, double now, uint64_t tag, GPtrArray *out);
-/** Takes the reply to the request under way. */
+/** Handles the reply to the request in flight. */
 void ow_map_agreement_receive(struct ow_map_agreement *agreement, const struct ow_store_reply *reply,
                               double now);
-/** Whether our map is the stored one, so that this controller may take leader keys. What it leads already, it
- * goes on leading. */
+/** Whether our map equals the stored one, so that this controller may take leader keys. A difference does not
+ * end terms that have begun. */
 bool ow_map_agreement_is_reached(const struct ow_map_agreement *agreement);
 /** What differs from the stored map, in words, owned by the agreement; NULL: nothing, as far as is known. */
 const char *ow_map_agreement_difference(const struct ow_map_agreement *agreement);
--- a/src/sharding/member.h
+++ b/src/sharding/member.h
@@ -1,7 +1,7 @@
 /**
  * @file
- * What this controller knows of one other controller: whether it is alive, which process of it was heard
- * last, and which shards it says that it leads. Owned by the membership; others read it.
+ * What this controller knows of one other controller: liveness, incarnation, and the shards that it announces
+ * as led by it. Owned by the membership; others read it.
  */
 #ifndef OW_SHARDING_MEMBER_H
 #define OW_SHARDING_MEMBER_H
@@ -13,16 +13,16 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** How alive a controller is, as this one sees it; as in SWIM, with indirect probes before a suspicion. */
+/** The liveness of a controller as seen by this one: as in SWIM, with indirect probes before a suspicion. */
 enum ow_member_state {
     OW_MEMBER_UNKNOWN,        /**< no heartbeat has come since this controller started */
     OW_MEMBER_ALIVE,          /**< its heartbeats arrive */
-    OW_MEMBER_PROBING,        /**< unusually silent: others are asked whether they reach it */
-    OW_MEMBER_ALIVE_BY_RELAY, /**< out of our reach, but another controller reaches it */
+    OW_MEMBER_PROBING,        /**< unusually silent: an indirect probe is in flight */
+    OW_MEMBER_ALIVE_BY_RELAY, /**< can't be reached from here, but another controller reaches it */
     OW_MEMBER_SUSPECTED,      /**< nobody who was asked reaches it */
 };
 
-/** How many earlier processes of a controller are remembered, so that their late messages are told apart. */
+/** How many earlier incarnations of a controller are remembered, to drop their delayed messages. */
 enum { OW_MEMBER_OLD_INCARNATIONS = 8 };
 
 /** Another controller. Times are seconds of the monotonic clock. */
@@ -46,9 +46,9 @@
 
 /** A controller that has not been heard yet. `name` must outlive it; free with ow_member_free(). */
 struct ow_member *ow_member_new(const char *name, double expected_interval_s);
-/** Frees a struct ow_member; of this form to be the free function of an array. NULL is not allowed. */
+/** Frees a struct ow_member; a GDestroyNotify for arrays. NULL is not allowed. */
 void ow_member_free(void *item);
-/** Changes the state, and logs it if it is another one. Takes over `cause`. */
+/** Sets the state, and logs a change. Takes ownership of `cause`. */
 void ow_member_set_state(struct ow_member *member, enum ow_member_state state, double now, char *cause);
 /** Whether it is heard by us or by another controller. */
 bool ow_member_is_live(const struct ow_member *member);
--- a/src/sharding/membership.c
+++ b/src/sharding/membership.c
@@ -4,13 +4,13 @@
 #include "sharding/indirect_probe.h"
 #include "sharding/peer_heartbeats.h"
 
-/* A gap between ticks longer than so many heartbeat intervals is a pause of this process, and is not held
-   against the others. */
+/* A gap between ticks longer than this many heartbeat intervals is a pause of this process, and is not
+   counted as silence of others. */
 static const double PAUSE_HEARTBEATS = 2;
-/* A controller out of reach or suspected is probed again after so many time-outs of a probe. */
+/* An unreachable or suspected controller is probed again after this many probe timeouts. */
 static const double PROBE_AGAIN_TIMEOUTS = 3;
-/* So long after the start, controllers that have not been heard yet may be starting as well: whoever is first
-   must not take every shard. */
+/* For this long after the start, controllers that have not been heard count as starting, too, so that the
+   first one to start does not take every shard. */
 static const double STARTING_S = 5;
 
 struct ow_membership {
@@ -49,7 +49,7 @@
     g_free(membership);
 }
 
-/* ---- what others ask ---- */
+/* ---- queries ---- */
 
 const GPtrArray *ow_membership_members(const struct ow_membership *membership)
 {
@@ -97,9 +97,10 @@
         ow_dropped_messages_add(&membership->dropped, now, message->sender, cause);
 }
 
-/* ---- judgement ---- */
+/* ---- failure detection ---- */
 
-/* While this process was paused nothing could be heard: that is no silence of the others. */
+/* While this process was paused it could not receive anything: that time is not counted as silence of others.
+ */
 static void exclude_own_pause(struct ow_membership *membership, double now)
 {
     double gap_s = membership->ticked_at > 0 ? now - membership->ticked_at : 0;
--- a/src/sharding/membership.h
+++ b/src/sharding/membership.h
@@ -1,10 +1,11 @@
 /**
  * @file
- * Which other controllers are alive, as this one sees it: heartbeats judged by a phi accrual failure
- * detector, and indirect probes through other controllers before one is suspected.
+ * Tracks which other controllers are alive: a phi accrual failure detector for each, and indirect probes
+ * through other controllers before one is suspected.
  *
- * Invariant: a suspicion is a hint, and nothing that can't be undone may rest on it; only the key-value store
- * says whether a leader's lease has expired. No clock and no I/O: messages to be sent are added to an array.
+ * Invariant: a suspicion is only a hint, and no irreversible action may depend on it; only the key-value
+ * store decides whether a leader's lease has expired. No clock and no I/O: messages to be sent are added to
+ * an array.
  */
 #ifndef OW_SHARDING_MEMBERSHIP_H
 #define OW_SHARDING_MEMBERSHIP_H
@@ -35,13 +36,13 @@
 void ow_membership_free(struct ow_membership *membership);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(ow_membership, ow_membership_free)
 
-/** Adds the messages that are due to `out`, which owns them, and judges every controller. `led_shards`
- * (struct ow_peer_shard) is what this controller leads. To be called at least a few times per heartbeat
+/** Appends the messages that are due to `out`, which owns them, and updates the state of every controller.
+ * `led_shards` (struct ow_peer_shard) is what this controller leads. Must be called a few times per heartbeat
  * interval: a longer gap counts as a pause of this process. */
 void ow_membership_tick(struct ow_membership *membership, double now, const GArray *led_shards,
                         GPtrArray *out);
-/** Takes a heartbeat or a step of a probe; replies are added to `out`, which owns them. What can't be right
- * is dropped and counted. */
+/** Handles a heartbeat or a step of a probe; appends replies to `out`, which owns them. Invalid and outdated
+ * messages are dropped and counted. */
 void ow_membership_receive(struct ow_membership *membership, double now,
                            const struct ow_peer_message *message, GPtrArray *out);
 
@@ -49,10 +50,10 @@
 const GPtrArray *ow_membership_members(const struct ow_membership *membership);
 /** The controller of this name, or NULL; `name` may be NULL. */
 const struct ow_member *ow_membership_find(const struct ow_membership *membership, const char *name);
-/** Whether it counts as able to lead: heard by us or by another controller, or not heard yet while we have
- * only just started ourselves. */
+/** Whether the controller counts as able to lead: alive, directly or by relay, or not heard yet while this
+ * process has only just started. */
 bool ow_membership_may_lead(const struct ow_membership *membership, const struct ow_member *member);
-/** How many messages were dropped because they could not be right. */
+/** Number of messages dropped as invalid or outdated. */
 unsigned ow_membership_dropped_count(const struct ow_membership *membership);
 
 #endif
--- a/src/sharding/operator_report.h
+++ b/src/sharding/operator_report.h
@@ -1,7 +1,7 @@
 /**
  * @file
- * What operators are told of the controllers and shards of a divided fleet, as JSON text. Only for a manager
- * of a divided fleet (ow_shard_manager_is_sharded()).
+ * Describes the controllers and shards of a divided fleet for operators, as JSON text. Only for a manager of
+ * a divided fleet (ow_shard_manager_is_sharded()).
  */
 #ifndef OW_SHARDING_OPERATOR_REPORT_H
 #define OW_SHARDING_OPERATOR_REPORT_H
--- a/src/sharding/peer_heartbeats.c
+++ b/src/sharding/peer_heartbeats.c
@@ -51,7 +51,8 @@
     ow_phi_detector_forget_intervals(&member->detector);
 }
 
-/* Warns once per digest; the map agreement is what keeps controllers with other settings from leading. */
+/* Warns once per digest. This is only a diagnosis: the map agreement keeps controllers with other settings
+   from leading. */
 static void note_settings_digest(const struct ow_heartbeat_source *self, struct ow_member *member,
                                  uint64_t digest)
 {
--- a/src/sharding/peer_heartbeats.h
+++ b/src/sharding/peer_heartbeats.h
@@ -1,7 +1,7 @@
 /**
  * @file
- * Heartbeats between controllers: the ones that this controller sends, and what one of another changes in
- * what is known of it. Heartbeats of earlier processes and late ones don't count.
+ * Heartbeats between controllers: creates those of this controller, and applies received ones to the member
+ * that sent them. Heartbeats of earlier incarnations and delayed ones are dropped.
  */
 #ifndef OW_SHARDING_PEER_HEARTBEATS_H
 #define OW_SHARDING_PEER_HEARTBEATS_H
@@ -13,7 +13,7 @@
 #include <glib.h>
 #include <stdint.h>
 
-/** What this controller's heartbeats say of itself. */
+/** The contents of this controller's heartbeats. */
 struct ow_heartbeat_source {
     const char *name;         /**< this controller; borrowed */
     uint64_t incarnation;     /**< of this process; not 0 */
@@ -25,10 +25,9 @@
 struct ow_peer_message *ow_peer_heartbeat_new(struct ow_heartbeat_source *self, const GArray *led_shards);
 
 /**
- * Takes a heartbeat of `sender` into what is known of it.
+ * Applies a heartbeat of `sender` to what is known of it.
  *
- * @return OW_DROP_NONE, or why it does not count; nothing has changed then.
- */
+ * @return OW_DROP_NONE, or why it was dropped; nothing has changed then. */
 enum ow_drop_cause ow_peer_heartbeat_receive(const struct ow_heartbeat_source *self, struct ow_member *sender,
                                              const struct ow_peer_heartbeat *heartbeat, double now);
 
--- a/src/sharding/phi_detector.c
+++ b/src/sharding/phi_detector.c
@@ -2,14 +2,14 @@
 
 #include <math.h>
 
-/* The deviation counts as at least this share of the mean: very regular heartbeats say little about the first
-   late one. */
+/* Lower bound of the deviation, as a share of the mean: with very regular heartbeats a slight delay would
+   otherwise raise phi steeply. */
 static const double DEVIATION_SHARE_MIN = 0.25;
-/* Before so many intervals have been seen the expected one counts, with its full length as deviation. */
+/* Until this many intervals have been seen, the expected interval is used as mean and as deviation. */
 enum { INTERVALS_MIN = 5 };
-/* An interval counts as at most so many times the mean. */
+/* Upper bound of an interval that is added, as a multiple of the mean. */
 static const double INTERVAL_GROWTH_MAX = 3;
-/* Beyond this the probability is too small for a double. */
+/* Upper bound of phi: beyond it the probability underflows a double. */
 static const double PHI_MAX = 300;
 
 void ow_phi_detector_init(struct ow_phi_detector *detector, double expected_interval_s)
@@ -17,7 +17,7 @@
     *detector = (struct ow_phi_detector){.expected_interval_s = expected_interval_s, .last_heartbeat_at = -1};
 }
 
-/* The distribution of the intervals, taken as normal. */
+/* Estimates the parameters of a normal distribution of the intervals. */
 static void estimate(const struct ow_phi_detector *detector, double *mean_s, double *deviation_s)
 {
     if (detector->count < INTERVALS_MIN) {
@@ -36,8 +36,8 @@
     double mean_s = 0;
     double deviation_s = 0;
     estimate(detector, &mean_s, &deviation_s);
-    /* A failure is no sample of the network: taken whole, one long silence would hide the next for as long as
-       it stays in the history. A network that has really become slower is followed in steps. */
+    /* A long silence is a failure and no sample of network latency: unbounded, it would raise the mean so
+       much that the next failure is detected late. A network that is really slower is followed in steps. */
     interval_s = fmin(interval_s, INTERVAL_GROWTH_MAX * mean_s);
     if (detector->count == OW_PHI_HISTORY) {
         detector->sum_s -= *slot;
--- a/src/sharding/phi_detector.h
+++ b/src/sharding/phi_detector.h
@@ -1,8 +1,9 @@
 /**
  * @file
- * A phi accrual failure detector for one peer: from the intervals between its heartbeats it tells how unusual
- * the present silence is, as phi = -log10(probability that a heartbeat still comes). No clock and no I/O: all
- * times are seconds of the caller's monotonic clock. The struct is plain data of its owner; nothing is freed.
+ * A phi accrual failure detector for one peer: from the intervals between its heartbeats it computes how
+ * unlikely the present silence is, as phi = -log10(probability that a heartbeat still comes). No clock and no
+ * I/O: all times are seconds of the caller's monotonic clock. The struct is plain data of its owner; nothing
+ * is freed.
  */
 #ifndef OW_SHARDING_PHI_DETECTOR_H
 #define OW_SHARDING_PHI_DETECTOR_H
@@ -21,13 +22,13 @@
     double last_heartbeat_at;           /**< negative: none has come */
 };
 
-/** Makes it a detector that has not heard anything. */
+/** Initializes a detector that has not received any heartbeat. */
 void ow_phi_detector_init(struct ow_phi_detector *detector, double expected_interval_s);
 /** A heartbeat has come. */
 void ow_phi_detector_add_heartbeat(struct ow_phi_detector *detector, double now);
-/** This process itself was paused for `pause_s` seconds: that part of the silence is not the peer's. */
+/** Subtracts a pause of this process from the silence of the peer. */
 void ow_phi_detector_exclude_pause(struct ow_phi_detector *detector, double pause_s);
-/** Forgets all intervals, as the peer's process is another one; the silence still counts from its last
+/** Forgets all intervals, because the peer has restarted; the silence is still counted from its last
  * heartbeat. */
 void ow_phi_detector_forget_intervals(struct ow_phi_detector *detector);
 /** The present phi, from 0 to 300; 0 while the silence is not unusual, or nothing has ever been heard. */
--- a/src/sharding/request_router.c
+++ b/src/sharding/request_router.c
@@ -5,12 +5,12 @@
 #include "sharding/shard_map.h"
 #include "sharding/shard_query.h"
 
-/* Queries to all shards have request numbers of their own, which no request of a user has. */
+/* Marks the request numbers of queries to all shards; requests of users never have this bit. */
 static const uint64_t QUERY_BIT = 1ULL << 63;
-/* Users don't wait longer for an answer. */
+/* Pending queries and submissions are dropped after this time: no user waits longer. */
 static const double ANSWER_TIMEOUT_S = 20;
 
-/* A submission that a shard decides on. */
+/* A submission whose answer from its shard is pending. */
 struct submission {
     char id[OW_ID_MAX + 1];
     double sent_at;
@@ -92,7 +92,8 @@
     return query;
 }
 
-/* All shards have answered. The owner of a job to be cancelled may have learned of it in the meantime. */
+/* Ends a query that all shards have answered. A cancellation is passed to the shard that has the job, if one
+   has read it since. */
 static void conclude_query(struct ow_request_router *router, struct ow_shard_query *query, GPtrArray *out)
 {
     struct ow_shard *owner =
@@ -110,8 +111,9 @@
     return route == NULL || g_strv_contains((const char *const *)route, shard->name);
 }
 
-/* The shard for a new job: of those that the route allows and that can run it, the one with the least waiting
-   work. Where none can, the first that the route allows: it tells why. */
+/* Chooses the shard for a new job: of those that the route allows and that can run it, the one with the
+   fewest waiting CPUs. If none can run it, the first that the route allows, whose refusal states the reason.
+ */
 static struct ow_shard *choose_shard(const struct ow_request_router *router,
                                      const struct ow_submission *submission)
 {
@@ -181,7 +183,8 @@
 
 /* ---- answers ---- */
 
-/* Whether the shard's answer to a submission says that it does not have the job: then another one may. */
+/* Whether the answer to a submission implies that the shard does not have the job, so that another shard may
+   have it. */
 static bool may_be_elsewhere(const struct ow_effect *answer)
 {
     return answer->kind == OW_EFFECT_REFUSE &&
@@ -219,8 +222,8 @@
     g_hash_table_remove(router->queries, &number);
 }
 
-/* What a waiting job's user is told during a failover of its shard, or before the leader has got to the job.
- */
+/* Adds the reason why a job waits during a failover of its shard, or before the shard's leader has scheduled
+   it. */
 static void explain_waiting(const struct ow_shard *shard, struct ow_effect *answer)
 {
     if (answer->kind != OW_EFFECT_JOB)
--- a/src/sharding/shard.c
+++ b/src/sharding/shard.c
@@ -47,14 +47,14 @@
     ow_lease_guard_note_pause(&shard->guard, resumed_at);
 }
 
-/* ---- what comes in ---- */
+/* ---- events ---- */
 
 static bool is_own_machine(const struct ow_shard *shard, const char *zone, const char *type)
 {
     return ow_shard_map_find_shard(shard->sharding, zone, type) == (int)shard->index;
 }
 
-/* Leaves in a list of instances those of this shard: the core would take others for its own. */
+/* Removes instances of other shards from a list: the core would take them for its own. */
 static void keep_own_machines(const struct ow_shard *shard, GArray *listed)
 {
     for (guint i = listed->len; i > 0; i--) {
@@ -64,7 +64,7 @@
     }
 }
 
-/* Leaves a type the zones in which its machines belong to this shard. */
+/* Removes the zones in which machines of this type belong to other shards. */
 static void keep_own_zones(const struct ow_shard *shard, struct ow_machine_type *type)
 {
     GPtrArray *zones = g_ptr_array_new();
@@ -107,7 +107,7 @@
     ow_core_push(shard->core, event);
 }
 
-/* ---- what goes out ---- */
+/* ---- effects ---- */
 
 static void translate_store(struct ow_shard *shard, struct ow_effect *effect, double now)
 {
@@ -142,7 +142,7 @@
     }
 }
 
-/* Whether the effect may leave. If not, the core gets a reply in its place at its next step, and it is freed.
+/* Whether the effect may leave. If not, it is freed, and the core gets a reply in its place in its next step.
  */
 static bool pass_guard(struct ow_shard *shard, struct ow_effect *effect, enum ow_lease_state lease)
 {
@@ -167,7 +167,7 @@
         translate(shard, effect, now);
         g_ptr_array_add(out, effect);
     }
-    /* The effects have other owners by now. */
+    /* All effects have been moved to `out` or freed. */
     g_ptr_array_set_free_func(effects, NULL);
     g_ptr_array_free(effects, TRUE);
     ow_core_status(shard->core, &shard->status);
--- a/src/sharding/shard.h
+++ b/src/sharding/shard.h
@@ -1,9 +1,10 @@
 /**
  * @file
- * One shard in this process: an instance of the core with a name space of its own. This module translates
- * between the core and the outside (keys, tags, machines), and every effect passes the shard's lease guard.
+ * One shard in this process: a core with a name space of its own. This module translates keys, tags and
+ * machines between the core and the outside, and applies the shard's lease guard to every effect.
  *
- * Invariants: the core sees only machines of its shard; nothing leaves that the lease does not cover.
+ * Invariants: the core sees only machines of its shard; nothing that requires the lease leaves while it is
+ * not held.
  */
 #ifndef OW_SHARDING_SHARD_H
 #define OW_SHARDING_SHARD_H
@@ -32,8 +33,8 @@
     unsigned withheld; /**< effects that the lease guard has kept back, whole or in part */
 } ow_shard;
 
-/** The shard with this index. The settings, `tuning` and `key_prefixes` (those of all shards) must outlive
- * it; `nonce` is a number that no other process has. */
+/** Creates the shard with this index. The settings, `tuning` and `key_prefixes` (those of all shards) must
+ * outlive it; `nonce` is a number that no other process has. */
 struct ow_shard *ow_shard_new(const struct ow_sharding_settings *sharding, unsigned index,
                               const struct ow_settings *platform, const struct ow_tuning *tuning,
                               uint64_t nonce, const GPtrArray *key_prefixes);
@@ -41,14 +42,14 @@
 void ow_shard_free(struct ow_shard *shard);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(ow_shard, ow_shard_free)
 
-/** Hands the core an event, which is taken over: a reply to one of its requests is translated first. */
+/** Translates an event for the core and queues it there. Takes ownership of the event. */
 void ow_shard_push(struct ow_shard *shard, struct ow_event *event);
 /** Runs the core and appends its effects (struct ow_effect), guarded and translated, to `out`, which owns
  * them. `now` is monotonic, both times are in seconds. */
 void ow_shard_step(struct ow_shard *shard, double now, double time_of_day, GPtrArray *out);
 /** Whether this controller leads the shard, as of the last step. */
 bool ow_shard_is_led_here(const struct ow_shard *shard);
-/** The process goes on after a pause that may have outlived the shard's lease. */
+/** Records that the process resumed after a pause that may have been longer than the shard's lease. */
 void ow_shard_note_pause(struct ow_shard *shard, double resumed_at);
 
 #endif
--- a/src/sharding/shard_dispatch.c
+++ b/src/sharding/shard_dispatch.c
@@ -60,7 +60,7 @@
     g_ptr_array_free(messages, TRUE);
 }
 
-/* The shard whose controllers are meant, or NULL. Messages of the default shard name none. */
+/* The shard that a message is for, or NULL. Messages of the default shard carry no name. */
 static struct ow_shard *find_shard_of_message(const struct ow_dispatch_targets *targets,
                                               const struct ow_peer_message *message)
 {
@@ -92,7 +92,8 @@
         dispatch_to_membership(targets, message, now, out);
         break;
     case OW_PEER_LINK_LOST:
-        /* A lost link is no evidence: in a divided fleet nobody is replaced before its lease has expired. */
+        /* Ignored: in a divided fleet no leader is replaced before its lease has expired, and a lost link
+           does not prove that. */
         break;
     default:
         shard = find_shard_of_message(targets, message);
--- a/src/sharding/shard_keys.c
+++ b/src/sharding/shard_keys.c
@@ -4,7 +4,7 @@
 
 #include <string.h>
 
-/* Before the name of a shard. No key without a shard begins with it. */
+/* Precedes the name of a shard. No key outside of shards begins with it. */
 #define SHARDS_PREFIX "shard/"
 
 char *ow_shard_keys_prefix_new(const char *shard)
@@ -24,7 +24,7 @@
 {
     for (guint i = 0; i < comparisons->len; i++) {
         struct ow_store_comparison *comparison = &g_array_index(comparisons, struct ow_store_comparison, i);
-        /* Those that ow_shard_keys_guard_new_job() has added name their shard. */
+        /* Comparisons added by ow_shard_keys_guard_new_job() have the prefix of their shard already. */
         if (!g_str_has_prefix(comparison->key, SHARDS_PREFIX))
             qualify(&comparison->key, prefix);
     }
@@ -79,7 +79,7 @@
 void ow_shard_keys_guard_new_job(struct ow_store_request *request, const GPtrArray *prefixes,
                                  const char *own_prefix)
 {
-    /* A copy, as the list that holds the key grows below. */
+    /* Copied, because adding comparisons below may move the array that holds the key. */
     g_autofree char *job_key = g_strdup(accepted_job_key(request));
     if (job_key == NULL)
         return;
--- a/src/sharding/shard_manager.c
+++ b/src/sharding/shard_manager.c
@@ -11,12 +11,12 @@
 #include "sharding/shard_map.h"
 #include "sharding/shard_tag.h"
 
-/* A shorter pause of the process is an ordinary delay. */
+/* Shorter pauses of the process are ordinary scheduling delays. */
 static const double PAUSE_MIN_S = 0.5;
 
 struct ow_shard_manager {
     const struct ow_settings *settings;
-    struct ow_core *core; /* the only one; NULL: the fleet is divided, and all that follows is there */
+    struct ow_core *core; /* the only core; NULL: the fleet is divided, and the fields below are set */
     const struct ow_sharding_settings *sharding;
     GPtrArray *key_prefixes; /* char *, of the shards */
     GPtrArray *shards;       /* struct ow_shard, owned */
@@ -53,7 +53,7 @@
                                                       manager->key_prefixes));
 }
 
-/* What a divided fleet needs. */
+/* Creates what a divided fleet needs. */
 static void divide(struct ow_shard_manager *manager, const struct ow_tuning *tuning, uint64_t nonce)
 {
     const struct ow_settings *settings = manager->settings;
@@ -130,7 +130,7 @@
     return count;
 }
 
-/* What heartbeats say of the shards that this controller leads: struct ow_peer_shard. */
+/* The shards that this controller leads, for its heartbeats: struct ow_peer_shard. */
 static GArray *describe_led_shards(const struct ow_shard_manager *manager)
 {
     GArray *led_shards = ow_peer_shards_new();
@@ -213,7 +213,7 @@
 
 double ow_shard_manager_idle_seconds(const struct ow_shard_manager *manager)
 {
-    /* Every shard's core has the same settings of this kind. */
+    /* The value is the same for every core. */
     return ow_core_idle_seconds(manager->core != NULL ? manager->core : shard_at(manager, 0)->core);
 }
 
@@ -253,7 +253,7 @@
     return is_lease_in_doubt;
 }
 
-/* ---- what operators ask ---- */
+/* ---- queries for operators ---- */
 
 bool ow_shard_manager_is_sharded(const struct ow_shard_manager *manager)
 {
--- a/src/sharding/shard_manager.h
+++ b/src/sharding/shard_manager.h
@@ -1,8 +1,7 @@
 /**
  * @file
- * A controller of a fleet that may be divided into shards: it takes events and gives effects as a core does,
- * and has a core for each shard. Without sharding settings it is a single core, and changes nothing that this
- * does.
+ * The shard manager: runs one core for each shard, with the same interface as a core (events in, effects
+ * out). Without sharding settings it has a single core and passes events and effects through unchanged.
  *
  * It owns the shards, the membership, the map agreement and the request router of its process. No clock and
  * no I/O: `now` is monotonic, and all times are in seconds.
@@ -35,19 +34,19 @@
 void ow_shard_manager_free(struct ow_shard_manager *manager);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(ow_shard_manager, ow_shard_manager_free)
 
-/** Queues an event, which is taken over. */
+/** Queues an event and takes ownership of it. */
 void ow_shard_manager_push(struct ow_shard_manager *manager, struct ow_event *event);
-/** Works off the queue and everything that is due, as ow_core_step(): the caller owns the array and its
- * effects (struct ow_effect). */
+/** Handles the queued events and does everything that is due, like ow_core_step(): the caller owns the array
+ * and its effects (struct ow_effect). */
 GPtrArray *ow_shard_manager_step(struct ow_shard_manager *manager, double now, double time_of_day);
-/** How long until it wants to step again, if nothing comes in. */
+/** Seconds until the next step is due if no event comes. */
 double ow_shard_manager_idle_seconds(const struct ow_shard_manager *manager);
 /** Whether users should be sent here. */
 bool ow_shard_manager_is_ready(const struct ow_shard_manager *manager);
 /** The highest fencing token under which this controller leads anything; 0: it leads nothing. */
 uint64_t ow_shard_manager_fencing_token(const struct ow_shard_manager *manager);
-/** The process stood still for `paused_s` seconds, up to now. True: a lease may have expired in the meantime,
- * and bytes that wait to be sent must not leave any more. */
+/** Handles a pause of the process of `paused_s` seconds that ends now. Returns true if a lease may have
+ * expired in it: bytes that still wait to be sent must then be dropped. */
 bool ow_shard_manager_resume(struct ow_shard_manager *manager, double paused_s, double now);
 
 /** Whether the fleet is divided; without it, none of the functions below may be called. */
@@ -62,7 +61,7 @@
 const char *ow_shard_manager_difference(const struct ow_shard_manager *manager);
 /** How many messages of other controllers were dropped. */
 unsigned ow_shard_manager_dropped_count(const struct ow_shard_manager *manager);
-/** The name of the controller that would run first for the shard if nobody led it; never NULL. */
+/** The name of the first candidate for the shard if it had no leader; never NULL. */
 const char *ow_shard_manager_successor(const struct ow_shard_manager *manager, const struct ow_shard *shard);
 
 #endif
--- a/src/sharding/shard_map.c
+++ b/src/sharding/shard_map.c
@@ -51,7 +51,7 @@
 
 /* ---- the values that must agree ---- */
 
-/* Takes over both texts. */
+/* Takes ownership of both strings. */
 static void add_value(GHashTable *values, char *name, char *value)
 {
     g_hash_table_replace(values, name, value);
@@ -141,7 +141,7 @@
     g_autoptr(GList) names = sorted_names(values);
     for (const GList *at = names; at != NULL; at = at->next) {
         const char *value = g_hash_table_lookup(values, at->data);
-        /* With its terminating NUL, so that no two tables run into the same bytes. */
+        /* Includes the terminating NUL, so that different tables can't give the same bytes. */
         g_checksum_update(checksum, at->data, (gssize)strlen(at->data) + 1);
         g_checksum_update(checksum, (const guchar *)value, (gssize)strlen(value) + 1);
     }
--- a/src/sharding/shard_map.h
+++ b/src/sharding/shard_map.h
@@ -1,8 +1,7 @@
 /**
  * @file
  * Which shard a machine or a new job belongs to: pure functions of the settings, the same for every
- * controller with the same settings, and a description of the map by which controllers with other settings
- * are told apart.
+ * controller with the same settings, and a description of the map, to detect controllers with other settings.
  */
 #ifndef OW_SHARDING_SHARD_MAP_H
 #define OW_SHARDING_SHARD_MAP_H
--- a/src/sharding/shard_platform.c
+++ b/src/sharding/shard_platform.c
@@ -1,6 +1,6 @@
 #include "sharding/shard_platform.h"
 
-/* A limit of 0 means none: where a shard has no share of one it gets as good as nothing instead. */
+/* A limit of 0 means no limit, so a shard without a share of a limit gets this minimum instead of 0. */
 static const double LIMIT_MIN = 1e-6;
 
 static double divide_limit(double limit, double share)
@@ -24,7 +24,7 @@
     return parts;
 }
 
-/* Budgets go with the shard, whoever leads it: those of a controller that has ended are its successor's. */
+/* Request budgets belong to the shard, not to the controller: a new leader uses those of the previous one. */
 static void divide_budgets(struct ow_settings *settings, double part)
 {
     settings->store_rps *= part;
--- a/src/sharding/shard_query.c
+++ b/src/sharding/shard_query.c
@@ -3,7 +3,7 @@
 #include "model/http_status.h"
 #include "model/resources.h"
 
-/* How much an answer about a job says; one that says more replaces one that says less. */
+/* The strength of an answer about a job; a stronger answer replaces a weaker one. */
 enum evidence {
     EVIDENCE_NOT_HERE, /* the shard does not have the job */
     EVIDENCE_UNKNOWN,  /* the shard can't tell, or refuses for now */
@@ -55,8 +55,8 @@
     ow_effect_free(surplus);
 }
 
-/* The result of a query after a refused submission: the refusal stands only when every shard has said that it
-   does not have the job. */
+/* The result of a query after a refused submission: the user gets the refusal only if every shard has
+   answered that it does not have the job. */
 static struct ow_effect *take_submission_result(struct ow_shard_query *query)
 {
     struct ow_effect *answer = g_steal_pointer(&query->answer);
@@ -64,7 +64,8 @@
         return answer;
     ow_effect_free(answer);
     struct ow_effect *refusal = g_steal_pointer(&query->refusal);
-    /* The shard was told that another one has the job, which has ended in the meantime or is not read yet. */
+    /* The transaction failed because another shard has the job, but that shard's core has not read it yet, or
+       the job has ended since. */
     if (refusal->status == OW_HTTP_STATUS_NOT_FOUND)
         ow_effect_refuse_temporarily(refusal, "another shard has accepted this job");
     return refusal;
