--- a/src/sharding/shard_query.h
+++ b/src/sharding/shard_query.h
@@ -1,7 +1,7 @@
 /**
  * @file
  * A query to all shards about one job, or about what teams use (scatter-gather): it collects the shards'
- * answers and combines them to the one that the user gets.
+ * answers and combines them into the answer for the user.
  */
 #ifndef OW_SHARDING_SHARD_QUERY_H
 #define OW_SHARDING_SHARD_QUERY_H
@@ -11,13 +11,13 @@
 
 #include <stdint.h>
 
-/** What the query is for, and so what is done once all shards have answered. */
+/** What is done once all shards have answered. */
 enum ow_shard_query_kind {
-    OW_SHARD_QUERY_POLL,   /**< the user is told */
-    OW_SHARD_QUERY_CANCEL, /**< the shard that has the job gets the cancellation */
-    OW_SHARD_QUERY_SUBMIT, /**< a shard refused a submission: unless another has the job, the refusal stands
-                            */
-    OW_SHARD_QUERY_TEAMS,  /**< the user is told the sums over all shards */
+    OW_SHARD_QUERY_POLL,   /**< the user gets the combined answer */
+    OW_SHARD_QUERY_CANCEL, /**< the cancellation is passed to the shard that has the job */
+    OW_SHARD_QUERY_SUBMIT, /**< a shard refused a submission: the user gets the refusal unless another shard
+                              has the job */
+    OW_SHARD_QUERY_TEAMS,  /**< the user gets the sums over all shards */
 };
 
 /** A query under way; owned by the request router. */
@@ -31,11 +31,11 @@
     double asked_at;           /**< seconds of the monotonic clock */
 };
 
-/** Frees a struct ow_shard_query with what it holds; of this form to be the free function of a table. */
+/** Frees a struct ow_shard_query with what it owns; a GDestroyNotify for tables. */
 void ow_shard_query_free(void *item);
-/** Takes over a shard's answer. */
+/** Adds a shard's answer and takes ownership of it. */
 void ow_shard_query_add_answer(struct ow_shard_query *query, struct ow_effect *answer);
-/** The answer to the user, once all shards have answered; the caller owns it. To be called once. */
+/** The answer for the user, owned by the caller. Call once, when all shards have answered. */
 struct ow_effect *ow_shard_query_take_result(struct ow_shard_query *query);
 
 #endif
--- a/src/sharding/shard_tag.h
+++ b/src/sharding/shard_tag.h
@@ -1,7 +1,7 @@
 /**
  * @file
- * Tags of requests to the outside: the upper bits say which shard of this process asked, so that the reply
- * finds its core; the lower bits are the core's own tag.
+ * Tags of outgoing requests: the upper bits identify the shard, so that the reply is passed to its core; the
+ * lower bits are the core's own tag.
  */
 #ifndef OW_SHARDING_SHARD_TAG_H
 #define OW_SHARDING_SHARD_TAG_H
--- a/src/sharding/sharding_settings_check.c
+++ b/src/sharding/sharding_settings_check.c
@@ -4,9 +4,10 @@
 
 #include <string.h>
 
-/* Sums of shares may exceed 1 by rounding only. */
+/* Tolerance for rounding errors in sums of shares. */
 static const double SHARE_SLACK = 1e-9;
-/* A leader must learn that its lease is over long before its workers' leases expire. */
+/* Upper bound of the leader's lease as a share of the workers' lease: a leader must notice its expiry long
+   before theirs. */
 static const double LEASE_SHARE_MAX = 0.5;
 /* The store allows this many times as many comparisons as mutations in a transaction. A new job is compared
    with the keys of all shards, so that this bounds their number. */
@@ -220,7 +221,7 @@
 
 /* ---- routes ---- */
 
-/* The one place that words an unknown name of a route. */
+/* Sets the error for an unknown name in a route. */
 static bool refuse_route(const struct ow_route *route, const char *kind, const char *name, GError **error)
 {
     g_set_error(error, OW_SHARDING_SETTINGS_ERROR, OW_SHARDING_SETTINGS_ERROR_ROUTE,
--- a/src/wire/words.h
+++ b/src/wire/words.h
@@ -1,10 +1,9 @@
 /** @file
- * The words of the protocol: every path, field name and value, beside the term that the code uses for it.
+ * The words of the protocol: every path, field name and value, with the term that the code uses for it.
  *
  * The protocol has themed words: a job is a "run", a machine a "perch", a machine type a "breed", a fencing
- * token a "crest". They are spelt in this module and nowhere else, neither in code nor in log lines; the name
- * of a macro says the term of the field and the unit. What the words mean together is in the protocol's
- * description.
+ * token a "crest". They appear only in this module, neither in other code nor in log lines; the name of a
+ * macro has the usual term and the unit. The protocol's description defines how they are used.
  */
 #ifndef OW_WIRE_WORDS_H
 #define OW_WIRE_WORDS_H
@@ -93,7 +92,7 @@
 #define W_BOOT_S "boot_s"                /* time to boot */
 #define W_REQUEST_ID "bid"               /* name of a request to provision, the same in a retry */
 #define W_COUNT "number"                 /* how many instances */
-#define W_AFTER "since"                  /* page of a list behind this entry; watch since this revision */
+#define W_AFTER "since"                  /* page of a list after this entry; watch since this revision */
 #define W_LIMIT "most"                   /* entries of a page at most */
 #define W_AGE_S "age_s"                  /* age of an instance */
 #define W_MORE "has_next"                /* there is another page */
@@ -113,7 +112,7 @@
 #define W_DELETE "drop"        /* delete */
 #define W_TTL_MS "ttl_ms"      /* time to live of a lease */
 #define W_WATCH_MS "hold_ms"   /* how long a watch may stay open */
-#define W_EVENTS "log"         /* changes that a watch reports */
+#define W_EVENTS "log"         /* changes in the reply to a watch */
 #define W_FAILED_KEYS "failed" /* keys whose comparison failed */
 
 /* ---- fields of answers to users beyond the protocol ---- */
