--- a/src/core/api/job_answer.h
+++ b/src/core/api/job_answer.h
@@ -43,7 +43,7 @@
  * The job stays the job table's. */
 const struct ow_job *ow_job_answer_find(struct ow_core *core, const struct ow_pending_request *pending,
                                         bool is_fresh);
-/** Answers a pending request from what the read for it shows: an ow_fresh_fn of ow_job_cache_refresh().
+/** Answers a pending request from what the read for it shows: an ow_refreshed_fn of ow_job_cache_refresh().
  * `data` is a struct ow_pending_request, which stays the caller's. */
 void ow_job_answer_fresh(struct ow_core *core, void *data, bool is_fresh);
 
--- a/src/core/jobs/attempt_end.c
+++ b/src/core/jobs/attempt_end.c
@@ -55,8 +55,8 @@
 }
 
 /* Handles the end of an attempt with a result, which proves that its machine works. */
-static void take_result(struct ow_leader *leader, struct ow_execution *execution, uint32_t task,
-                        struct ow_machine *machine)
+static void apply_result(struct ow_leader *leader, struct ow_execution *execution, uint32_t task,
+                         struct ow_machine *machine)
 {
     if (ow_execution_is_service(execution)) {
         /* The machine keeps the result and would end a new attempt at the replica at once, so it is avoided.
@@ -71,8 +71,8 @@
 }
 
 /* Handles the end of an attempt without a result. */
-static void take_failure(struct ow_leader *leader, struct ow_execution *execution, uint32_t task,
-                         struct ow_machine *machine, enum ow_exit_cause cause, bool stopped)
+static void apply_failure(struct ow_leader *leader, struct ow_execution *execution, uint32_t task,
+                          struct ow_machine *machine, enum ow_exit_cause cause, bool was_stopped)
 {
     if (cause == OW_CAUSE_ERROR)
         ow_machine_faults_note_error(leader, machine, execution);
@@ -80,7 +80,8 @@
         execution->ready_at = MAX(execution->ready_at, leader->core->now + RETRY_PAUSE_S);
     /* The loss of one task, or its refusal, ends the gang's attempt: the other tasks would wait or fail, too.
      */
-    if (ow_submission_is_gang(execution->job->spec->submission) && !stopped && !execution->tasks[task].done)
+    if (ow_submission_is_gang(execution->job->spec->submission) && !was_stopped &&
+        !execution->tasks[task].done)
         ow_execution_stop(leader, execution, 0, "another task of the gang is gone");
 }
 
@@ -90,7 +91,7 @@
     struct ow_execution *execution = attempt->job->execution;
     struct ow_machine *machine = attempt->machine;
     uint32_t task = attempt->task;
-    bool stopped = attempt->stop;
+    bool was_stopped = attempt->stop;
     g_debug("attempt ended: job=%s task=%u attempt=%" G_GUINT64_FORMAT " machine=%s reason=\"%s\"",
             attempt->job->id, task, attempt->number, machine->name, proof);
     if (cause == OW_CAUSE_DONE && attempt->running_at > 0 && !ow_execution_is_service(execution))
@@ -99,9 +100,9 @@
     ow_leader_request_cycle(leader);
     ow_recorder_queue_lazy(leader, execution, task);
     if (cause == OW_CAUSE_DONE)
-        take_result(leader, execution, task, machine);
+        apply_result(leader, execution, task, machine);
     else
-        take_failure(leader, execution, task, machine, cause, stopped);
+        apply_failure(leader, execution, task, machine, cause, was_stopped);
 }
 
 void ow_attempt_stop(struct ow_leader *leader, struct ow_attempt *attempt, double grace_s, const char *why)
--- a/src/core/jobs/job.c
+++ b/src/core/jobs/job.c
@@ -84,7 +84,7 @@
 
 /* Whether a record of this mod_revision is newer than the known state. Replies to watches and lists may come
    out of order, and a job that is over must never be reopened. */
-static bool is_news(const struct ow_job *job, uint64_t mod_revision)
+static bool is_newer(const struct ow_job *job, uint64_t mod_revision)
 {
     if (job == NULL || mod_revision > job->mod_revision)
         return true;
@@ -93,7 +93,7 @@
 }
 
 /* A cancelled job keeps its spec until the leader has proof that its last task has ended. */
-static void take_description(struct ow_jobs *jobs, struct ow_job *job, struct ow_submission *submission)
+static void set_spec(struct ow_jobs *jobs, struct ow_job *job, struct ow_submission *submission)
 {
     if (submission != NULL && job->spec == NULL)
         job->spec = ow_job_spec_new(jobs->names, submission);
@@ -106,7 +106,7 @@
                              double age_s)
 {
     struct ow_job *job = ow_jobs_find(jobs, id);
-    if (!is_news(job, mod_revision)) {
+    if (!is_newer(job, mod_revision)) {
         ow_submission_free(submission);
         return NULL;
     }
@@ -121,7 +121,7 @@
     }
     job->mod_revision = mod_revision;
     job->state = state;
-    take_description(jobs, job, submission);
+    set_spec(jobs, job, submission);
     if (ow_job_over(job))
         ow_job_set_reason(job, NULL);
     /* The final record of a cancelled job is written when no task is left. */
--- a/src/core/jobs/job_cache.c
+++ b/src/core/jobs/job_cache.c
@@ -23,7 +23,7 @@
 
 /* A caller that waits for a read that begins after its request. */
 struct waiter {
-    ow_fresh_fn fn;
+    ow_refreshed_fn fn;
     void *data;
 };
 
@@ -44,9 +44,9 @@
     double watch_at;    /* no watch before this time */
     bool is_refreshing; /* a refresh is in flight */
     double refresh_at;  /* no refresh before this time */
-    bool is_hinted;     /* the table is known to have changed since our revision */
+    bool is_stale;      /* the table is known to have changed since our revision */
     GArray *waiting;    /* struct waiter: for the next refresh */
-    GArray *asked;      /* struct waiter: for the refresh in flight */
+    GArray *refreshing; /* struct waiter: for the refresh in flight */
 };
 
 struct ow_job_cache *ow_job_cache_new(struct ow_core *core)
@@ -54,7 +54,7 @@
     struct ow_job_cache *job_cache = g_new0(struct ow_job_cache, 1);
     job_cache->core = core;
     job_cache->waiting = g_array_new(FALSE, FALSE, sizeof(struct waiter));
-    job_cache->asked = g_array_new(FALSE, FALSE, sizeof(struct waiter));
+    job_cache->refreshing = g_array_new(FALSE, FALSE, sizeof(struct waiter));
     return job_cache;
 }
 
@@ -68,7 +68,7 @@
 void ow_job_cache_free(struct ow_job_cache *job_cache)
 {
     free_waiters(job_cache->waiting);
-    free_waiters(job_cache->asked);
+    free_waiters(job_cache->refreshing);
     g_free(job_cache->loading.last_key);
     g_free(job_cache);
 }
@@ -146,7 +146,7 @@
     job_cache->revision = MAX(job_cache->revision, reply->revision);
 }
 
-static void on_fresh(void *owner, void *data, const struct ow_event *answer)
+static void on_refreshed(void *owner, void *data, const struct ow_event *answer)
 {
     struct ow_job_cache *job_cache = owner;
     (void)data;
@@ -156,7 +156,7 @@
         apply_changes(job_cache, &answer->store);
     else if (is_beyond_reach(answer->store.status))
         restart_load(job_cache);
-    answer_waiters(job_cache, job_cache->asked, ok);
+    answer_waiters(job_cache, job_cache->refreshing, ok);
 }
 
 static void on_watch(void *owner, void *data, const struct ow_event *answer)
@@ -227,7 +227,7 @@
     ow_core_call_store(job_cache->core, request, on_page, job_cache, NULL, NULL);
 }
 
-void ow_job_cache_refresh(struct ow_job_cache *job_cache, ow_fresh_fn fn, void *data)
+void ow_job_cache_refresh(struct ow_job_cache *job_cache, ow_refreshed_fn fn, void *data)
 {
     struct waiter waiter = {fn, data};
     g_array_append_val(job_cache->waiting, waiter);
@@ -235,7 +235,7 @@
 
 void ow_job_cache_hint(struct ow_job_cache *job_cache, uint64_t revision)
 {
-    job_cache->is_hinted = job_cache->is_hinted || revision > job_cache->revision;
+    job_cache->is_stale = job_cache->is_stale || revision > job_cache->revision;
 }
 
 /* Limits the refreshes of all controllers together to a share of the permitted requests. */
@@ -248,12 +248,12 @@
 static void refresh(struct ow_job_cache *job_cache)
 {
     GArray *waiters = job_cache->waiting;
-    job_cache->waiting = job_cache->asked;
-    job_cache->asked = waiters;
-    job_cache->is_hinted = false;
+    job_cache->waiting = job_cache->refreshing;
+    job_cache->refreshing = waiters;
+    job_cache->is_stale = false;
     job_cache->is_refreshing = true;
     job_cache->refresh_at = job_cache->core->now + refresh_gap_s(job_cache->core->settings);
-    send_watch(job_cache, 0, on_fresh);
+    send_watch(job_cache, 0, on_refreshed);
 }
 
 static void tick_loading(struct ow_job_cache *job_cache)
@@ -268,7 +268,7 @@
 static void tick_loaded(struct ow_job_cache *job_cache)
 {
     double now = job_cache->core->now;
-    bool is_refresh_wanted = job_cache->waiting->len > 0 || job_cache->is_hinted;
+    bool is_refresh_wanted = job_cache->waiting->len > 0 || job_cache->is_stale;
     if (is_refresh_wanted && !job_cache->is_refreshing && now >= job_cache->refresh_at)
         refresh(job_cache);
     if (!job_cache->is_watching && now >= job_cache->watch_at) {
--- a/src/core/jobs/job_cache.h
+++ b/src/core/jobs/job_cache.h
@@ -13,7 +13,7 @@
 
 /** Called when the table is at least as new as the request for the refresh, or with `ok` false if that
  * failed. The job cache frees `data`. */
-typedef void (*ow_fresh_fn)(struct ow_core *core, void *data, bool ok);
+typedef void (*ow_refreshed_fn)(struct ow_core *core, void *data, bool ok);
 
 /** Creates a cache that loads the table in the following ticks. Freed by ow_job_cache_free(); `core` must
  * outlive it. */
@@ -24,7 +24,7 @@
 bool ow_job_cache_is_loaded(const struct ow_job_cache *job_cache);
 /** Calls `fn` after a read that begins later than this call, and then frees `data` with g_free(). Waiting
  * callers share one read. */
-void ow_job_cache_refresh(struct ow_job_cache *job_cache, ow_fresh_fn fn, void *data);
+void ow_job_cache_refresh(struct ow_job_cache *job_cache, ow_refreshed_fn fn, void *data);
 /** Tells that the stored table has changed at `revision`: it is read soon if our copy is older. */
 void ow_job_cache_hint(struct ow_job_cache *job_cache, uint64_t revision);
 /** Sends the reads that are due. */
--- a/src/core/leader/cycle_timer.c
+++ b/src/core/leader/cycle_timer.c
@@ -5,18 +5,18 @@
 #include "core/scheduling/schedule.h"
 
 /* The minimum and maximum time from one cycle to the next. */
-static const double GAP_S = 0.1;
+static const double INTERVAL_MIN_S = 0.1;
 static const double INTERVAL_MAX_S = 1;
-/* Fleet size up to which the minimum is GAP_S; in a larger fleet it grows in proportion. */
-static const double GAP_MACHINES = 1500;
+/* Fleet size up to which the minimum is INTERVAL_MIN_S; in a larger fleet it grows in proportion. */
+static const double INTERVAL_MIN_MACHINES = 1500;
 
 static bool is_due(const struct ow_leader *leader)
 {
     double now = leader->core->now;
     double last_at = leader->cycle.last_at;
     /* The cost of a cycle is proportional to the number of machines. */
-    double gap_s = GAP_S * MAX(1, (double)leader->machines->len / GAP_MACHINES);
-    return (leader->cycle.due && now >= last_at + gap_s) || now >= last_at + INTERVAL_MAX_S;
+    double interval_min_s = INTERVAL_MIN_S * MAX(1, (double)leader->machines->len / INTERVAL_MIN_MACHINES);
+    return (leader->cycle.due && now >= last_at + interval_min_s) || now >= last_at + INTERVAL_MAX_S;
 }
 
 /* Updates the task counts that users and other controllers are shown. */
--- a/src/core/records/record_values.c
+++ b/src/core/records/record_values.c
@@ -110,8 +110,8 @@
 
 /* Whether the chunk may be added to the record value. Chunks of one class change at a similar rate; a value
    with several classes would be rewritten at the rate of the fastest. */
-static bool suits(const struct ow_leader *leader, const struct ow_record_value *record_value,
-                  const struct ow_chunk *chunk)
+static bool may_take_chunk(const struct ow_leader *leader, const struct ow_record_value *record_value,
+                           const struct ow_chunk *chunk)
 {
     if (record_value->unmoved_tasks->len > 0)
         return false;
@@ -129,7 +129,7 @@
     for (guint i = 0; i < leader->record_values->len; i++) {
         struct ow_record_value *record_value = g_ptr_array_index(leader->record_values, i);
         bool is_fuller = fullest == NULL || record_value->chunks->len > fullest->chunks->len;
-        if (is_fuller && suits(leader, record_value, chunk))
+        if (is_fuller && may_take_chunk(leader, record_value, chunk))
             fullest = record_value;
     }
     ow_record_value_add_chunk(fullest != NULL ? fullest : add_under_free_number(leader), chunk);
--- a/src/core/store_health.c
+++ b/src/core/store_health.c
@@ -14,7 +14,7 @@
 
 struct ow_store_health {
     struct ow_core *core;
-    double ok_at;         /* time of the last successful answer; 0: none yet */
+    double succeeded_at;  /* time of the last successful answer; 0: none yet */
     double failing_since; /* 0: the last answer was successful */
     double refused_at;    /* time of the last UNAVAILABLE: the store can be reached, but may serve others */
     bool is_silent;       /* the last failure was a missing response, not an error status */
@@ -43,7 +43,7 @@
     if (status == OW_HTTP_STATUS_UNAVAILABLE)
         health->refused_at = now;
     if (!has_failed) {
-        health->ok_at = now;
+        health->succeeded_at = now;
         health->failing_since = 0;
         return;
     }
@@ -62,7 +62,7 @@
 void ow_store_health_probe(struct ow_store_health *health)
 {
     double now = health->core->now;
-    if (health->is_probing || now < MAX(health->ok_at, health->probed_at) + PROBE_AFTER_S)
+    if (health->is_probing || now < MAX(health->succeeded_at, health->probed_at) + PROBE_AFTER_S)
         return;
     health->is_probing = true;
     health->probed_at = now;
@@ -72,18 +72,18 @@
 
 bool ow_store_health_has_answered_within(const struct ow_store_health *health, double within_s)
 {
-    return health->failing_since == 0 && health->core->now - health->ok_at < within_s;
+    return health->failing_since == 0 && health->core->now - health->succeeded_at < within_s;
 }
 
 bool ow_store_health_is_ok(const struct ow_store_health *health)
 {
     /* An open watch is no evidence: it gives no answer, be it for an outage or for lack of changes. */
-    return health->ok_at > 0 && ow_store_health_has_answered_within(health, ANSWER_RECENT_S);
+    return health->succeeded_at > 0 && ow_store_health_has_answered_within(health, ANSWER_RECENT_S);
 }
 
 double ow_store_health_last_reachable_at(const struct ow_store_health *health)
 {
-    return MAX(health->ok_at, health->refused_at);
+    return MAX(health->succeeded_at, health->refused_at);
 }
 
 bool ow_store_health_is_lost(const struct ow_store_health *health)
--- a/src/io/daemon.c
+++ b/src/io/daemon.c
@@ -28,7 +28,7 @@
 /* ---- other controllers ---- */
 
 /* Queues a message from another controller as an event; `owner` is the daemon. */
-static void take_peer_message(void *owner, struct ow_peer_message *message)
+static void handle_peer_message(void *owner, struct ow_peer_message *message)
 {
     struct ow_daemon *daemon = owner;
     struct ow_event *event = ow_event_new(OW_EVENT_PEER, 0);
@@ -38,7 +38,7 @@
 
 /* Tells the shard manager that no process listens at a controller's endpoint any more; `owner` is the daemon.
  */
-static void take_link_loss(void *owner, const char *endpoint)
+static void handle_link_loss(void *owner, const char *endpoint)
 {
     struct ow_daemon *daemon = owner;
     const GArray *peers = daemon->settings->peers;
@@ -48,7 +48,7 @@
             continue;
         struct ow_peer_message *message = ow_peer_message_new(OW_PEER_LINK_LOST);
         message->sender = g_strdup(peer->node);
-        take_peer_message(daemon, message);
+        handle_peer_message(daemon, message);
     }
 }
 
@@ -159,8 +159,8 @@
 static struct ow_peer_links *listen_to_peers(struct ow_daemon *daemon)
 {
     const struct ow_peer_handlers handlers = {
-        .take = take_peer_message,
-        .lost = take_link_loss,
+        .take = handle_peer_message,
+        .lost = handle_link_loss,
         .owner = daemon,
     };
     return ow_peer_links_new(daemon->loop, daemon->settings->peer_listen, &handlers);
--- a/src/io/daemon.h
+++ b/src/io/daemon.h
@@ -42,7 +42,7 @@
 
 /** The round of the event loop (ow_round_fn): one step of the shard manager, whose effects are carried out.
  * @param owner the daemon
- * @param now the steady time in seconds */
+ * @param now the monotonic time in seconds */
 double ow_daemon_round(void *owner, double now);
 
 #endif
--- a/src/io/daemon_state.h
+++ b/src/io/daemon_state.h
@@ -25,7 +25,7 @@
     unsigned sockets_max; /**< without the sockets reserved for the key-value store, the cloud and other
                              controllers */
     unsigned client_sockets_min; /**< of `sockets_max`: always available to outgoing requests */
-    double sweep_at;             /**< steady time: time of the next sweep of connections */
+    double sweep_at;             /**< monotonic time: time of the next sweep of connections */
 };
 
 #endif
--- a/src/io/http_client_connection.h
+++ b/src/io/http_client_connection.h
@@ -59,7 +59,7 @@
     enum ow_client_connection_state state;
     struct ow_watch watch;
     uint64_t tag;    /**< of the request */
-    double deadline; /**< steady time: of the request; IDLE: when to close */
+    double deadline; /**< monotonic time: of the request; IDLE: when to close */
     bool is_overdue; /**< past its deadline, and its socket has been read since */
     struct ow_http_parser parser;
     GString *out; /**< bytes to be sent */
--- a/src/io/http_connection.h
+++ b/src/io/http_connection.h
@@ -53,7 +53,7 @@
     const struct ow_http_connection_handlers *handlers;
     enum ow_http_connection_state state;
     struct ow_watch watch;
-    double active_at; /**< when it last received something (steady time) */
+    double active_at; /**< when it last received something (monotonic time) */
     struct ow_http_parser parser;
     size_t pending_limit_bytes; /**< of `pending` */
     GString *pending;           /**< bytes that came behind the request at hand */
--- a/src/io/http_server.c
+++ b/src/io/http_server.c
@@ -57,7 +57,7 @@
     server->count--;
 }
 
-static uint32_t free_slot(struct ow_http_server *server)
+static uint32_t find_free_slot(struct ow_http_server *server)
 {
     uint32_t slot = 0;
     while (slot < server->slots->len && g_ptr_array_index(server->slots, slot) != NULL)
@@ -73,7 +73,7 @@
         ow_http_connection_new(server->loop, fd, &server->connection_handlers, server->options.body_limit);
     if (connection == NULL)
         return;
-    connection->slot = free_slot(server);
+    connection->slot = find_free_slot(server);
     g_ptr_array_index(server->slots, connection->slot) = connection;
     server->count++;
 }
--- a/src/io/http_server.h
+++ b/src/io/http_server.h
@@ -70,7 +70,7 @@
 void ow_http_server_drop_unsent(struct ow_http_server *server);
 /** Closes connections that have been idle for too long; call it every few seconds.
  * @param server the server
- * @param now the steady time in seconds */
+ * @param now the monotonic time in seconds */
 void ow_http_server_sweep(struct ow_http_server *server, double now);
 
 #endif
--- a/src/io/loop.c
+++ b/src/io/loop.c
@@ -12,7 +12,7 @@
 
 struct ow_loop {
     int epoll_fd;
-    double now;     /* the steady time of the batch at hand */
+    double now;     /* the monotonic time of the batch at hand */
     double pause_s; /* how long the last round allowed to wait */
     ow_wake_fn wake;
     void *wake_owner;
@@ -21,7 +21,7 @@
     struct epoll_event ready[BATCH_EVENTS];
 };
 
-static double steady_now(void)
+static double monotonic_now(void)
 {
     struct timespec time;
     clock_gettime(CLOCK_MONOTONIC, &time);
@@ -35,7 +35,7 @@
         return NULL;
     struct ow_loop *loop = g_new0(struct ow_loop, 1);
     loop->epoll_fd = epoll_fd;
-    loop->now = steady_now();
+    loop->now = monotonic_now();
     return loop;
 }
 
@@ -105,7 +105,7 @@
     int pause_ms = (int)(loop->pause_s * MS_PER_S) + 1;
     double before = loop->now;
     int count = epoll_wait(loop->epoll_fd, loop->ready, BATCH_EVENTS, pause_ms);
-    loop->now = steady_now();
+    loop->now = monotonic_now();
     /* Lateness is counted from the last batch: the process may have been paused at any point since. */
     if (loop->wake != NULL)
         loop->wake(loop->wake_owner, loop->now - before - loop->pause_s, loop->now);
--- a/src/io/loop.h
+++ b/src/io/loop.h
@@ -28,7 +28,7 @@
 
 /** Called once after every batch of ready descriptors.
  * @param owner what was handed to ow_loop_run or ow_loop_once; it must outlive that call
- * @param now the steady time of the batch, in seconds
+ * @param now the monotonic time of the batch, in seconds
  * @return for how many seconds the loop may wait for descriptors before the next round */
 typedef double (*ow_round_fn)(void *owner, double now);
 
@@ -39,7 +39,7 @@
  * @param owner what was handed to ow_loop_on_wake; it must live as long as the loop runs
  * @param late_s seconds since the last batch beyond the waiting time that the last round allowed; negative if
  * the loop woke up earlier
- * @param now the steady time of the batch, in seconds */
+ * @param now the monotonic time of the batch, in seconds */
 typedef void (*ow_wake_fn)(void *owner, double late_s, double now);
 
 /** @return a new loop, or NULL if the system has no epoll descriptor to give */
@@ -50,7 +50,7 @@
 
 /** Sets the function that is called whenever the loop has finished waiting; `owner` is passed to it. */
 void ow_loop_on_wake(struct ow_loop *loop, ow_wake_fn wake, void *owner);
-/** The steady time of the batch at hand, in seconds. */
+/** The monotonic time of the batch at hand, in seconds. */
 double ow_loop_now(const struct ow_loop *loop);
 
 enum { OW_LOOP_NO_DESCRIPTOR = -1 };
--- a/src/io/peer_link.h
+++ b/src/io/peer_link.h
@@ -39,7 +39,7 @@
 /** Reopens lost links and closes those that make no progress or are silent; to be called several times a
  * second.
  * @param links the links
- * @param now the steady time in seconds */
+ * @param now the monotonic time in seconds */
 void ow_peer_links_sweep(struct ow_peer_links *links, double now);
 
 #endif
--- a/src/sharding/map_agreement.c
+++ b/src/sharding/map_agreement.c
@@ -96,7 +96,7 @@
 /* ---- replies ---- */
 
 /* Takes ownership of `difference`; NULL: the settings agree. */
-static void conclude(struct ow_map_agreement *agreement, char *difference)
+static void set_result(struct ow_map_agreement *agreement, char *difference)
 {
     if (g_strcmp0(difference, agreement->difference) != 0)
         g_warning("settings differ from the stored shard map, no shard is led anew: reason=\"%s\"",
@@ -113,8 +113,8 @@
 {
     g_autoptr(GHashTable) stored = wire_shard_map_from_json(item->value);
     agreement->mod_revision = item->mod_revision;
-    conclude(agreement, stored != NULL ? ow_shard_map_find_difference(agreement->values, stored)
-                                       : g_strdup("the stored shard map can't be read"));
+    set_result(agreement, stored != NULL ? ow_shard_map_find_difference(agreement->values, stored)
+                                         : g_strdup("the stored shard map can't be read"));
 }
 
 static void receive_map(struct ow_map_agreement *agreement, const struct ow_store_reply *reply, double now)
@@ -134,9 +134,9 @@
     if (ow_store_reply_failed_on(reply, MAP_KEY))
         agreement->state = AGREEMENT_READING;
     else
-        conclude(agreement,
-                 g_strdup("the fleet is in use without shards, and can't be divided while its records "
-                          "are there"));
+        set_result(agreement,
+                   g_strdup("the fleet is in use without shards, and can't be divided while its records "
+                            "are there"));
 }
 
 static void receive_creation(struct ow_map_agreement *agreement, const struct ow_store_reply *reply,
--- a/src/sharding/membership.c
+++ b/src/sharding/membership.c
@@ -116,8 +116,8 @@
     }
 }
 
-static void judge_alive(struct ow_membership *membership, struct ow_member *member, double now,
-                        GPtrArray *out)
+static void probe_if_silent(struct ow_membership *membership, struct ow_member *member, double now,
+                            GPtrArray *out)
 {
     double phi = ow_phi_detector_phi(&member->detector, now);
     if (phi < membership->sharding->suspicion_phi)
@@ -134,7 +134,8 @@
                         g_strdup_printf("phi %.1f, and none of %u relays reached it", phi, member->relays));
 }
 
-static void judge(struct ow_membership *membership, struct ow_member *member, double now, GPtrArray *out)
+static void update_state(struct ow_membership *membership, struct ow_member *member, double now,
+                         GPtrArray *out)
 {
     double probe_timeout_s = membership->sharding->probe_timeout_s;
     double probe_age_s = now - member->probed_at;
@@ -143,7 +144,7 @@
     case OW_MEMBER_UNKNOWN:
         break;
     case OW_MEMBER_ALIVE:
-        judge_alive(membership, member, now, out);
+        probe_if_silent(membership, member, now, out);
         break;
     case OW_MEMBER_PROBING:
         if (probe_age_s > probe_timeout_s)
@@ -172,5 +173,5 @@
         g_ptr_array_add(out, ow_peer_heartbeat_new(&membership->heartbeats, led_shards));
     }
     for (guint i = 0; i < membership->members->len; i++)
-        judge(membership, g_ptr_array_index(membership->members, i), now, out);
+        update_state(membership, g_ptr_array_index(membership->members, i), now, out);
 }
--- a/src/sharding/shard.c
+++ b/src/sharding/shard.c
@@ -144,7 +144,7 @@
 
 /* Whether the effect may leave. If not, it is freed, and the core gets a reply in its place in its next step.
  */
-static bool pass_guard(struct ow_shard *shard, struct ow_effect *effect, enum ow_lease_state lease)
+static bool apply_guard(struct ow_shard *shard, struct ow_effect *effect, enum ow_lease_state lease)
 {
     struct ow_event *reply = NULL;
     if (lease != OW_LEASE_HELD && ow_effect_guard_apply(effect, lease, &reply))
@@ -162,7 +162,7 @@
     enum ow_lease_state lease = ow_lease_guard_state(&shard->guard, now);
     for (guint i = 0; i < effects->len; i++) {
         struct ow_effect *effect = g_ptr_array_index(effects, i);
-        if (!pass_guard(shard, effect, lease))
+        if (!apply_guard(shard, effect, lease))
             continue;
         translate(shard, effect, now);
         g_ptr_array_add(out, effect);
