--- a/src/core/jobs/attempt_end.c
+++ b/src/core/jobs/attempt_end.c
@@ -64,9 +64,9 @@
         ow_machine_faults_avoid(leader, machine, execution);
         return;
     }
-    machine->errors = 0;
-    machine->probation_until = 0;
-    machine->failed_job = NULL;
+    machine->faults.errors = 0;
+    machine->faults.probation_until = 0;
+    machine->faults.failed_job = NULL;
     complete_tasks(leader, execution, task);
 }
 
--- a/src/core/leader/cutoff_detection.c
+++ b/src/core/leader/cutoff_detection.c
@@ -19,7 +19,7 @@
     double last_at = leader->ready_at;
     for (guint i = 0; i < leader->machines->len; i++) {
         const struct ow_machine *machine = g_ptr_array_index(leader->machines, i);
-        last_at = MAX(last_at, machine->last_message_at);
+        last_at = MAX(last_at, machine->liveness.last_message_at);
     }
     return last_at;
 }
@@ -30,7 +30,7 @@
     unsigned expected = 0;
     for (guint i = 0; i < leader->machines->len; i++) {
         const struct ow_machine *machine = g_ptr_array_index(leader->machines, i);
-        expected += machine->listed == OW_LISTED_RUNNING && !machine->terminating ? 1 : 0;
+        expected += machine->listed == OW_LISTED_RUNNING && !machine->is_terminating ? 1 : 0;
     }
     return expected;
 }
--- a/src/core/leader/heartbeat_answer.c
+++ b/src/core/leader/heartbeat_answer.c
@@ -14,21 +14,22 @@
    machine can be commanded by replies even if commands sent to its own address fail. */
 static void note_answers_arrive(struct ow_machine *machine, double now)
 {
-    if (machine->last_heartbeat_at > 0 && now - machine->last_heartbeat_at < OW_HEARTBEAT_TIMEOUT_S)
-        machine->unanswered_since = 0;
+    if (machine->liveness.last_heartbeat_at > 0 &&
+        now - machine->liveness.last_heartbeat_at < OW_HEARTBEAT_TIMEOUT_S)
+        machine->liveness.unanswered_since = 0;
 }
 
 static uint64_t incarnation_of(const struct ow_leader *leader, const struct ow_heartbeat *heartbeat)
 {
     const struct ow_machine *machine = ow_machines_find(leader, heartbeat->machine);
-    return machine != NULL ? machine->incarnation : 0;
+    return machine != NULL ? machine->liveness.incarnation : 0;
 }
 
 /* Whether this is the machine's newest heartbeat. Delayed duplicates say nothing about its present state. */
 static bool is_newest(const struct ow_machine *machine, const struct ow_heartbeat *heartbeat)
 {
-    return machine != NULL && heartbeat->incarnation == machine->incarnation &&
-           heartbeat->sequence == machine->sequence;
+    return machine != NULL && heartbeat->incarnation == machine->liveness.incarnation &&
+           heartbeat->sequence == machine->liveness.sequence;
 }
 
 /* Whether the reply may carry commands: the worker accepts this leader's commands, and the leader is ready.
@@ -36,7 +37,7 @@
 static bool may_be_commanded(const struct ow_leader *leader, const struct ow_machine *machine,
                              const struct ow_heartbeat *heartbeat)
 {
-    return is_newest(machine, heartbeat) && machine->fenced &&
+    return is_newest(machine, heartbeat) && machine->liveness.is_fenced &&
            heartbeat->fencing_token == leader->fencing_token && leader->phase == OW_LEADER_READY;
 }
 
@@ -60,9 +61,9 @@
     g_autoptr(GArray) clears = g_array_new(FALSE, FALSE, sizeof(struct ow_worker_command));
     struct ow_machine *machine = ow_heartbeat_intake_apply(leader, heartbeat, clears);
     if (is_newest(machine, heartbeat)) {
-        if (machine->fenced && heartbeat->incarnation == incarnation_before)
+        if (machine->liveness.is_fenced && heartbeat->incarnation == incarnation_before)
             note_answers_arrive(machine, leader->core->now);
-        machine->last_heartbeat_at = leader->core->now;
+        machine->liveness.last_heartbeat_at = leader->core->now;
     }
     struct ow_effect *effect = ow_effect_new(OW_EFFECT_WORKER_COMMANDS, request);
     /* Until the job table has been read, renewing the worker's lease could keep a task running whose
--- a/src/core/leader/leader_status.c
+++ b/src/core/leader/leader_status.c
@@ -20,10 +20,10 @@
     };
     for (guint i = 0; i < leader->machines->len; i++) {
         const struct ow_machine *machine = g_ptr_array_index(leader->machines, i);
-        if (machine->incarnation == 0)
+        if (machine->liveness.incarnation == 0)
             continue;
         status.machines++;
-        status.fenced_machines += machine->fenced ? 1 : 0;
+        status.fenced_machines += machine->liveness.is_fenced ? 1 : 0;
     }
     return status;
 }
--- a/src/core/machines/cancellation_enforcement.c
+++ b/src/core/machines/cancellation_enforcement.c
@@ -18,7 +18,7 @@
         if (!attempt->stop || attempt->job->state != OW_JOB_CANCELLED)
             continue;
         double waited_s = leader->core->now - attempt->stop_at;
-        if (waited_s > STOP_RETRY_S && !machine->direct_busy)
+        if (waited_s > STOP_RETRY_S && !machine->direct.is_in_flight)
             ow_command_queue_add(leader, machine);
         if (waited_s > TERMINATION_SHARE * leader->core->settings->cancel_s) {
             ow_fleet_terminate(leader, machine, "a cancelled task can't be ended otherwise");
--- a/src/core/machines/command_queue.c
+++ b/src/core/machines/command_queue.c
@@ -41,22 +41,23 @@
 
 void ow_command_queue_take(struct ow_leader *leader, guint position)
 {
-    ow_command_queue_at(leader, position)->direct_wanted = false;
+    ow_command_queue_at(leader, position)->direct.is_queued = false;
     g_ptr_array_remove_index_fast(leader->command_queue->machines, position);
 }
 
 void ow_command_queue_add(struct ow_leader *leader, struct ow_machine *machine)
 {
-    if (machine->direct_wanted)
+    if (machine->direct.is_queued)
         return;
-    machine->direct_wanted = true;
+    machine->direct.is_queued = true;
     g_ptr_array_add(leader->command_queue->machines, machine);
 }
 
 void ow_command_queue_add_unfenced(struct ow_leader *leader, struct ow_machine *machine)
 {
-    if (!machine->direct_wanted)
-        machine->direct_at = MAX(machine->direct_at, leader->core->now + FENCE_BY_HEARTBEAT_S);
+    if (!machine->direct.is_queued)
+        machine->direct.not_before =
+            MAX(machine->direct.not_before, leader->core->now + FENCE_BY_HEARTBEAT_S);
     ow_command_queue_add(leader, machine);
 }
 
@@ -65,14 +66,14 @@
     double interval_s = DIRECT_COST_S / (ADD_ALL_SHARE * leader->core->settings->core_share);
     for (guint i = 0; i < leader->machines->len; i++) {
         struct ow_machine *machine = g_ptr_array_index(leader->machines, i);
-        machine->direct_at = leader->core->now + i * interval_s;
+        machine->direct.not_before = leader->core->now + i * interval_s;
         ow_command_queue_add(leader, machine);
     }
 }
 
 void ow_command_queue_remove(struct ow_leader *leader, struct ow_machine *machine)
 {
-    if (machine->direct_wanted)
+    if (machine->direct.is_queued)
         g_ptr_array_remove_fast(leader->command_queue->machines, machine);
-    machine->direct_wanted = false;
+    machine->direct.is_queued = false;
 }
--- a/src/core/machines/fleet.c
+++ b/src/core/machines/fleet.c
@@ -68,8 +68,8 @@
     } else {
         /* Refused, it was not carried out and the machine stays of use. Without an answer it may be carried
            out yet, so nothing new goes there. */
-        machine->terminating = status == 0;
-        machine->terminate_at = leader->core->now + DELETE_RETRY_S;
+        machine->is_terminating = status == 0;
+        machine->terminate_not_before = leader->core->now + DELETE_RETRY_S;
     }
 }
 
@@ -87,12 +87,12 @@
 void ow_fleet_terminate(struct ow_leader *leader, struct ow_machine *machine, const char *why)
 {
     double now = leader->core->now;
-    if (now < machine->terminate_at || ow_rate_limiter_level(&leader->cloud_limiter, now) < 1)
+    if (now < machine->terminate_not_before || ow_rate_limiter_level(&leader->cloud_limiter, now) < 1)
         return;
-    if (!machine->terminating)
+    if (!machine->is_terminating)
         g_info("machine %s is being returned: %s", machine->name, why);
-    machine->terminating = true;
-    machine->terminate_at = INFINITY;
+    machine->is_terminating = true;
+    machine->terminate_not_before = INFINITY;
     g_ptr_array_add(leader->fleet->to_terminate, g_strdup(machine->name));
 }
 
@@ -142,7 +142,7 @@
         ow_machine_describe(leader, machine, listed_machine->addr, listed_machine->type, listed_machine->zone,
                             listed_machine->spot);
         /* Lists lag: what its own worker reported is newer. */
-        if (machine->last_message_at == 0 || listed_machine->state == OW_LISTED_FAILED)
+        if (machine->liveness.last_message_at == 0 || listed_machine->state == OW_LISTED_FAILED)
             machine->listed = listed_machine->state;
         /* One that reported first was older than it seemed. */
         machine->provisioned_at =
@@ -176,7 +176,8 @@
 
 static bool idle(const struct ow_machine *machine)
 {
-    return machine->attempts->len == 0 && machine->fenced && !machine->terminating && machine->holders == 0;
+    return machine->attempts->len == 0 && machine->liveness.is_fenced && !machine->is_terminating &&
+           machine->holders == 0;
 }
 
 static bool alike(const struct ow_machine *a, const struct ow_machine *b)
--- a/src/core/machines/heartbeat_intake.c
+++ b/src/core/machines/heartbeat_intake.c
@@ -13,52 +13,52 @@
    over. */
 static bool is_newer(const struct ow_machine *machine, const struct ow_heartbeat *heartbeat)
 {
-    if (heartbeat->incarnation <= machine->expired_incarnation)
+    if (heartbeat->incarnation <= machine->liveness.expired_incarnation)
         return false;
-    if (heartbeat->incarnation != machine->incarnation)
-        return heartbeat->incarnation > machine->incarnation;
-    return heartbeat->sequence > machine->sequence;
+    if (heartbeat->incarnation != machine->liveness.incarnation)
+        return heartbeat->incarnation > machine->liveness.incarnation;
+    return heartbeat->sequence > machine->liveness.sequence;
 }
 
 /* Every older incarnation is over, and so are the launches that were meant for it. */
 static void begin_incarnation(struct ow_machine *machine, uint64_t incarnation)
 {
-    machine->incarnation = incarnation;
-    machine->expired_incarnation = MAX(machine->expired_incarnation, incarnation - 1);
-    g_array_set_size(machine->unacknowledged_launches, 0);
+    machine->liveness.incarnation = incarnation;
+    machine->liveness.expired_incarnation = MAX(machine->liveness.expired_incarnation, incarnation - 1);
+    g_array_set_size(machine->direct.unacknowledged_launches, 0);
 }
 
 /* Applies what holds whichever leader's commands the worker accepts. */
 static void apply_liveness(struct ow_leader *leader, struct ow_machine *machine,
                            const struct ow_heartbeat *heartbeat)
 {
-    if (heartbeat->incarnation > machine->incarnation)
+    if (heartbeat->incarnation > machine->liveness.incarnation)
         begin_incarnation(machine, heartbeat->incarnation);
     /* Also in an incarnation that is known already: records that were read meanwhile may name older ones. */
     ow_reconcile_older_incarnations(leader, machine);
     machine->listed = OW_LISTED_RUNNING;
-    machine->last_message_at = leader->core->now;
-    if (machine->first_message_at == 0)
-        machine->first_message_at = leader->core->now;
-    machine->sequence = heartbeat->sequence;
+    machine->liveness.last_message_at = leader->core->now;
+    if (machine->liveness.first_message_at == 0)
+        machine->liveness.first_message_at = leader->core->now;
+    machine->liveness.sequence = heartbeat->sequence;
 }
 
 static void note_fenced(struct ow_leader *leader, struct ow_machine *machine)
 {
-    machine->fenced = true;
-    machine->fenced_at = machine->idle_since = leader->core->now;
-    machine->unanswered_since = 0;
+    machine->liveness.is_fenced = true;
+    machine->liveness.fenced_at = machine->idle_since = leader->core->now;
+    machine->liveness.unanswered_since = 0;
     ow_leader_request_cycle(leader);
     g_info("machine has seen fencing token: machine=%s incarnation=%" G_GUINT64_FORMAT
            " fencing_token=%" G_GUINT64_FORMAT,
-           machine->name, machine->incarnation, leader->fencing_token);
+           machine->name, machine->liveness.incarnation, leader->fencing_token);
 }
 
 /* Applies what holds only because the worker accepts no commands but this leader's any more. */
 static void apply_fenced(struct ow_leader *leader, struct ow_machine *machine,
                          const struct ow_heartbeat *heartbeat, GArray *commands)
 {
-    if (!machine->fenced)
+    if (!machine->liveness.is_fenced)
         note_fenced(leader, machine);
     ow_reclaim_notice_apply(leader, machine, heartbeat->reclaim_notice_s);
     ow_reconcile_tasks(leader, machine, heartbeat->tasks, commands);
--- a/src/core/machines/lease_expiry.c
+++ b/src/core/machines/lease_expiry.c
@@ -18,9 +18,10 @@
      copies of older ones renew nothing. */
 static bool has_lease_expired(const struct ow_leader *leader, const struct ow_machine *machine)
 {
-    if (!machine->fenced || machine->incarnation <= machine->expired_incarnation)
+    if (!machine->liveness.is_fenced ||
+        machine->liveness.incarnation <= machine->liveness.expired_incarnation)
         return false;
-    double renewed_at = MAX(machine->last_message_at, machine->fenced_at);
+    double renewed_at = MAX(machine->liveness.last_message_at, machine->liveness.fenced_at);
     double longest_s = ow_clock_drift_longest_s(leader->core->settings->lease_s) + MARGIN_S;
     return leader->core->now >= renewed_at + longest_s;
 }
@@ -30,8 +31,8 @@
     if (!has_lease_expired(leader, machine))
         return;
     g_info("lease of worker expired: machine=%s incarnation=%" G_GUINT64_FORMAT " tasks=%u", machine->name,
-           machine->incarnation, machine->attempts->len);
-    machine->expired_incarnation = machine->incarnation;
+           machine->liveness.incarnation, machine->attempts->len);
+    machine->liveness.expired_incarnation = machine->liveness.incarnation;
     while (machine->attempts->len > 0)
         ow_attempt_end(leader, g_ptr_array_index(machine->attempts, 0), OW_CAUSE_NONE,
                        "its machine's lease has expired");
--- a/src/core/machines/machine_faults.c
+++ b/src/core/machines/machine_faults.c
@@ -18,7 +18,7 @@
     void *machine;
     g_hash_table_iter_init(&iter, execution->failed_machines);
     while (g_hash_table_iter_next(&iter, &machine, NULL))
-        ((struct ow_machine *)machine)->probation_until = 0;
+        ((struct ow_machine *)machine)->faults.probation_until = 0;
 }
 
 void ow_machine_faults_avoid(struct ow_leader *leader, struct ow_machine *machine,
@@ -69,14 +69,14 @@
         }
     }
     /* A job with many tasks proves no more against a machine than one with a single task. */
-    machine->errors += machine->failed_job != execution->job ? 1 : 0;
-    machine->failed_job = execution->job;
-    machine->probation_until = now + PROBATION_S;
-    if (machine->errors < ERRORS_TO_QUARANTINE || now < machine->quarantine_until)
+    machine->faults.errors += machine->faults.failed_job != execution->job ? 1 : 0;
+    machine->faults.failed_job = execution->job;
+    machine->faults.probation_until = now + PROBATION_S;
+    if (machine->faults.errors < ERRORS_TO_QUARANTINE || now < machine->faults.quarantine_until)
         return;
-    double pause = MIN(240, 30 << MIN(machine->quarantines, 3));
-    machine->quarantines++;
-    machine->quarantine_until = now + pause;
-    machine->errors = ERRORS_TO_QUARANTINE - 1; /* one more job after it is enough */
+    double pause = MIN(240, 30 << MIN(machine->faults.quarantines, 3));
+    machine->faults.quarantines++;
+    machine->faults.quarantine_until = now + pause;
+    machine->faults.errors = ERRORS_TO_QUARANTINE - 1; /* one more job after it is enough */
     g_info("machine %s fails tasks: nothing is put on it for %.0f s", machine->name, pause);
 }
--- a/src/core/machines/machine_health.c
+++ b/src/core/machines/machine_health.c
@@ -19,14 +19,14 @@
 {
     if (machine->addr == NULL || machine->listed == OW_LISTED_BOOTING)
         return false;
-    return !machine->fenced || machine->unanswered_since > 0 ||
+    return !machine->liveness.is_fenced || machine->liveness.unanswered_since > 0 ||
            ow_silent_machine_has_replicas(leader, machine);
 }
 
 /* An empty machine in quarantine is of no use; another one is provisioned in its place if it is missed. */
 static void terminate_if_quarantined(struct ow_leader *leader, struct ow_machine *machine)
 {
-    if (leader->core->now < machine->quarantine_until && machine->attempts->len == 0)
+    if (leader->core->now < machine->faults.quarantine_until && machine->attempts->len == 0)
         ow_fleet_terminate(leader, machine, "it is faulty");
 }
 
--- a/src/core/machines/machine_registry.c
+++ b/src/core/machines/machine_registry.c
@@ -27,10 +27,11 @@
     machine->name = g_strdup(name);
     machine->type = machine->zone = OW_NO_NAME;
     machine->slowness = 1;
-    machine->provisioned_at = machine->idle_since = machine->met_at = leader->core->now;
+    machine->provisioned_at = machine->idle_since = machine->liveness.known_since = leader->core->now;
     machine->attempts = g_ptr_array_new();
-    machine->direct_launches = g_array_new(FALSE, FALSE, sizeof(struct ow_unacknowledged_launch));
-    machine->unacknowledged_launches = g_array_new(FALSE, FALSE, sizeof(struct ow_unacknowledged_launch));
+    machine->direct.launches = g_array_new(FALSE, FALSE, sizeof(struct ow_unacknowledged_launch));
+    machine->direct.unacknowledged_launches =
+        g_array_new(FALSE, FALSE, sizeof(struct ow_unacknowledged_launch));
     machine->images = g_array_new(FALSE, FALSE, sizeof(struct ow_image_copy));
     g_hash_table_insert(leader->machines_by_name, machine->name, machine);
     g_ptr_array_add(leader->machines, machine);
@@ -43,8 +44,8 @@
     g_free(machine->name);
     g_free(machine->addr);
     g_ptr_array_free(machine->attempts, TRUE);
-    g_array_free(machine->direct_launches, TRUE);
-    g_array_free(machine->unacknowledged_launches, TRUE);
+    g_array_free(machine->direct.launches, TRUE);
+    g_array_free(machine->direct.unacknowledged_launches, TRUE);
     g_array_free(machine->images, TRUE);
     g_free(machine);
 }
@@ -63,14 +64,15 @@
 
 bool ow_machine_heard_recently(const struct ow_leader *leader, const struct ow_machine *machine)
 {
-    return leader->core->now - machine->last_message_at <
+    return leader->core->now - machine->liveness.last_message_at <
            MISSED_HEARTBEATS * leader->core->settings->heartbeat_interval_s;
 }
 
 bool ow_machine_is_silent(const struct ow_leader *leader, const struct ow_machine *machine)
 {
     /* Answers to commands fence a machine at a failover before its next heartbeat comes. */
-    double since = MAX(MAX(machine->last_heartbeat_at, machine->met_at), leader->ready_at);
+    double since =
+        MAX(MAX(machine->liveness.last_heartbeat_at, machine->liveness.known_since), leader->ready_at);
     return leader->core->now - since > MISSED_HEARTBEATS * leader->core->settings->heartbeat_interval_s;
 }
 
@@ -80,17 +82,18 @@
     /* No launch before its report under our own fencing token, nor on one that has fallen silent, answers
        commands but does not report (its lease runs out), or is unresponsive, is about to be reclaimed, or is
        being returned. */
-    return machine->fenced && machine->incarnation > machine->expired_incarnation &&
+    return machine->liveness.is_fenced &&
+           machine->liveness.incarnation > machine->liveness.expired_incarnation &&
            ow_machine_type_of(leader, machine) != NULL && machine->addr != NULL &&
            ow_machine_heard_recently(leader, machine) && !ow_machine_is_silent(leader, machine) &&
-           machine->unanswered_since == 0 && machine->reclaim_at == 0 && !machine->terminating &&
-           now >= MAX(machine->quarantine_until, machine->probation_until);
+           machine->liveness.unanswered_since == 0 && machine->reclaim_at == 0 && !machine->is_terminating &&
+           now >= MAX(machine->faults.quarantine_until, machine->faults.probation_until);
 }
 
 bool ow_machine_has_unacknowledged_launch(const struct ow_machine *machine, const struct ow_job *job,
                                           uint32_t task, uint64_t number)
 {
-    const GArray *lists[] = {machine->direct_launches, machine->unacknowledged_launches};
+    const GArray *lists[] = {machine->direct.launches, machine->direct.unacknowledged_launches};
     for (guint list = 0; list < G_N_ELEMENTS(lists); list++) {
         for (guint i = 0; i < lists[list]->len; i++) {
             const struct ow_unacknowledged_launch *launch =
--- a/src/core/machines/reconciliation.c
+++ b/src/core/machines/reconciliation.c
@@ -19,7 +19,7 @@
     struct ow_attempt *attempt = job->execution->tasks[task_status->task].attempt;
     if (attempt == NULL || attempt->machine != machine)
         return NULL;
-    if (attempt->number != task_status->attempt || attempt->incarnation != machine->incarnation)
+    if (attempt->number != task_status->attempt || attempt->incarnation != machine->liveness.incarnation)
         return NULL;
     return attempt;
 }
@@ -123,7 +123,7 @@
 {
     struct ow_execution *execution = attempt->job->execution;
     if (attempt->state == OW_ATTEMPT_SENT)
-        attempt->machine->unanswered_since = 0; /* the launch has arrived, by whichever way */
+        attempt->machine->liveness.unanswered_since = 0; /* the launch has arrived, by whichever way */
     execution->running -= is_seen_running(attempt) ? 1 : 0;
     attempt->state = OW_ATTEMPT_SEEN;
     attempt->phase = phase;
@@ -158,7 +158,7 @@
         apply_unrecorded_task(leader, machine, job, task_status, commands);
         return;
     }
-    attempt->heartbeat_generation = machine->heartbeat_generation;
+    attempt->heartbeat_generation = machine->liveness.heartbeat_generation;
     if (task_status->phase == OW_PHASE_EXITED)
         apply_exit(leader, attempt, task_status, commands);
     else
@@ -188,8 +188,8 @@
         if (i > machine->attempts->len)
             continue;
         struct ow_attempt *attempt = g_ptr_array_index(machine->attempts, i - 1);
-        if (attempt->heartbeat_generation != machine->heartbeat_generation &&
-            attempt->incarnation == machine->incarnation)
+        if (attempt->heartbeat_generation != machine->liveness.heartbeat_generation &&
+            attempt->incarnation == machine->liveness.incarnation)
             apply_absence(leader, attempt);
     }
 }
@@ -197,7 +197,7 @@
 void ow_reconcile_tasks(struct ow_leader *leader, struct ow_machine *machine, const GArray *tasks,
                         GArray *commands)
 {
-    machine->heartbeat_generation = ++leader->heartbeat_generation;
+    machine->liveness.heartbeat_generation = ++leader->heartbeat_generation;
     machine->unknown_tasks_use = (struct ow_resources){0};
     for (guint i = 0; i < tasks->len; i++)
         apply_task_status(leader, machine, &g_array_index(tasks, struct ow_task_status, i), commands);
@@ -212,7 +212,7 @@
         if (i > machine->attempts->len)
             continue;
         struct ow_attempt *attempt = g_ptr_array_index(machine->attempts, i - 1);
-        if (attempt->incarnation < machine->incarnation)
+        if (attempt->incarnation < machine->liveness.incarnation)
             ow_attempt_end(leader, attempt, OW_CAUSE_NONE, "its worker has begun a new incarnation");
     }
 }
--- a/src/core/machines/scale_out.c
+++ b/src/core/machines/scale_out.c
@@ -79,7 +79,8 @@
     GArray *expected_machines = g_array_new(FALSE, TRUE, sizeof(struct ow_expected_machine));
     for (guint i = 0; i < leader->machines->len; i++) {
         const struct ow_machine *machine = g_ptr_array_index(leader->machines, i);
-        if (machine->last_message_at != 0 || machine->listed != OW_LISTED_BOOTING || machine->terminating)
+        if (machine->liveness.last_message_at != 0 || machine->listed != OW_LISTED_BOOTING ||
+            machine->is_terminating)
             continue;
         struct ow_expected_machine expected = {
             .machine = {.type = machine->type, .zone = machine->zone, .spot = machine->spot}};
@@ -253,7 +254,7 @@
 {
     for (guint i = 0; i < leader->machines->len; i++) {
         const struct ow_machine *machine = g_ptr_array_index(leader->machines, i);
-        if (machine->listed == OW_LISTED_RUNNING && !machine->fenced)
+        if (machine->listed == OW_LISTED_RUNNING && !machine->liveness.is_fenced)
             return false;
     }
     return ow_fleet_is_listed(leader);
--- a/src/core/machines/silent_machines.c
+++ b/src/core/machines/silent_machines.c
@@ -29,7 +29,7 @@
 
 static bool is_boot_overdue(const struct ow_leader *leader, const struct ow_machine *machine)
 {
-    if (machine->last_message_at != 0)
+    if (machine->liveness.last_message_at != 0)
         return false;
     const struct ow_machine_type *type = ow_machine_type_of(leader, machine);
     double boot_s = type != NULL ? type->boot_s : UNKNOWN_BOOT_S;
@@ -40,7 +40,7 @@
 /* Seconds without a message while this leader could have heard one. */
 static double silent_s(const struct ow_leader *leader, const struct ow_machine *machine)
 {
-    return leader->core->now - MAX(machine->last_message_at, leader->ready_at);
+    return leader->core->now - MAX(machine->liveness.last_message_at, leader->ready_at);
 }
 
 static bool is_reclaimed(const struct ow_leader *leader, const struct ow_machine *machine)
@@ -51,14 +51,15 @@
 
 static bool is_known_from_records_alone(const struct ow_leader *leader, const struct ow_machine *machine)
 {
-    return machine->last_message_at == 0 && machine->listed == OW_LISTED_NOT && machine->attempts->len > 0 &&
-           silent_s(leader, machine) > UNLISTED_S;
+    return machine->liveness.last_message_at == 0 && machine->listed == OW_LISTED_NOT &&
+           machine->attempts->len > 0 && silent_s(leader, machine) > UNLISTED_S;
 }
 
 static bool is_silent_for_leases(const struct ow_leader *leader, const struct ow_machine *machine)
 {
-    double since = MAX(MAX(machine->last_heartbeat_at, machine->met_at), leader->ready_at);
-    return machine->last_message_at != 0 &&
+    double since =
+        MAX(MAX(machine->liveness.last_heartbeat_at, machine->liveness.known_since), leader->ready_at);
+    return machine->liveness.last_message_at != 0 &&
            leader->core->now - since > SILENT_LEASES * leader->core->settings->lease_s;
 }
 
@@ -78,7 +79,8 @@
 
 static bool has_fallen_silent(const struct ow_leader *leader, const struct ow_machine *machine)
 {
-    return machine->fenced && machine->last_message_at > 0 && !ow_machine_heard_recently(leader, machine);
+    return machine->liveness.is_fenced && machine->liveness.last_message_at > 0 &&
+           !ow_machine_heard_recently(leader, machine);
 }
 
 static bool has_replicas(const struct ow_machine *machine)
@@ -111,7 +113,7 @@
 void ow_silent_machine_terminate_for_replicas(struct ow_leader *leader, struct ow_machine *machine)
 {
     double settling_s = MISSED_HEARTBEATS * leader->core->settings->heartbeat_interval_s;
-    if (ow_silent_machine_has_replicas(leader, machine) && machine->unanswered_since > 0 &&
+    if (ow_silent_machine_has_replicas(leader, machine) && machine->liveness.unanswered_since > 0 &&
         leader->core->now - leader->ready_at > settling_s)
         ow_fleet_terminate(leader, machine, "it is silent, and services miss their replicas");
 }
--- a/src/core/machines/spot_risk.c
+++ b/src/core/machines/spot_risk.c
@@ -42,7 +42,7 @@
     unsigned machines = 0;
     for (guint i = 0; i < leader->machines->len; i++) {
         const struct ow_machine *machine = g_ptr_array_index(leader->machines, i);
-        machines += machine->spot && machine->last_message_at > 0 ? 1 : 0;
+        machines += machine->spot && machine->liveness.last_message_at > 0 ? 1 : 0;
     }
     risk->reclaim_notices *= weight;
     risk->machine_s = risk->machine_s * weight + machines * passed_s;
--- a/src/core/machines/unresponsive_machines.c
+++ b/src/core/machines/unresponsive_machines.c
@@ -20,11 +20,12 @@
 static double unresponsive_s(const struct ow_leader *leader, const struct ow_machine *machine)
 {
     double now = leader->core->now;
-    if (machine->fenced)
-        return machine->unanswered_since > 0 ? now - machine->unanswered_since : 0;
-    bool should_answer = machine->last_message_at > 0 || machine->attempts->len > 0;
+    if (machine->liveness.is_fenced)
+        return machine->liveness.unanswered_since > 0 ? now - machine->liveness.unanswered_since : 0;
+    bool should_answer = machine->liveness.last_message_at > 0 || machine->attempts->len > 0;
     /* A machine that still boots can't answer: time counts from its first message. */
-    double since = MAX(MAX(machine->met_at, leader->ready_at), machine->first_message_at);
+    double since =
+        MAX(MAX(machine->liveness.known_since, leader->ready_at), machine->liveness.first_message_at);
     return should_answer ? now - since : 0;
 }
 
@@ -51,6 +52,7 @@
     if (unresponsive > limit_s)
         ow_fleet_terminate(leader, machine,
                            "it does not answer commands, and its tasks can't be accounted for");
-    else if (machine->fenced && unresponsive > UNRESPONSIVE_S && ow_machine_heard_recently(leader, machine))
+    else if (machine->liveness.is_fenced && unresponsive > UNRESPONSIVE_S &&
+             ow_machine_heard_recently(leader, machine))
         ow_fleet_terminate(leader, machine, "it sends heartbeats but does not answer commands");
 }
--- a/src/core/machines/worker_commands.c
+++ b/src/core/machines/worker_commands.c
@@ -46,7 +46,7 @@
    the old one; it must not be given them again. */
 static bool is_command_due(const struct ow_machine *machine, const struct ow_attempt *attempt)
 {
-    return attempt->incarnation == machine->incarnation &&
+    return attempt->incarnation == machine->liveness.incarnation &&
            (attempt->state != OW_ATTEMPT_SEEN || attempt->stop);
 }
 
@@ -72,7 +72,7 @@
 /* Whether nobody knows that the machine would answer. */
 static bool is_unheard(const struct ow_machine *machine)
 {
-    return machine->last_message_at == 0 || machine->unanswered_since > 0;
+    return machine->liveness.last_message_at == 0 || machine->liveness.unanswered_since > 0;
 }
 
 /* Probes under way at a time. Those that we can't attend to in time would count as unanswered and be sent
@@ -92,12 +92,12 @@
 static void apply_direct_answer(struct ow_leader *leader, struct ow_machine *machine,
                                 const struct ow_event *answer)
 {
-    g_array_set_size(machine->direct_launches, 0);
-    machine->unanswered_since = 0;
+    g_array_set_size(machine->direct.launches, 0);
+    machine->liveness.unanswered_since = 0;
     if (answer->heartbeat != NULL)
         ow_heartbeat_intake_apply(leader, answer->heartbeat, NULL);
     if (answer->status == 409)
-        machine->direct_at = leader->core->now + REFUSED_PAUSE_S;
+        machine->direct.not_before = leader->core->now + REFUSED_PAUSE_S;
 }
 
 static void on_direct(void *owner, void *data, const struct ow_event *answer)
@@ -112,12 +112,12 @@
         ow_election_observe_fencing_token(leader->core->election, answer->heartbeat->fencing_token, NULL);
         return; /* and with that the leader is gone */
     }
-    machine->direct_busy = false;
+    machine->direct.is_in_flight = false;
     if (answer->status == OW_STATUS_UNSENT) {
         /* Nothing left us, so no launch is unacknowledged, and the machine's connection was not tried. */
-        g_array_set_size(machine->direct_launches, 0);
+        g_array_set_size(machine->direct.launches, 0);
         ow_command_queue_add(leader, machine);
-        machine->direct_at = leader->core->now + UNSENT_PAUSE_S;
+        machine->direct.not_before = leader->core->now + UNSENT_PAUSE_S;
         return;
     }
     if (answer->status == 200 || answer->status == 409) {
@@ -125,13 +125,13 @@
         return;
     }
     /* No answer: these launches may be carried out minutes later, for as long as the incarnation lasts. */
-    g_array_append_vals(machine->unacknowledged_launches, machine->direct_launches->data,
-                        machine->direct_launches->len);
-    g_array_set_size(machine->direct_launches, 0);
-    machine->direct_at = leader->core->now + DIRECT_PAUSE_S;
-    if (machine->unanswered_since == 0) {
+    g_array_append_vals(machine->direct.unacknowledged_launches, machine->direct.launches->data,
+                        machine->direct.launches->len);
+    g_array_set_size(machine->direct.launches, 0);
+    machine->direct.not_before = leader->core->now + DIRECT_PAUSE_S;
+    if (machine->liveness.unanswered_since == 0) {
         g_info("machine %s does not answer", machine->name);
-        machine->unanswered_since = call->sent_at;
+        machine->liveness.unanswered_since = call->sent_at;
     }
 }
 
@@ -141,11 +141,11 @@
     struct direct_call *call = g_new0(struct direct_call, 1);
     *call = (struct direct_call){g_strdup(machine->name), leader->core->now, is_unheard(machine)};
     leader->probes += call->is_probe ? 1 : 0;
-    machine->direct_busy = true;
-    effect->commands = ow_worker_commands_for(leader, machine, machine->direct_launches);
+    machine->direct.is_in_flight = true;
+    effect->commands = ow_worker_commands_for(leader, machine, machine->direct.launches);
     effect->addr = g_strdup(machine->addr);
     effect->fencing_token = leader->fencing_token;
-    effect->incarnation = MAX(machine->incarnation, 1);
+    effect->incarnation = MAX(machine->liveness.incarnation, 1);
     effect->request =
         ow_pending_calls_add(leader->core->pending_calls, on_direct, leader, call, direct_call_free);
     ow_core_emit(leader->core, effect);
@@ -154,7 +154,8 @@
 /* Whether the machine can be sent a direct command now. */
 static bool is_direct_possible(const struct ow_leader *leader, const struct ow_machine *machine)
 {
-    if (machine->direct_busy || machine->addr == NULL || leader->core->now < machine->direct_at)
+    if (machine->direct.is_in_flight || machine->addr == NULL ||
+        leader->core->now < machine->direct.not_before)
         return false;
     return !is_unheard(machine) || leader->probes < probes_most(leader);
 }
@@ -172,8 +173,8 @@
  * alone. */
 static bool is_direct_needed(const struct ow_leader *leader, const struct ow_machine *machine)
 {
-    return !machine->fenced || is_unheard(machine) || !ow_machine_heard_recently(leader, machine) ||
-           has_commands(machine);
+    return !machine->liveness.is_fenced || is_unheard(machine) ||
+           !ow_machine_heard_recently(leader, machine) || has_commands(machine);
 }
 
 /* Only the machines on the list are visited: in a large fleet a look at each of them in every round would
--- a/src/core/peers/machine_list.c
+++ b/src/core/peers/machine_list.c
@@ -15,8 +15,8 @@
    an unresponsive one. */
 static bool is_of_use(const struct ow_machine *machine)
 {
-    bool listens = machine->last_message_at > 0;
-    return listens && machine->addr != NULL && machine->type >= 0 && !machine->terminating;
+    bool listens = machine->liveness.last_message_at > 0;
+    return listens && machine->addr != NULL && machine->type >= 0 && !machine->is_terminating;
 }
 
 static GArray *list_machines(const struct ow_leader *leader)
--- a/src/core/records/loaded_records.c
+++ b/src/core/records/loaded_records.c
@@ -146,8 +146,8 @@
         struct ow_attempt *attempt =
             ow_attempt_new(leader, execution, record->task, record->attempt, machine, record->incarnation);
         attempt->state = OW_ATTEMPT_INHERITED;
-        if (machine->incarnation == 0)
-            machine->incarnation = record->incarnation;
+        if (machine->liveness.incarnation == 0)
+            machine->liveness.incarnation = record->incarnation;
     }
 }
 
--- a/src/core/scheduling/bind.c
+++ b/src/core/scheduling/bind.c
@@ -27,7 +27,7 @@
     struct ow_chunk *chunk = ow_execution_chunk(execution, task);
     chunk->last_attempt = MAX(chunk->last_attempt, number);
     struct ow_attempt *attempt =
-        ow_attempt_new(leader, execution, task, number, machine, machine->incarnation);
+        ow_attempt_new(leader, execution, task, number, machine, machine->liveness.incarnation);
     /* A replica has no end: what is not stopped for others must be complete some day. */
     attempt->not_preemptible = ow_promotion_is_promoted(execution) && !ow_execution_is_service(execution);
     ow_machine_image_use(leader, machine, execution->job->spec, false);
--- a/src/core/scheduling/preempt.c
+++ b/src/core/scheduling/preempt.c
@@ -27,7 +27,7 @@
 {
     const struct ow_job_spec *spec = execution->job->spec;
     const struct ow_job_spec *other = attempt->job->spec;
-    if (attempt->incarnation != attempt->machine->incarnation || attempt->not_preemptible)
+    if (attempt->incarnation != attempt->machine->liveness.incarnation || attempt->not_preemptible)
         return false;
     /* Who can't be in time any more takes nothing from who still can. */
     if (ow_deadline_is_missed(leader, execution) && ow_deadline_is_kept(leader, attempt))
--- a/src/core/scheduling/reason.c
+++ b/src/core/scheduling/reason.c
@@ -45,7 +45,7 @@
         if (!ow_placement_is_allowed(spec, machine))
             continue;
         count.allowed++;
-        if (machine->last_message_at == 0 && machine->listed == OW_LISTED_BOOTING)
+        if (machine->liveness.last_message_at == 0 && machine->listed == OW_LISTED_BOOTING)
             count.booting++;
         if (ow_machine_is_usable(leader, machine))
             count.usable++;
--- a/src/core/scheduling/service_moves.c
+++ b/src/core/scheduling/service_moves.c
@@ -28,8 +28,8 @@
    worker is about to end all tasks. One that answers nothing is none of these, for no stop would reach it. */
 static bool is_losing_its_lease(const struct ow_leader *leader, const struct ow_machine *machine)
 {
-    return machine->fenced && machine->unanswered_since == 0 && ow_machine_heard_recently(leader, machine) &&
-           ow_machine_is_silent(leader, machine);
+    return machine->liveness.is_fenced && machine->liveness.unanswered_since == 0 &&
+           ow_machine_heard_recently(leader, machine) && ow_machine_is_silent(leader, machine);
 }
 
 /* When tasks on the machine will be gone: the cloud takes it back, or its lease expires. 0: not as far as is
@@ -41,7 +41,7 @@
     if (!is_losing_its_lease(leader, machine))
         return 0;
     /* This leader may never have had a heartbeat of it: then there is no time that could be counted on. */
-    double since = machine->last_heartbeat_at;
+    double since = machine->liveness.last_heartbeat_at;
     return since > 0 ? since + leader->core->settings->lease_s : leader->core->now;
 }
 
@@ -141,7 +141,7 @@
         struct ow_machine *machine = g_ptr_array_index(leader->machines, i);
         if (leaves_at(leader, machine) > 0)
             empty_leaving(leader, machine);
-        else if (leader->core->now < machine->quarantine_until)
+        else if (leader->core->now < machine->faults.quarantine_until)
             empty_faulty(leader, machine);
     }
     for (guint i = 0; i < leader->executions->len; i++)
