--- /dev/null
+++ b/tests/sim/upgrade_setup.h
@@ -0,0 +1,27 @@
+/**
+ * @file
+ * Set-up for the tests of upgrades: a cluster of controllers of the earlier version, upgraded one by one.
+ */
+#ifndef OW_TESTS_UPGRADE_SETUP_H
+#define OW_TESTS_UPGRADE_SETUP_H
+
+#include "sim_cluster.h"
+
+/** Limits of the key-value store that are announced to upgraded controllers. */
+#define UPGRADE_VALUE_KB 0.6
+enum { UPGRADE_TXN_OPS = 4 };
+
+/** A cluster with all controllers, of the earlier version, and these machines. */
+struct sim_cluster *sim_with_old_controllers(int machines);
+/** Replaces the controller, which may be down, by the new version after this time, with lower limits
+ * announced.
+ */
+void upgrade_controller(struct sim_cluster *cluster, int controller, double away_s);
+/** Lets the key-value store's limits fall to those that were announced. */
+void lower_limits(struct sim_cluster *cluster);
+/** Running tasks end one after the other, so that progress is recorded repeatedly. */
+void end_tasks_gradually(struct sim_cluster *cluster, double within_s);
+/** Predicate: whether records of the new format may be written. */
+bool format_gate_is_open(struct sim_cluster *cluster, const void *what);
+
+#endif
--- a/tests/sim/workload_day.c
+++ b/tests/sim/workload_day.c
@@ -1,5 +1,6 @@
 /* A random mix of work for a simulated cluster, with a few failures, from a fixed seed. */
 #include "workload_day.h"
+#include "workload_jobs.h"
 
 #include "check.h"
 
@@ -8,16 +9,9 @@
     CALM_S = 100,                /* without either: services are separated, and idle machines returned */
     PROVISIONABLE_MACHINES = 12, /* beyond those of the start */
     JOBS_PER_ROUND_MOST = 2,     /* new jobs */
-    JOB_SEEDS = 1000,            /* seeds of jobs for each seed of a day */
     ANSWER_S = 20,               /* every request is answered within it once the failures are over */
 };
 
-/* The classes of jobs; each but the first has an SLO. */
-static char batch_class[] = "batch", training_class[] = "training", serving_class[] = "serving",
-            reporting_class[] = "report";
-/* Teams with guarantees, beside those of every simulated cluster. */
-static char vision_team[] = "vision", speech_team[] = "speech";
-
 /* The state of one day. */
 struct workload {
     struct sim_cluster *cluster;
@@ -46,117 +40,13 @@
                           (guint)g_rand_int_range(day->rand, 0, (gint32)day->cluster->machines->len));
 }
 
-/* ---- jobs ---- */
-
-static void job_id(char *id, size_t size, int job)
-{
-    g_snprintf(id, size, "run-%d", job);
-}
-
-static void set_class(struct ow_submission *submission, const char *class_name)
-{
-    g_free(submission->class_name);
-    submission->class_name = g_strdup(class_name);
-}
-
-/* Some images are shared by classes, some are slow to fetch. */
-static void set_image(struct ow_submission *submission, GRand *rand)
-{
-    static const double sizes_gb[] = {0.5, 2, 8, 30};
-    int image = g_rand_int_range(rand, 0, G_N_ELEMENTS(sizes_gb));
-    g_free(submission->image);
-    submission->image = g_strdup_printf("image-%d", image);
-    submission->image_gb = sizes_gb[image];
-}
-
-static void set_random_team(struct ow_submission *submission, GRand *rand)
-{
-    static const char *teams[] = {"open", "open", "open", "tight", "vision", "vision", "speech", "speech"};
-    const char *team = teams[g_rand_int_range(rand, 0, G_N_ELEMENTS(teams))];
-    sim_set_team(submission, one_in(rand, 40) ? "unknown" : team);
-}
-
-static void set_places(struct ow_submission *submission, GRand *rand)
-{
-    submission->one_zone = one_in(rand, 4);
-    submission->spread = one_in(rand, 4);
-    if (one_in(rand, 8))
-        submission->zone = g_strdup(one_in(rand, 2) ? "east" : "west");
-    if (one_in(rand, 8))
-        submission->types = g_strsplit(submission->need.gpus > 0 ? "gpu" : "big", " ", 0);
-}
-
-/* Some deadlines can't be met from the start. */
-static void set_times(struct ow_submission *submission, GRand *rand)
-{
-    submission->estimate_s = g_rand_double_range(rand, 2, 40);
-    if (one_in(rand, 2)) {
-        submission->checkpoint_interval_s = g_rand_double_range(rand, 1, 10);
-        submission->checkpoint_duration_s = g_rand_double_range(rand, 0, 2);
-    }
-    if (one_in(rand, 3))
-        submission->deadline_s = submission->estimate_s * g_rand_double_range(rand, 0.5, 10);
-}
-
-static struct ow_submission *random_array(const char *id, GRand *rand)
-{
-    static const double cpus[] = {0.5, 1, 2, 4, 8, 16};
-    struct ow_submission *submission = sim_job(id, 1 + (uint32_t)g_rand_int_range(rand, 0, 24),
-                                               cpus[g_rand_int_range(rand, 0, G_N_ELEMENTS(cpus))]);
-    if (one_in(rand, 4))
-        submission->need = (struct ow_resources){1, 1, 1};
-    set_class(submission, one_in(rand, 3) ? reporting_class : batch_class);
-    set_times(submission, rand);
-    return submission;
-}
-
-/* Many are small, and pass the large ones. */
-static struct ow_submission *random_gang(const char *id, GRand *rand)
-{
-    bool large = one_in(rand, 3);
-    uint32_t members = (uint32_t)g_rand_int_range(rand, large ? 4 : 1, large ? 9 : 4);
-    struct ow_submission *submission = sim_gang(id, members, large ? 16 : 8);
-    if (one_in(rand, 3))
-        submission->need = (struct ow_resources){2, one_in(rand, 2) ? 2 : 1, 1};
-    set_class(submission, one_in(rand, 4) ? batch_class : training_class);
-    set_times(submission, rand);
-    return submission;
-}
-
-static struct ow_submission *random_service(const char *id, GRand *rand)
-{
-    struct ow_submission *submission =
-        sim_service(id, 1 + (uint32_t)g_rand_int_range(rand, 0, 5), one_in(rand, 3) ? 8 : 1);
-    if (one_in(rand, 6))
-        submission->need = (struct ow_resources){1, 1, 1};
-    set_class(submission, serving_class);
-    return submission;
-}
-
-/* The submission of a job, always the same for a number. */
-static struct ow_submission *make_job(const struct workload *day, int job)
-{
-    static struct ow_submission *(*const kinds[])(const char *, GRand *) = {
-        random_array, random_array, random_array, random_gang, random_gang, random_service};
-    char id[16];
-    job_id(id, sizeof id, job);
-    GRand *rand = g_rand_new_with_seed(day->seed * JOB_SEEDS + (guint32)job);
-    struct ow_submission *submission = kinds[g_rand_int_range(rand, 0, G_N_ELEMENTS(kinds))](id, rand);
-    submission->rank = (enum ow_rank)g_rand_int_range(rand, OW_RANK_CRITICAL, OW_RANK_LOW + 1);
-    submission->spot = !one_in(rand, 3);
-    set_image(submission, rand);
-    set_random_team(submission, rand);
-    set_places(submission, rand);
-    g_rand_free(rand);
-    return submission;
-}
-
 /* ---- users ---- */
 
 static void submit_new_jobs(struct workload *day)
 {
     for (int count = g_rand_int_range(day->rand, 0, JOBS_PER_ROUND_MOST + 1); count > 0; count--) {
-        uint64_t request = sim_submit(day->cluster, random_controller(day), make_job(day, day->jobs));
+        uint64_t request =
+            sim_submit(day->cluster, random_controller(day), workload_job_new(day->seed, day->jobs));
         g_array_append_val(day->submissions, request);
         day->jobs++;
     }
@@ -176,10 +66,10 @@
         return;
     int job = g_rand_int_range(day->rand, 0, day->jobs);
     char id[16];
-    job_id(id, sizeof id, job);
+    workload_job_id(id, sizeof id, job);
     sim_poll(day->cluster, random_controller(day), id);
     if (one_in(day->rand, 4))
-        sim_submit(day->cluster, random_controller(day), make_job(day, job));
+        sim_submit(day->cluster, random_controller(day), workload_job_new(day->seed, job));
     if (one_in(day->rand, 4))
         sim_cancel(day->cluster, random_controller(day), id);
     if (one_in(day->rand, 20))
@@ -326,21 +216,6 @@
     }
 }
 
-static void set_teams_and_objectives(struct ow_settings *settings)
-{
-    const struct ow_team_settings teams[] = {
-        {.name = vision_team, .cpus = 24, .gpus = 4, .gpus_max = 6},
-        {.name = speech_team, .cpus = 48, .cpus_max = 64, .gpus_max = 2},
-    };
-    const struct ow_slo slos[] = {
-        {OW_SLO_WAIT, training_class, 60, 0.9},
-        {OW_SLO_WAIT, serving_class, 10, 0.9},
-        {OW_SLO_FINISHED, reporting_class, 120, 0.8},
-    };
-    g_array_append_vals(settings->teams, teams, G_N_ELEMENTS(teams));
-    g_array_append_vals(settings->slos, slos, G_N_ELEMENTS(slos));
-}
-
 static struct sim_cluster *start_sim(bool sharded, const struct sim_observer *observer)
 {
     struct sim_cluster *cluster = sim_new();
@@ -348,7 +223,7 @@
         cluster->observer = *observer;
     cluster->provisionable_machines = PROVISIONABLE_MACHINES;
     for (int i = 0; i < SIM_CONTROLLERS; i++)
-        set_teams_and_objectives(&cluster->settings[i]);
+        workload_set_teams_and_slos(&cluster->settings[i]);
     if (sharded)
         sim_enable_sharding(cluster);
     sim_start_controllers(cluster);
@@ -369,7 +244,7 @@
     GArray *polls = g_array_new(FALSE, FALSE, sizeof(uint64_t));
     for (int job = 0; job < day->jobs; job++) {
         char id[16];
-        job_id(id, sizeof id, job);
+        workload_job_id(id, sizeof id, job);
         uint64_t request = sim_poll(cluster, job % SIM_CONTROLLERS, id);
         g_array_append_val(polls, request);
     }
--- a/tests/unit/test_suspicion.c
+++ b/tests/unit/test_membership.c
@@ -1,5 +1,4 @@
-/* Failure detection between controllers: heartbeats, probes through others, suspicion; and who runs for a
- * shard. */
+/* Failure detection between controllers: heartbeats, probes through others, and suspicion. */
 #include "check.h"
 #include "model/peer.h"
 #include "sharding/membership.h"
@@ -117,66 +116,6 @@
     return message;
 }
 
-/* ---- the detector ---- */
-
-static void test_phi_grows_with_silence_and_follows_the_intervals(void **state)
-{
-    (void)state;
-    struct ow_phi_detector steady;
-    struct ow_phi_detector loose;
-    double now = 0;
-    ow_phi_detector_init(&steady, HEARTBEAT_S);
-    ow_phi_detector_init(&loose, HEARTBEAT_S);
-    assert_true(ow_phi_detector_phi(&steady, 1000) == 0);
-    for (int i = 0; i < 150; i++) {
-        now = i * 2.0;
-        ow_phi_detector_add_heartbeat(&steady, now);
-        ow_phi_detector_add_heartbeat(&loose, now + (i % 2 == 0 ? 0.9 : 0));
-    }
-    assert_true(ow_phi_detector_phi(&steady, now + 1) < 1);
-    assert_true(ow_phi_detector_phi(&steady, now + 3) < ow_phi_detector_phi(&steady, now + 4));
-    assert_true(ow_phi_detector_phi(&steady, now + 10) > 8);
-    /* The same silence is less unusual for one whose heartbeats come unevenly. */
-    assert_true(ow_phi_detector_phi(&loose, now + 5) < ow_phi_detector_phi(&steady, now + 5));
-    assert_true(ow_phi_detector_phi(&steady, now + 1e6) > 200);
-    assert_int_equal(steady.count, OW_PHI_HISTORY);
-}
-
-/* One long silence, a failure, must not hide the next: seen on a loopback run, where a controller that had
-   failed once was suspected after 6 s instead of 1.5 s. */
-static void test_phi_is_not_dulled_by_a_failure(void **state)
-{
-    (void)state;
-    struct ow_phi_detector detector;
-    double now = 0;
-    ow_phi_detector_init(&detector, HEARTBEAT_S);
-    for (int i = 0; i < 20; i++)
-        ow_phi_detector_add_heartbeat(&detector, now += HEARTBEAT_S);
-    double before = ow_phi_detector_phi(&detector, now + 2.5);
-    assert_true(before > 8);
-    ow_phi_detector_add_heartbeat(&detector, now += 60);
-    for (int i = 0; i < 3; i++)
-        ow_phi_detector_add_heartbeat(&detector, now += HEARTBEAT_S);
-    assert_true(ow_phi_detector_phi(&detector, now + 2.5) > 8);
-}
-
-/* A network that has become slower is followed. */
-static void test_phi_follows_a_slower_network(void **state)
-{
-    (void)state;
-    struct ow_phi_detector detector;
-    double now = 0;
-    ow_phi_detector_init(&detector, HEARTBEAT_S);
-    for (int i = 0; i < OW_PHI_HISTORY; i++)
-        ow_phi_detector_add_heartbeat(&detector, now += HEARTBEAT_S);
-    for (int i = 0; i < 2 * OW_PHI_HISTORY; i++)
-        ow_phi_detector_add_heartbeat(&detector, now += 8);
-    assert_true(ow_phi_detector_phi(&detector, now + 9) < 2);
-    assert_true(ow_phi_detector_phi(&detector, now + 30) > 8);
-}
-
-/* ---- suspicion ---- */
-
 static void test_silent_controller_is_probed_and_then_suspected(void **state)
 {
     (void)state;
@@ -293,9 +232,6 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_phi_grows_with_silence_and_follows_the_intervals),
-        cmocka_unit_test(test_phi_is_not_dulled_by_a_failure),
-        cmocka_unit_test(test_phi_follows_a_slower_network),
         cmocka_unit_test(test_silent_controller_is_probed_and_then_suspected),
         cmocka_unit_test(test_controller_that_others_reach_is_not_suspected),
         cmocka_unit_test(test_probes_are_carried_on),
--- /dev/null
+++ b/tests/unit/test_peer_wire.c
@@ -0,0 +1,99 @@
+/* Messages between controllers: each is complete on the other side, and those of later versions are read. */
+#include "check.h"
+#include "model/peer.h"
+#include "wire/peer_xdr.h"
+
+static struct ow_peer_message *through_xdr(struct ow_peer_message *message)
+{
+    GString *frame = g_string_new(NULL);
+    assert_true(wire_peer_encode(message, frame));
+    struct ow_peer_message *again = NULL;
+    assert_true(wire_peer_decode(frame->str + 4, frame->len - 4, &again));
+    g_string_free(frame, TRUE);
+    ow_peer_message_free(message);
+    return again;
+}
+
+static void test_peer_messages(void **state)
+{
+    (void)state;
+    struct ow_peer_message *message = ow_peer_message_new(OW_PEER_SUMMARY);
+    struct ow_peer_job job = {.id = "run-1", .done = 2, .running = 3, .reason = g_strdup("because")};
+    message->fencing_token = UINT64_C(1) << 40;
+    g_array_append_val(message->summary.jobs, job);
+    message = through_xdr(message);
+    assert_non_null(message);
+    assert_true(message->fencing_token == UINT64_C(1) << 40 && message->summary.jobs->len == 1);
+    assert_string_equal(g_array_index(message->summary.jobs, struct ow_peer_job, 0).reason, "because");
+    ow_peer_message_free(message);
+}
+
+static void test_cancellation_message_is_complete(void **state)
+{
+    (void)state;
+    for (enum ow_peer_kind kind = OW_PEER_CANCELLATION; kind <= OW_PEER_CANCELLATION_ACK; kind++) {
+        struct ow_peer_message *message = ow_peer_message_new(kind);
+        g_strlcpy(message->cancellation.job, "run-000412", sizeof message->cancellation.job);
+        message->cancellation.revision = UINT64_C(1) << 41;
+        message->fencing_token = 77;
+        message = through_xdr(message);
+        assert_non_null(message);
+        assert_int_equal(message->kind, kind);
+        assert_int_equal(message->version, 2);
+        assert_string_equal(message->cancellation.job, "run-000412");
+        assert_true(message->cancellation.revision == UINT64_C(1) << 41 && message->fencing_token == 77);
+        ow_peer_message_free(message);
+    }
+}
+
+/* A later version's messages: a kind that we don't know is left out, and so is what stands behind the fields
+   of one that we do. */
+static void test_messages_of_later_versions(void **state)
+{
+    (void)state;
+    static const char unknown[] = "\0\0\0\2\0\0\0\143\0\0\0\4abcd";
+    static const char longer[] = "\0\0\0\2\0\0\0\3\0\0\0\14\0\0\0\0\0\0\0\11more";
+    struct ow_peer_message *message = NULL;
+    assert_true(wire_peer_decode(unknown, sizeof unknown - 1, &message));
+    assert_null(message);
+    assert_true(wire_peer_decode(longer, sizeof longer - 1, &message));
+    assert_non_null(message);
+    assert_int_equal(message->kind, OW_PEER_JOB_CHANGED);
+    assert_int_equal(message->job_change.revision, 9);
+    assert_int_equal(message->version, 2);
+    ow_peer_message_free(message);
+    /* A message that ends within the known fields is invalid. */
+    assert_false(wire_peer_decode("\0\0\0\1\0\0\0\3\0\0\0\4\0\0\0\0", 16, &message));
+    assert_null(message);
+}
+
+static void test_random_peer_messages(void **state)
+{
+    (void)state;
+    GRand *rand = g_rand_new_with_seed(3);
+    for (int round = 0; round < 2000; round++) {
+        char bytes[64] = {0};
+        for (size_t i = 4; i < sizeof bytes; i++)
+            bytes[i] = (char)(g_rand_int(rand) & (round % 3 == 0 ? 0xff : 0x07));
+        bytes[3] = (char)(round % 6);
+        struct ow_peer_message *message = NULL;
+        assert_true(wire_peer_decode(bytes, (size_t)g_rand_int_range(rand, 0, sizeof bytes), &message) ||
+                    message == NULL);
+        ow_peer_message_free(message);
+    }
+    struct ow_peer_message *none = NULL;
+    assert_false(wire_peer_decode("\0\0\0\11", 4, &none));
+    assert_null(none);
+    g_rand_free(rand);
+}
+
+int main(void)
+{
+    const struct CMUnitTest tests[] = {
+        cmocka_unit_test(test_peer_messages),
+        cmocka_unit_test(test_cancellation_message_is_complete),
+        cmocka_unit_test(test_messages_of_later_versions),
+        cmocka_unit_test(test_random_peer_messages),
+    };
+    return cmocka_run_group_tests(tests, NULL, NULL);
+}
--- a/tests/unit/test_wire.c
+++ b/tests/unit/test_submission_wire.c
@@ -1,15 +1,8 @@
-/* Messages of users, workers, the cloud and peers: valid ones are parsed completely, invalid ones are
- * rejected. */
+/* Submissions of users: valid ones are parsed completely, invalid ones are rejected, and the field is named.
+ */
 #include "check.h"
-#include "model/cloud.h"
-#include "model/http_status.h"
-#include "model/peer.h"
 #include "model/submission.h"
-#include "model/worker.h"
-#include "wire/cloud_json.h"
-#include "wire/peer_xdr.h"
 #include "wire/submission_json.h"
-#include "wire/worker_json.h"
 
 #include <string.h>
 
@@ -202,163 +195,12 @@
     assert_null(parse_job("null"));
 }
 
-static const char heartbeat[] =
-    "{\"perch\":\"n-1\",\"addr\":\"10.1.0.2:9000\",\"breed\":\"g8\",\"range\":\"a\",\"windfall\":true,"
-    "\"stint\":1,\"chirp\":88,\"crest\":41,\"warning_s\":7.5,"
-    "\"talons\":[{\"talon\":\"run-000412/3\",\"dive\":2,\"stance\":\"flushing\"},"
-    "{\"talon\":\"run-000398/0\",\"dive\":1,\"stance\":\"exited\",\"cause\":\"halted\",\"saved\":true}]}";
-
-static void test_heartbeats(void **state)
-{
-    (void)state;
-    struct ow_heartbeat *parsed = wire_heartbeat_decode(heartbeat, strlen(heartbeat));
-    assert_non_null(parsed);
-    assert_true(parsed->incarnation == 1 && parsed->sequence == 88 && parsed->fencing_token == 41 &&
-                parsed->reclaim_notice_s == 7.5 && parsed->tasks->len == 2);
-    const struct ow_task_status *task = &g_array_index(parsed->tasks, struct ow_task_status, 1);
-    assert_true(task->task == 0 && task->phase == OW_PHASE_EXITED && task->cause == OW_CAUSE_STOPPED &&
-                task->saved);
-    ow_heartbeat_free(parsed);
-    /* A task that can't be parsed must not look like one that has ended. */
-    char **parts = g_strsplit(heartbeat, "run-000398/0", 2);
-    char *text = g_strjoinv("run-000398", parts);
-    assert_null(wire_heartbeat_decode(text, strlen(text)));
-    g_free(text);
-    g_strfreev(parts);
-}
-
-static void test_worker_commands(void **state)
-{
-    (void)state;
-    GArray *commands = g_array_new(FALSE, TRUE, sizeof(struct ow_worker_command));
-    struct ow_worker_command command = {
-        .kind = OW_WORKER_STOP, .job = "run-7", .task = 1, .attempt = 3, .grace_s = 2};
-    g_array_append_val(commands, command);
-    char *text = wire_direct_commands_encode(41, 2, commands);
-    assert_string_equal(
-        text, "{\"crest\":41,\"stint\":2,\"calls\":[{\"call\":\"stop\",\"talon\":\"run-7/1\",\"dive\":3,"
-              "\"glide_s\":2.0}]}");
-    g_free(text);
-    g_array_free(commands, TRUE);
-}
-
-static void test_cloud(void **state)
-{
-    (void)state;
-    const char list[] =
-        "{\"perches\":[{\"ref\":\"n-7\",\"addr\":\"10.1.0.2:9000\",\"breed\":\"g8\",\"range\":\"a\","
-        "\"windfall\":true,\"stance\":\"running\",\"age_s\":61.5},{\"ref\":\"n-8\"}],\"has_next\":true}";
-    struct ow_cloud_reply reply = {0};
-    wire_cloud_reply_decode(OW_CLOUD_LIST, OW_HTTP_STATUS_OK, list, strlen(list), &reply);
-    assert_non_null(reply.listed);
-    assert_true(reply.has_more && reply.listed->len == 1);
-    assert_true(g_array_index(reply.listed, struct ow_listed_machine, 0).state == OW_LISTED_RUNNING);
-    ow_cloud_reply_clear(&reply);
-    wire_cloud_reply_decode(OW_CLOUD_LIST, OW_HTTP_STATUS_OK, "{}", 2, &reply);
-    assert_null(reply.listed);
-    wire_cloud_reply_decode(OW_CLOUD_TYPES, OW_HTTP_STATUS_OK, "[]", 2, &reply);
-    assert_null(reply.types);
-}
-
-static struct ow_peer_message *through_xdr(struct ow_peer_message *message)
-{
-    GString *frame = g_string_new(NULL);
-    assert_true(wire_peer_encode(message, frame));
-    struct ow_peer_message *again = NULL;
-    assert_true(wire_peer_decode(frame->str + 4, frame->len - 4, &again));
-    g_string_free(frame, TRUE);
-    ow_peer_message_free(message);
-    return again;
-}
-
-static void test_peer_messages(void **state)
-{
-    (void)state;
-    struct ow_peer_message *message = ow_peer_message_new(OW_PEER_SUMMARY);
-    struct ow_peer_job job = {.id = "run-1", .done = 2, .running = 3, .reason = g_strdup("because")};
-    message->fencing_token = UINT64_C(1) << 40;
-    g_array_append_val(message->summary.jobs, job);
-    message = through_xdr(message);
-    assert_non_null(message);
-    assert_true(message->fencing_token == UINT64_C(1) << 40 && message->summary.jobs->len == 1);
-    assert_string_equal(g_array_index(message->summary.jobs, struct ow_peer_job, 0).reason, "because");
-    ow_peer_message_free(message);
-}
-
-static void test_cancellation_message_is_complete(void **state)
-{
-    (void)state;
-    for (enum ow_peer_kind kind = OW_PEER_CANCELLATION; kind <= OW_PEER_CANCELLATION_ACK; kind++) {
-        struct ow_peer_message *message = ow_peer_message_new(kind);
-        g_strlcpy(message->cancellation.job, "run-000412", sizeof message->cancellation.job);
-        message->cancellation.revision = UINT64_C(1) << 41;
-        message->fencing_token = 77;
-        message = through_xdr(message);
-        assert_non_null(message);
-        assert_int_equal(message->kind, kind);
-        assert_int_equal(message->version, 2);
-        assert_string_equal(message->cancellation.job, "run-000412");
-        assert_true(message->cancellation.revision == UINT64_C(1) << 41 && message->fencing_token == 77);
-        ow_peer_message_free(message);
-    }
-}
-
-/* A later version's messages: a kind that we don't know is left out, and so is what stands behind the fields
-   of one that we do. */
-static void test_messages_of_later_versions(void **state)
-{
-    (void)state;
-    static const char unknown[] = "\0\0\0\2\0\0\0\143\0\0\0\4abcd";
-    static const char longer[] = "\0\0\0\2\0\0\0\3\0\0\0\14\0\0\0\0\0\0\0\11more";
-    struct ow_peer_message *message = NULL;
-    assert_true(wire_peer_decode(unknown, sizeof unknown - 1, &message));
-    assert_null(message);
-    assert_true(wire_peer_decode(longer, sizeof longer - 1, &message));
-    assert_non_null(message);
-    assert_int_equal(message->kind, OW_PEER_JOB_CHANGED);
-    assert_int_equal(message->job_change.revision, 9);
-    assert_int_equal(message->version, 2);
-    ow_peer_message_free(message);
-    /* A message that ends within the known fields is invalid. */
-    assert_false(wire_peer_decode("\0\0\0\1\0\0\0\3\0\0\0\4\0\0\0\0", 16, &message));
-    assert_null(message);
-}
-
-static void test_random_peer_messages(void **state)
-{
-    (void)state;
-    GRand *rand = g_rand_new_with_seed(3);
-    for (int round = 0; round < 2000; round++) {
-        char bytes[64] = {0};
-        for (size_t i = 4; i < sizeof bytes; i++)
-            bytes[i] = (char)(g_rand_int(rand) & (round % 3 == 0 ? 0xff : 0x07));
-        bytes[3] = (char)(round % 6);
-        struct ow_peer_message *message = NULL;
-        assert_true(wire_peer_decode(bytes, (size_t)g_rand_int_range(rand, 0, sizeof bytes), &message) ||
-                    message == NULL);
-        ow_peer_message_free(message);
-    }
-    struct ow_peer_message *none = NULL;
-    assert_false(wire_peer_decode("\0\0\0\11", 4, &none));
-    assert_null(none);
-    g_rand_free(rand);
-}
-
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_job_survives_its_stored_form),
-        cmocka_unit_test(test_deadline_is_optional),
-        cmocka_unit_test(test_wrong_deadline_is_named),
-        cmocka_unit_test(test_each_wrong_field_is_named),
+        cmocka_unit_test(test_job_survives_its_stored_form), cmocka_unit_test(test_deadline_is_optional),
+        cmocka_unit_test(test_wrong_deadline_is_named),      cmocka_unit_test(test_each_wrong_field_is_named),
         cmocka_unit_test(test_bad_jobs_are_refused),
-        cmocka_unit_test(test_heartbeats),
-        cmocka_unit_test(test_worker_commands),
-        cmocka_unit_test(test_cloud),
-        cmocka_unit_test(test_peer_messages),
-        cmocka_unit_test(test_cancellation_message_is_complete),
-        cmocka_unit_test(test_messages_of_later_versions),
-        cmocka_unit_test(test_random_peer_messages),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
