--- a/src/core/jobs/job.h
+++ b/src/core/jobs/job.h
@@ -34,6 +34,13 @@
     uint64_t types; /**< a bit for each allowed type */
 };
 
+/** Whether a set of machine types, a bit for each as in `struct ow_job_spec`, has the type. `type_index` is 0
+ * or more and below OW_MAX_TYPES. */
+static inline bool ow_type_set_has(uint64_t types, int type_index)
+{
+    return (types & (UINT64_C(1) << type_index)) != 0;
+}
+
 /** A job, as this controller knows it. Times are by the core's clock, in seconds. */
 struct ow_job {
     char *id;                       /**< owned */
--- a/src/core/scheduling/array_start.c
+++ b/src/core/scheduling/array_start.c
@@ -53,13 +53,18 @@
     return longest_s;
 }
 
-/* A machine without the image is left alone while those that have it complete the work sooner, in `wait_s`,
-   than it could fetch the image, as long as the SLOs of the class leave the time. */
-static bool is_better_to_wait(struct ow_leader *leader, const struct ow_execution *execution,
-                              const struct ow_machine *machine, double wait_s, bool starves)
+/* Whether to leave a machine without the image alone: those that have it complete the work sooner, in
+   `wait_s`, than it could fetch the image, and the SLOs of the class leave the time. */
+static bool is_better_to_wait(struct ow_leader *leader, const struct array_start *start,
+                              const struct ow_machine *machine)
 {
+    if (start->slots <= 0)
+        return false;
+    const struct ow_execution *execution = start->execution;
     const struct ow_job_spec *spec = execution->job->spec;
+    double wait_s = start->work_s / start->slots;
     double fetch_s = ow_machine_fetch_seconds(leader, machine, spec);
+    bool starves = execution->starves && start->placed == 0;
     /* Capacity that others are stopped for must be taken, or they would be put there and stopped again. */
     if (fetch_s <= SHORT_FETCH_S || starves || ow_quota_may_reclaim(leader, execution))
         return false;
@@ -70,7 +75,7 @@
     double slack_s = ow_deadline_slack_s(leader, execution);
     if (wait_s < fetch_s && waited_s < slack_s)
         return true;
-    /* A fetch that costs more than the work it serves is made only when the SLOs need it, ... */
+    /* A fetch that takes longer than the work it serves is made only when the SLOs need it, ... */
     if (fetch_s <= ow_class_run_time_s(leader->core, spec))
         return false;
     if (waited_s < IMAGE_PATIENCE_SHARE * slack_s)
@@ -80,16 +85,6 @@
     return others_wait_s >= 0 && wait_s < CLEARLY_LONGER_TIMES * MAX(fetch_s, others_wait_s);
 }
 
-/* Whether to leave the machine alone because the image is sooner available elsewhere. */
-static bool waits_for_image(struct ow_leader *leader, const struct array_start *start,
-                            const struct ow_machine *machine)
-{
-    if (start->slots <= 0)
-        return false;
-    bool starves = start->execution->starves && start->placed == 0;
-    return is_better_to_wait(leader, start->execution, machine, start->work_s / start->slots, starves);
-}
-
 static void start_on(struct ow_leader *leader, struct array_start *start,
                      const struct ow_candidate *candidate)
 {
@@ -110,7 +105,7 @@
     if (start->only_zone != OW_NO_NAME && machine->zone != start->only_zone)
         return;
     if (ow_machine_image(machine, spec->image) == NULL) {
-        if (waits_for_image(leader, start, machine))
+        if (is_better_to_wait(leader, start, machine))
             return;
         const struct ow_machine_type *type = ow_machine_type_of(leader, machine);
         start->slots += ow_placement_slots_on_empty(type, &spec->submission->need);
--- a/src/core/scheduling/classes.h
+++ b/src/core/scheduling/classes.h
@@ -43,7 +43,7 @@
 /** Whether the jobs of the class allow machines of the type, as far as is known. */
 static inline bool ow_class_allows_type(const struct ow_class *class, int type_index)
 {
-    return (class->types & (UINT64_C(1) << type_index)) != 0;
+    return ow_type_set_has(class->types, type_index);
 }
 /** What is known of the class; valid until the next call. The list grows as class names come. */
 struct ow_class *ow_class_of(struct ow_core *core, int class_index);
--- a/src/core/scheduling/image_demand.c
+++ b/src/core/scheduling/image_demand.c
@@ -12,7 +12,7 @@
 
 static bool fits_type(const struct ow_job_spec *spec, int index, const struct ow_machine_type *type)
 {
-    return (spec->types & (UINT64_C(1) << index)) != 0 &&
+    return ow_type_set_has(spec->types, index) &&
            ow_placement_slots_on_empty(type, &spec->submission->need) > 0;
 }
 
--- a/src/core/scheduling/placement.c
+++ b/src/core/scheduling/placement.c
@@ -18,7 +18,7 @@
 {
     if (machine->type < 0 || machine->type >= OW_MAX_TYPES)
         return false;
-    if ((spec->types & (UINT64_C(1) << machine->type)) == 0)
+    if (!ow_type_set_has(spec->types, machine->type))
         return false;
     if (spec->zone != OW_NO_NAME && spec->zone != machine->zone)
         return false;
