--- a/src/core/api/cancel.c
+++ b/src/core/api/cancel.c
@@ -121,21 +121,21 @@
 {
     g_autofree char *key = g_strconcat(OW_KEY_JOBS, job->id, NULL);
     struct ow_store_request *transaction = ow_store_request_new(OW_STORE_TXN, NULL);
-    ow_store_compare(transaction, OW_KEY_LEADER, leader_fencing_token);
-    ow_store_compare(transaction, key, job->mod_revision);
-    ow_store_put(transaction, key, cancellation_record(core, job, leader_fencing_token), 0);
+    ow_store_request_compare(transaction, OW_KEY_LEADER, leader_fencing_token);
+    ow_store_request_compare(transaction, key, job->mod_revision);
+    ow_store_request_put(transaction, key, cancellation_record(core, job, leader_fencing_token), 0);
 
     struct cancel_call *call = g_new0(struct cancel_call, 1);
     ow_pending_request_init(&call->pending, request, job->id);
     call->leader_fencing_token = leader_fencing_token;
-    call->record_bytes = ow_store_largest_value(transaction);
+    call->record_bytes = ow_store_request_largest_value(transaction);
     ow_core_call_store(core, transaction, on_cancel_reply, core, call, g_free);
 }
 
 static void cancel_known(struct ow_core *core, uint64_t request, const struct ow_job *job)
 {
     uint64_t leader_fencing_token = ow_election_key_revision(core->election);
-    if (ow_job_over(job))
+    if (ow_job_is_over(job))
         ow_job_answer(core, request, OW_HTTP_STATUS_OK, job);
     else if (leader_fencing_token == 0)
         ow_job_reply_retry(core, request, "there is no leader yet");
--- a/src/core/api/job_reply.c
+++ b/src/core/api/job_reply.c
@@ -11,7 +11,7 @@
 void ow_job_reply_send(struct ow_core *core, uint64_t request, int status, const struct ow_job *job)
 {
     struct ow_effect *effect = ow_effect_new(OW_EFFECT_JOB, request);
-    bool is_over = ow_job_over(job);
+    bool is_over = ow_job_is_over(job);
     effect->status = status;
     g_strlcpy(effect->id, job->id, sizeof effect->id);
     effect->state = !is_over && job->running > 0 ? OW_JOB_RUNNING : job->state;
--- a/src/core/api/submit.c
+++ b/src/core/api/submit.c
@@ -125,8 +125,8 @@
 {
     g_autofree char *key = g_strconcat(OW_KEY_JOBS, id, NULL);
     struct ow_store_request *transaction = ow_store_request_new(OW_STORE_TXN, NULL);
-    ow_store_compare(transaction, key, 0);
-    ow_store_put(transaction, key, text, 0);
+    ow_store_request_compare(transaction, key, 0);
+    ow_store_request_put(transaction, key, text, 0);
     return transaction;
 }
 
@@ -146,7 +146,7 @@
     struct submit_call *call = g_new0(struct submit_call, 1);
     call->submission = g_steal_pointer(&submission);
     call->request = request;
-    call->record_bytes = ow_store_largest_value(transaction);
+    call->record_bytes = ow_store_request_largest_value(transaction);
     ow_core_call_store(core, transaction, on_submit_reply, core, call, submit_call_free);
 }
 
--- a/src/core/api/team_usage.c
+++ b/src/core/api/team_usage.c
@@ -24,7 +24,7 @@
 
 static bool is_unfinished_job_of(const struct ow_job *job, const char *team_name)
 {
-    return !ow_job_over(job) && strcmp(job->spec->submission->team, team_name) == 0;
+    return !ow_job_is_over(job) && strcmp(job->spec->submission->team, team_name) == 0;
 }
 
 static struct ow_team_view team_view(const char *team_name, const GPtrArray *open_jobs)
--- a/src/core/election/leader_lease.c
+++ b/src/core/election/leader_lease.c
@@ -55,8 +55,8 @@
     struct ow_store_request *transaction = ow_store_request_new(OW_STORE_TXN, NULL);
     g_autofree char *nonce = ow_leader_key_nonce(election);
     char *record = wire_leader_record_encode(election->core->settings->controller_name, nonce);
-    ow_store_compare(transaction, OW_KEY_LEADER, election->key.mod_revision);
-    ow_store_put(transaction, OW_KEY_LEADER, record, election->lease.id);
+    ow_store_request_compare(transaction, OW_KEY_LEADER, election->key.mod_revision);
+    ow_store_request_put(transaction, OW_KEY_LEADER, record, election->lease.id);
     election->replaced_revision = election->key.mod_revision;
     election->is_busy = true;
     ow_core_call_store(election->core, transaction, on_key_taken, election, NULL, NULL);
@@ -94,7 +94,7 @@
 void ow_leader_lease_release_key(struct ow_election *election)
 {
     struct ow_store_request *transaction = ow_store_request_new(OW_STORE_TXN, NULL);
-    ow_store_compare(transaction, OW_KEY_LEADER, election->fencing_token);
-    ow_store_put(transaction, OW_KEY_LEADER, NULL, 0);
+    ow_store_request_compare(transaction, OW_KEY_LEADER, election->fencing_token);
+    ow_store_request_put(transaction, OW_KEY_LEADER, NULL, 0);
     ow_core_call_store(election->core, transaction, NULL, election, NULL, NULL);
 }
--- a/src/core/jobs/attempt_end.c
+++ b/src/core/jobs/attempt_end.c
@@ -96,7 +96,7 @@
             attempt->job->id, task, attempt->number, machine->name, proof);
     if (cause == OW_CAUSE_DONE && attempt->running_at > 0 && !ow_execution_is_service(execution))
         observe_run_time(leader, attempt);
-    ow_attempt_unload(leader, attempt);
+    ow_attempt_remove(leader, attempt);
     ow_leader_request_cycle(leader);
     ow_recorder_queue_lazy(leader, execution, task);
     if (cause == OW_CAUSE_DONE)
--- a/src/core/jobs/attempt_table.c
+++ b/src/core/jobs/attempt_table.c
@@ -68,7 +68,7 @@
     execution->cursor = MIN(execution->cursor, attempt->task);
 }
 
-void ow_attempt_unload(struct ow_leader *leader, struct ow_attempt *attempt)
+void ow_attempt_remove(struct ow_leader *leader, struct ow_attempt *attempt)
 {
     add_to_sums(leader, attempt, -1);
     detach_from_machine(leader, attempt);
--- a/src/core/jobs/attempt_table.h
+++ b/src/core/jobs/attempt_table.h
@@ -14,10 +14,10 @@
 struct ow_machine;
 
 /** Creates an attempt in state OW_ATTEMPT_PLANNED and adds its needs to the sums of machine and team. Its
- * execution owns it until ow_attempt_unload() or ow_attempt_end(). */
+ * execution owns it until ow_attempt_remove() or ow_attempt_end(). */
 struct ow_attempt *ow_attempt_new(struct ow_leader *leader, struct ow_execution *execution, uint32_t task,
                                   uint64_t number, struct ow_machine *machine, uint64_t incarnation);
 /** Frees an attempt and takes it out of all sums and lists, without any consequence for its task. */
-void ow_attempt_unload(struct ow_leader *leader, struct ow_attempt *attempt);
+void ow_attempt_remove(struct ow_leader *leader, struct ow_attempt *attempt);
 
 #endif
--- a/src/core/jobs/execution.c
+++ b/src/core/jobs/execution.c
@@ -20,9 +20,9 @@
     return number;
 }
 
-uint32_t ow_execution_pending(const struct ow_execution *execution)
+uint32_t ow_execution_count_pending(const struct ow_execution *execution)
 {
-    if (ow_job_over(execution->job))
+    if (ow_job_is_over(execution->job))
         return 0;
     uint32_t under_way = 0;
     for (guint i = 0; i < execution->attempts->len; i++) {
--- a/src/core/jobs/execution.h
+++ b/src/core/jobs/execution.h
@@ -82,7 +82,7 @@
  * value or a write. */
 void ow_execution_divide(struct ow_execution *execution, uint32_t chunk_tasks);
 /** Tasks that are neither done nor have an attempt; 0 for a job that is over. */
-uint32_t ow_execution_pending(const struct ow_execution *execution);
+uint32_t ow_execution_count_pending(const struct ow_execution *execution);
 /** The lowest attempt number that no task of the execution has used. */
 uint64_t ow_execution_next_attempt(const struct ow_execution *execution);
 
--- a/src/core/jobs/execution_table.c
+++ b/src/core/jobs/execution_table.c
@@ -48,7 +48,7 @@
     struct ow_job *job = execution->job;
     ow_recorder_forget_execution(leader, execution);
     for (guint i = execution->attempts->len; i > 0; i--)
-        ow_attempt_unload(leader, g_ptr_array_index(execution->attempts, i - 1));
+        ow_attempt_remove(leader, g_ptr_array_index(execution->attempts, i - 1));
     g_ptr_array_remove_fast(leader->executions, execution);
     execution_free(execution);
     job->execution = NULL;
--- a/src/core/jobs/job.c
+++ b/src/core/jobs/job.c
@@ -67,7 +67,7 @@
     return g_hash_table_lookup(jobs->by_id, id);
 }
 
-bool ow_job_over(const struct ow_job *job)
+bool ow_job_is_over(const struct ow_job *job)
 {
     return job->state == OW_JOB_DONE || job->state == OW_JOB_CANCELLED;
 }
@@ -122,14 +122,14 @@
     job->mod_revision = mod_revision;
     job->state = state;
     set_spec(jobs, job, submission);
-    if (ow_job_over(job))
+    if (ow_job_is_over(job))
         ow_job_set_reason(job, NULL);
     /* The final record of a cancelled job is written when no task is left. */
     if (job->state == OW_JOB_CANCELLED && is_settled)
         job->cancellation_acked = true;
     if (is_first_record && job->spec != NULL)
         g_ptr_array_add(jobs->open, job);
-    else if (ow_job_over(job) && job->execution == NULL && is_settled)
+    else if (ow_job_is_over(job) && job->execution == NULL && is_settled)
         ow_jobs_close(jobs, job);
     return job;
 }
@@ -174,7 +174,7 @@
 
 static double waiting_cpus(const struct ow_job *job)
 {
-    if (ow_job_over(job) || job->spec == NULL)
+    if (ow_job_is_over(job) || job->spec == NULL)
         return 0;
     const struct ow_submission *submission = job->spec->submission;
     int waiting = (int)submission->tasks - MAX(job->done, 0) - MAX(job->running, 0);
--- a/src/core/jobs/job.h
+++ b/src/core/jobs/job.h
@@ -87,7 +87,7 @@
 double ow_jobs_waiting_cpus(const struct ow_jobs *jobs);
 
 /** Whether the job is done or cancelled. */
-bool ow_job_over(const struct ow_job *job);
+bool ow_job_is_over(const struct ow_job *job);
 /** Sets the reason shown to users, which is copied; NULL: none. */
 void ow_job_set_reason(struct ow_job *job, const char *reason);
 /** Creates a job's spec, which takes ownership of `submission`; its names are added to `names`. Freed by
--- a/src/core/jobs/quota.c
+++ b/src/core/jobs/quota.c
@@ -70,7 +70,7 @@
     return (uint32_t)MIN((double)wanted, left);
 }
 
-uint32_t ow_team_admits(struct ow_leader *leader, const struct ow_job_spec *spec, uint32_t wanted)
+uint32_t ow_team_count_admitted(struct ow_leader *leader, const struct ow_job_spec *spec, uint32_t wanted)
 {
     const struct ow_resources *used = ow_team_usage(leader, spec->team);
     const struct ow_resources *need = &spec->submission->need;
@@ -116,7 +116,7 @@
     struct ow_resources demand = {0};
     for (guint i = 0; i < leader->executions->len; i++) {
         const struct ow_execution *execution = g_ptr_array_index(leader->executions, i);
-        if (execution->job->spec->team == team && !ow_job_over(execution->job))
+        if (execution->job->spec->team == team && !ow_job_is_over(execution->job))
             ow_resources_add(&demand, &execution->job->spec->submission->need,
                              execution->count - execution->done);
     }
--- a/src/core/jobs/quota.h
+++ b/src/core/jobs/quota.h
@@ -40,6 +40,6 @@
  * reclaim. */
 bool ow_team_is_borrowing(const struct ow_leader *leader, int team);
 /** How many of `wanted` further tasks of a job its team's limit admits; 0 for a team without settings. */
-uint32_t ow_team_admits(struct ow_leader *leader, const struct ow_job_spec *spec, uint32_t wanted);
+uint32_t ow_team_count_admitted(struct ow_leader *leader, const struct ow_job_spec *spec, uint32_t wanted);
 
 #endif
--- a/src/core/leader/machine_type_polling.c
+++ b/src/core/leader/machine_type_polling.c
@@ -35,9 +35,9 @@
     struct ow_store_request *transaction = ow_store_request_new(OW_STORE_TXN, NULL);
     g_autofree char *record = wire_machine_types_encode(types);
     bool fits = strlen(record) <= leader->core->store_limits.value_bytes;
-    ow_store_compare(transaction, OW_KEY_LEADER, leader->fencing_token);
+    ow_store_request_compare(transaction, OW_KEY_LEADER, leader->fencing_token);
     if (fits)
-        ow_store_put(transaction, OW_KEY_TYPES, g_steal_pointer(&record), 0);
+        ow_store_request_put(transaction, OW_KEY_TYPES, g_steal_pointer(&record), 0);
     else
         g_warning(
             "machine types not recorded: reason=\"they don't fit a value: a controller that starts while "
--- a/src/core/machines/headroom.c
+++ b/src/core/machines/headroom.c
@@ -66,7 +66,7 @@
     *sample = NULL;
     for (guint i = 0; i < leader->executions->len; i++) {
         const struct ow_execution *execution = g_ptr_array_index(leader->executions, i);
-        if (execution->job->spec->class_index != class_index || ow_job_over(execution->job))
+        if (execution->job->spec->class_index != class_index || ow_job_is_over(execution->job))
             continue;
         tasks += execution->count - execution->done;
         if (*sample == NULL || execution->accepted_at > (*sample)->accepted_at)
--- a/src/core/machines/reconciliation.c
+++ b/src/core/machines/reconciliation.c
@@ -39,7 +39,7 @@
 
 static bool is_result_recorded(const struct ow_job *job, uint32_t task)
 {
-    if (ow_job_over(job))
+    if (ow_job_is_over(job))
         return true;
     /* The final record replaces the chunks, and is not committed yet. */
     if (job->execution->finishing)
@@ -59,7 +59,7 @@
         ow_machine_has_unacknowledged_launch(machine, job, task_status->task, task_status->attempt))
         return;
     bool is_known = job->execution != NULL && task_status->task < job->execution->count;
-    if (ow_job_over(job) ||
+    if (ow_job_is_over(job) ||
         (is_known && task_status->cause == OW_CAUSE_DONE && is_result_recorded(job, task_status->task)))
         add_command(commands, OW_WORKER_CLEAR, task_status);
 }
@@ -69,7 +69,7 @@
 /* Whether the task belongs to a batch job that goes on, is not done and has no attempt. */
 static bool awaits_result(const struct ow_job *job, uint32_t task)
 {
-    if (job == NULL || job->execution == NULL || ow_job_over(job))
+    if (job == NULL || job->execution == NULL || ow_job_is_over(job))
         return false;
     if (ow_execution_is_service(job->execution) || task >= job->execution->count)
         return false;
--- a/src/core/machines/scale_out.c
+++ b/src/core/machines/scale_out.c
@@ -170,7 +170,7 @@
     bool gpu = need->gpus > 0;
     double run_time_s = ow_class_run_time_s(leader->core, spec);
     double *work = gpu ? &ahead->gpu_s : &ahead->cpu_s;
-    *work += ow_execution_pending(execution) * (gpu ? need->gpus : need->cpus) * run_time_s;
+    *work += ow_execution_count_pending(execution) * (gpu ? need->gpus : need->cpus) * run_time_s;
     double there = capacity(leader, spec, plan, ahead->supplies);
     *waits_out = INFINITY;
     /* A service's replicas free no place for one another, and none of them may wait. */
@@ -187,7 +187,7 @@
                      struct backlog *ahead, unsigned *most)
 {
     const struct ow_job_spec *spec = execution->job->spec;
-    uint32_t wanted = ow_team_admits(leader, spec, ow_execution_pending(execution));
+    uint32_t wanted = ow_team_count_admitted(leader, spec, ow_execution_count_pending(execution));
     double waits;
     if (in_time(leader, execution, plan, ahead, &waits))
         return;
--- a/src/core/peers/peer_messages.c
+++ b/src/core/peers/peer_messages.c
@@ -21,7 +21,7 @@
 static void handle_job_summary(struct ow_core *core, const struct ow_peer_job *summary)
 {
     struct ow_job *job = ow_jobs_find(core->jobs, summary->id);
-    if (job == NULL || ow_job_over(job))
+    if (job == NULL || ow_job_is_over(job))
         return;
     bool has_reason = summary->reason != NULL && *summary->reason != '\0';
     job->done = summary->done;
--- a/src/core/records/loaded_records.c
+++ b/src/core/records/loaded_records.c
@@ -105,13 +105,13 @@
 }
 
 /* Removes the attempts of these tasks that records of lower mod_revision have restored. */
-static void unload_attempts(struct ow_leader *leader, struct ow_execution *execution,
+static void remove_attempts(struct ow_leader *leader, struct ow_execution *execution,
                             struct ow_task_range tasks)
 {
     for (guint i = execution->attempts->len; i > 0; i--) {
         struct ow_attempt *attempt = g_ptr_array_index(execution->attempts, i - 1);
         if (attempt->task >= tasks.first && attempt->task < tasks.end)
-            ow_attempt_unload(leader, attempt);
+            ow_attempt_remove(leader, attempt);
     }
 }
 
@@ -157,7 +157,7 @@
     struct ow_progress_record progress;
     if (!wire_progress_record_decode(record->value, &progress))
         g_warning("progress record unreadable in part: job=%s", execution->job->id);
-    unload_attempts(leader, execution, tasks_of(record));
+    remove_attempts(leader, execution, tasks_of(record));
     raise_last_attempt(execution, tasks_of(record), progress.last_attempt);
     restore_done(execution, progress.done);
     restore_attempts(leader, execution, progress.attempts);
--- a/src/core/records/record_format.c
+++ b/src/core/records/record_format.c
@@ -70,9 +70,9 @@
 static void write_format(struct ow_leader *leader)
 {
     struct ow_store_request *transaction = ow_store_request_new(OW_STORE_TXN, NULL);
-    ow_store_compare(transaction, OW_KEY_LEADER, leader->fencing_token);
-    ow_store_compare(transaction, OW_KEY_FORMAT, 0);
-    ow_store_put(transaction, OW_KEY_FORMAT, wire_format_record_encode(OW_FORMAT_SMALL_CHUNKS), 0);
+    ow_store_request_compare(transaction, OW_KEY_LEADER, leader->fencing_token);
+    ow_store_request_compare(transaction, OW_KEY_FORMAT, 0);
+    ow_store_request_put(transaction, OW_KEY_FORMAT, wire_format_record_encode(OW_FORMAT_SMALL_CHUNKS), 0);
     leader->record_format->is_in_flight = true;
     ow_core_call_store(leader->core, transaction, on_format_written, leader, NULL, NULL);
 }
--- a/src/core/records/record_writer.c
+++ b/src/core/records/record_writer.c
@@ -27,7 +27,7 @@
 {
     struct ow_recorder *recorder = leader->recorder;
     recorder->mutations_in_flight = transaction->mutations->len;
-    recorder->largest_bytes_in_flight = ow_store_largest_value(transaction);
+    recorder->largest_bytes_in_flight = ow_store_request_largest_value(transaction);
     recorder->is_in_flight = true;
     ow_rate_limiter_spend(&recorder->mutation_limiter, recorder->mutations_in_flight, leader->core->now);
     ow_core_call_store(leader->core, transaction, on_transaction_reply, leader, NULL, NULL);
@@ -39,7 +39,7 @@
         return;
     ow_chunk_division_run(leader);
     g_autoptr(ow_store_request) transaction = ow_store_request_new(OW_STORE_TXN, NULL);
-    ow_store_compare(transaction, OW_KEY_LEADER, leader->fencing_token);
+    ow_store_request_compare(transaction, OW_KEY_LEADER, leader->fencing_token);
     leader->recorder->transaction_serial++;
     ow_transaction_fill(leader, transaction);
     if (transaction->mutations->len > 0)
--- a/src/core/records/recorder.c
+++ b/src/core/records/recorder.c
@@ -52,7 +52,7 @@
 
 static bool is_progress_recorded(const struct ow_execution *execution)
 {
-    return !ow_job_over(execution->job) && !execution->finishing;
+    return !ow_job_is_over(execution->job) && !execution->finishing;
 }
 
 void ow_recorder_queue_urgent(struct ow_leader *leader, struct ow_execution *execution, uint32_t task)
--- a/src/core/records/transaction.c
+++ b/src/core/records/transaction.c
@@ -103,8 +103,8 @@
     }
     g_autofree char *key = g_strdup_printf("%s%u", OW_KEY_PROGRESS, record_value->number);
     mark_written(record_value, recorder->transaction_serial);
-    ow_store_compare(transaction, key, record_value->mod_revision);
-    ow_store_put(transaction, key, value, 0);
+    ow_store_request_compare(transaction, key, record_value->mod_revision);
+    ow_store_request_put(transaction, key, value, 0);
     add_to_in_flight(recorder, write);
 }
 
@@ -115,8 +115,8 @@
     bool is_cancelled = job->state == OW_JOB_CANCELLED;
     struct ow_job_record record = {.state = is_cancelled ? OW_JOB_CANCELLED : OW_JOB_DONE};
     g_autofree char *key = g_strconcat(OW_KEY_JOBS, job->id, NULL);
-    ow_store_compare(transaction, key, job->mod_revision);
-    ow_store_put(transaction, key, wire_job_record_encode(&record), 0);
+    ow_store_request_compare(transaction, key, job->mod_revision);
+    ow_store_request_put(transaction, key, wire_job_record_encode(&record), 0);
     add_to_in_flight(leader->recorder, write);
 }
 
@@ -183,7 +183,7 @@
         return false;
     if (transaction->mutations->len == 0)
         return true;
-    if (ow_store_largest_value(transaction) > limits->value_bytes)
+    if (ow_store_request_largest_value(transaction) > limits->value_bytes)
         return false;
     return transaction_bytes(transaction) + limits->accepted_value_bytes < TRANSACTION_BYTES;
 }
--- a/src/core/scheduling/array_preemption.c
+++ b/src/core/scheduling/array_preemption.c
@@ -77,7 +77,7 @@
     if (!may_preempt(leader, execution))
         return;
     const struct ow_job_spec *spec = execution->job->spec;
-    uint32_t wanted = ow_team_admits(leader, spec, ow_execution_pending(execution));
+    uint32_t wanted = ow_team_count_admitted(leader, spec, ow_execution_count_pending(execution));
     const GPtrArray *machines = ow_shortlist_find_with_preemption(leader, spec->class_index);
     int only_zone =
         spec->submission->one_zone ? best_zone_with_preemption(leader, execution, machines) : OW_NO_NAME;
--- a/src/core/scheduling/array_start.c
+++ b/src/core/scheduling/array_start.c
@@ -116,7 +116,7 @@
 void ow_array_start(struct ow_leader *leader, struct ow_execution *execution)
 {
     const struct ow_job_spec *spec = execution->job->spec;
-    uint32_t wanted = ow_team_admits(leader, spec, ow_execution_pending(execution));
+    uint32_t wanted = ow_team_count_admitted(leader, spec, ow_execution_count_pending(execution));
     if (wanted == 0)
         return;
     g_autoptr(GArray) candidates = ow_candidates_find(leader, execution);
--- a/src/core/scheduling/gang_hold_priority.c
+++ b/src/core/scheduling/gang_hold_priority.c
@@ -21,10 +21,10 @@
     struct class_members members = {0};
     for (guint i = 0; i < leader->executions->len; i++) {
         const struct ow_execution *execution = g_ptr_array_index(leader->executions, i);
-        if (execution->job->spec->class_index != class_index || ow_job_over(execution->job))
+        if (execution->job->spec->class_index != class_index || ow_job_is_over(execution->job))
             continue;
         members.placed += execution->attempts->len;
-        members.waiting += ow_execution_pending(execution);
+        members.waiting += ow_execution_count_pending(execution);
     }
     return members;
 }
--- a/src/core/scheduling/gang_start.c
+++ b/src/core/scheduling/gang_start.c
@@ -152,7 +152,7 @@
     /* Rule 4: nothing of a gang starts while an earlier attempt is not accounted for. */
     if (execution->attempts->len > 0)
         return;
-    if (ow_team_admits(leader, execution->job->spec, execution->count) < execution->count)
+    if (ow_team_count_admitted(leader, execution->job->spec, execution->count) < execution->count)
         return;
     g_autoptr(GArray) candidates = ow_candidates_find(leader, execution);
     g_autoptr(GArray) picks = ow_gang_selection_new();
--- a/src/core/scheduling/gpu_reserve.c
+++ b/src/core/scheduling/gpu_reserve.c
@@ -43,7 +43,7 @@
 {
     const struct ow_job_spec *spec = execution->job->spec;
     double gpus = (execution->count - execution->done) * spec->submission->need.gpus;
-    if (gpus <= 0 || ow_job_over(execution->job))
+    if (gpus <= 0 || ow_job_is_over(execution->job))
         return 0;
     double slack_s = MAX(ow_deadline_slack_s(leader, execution), 1);
     double fetch_s = FETCH_SHARE * ow_image_slowest_fetch_seconds(leader, spec);
--- a/src/core/scheduling/image_demand.c
+++ b/src/core/scheduling/image_demand.c
@@ -50,7 +50,7 @@
 static void add_waiting_work(struct ow_leader *leader, const struct ow_execution *execution)
 {
     const struct ow_job_spec *spec = execution->job->spec;
-    uint32_t pending = ow_submission_is_gang(spec->submission) ? 0 : ow_execution_pending(execution);
+    uint32_t pending = ow_submission_is_gang(spec->submission) ? 0 : ow_execution_count_pending(execution);
     if (pending == 0)
         return;
     struct ow_image_demand *demand = find_or_add(leader, spec->image);
--- a/src/core/scheduling/queue.c
+++ b/src/core/scheduling/queue.c
@@ -39,7 +39,7 @@
 {
     const struct ow_job_spec *spec = execution->job->spec;
     struct ow_resources amounts = *ow_team_usage(leader, spec->team);
-    ow_resources_add(&amounts, &spec->submission->need, ow_execution_pending(execution));
+    ow_resources_add(&amounts, &spec->submission->need, ow_execution_count_pending(execution));
     return ow_team_has_guarantee_for(leader, spec->team, &spec->submission->need) &&
            ow_team_guarantee_covers(leader, spec->team, &amounts);
 }
@@ -100,7 +100,7 @@
         return execution->accepted_at;
     double share = fleet_share(&spec->submission->need, capacity);
     double run_time_s = ow_class_run_time_s(leader->core, spec);
-    double delay_s = SIZE_WEIGHT * ow_execution_pending(execution) * run_time_s * share;
+    double delay_s = SIZE_WEIGHT * ow_execution_count_pending(execution) * run_time_s * share;
     if (ow_deadline_is_set(execution)) {
         double limit_s = MIN(ow_deadline_latest_start_s(leader, execution), OW_DEADLINE_DELAY_LIMIT_S);
         return execution->accepted_at + MIN(DEADLINE_SIZE_WEIGHT * delay_s, limit_s);
@@ -124,7 +124,7 @@
 /* Updates since when a task of the execution waits; returns whether the execution belongs in the queue. */
 static bool update_waiting(const struct ow_leader *leader, struct ow_execution *execution)
 {
-    if (ow_execution_pending(execution) == 0) {
+    if (ow_execution_count_pending(execution) == 0) {
         execution->missing_since = 0;
         return false;
     }
--- a/src/core/scheduling/reason.c
+++ b/src/core/scheduling/reason.c
@@ -114,7 +114,7 @@
         return g_strdup("paused after failures; it is tried again soon");
     if (is_gang && execution->attempts->len > 0)
         return g_strdup("waits until every task of its last attempt is proven gone");
-    if (ow_team_admits(leader, spec, wanted) < wanted)
+    if (ow_team_count_admitted(leader, spec, wanted) < wanted)
         return g_strdup_printf("team %s is at its limit", spec->submission->team);
     struct allowance allowance = find_allowance(leader, spec);
     char *reason = machines_reason(&allowance);
@@ -127,7 +127,7 @@
 
 void ow_reason_update(struct ow_leader *leader, struct ow_execution *execution)
 {
-    uint32_t pending = ow_execution_pending(execution);
+    uint32_t pending = ow_execution_count_pending(execution);
     g_autofree char *reason = pending > 0 ? waiting_reason(leader, execution, pending) : NULL;
     ow_job_set_reason(execution->job, reason);
 }
--- a/src/core/scheduling/replica_separation.c
+++ b/src/core/scheduling/replica_separation.c
@@ -57,7 +57,7 @@
 
 void ow_replica_separation_consider(struct ow_leader *leader, struct ow_execution *execution)
 {
-    if (!ow_execution_is_service(execution) || ow_job_over(execution->job) ||
+    if (!ow_execution_is_service(execution) || ow_job_is_over(execution->job) ||
         leader->core->now < execution->separate_at)
         return;
     execution->separate_at = leader->core->now + SEPARATION_INTERVAL_S;
--- a/src/core/scheduling/schedule.c
+++ b/src/core/scheduling/schedule.c
@@ -63,7 +63,7 @@
         ow_service_replicas_start(leader, execution);
     else
         ow_array_start(leader, execution);
-    if (ow_execution_pending(execution) > 0)
+    if (ow_execution_count_pending(execution) > 0)
         ow_array_preempt(leader, execution);
 }
 
--- a/src/core/scheduling/service_moves.c
+++ b/src/core/scheduling/service_moves.c
@@ -21,7 +21,8 @@
 
 static bool is_movable(const struct ow_attempt *attempt)
 {
-    return ow_execution_is_service(attempt->job->execution) && !attempt->stop && !ow_job_over(attempt->job);
+    return ow_execution_is_service(attempt->job->execution) && !attempt->stop &&
+           !ow_job_is_over(attempt->job);
 }
 
 /* A machine whose heartbeats no longer arrive although it answers commands: its lease is not renewed, so its
--- a/src/core/scheduling/service_replicas.c
+++ b/src/core/scheduling/service_replicas.c
@@ -90,7 +90,8 @@
 
 void ow_service_replicas_start(struct ow_leader *leader, struct ow_execution *execution)
 {
-    uint32_t wanted = ow_team_admits(leader, execution->job->spec, ow_execution_pending(execution));
+    uint32_t wanted =
+        ow_team_count_admitted(leader, execution->job->spec, ow_execution_count_pending(execution));
     if (wanted == 0)
         return;
     g_autoptr(GArray) candidates = ow_candidates_find(leader, execution);
--- a/src/core/scheduling/shortlist.c
+++ b/src/core/scheduling/shortlist.c
@@ -72,7 +72,7 @@
     g_array_set_size(leader->cycle.shortlists, 0);
     for (guint i = 0; i < leader->executions->len; i++) {
         const struct ow_execution *execution = g_ptr_array_index(leader->executions, i);
-        if (ow_execution_pending(execution) == 0)
+        if (ow_execution_count_pending(execution) == 0)
             continue;
         const struct ow_job_spec *spec = execution->job->spec;
         include_job(find_or_add(leader, spec->class_index), spec->submission,
--- a/src/model/store.c
+++ b/src/model/store.c
@@ -41,20 +41,20 @@
     g_free(request);
 }
 
-void ow_store_compare(struct ow_store_request *request, const char *key, uint64_t mod_revision)
+void ow_store_request_compare(struct ow_store_request *request, const char *key, uint64_t mod_revision)
 {
     struct ow_store_comparison comparison = {.key = g_strdup(key), .mod_revision = mod_revision};
     g_array_append_val(request->comparisons, comparison);
 }
 
 /* NOLINTNEXTLINE(readability-non-const-parameter): `value` is taken over and freed later */
-void ow_store_put(struct ow_store_request *request, const char *key, char *value, uint64_t lease)
+void ow_store_request_put(struct ow_store_request *request, const char *key, char *value, uint64_t lease)
 {
     struct ow_store_mutation mutation = {.key = g_strdup(key), .value = value, .lease = lease};
     g_array_append_val(request->mutations, mutation);
 }
 
-size_t ow_store_largest_value(const struct ow_store_request *request)
+size_t ow_store_request_largest_value(const struct ow_store_request *request)
 {
     size_t largest = 0;
     for (guint i = 0; i < request->mutations->len; i++) {
--- a/src/sharding/map_agreement.c
+++ b/src/sharding/map_agreement.c
@@ -68,16 +68,16 @@
 static struct ow_store_request *new_creation(const struct ow_map_agreement *agreement)
 {
     struct ow_store_request *request = ow_store_request_new(OW_STORE_TXN, NULL);
-    ow_store_compare(request, MAP_KEY, 0);
-    ow_store_put(request, MAP_KEY, wire_shard_map_encode(agreement->values), 0);
+    ow_store_request_compare(request, MAP_KEY, 0);
+    ow_store_request_put(request, MAP_KEY, wire_shard_map_encode(agreement->values), 0);
     if (agreement->has_only_default_shard)
         return request;
     /* Otherwise the records without a shard prefix would be ignored, and their machines would get a second
        owner. */
-    ow_store_compare(request, OW_KEY_TYPES, 0);
-    ow_store_compare(request, OW_KEY_FORMAT, 0);
-    ow_store_compare(request, OW_KEY_LEADER, 0);
-    ow_store_put(request, OW_KEY_LEADER, wire_leader_record_encode(DIVIDED_NAME, ""), 0);
+    ow_store_request_compare(request, OW_KEY_TYPES, 0);
+    ow_store_request_compare(request, OW_KEY_FORMAT, 0);
+    ow_store_request_compare(request, OW_KEY_LEADER, 0);
+    ow_store_request_put(request, OW_KEY_LEADER, wire_leader_record_encode(DIVIDED_NAME, ""), 0);
     return request;
 }
 
--- a/src/sharding/shard_keys.c
+++ b/src/sharding/shard_keys.c
@@ -88,6 +88,6 @@
         if (prefix == NULL || g_strcmp0(prefix, own_prefix) == 0)
             continue;
         g_autofree char *key = g_strconcat(prefix, job_key, NULL);
-        ow_store_compare(request, key, 0);
+        ow_store_request_compare(request, key, 0);
     }
 }
