--- a/src/core/records/store_limits.c
+++ b/src/core/records/store_limits.c
@@ -21,10 +21,28 @@
     };
 }
 
+/* The number of mutations alone may have been too large: the next transactions have half as many. */
+static void halve_transactions(struct ow_store_limits *limits, unsigned mutations)
+{
+    unsigned refused = MIN(limits->transaction_mutations, mutations);
+    limits->transaction_mutations = MAX(refused / 2, 1);
+}
+
+/* The next values have half the size of the refused one. Returns false at the smallest size. */
+static bool halve_values(struct ow_store_limits *limits, size_t refused_bytes)
+{
+    if (limits->value_bytes <= VALUE_MIN_BYTES)
+        return false;
+    size_t smallest_refused_bytes = MIN(limits->value_bytes, refused_bytes);
+    limits->value_bytes = MAX(smallest_refused_bytes / 2, VALUE_MIN_BYTES);
+    limits->accepted_value_bytes = limits->value_bytes;
+    return true;
+}
+
 bool ow_store_limits_shrink(struct ow_store_limits *limits, unsigned mutations, size_t largest_bytes)
 {
     if (mutations > 1) {
-        limits->transaction_mutations = MAX(MIN(limits->transaction_mutations, mutations) / 2, 1);
+        halve_transactions(limits, mutations);
         return true;
     }
     limits->refused_value_bytes = MIN(limits->refused_value_bytes, largest_bytes);
@@ -34,11 +52,7 @@
         limits->accepted_value_bytes = limits->value_bytes;
         return false;
     }
-    if (limits->value_bytes <= VALUE_MIN_BYTES)
-        return false;
-    limits->value_bytes = MAX(MIN(limits->value_bytes, largest_bytes) / 2, VALUE_MIN_BYTES);
-    limits->accepted_value_bytes = limits->value_bytes;
-    return true;
+    return halve_values(limits, largest_bytes);
 }
 
 unsigned ow_store_limits_chunk_tasks(const struct ow_store_limits *limits)
