--- a/tests/cluster/test_cancellation.c
+++ b/tests/cluster/test_cancellation.c
@@ -226,7 +226,7 @@
     sim_finish(cluster);
 }
 
-static void test_cancellation_while_a_zone_is_partitioned_with_the_leader(void **state)
+static void test_cancellation_with_the_leader_and_a_zone_partitioned_holds(void **state)
 {
     (void)state;
     run_zone_partition(false);
@@ -243,7 +243,7 @@
         cmocka_unit_test(test_cancellation_written_after_a_failover_is_rejected),
         cmocka_unit_test(test_leader_renews_no_lease_before_its_first_read),
         cmocka_unit_test(test_leader_acknowledges_no_cancellation_before_it_is_ready),
-        cmocka_unit_test(test_cancellation_while_a_zone_is_partitioned_with_the_leader),
+        cmocka_unit_test(test_cancellation_with_the_leader_and_a_zone_partitioned_holds),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/cluster/test_cancellation_races.c
+++ b/tests/cluster/test_cancellation_races.c
@@ -5,7 +5,7 @@
 #include "sim_cluster.h"
 #include "model/submission.h"
 
-static void test_cancellation_races_with_the_last_task_exit(void **state)
+static void test_cancellation_racing_the_last_exit_has_one_outcome(void **state)
 {
     (void)state;
     for (int offset = 0; offset < 40; offset++) {
@@ -94,7 +94,7 @@
     sim_finish(cluster);
 }
 
-static void test_ten_leader_changes(void **state)
+static void test_jobs_complete_across_ten_leader_changes(void **state)
 {
     (void)state;
     struct sim_cluster *cluster = sim_with_long_tasks(3);
@@ -131,11 +131,11 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_cancellation_races_with_the_last_task_exit),
+        cmocka_unit_test(test_cancellation_racing_the_last_exit_has_one_outcome),
         cmocka_unit_test(test_cancelled_task_ends_on_a_machine_that_hung),
         cmocka_unit_test(test_delayed_launch_does_not_outlive_a_cancellation),
         cmocka_unit_test(test_team_limit_holds_across_a_leader_change),
-        cmocka_unit_test(test_ten_leader_changes),
+        cmocka_unit_test(test_jobs_complete_across_ten_leader_changes),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/cluster/test_chaos.c
+++ b/tests/cluster/test_chaos.c
@@ -3,7 +3,7 @@
 #include "chaos_day.h"
 #include "check.h"
 
-static void test_random_overlapping_failures(void **state)
+static void test_safety_rules_hold_through_random_failures(void **state)
 {
     (void)state;
     for (guint32 seed = 1; seed <= 30; seed++)
@@ -11,7 +11,7 @@
 }
 
 /* The same with two shards, and with controllers that stand still. */
-static void test_random_overlapping_failures_of_shards(void **state)
+static void test_safety_rules_hold_through_random_failures_of_shards(void **state)
 {
     (void)state;
     for (guint32 seed = 1; seed <= 30; seed++)
@@ -20,7 +20,8 @@
 
 int main(void)
 {
-    const struct CMUnitTest tests[] = {cmocka_unit_test(test_random_overlapping_failures),
-                                       cmocka_unit_test(test_random_overlapping_failures_of_shards)};
+    const struct CMUnitTest tests[] = {
+        cmocka_unit_test(test_safety_rules_hold_through_random_failures),
+        cmocka_unit_test(test_safety_rules_hold_through_random_failures_of_shards)};
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/cluster/test_deadlines.c
+++ b/tests/cluster/test_deadlines.c
@@ -44,7 +44,7 @@
 }
 
 /* Without the missed deadline the order is that of arrival. */
-static void test_no_deadline_changes_nothing(void **state)
+static void test_jobs_without_deadlines_start_in_order_of_arrival(void **state)
 {
     (void)state;
     struct sim_cluster *cluster = busy_sim(20);
@@ -137,7 +137,7 @@
     return sim_start_job(cluster, array_with_deadline(1, 60, deadline_s))->name;
 }
 
-static void test_deadline_keeps_off_spot_machines_that_are_taken_often(void **state)
+static void test_job_with_a_deadline_avoids_spot_machines_reclaimed_often(void **state)
 {
     (void)state;
     struct sim_cluster *cluster = sim_with_one_controller();
@@ -152,12 +152,12 @@
 {
     const struct CMUnitTest tests[] = {
         cmocka_unit_test(test_feasible_deadline_goes_before_a_missed_one),
-        cmocka_unit_test(test_no_deadline_changes_nothing),
+        cmocka_unit_test(test_jobs_without_deadlines_start_in_order_of_arrival),
         cmocka_unit_test(test_short_job_passes_one_that_can_wait),
         cmocka_unit_test(test_overdue_job_starts_in_the_end),
         cmocka_unit_test(test_job_with_a_far_deadline_starts_in_the_end),
         cmocka_unit_test(test_missed_deadline_stops_no_work_that_is_in_time),
-        cmocka_unit_test(test_deadline_keeps_off_spot_machines_that_are_taken_often),
+        cmocka_unit_test(test_job_with_a_deadline_avoids_spot_machines_reclaimed_often),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/cluster/test_isolation.c
+++ b/tests/cluster/test_isolation.c
@@ -63,7 +63,7 @@
     sim_finish(cluster);
 }
 
-static void test_immediate_restarts_during_an_election(void **state)
+static void test_jobs_complete_after_immediate_restarts_during_an_election(void **state)
 {
     (void)state;
     for (int step = 0; step < 30; step++) {
@@ -92,7 +92,7 @@
     }
 }
 
-static void test_every_poll_is_answered(void **state)
+static void test_every_poll_after_leader_changes_is_answered(void **state)
 {
     (void)state;
     enum { JOBS = 300 };
@@ -190,8 +190,8 @@
         cmocka_unit_test(test_isolated_leader_steps_down),
         cmocka_unit_test(test_isolated_follower_is_unhealthy),
         cmocka_unit_test(test_leader_without_workers_steps_down),
-        cmocka_unit_test(test_immediate_restarts_during_an_election),
-        cmocka_unit_test(test_every_poll_is_answered),
+        cmocka_unit_test(test_jobs_complete_after_immediate_restarts_during_an_election),
+        cmocka_unit_test(test_every_poll_after_leader_changes_is_answered),
         cmocka_unit_test(test_job_is_retried_on_machines_that_failed_it),
         cmocka_unit_test(test_work_continues_without_free_sockets),
         cmocka_unit_test(test_too_many_missed_changes_are_read_by_pages),
--- a/tests/cluster/test_leader_changes.c
+++ b/tests/cluster/test_leader_changes.c
@@ -25,7 +25,7 @@
 }
 
 /* Its heartbeats reach no controller, so its lease expires repeatedly although it answers commands. */
-static void test_machine_that_stopped_reporting_gets_no_new_tasks(void **state)
+static void test_machine_without_heartbeats_gets_no_new_tasks(void **state)
 {
     (void)state;
     struct sim_cluster *cluster = sim_with_long_tasks(2);
@@ -80,7 +80,7 @@
     sim_finish(cluster);
 }
 
-static void test_all_controllers_down_for_longer_than_a_lease(void **state)
+static void test_job_completes_after_all_controllers_were_down_for_longer_than_a_lease(void **state)
 {
     (void)state;
     struct sim_cluster *cluster = sim_with_long_tasks(2);
@@ -127,9 +127,9 @@
 {
     const struct CMUnitTest tests[] = {
         cmocka_unit_test(test_returning_leader_takes_a_new_fencing_token),
-        cmocka_unit_test(test_machine_that_stopped_reporting_gets_no_new_tasks),
+        cmocka_unit_test(test_machine_without_heartbeats_gets_no_new_tasks),
         cmocka_unit_test(test_one_zone_array_survives_a_machine_loss),
-        cmocka_unit_test(test_all_controllers_down_for_longer_than_a_lease),
+        cmocka_unit_test(test_job_completes_after_all_controllers_were_down_for_longer_than_a_lease),
         cmocka_unit_test(test_recorded_results_survive_leader_changes),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/cluster/test_limits.c
+++ b/tests/cluster/test_limits.c
@@ -3,7 +3,7 @@
 #include "sim_cluster.h"
 #include "model/submission.h"
 
-static void test_unannounced_lower_limits(void **state)
+static void test_jobs_complete_under_unannounced_lower_limits(void **state)
 {
     (void)state;
     struct sim_cluster *cluster = sim_with_machines(6);
@@ -77,7 +77,7 @@
 
 /* The limit has fallen below the size of a job's record, without notice: the submission is rejected at once.
  */
-static void test_submission_refused_by_the_state_service_is_rejected(void **state)
+static void test_submission_refused_by_the_store_is_rejected(void **state)
 {
     (void)state;
     struct sim_cluster *cluster = sim_with_machines(1);
@@ -108,10 +108,10 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_unannounced_lower_limits),
+        cmocka_unit_test(test_jobs_complete_under_unannounced_lower_limits),
         cmocka_unit_test(test_oversized_submission_is_rejected),
         cmocka_unit_test(test_lower_txn_ops_does_not_lower_the_value_size),
-        cmocka_unit_test(test_submission_refused_by_the_state_service_is_rejected),
+        cmocka_unit_test(test_submission_refused_by_the_store_is_rejected),
         cmocka_unit_test(test_known_job_is_not_rejected_for_its_size),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/cluster/test_services.c
+++ b/tests/cluster/test_services.c
@@ -89,7 +89,7 @@
     sim_finish(cluster);
 }
 
-static void test_spread_and_limits(void **state)
+static void test_services_respect_spread_and_team_limits(void **state)
 {
     (void)state;
     struct sim_cluster *cluster = sim_with_provisionable_machines(2, 4);
@@ -244,7 +244,7 @@
 }
 
 /* A faulty job fails on every machine; while it is paused, polls answer the reason. */
-static void test_paused_service_heartbeats_its_reason(void **state)
+static void test_poll_of_a_paused_service_answers_the_reason(void **state)
 {
     (void)state;
     struct sim_cluster *cluster = sim_with_provisionable_machines(4, 4);
@@ -272,14 +272,14 @@
         cmocka_unit_test(test_replicas_of_a_dead_machine_restart_before_its_lease_expires),
         cmocka_unit_test(test_replicas_behind_a_partition_keep_running),
         cmocka_unit_test(test_service_preempts_lower_rank),
-        cmocka_unit_test(test_spread_and_limits),
+        cmocka_unit_test(test_services_respect_spread_and_team_limits),
         cmocka_unit_test(test_services_survive_leader_changes),
         cmocka_unit_test(test_delayed_direct_commands_delete_no_machine),
         cmocka_unit_test(test_old_service_is_preempted_by_more_urgent_work),
         cmocka_unit_test(test_preemption_frees_capacity_in_one_zone),
         cmocka_unit_test(test_preemption_respects_the_spread_limit),
         cmocka_unit_test(test_failures_of_a_healthy_service_do_not_accumulate),
-        cmocka_unit_test(test_paused_service_heartbeats_its_reason),
+        cmocka_unit_test(test_poll_of_a_paused_service_answers_the_reason),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/cluster/test_shard_jobs.c
+++ b/tests/cluster/test_shard_jobs.c
@@ -47,7 +47,7 @@
 }
 
 /* Repeats are known by their id alone, also where they would now go to another shard or could not run. */
-static void test_repeats_reach_the_shard_that_has_the_job(void **state)
+static void test_retries_reach_the_shard_that_has_the_job(void **state)
 {
     (void)state;
     struct sim_cluster *cluster = sim_with_shards(2);
@@ -69,7 +69,7 @@
 
 /* A controller that has not read of the job yet refuses its repeat for what it says: other shards are asked
  * first. */
-static void test_unread_job_is_not_refused(void **state)
+static void test_retry_of_a_job_not_read_yet_is_not_refused(void **state)
 {
     (void)state;
     struct sim_cluster *cluster = sim_with_shards(2);
@@ -161,7 +161,7 @@
     return false;
 }
 
-static void test_users_are_told_of_a_handover(void **state)
+static void test_poll_during_a_handover_answers_the_reason(void **state)
 {
     (void)state;
     struct sim_cluster *cluster = sim_with_shards(1);
@@ -182,13 +182,13 @@
     const struct CMUnitTest tests[] = {
         cmocka_unit_test(test_any_controller_answers_about_any_job),
         cmocka_unit_test(test_job_submitted_twice_is_in_one_shard),
-        cmocka_unit_test(test_repeats_reach_the_shard_that_has_the_job),
-        cmocka_unit_test(test_unread_job_is_not_refused),
+        cmocka_unit_test(test_retries_reach_the_shard_that_has_the_job),
+        cmocka_unit_test(test_retry_of_a_job_not_read_yet_is_not_refused),
         cmocka_unit_test(test_impossible_jobs_are_refused),
         cmocka_unit_test(test_cancellation_reaches_the_shard_that_has_the_job),
         cmocka_unit_test(test_new_jobs_go_where_less_waits),
         cmocka_unit_test(test_team_limit_holds_across_shards),
-        cmocka_unit_test(test_users_are_told_of_a_handover),
+        cmocka_unit_test(test_poll_during_a_handover_answers_the_reason),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/cluster/test_shard_settings.c
+++ b/tests/cluster/test_shard_settings.c
@@ -25,7 +25,7 @@
 }
 
 /* The records of a fleet in use would be lost from sight. */
-static void test_fleet_in_use_is_not_divided(void **state)
+static void test_fleet_in_use_is_not_sharded(void **state)
 {
     (void)state;
     struct sim_cluster *cluster = sim_with_controllers(SIM_CONTROLLERS, 1);
@@ -45,7 +45,7 @@
 }
 
 /* A controller that does not know of shards must not lead the machines of a sharded fleet. */
-static void test_undivided_controller_leads_nothing_of_a_divided_fleet(void **state)
+static void test_unsharded_controller_leads_nothing_of_a_sharded_fleet(void **state)
 {
     (void)state;
     struct sim_cluster *cluster = sim_with_shards(1);
@@ -83,7 +83,7 @@
 
 /* Parts of limits and budgets never add up to more than the whole, and a part of nothing is no missing limit.
  */
-static void test_parts_never_exceed_the_whole(void **state)
+static void test_limits_of_shards_never_exceed_the_whole(void **state)
 {
     (void)state;
     struct sim_cluster *cluster = sim_with_shards(0);
@@ -115,10 +115,10 @@
 {
     const struct CMUnitTest tests[] = {
         cmocka_unit_test(test_controller_with_other_settings_leads_nothing),
-        cmocka_unit_test(test_fleet_in_use_is_not_divided),
-        cmocka_unit_test(test_undivided_controller_leads_nothing_of_a_divided_fleet),
+        cmocka_unit_test(test_fleet_in_use_is_not_sharded),
+        cmocka_unit_test(test_unsharded_controller_leads_nothing_of_a_sharded_fleet),
         cmocka_unit_test(test_machines_belong_to_one_shard),
-        cmocka_unit_test(test_parts_never_exceed_the_whole),
+        cmocka_unit_test(test_limits_of_shards_never_exceed_the_whole),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/cluster/test_shards.c
+++ b/tests/cluster/test_shards.c
@@ -46,7 +46,7 @@
     sim_finish(cluster);
 }
 
-static void test_ended_controller_hands_over_and_gets_nothing_back(void **state)
+static void test_restarted_controller_does_not_regain_its_shard(void **state)
 {
     (void)state;
     struct sim_cluster *cluster = sim_with_shards(2);
@@ -121,7 +121,7 @@
 }
 
 /* The key-value store fails for all: nobody is condemned, and tasks run on. */
-static void test_outage_condemns_nobody(void **state)
+static void test_store_outage_changes_no_leader(void **state)
 {
     (void)state;
     struct sim_cluster *cluster = sim_with_shards(2);
@@ -197,7 +197,7 @@
 
 /* A leader that goes on after a pause longer than its lease, while nobody has taken its place: it sends
    nothing before the key-value store has answered, and then learns that its lease is over. */
-static void test_nothing_leaves_after_a_pause_before_the_lease_is_proven(void **state)
+static void test_resumed_leader_sends_nothing_before_its_lease_is_proven(void **state)
 {
     (void)state;
     struct sim_cluster *cluster = sim_with_shards(2);
@@ -229,13 +229,13 @@
 {
     const struct CMUnitTest tests[] = {
         cmocka_unit_test(test_shards_are_led_by_different_controllers),
-        cmocka_unit_test(test_ended_controller_hands_over_and_gets_nothing_back),
+        cmocka_unit_test(test_restarted_controller_does_not_regain_its_shard),
         cmocka_unit_test(test_lost_link_moves_nothing),
         cmocka_unit_test(test_default_shard_keeps_keys_and_leader),
-        cmocka_unit_test(test_outage_condemns_nobody),
+        cmocka_unit_test(test_store_outage_changes_no_leader),
         cmocka_unit_test(test_frozen_leader_never_shares_its_machines),
         cmocka_unit_test(test_successor_waits_for_workers_of_a_frozen_leader),
-        cmocka_unit_test(test_nothing_leaves_after_a_pause_before_the_lease_is_proven),
+        cmocka_unit_test(test_resumed_leader_sends_nothing_before_its_lease_is_proven),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/cluster/test_starvation.c
+++ b/tests/cluster/test_starvation.c
@@ -150,7 +150,7 @@
 }
 
 /* Only jobs of low rank without an SLO wait for cheap machines. */
-static void test_only_low_work_waits_for_cheap_machines(void **state)
+static void test_only_low_rank_without_slo_waits_for_cheap_machines(void **state)
 {
     (void)state;
     struct sim_cluster *cluster = sim_with_one_controller_and_machines(2);
@@ -199,7 +199,7 @@
         cmocka_unit_test(test_new_gang_starts_among_starved_gangs),
         cmocka_unit_test(test_large_array_completes_under_load),
         cmocka_unit_test(test_lowest_rank_starts_under_load),
-        cmocka_unit_test(test_only_low_work_waits_for_cheap_machines),
+        cmocka_unit_test(test_only_low_rank_without_slo_waits_for_cheap_machines),
         cmocka_unit_test(test_waiting_time_survives_restarts),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/cluster/test_upgrade.c
+++ b/tests/cluster/test_upgrade.c
@@ -42,7 +42,7 @@
     sim_finish(cluster);
 }
 
-static void test_rolling_upgrade(void **state)
+static void test_job_completes_through_a_rolling_upgrade(void **state)
 {
     (void)state;
     for (int crash = -1; crash < 2; crash++) {
@@ -90,7 +90,7 @@
 }
 
 /* Cancellations confirmed with mixed versions hold under either version's leader. */
-static void test_cancellations_across_versions(void **state)
+static void test_cancellation_holds_across_versions(void **state)
 {
     (void)state;
     for (int first = 0; first < SIM_CONTROLLERS; first++) {
@@ -114,10 +114,10 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_rolling_upgrade),
+        cmocka_unit_test(test_job_completes_through_a_rolling_upgrade),
         cmocka_unit_test(test_leadership_moves_to_the_new_version_once),
         cmocka_unit_test(test_old_version_does_not_regain_leadership),
-        cmocka_unit_test(test_cancellations_across_versions),
+        cmocka_unit_test(test_cancellation_holds_across_versions),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/cluster/test_user_api.c
+++ b/tests/cluster/test_user_api.c
@@ -19,7 +19,7 @@
     sim_finish(cluster);
 }
 
-static void test_repeated_submission_is_recognized_by_id(void **state)
+static void test_retried_submission_is_recognized_by_id(void **state)
 {
     (void)state;
     struct sim_cluster *cluster = sim_with_controllers(3, 1);
@@ -36,7 +36,7 @@
     sim_finish(cluster);
 }
 
-static void test_repeat_accepted_by_another_controller_is_not_rejected(void **state)
+static void test_retry_accepted_by_another_controller_is_not_rejected(void **state)
 {
     (void)state;
     struct sim_cluster *cluster = sim_with_controllers(3, 1);
@@ -52,7 +52,7 @@
 }
 
 /* A malformed repeat is recognized as long as its id can be parsed. */
-static void test_malformed_repeat_is_recognized_by_id(void **state)
+static void test_malformed_retry_is_recognized_by_id(void **state)
 {
     (void)state;
     struct sim_cluster *cluster = sim_with_controllers(3, 1);
@@ -230,9 +230,9 @@
 {
     const struct CMUnitTest tests[] = {
         cmocka_unit_test(test_submissions_in_an_outage_are_answered_at_once),
-        cmocka_unit_test(test_repeated_submission_is_recognized_by_id),
-        cmocka_unit_test(test_repeat_accepted_by_another_controller_is_not_rejected),
-        cmocka_unit_test(test_malformed_repeat_is_recognized_by_id),
+        cmocka_unit_test(test_retried_submission_is_recognized_by_id),
+        cmocka_unit_test(test_retry_accepted_by_another_controller_is_not_rejected),
+        cmocka_unit_test(test_malformed_retry_is_recognized_by_id),
         cmocka_unit_test(test_gang_with_contradictory_placement_is_rejected),
         cmocka_unit_test(test_submission_above_the_team_limit_is_rejected),
         cmocka_unit_test(test_live_job_is_answered_from_a_fresh_read),
--- a/tests/sockets/test_pause.c
+++ b/tests/sockets/test_pause.c
@@ -33,7 +33,7 @@
     *latest = late_s;
 }
 
-static void test_loop_tells_how_late_it_goes_on(void **state)
+static void test_wake_after_a_pause_carries_its_length(void **state)
 {
     (void)state;
     struct socket_bench bench;
@@ -51,7 +51,7 @@
 {
     const struct CMUnitTest tests[] = {
         cmocka_unit_test(test_unsent_bytes_are_dropped),
-        cmocka_unit_test(test_loop_tells_how_late_it_goes_on),
+        cmocka_unit_test(test_wake_after_a_pause_carries_its_length),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/sockets/test_sockets.c
+++ b/tests/sockets/test_sockets.c
@@ -10,7 +10,7 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-static void test_requests_and_keep_alive(void **state)
+static void test_requests_on_a_kept_connection_are_answered(void **state)
 {
     (void)state;
     struct socket_bench bench;
@@ -30,7 +30,7 @@
     socket_bench_close(&bench);
 }
 
-static void test_time_out_and_refusal(void **state)
+static void test_time_out_and_refusal_are_answered_without_status(void **state)
 {
     (void)state;
     struct socket_bench bench;
@@ -51,7 +51,7 @@
 
 /* A loop that is behind finds the answer in the socket after the deadline: it is no time-out, and sent again
    the request would only add to the load. */
-static void test_answer_that_has_come_is_no_time_out(void **state)
+static void test_response_that_has_arrived_does_not_time_out(void **state)
 {
     (void)state;
     struct socket_bench bench;
@@ -65,7 +65,7 @@
     socket_bench_close(&bench);
 }
 
-static void test_answers_of_one_endpoint_are_read_first(void **state)
+static void test_responses_of_the_first_endpoint_are_read_first(void **state)
 {
     (void)state;
     struct socket_bench bench;
@@ -81,7 +81,7 @@
 }
 
 /* Whoever asked must know that asking again would bring the same. */
-static void test_too_large_answer_is_told_from_none(void **state)
+static void test_oversized_response_is_distinguished_from_none(void **state)
 {
     (void)state;
     struct socket_bench bench;
@@ -202,11 +202,11 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_requests_and_keep_alive),
-        cmocka_unit_test(test_time_out_and_refusal),
-        cmocka_unit_test(test_answer_that_has_come_is_no_time_out),
-        cmocka_unit_test(test_answers_of_one_endpoint_are_read_first),
-        cmocka_unit_test(test_too_large_answer_is_told_from_none),
+        cmocka_unit_test(test_requests_on_a_kept_connection_are_answered),
+        cmocka_unit_test(test_time_out_and_refusal_are_answered_without_status),
+        cmocka_unit_test(test_response_that_has_arrived_does_not_time_out),
+        cmocka_unit_test(test_responses_of_the_first_endpoint_are_read_first),
+        cmocka_unit_test(test_oversized_response_is_distinguished_from_none),
         cmocka_unit_test(test_malformed_requests_are_answered_and_closed),
         cmocka_unit_test(test_connections_are_bounded),
         cmocka_unit_test(test_idle_connections_are_evicted),
--- a/tests/unit/test_agent.c
+++ b/tests/unit/test_agent.c
@@ -77,7 +77,7 @@
 
 /* ---- messages ---- */
 
-static void test_heartbeat_is_what_controllers_read(void **state)
+static void test_heartbeat_is_read_by_controllers(void **state)
 {
     (void)state;
     static char machine[] = "m-1";
@@ -114,7 +114,7 @@
     g_free(text);
 }
 
-static void test_orders_are_what_controllers_write(void **state)
+static void test_commands_written_by_controllers_are_read(void **state)
 {
     (void)state;
     GArray *commands = g_array_new(FALSE, TRUE, sizeof(struct ow_worker_command));
@@ -150,8 +150,8 @@
         cmocka_unit_test(test_heartbeats_follow_the_interval_and_changes),
         cmocka_unit_test(test_higher_fencing_token_counts_as_a_change_now_and_then),
         cmocka_unit_test(test_other_controllers_are_tried),
-        cmocka_unit_test(test_heartbeat_is_what_controllers_read),
-        cmocka_unit_test(test_orders_are_what_controllers_write),
+        cmocka_unit_test(test_heartbeat_is_read_by_controllers),
+        cmocka_unit_test(test_commands_written_by_controllers_are_read),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/unit/test_agent_options.c
+++ b/tests/unit/test_agent_options.c
@@ -23,7 +23,7 @@
     return agent_options_parse((int)count, arguments, options, error);
 }
 
-static void test_good_options_are_read(void **state)
+static void test_complete_options_are_read(void **state)
 {
     (void)state;
     struct agent_options options;
@@ -65,7 +65,7 @@
      "two=nowhere: is not NAME=ADDRESS:PORT"},
 };
 
-static void test_faults_are_named(void **state)
+static void test_errors_are_named(void **state)
 {
     (void)state;
     for (size_t i = 0; i < G_N_ELEMENTS(faults); i++) {
@@ -94,8 +94,8 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_good_options_are_read),
-        cmocka_unit_test(test_faults_are_named),
+        cmocka_unit_test(test_complete_options_are_read),
+        cmocka_unit_test(test_errors_are_named),
         cmocka_unit_test(test_unknown_option_is_an_error_of_the_parser),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/unit/test_agent_tasks.c
+++ b/tests/unit/test_agent_tasks.c
@@ -124,7 +124,7 @@
     return count;
 }
 
-static void test_ends_are_reported_with_their_cause(void **state)
+static void test_exited_task_is_in_heartbeats_with_its_cause(void **state)
 {
     (void)state;
     static const struct {
@@ -145,7 +145,7 @@
     }
 }
 
-static void test_launches_are_refused(void **state)
+static void test_impossible_launches_are_refused(void **state)
 {
     (void)state;
     struct bench bench;
@@ -283,8 +283,8 @@
 {
     const struct CMUnitTest tests[] = {
         cmocka_unit_test(test_incarnation_and_fencing_token_outlive_the_process),
-        cmocka_unit_test(test_ends_are_reported_with_their_cause),
-        cmocka_unit_test(test_launches_are_refused),
+        cmocka_unit_test(test_exited_task_is_in_heartbeats_with_its_cause),
+        cmocka_unit_test(test_impossible_launches_are_refused),
         cmocka_unit_test(test_stopped_task_saves_in_its_grace),
         cmocka_unit_test(test_tasks_end_with_the_lease_while_the_agent_stands_still),
         cmocka_unit_test(test_renewal_counts_from_when_the_heartbeat_was_sent),
--- a/tests/unit/test_candidacy.c
+++ b/tests/unit/test_candidacy.c
@@ -49,7 +49,7 @@
     g_ptr_array_free(sent, TRUE);
 }
 
-static void test_who_leads_least_runs_first(void **state)
+static void test_controller_leading_fewest_shards_ranks_first(void **state)
 {
     (void)state;
     struct bench bench;
@@ -67,7 +67,7 @@
 }
 
 /* Among equals no two have the same rank, and different shards go to different controllers. */
-static void test_equals_are_ordered_by_shard(void **state)
+static void test_equal_candidates_are_ordered_by_shard(void **state)
 {
     (void)state;
     bool was_first[CONTROLLERS] = {false};
@@ -93,7 +93,7 @@
 }
 
 /* Controllers start one after the other: the first must not take every shard before the others are heard. */
-static void test_who_starts_first_leaves_shards_to_the_others(void **state)
+static void test_first_started_controller_leaves_shards_to_the_others(void **state)
 {
     (void)state;
     struct bench bench;
@@ -122,9 +122,9 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_who_leads_least_runs_first),
-        cmocka_unit_test(test_equals_are_ordered_by_shard),
-        cmocka_unit_test(test_who_starts_first_leaves_shards_to_the_others),
+        cmocka_unit_test(test_controller_leading_fewest_shards_ranks_first),
+        cmocka_unit_test(test_equal_candidates_are_ordered_by_shard),
+        cmocka_unit_test(test_first_started_controller_leaves_shards_to_the_others),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/unit/test_command_line.c
+++ b/tests/unit/test_command_line.c
@@ -13,7 +13,7 @@
     return status;
 }
 
-static void test_the_command_line(void **state)
+static void test_command_line_answers_each_form_and_error(void **state)
 {
     (void)state;
     char *out = NULL;
@@ -42,7 +42,7 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_the_command_line),
+        cmocka_unit_test(test_command_line_answers_each_form_and_error),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/unit/test_http.c
+++ b/tests/unit/test_http.c
@@ -61,7 +61,7 @@
     return result;
 }
 
-static void test_samples(void **state)
+static void test_sample_messages_are_parsed_or_rejected(void **state)
 {
     (void)state;
     for (size_t i = 0; i < G_N_ELEMENTS(samples); i++) {
@@ -91,7 +91,7 @@
     ow_http_parser_clear(&parser);
 }
 
-static void test_two_messages_on_one_connection(void **state)
+static void test_two_messages_on_one_connection_are_both_parsed(void **state)
 {
     (void)state;
     struct ow_http_parser parser;
@@ -112,7 +112,7 @@
 
 /* Pieces of valid messages in random order: any result is accepted, but the parser must stay within its
  * buffers. */
-static void test_random_input(void **state)
+static void test_random_input_stays_within_buffers(void **state)
 {
     (void)state;
     static const char *pieces[] = {"GET ",      "/x",
@@ -141,10 +141,10 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_samples),
+        cmocka_unit_test(test_sample_messages_are_parsed_or_rejected),
         cmocka_unit_test(test_endless_head_is_rejected),
-        cmocka_unit_test(test_two_messages_on_one_connection),
-        cmocka_unit_test(test_random_input),
+        cmocka_unit_test(test_two_messages_on_one_connection_are_both_parsed),
+        cmocka_unit_test(test_random_input_stays_within_buffers),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/unit/test_lease_guard.c
+++ b/tests/unit/test_lease_guard.c
@@ -47,7 +47,7 @@
 }
 
 /* In an outage workers go on being kept alive, and nothing is started. */
-static void test_outage_leaves_keep_alive(void **state)
+static void test_outage_expires_the_lease_without_a_pause(void **state)
 {
     (void)state;
     struct ow_lease_guard guard = guard_at(10);
@@ -58,7 +58,7 @@
 
 /* After a pause nothing leaves until the key-value store has answered a request sent since; an answer that
    has lain in the socket all the while proves nothing. */
-static void test_nothing_leaves_after_a_pause(void **state)
+static void test_pause_makes_the_lease_unproven_until_renewed(void **state)
 {
     (void)state;
     struct ow_lease_guard guard = guard_at(10);
@@ -105,7 +105,7 @@
     return effect;
 }
 
-static void test_keep_alive_takes_launches_out(void **state)
+static void test_expired_lease_removes_launches_from_commands(void **state)
 {
     (void)state;
     static const enum ow_effect_kind kinds[] = {OW_EFFECT_WORKER_COMMANDS, OW_EFFECT_DIRECT_COMMANDS};
@@ -121,7 +121,7 @@
     }
 }
 
-static void test_unproven_lets_no_command_out(void **state)
+static void test_unproven_lease_lets_no_command_out(void **state)
 {
     (void)state;
     struct ow_event *refusal = NULL;
@@ -140,7 +140,7 @@
 }
 
 /* Renting and returning wait for the lease; reading does no harm. */
-static void test_machines_are_neither_rented_nor_returned_without_the_lease(void **state)
+static void test_without_a_lease_no_machine_is_provisioned_or_terminated(void **state)
 {
     (void)state;
     for (int op = OW_CLOUD_TYPES; op <= OW_CLOUD_TERMINATE; op++) {
@@ -164,12 +164,12 @@
     const struct CMUnitTest tests[] = {
         cmocka_unit_test(test_lease_counts_from_when_it_was_asked_for),
         cmocka_unit_test(test_only_the_answer_to_a_renewal_renews),
-        cmocka_unit_test(test_outage_leaves_keep_alive),
-        cmocka_unit_test(test_nothing_leaves_after_a_pause),
+        cmocka_unit_test(test_outage_expires_the_lease_without_a_pause),
+        cmocka_unit_test(test_pause_makes_the_lease_unproven_until_renewed),
         cmocka_unit_test(test_short_pause_changes_nothing),
-        cmocka_unit_test(test_keep_alive_takes_launches_out),
-        cmocka_unit_test(test_unproven_lets_no_command_out),
-        cmocka_unit_test(test_machines_are_neither_rented_nor_returned_without_the_lease),
+        cmocka_unit_test(test_expired_lease_removes_launches_from_commands),
+        cmocka_unit_test(test_unproven_lease_lets_no_command_out),
+        cmocka_unit_test(test_without_a_lease_no_machine_is_provisioned_or_terminated),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/unit/test_membership.c
+++ b/tests/unit/test_membership.c
@@ -164,7 +164,7 @@
     close_bench(&bench);
 }
 
-static void test_probes_are_carried_on(void **state)
+static void test_probe_requests_are_relayed(void **state)
 {
     (void)state;
     struct bench bench;
@@ -186,7 +186,7 @@
 }
 
 /* A process that stood still has heard nobody, and must not hold that against them. */
-static void test_own_pause_suspects_nobody(void **state)
+static void test_own_pause_suspects_no_controller(void **state)
 {
     (void)state;
     struct bench bench;
@@ -204,7 +204,7 @@
     close_bench(&bench);
 }
 
-static void test_wrong_messages_are_dropped(void **state)
+static void test_invalid_and_stale_messages_are_dropped(void **state)
 {
     (void)state;
     struct bench bench;
@@ -234,9 +234,9 @@
     const struct CMUnitTest tests[] = {
         cmocka_unit_test(test_silent_controller_is_probed_and_then_suspected),
         cmocka_unit_test(test_controller_that_others_reach_is_not_suspected),
-        cmocka_unit_test(test_probes_are_carried_on),
-        cmocka_unit_test(test_own_pause_suspects_nobody),
-        cmocka_unit_test(test_wrong_messages_are_dropped),
+        cmocka_unit_test(test_probe_requests_are_relayed),
+        cmocka_unit_test(test_own_pause_suspects_no_controller),
+        cmocka_unit_test(test_invalid_and_stale_messages_are_dropped),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/unit/test_peer_lists.c
+++ b/tests/unit/test_peer_lists.c
@@ -143,7 +143,7 @@
     ow_machine_hints_free(hints);
 }
 
-static void test_impossible_parts_are_dropped(void **state)
+static void test_list_parts_with_impossible_numbers_are_dropped(void **state)
 {
     (void)state;
     struct ow_machine_hints *hints = ow_machine_hints_new();
@@ -164,7 +164,7 @@
         cmocka_unit_test(test_parts_in_order_make_the_list),
         cmocka_unit_test(test_incomplete_lists_are_dropped_as_a_whole),
         cmocka_unit_test(test_lists_of_older_leaders_are_dropped),
-        cmocka_unit_test(test_impossible_parts_are_dropped),
+        cmocka_unit_test(test_list_parts_with_impossible_numbers_are_dropped),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/unit/test_peer_wire.c
+++ b/tests/unit/test_peer_wire.c
@@ -14,7 +14,7 @@
     return again;
 }
 
-static void test_peer_messages(void **state)
+static void test_summary_survives_encoding(void **state)
 {
     (void)state;
     struct ow_peer_message *message = ow_peer_message_new(OW_PEER_SUMMARY);
@@ -48,7 +48,7 @@
 
 /* A later version's messages: a kind that we don't know is left out, and so is what stands behind the fields
    of one that we do. */
-static void test_messages_of_later_versions(void **state)
+static void test_unknown_parts_of_later_versions_are_skipped(void **state)
 {
     (void)state;
     static const char unknown[] = "\0\0\0\2\0\0\0\143\0\0\0\4abcd";
@@ -67,7 +67,7 @@
     assert_null(message);
 }
 
-static void test_random_peer_messages(void **state)
+static void test_random_peer_messages_do_no_harm(void **state)
 {
     (void)state;
     GRand *rand = g_rand_new_with_seed(3);
@@ -90,10 +90,10 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_peer_messages),
+        cmocka_unit_test(test_summary_survives_encoding),
         cmocka_unit_test(test_cancellation_message_is_complete),
-        cmocka_unit_test(test_messages_of_later_versions),
-        cmocka_unit_test(test_random_peer_messages),
+        cmocka_unit_test(test_unknown_parts_of_later_versions_are_skipped),
+        cmocka_unit_test(test_random_peer_messages_do_no_harm),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/unit/test_phi_detector.c
+++ b/tests/unit/test_phi_detector.c
@@ -29,7 +29,7 @@
 
 /* One long silence, a failure, must not hide the next: seen on a loopback run, where a controller that had
    failed once was suspected after 6 s instead of 1.5 s. */
-static void test_phi_is_not_dulled_by_a_failure(void **state)
+static void test_phi_after_a_failure_detects_the_next(void **state)
 {
     (void)state;
     struct ow_phi_detector detector;
@@ -64,7 +64,7 @@
 {
     const struct CMUnitTest tests[] = {
         cmocka_unit_test(test_phi_grows_with_silence_and_follows_the_intervals),
-        cmocka_unit_test(test_phi_is_not_dulled_by_a_failure),
+        cmocka_unit_test(test_phi_after_a_failure_detects_the_next),
         cmocka_unit_test(test_phi_follows_a_slower_network),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/unit/test_records.c
+++ b/tests/unit/test_records.c
@@ -22,7 +22,7 @@
     g_array_append_val(live, record);
 }
 
-static void test_progress(void **state)
+static void test_progress_record_survives_encoding(void **state)
 {
     (void)state;
     struct ow_progress_record record = {9, g_array_new(FALSE, FALSE, sizeof(uint32_t)),
@@ -73,7 +73,7 @@
     wire_progress_record_clear(&record);
 }
 
-static void test_job_records(void **state)
+static void test_job_record_survives_encoding(void **state)
 {
     (void)state;
     struct ow_job_record done = {.state = OW_JOB_DONE};
@@ -110,7 +110,7 @@
     ow_interner_free(names.types);
 }
 
-static void test_names(void **state)
+static void test_interned_names_keep_their_index(void **state)
 {
     (void)state;
     struct ow_interner *names = ow_interner_new();
@@ -122,7 +122,7 @@
     ow_interner_free(names);
 }
 
-static void test_rate_limiter(void **state)
+static void test_rate_limiter_grants_its_rate_and_burst(void **state)
 {
     (void)state;
     struct ow_rate_limiter limiter;
@@ -140,9 +140,12 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_progress),    cmocka_unit_test(test_largest_chunk_fits_a_value),
-        cmocka_unit_test(test_job_records), cmocka_unit_test(test_older_record_is_ignored),
-        cmocka_unit_test(test_names),       cmocka_unit_test(test_rate_limiter),
+        cmocka_unit_test(test_progress_record_survives_encoding),
+        cmocka_unit_test(test_largest_chunk_fits_a_value),
+        cmocka_unit_test(test_job_record_survives_encoding),
+        cmocka_unit_test(test_older_record_is_ignored),
+        cmocka_unit_test(test_interned_names_keep_their_index),
+        cmocka_unit_test(test_rate_limiter_grants_its_rate_and_burst),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/unit/test_settings.c
+++ b/tests/unit/test_settings.c
@@ -41,7 +41,7 @@
     return settings;
 }
 
-static void test_good_settings(void **state)
+static void test_complete_settings_are_loaded(void **state)
 {
     (void)state;
     GError *error = NULL;
@@ -90,7 +90,7 @@
     {"[services]", "[services", "(line", OW_CONFIG_ERROR_SYNTAX},
 };
 
-static void test_faults_are_named(void **state)
+static void test_errors_are_named(void **state)
 {
     (void)state;
     for (size_t i = 0; i < G_N_ELEMENTS(faults); i++) {
@@ -115,7 +115,7 @@
     return ok;
 }
 
-static void test_operators(void **state)
+static void test_tuning_file_overrides_defaults(void **state)
 {
     (void)state;
     GError *error = NULL;
@@ -139,7 +139,7 @@
      OW_CONFIG_ERROR_SYNTAX},
 };
 
-static void test_operators_faults_are_named(void **state)
+static void test_errors_in_a_tuning_file_are_named(void **state)
 {
     (void)state;
     for (size_t i = 0; i < G_N_ELEMENTS(operator_faults); i++) {
@@ -153,7 +153,7 @@
     }
 }
 
-static void test_the_sample_is_the_default(void **state)
+static void test_tuning_sample_equals_the_defaults(void **state)
 {
     (void)state;
     GError *error = NULL;
@@ -174,11 +174,11 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_good_settings),
-        cmocka_unit_test(test_faults_are_named),
-        cmocka_unit_test(test_operators),
-        cmocka_unit_test(test_operators_faults_are_named),
-        cmocka_unit_test(test_the_sample_is_the_default),
+        cmocka_unit_test(test_complete_settings_are_loaded),
+        cmocka_unit_test(test_errors_are_named),
+        cmocka_unit_test(test_tuning_file_overrides_defaults),
+        cmocka_unit_test(test_errors_in_a_tuning_file_are_named),
+        cmocka_unit_test(test_tuning_sample_equals_the_defaults),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/unit/test_sharding_settings.c
+++ b/tests/unit/test_sharding_settings.c
@@ -166,7 +166,7 @@
     {"<control>" NORTH SOUTH "</control>\n<control/>", "line 5: control: is there twice"},
 };
 
-static void test_faults_are_named_with_their_line(void **state)
+static void test_errors_are_named_with_their_line(void **state)
 {
     (void)state;
     for (size_t i = 0; i < G_N_ELEMENTS(faults); i++) {
@@ -192,7 +192,7 @@
     g_string_free(text, TRUE);
 }
 
-static void test_the_sample_is_accepted(void **state)
+static void test_sample_settings_are_accepted(void **state)
 {
     (void)state;
     struct ow_sharding_settings *sharding = ow_sharding_settings_new();
@@ -214,9 +214,9 @@
     const struct CMUnitTest tests[] = {
         cmocka_unit_test(test_values_are_read),
         cmocka_unit_test(test_consistent_settings_are_accepted),
-        cmocka_unit_test(test_faults_are_named_with_their_line),
+        cmocka_unit_test(test_errors_are_named_with_their_line),
         cmocka_unit_test(test_too_many_shards_are_refused),
-        cmocka_unit_test(test_the_sample_is_accepted),
+        cmocka_unit_test(test_sample_settings_are_accepted),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/unit/test_sharding_wire.c
+++ b/tests/unit/test_sharding_wire.c
@@ -38,7 +38,7 @@
     return message;
 }
 
-static void test_heartbeat(void **state)
+static void test_peer_heartbeat_survives_encoding(void **state)
 {
     (void)state;
     struct ow_peer_message *message = through_xdr(new_heartbeat(2));
@@ -65,7 +65,7 @@
     ow_peer_message_free(message);
 }
 
-static void test_probe(void **state)
+static void test_probe_survives_encoding(void **state)
 {
     (void)state;
     struct ow_peer_message *message = ow_peer_message_new(OW_PEER_PROBE);
@@ -86,7 +86,7 @@
     ow_peer_message_free(message);
 }
 
-static void test_message_of_a_shard(void **state)
+static void test_message_of_a_shard_keeps_its_shard(void **state)
 {
     (void)state;
     struct ow_peer_message *message = ow_peer_message_new(OW_PEER_JOB_CHANGED);
@@ -116,7 +116,7 @@
 }
 
 /* Whatever comes in place of a message is refused or read, without harm. */
-static void test_damaged_messages(void **state)
+static void test_damaged_messages_do_no_harm(void **state)
 {
     (void)state;
     GRand *rand = g_rand_new_with_seed(7);
@@ -139,7 +139,7 @@
     g_rand_free(rand);
 }
 
-static void test_stored_map(void **state)
+static void test_stored_shard_map_is_read_or_refused(void **state)
 {
     (void)state;
     GHashTable *values = g_hash_table_new(g_str_hash, g_str_equal);
@@ -164,7 +164,7 @@
 }
 
 /* Operators' tools read these texts: not a byte may change. */
-static void test_controllers_for_operators(void **state)
+static void test_controllers_are_listed_for_operators_byte_for_byte(void **state)
 {
     (void)state;
     GArray *led_shards = ow_peer_shards_new();
@@ -190,7 +190,7 @@
     g_array_free(led_shards, TRUE);
 }
 
-static void test_shards_for_operators(void **state)
+static void test_shards_are_listed_for_operators_byte_for_byte(void **state)
 {
     (void)state;
     struct ow_failover_step_view step = {"lease gone", 2.5, "its key is gone"};
@@ -217,15 +217,15 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_heartbeat),
+        cmocka_unit_test(test_peer_heartbeat_survives_encoding),
         cmocka_unit_test(test_heartbeat_of_too_many_shards_is_not_sent),
-        cmocka_unit_test(test_probe),
-        cmocka_unit_test(test_message_of_a_shard),
+        cmocka_unit_test(test_probe_survives_encoding),
+        cmocka_unit_test(test_message_of_a_shard_keeps_its_shard),
         cmocka_unit_test(test_message_without_a_shard_is_unchanged),
-        cmocka_unit_test(test_damaged_messages),
-        cmocka_unit_test(test_stored_map),
-        cmocka_unit_test(test_controllers_for_operators),
-        cmocka_unit_test(test_shards_for_operators),
+        cmocka_unit_test(test_damaged_messages_do_no_harm),
+        cmocka_unit_test(test_stored_shard_map_is_read_or_refused),
+        cmocka_unit_test(test_controllers_are_listed_for_operators_byte_for_byte),
+        cmocka_unit_test(test_shards_are_listed_for_operators_byte_for_byte),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/unit/test_submission_wire.c
+++ b/tests/unit/test_submission_wire.c
@@ -179,7 +179,7 @@
     {"\"later_field\":{}}", "\"later_field\":{}"},
 };
 
-static void test_bad_jobs_are_refused(void **state)
+static void test_invalid_submissions_are_refused(void **state)
 {
     (void)state;
     for (size_t i = 0; i < G_N_ELEMENTS(bad_jobs); i++) {
@@ -198,9 +198,11 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_job_survives_its_stored_form), cmocka_unit_test(test_deadline_is_optional),
-        cmocka_unit_test(test_wrong_deadline_is_named),      cmocka_unit_test(test_each_wrong_field_is_named),
-        cmocka_unit_test(test_bad_jobs_are_refused),
+        cmocka_unit_test(test_job_survives_its_stored_form),
+        cmocka_unit_test(test_deadline_is_optional),
+        cmocka_unit_test(test_wrong_deadline_is_named),
+        cmocka_unit_test(test_each_wrong_field_is_named),
+        cmocka_unit_test(test_invalid_submissions_are_refused),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/unit/test_worker_cloud_wire.c
+++ b/tests/unit/test_worker_cloud_wire.c
@@ -14,7 +14,7 @@
     "\"talons\":[{\"talon\":\"run-000412/3\",\"dive\":2,\"stance\":\"flushing\"},"
     "{\"talon\":\"run-000398/0\",\"dive\":1,\"stance\":\"exited\",\"cause\":\"halted\",\"saved\":true}]}";
 
-static void test_heartbeats(void **state)
+static void test_heartbeat_is_parsed_completely_or_not_at_all(void **state)
 {
     (void)state;
     struct ow_heartbeat *parsed = wire_heartbeat_decode(heartbeat, strlen(heartbeat));
@@ -33,7 +33,7 @@
     g_strfreev(parts);
 }
 
-static void test_worker_commands(void **state)
+static void test_direct_commands_are_encoded_byte_for_byte(void **state)
 {
     (void)state;
     GArray *commands = g_array_new(FALSE, TRUE, sizeof(struct ow_worker_command));
@@ -48,7 +48,7 @@
     g_array_free(commands, TRUE);
 }
 
-static void test_cloud(void **state)
+static void test_cloud_lists_are_parsed_or_dropped(void **state)
 {
     (void)state;
     const char list[] =
@@ -69,9 +69,9 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_heartbeats),
-        cmocka_unit_test(test_worker_commands),
-        cmocka_unit_test(test_cloud),
+        cmocka_unit_test(test_heartbeat_is_parsed_completely_or_not_at_all),
+        cmocka_unit_test(test_direct_commands_are_encoded_byte_for_byte),
+        cmocka_unit_test(test_cloud_lists_are_parsed_or_dropped),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
