--- a/src/core/leader/leader.c
+++ b/src/core/leader/leader.c
@@ -8,13 +8,13 @@
 #include "core/leader/leader_state.h"
 #include "core/leader/machine_type_polling.h"
 #include "core/machines/command_queue.h"
+#include "core/machines/direct_commands.h"
 #include "core/machines/fleet.h"
 #include "core/machines/instance_offers.h"
 #include "core/machines/machine_health.h"
 #include "core/machines/machine_registry.h"
 #include "core/machines/scale_out.h"
 #include "core/machines/spot_risk.h"
-#include "core/machines/worker_commands.h"
 #include "core/peers/leader_broadcast.h"
 #include "core/records/failover.h"
 #include "core/records/record_format.h"
@@ -113,6 +113,6 @@
     ow_scale_out_tick(leader);
     ow_fleet_send_terminations(leader);
     ow_record_writer_tick(leader);
-    ow_worker_commands_send(leader);
+    ow_direct_commands_send(leader);
     ow_leader_broadcast_tick(leader);
 }
--- /dev/null
+++ b/src/core/machines/direct_commands.c
@@ -0,0 +1,158 @@
+#include "core/machines/direct_commands.h"
+
+#include "core/election/election.h"
+#include "core/leader/leader_state.h"
+#include "core/machines/command_queue.h"
+#include "core/machines/heartbeat_intake.h"
+#include "core/machines/machine.h"
+#include "core/machines/machine_registry.h"
+#include "core/machines/worker_commands.h"
+#include "model/effect.h"
+#include "model/event.h"
+#include "model/http_status.h"
+#include "model/worker.h"
+
+/* Calls in flight to machines that may not answer: at least so many, and so many for each core of ours. */
+enum { PROBES_LEAST = 64, PROBES_PER_CORE = 1000 };
+/* No further call to the machine for so long after one without an answer. */
+static const double UNANSWERED_PAUSE_S = 3;
+/* The same after the worker refused the commands, as those of an older leader or another incarnation. */
+static const double REFUSED_PAUSE_S = 0.5;
+/* The same after a call that could not be sent. */
+static const double UNSENT_PAUSE_S = 0.5;
+
+/* A call in flight. */
+struct direct_call {
+    char *machine; /* its name: it may be gone when the answer comes */
+    double sent_at;
+    bool is_probe; /* to a machine of which nobody knows that it would answer */
+};
+
+static void direct_call_free(void *data)
+{
+    struct direct_call *call = data;
+    g_free(call->machine);
+    g_free(call);
+}
+
+/* ---- pacing ---- */
+
+/* Whether nobody knows that the machine would answer. */
+static bool is_unheard(const struct ow_machine *machine)
+{
+    return machine->liveness.last_message_at == 0 || machine->liveness.unanswered_since > 0;
+}
+
+/* Probes in flight at a time. Answers that this process can't handle in time would count as missing, and
+   their probes would be sent again: without a limit, thousands of them would never end. */
+static unsigned probes_most(const struct ow_leader *leader)
+{
+    return MAX(PROBES_LEAST, (unsigned)(PROBES_PER_CORE * leader->core->settings->core_share));
+}
+
+static bool is_call_possible(const struct ow_leader *leader, const struct ow_machine *machine)
+{
+    if (machine->direct.is_in_flight || machine->addr == NULL ||
+        leader->core->now < machine->direct.not_before)
+        return false;
+    return !is_unheard(machine) || leader->probes < probes_most(leader);
+}
+
+/* Whether a call would tell or show anything. A machine that has meanwhile shown our fencing token by a
+   heartbeat, and for which no command is due, is not called. */
+static bool is_call_needed(const struct ow_leader *leader, const struct ow_machine *machine)
+{
+    return !machine->liveness.is_fenced || is_unheard(machine) ||
+           !ow_machine_heard_recently(leader, machine) || ow_worker_commands_are_due(machine);
+}
+
+/* ---- answers ---- */
+
+static void apply_answer(struct ow_leader *leader, struct ow_machine *machine, const struct ow_event *answer)
+{
+    g_array_set_size(machine->direct.launches, 0);
+    machine->liveness.unanswered_since = 0;
+    if (answer->heartbeat != NULL)
+        ow_heartbeat_intake_apply(leader, answer->heartbeat, NULL);
+    if (answer->status == OW_HTTP_STATUS_CONFLICT)
+        machine->direct.not_before = leader->core->now + REFUSED_PAUSE_S;
+}
+
+/* Nothing has left this process: no launch is unacknowledged, and nothing is known of the machine. */
+static void apply_unsent(struct ow_leader *leader, struct ow_machine *machine)
+{
+    g_array_set_size(machine->direct.launches, 0);
+    ow_command_queue_add(leader, machine);
+    machine->direct.not_before = leader->core->now + UNSENT_PAUSE_S;
+}
+
+/* No answer proves nothing (safety rule 2): the launches may be carried out minutes later, for as long as the
+   incarnation lasts. */
+static void apply_missing_answer(struct ow_leader *leader, struct ow_machine *machine, double sent_at)
+{
+    g_array_append_vals(machine->direct.unacknowledged_launches, machine->direct.launches->data,
+                        machine->direct.launches->len);
+    g_array_set_size(machine->direct.launches, 0);
+    machine->direct.not_before = leader->core->now + UNANSWERED_PAUSE_S;
+    if (machine->liveness.unanswered_since == 0) {
+        g_info("machine does not answer commands: machine=%s", machine->name);
+        machine->liveness.unanswered_since = sent_at;
+    }
+}
+
+static void on_answer(void *owner, void *data, const struct ow_event *answer)
+{
+    struct ow_leader *leader = owner;
+    const struct direct_call *call = data;
+    struct ow_machine *machine = ow_machines_find(leader, call->machine);
+    leader->probes -= call->is_probe ? 1 : 0;
+    if (machine == NULL)
+        return;
+    if (answer->heartbeat != NULL && answer->heartbeat->fencing_token > leader->fencing_token) {
+        /* There is a newer leader: the election ends this one's term, and frees it. */
+        ow_election_observe_fencing_token(leader->core->election, answer->heartbeat->fencing_token, NULL);
+        return;
+    }
+    machine->direct.is_in_flight = false;
+    if (answer->status == OW_STATUS_UNSENT)
+        apply_unsent(leader, machine);
+    else if (answer->status == OW_HTTP_STATUS_OK || answer->status == OW_HTTP_STATUS_CONFLICT)
+        apply_answer(leader, machine, answer);
+    else
+        apply_missing_answer(leader, machine, call->sent_at);
+}
+
+/* ---- calls ---- */
+
+static void send_call(struct ow_leader *leader, struct ow_machine *machine)
+{
+    struct ow_effect *effect = ow_effect_new(OW_EFFECT_DIRECT_COMMANDS, 0);
+    struct direct_call *call = g_new0(struct direct_call, 1);
+    call->machine = g_strdup(machine->name);
+    call->sent_at = leader->core->now;
+    call->is_probe = is_unheard(machine);
+    leader->probes += call->is_probe ? 1 : 0;
+    machine->direct.is_in_flight = true;
+    effect->commands = ow_worker_commands_for(machine, machine->direct.launches);
+    effect->addr = g_strdup(machine->addr);
+    effect->fencing_token = leader->fencing_token;
+    effect->incarnation = MAX(machine->liveness.incarnation, 1);
+    effect->request =
+        ow_pending_calls_add(leader->core->pending_calls, on_answer, leader, call, direct_call_free);
+    ow_core_emit(leader->core, effect);
+}
+
+/* Only the machines in the queue are visited: in a large fleet a look at each machine in every step would
+   cost as much as their heartbeats. */
+void ow_direct_commands_send(struct ow_leader *leader)
+{
+    for (guint i = ow_command_queue_length(leader); i > 0; i--) {
+        struct ow_machine *machine = ow_command_queue_at(leader, i - 1);
+        bool is_needed = is_call_needed(leader, machine);
+        if (is_needed && !is_call_possible(leader, machine))
+            continue;
+        ow_command_queue_take(leader, i - 1);
+        if (is_needed)
+            send_call(leader, machine);
+    }
+}
--- /dev/null
+++ b/src/core/machines/machine_images.c
@@ -0,0 +1,94 @@
+#include "core/machines/machine_images.h"
+
+#include "core/jobs/attempt.h"
+#include "core/leader/leader_state.h"
+#include "core/machines/machine.h"
+#include "core/machines/machine_registry.h"
+#include "model/cloud.h"
+
+/* What a fetch takes yet that should be complete by now, but that no heartbeat has shown to be. */
+static const double FETCH_LEAST_S = 0.5;
+/* What a fetch takes at a rate that is not known. */
+static const double UNKNOWN_FETCH_S = 60;
+
+struct ow_image_copy *ow_machine_image(const struct ow_machine *machine, int image)
+{
+    for (guint i = 0; i < machine->images->len; i++) {
+        struct ow_image_copy *copy = &g_array_index(machine->images, struct ow_image_copy, i);
+        if (copy->image == image)
+            return copy;
+    }
+    return NULL;
+}
+
+static bool is_image_in_use(const struct ow_machine *machine, int image)
+{
+    for (guint i = 0; i < machine->attempts->len; i++) {
+        const struct ow_attempt *attempt = g_ptr_array_index(machine->attempts, i);
+        if (attempt->job->spec->image == image)
+            return true;
+    }
+    return false;
+}
+
+/* The machine caches the images that were used last, and those of its tasks. */
+static void forget_old_images(const struct ow_leader *leader, struct ow_machine *machine)
+{
+    const struct ow_machine_type *type = ow_machine_type_of(leader, machine);
+    double limit = type != NULL ? type->cache_gb : 0;
+    for (;;) {
+        double sum = 0;
+        guint oldest = machine->images->len;
+        for (guint i = 0; i < machine->images->len; i++) {
+            const struct ow_image_copy *copy = &g_array_index(machine->images, struct ow_image_copy, i);
+            sum += copy->gb;
+            if (is_image_in_use(machine, copy->image))
+                continue;
+            if (oldest == machine->images->len ||
+                copy->used_at < g_array_index(machine->images, struct ow_image_copy, oldest).used_at)
+                oldest = i;
+        }
+        if (sum <= limit || oldest == machine->images->len)
+            return;
+        g_array_remove_index_fast(machine->images, oldest);
+    }
+}
+
+void ow_machine_image_use(struct ow_leader *leader, struct ow_machine *machine,
+                          const struct ow_job_spec *spec, bool present)
+{
+    struct ow_image_copy *copy = ow_machine_image(machine, spec->image);
+    if (copy == NULL) {
+        double ready_at = leader->core->now + ow_machine_fetch_seconds(leader, machine, spec);
+        struct ow_image_copy fresh = {.image = spec->image,
+                                      .gb = spec->submission->image_gb,
+                                      .used_at = leader->core->now,
+                                      .present = present,
+                                      .ready_at = ready_at};
+        g_array_append_val(machine->images, fresh);
+        forget_old_images(leader, machine);
+        return;
+    }
+    copy->used_at = leader->core->now;
+    copy->present = copy->present || present;
+}
+
+double ow_machine_fetch_seconds(const struct ow_leader *leader, const struct ow_machine *machine,
+                                const struct ow_job_spec *spec)
+{
+    const struct ow_machine_type *type = ow_machine_type_of(leader, machine);
+    const struct ow_image_copy *copy = ow_machine_image(machine, spec->image);
+    if (copy != NULL && copy->present)
+        return 0;
+    if (copy != NULL)
+        return MAX(FETCH_LEAST_S, copy->ready_at - leader->core->now);
+    /* Fetches under way share the machine's rate. */
+    double gb = spec->submission->image_gb;
+    for (guint i = 0; i < machine->images->len; i++) {
+        const struct ow_image_copy *other = &g_array_index(machine->images, struct ow_image_copy, i);
+        if (!other->present && other->ready_at > leader->core->now)
+            gb += MIN(other->gb,
+                      (other->ready_at - leader->core->now) * (type != NULL ? type->fetch_gb_per_s : 0));
+    }
+    return type != NULL && type->fetch_gb_per_s > 0 ? gb / type->fetch_gb_per_s : UNKNOWN_FETCH_S;
+}
--- a/src/core/machines/machine_registry.c
+++ b/src/core/machines/machine_registry.c
@@ -1,17 +1,11 @@
-/* The machine registry: what is known of every machine. */
 #include "core/machines/machine_registry.h"
-#include "core/jobs/attempt.h"
+
 #include "core/leader/leader_state.h"
 #include "core/machines/machine.h"
 #include "model/cloud.h"
-#include "model/worker.h"
-
-#include <string.h>
 
-/* A machine without a message for so many report intervals is silent. */
+/* A machine without a message for so many heartbeat intervals is silent. */
 static const double MISSED_HEARTBEATS = 2.5;
-/* A fetch that should be complete but was not reported so takes this long yet; and one at an unknown rate. */
-static const double FETCH_LEAST_S = 0.5, UNKNOWN_FETCH_S = 60;
 
 struct ow_machine *ow_machines_find(const struct ow_leader *leader, const char *name)
 {
@@ -79,9 +73,9 @@
 bool ow_machine_is_usable(const struct ow_leader *leader, const struct ow_machine *machine)
 {
     double now = leader->core->now;
-    /* No launch before its report under our own fencing token, nor on one that has fallen silent, answers
-       commands but does not report (its lease runs out), or is unresponsive, is about to be reclaimed, or is
-       being returned. */
+    /* Safety rule 4: nothing starts before the machine's heartbeat under our own fencing token. Beyond that,
+       not on one that is silent, that answers commands without sending heartbeats (its lease expires), that
+       is unresponsive, about to be reclaimed, or being terminated. */
     return machine->liveness.is_fenced &&
            machine->liveness.incarnation > machine->liveness.expired_incarnation &&
            ow_machine_type_of(leader, machine) != NULL && machine->addr != NULL &&
@@ -104,82 +98,3 @@
     }
     return false;
 }
-
-struct ow_image_copy *ow_machine_image(const struct ow_machine *machine, int image)
-{
-    for (guint i = 0; i < machine->images->len; i++) {
-        struct ow_image_copy *copy = &g_array_index(machine->images, struct ow_image_copy, i);
-        if (copy->image == image)
-            return copy;
-    }
-    return NULL;
-}
-
-static bool image_in_use(const struct ow_machine *machine, int image)
-{
-    for (guint i = 0; i < machine->attempts->len; i++) {
-        const struct ow_attempt *attempt = g_ptr_array_index(machine->attempts, i);
-        if (attempt->job->spec->image == image)
-            return true;
-    }
-    return false;
-}
-
-/* A guess at what the machine still has: it caches the most recently used images. */
-static void forget_old_images(const struct ow_leader *leader, struct ow_machine *machine)
-{
-    const struct ow_machine_type *type = ow_machine_type_of(leader, machine);
-    double limit = type != NULL ? type->cache_gb : 0;
-    for (;;) {
-        double sum = 0;
-        guint oldest = machine->images->len;
-        for (guint i = 0; i < machine->images->len; i++) {
-            const struct ow_image_copy *copy = &g_array_index(machine->images, struct ow_image_copy, i);
-            sum += copy->gb;
-            if (image_in_use(machine, copy->image))
-                continue;
-            if (oldest == machine->images->len ||
-                copy->used_at < g_array_index(machine->images, struct ow_image_copy, oldest).used_at)
-                oldest = i;
-        }
-        if (sum <= limit || oldest == machine->images->len)
-            return;
-        g_array_remove_index_fast(machine->images, oldest);
-    }
-}
-
-void ow_machine_image_use(struct ow_leader *leader, struct ow_machine *machine,
-                          const struct ow_job_spec *spec, bool present)
-{
-    struct ow_image_copy *copy = ow_machine_image(machine, spec->image);
-    if (copy == NULL) {
-        double ready_at = leader->core->now + ow_machine_fetch_seconds(leader, machine, spec);
-        struct ow_image_copy fresh = {spec->image, spec->submission->image_gb, leader->core->now, present,
-                                      ready_at};
-        g_array_append_val(machine->images, fresh);
-        forget_old_images(leader, machine);
-        return;
-    }
-    copy->used_at = leader->core->now;
-    copy->present = copy->present || present;
-}
-
-double ow_machine_fetch_seconds(const struct ow_leader *leader, const struct ow_machine *machine,
-                                const struct ow_job_spec *spec)
-{
-    const struct ow_machine_type *type = ow_machine_type_of(leader, machine);
-    const struct ow_image_copy *copy = ow_machine_image(machine, spec->image);
-    if (copy != NULL && copy->present)
-        return 0;
-    if (copy != NULL)
-        return MAX(FETCH_LEAST_S, copy->ready_at - leader->core->now);
-    /* Fetches under way share the machine's rate. */
-    double gb = spec->submission->image_gb;
-    for (guint i = 0; i < machine->images->len; i++) {
-        const struct ow_image_copy *other = &g_array_index(machine->images, struct ow_image_copy, i);
-        if (!other->present && other->ready_at > leader->core->now)
-            gb += MIN(other->gb,
-                      (other->ready_at - leader->core->now) * (type != NULL ? type->fetch_gb_per_s : 0));
-    }
-    return type != NULL && type->fetch_gb_per_s > 0 ? gb / type->fetch_gb_per_s : UNKNOWN_FETCH_S;
-}
--- a/src/core/machines/spot_risk.c
+++ b/src/core/machines/spot_risk.c
@@ -1,5 +1,5 @@
-/* How often the cloud takes spot machines back. */
 #include "core/machines/spot_risk.h"
+
 #include "core/leader/leader_state.h"
 #include "core/machines/machine.h"
 
--- a/src/core/scheduling/array_start.c
+++ b/src/core/scheduling/array_start.c
@@ -4,6 +4,7 @@
 #include "core/jobs/quota.h"
 #include "core/leader/leader_state.h"
 #include "core/machines/machine.h"
+#include "core/machines/machine_images.h"
 #include "core/machines/machine_registry.h"
 #include "core/scheduling/bind.h"
 #include "core/scheduling/candidates.h"
--- a/src/core/scheduling/replica_move.c
+++ b/src/core/scheduling/replica_move.c
@@ -5,6 +5,7 @@
 #include "core/jobs/execution.h"
 #include "core/leader/leader_state.h"
 #include "core/machines/machine.h"
+#include "core/machines/machine_images.h"
 #include "core/machines/machine_registry.h"
 #include "core/scheduling/placement.h"
 #include "model/resources.h"
