--- a/src/core/scheduling/preempt.c
+++ b/src/core/scheduling/preempt.c
@@ -20,8 +20,19 @@
 /* The loss counted for a deadline that would be missed because of the stop. */
 static const double DEADLINE_MISSED_BY_STOP_S = 500;
 
-/* Lower ranks may be stopped for higher ones. What another team runs beyond its guarantee may be stopped to
-   give a team its own; we do so for work at least as urgent as what is stopped. */
+/* Whether a team may take back from another what it is guaranteed and that one has borrowed, for such jobs.
+ */
+static bool may_reclaim_from(const struct ow_leader *leader, const struct ow_job_spec *spec,
+                             const struct ow_job_spec *other)
+{
+    return other->team != spec->team && ow_team_demand_is_guaranteed(leader, spec->team) &&
+           ow_team_is_borrowing(leader, other->team) &&
+           ow_team_has_guarantee_for(leader, spec->team, &spec->submission->need) &&
+           ow_team_has_guarantee_for(leader, other->team, &other->submission->need);
+}
+
+/* Less urgent work may be stopped for more urgent work. Work of the same rank may be stopped where a team
+   takes back its guarantee. */
 static bool may_stop(const struct ow_leader *leader, const struct ow_execution *execution,
                      const struct ow_attempt *attempt)
 {
@@ -29,15 +40,12 @@
     const struct ow_job_spec *other = attempt->job->spec;
     if (attempt->incarnation != attempt->machine->liveness.incarnation || attempt->not_preemptible)
         return false;
-    /* Who can't be in time any more takes nothing from who still can. */
+    /* A job that can't be in time any more takes nothing from one that still can. */
     if (ow_deadline_is_missed(leader, execution) && ow_deadline_is_kept(leader, attempt))
         return false;
     if (other->submission->rank > spec->submission->rank)
         return true;
-    return other->submission->rank == spec->submission->rank && other->team != spec->team &&
-           ow_team_demand_is_guaranteed(leader, spec->team) && ow_team_is_borrowing(leader, other->team) &&
-           ow_team_has_guarantee_for(leader, spec->team, &spec->submission->need) &&
-           ow_team_has_guarantee_for(leader, other->team, &other->submission->need);
+    return other->submission->rank == spec->submission->rank && may_reclaim_from(leader, spec, other);
 }
 
 /* Seconds of one task's work that stopping it now throws away. */
--- a/src/core/scheduling/queue.c
+++ b/src/core/scheduling/queue.c
@@ -59,7 +59,7 @@
         return first->rank < second->rank ? -1 : 1;
     if (first->is_borrowing != second->is_borrowing)
         return first->is_borrowing ? 1 : -1;
-    /* Who can still be in time goes before who can't any more. That is bounded: nobody starves. */
+    /* Jobs that can still be in time go before those that can't; promotion bounds how long these wait. */
     if (first->missed_slos != second->missed_slos)
         return first->missed_slos < second->missed_slos ? -1 : 1;
     if (first->queue_time != second->queue_time)
@@ -114,7 +114,8 @@
     /* A service's age says nothing of how long its replica has been missed. */
     if (ow_execution_is_service(execution))
         return 0;
-    /* Of those that starve, who can still begin in time goes first: where all wait too long, nobody would. */
+    /* Of starving jobs those that can still begin in time go first: in order of age, with too much load, none
+       would begin in time. */
     if (execution->starves)
         return ow_promotion_can_begin_in_time(age_s) ? 0 : 1;
     unsigned missed = ow_class_missed_start_slos(leader->core, execution->job->spec->class_index, age_s);
@@ -167,8 +168,8 @@
     return entries->len;
 }
 
-/* The first place and every other one after it are for those that starve. With all of them before the rest
-   nobody would be in time under much load. */
+/* The first place and every other one after it are for promoted executions. With all of them before the rest
+   no job would be in time under much load. */
 static GPtrArray *interleave_promoted(const GArray *entries)
 {
     GPtrArray *executions = g_ptr_array_new();
