--- a/src/core/election/election_callbacks.h
+++ b/src/core/election/election_callbacks.h
@@ -1,6 +1,6 @@
 /** @file
- * What the election asks of its owner: to begin and to end the leader's work. The election stands below the
- * leader and knows nothing of it.
+ * The callbacks by which the election creates and frees the leader. The election is a lower layer than the
+ * leader and does not depend on it.
  */
 #ifndef OW_CORE_ELECTION_ELECTION_CALLBACKS_H
 #define OW_CORE_ELECTION_ELECTION_CALLBACKS_H
@@ -9,8 +9,8 @@
 
 struct ow_core;
 
-/** What the election's owner does when this controller's term begins and ends. Both are called from within
- * the election, once it has changed its own state to match (begin) or before it does (end). */
+/** Called when a term of this controller begins and ends, from within the election: after it has changed its
+ * own state (begin), or before (end). */
 struct ow_election_callbacks {
     /** A term has begun under this fencing token. */
     void (*begin_to_lead)(struct ow_core *core, uint64_t fencing_token);
--- a/src/core/election/election_state.h
+++ b/src/core/election/election_state.h
@@ -62,14 +62,14 @@
     struct ow_known_key key;
     struct ow_key_watch watch;
     struct ow_leader_lease lease;
-    char *leader_name; /**< owned; who leads, if it is another controller; NULL: unknown or nobody */
+    char *leader_name;           /**< owned; the leader, if it is another controller; NULL: unknown or none */
     uint64_t seen_fencing_token; /**< the highest known */
     uint64_t replaced_revision;  /**< the mod_revision that our write of the key expected */
     uint64_t fencing_token;      /**< ours in stage OW_ELECTION_LEADING; else of our last term, 0: none */
     double began_at;             /**< when that term began */
 };
 
-/** Replaces the name of the leader by a copy of `leader_name`; NULL: unknown or nobody. */
+/** Replaces the name of the leader by a copy of `leader_name`; NULL: unknown or none. */
 void ow_election_set_leader_name(struct ow_election *election, const char *leader_name);
 /** Starts over by reading the key, `after_s` seconds from now. */
 void ow_election_look_again(struct ow_election *election, double after_s);
--- a/src/core/pending_calls.h
+++ b/src/core/pending_calls.h
@@ -23,10 +23,10 @@
  * the call has been answered or forgotten. */
 uint64_t ow_pending_calls_add(struct ow_pending_calls *calls, ow_call_fn fn, void *owner, void *data,
                               void (*free_data)(void *));
-/** Hands the answer to whoever made the call; nothing happens if it has been forgotten. */
+/** Calls the callback of the call with this tag; nothing happens if the call has been forgotten. */
 void ow_pending_calls_answer(struct ow_pending_calls *calls, uint64_t tag, const struct ow_event *answer);
-/** Forgets all calls of an owner that is about to be freed: answers to a leader that has stepped down must
- * reach nobody. */
+/** Forgets all calls of an owner that is about to be freed: replies to a leader that has stepped down must be
+ * ignored. */
 void ow_pending_calls_forget(struct ow_pending_calls *calls, const void *owner);
 
 #endif
--- a/src/core/records/transaction_reply.c
+++ b/src/core/records/transaction_reply.c
@@ -70,7 +70,7 @@
 static void commit_final_record(struct ow_leader *leader, struct ow_execution *execution, uint64_t revision)
 {
     struct ow_job *job = execution->job;
-    /* The watch may have told of the record before the answer to its write came. */
+    /* The watch may have delivered the record before the reply to its write came. */
     bool is_cancelled = job->state == OW_JOB_CANCELLED;
     if (!is_cancelled)
         g_info("job done: job=%s", job->id);
--- a/src/core/store_health.h
+++ b/src/core/store_health.h
@@ -10,25 +10,26 @@
 struct ow_core;
 struct ow_store_health;
 
-/** The health of a key-value store that has not been asked yet; freed by ow_store_health_free(). `core` must
- * outlive it. */
+/** Creates the health state of a key-value store without any answer yet; freed by ow_store_health_free().
+ * `core` must outlive it. */
 struct ow_store_health *ow_store_health_new(struct ow_core *core);
 /** Frees it. No answer to a probe may come after that. */
 void ow_store_health_free(struct ow_store_health *health);
-/** Notes the HTTP status of an answer from the key-value store; 0: there was no answer. */
+/** Records the HTTP status of a reply from the key-value store; 0: no response. */
 void ow_store_health_note_reply(struct ow_store_health *health, int status);
-/** Probes the key-value store if it has not been heard of for some time. A controller without requests of its
- * own has open watches alone, and those give no answer when it is cut off. */
+/** Probes the key-value store if it has not answered for some time. A controller without other requests has
+ * only open watches, and these show nothing when it is cut off. */
 void ow_store_health_probe(struct ow_store_health *health);
 /** Whether the key-value store has answered recently, and not failed since. */
 bool ow_store_health_is_ok(const struct ow_store_health *health);
-/** Whether its last answer was good and came less than `within_s` seconds ago. */
+/** Whether its last answer was successful and came less than `within_s` seconds ago. */
 bool ow_store_health_has_answered_within(const struct ow_store_health *health, double within_s);
-/** When it last answered or refused, by the core's clock: either shows that it is in reach. 0: never. */
+/** Time of its last answer, success or UNAVAILABLE, by the core's clock: either proves that it can be
+ * reached. 0: none yet. */
 double ow_store_health_last_reachable_at(const struct ow_store_health *health);
-/** Whether it has failed for so long that it counts as lost to this controller. */
+/** Whether it has failed long enough to count as lost for this controller. */
 bool ow_store_health_is_lost(const struct ow_store_health *health);
-/** Whether the last failure was the lack of an answer, rather than a refusal. */
+/** Whether the last failure was a missing response, not an error status. */
 bool ow_store_health_is_silent(const struct ow_store_health *health);
 
 #endif
--- a/src/core/type_discovery.c
+++ b/src/core/type_discovery.c
@@ -8,12 +8,12 @@
 #include "model/records.h"
 #include "wire/cloud_json.h"
 
-/* The least time between two tries. */
+/* Minimum time between two attempts. */
 static const double RETRY_S = 1.5;
 
 struct ow_type_discovery {
     struct ow_core *core;
-    bool is_asking;  /* a call to the cloud is under way */
+    bool is_asking;  /* a request to the cloud is in flight */
     double asked_at; /* when the last one was sent */
 };
 
--- a/src/core/type_discovery.h
+++ b/src/core/type_discovery.h
@@ -1,6 +1,6 @@
 /** @file
- * Learning the machine types on a controller that does not lead: until they are known no job can be
- * accepted. Owns the state of its calls alone; the types themselves are the core's.
+ * Reads the machine types on a controller that does not lead, until they are known: without them no job can
+ * be accepted. Owns only the state of its requests; the core owns the types.
  */
 #ifndef OW_CORE_TYPE_DISCOVERY_H
 #define OW_CORE_TYPE_DISCOVERY_H
@@ -12,8 +12,8 @@
 struct ow_type_discovery *ow_type_discovery_new(struct ow_core *core);
 /** Frees it. No answer to a call of its may come after that. */
 void ow_type_discovery_free(struct ow_type_discovery *discovery);
-/** Asks for the machine types while they are not known. The cloud may be down: a leader has recorded the
- * types that it saw last in the key-value store. */
+/** Requests the machine types while they are not known: from the cloud and, in case that is down, from the
+ * record of a leader in the key-value store. */
 void ow_type_discovery_tick(struct ow_type_discovery *discovery);
 
 #endif
--- a/src/io/http_client.h
+++ b/src/io/http_client.h
@@ -30,8 +30,8 @@
 
 /** A client without connections.
  * @param loop must outlive the client
- * @param connections_max connections that are kept open at most, except for requests that nobody asked room
- * for
+ * @param connections_max maximum of open connections; ow_http_client_send without ow_http_client_has_room may
+ * exceed it
  * @param reply called from the loop, and from ow_http_client_read_from, _drop_unsent and _sweep
  * @param owner handed to `reply`; must live until ow_http_client_free */
 struct ow_http_client *ow_http_client_new(struct ow_loop *loop, unsigned connections_max,
@@ -46,7 +46,7 @@
  * @param method copied
  * @param path path and query; copied
  * @param body JSON text, or NULL; copied
- * @param timeout_s after how long without a response it is given up (by ow_http_client_sweep)
+ * @param timeout_s after this long without a response the request fails (in ow_http_client_sweep)
  * @param tag handed to `reply` */
 void ow_http_client_send(struct ow_http_client *client, const char *endpoint, const char *method,
                          const char *path, const char *body, double timeout_s, uint64_t tag);
@@ -59,8 +59,8 @@
 /** Whether a request to the endpoint stays within the maximum. Closes the connection idle for longest if that
  * makes room. */
 bool ow_http_client_has_room(struct ow_http_client *client, const char *endpoint);
-/** Ends requests that are out of time and closes connections long unused; to be called several times a
- * second. */
+/** Ends requests that have timed out and closes connections that have been idle for too long; to be called
+ * several times a second. */
 void ow_http_client_sweep(struct ow_http_client *client, double now);
 
 #endif
--- a/src/io/http_client_connection.h
+++ b/src/io/http_client_connection.h
@@ -4,16 +4,15 @@
  *
  * States:
  *
- *     (new)        --the connection can begin-->                         BUSY
- *     (new)        --it can't-->                                         UNREACHABLE
- *     BUSY         --the response is complete and leaves it open-->      IDLE
- *     IDLE         --ow_client_connection_send-->                        BUSY
- *     BUSY         --any other end of the request, or the deadline-->    (end)
- *     IDLE         --anything comes or breaks, or the deadline-->        (end)
- *     UNREACHABLE  --ow_client_connection_check_deadline-->              (end)
+ * (new)        --the connection can begin-->                         BUSY (new)        --it can't-->
+ * UNREACHABLE BUSY         --the response is complete and leaves it open-->      IDLE IDLE
+ * --ow_client_connection_send-->                        BUSY BUSY         --any other end of the request, or
+ * the deadline-->    (end) IDLE         --anything comes or breaks, or the deadline-->        (end)
+ * UNREACHABLE  --ow_client_connection_check_deadline-->              (end)
  *
- * With every step to IDLE or (end) the owner is told, as the last thing that is done with the connection: it
- * may free it, and after (end) it must. */
+ * Every transition to IDLE or (end) calls the owner's `end`, as the last access to the connection: the owner
+ * may free it in the call, and after (end) it must.
+ */
 #ifndef OW_IO_HTTP_CLIENT_CONNECTION_H
 #define OW_IO_HTTP_CLIENT_CONNECTION_H
 
@@ -94,7 +93,7 @@
 void ow_client_connection_read(struct ow_client_connection *connection);
 /** Ends the request, and the connection with it, without a response; tells the owner. */
 void ow_client_connection_fail(struct ow_client_connection *connection);
-/** Ends a request that is out of time or a connection idle for too long; this may tell the owner. */
+/** Ends a request that has timed out or a connection that has been idle for too long; this may call `end`. */
 void ow_client_connection_check_deadline(struct ow_client_connection *connection, double now);
 /** Whether a request has been sent on the connection, so that its response may be in the socket. */
 bool ow_client_connection_awaits_answer(const struct ow_client_connection *connection);
--- a/src/io/http_connection.h
+++ b/src/io/http_connection.h
@@ -56,17 +56,17 @@
     double active_at; /**< when it last received something (monotonic time) */
     struct ow_http_parser parser;
     size_t pending_limit_bytes; /**< of `pending` */
-    GString *pending;           /**< bytes that came behind the request at hand */
+    GString *pending;           /**< bytes received after the current request */
     GString *out;               /**< bytes to be sent */
     size_t sent;                /**< of `out` */
     /* The owner's. */
     uint32_t slot;   /**< its place among the server's connections */
-    uint32_t serial; /**< of the request at hand */
+    uint32_t serial; /**< of the current request */
 };
 
 /** Serves an accepted connection.
  * @param loop must outlive the connection
- * @param fd taken over, also if this fails
+ * @param fd takes ownership, also if this fails
  * @param handlers must outlive the connection
  * @param body_limit_bytes of a request at most
  * @return NULL if the loop can't watch the descriptor */
--- a/src/io/http_parse.c
+++ b/src/io/http_parse.c
@@ -7,7 +7,8 @@
 enum { HEAD_LIMIT_BYTES = 16 * 1024, LINE_LIMIT_BYTES = 8 * 1024 };
 /* Larger buffers are freed before the next message. */
 enum { KEEP_BUFFER_BYTES = 16 * 1024 };
-/* Informational responses (1xx) come before the proper one; nobody asked to switch to another protocol. */
+/* Informational responses (1xx) precede the final one and are skipped; 101 does not occur, as no request asks
+   for another protocol. */
 enum { STATUS_SWITCHING_PROTOCOLS = 101, STATUS_FINAL_LEAST = 200 };
 
 /* ---- creation and destruction ---- */
--- a/src/io/http_parse.h
+++ b/src/io/http_parse.h
@@ -52,9 +52,9 @@
     enum ow_http_side side;
     size_t body_limit_bytes;
     enum ow_http_phase phase;
-    GString *line;     /**< the line at hand, as far as it has come */
+    GString *line;     /**< the current line, as far as received */
     size_t head_bytes; /**< of the head so far, line ends included */
-    size_t body_left;  /**< bytes to come of the body or of the chunk at hand */
+    size_t body_left;  /**< bytes still to come of the body or of the current chunk */
     bool has_length;   /**< a Content-Length was there */
     bool is_chunked;   /**< a Transfer-Encoding was there */
     /* The message. */
--- a/src/io/incoming.c
+++ b/src/io/incoming.c
@@ -99,7 +99,7 @@
     answer(daemon, request->id, is_ready ? OW_HTTP_STATUS_OK : OW_HTTP_STATUS_UNAVAILABLE, g_strdup("{}"));
 }
 
-/* Answers operators with what `describe` says of a fleet that is divided into shards. */
+/* Answers operators with the text of `describe` if the fleet is divided into shards. */
 static void answer_operators(struct ow_daemon *daemon, const struct ow_http_request *request,
                              char *(*describe)(const struct ow_shard_manager *manager))
 {
--- a/src/io/loop.c
+++ b/src/io/loop.c
@@ -12,11 +12,11 @@
 
 struct ow_loop {
     int epoll_fd;
-    double now;     /* the monotonic time of the batch at hand */
+    double now;     /* the monotonic time of the current batch */
     double pause_s; /* how long the last round allowed to wait */
     ow_wake_fn wake;
     void *wake_owner;
-    int ready_count;   /* events of the batch at hand; 0 between batches */
+    int ready_count;   /* events of the current batch; 0 between batches */
     bool is_saturated; /* the last batch was full */
     struct epoll_event ready[BATCH_EVENTS];
 };
--- a/src/io/loop.h
+++ b/src/io/loop.h
@@ -17,7 +17,7 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** The loop. Whoever creates it frees it, after everything that has watches in it. */
+/** The loop. Its creator frees it, after everything that has watches in it. */
 struct ow_loop;
 typedef struct ow_loop ow_loop; /**< for g_autoptr */
 
@@ -50,7 +50,7 @@
 
 /** Sets the function that is called whenever the loop has finished waiting; `owner` is passed to it. */
 void ow_loop_on_wake(struct ow_loop *loop, ow_wake_fn wake, void *owner);
-/** The monotonic time of the batch at hand, in seconds. */
+/** The monotonic time of the current batch, in seconds. */
 double ow_loop_now(const struct ow_loop *loop);
 
 enum { OW_LOOP_NO_DESCRIPTOR = -1 };
@@ -77,7 +77,7 @@
 
 /** Whether more descriptors may be ready than the current batch holds: they are handled in later batches. */
 bool ow_loop_is_saturated(const struct ow_loop *loop);
-/** Repeats ow_loop_once for ever. */
+/** Repeats ow_loop_once and never returns. */
 void ow_loop_run(struct ow_loop *loop, ow_round_fn round, void *owner);
 /** One batch of ready descriptors and one round. Tests and the command line client drive the loop with it. */
 void ow_loop_once(struct ow_loop *loop, ow_round_fn round, void *owner);
--- a/src/io/net.h
+++ b/src/io/net.h
@@ -20,8 +20,8 @@
 /** Sets the source address of outgoing connections to that of ADDRESS:PORT, so that others can tell who
  * connects to them. With an invalid endpoint the system chooses. Called once, before the loop runs. */
 void ow_net_set_source(const char *endpoint);
-/** Begins a connection. @return a socket that turns writable once the connection is established or has failed
- * (ow_net_connect_error tells which); -1: it could not begin */
+/** Begins a connection. @return a socket that becomes writable once the connection is established or has
+ * failed (ow_net_connect_error tells which); -1: it could not begin */
 int ow_net_connect(const char *endpoint);
 /** @return the next connection that waits at the listener, or -1: none */
 int ow_net_accept(int listener);
--- a/src/io/peer_incoming.h
+++ b/src/io/peer_incoming.h
@@ -1,9 +1,10 @@
 /** @file
  * The incoming link of one other controller: bytes become messages. Private to io/peer_link.
  *
- * States: an incoming link is open from ow_peer_incoming_new on. When the other side closes it or sends what
- * is no message it tells its owner, who frees it; after SILENT_S without bytes ow_peer_incoming_is_silent
- * says so. Nothing is ever sent on it. */
+ * States: an incoming link is open from ow_peer_incoming_new on. When the other side closes it or sends an
+ * invalid frame, it calls its owner's `end`, who frees it; after SILENT_S without bytes
+ * ow_peer_incoming_is_silent returns true. Nothing is ever sent on it.
+ */
 #ifndef OW_IO_PEER_INCOMING_H
 #define OW_IO_PEER_INCOMING_H
 
@@ -21,7 +22,7 @@
 
 /** Serves an accepted connection.
  * @param loop must outlive the link
- * @param fd taken over
+ * @param fd takes ownership
  * @param handlers whose `take` gets the messages; must outlive the link
  * @param end called at most once, from the loop
  * @param owner handed to `end`; must outlive the link */
--- a/src/io/peer_link.h
+++ b/src/io/peer_link.h
@@ -2,8 +2,9 @@
  * Links between controllers: one outgoing link to each, reopened when lost, on which this controller only
  * sends; and the incoming links of the others, on which it only receives.
  *
- * Nothing is acknowledged: a message may be lost, and none is kept for a controller that is away. The number
- * of incoming links is bounded. io/peer_outgoing.h and io/peer_incoming.h have the states of the links.
+ * Messages are not acknowledged and may be lost; none is queued for a controller that is not connected. The
+ * number of incoming links is bounded. io/peer_outgoing.h and io/peer_incoming.h have the states of the
+ * links.
  */
 #ifndef OW_IO_PEER_LINK_H
 #define OW_IO_PEER_LINK_H
--- a/src/io/peer_outgoing.c
+++ b/src/io/peer_outgoing.c
@@ -23,7 +23,7 @@
     struct ow_watch watch;
     GString *out;            /* frames to be sent */
     size_t sent;             /* bytes of `out` that are sent */
-    bool has_been_reachable; /* it was established since it was last told to be lost */
+    bool has_been_reachable; /* it has been established since `lost` was last called */
     double retry_at;         /* CLOSED: when it is opened again */
     double progressed_at;    /* when it began to connect or last sent something */
 };
--- a/src/model/effect.h
+++ b/src/model/effect.h
@@ -50,7 +50,7 @@
     int running;  /**< tasks; OW_UNCOUNTED: left out */
     char *reason; /**< why the job waits; NULL: none */
     /* OW_EFFECT_REFUSE */
-    char *error;       /**< what is told */
+    char *error;       /**< text of the error */
     int retry_after_s; /**< Retry-After in seconds; 0: none */
     /* OW_EFFECT_TEAMS */
     GArray *teams; /**< struct ow_team_view */
@@ -78,9 +78,8 @@
 /**
  * Makes the effect an answer with an error.
  * @param status HTTP status
- * @param error what is told; copied
- * @param retry_after_s after how many seconds the caller may try again; 0: it is not told
- */
+ * @param error text of the error; copied
+ * @param retry_after_s after how many seconds the caller may try again; 0: unspecified */
 void ow_effect_refuse(struct ow_effect *effect, int status, const char *error, int retry_after_s);
 
 /** Makes the effect a refusal with status 503, to be tried again after a second. @param error copied */
--- a/src/model/operator_view.h
+++ b/src/model/operator_view.h
@@ -18,7 +18,7 @@
     const char *cause;        /**< why it is in that state */
     double phi;               /**< of the failure detector */
     unsigned suspicions;      /**< since this controller started */
-    const GArray *led_shards; /**< struct ow_peer_shard: those that it says it leads */
+    const GArray *led_shards; /**< struct ow_peer_shard: the shards that it announces as led by it */
 };
 
 /** All other controllers, and whether this one may lead. */
--- a/src/model/peer.h
+++ b/src/model/peer.h
@@ -84,7 +84,7 @@
 
 /** OW_PEER_HEARTBEAT: the sender is alive, and leads these shards. */
 struct ow_peer_heartbeat {
-    uint64_t incarnation; /**< tells the sender's process from earlier ones; never 0 */
+    uint64_t incarnation; /**< distinguishes the sender's process from earlier ones; never 0 */
     uint64_t sequence;    /**< counts the heartbeats of the process, from 1 */
     uint64_t digest;      /**< of the sharding settings */
     GArray *shards;       /**< struct ow_peer_shard */
--- a/src/model/settings.h
+++ b/src/model/settings.h
@@ -36,7 +36,7 @@
 /** A service-level objective. */
 struct ow_slo {
     enum ow_slo_kind kind;
-    char *class_name; /**< the class of jobs that it is for; NULL: not said */
+    char *class_name; /**< the class of jobs that it applies to; NULL: unspecified */
     double within_s;  /**< OW_SLO_WAIT: how soon they start */
     double share;     /**< of the jobs, 0 to 1 */
 };
--- a/src/model/store.c
+++ b/src/model/store.c
@@ -47,7 +47,7 @@
     g_array_append_val(request->comparisons, comparison);
 }
 
-/* NOLINTNEXTLINE(readability-non-const-parameter): `value` is taken over and freed later */
+/* NOLINTNEXTLINE(readability-non-const-parameter): owned by the request and freed later */
 void ow_store_request_put(struct ow_store_request *request, const char *key, char *value, uint64_t lease)
 {
     struct ow_store_mutation mutation = {.key = g_strdup(key), .value = value, .lease = lease};
--- a/src/model/store.h
+++ b/src/model/store.h
@@ -60,7 +60,7 @@
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(ow_store_request, ow_store_request_free)
 /** Adds a comparison to a transaction. `key` is copied; `mod_revision` 0: the key must not exist. */
 void ow_store_request_compare(struct ow_store_request *request, const char *key, uint64_t mod_revision);
-/** Adds a mutation to a transaction. `key` is copied, `value` is taken over; NULL deletes the key. */
+/** Adds a mutation to a transaction. `key` is copied; takes ownership of `value`, NULL deletes the key. */
 void ow_store_request_put(struct ow_store_request *request, const char *key, char *value, uint64_t lease);
 /** The size in bytes of the largest value that a transaction writes; 0 if it only deletes. */
 size_t ow_store_request_largest_value(const struct ow_store_request *request);
--- a/src/model/submission.h
+++ b/src/model/submission.h
@@ -23,7 +23,7 @@
     OW_KIND_SERVICE, /**< tasks are replicas that end only when the job is cancelled */
 };
 
-/** A job as its user describes it. It owns its texts; none is NULL unless that is said. */
+/** A job as its user describes it. It owns its strings; none is NULL unless its comment allows it. */
 struct ow_submission {
     char *id;         /**< chosen by the user, unique for ever: a second submission of it is a retry */
     char *class_name; /**< jobs of one class resemble each other in needs and duration */
--- a/src/sharding/failover_log.h
+++ b/src/sharding/failover_log.h
@@ -44,7 +44,7 @@
     const char *leader_name;        /**< who leads as far as known, or NULL */
     const struct ow_member *leader; /**< that controller as a member; NULL: ourselves, or unknown */
     uint64_t fencing_token;         /**< ours; 0: we do not lead */
-    bool is_key_missing;            /**< the key-value store has shown that nobody holds the leader key */
+    bool is_key_missing; /**< the key-value store has answered that the leader key does not exist */
     bool are_records_read;
     bool is_settled;   /**< we have led long enough for every live machine to send us a heartbeat */
     unsigned machines; /**< that have sent a heartbeat */
@@ -62,7 +62,8 @@
 const struct ow_failover_step *ow_failover_log_last(const struct ow_failover_log *log);
 /** The phase as words for operators. */
 const char *ow_failover_phase_name(enum ow_failover_phase phase);
-/** What users are told while the shard can't start anything (g_free); NULL: it can, as far as is known. */
+/** The reason shown to users while the shard can't start anything (g_free); NULL: it can, as far as is known.
+ */
 char *ow_failover_log_waiting_reason(const struct ow_failover_log *log, const char *shard);
 
 #endif
--- a/src/sharding/map_agreement.c
+++ b/src/sharding/map_agreement.c
@@ -35,7 +35,7 @@
     char *difference;      /* owned, or NULL */
 };
 
-/* ---- life ---- */
+/* ---- creation and destruction ---- */
 
 struct ow_map_agreement *ow_map_agreement_new(GHashTable *values, bool has_only_default_shard)
 {
--- a/src/sharding/member.h
+++ b/src/sharding/member.h
@@ -19,7 +19,7 @@
     OW_MEMBER_ALIVE,          /**< its heartbeats arrive */
     OW_MEMBER_PROBING,        /**< unusually silent: an indirect probe is in flight */
     OW_MEMBER_ALIVE_BY_RELAY, /**< can't be reached from here, but another controller reaches it */
-    OW_MEMBER_SUSPECTED,      /**< nobody who was asked reaches it */
+    OW_MEMBER_SUSPECTED,      /**< no relay has reached it */
 };
 
 /** How many earlier incarnations of a controller are remembered, to drop their delayed messages. */
@@ -37,7 +37,7 @@
     unsigned next_old_incarnation;                         /**< the entry that is overwritten next */
     uint64_t sequence;                                     /**< of its last heartbeat */
     uint64_t settings_digest; /**< of the settings by which it shares the fleet (shard_map.h) */
-    GArray *led_shards;       /**< struct ow_peer_shard: those that it says it leads */
+    GArray *led_shards;       /**< struct ow_peer_shard: the shards that it announces as led by it */
     uint64_t probe_number;    /**< of the last indirect probe; replies to earlier ones don't count */
     double probed_at;
     unsigned relays;     /**< how many controllers the last probe asked */
--- a/src/sharding/membership.c
+++ b/src/sharding/membership.c
@@ -24,7 +24,7 @@
     double heartbeat_at;
 };
 
-/* ---- life ---- */
+/* ---- creation and destruction ---- */
 
 struct ow_membership *ow_membership_new(const struct ow_sharding_settings *sharding, const char *self,
                                         const GArray *peers, uint64_t incarnation, uint64_t settings_digest)
--- a/src/sharding/membership.h
+++ b/src/sharding/membership.h
@@ -27,9 +27,8 @@
  * @param sharding must outlive the membership.
  * @param self the name of this controller; must outlive the membership.
  * @param peers struct ow_peer_settings: the other controllers; their names must outlive the membership.
- * @param incarnation tells this process from earlier ones of the same controller; not 0.
- * @param settings_digest of the settings by which this controller shares the fleet (shard_map.h).
- */
+ * @param incarnation distinguishes this process from earlier ones of the same controller; not 0.
+ * @param settings_digest of the settings by which this controller shares the fleet (shard_map.h). */
 struct ow_membership *ow_membership_new(const struct ow_sharding_settings *sharding, const char *self,
                                         const GArray *peers, uint64_t incarnation, uint64_t settings_digest);
 /** NULL is not allowed. */
--- a/src/sharding/request_router.c
+++ b/src/sharding/request_router.c
@@ -24,7 +24,7 @@
     uint64_t last_query;
 };
 
-/* ---- life ---- */
+/* ---- creation and destruction ---- */
 
 struct ow_request_router *ow_request_router_new(const struct ow_sharding_settings *sharding,
                                                 const GPtrArray *shards)
--- a/src/sharding/request_router.h
+++ b/src/sharding/request_router.h
@@ -4,8 +4,8 @@
  * other, all shards are asked and their answers are combined. A new job goes to the shard with the least
  * waiting work among those that the routes allow and that can run it.
  *
- * Invariant: a user is told that a job does not exist, or that its submission is refused, only after every
- * shard has said that it does not have the job.
+ * Invariant: a user gets the answer that a job does not exist, or that its submission is refused, only after
+ * every shard has answered that it does not have the job.
  */
 #ifndef OW_SHARDING_REQUEST_ROUTER_H
 #define OW_SHARDING_REQUEST_ROUTER_H
@@ -27,7 +27,8 @@
 void ow_request_router_free(struct ow_request_router *router);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(ow_request_router, ow_request_router_free)
 
-/** Hands a submission, poll, cancellation or question about teams to the shards; the event is taken over. */
+/** Routes a submission, poll, cancellation or query about teams to the shards. Takes ownership of the event.
+ */
 void ow_request_router_push(struct ow_request_router *router, struct ow_event *event, double now);
 /**
  * Looks at an effect of a shard that may be an answer to a user.
--- a/src/sharding/shard.c
+++ b/src/sharding/shard.c
@@ -8,7 +8,7 @@
 #include "sharding/shard_platform.h"
 #include "sharding/shard_tag.h"
 
-/* ---- life ---- */
+/* ---- creation and destruction ---- */
 
 struct ow_shard *ow_shard_new(const struct ow_sharding_settings *sharding, unsigned index,
                               const struct ow_settings *platform, const struct ow_tuning *tuning,
--- a/src/sharding/shard_manager.c
+++ b/src/sharding/shard_manager.c
@@ -32,7 +32,7 @@
     return g_ptr_array_index(manager->shards, index);
 }
 
-/* ---- life ---- */
+/* ---- creation and destruction ---- */
 
 static void free_shard(void *item)
 {
--- a/src/sharding/shard_map.h
+++ b/src/sharding/shard_map.h
@@ -26,7 +26,7 @@
                                         const struct ow_settings *platform, const struct ow_tuning *tuning);
 /** The first value, by name, that differs between two such tables, in words (g_free); NULL: they agree. */
 char *ow_shard_map_find_difference(GHashTable *ours, GHashTable *stored);
-/** A number of 63 bits that tells different tables apart. */
+/** A 63-bit digest of the table. */
 uint64_t ow_shard_map_compute_digest(GHashTable *values);
 
 #endif
--- a/src/sharding/sharding_settings.h
+++ b/src/sharding/sharding_settings.h
@@ -20,7 +20,7 @@
     char *name;
     char **zones;       /**< at least one */
     char **types;       /**< machine types in its zones; NULL: all that no other shard of the zone names */
-    double share;       /**< of every team's quota, from 0 to 1, where no allotment says otherwise */
+    double share;       /**< of every team's quota, from 0 to 1, unless an allotment overrides it */
     unsigned long line; /**< of the file, for error texts */
 };
 
@@ -48,10 +48,10 @@
     unsigned long line;      /**< of the element, for error texts */
     double heartbeat_s;      /**< between heartbeats of a controller */
     double suspicion_phi;    /**< a controller with a phi from here on is probed, and then suspected */
-    double probe_timeout_s;  /**< how long replies to an indirect probe are waited for */
+    double probe_timeout_s;  /**< how long an indirect probe waits for replies */
     unsigned relays;         /**< how many controllers an indirect probe asks */
-    double candidacy_step_s; /**< how long each next candidate leaves a shard without a leader to those before
-                                  it */
+    double candidacy_step_s; /**< delay of each next candidate before it takes the key of a shard without a
+                                leader */
     GPtrArray *shards;       /**< struct ow_shard_settings, owned */
     GPtrArray *allotments;   /**< struct ow_allotment, owned */
     GPtrArray *routes;       /**< struct ow_route, owned */
