--- a/tests/cluster/test_cancellation.c
+++ b/tests/cluster/test_cancellation.c
@@ -12,10 +12,15 @@
 
 #include <string.h>
 
+static int setup_two_machines_with_long_tasks(void **state)
+{
+    *state = sim_with_long_tasks(2);
+    return 0;
+}
+
 static void test_acknowledged_cancellation_holds_through_an_outage(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_long_tasks(2);
+    struct sim_cluster *cluster = *state;
     sim_start_job_at_follower(cluster, sim_job("run-1", 3, 1));
     cluster->controller_without_store = sim_leader(cluster);
     struct canceller canceller = {.id = "run-1", .controller = sim_follower(cluster)};
@@ -24,14 +29,13 @@
     cluster->store_down = true;
     sim_run(cluster, 60);
     assert_int_equal(sim_count_running(cluster, "run-1"), 0);
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 /* The same without a link to the leader: no user may get a confirmation before a leader can end the tasks. */
 static void test_unacknowledged_cancellation_is_not_answered_in_an_outage(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_long_tasks(2);
+    struct sim_cluster *cluster = *state;
     sim_start_job_at_follower(cluster, sim_job("run-1", 3, 1));
     cluster->controller_without_store = sim_leader(cluster);
     cluster->peers_partitioned = true;
@@ -52,7 +56,7 @@
     sim_run_with_canceller(cluster, &canceller, 12);
     assert_true(canceller.answered_at > 0);
     assert_int_equal(sim_count_running(cluster, "run-1"), 0);
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 static void send_cancellation_ack(struct sim_cluster *cluster, int controller, const char *job,
@@ -97,8 +101,7 @@
  */
 static void test_cancellation_received_before_its_job_prevents_the_start(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_long_tasks(2);
+    struct sim_cluster *cluster = *state;
     int leader = sim_leader(cluster);
     cluster->store_latency_controller = leader;
     cluster->store_latency_s = 1.2; /* each read is stale by this time when it arrives */
@@ -114,15 +117,14 @@
     assert_int_equal(sim_machine(cluster, "m-0")->launches + sim_machine(cluster, "m-1")->launches, 0);
     /* Its final record is written nevertheless. */
     assert_string_equal(sim_read_value(cluster, OW_KEY_JOBS "run-1"), "{\"e\":3}");
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 /* A record that commits only after a failover would be missed by a leader that has already read the table:
  * the transaction therefore expects the leader key that its writer knew. */
 static void test_cancellation_written_after_a_failover_is_rejected(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_long_tasks(2);
+    struct sim_cluster *cluster = *state;
     sim_start_job_at_follower(cluster, sim_job("run-1", 1, 1));
     int old = sim_leader(cluster);
     cluster->delay_next_controller = sim_follower(cluster);
@@ -138,7 +140,7 @@
     sim_run(cluster, 3);
     assert_int_equal(cluster->delayed_txns->len, 0);
     assert_int_equal(sim_job_state(cluster, "run-1"), OW_JOB_RUNNING);
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 /* Runs until another controller than `old` holds the leader key; the response to it is still in flight. */
@@ -157,8 +159,7 @@
  */
 static void test_leader_renews_no_lease_before_its_first_read(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_long_tasks(2);
+    struct sim_cluster *cluster = *state;
     struct sim_machine *machine = sim_start_job_at_follower(cluster, sim_job("run-1", 1, 1));
     int old = sim_leader(cluster);
     machine->hung = true; /* so that it does not receive the stop */
@@ -173,14 +174,13 @@
     sim_run(cluster, 60);
     assert_true(sim_leader(cluster) >= 0);
     assert_int_equal(sim_count_running(cluster, "run-1"), 0);
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 /* A leader that receives a cancellation before it knows the running tasks acknowledges nothing. */
 static void test_leader_acknowledges_no_cancellation_before_it_is_ready(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_long_tasks(2);
+    struct sim_cluster *cluster = *state;
     struct sim_machine *machine = sim_start_job_at_follower(cluster, sim_job("run-1", 1, 1));
     cluster->cloud_down = true;
     int old = sim_leader(cluster);
@@ -200,7 +200,7 @@
     sim_run_with_canceller(cluster, &canceller, 15);
     assert_true(canceller.answered_at > 0);
     assert_int_equal(sim_count_running(cluster, "run-1"), 0);
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 static void run_zone_partition(bool cloud_down)
@@ -236,13 +236,19 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_acknowledged_cancellation_holds_through_an_outage),
-        cmocka_unit_test(test_unacknowledged_cancellation_is_not_answered_in_an_outage),
+        cmocka_unit_test_setup_teardown(test_acknowledged_cancellation_holds_through_an_outage,
+                                        setup_two_machines_with_long_tasks, sim_teardown),
+        cmocka_unit_test_setup_teardown(test_unacknowledged_cancellation_is_not_answered_in_an_outage,
+                                        setup_two_machines_with_long_tasks, sim_teardown),
         cmocka_unit_test(test_acknowledgement_of_a_deposed_leader_is_ignored),
-        cmocka_unit_test(test_cancellation_received_before_its_job_prevents_the_start),
-        cmocka_unit_test(test_cancellation_written_after_a_failover_is_rejected),
-        cmocka_unit_test(test_leader_renews_no_lease_before_its_first_read),
-        cmocka_unit_test(test_leader_acknowledges_no_cancellation_before_it_is_ready),
+        cmocka_unit_test_setup_teardown(test_cancellation_received_before_its_job_prevents_the_start,
+                                        setup_two_machines_with_long_tasks, sim_teardown),
+        cmocka_unit_test_setup_teardown(test_cancellation_written_after_a_failover_is_rejected,
+                                        setup_two_machines_with_long_tasks, sim_teardown),
+        cmocka_unit_test_setup_teardown(test_leader_renews_no_lease_before_its_first_read,
+                                        setup_two_machines_with_long_tasks, sim_teardown),
+        cmocka_unit_test_setup_teardown(test_leader_acknowledges_no_cancellation_before_it_is_ready,
+                                        setup_two_machines_with_long_tasks, sim_teardown),
         cmocka_unit_test(test_cancellation_with_the_leader_and_a_zone_partitioned_holds),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/cluster/test_cancellation_races.c
+++ b/tests/cluster/test_cancellation_races.c
@@ -5,6 +5,24 @@
 #include "sim_cluster.h"
 #include "model/submission.h"
 
+static int setup_two_machines_with_long_tasks(void **state)
+{
+    *state = sim_with_long_tasks(2);
+    return 0;
+}
+
+static int setup_one_machine_with_long_tasks(void **state)
+{
+    *state = sim_with_long_tasks(1);
+    return 0;
+}
+
+static int setup_three_machines_with_long_tasks(void **state)
+{
+    *state = sim_with_long_tasks(3);
+    return 0;
+}
+
 static void test_cancellation_racing_the_last_exit_has_one_outcome(void **state)
 {
     (void)state;
@@ -34,8 +52,7 @@
 /* A machine hangs while the job is cancelled, and resumes before its lease expires. */
 static void test_cancelled_task_ends_on_a_machine_that_hung(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_long_tasks(2);
+    struct sim_cluster *cluster = *state;
     struct sim_machine *machine = sim_start_job_at_follower(cluster, sim_job("run-1", 2, 1));
     machine->hung = true;
     struct canceller canceller = {.id = "run-1", .controller = sim_follower(cluster)};
@@ -44,14 +61,13 @@
     sim_run_with_canceller(cluster, &canceller, 4);
     assert_true(canceller.answered_at > 0);
     assert_int_equal(sim_count_running(cluster, "run-1"), 0);
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 /* A launch to a hanging machine is delayed; the job is cancelled, and then the machine resumes. */
 static void test_delayed_launch_does_not_outlive_a_cancellation(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_long_tasks(1);
+    struct sim_cluster *cluster = *state;
     struct sim_machine *machine = sim_machine(cluster, "m-0");
     cluster->delay_direct_commands = true;
     machine->next_heartbeat_at = cluster->now + 10;
@@ -63,14 +79,13 @@
     sim_run_with_canceller(cluster, &canceller, 15);
     assert_true(canceller.answered_at > 0);
     assert_int_equal(sim_count_running(cluster, "run-1"), 0);
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 /* A team at its limit, a leader change, an unreachable machine, and a cancellation. */
 static void test_team_limit_holds_across_a_leader_change(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_long_tasks(2);
+    struct sim_cluster *cluster = *state;
     cluster->cloud_down = true;
     const char *ids[] = {"run-1", "run-2"};
     for (int i = 0; i < 2; i++) {
@@ -91,13 +106,12 @@
     sim_run_with_canceller(cluster, &canceller, 20);
     assert_true(canceller.answered_at > 0);
     assert_true(sim_run_until(cluster, 20, sim_job_is_running, "run-2"));
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 static void test_jobs_complete_across_ten_leader_changes(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_long_tasks(3);
+    struct sim_cluster *cluster = *state;
     cluster->run_time_s = 8;
     struct canceller canceller = {.id = "run-3", .controller = 0};
     for (int i = 1; i <= 6; i++) {
@@ -125,17 +139,21 @@
         if (i != 3)
             assert_true(sim_run_until(cluster, 90, sim_job_is_done, id));
     }
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 int main(void)
 {
     const struct CMUnitTest tests[] = {
         cmocka_unit_test(test_cancellation_racing_the_last_exit_has_one_outcome),
-        cmocka_unit_test(test_cancelled_task_ends_on_a_machine_that_hung),
-        cmocka_unit_test(test_delayed_launch_does_not_outlive_a_cancellation),
-        cmocka_unit_test(test_team_limit_holds_across_a_leader_change),
-        cmocka_unit_test(test_jobs_complete_across_ten_leader_changes),
+        cmocka_unit_test_setup_teardown(test_cancelled_task_ends_on_a_machine_that_hung,
+                                        setup_two_machines_with_long_tasks, sim_teardown),
+        cmocka_unit_test_setup_teardown(test_delayed_launch_does_not_outlive_a_cancellation,
+                                        setup_one_machine_with_long_tasks, sim_teardown),
+        cmocka_unit_test_setup_teardown(test_team_limit_holds_across_a_leader_change,
+                                        setup_two_machines_with_long_tasks, sim_teardown),
+        cmocka_unit_test_setup_teardown(test_jobs_complete_across_ten_leader_changes,
+                                        setup_three_machines_with_long_tasks, sim_teardown),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/cluster/test_election.c
+++ b/tests/cluster/test_election.c
@@ -2,10 +2,27 @@
 #include "check.h"
 #include "sim_cluster.h"
 
+static int setup_three_controllers_and_one_machine(void **state)
+{
+    *state = sim_with_controllers(3, 1);
+    return 0;
+}
+
+static int setup_one_controller_and_one_machine(void **state)
+{
+    *state = sim_with_controllers(1, 1);
+    return 0;
+}
+
+static int setup_three_controllers_and_two_machines(void **state)
+{
+    *state = sim_with_controllers(3, 2);
+    return 0;
+}
+
 static void test_new_leader_is_elected_after_a_crash(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_controllers(3, 1);
+    struct sim_cluster *cluster = *state;
     int first = sim_leader(cluster);
     assert_true(first >= 0);
     uint64_t fencing_token = sim_fencing_token(cluster, first);
@@ -16,13 +33,12 @@
     int second = sim_leader(cluster);
     assert_true(second >= 0 && second != first);
     assert_true(sim_fencing_token(cluster, second) > fencing_token);
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 static void test_lost_link_to_the_leader_triggers_an_election(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_controllers(3, 1);
+    struct sim_cluster *cluster = *state;
     sim_run(cluster, 8);
     int first = sim_leader(cluster);
     int other = (first + 1) % SIM_CONTROLLERS;
@@ -37,19 +53,18 @@
     sim_break_peer_link(cluster, first, other);
     sim_run(cluster, 1);
     assert_true(sim_fencing_token(cluster, other) == fencing_token);
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 static void test_restarted_leader_is_elected_at_once(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_controllers(1, 1);
+    struct sim_cluster *cluster = *state;
     uint64_t fencing_token = sim_fencing_token(cluster, 0);
     sim_kill_controller(cluster, 0);
     sim_start_controller(cluster, 0);
     sim_run(cluster, 1);
     assert_true(sim_fencing_token(cluster, 0) > fencing_token);
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 static void test_lost_election_response_is_read_back(void **state)
@@ -67,8 +82,7 @@
 
 static void test_leader_keeps_its_term_through_an_outage(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_controllers(3, 2);
+    struct sim_cluster *cluster = *state;
     int leader = sim_leader(cluster);
     uint64_t fencing_token = sim_fencing_token(cluster, leader);
     sim_submit(cluster, 0, sim_job("run-1", 2, 1));
@@ -81,13 +95,12 @@
     cluster->store_down = false;
     sim_run(cluster, 2);
     assert_true(sim_fencing_token(cluster, leader) == fencing_token);
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 static void test_health_distinguishes_an_outage_from_a_denied_controller(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_controllers(3, 1);
+    struct sim_cluster *cluster = *state;
     cluster->controller_without_store = 2;
     sim_poll(cluster, 2, "run-1"); /* so that it notices */
     sim_run(cluster, 5);
@@ -102,18 +115,23 @@
     sim_run(cluster, 2);
     for (int i = 0; i < SIM_CONTROLLERS; i++)
         assert_true(ow_shard_manager_is_ready(cluster->controllers[i]));
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_new_leader_is_elected_after_a_crash),
-        cmocka_unit_test(test_lost_link_to_the_leader_triggers_an_election),
-        cmocka_unit_test(test_restarted_leader_is_elected_at_once),
+        cmocka_unit_test_setup_teardown(test_new_leader_is_elected_after_a_crash,
+                                        setup_three_controllers_and_one_machine, sim_teardown),
+        cmocka_unit_test_setup_teardown(test_lost_link_to_the_leader_triggers_an_election,
+                                        setup_three_controllers_and_one_machine, sim_teardown),
+        cmocka_unit_test_setup_teardown(test_restarted_leader_is_elected_at_once,
+                                        setup_one_controller_and_one_machine, sim_teardown),
         cmocka_unit_test(test_lost_election_response_is_read_back),
-        cmocka_unit_test(test_leader_keeps_its_term_through_an_outage),
-        cmocka_unit_test(test_health_distinguishes_an_outage_from_a_denied_controller),
+        cmocka_unit_test_setup_teardown(test_leader_keeps_its_term_through_an_outage,
+                                        setup_three_controllers_and_two_machines, sim_teardown),
+        cmocka_unit_test_setup_teardown(test_health_distinguishes_an_outage_from_a_denied_controller,
+                                        setup_three_controllers_and_one_machine, sim_teardown),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/cluster/test_failover.c
+++ b/tests/cluster/test_failover.c
@@ -11,11 +11,22 @@
     return sim_find_machine_of_job(cluster, job) != NULL;
 }
 
+static int setup_two_machines(void **state)
+{
+    *state = sim_with_machines(2);
+    return 0;
+}
+
+static int setup_one_machine(void **state)
+{
+    *state = sim_with_machines(1);
+    return 0;
+}
+
 /* Tasks recorded on a machine that is deleted before another leader takes over. */
 static void test_failover_recovers_tasks_of_a_deleted_machine(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_machines(2);
+    struct sim_cluster *cluster = *state;
     cluster->run_time_s = 100;
     sim_start_job(cluster, sim_job("run-1", 1, 1));
     struct sim_machine *machine = sim_find_machine_of_job(cluster, "run-1");
@@ -23,14 +34,13 @@
     sim_delete_machine(machine);
     sim_start_controllers(cluster);
     assert_true(sim_run_until(cluster, 22, job_runs, "run-1"));
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 /* The same when the other controllers know the machine from the previous leader. */
 static void test_tasks_recover_when_machine_and_leader_fail_together(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_machines(2);
+    struct sim_cluster *cluster = *state;
     cluster->run_time_s = 100;
     sim_start_job(cluster, sim_job("run-1", 1, 1));
     /* Work elsewhere, so that the machine with room is not returned as idle. */
@@ -44,15 +54,14 @@
     sim_kill_controller(cluster, sim_leader(cluster));
     sim_delete_machine(machine);
     assert_true(sim_run_until(cluster, 33, job_runs, "run-1"));
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 /* Rule 2, fencing: a deposed leader may still renew the machine's lease until the machine has seen the new
  * fencing token; its tasks count as running. */
 static void test_machine_with_a_stale_fencing_token_keeps_its_tasks(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_machines(2);
+    struct sim_cluster *cluster = *state;
     cluster->run_time_s = 200;
     cluster->cloud_down = true;
     struct sim_machine *machine = sim_start_and_settle_job(cluster, sim_job("run-1", 1, 1));
@@ -68,15 +77,14 @@
     machine->partitioned = false;
     sim_run(cluster, 10);
     assert_true(sim_find_machine_of_job(cluster, "run-1") == machine);
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 /* Rules 2 and 4: after a heartbeat from before the new fencing token an older leader may still change the
  * machine. It frees no task and allows no launch. */
 static void test_heartbeat_with_a_stale_fencing_token_frees_no_task(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_machines(2);
+    struct sim_cluster *cluster = *state;
     cluster->run_time_s = 200;
     cluster->cloud_down = true;
     struct sim_machine *machine = sim_start_and_settle_job(cluster, sim_job("run-1", 1, 1));
@@ -95,14 +103,13 @@
     assert_non_null(strstr(first, machine->name));
     assert_null(sim_read_progress_record(cluster, "run-2/0"));
     g_free(first);
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 /* A delayed transaction of a leader that was deposed meanwhile is rejected. */
 static void test_write_of_a_deposed_leader_is_rejected(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_machines(1);
+    struct sim_cluster *cluster = *state;
     int old = sim_leader(cluster);
     cluster->keep_txns_delayed = true;
     cluster->delay_next_txns = 1;
@@ -118,15 +125,14 @@
     sim_run(cluster, 1);
     assert_int_equal(cluster->delayed_txns->len, 0);
     assert_null(sim_read_progress_record(cluster, "run-1/0"));
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 /* Rule 4: a new leader starts nothing on a machine before it has its heartbeat under the new fencing token.
  */
 static void test_no_launch_before_the_machine_heartbeats_the_new_fencing_token(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_machines(1);
+    struct sim_cluster *cluster = *state;
     cluster->cloud_down = true;
     struct sim_machine *machine = sim_machine(cluster, "m-0");
     uint64_t before = machine->fencing_token;
@@ -140,14 +146,13 @@
     machine->partitioned = false;
     assert_true(sim_run_until(cluster, 15, sim_job_is_running, "run-1"));
     assert_true(machine->fencing_token > before);
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 /* Rule 4: attempts of an earlier leader count against the team's limit until they are accounted for. */
 static void test_inherited_attempts_count_against_the_limit(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_machines(2);
+    struct sim_cluster *cluster = *state;
     cluster->run_time_s = 200;
     cluster->cloud_down = true;
     struct ow_submission *first = sim_job("run-1", 2, 4);
@@ -162,27 +167,24 @@
     sim_submit(cluster, sim_leader(cluster), second);
     sim_run(cluster, 20);
     assert_int_equal(sim_count_running(cluster, "run-2"), 0);
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 /* A leader that sees a higher fencing token steps down. */
 static void test_higher_fencing_token_deposes_the_leader(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_machines(1);
+    struct sim_cluster *cluster = *state;
     int leader = sim_leader(cluster);
     cluster->store_down = true; /* it can't read who leads */
     sim_machine(cluster, "m-0")->fencing_token = 1000000;
     sim_run(cluster, 5);
     assert_true(sim_fencing_token(cluster, leader) == 0);
-    sim_free(cluster);
 }
 
 /* The successor of a leader whose fleet boots: it asks the machines that are up, and none of the others. */
 static void test_successor_does_not_ask_machines_that_boot(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_machines(2);
+    struct sim_cluster *cluster = *state;
     cluster->run_time_s = 200;
     sim_submit(cluster, 0, sim_job("run-1", 2, 16)); /* machines with work are not returned as idle */
     for (int i = 0; i < 3; i++) {
@@ -197,7 +199,7 @@
     sim_run(cluster, 10);
     assert_true(sim_leader(cluster) >= 0);
     assert_int_equal(cluster->direct_commands_sent, 2);
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 /* A machine that boots for longer than an unresponsive one is left alone is not returned when it sends
@@ -225,15 +227,24 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_failover_recovers_tasks_of_a_deleted_machine),
-        cmocka_unit_test(test_tasks_recover_when_machine_and_leader_fail_together),
-        cmocka_unit_test(test_machine_with_a_stale_fencing_token_keeps_its_tasks),
-        cmocka_unit_test(test_heartbeat_with_a_stale_fencing_token_frees_no_task),
-        cmocka_unit_test(test_write_of_a_deposed_leader_is_rejected),
-        cmocka_unit_test(test_no_launch_before_the_machine_heartbeats_the_new_fencing_token),
-        cmocka_unit_test(test_inherited_attempts_count_against_the_limit),
-        cmocka_unit_test(test_higher_fencing_token_deposes_the_leader),
-        cmocka_unit_test(test_successor_does_not_ask_machines_that_boot),
+        cmocka_unit_test_setup_teardown(test_failover_recovers_tasks_of_a_deleted_machine, setup_two_machines,
+                                        sim_teardown),
+        cmocka_unit_test_setup_teardown(test_tasks_recover_when_machine_and_leader_fail_together,
+                                        setup_two_machines, sim_teardown),
+        cmocka_unit_test_setup_teardown(test_machine_with_a_stale_fencing_token_keeps_its_tasks,
+                                        setup_two_machines, sim_teardown),
+        cmocka_unit_test_setup_teardown(test_heartbeat_with_a_stale_fencing_token_frees_no_task,
+                                        setup_two_machines, sim_teardown),
+        cmocka_unit_test_setup_teardown(test_write_of_a_deposed_leader_is_rejected, setup_one_machine,
+                                        sim_teardown),
+        cmocka_unit_test_setup_teardown(test_no_launch_before_the_machine_heartbeats_the_new_fencing_token,
+                                        setup_one_machine, sim_teardown),
+        cmocka_unit_test_setup_teardown(test_inherited_attempts_count_against_the_limit, setup_two_machines,
+                                        sim_teardown),
+        cmocka_unit_test_setup_teardown(test_higher_fencing_token_deposes_the_leader, setup_one_machine,
+                                        sim_teardown),
+        cmocka_unit_test_setup_teardown(test_successor_does_not_ask_machines_that_boot, setup_two_machines,
+                                        sim_teardown),
         cmocka_unit_test(test_slow_boot_is_not_taken_for_unresponsive),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/cluster/test_gangs.c
+++ b/tests/cluster/test_gangs.c
@@ -4,10 +4,27 @@
 #include "model/submission.h"
 #include "model/worker.h"
 
+static int setup_one_controller(void **state)
+{
+    *state = sim_with_one_controller();
+    return 0;
+}
+
+static int setup_one_controller_and_one_machine(void **state)
+{
+    *state = sim_with_one_controller_and_machines(1);
+    return 0;
+}
+
+static int setup_one_controller_and_two_machines(void **state)
+{
+    *state = sim_with_one_controller_and_machines(2);
+    return 0;
+}
+
 static void test_gang_members_start_together_with_one_attempt(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_one_controller();
+    struct sim_cluster *cluster = *state;
     sim_add_machine(cluster, "m-0", "big", "east", false);
     sim_add_machine(cluster, "m-1", "big", "east", false);
     sim_run(cluster, 3);
@@ -18,13 +35,12 @@
     const struct sim_task *first = &g_array_index(sim_machine(cluster, "m-0")->tasks, struct sim_task, 0);
     const struct sim_task *second = &g_array_index(sim_machine(cluster, "m-1")->tasks, struct sim_task, 0);
     assert_true(first->attempt == second->attempt);
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 static void test_waiting_gang_keeps_its_reservation_and_queue_position(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_one_controller();
+    struct sim_cluster *cluster = *state;
     cluster->cloud_down = true; /* nothing to rent */
     sim_add_machine(cluster, "m-0", "big", "east", false);
     sim_add_machine(cluster, "m-1", "big", "east", false);
@@ -43,13 +59,12 @@
     assert_true(sim_run_until(cluster, 20, sim_job_is_running, "run-2"));
     sim_run(cluster, 1);
     assert_int_equal(sim_count_running(cluster, "run-2"), 2);
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 static void test_reservation_expires_after_the_waiting_limit(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_one_controller();
+    struct sim_cluster *cluster = *state;
     cluster->tuning.waiting_limit_s = 8;
     sim_add_machine(cluster, "m-0", "big", "east", false);
     sim_add_machine(cluster, "m-1", "big", "east", false);
@@ -63,13 +78,12 @@
     assert_int_equal(sim_count_running(cluster, "run-3"), 0);
     /* The window of 5 s, then the waiting limit. */
     assert_true(sim_run_until(cluster, 10, sim_job_is_running, "run-3"));
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 static void test_one_zone_gang_starts_in_one_zone(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_one_controller();
+    struct sim_cluster *cluster = *state;
     sim_add_machine(cluster, "m-0", "big", "east", false);
     sim_add_machine(cluster, "m-1", "big", "west", false);
     sim_add_machine(cluster, "m-2", "big", "west", false);
@@ -80,13 +94,12 @@
     sim_start_job(cluster, submission);
     sim_run(cluster, 1);
     assert_int_equal(sim_count_running_in_zone(cluster, "run-1", "west"), 2);
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 static void test_urgent_gang_preempts_lower_rank(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_one_controller_and_machines(1);
+    struct sim_cluster *cluster = *state;
     cluster->run_time_s = 300;
     struct ow_submission *low = sim_job("run-1", 16, 1);
     struct ow_submission *peer = sim_gang("run-2", 1, 12);
@@ -100,13 +113,12 @@
     assert_int_equal(sim_count_running(cluster, "run-1"), 16);
     sim_start_job(cluster, urgent);
     assert_int_equal(sim_count_running(cluster, "run-1"), 4);
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 static void test_failed_member_ends_the_gang_attempt(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_one_controller_and_machines(2);
+    struct sim_cluster *cluster = *state;
     cluster->run_time_s = 100;
     sim_start_job(cluster, sim_gang("run-1", 2, 16));
     sim_run(cluster, 2);
@@ -120,18 +132,24 @@
     assert_int_equal(sim_count_running(cluster, "run-1"), 2);
     task = &g_array_index(machine->tasks, struct sim_task, machine->tasks->len - 1);
     assert_true(task->attempt > attempt);
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_gang_members_start_together_with_one_attempt),
-        cmocka_unit_test(test_waiting_gang_keeps_its_reservation_and_queue_position),
-        cmocka_unit_test(test_reservation_expires_after_the_waiting_limit),
-        cmocka_unit_test(test_one_zone_gang_starts_in_one_zone),
-        cmocka_unit_test(test_urgent_gang_preempts_lower_rank),
-        cmocka_unit_test(test_failed_member_ends_the_gang_attempt),
+        cmocka_unit_test_setup_teardown(test_gang_members_start_together_with_one_attempt,
+                                        setup_one_controller, sim_teardown),
+        cmocka_unit_test_setup_teardown(test_waiting_gang_keeps_its_reservation_and_queue_position,
+                                        setup_one_controller, sim_teardown),
+        cmocka_unit_test_setup_teardown(test_reservation_expires_after_the_waiting_limit,
+                                        setup_one_controller, sim_teardown),
+        cmocka_unit_test_setup_teardown(test_one_zone_gang_starts_in_one_zone, setup_one_controller,
+                                        sim_teardown),
+        cmocka_unit_test_setup_teardown(test_urgent_gang_preempts_lower_rank,
+                                        setup_one_controller_and_one_machine, sim_teardown),
+        cmocka_unit_test_setup_teardown(test_failed_member_ends_the_gang_attempt,
+                                        setup_one_controller_and_two_machines, sim_teardown),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/cluster/test_isolation.c
+++ b/tests/cluster/test_isolation.c
@@ -4,10 +4,39 @@
 #include "sim_cluster.h"
 #include "model/submission.h"
 
+static int setup_two_machines_and_six_provisionable(void **state)
+{
+    *state = sim_with_provisionable_machines(2, 6);
+    return 0;
+}
+
+static int setup_one_machine_and_six_provisionable(void **state)
+{
+    *state = sim_with_provisionable_machines(1, 6);
+    return 0;
+}
+
+static int setup_four_machines_and_six_provisionable(void **state)
+{
+    *state = sim_with_provisionable_machines(4, 6);
+    return 0;
+}
+
+static int setup_three_machines_and_six_provisionable(void **state)
+{
+    *state = sim_with_provisionable_machines(3, 6);
+    return 0;
+}
+
+static int setup_two_machines(void **state)
+{
+    *state = sim_with_machines(2);
+    return 0;
+}
+
 static void test_isolated_leader_steps_down(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_provisionable_machines(2, 6);
+    struct sim_cluster *cluster = *state;
     struct sim_machine *machine = sim_start_long_job(cluster);
     int old = sim_leader(cluster);
     cluster->isolated_controller = old;
@@ -31,13 +60,12 @@
     cluster->isolated_controller = -1;
     sim_run(cluster, 10);
     assert_true(ow_shard_manager_is_ready(cluster->controllers[old]));
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 static void test_isolated_follower_is_unhealthy(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_provisionable_machines(1, 6);
+    struct sim_cluster *cluster = *state;
     int other = (sim_leader(cluster) + 1) % SIM_CONTROLLERS;
     cluster->isolated_controller = other;
     sim_run(cluster, 8);
@@ -46,21 +74,20 @@
     cluster->isolated_controller = -1;
     sim_run(cluster, 8);
     assert_true(ow_shard_manager_is_ready(cluster->controllers[other]));
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 /* A leader that no worker can reach steps down even if the key-value store is available to it. */
 static void test_leader_without_workers_steps_down(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_provisionable_machines(2, 6);
+    struct sim_cluster *cluster = *state;
     struct sim_machine *machine = sim_start_long_job(cluster);
     int old = sim_leader(cluster);
     cluster->controller_without_workers = old;
     sim_run(cluster, 18);
     assert_true(sim_leader(cluster) >= 0 && sim_leader(cluster) != old);
     assert_true(sim_find_machine_of_job(cluster, "run-1") == machine);
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 static void test_jobs_complete_after_immediate_restarts_during_an_election(void **state)
@@ -94,9 +121,8 @@
 
 static void test_every_poll_after_leader_changes_is_answered(void **state)
 {
-    (void)state;
     enum { JOBS = 300 };
-    struct sim_cluster *cluster = sim_with_provisionable_machines(4, 6);
+    struct sim_cluster *cluster = *state;
     uint64_t polls[JOBS];
     char id[16];
     cluster->run_time_s = 1;
@@ -123,14 +149,13 @@
         const struct sim_response *answer = sim_response(cluster, polls[i]);
         assert_true(answer != NULL && answer->status == 200 && answer->state == OW_JOB_DONE);
     }
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 /* A job that has failed on each of the few machines is retried on them. */
 static void test_job_is_retried_on_machines_that_failed_it(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_provisionable_machines(2, 6);
+    struct sim_cluster *cluster = *state;
     cluster->provisionable_machines = 0;
     cluster->cloud_down = true; /* no machine is deleted or provisioned */
     for (guint i = 0; i < cluster->machines->len; i++)
@@ -141,15 +166,14 @@
     for (guint i = 0; i < cluster->machines->len; i++)
         sim_machine_at(cluster, i)->fails_tasks = false;
     assert_true(sim_run_until(cluster, 75, sim_job_is_done, "run-1"));
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 /* Without free sockets, commands are sent with the responses to heartbeats, and no machine counts as
  * unresponsive. */
 static void test_work_continues_without_free_sockets(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_provisionable_machines(3, 6);
+    struct sim_cluster *cluster = *state;
     cluster->no_sockets = true;
     sim_submit(cluster, 0, sim_gang("run-1", 3, 16));
     assert_true(sim_run_until(cluster, 40, sim_job_is_done, "run-1"));
@@ -158,15 +182,14 @@
         assert_int_equal(sim_machine_at(cluster, i)->incarnation, 1);
     sim_submit(cluster, 0, sim_job("run-2", 4, 1));
     assert_true(sim_run_until(cluster, 40, sim_job_is_done, "run-2"));
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 /* A controller that was cut off for long has missed more changes than it takes in at once: it reads the table
  * again, page by page, and does not ask for the same changes for ever. */
 static void test_too_many_missed_changes_are_read_by_pages(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_machines(2);
+    struct sim_cluster *cluster = *state;
     int follower = sim_follower(cluster);
     cluster->isolated_controller = follower;
     cluster->watch_changes_max = 5;
@@ -181,20 +204,27 @@
     uint64_t request = sim_poll(cluster, follower, id);
     sim_run(cluster, 3);
     assert_int_equal(sim_status(cluster, request), 200);
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_isolated_leader_steps_down),
-        cmocka_unit_test(test_isolated_follower_is_unhealthy),
-        cmocka_unit_test(test_leader_without_workers_steps_down),
+        cmocka_unit_test_setup_teardown(test_isolated_leader_steps_down,
+                                        setup_two_machines_and_six_provisionable, sim_teardown),
+        cmocka_unit_test_setup_teardown(test_isolated_follower_is_unhealthy,
+                                        setup_one_machine_and_six_provisionable, sim_teardown),
+        cmocka_unit_test_setup_teardown(test_leader_without_workers_steps_down,
+                                        setup_two_machines_and_six_provisionable, sim_teardown),
         cmocka_unit_test(test_jobs_complete_after_immediate_restarts_during_an_election),
-        cmocka_unit_test(test_every_poll_after_leader_changes_is_answered),
-        cmocka_unit_test(test_job_is_retried_on_machines_that_failed_it),
-        cmocka_unit_test(test_work_continues_without_free_sockets),
-        cmocka_unit_test(test_too_many_missed_changes_are_read_by_pages),
+        cmocka_unit_test_setup_teardown(test_every_poll_after_leader_changes_is_answered,
+                                        setup_four_machines_and_six_provisionable, sim_teardown),
+        cmocka_unit_test_setup_teardown(test_job_is_retried_on_machines_that_failed_it,
+                                        setup_two_machines_and_six_provisionable, sim_teardown),
+        cmocka_unit_test_setup_teardown(test_work_continues_without_free_sockets,
+                                        setup_three_machines_and_six_provisionable, sim_teardown),
+        cmocka_unit_test_setup_teardown(test_too_many_missed_changes_are_read_by_pages, setup_two_machines,
+                                        sim_teardown),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/cluster/test_leader_changes.c
+++ b/tests/cluster/test_leader_changes.c
@@ -5,11 +5,28 @@
 #include "sim_cluster.h"
 #include "model/submission.h"
 
+static int setup_two_machines_with_long_tasks(void **state)
+{
+    *state = sim_with_long_tasks(2);
+    return 0;
+}
+
+static int setup_one_machine_with_long_tasks(void **state)
+{
+    *state = sim_with_long_tasks(1);
+    return 0;
+}
+
+static int setup_three_machines_with_long_tasks(void **state)
+{
+    *state = sim_with_long_tasks(3);
+    return 0;
+}
+
 /* A fencing token that was released is never reused: launches sent under it may still be in flight. */
 static void test_returning_leader_takes_a_new_fencing_token(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_long_tasks(2);
+    struct sim_cluster *cluster = *state;
     int old = sim_leader(cluster);
     uint64_t before = sim_fencing_token(cluster, old);
     cluster->isolated_controller = old;
@@ -21,14 +38,13 @@
     sim_run(cluster, 8);
     assert_int_equal(sim_leader(cluster), old);
     assert_true(sim_fencing_token(cluster, old) > before);
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 /* Its heartbeats reach no controller, so its lease expires repeatedly although it answers commands. */
 static void test_machine_without_heartbeats_gets_no_new_tasks(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_long_tasks(2);
+    struct sim_cluster *cluster = *state;
     cluster->run_time_s = 15;
     struct sim_machine *machine = sim_start_job_at_follower(cluster, sim_job("run-1", 1, 1));
     machine->heartbeats_lost = true;
@@ -46,15 +62,14 @@
     assert_int_equal(machine->launches, before);
     assert_true(sim_run_until(cluster, 120, sim_job_is_done, "run-31"));
     assert_true(sim_run_until(cluster, 70, sim_job_is_done, "run-1"));
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 /* Tasks bound to one zone lose their machine during a failover: none starts in another zone before they have
  * ended. */
 static void test_one_zone_array_survives_a_machine_loss(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_long_tasks(1);
+    struct sim_cluster *cluster = *state;
     cluster->provisionable_machines = 4;
     sim_add_machine(cluster, "w-0", "big", "west", false);
     sim_add_machine(cluster, "w-1", "big", "west", false);
@@ -77,13 +92,12 @@
             g_array_index(other->tasks, struct sim_task, k).next_phase_at = cluster->now;
     }
     assert_true(sim_run_until(cluster, 60, sim_job_is_done, "run-1"));
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
-static void test_job_completes_after_all_controllers_were_down_for_longer_than_a_lease(void **state)
+static void test_job_completes_after_controllers_were_down_past_a_lease(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_long_tasks(2);
+    struct sim_cluster *cluster = *state;
     sim_start_job_at_follower(cluster, sim_job("run-1", 3, 1));
     sim_kill_controllers(cluster);
     sim_run(cluster, 30);
@@ -91,15 +105,14 @@
     cluster->run_time_s = 3;
     sim_start_controllers(cluster);
     assert_true(sim_run_until(cluster, 30, sim_job_is_done, "run-1"));
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 /* Tasks that end far apart: a result recorded under one leader counts under the next, and no task runs twice.
  */
 static void test_recorded_results_survive_leader_changes(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_long_tasks(3);
+    struct sim_cluster *cluster = *state;
     sim_start_job_at_follower(cluster, sim_job("run-1", 3, 1));
     struct sim_task *tasks[3];
     guint count = 0;
@@ -120,17 +133,22 @@
         assert_int_equal(sim_job_state(cluster, "run-1") == OW_JOB_DONE, i == 2);
     }
     assert_int_equal(sim_count_launches(cluster), 3);
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_returning_leader_takes_a_new_fencing_token),
-        cmocka_unit_test(test_machine_without_heartbeats_gets_no_new_tasks),
-        cmocka_unit_test(test_one_zone_array_survives_a_machine_loss),
-        cmocka_unit_test(test_job_completes_after_all_controllers_were_down_for_longer_than_a_lease),
-        cmocka_unit_test(test_recorded_results_survive_leader_changes),
+        cmocka_unit_test_setup_teardown(test_returning_leader_takes_a_new_fencing_token,
+                                        setup_two_machines_with_long_tasks, sim_teardown),
+        cmocka_unit_test_setup_teardown(test_machine_without_heartbeats_gets_no_new_tasks,
+                                        setup_two_machines_with_long_tasks, sim_teardown),
+        cmocka_unit_test_setup_teardown(test_one_zone_array_survives_a_machine_loss,
+                                        setup_one_machine_with_long_tasks, sim_teardown),
+        cmocka_unit_test_setup_teardown(test_job_completes_after_controllers_were_down_past_a_lease,
+                                        setup_two_machines_with_long_tasks, sim_teardown),
+        cmocka_unit_test_setup_teardown(test_recorded_results_survive_leader_changes,
+                                        setup_three_machines_with_long_tasks, sim_teardown),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/cluster/test_limits.c
+++ b/tests/cluster/test_limits.c
@@ -3,10 +3,27 @@
 #include "sim_cluster.h"
 #include "model/submission.h"
 
+static int setup_six_machines(void **state)
+{
+    *state = sim_with_machines(6);
+    return 0;
+}
+
+static int setup_two_machines(void **state)
+{
+    *state = sim_with_machines(2);
+    return 0;
+}
+
+static int setup_one_machine(void **state)
+{
+    *state = sim_with_machines(1);
+    return 0;
+}
+
 static void test_jobs_complete_under_unannounced_lower_limits(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_machines(6);
+    struct sim_cluster *cluster = *state;
     cluster->run_time_s = 20;
     sim_submit_interleaved(cluster, "run-1", 200);
     cluster->value_kb = 0.8;
@@ -18,7 +35,6 @@
     /* Each refusal halves the size of the next attempt, so that retries are bounded. */
     assert_true(cluster->oversized_txns > 0 && cluster->oversized_txns < 20);
     assert_string_equal(cluster->violations->str, "");
-    sim_free(cluster);
 }
 
 /* Transactions are refused for their number of changes; the limit of a single value has fallen less, and a
@@ -55,8 +71,7 @@
  * controller. */
 static void test_known_job_is_not_rejected_for_its_size(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_machines(2);
+    struct sim_cluster *cluster = *state;
     int here = (sim_leader(cluster) + 1) % SIM_CONTROLLERS;
     double value_kb = cluster->value_kb;
     cluster->value_kb = 0.1;
@@ -72,26 +87,22 @@
     sim_run(cluster, 2);
     assert_int_equal(sim_status(cluster, repeated), 200);
     assert_string_equal(cluster->violations->str, "");
-    sim_free(cluster);
 }
 
 /* The limit has fallen below the size of a job's record, without notice: the submission is rejected at once.
  */
 static void test_submission_refused_by_the_store_is_rejected(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_machines(1);
+    struct sim_cluster *cluster = *state;
     cluster->value_kb = 0.1;
     uint64_t asked = sim_submit(cluster, 0, sim_job("run-1", 1, 1));
     sim_run(cluster, 2);
     assert_int_equal(sim_status(cluster, asked), 422);
-    sim_free(cluster);
 }
 
 static void test_oversized_submission_is_rejected(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_machines(1);
+    struct sim_cluster *cluster = *state;
     struct ow_submission *submission = sim_job("run-1", 1, 1);
     GPtrArray *types = g_ptr_array_new();
     for (int i = 0; i < 200; i++)
@@ -102,17 +113,21 @@
     uint64_t asked = sim_submit(cluster, 0, submission);
     sim_run(cluster, 1);
     assert_int_equal(sim_response(cluster, asked)->status, 422);
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_jobs_complete_under_unannounced_lower_limits),
-        cmocka_unit_test(test_oversized_submission_is_rejected),
+        cmocka_unit_test_setup_teardown(test_jobs_complete_under_unannounced_lower_limits, setup_six_machines,
+                                        sim_teardown),
+        cmocka_unit_test_setup_teardown(test_oversized_submission_is_rejected, setup_one_machine,
+                                        sim_teardown),
         cmocka_unit_test(test_lower_txn_ops_does_not_lower_the_value_size),
-        cmocka_unit_test(test_submission_refused_by_the_store_is_rejected),
-        cmocka_unit_test(test_known_job_is_not_rejected_for_its_size),
+        cmocka_unit_test_setup_teardown(test_submission_refused_by_the_store_is_rejected, setup_one_machine,
+                                        sim_teardown),
+        cmocka_unit_test_setup_teardown(test_known_job_is_not_rejected_for_its_size, setup_two_machines,
+                                        sim_teardown),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/cluster/test_placement.c
+++ b/tests/cluster/test_placement.c
@@ -6,11 +6,34 @@
 
 #include <string.h>
 
+static int setup_one_controller_and_one_machine(void **state)
+{
+    *state = sim_with_one_controller_and_machines(1);
+    return 0;
+}
+
+static int setup_one_controller(void **state)
+{
+    *state = sim_with_one_controller();
+    return 0;
+}
+
+static int setup_one_controller_and_four_machines(void **state)
+{
+    *state = sim_with_one_controller_and_machines(4);
+    return 0;
+}
+
+static int setup_two_machines_and_no_provisionable(void **state)
+{
+    *state = sim_with_provisionable_machines(2, 0);
+    return 0;
+}
+
 /* Rule 6: a later task must join the zone of the running ones, even if only another zone has room. */
 static void test_one_zone_array_stays_in_its_zone(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_one_controller_and_machines(1);
+    struct sim_cluster *cluster = *state;
     cluster->run_time_s = 30;
     struct ow_submission *submission = sim_job("run-1", 3, 8);
     submission->one_zone = true;
@@ -19,13 +42,12 @@
     sim_run(cluster, 15);
     assert_int_equal(sim_machine(cluster, "m-1")->launches, 0);
     assert_true(sim_run_until(cluster, 120, sim_job_is_done, "run-1"));
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 static void test_spread_limits_tasks_per_zone(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_one_controller();
+    struct sim_cluster *cluster = *state;
     for (int i = 0; i < 3; i++) {
         char name[16];
         g_snprintf(name, sizeof name, "m-%d", i);
@@ -45,13 +67,12 @@
     assert_int_equal(sim_count_running_in_zone(cluster, "run-1", "west"), 1);
     assert_int_equal(sim_count_running_in_zone(cluster, "run-2", "east"), 2);
     assert_int_equal(sim_count_running_in_zone(cluster, "run-2", "west"), 2);
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 static void test_placement_respects_type_zone_and_spot(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_one_controller();
+    struct sim_cluster *cluster = *state;
     sim_add_machine(cluster, "m-0", "big", "east", true);
     sim_add_machine(cluster, "m-1", "gpu", "east", false);
     sim_add_machine(cluster, "m-2", "big", "west", false);
@@ -64,7 +85,7 @@
     submission->types = g_strsplit("big", ",", 0);
     sim_start_job(cluster, submission);
     assert_int_equal(sim_machine(cluster, "m-3")->launches, 1);
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 static void give_guarantee(struct sim_cluster *cluster, guint team, double cpus)
@@ -76,8 +97,7 @@
 /* Capacity that a team has borrowed returns to a team within its guarantee, and no more than that. */
 static void test_guarantee_is_reclaimed_by_preemption(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_one_controller();
+    struct sim_cluster *cluster = *state;
     give_guarantee(cluster, 0, 4);
     give_guarantee(cluster, 1, 8);
     sim_add_machine(cluster, "m-0", "big", "east", false);
@@ -91,26 +111,24 @@
     sim_run(cluster, 5);
     assert_int_equal(sim_count_running(cluster, "run-2"), 8);
     assert_int_equal(sim_count_running(cluster, "run-1"), 8);
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 static void test_team_limit_holds_for_arrays(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_one_controller_and_machines(1);
+    struct sim_cluster *cluster = *state;
     cluster->run_time_s = 50;
     struct ow_submission *submission = sim_job("run-1", 12, 1);
     sim_set_team(submission, "tight");
     sim_start_job(cluster, submission);
     sim_run(cluster, 5);
     assert_int_equal(sim_count_running(cluster, "run-1"), 8);
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 static void test_large_array_completes(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_one_controller_and_machines(4);
+    struct sim_cluster *cluster = *state;
     cluster->run_time_s = 0.5;
     sim_submit(cluster, 0, sim_job("run-1", 700, 0.1));
     assert_true(sim_run_until(cluster, 120, sim_job_is_done, "run-1"));
@@ -118,7 +136,7 @@
     sim_run(cluster, 3);
     assert_null(sim_read_progress_record(cluster, "run-1/0"));
     assert_null(sim_read_progress_record(cluster, "run-1/2"));
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 static void run_growing_records(double kill_after_s)
@@ -173,8 +191,7 @@
  * them. */
 static void test_services_spread_over_machines(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_provisionable_machines(2, 0);
+    struct sim_cluster *cluster = *state;
     cluster->run_time_s = 300;
     sim_submit(cluster, 0, sim_job("run-9", 2, 11));
     sim_run(cluster, 6);
@@ -193,7 +210,7 @@
         most = MAX(most, services);
     }
     assert_int_equal(most, 3);
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 /* Machines that are up after a class had run on six of them and its last job ended `seconds` ago; `busy` says
@@ -235,14 +252,21 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_one_zone_array_stays_in_its_zone),
-        cmocka_unit_test(test_spread_limits_tasks_per_zone),
-        cmocka_unit_test(test_placement_respects_type_zone_and_spot),
-        cmocka_unit_test(test_guarantee_is_reclaimed_by_preemption),
-        cmocka_unit_test(test_team_limit_holds_for_arrays),
-        cmocka_unit_test(test_large_array_completes),
+        cmocka_unit_test_setup_teardown(test_one_zone_array_stays_in_its_zone,
+                                        setup_one_controller_and_one_machine, sim_teardown),
+        cmocka_unit_test_setup_teardown(test_spread_limits_tasks_per_zone, setup_one_controller,
+                                        sim_teardown),
+        cmocka_unit_test_setup_teardown(test_placement_respects_type_zone_and_spot, setup_one_controller,
+                                        sim_teardown),
+        cmocka_unit_test_setup_teardown(test_guarantee_is_reclaimed_by_preemption, setup_one_controller,
+                                        sim_teardown),
+        cmocka_unit_test_setup_teardown(test_team_limit_holds_for_arrays,
+                                        setup_one_controller_and_one_machine, sim_teardown),
+        cmocka_unit_test_setup_teardown(test_large_array_completes, setup_one_controller_and_four_machines,
+                                        sim_teardown),
         cmocka_unit_test(test_growing_records_move_to_another_value),
-        cmocka_unit_test(test_services_spread_over_machines),
+        cmocka_unit_test_setup_teardown(test_services_spread_over_machines,
+                                        setup_two_machines_and_no_provisionable, sim_teardown),
         cmocka_unit_test(test_quiet_class_keeps_no_machines),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/cluster/test_reconciliation.c
+++ b/tests/cluster/test_reconciliation.c
@@ -3,10 +3,27 @@
 #include "sim_cluster.h"
 #include "model/worker.h"
 
+static int setup_three_machines_and_six_provisionable(void **state)
+{
+    *state = sim_with_provisionable_machines(3, 6);
+    return 0;
+}
+
+static int setup_two_machines_and_six_provisionable(void **state)
+{
+    *state = sim_with_provisionable_machines(2, 6);
+    return 0;
+}
+
+static int setup_one_machine_and_six_provisionable(void **state)
+{
+    *state = sim_with_provisionable_machines(1, 6);
+    return 0;
+}
+
 static void test_unresponsive_machine_is_avoided_and_deleted(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_provisionable_machines(3, 6);
+    struct sim_cluster *cluster = *state;
     struct sim_machine *unresponsive = sim_start_long_job(cluster);
     unresponsive->unresponsive = true;
     /* A gang that needs a whole machine may pick it before the fault shows: it must not wait for it. */
@@ -15,14 +32,13 @@
     assert_true(sim_run_until(cluster, 40, sim_machine_is_deleted, unresponsive));
     assert_true(sim_run_until(cluster, 40, sim_job_is_done, "run-2"));
     assert_true(sim_run_until(cluster, 40, sim_job_is_done, "run-1"));
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 /* After the first command without a response it gets no new tasks, long before it is deleted. */
 static void test_unresponsive_machine_gets_no_new_tasks(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_provisionable_machines(2, 6);
+    struct sim_cluster *cluster = *state;
     struct sim_machine *unresponsive = sim_start_long_job(cluster);
     unresponsive->unresponsive = true;
     cluster->run_time_s = 1;
@@ -32,26 +48,24 @@
     sim_submit(cluster, 0, sim_job("run-3", 1, 1));
     assert_true(sim_run_until(cluster, 4, sim_job_is_done, "run-3"));
     assert_false(unresponsive->deleted);
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 static void test_unresponsive_machine_is_replaced_after_a_failover(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_provisionable_machines(3, 6);
+    struct sim_cluster *cluster = *state;
     struct sim_machine *unresponsive = sim_start_long_job(cluster);
     unresponsive->unresponsive = true;
     sim_kill_controller(cluster, sim_leader(cluster));
     /* Its heartbeats under an old fencing token keep arriving: they are no sign of health. */
     assert_true(sim_run_until(cluster, 60, sim_job_runs_on_another, unresponsive));
     assert_true(sim_run_until(cluster, 90, sim_machine_is_deleted, unresponsive));
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 static void test_unresponsive_machine_with_a_cancelled_task_is_deleted(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_provisionable_machines(2, 6);
+    struct sim_cluster *cluster = *state;
     struct sim_machine *unresponsive = sim_start_long_job(cluster);
     unresponsive->unresponsive = true;
     unresponsive->lease_renewed_at = cluster->now + 1000; /* its lease does not end it */
@@ -59,13 +73,12 @@
     sim_run(cluster, 39);
     assert_true(unresponsive->deleted);
     sim_run(cluster, 5);
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 static void test_duplicate_heartbeat_renews_no_lease(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_provisionable_machines(2, 6);
+    struct sim_cluster *cluster = *state;
     cluster->cloud_down = true; /* no proof by deletion */
     struct sim_machine *machine = sim_start_long_job(cluster);
     enum { COPIES = 26 };
@@ -80,13 +93,12 @@
     assert_true(sim_job_runs_on_another(cluster, machine));
     machine->partitioned = false;
     sim_run(cluster, 20);
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 static void test_duplicate_heartbeat_frees_no_task_after_a_failover(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_provisionable_machines(2, 6);
+    struct sim_cluster *cluster = *state;
     cluster->cloud_down = true;
     struct sim_machine *machine = sim_machine(cluster, "m-0");
     struct ow_heartbeat *before = sim_copy_last_heartbeat(machine);
@@ -105,13 +117,12 @@
     machine->partitioned = false;
     sim_run(cluster, 10);
     assert_true(sim_find_machine_of_job(cluster, "run-1") == machine);
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 static void test_duplicate_heartbeat_restores_no_deleted_machine(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_provisionable_machines(1, 6);
+    struct sim_cluster *cluster = *state;
     struct sim_machine *machine = sim_start_long_job(cluster);
     struct ow_heartbeat *copy = sim_copy_last_heartbeat(machine);
     copy->sequence += 100; /* newer than every heartbeat received from it */
@@ -126,15 +137,14 @@
     sim_run(cluster, 0.5);
     sim_submit(cluster, 0, sim_job("run-2", 16, 2));
     assert_true(sim_run_until(cluster, 20, sim_job_is_done, "run-2"));
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 /* Sequence numbers only grow, by the protocol. Reports of a worker that restarts them can't be distinguished
  * from late duplicates: they are ignored, and its machine is deleted like one that sends no heartbeats. */
 static void test_worker_with_reset_sequence_numbers_is_replaced(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_provisionable_machines(1, 6);
+    struct sim_cluster *cluster = *state;
     struct sim_machine *machine = sim_start_long_job(cluster);
     machine->incarnation = 3;
     machine->sequence = 500;
@@ -146,20 +156,28 @@
     assert_true(sim_run_until(cluster, 60, sim_job_is_done, "run-1"));
     sim_send_heartbeat(cluster, sim_leader(cluster), copy);
     assert_true(sim_run_until(cluster, 60, sim_machine_is_deleted, machine));
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_unresponsive_machine_is_avoided_and_deleted),
-        cmocka_unit_test(test_unresponsive_machine_gets_no_new_tasks),
-        cmocka_unit_test(test_unresponsive_machine_is_replaced_after_a_failover),
-        cmocka_unit_test(test_unresponsive_machine_with_a_cancelled_task_is_deleted),
-        cmocka_unit_test(test_duplicate_heartbeat_renews_no_lease),
-        cmocka_unit_test(test_duplicate_heartbeat_frees_no_task_after_a_failover),
-        cmocka_unit_test(test_duplicate_heartbeat_restores_no_deleted_machine),
-        cmocka_unit_test(test_worker_with_reset_sequence_numbers_is_replaced),
+        cmocka_unit_test_setup_teardown(test_unresponsive_machine_is_avoided_and_deleted,
+                                        setup_three_machines_and_six_provisionable, sim_teardown),
+        cmocka_unit_test_setup_teardown(test_unresponsive_machine_gets_no_new_tasks,
+                                        setup_two_machines_and_six_provisionable, sim_teardown),
+        cmocka_unit_test_setup_teardown(test_unresponsive_machine_is_replaced_after_a_failover,
+                                        setup_three_machines_and_six_provisionable, sim_teardown),
+        cmocka_unit_test_setup_teardown(test_unresponsive_machine_with_a_cancelled_task_is_deleted,
+                                        setup_two_machines_and_six_provisionable, sim_teardown),
+        cmocka_unit_test_setup_teardown(test_duplicate_heartbeat_renews_no_lease,
+                                        setup_two_machines_and_six_provisionable, sim_teardown),
+        cmocka_unit_test_setup_teardown(test_duplicate_heartbeat_frees_no_task_after_a_failover,
+                                        setup_two_machines_and_six_provisionable, sim_teardown),
+        cmocka_unit_test_setup_teardown(test_duplicate_heartbeat_restores_no_deleted_machine,
+                                        setup_one_machine_and_six_provisionable, sim_teardown),
+        cmocka_unit_test_setup_teardown(test_worker_with_reset_sequence_numbers_is_replaced,
+                                        setup_one_machine_and_six_provisionable, sim_teardown),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/cluster/test_safety.c
+++ b/tests/cluster/test_safety.c
@@ -4,11 +4,22 @@
 #include "sim_cluster.h"
 #include "model/submission.h"
 
+static int setup_two_machines(void **state)
+{
+    *state = sim_with_machines(2);
+    return 0;
+}
+
+static int setup_one_machine(void **state)
+{
+    *state = sim_with_machines(1);
+    return 0;
+}
+
 /* Rule 1: no launch before its record has committed. */
 static void test_no_launch_before_its_record_commits(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_machines(2);
+    struct sim_cluster *cluster = *state;
     cluster->delay_next_controller = sim_leader(cluster);
     cluster->delay_next_txns = 1000;
     cluster->keep_txns_delayed = true;
@@ -21,14 +32,13 @@
     cluster->delay_next_txns = 0;
     cluster->keep_txns_delayed = false;
     assert_true(sim_run_until(cluster, 10, sim_job_is_running, "run-1"));
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 /* Rule 2: missing heartbeats do not prove that a task has ended; the expiry of the machine's lease does. */
 static void test_unreachable_machine_keeps_its_task_until_its_lease_expires(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_machines(2);
+    struct sim_cluster *cluster = *state;
     cluster->run_time_s = 100;
     cluster->cloud_down = true; /* no proof by deletion */
     struct sim_machine *machine = sim_start_and_settle_job(cluster, sim_job("run-1", 1, 1));
@@ -39,14 +49,13 @@
     /* When the partition heals, delayed packets arrive: they must be ignored. */
     machine->partitioned = false;
     sim_run(cluster, 20);
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 /* Rule 2: an acknowledged deletion proves it at once. */
 static void test_deleted_machine_frees_its_tasks(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_machines(2);
+    struct sim_cluster *cluster = *state;
     cluster->run_time_s = 100;
     struct sim_machine *machine = sim_start_and_settle_job(cluster, sim_job("run-1", 1, 1));
     machine->reclaim_notice_s = 1;
@@ -54,15 +63,14 @@
     sim_run(cluster, 1.5);
     sim_delete_machine(machine);
     assert_true(sim_run_until(cluster, 12, sim_job_runs_on_another, machine));
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 /* Rule 3: a launch without a response may still be delivered: its result is not cleared, so that a late
  * duplicate finds it. */
 static void test_unacknowledged_launch_is_not_cleared(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_machines(1);
+    struct sim_cluster *cluster = *state;
     struct sim_machine *machine = sim_machine(cluster, "m-0");
     cluster->delay_direct_commands = true; /* direct commands are delayed; responses to heartbeats arrive */
     cluster->run_time_s = 1;
@@ -74,14 +82,13 @@
     cluster->delay_direct_commands = false;
     sim_run(cluster, 5);
     assert_int_equal(machine->launches, 1);
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 /* Rule 3: a result is cleared only after it has been recorded. */
 static void test_result_is_kept_until_recorded(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_machines(1);
+    struct sim_cluster *cluster = *state;
     cluster->run_time_s = 1;
     sim_start_job(cluster, sim_job("run-1", 1, 1));
     cluster->delay_txns = true;
@@ -96,14 +103,13 @@
     assert_int_equal(sim_machine(cluster, "m-0")->launches, 1);
     sim_run(cluster, 10);
     assert_int_equal(sim_machine(cluster, "m-0")->cleared_results, 1);
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 /* A delayed transaction of the current leader is rejected once a newer one has committed. */
 static void test_stale_record_write_is_rejected(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_machines(2);
+    struct sim_cluster *cluster = *state;
     cluster->run_time_s = 200;
     cluster->provisionable_machines = 2;
     int leader = sim_leader(cluster);
@@ -124,14 +130,13 @@
     assert_string_equal(after, before);
     g_free(after);
     g_free(before);
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 /* Rule 7: a cancellation ends every attempt, including those whose launch is still in flight. */
 static void test_cancellation_ends_a_launch_in_flight(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_machines(1);
+    struct sim_cluster *cluster = *state;
     struct sim_machine *machine = sim_machine(cluster, "m-0");
     cluster->run_time_s = 200;
     machine->partitioned = true;
@@ -150,14 +155,13 @@
     assert_int_equal(sim_response(cluster, cancellation)->status, 200);
     assert_int_equal(sim_response(cluster, cancellation)->state, OW_JOB_CANCELLED);
     sim_run(cluster, 60);
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 /* Rule 7: an unreachable task is ended by deleting its machine in time. */
 static void test_machine_with_an_unreachable_cancelled_task_is_deleted(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_machines(1);
+    struct sim_cluster *cluster = *state;
     cluster->run_time_s = 200;
     sim_start_job(cluster, sim_job("run-1", 1, 1));
     struct sim_machine *machine = sim_machine(cluster, "m-0");
@@ -170,14 +174,13 @@
     sim_run(cluster, 38);
     assert_true(machine->deleted);
     sim_run(cluster, 10);
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 /* A transaction that is applied late must not undo what came after it. */
 static void test_late_transaction_changes_nothing(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_machines(2);
+    struct sim_cluster *cluster = *state;
     cluster->run_time_s = 3;
     sim_submit(cluster, 0, sim_job("run-1", 4, 1));
     sim_run(cluster, 0.1);
@@ -187,14 +190,13 @@
     assert_true(sim_run_until(cluster, 30, sim_job_is_done, "run-1"));
     unsigned starts = sim_machine(cluster, "m-0")->launches + sim_machine(cluster, "m-1")->launches;
     assert_int_equal(starts, 4);
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 /* Responses to writes are lost: the outcome is read back, and nothing is done twice. */
 static void test_lost_write_responses_are_resolved_without_duplicates(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_machines(2);
+    struct sim_cluster *cluster = *state;
     cluster->run_time_s = 2;
     sim_submit(cluster, 0, sim_job("run-1", 3, 1));
     sim_run(cluster, 0.3);
@@ -208,7 +210,7 @@
     cluster->lose_txn_responses = false;
     assert_true(sim_run_until(cluster, 30, sim_job_is_done, "run-2"));
     assert_int_equal(sim_job_state(cluster, "run-2"), OW_JOB_DONE);
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 static bool one_task_started(struct sim_cluster *cluster, const void *faulty)
@@ -220,8 +222,7 @@
 /* A machine on which every task fails is avoided after a few failures. */
 static void test_failing_machine_is_avoided(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_machines(2);
+    struct sim_cluster *cluster = *state;
     struct sim_machine *faulty = sim_machine(cluster, "m-0");
     faulty->fails_tasks = true;
     cluster->run_time_s = 1;
@@ -233,23 +234,32 @@
     assert_true(sim_run_until(cluster, 20, one_task_started, faulty));
     assert_true(sim_run_until(cluster, 60, sim_job_is_done, "run-6"));
     assert_true(faulty->launches < 24);
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_no_launch_before_its_record_commits),
-        cmocka_unit_test(test_unreachable_machine_keeps_its_task_until_its_lease_expires),
-        cmocka_unit_test(test_deleted_machine_frees_its_tasks),
-        cmocka_unit_test(test_unacknowledged_launch_is_not_cleared),
-        cmocka_unit_test(test_result_is_kept_until_recorded),
-        cmocka_unit_test(test_stale_record_write_is_rejected),
-        cmocka_unit_test(test_cancellation_ends_a_launch_in_flight),
-        cmocka_unit_test(test_machine_with_an_unreachable_cancelled_task_is_deleted),
-        cmocka_unit_test(test_late_transaction_changes_nothing),
-        cmocka_unit_test(test_lost_write_responses_are_resolved_without_duplicates),
-        cmocka_unit_test(test_failing_machine_is_avoided),
+        cmocka_unit_test_setup_teardown(test_no_launch_before_its_record_commits, setup_two_machines,
+                                        sim_teardown),
+        cmocka_unit_test_setup_teardown(test_unreachable_machine_keeps_its_task_until_its_lease_expires,
+                                        setup_two_machines, sim_teardown),
+        cmocka_unit_test_setup_teardown(test_deleted_machine_frees_its_tasks, setup_two_machines,
+                                        sim_teardown),
+        cmocka_unit_test_setup_teardown(test_unacknowledged_launch_is_not_cleared, setup_one_machine,
+                                        sim_teardown),
+        cmocka_unit_test_setup_teardown(test_result_is_kept_until_recorded, setup_one_machine, sim_teardown),
+        cmocka_unit_test_setup_teardown(test_stale_record_write_is_rejected, setup_two_machines,
+                                        sim_teardown),
+        cmocka_unit_test_setup_teardown(test_cancellation_ends_a_launch_in_flight, setup_one_machine,
+                                        sim_teardown),
+        cmocka_unit_test_setup_teardown(test_machine_with_an_unreachable_cancelled_task_is_deleted,
+                                        setup_one_machine, sim_teardown),
+        cmocka_unit_test_setup_teardown(test_late_transaction_changes_nothing, setup_two_machines,
+                                        sim_teardown),
+        cmocka_unit_test_setup_teardown(test_lost_write_responses_are_resolved_without_duplicates,
+                                        setup_two_machines, sim_teardown),
+        cmocka_unit_test_setup_teardown(test_failing_machine_is_avoided, setup_two_machines, sim_teardown),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/cluster/test_services.c
+++ b/tests/cluster/test_services.c
@@ -6,10 +6,39 @@
 
 #include <string.h>
 
+static int setup_three_replicas_on_three_machines(void **state)
+{
+    *state = sim_with_service(3, 3);
+    return 0;
+}
+
+static int setup_three_replicas_on_four_machines(void **state)
+{
+    *state = sim_with_service(4, 3);
+    return 0;
+}
+
+static int setup_six_replicas_on_eight_machines(void **state)
+{
+    *state = sim_with_service(8, 6);
+    return 0;
+}
+
+static int setup_two_machines_and_four_provisionable(void **state)
+{
+    *state = sim_with_provisionable_machines(2, 4);
+    return 0;
+}
+
+static int setup_four_machines_and_four_provisionable(void **state)
+{
+    *state = sim_with_provisionable_machines(4, 4);
+    return 0;
+}
+
 static void test_replicas_run_on_separate_machines_and_never_complete(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_service(3, 3);
+    struct sim_cluster *cluster = *state;
     for (guint i = 0; i < 3; i++)
         assert_int_equal(sim_count_running_on(sim_machine_at(cluster, i), "run-1"), 1);
     sim_run(cluster, 60);
@@ -19,7 +48,7 @@
     sim_run(cluster, 2);
     assert_int_equal(sim_response(cluster, cancel)->state, OW_JOB_CANCELLED);
     assert_int_equal(sim_count_running(cluster, "run-1"), 0);
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 /* A replica restarts however it exits, on a machine without the result of its last attempt. */
@@ -43,21 +72,19 @@
 /* A single machine that stops its heartbeats is deleted for its replicas, long before its lease expires. */
 static void test_replicas_of_a_dead_machine_restart_before_its_lease_expires(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_service(4, 3);
+    struct sim_cluster *cluster = *state;
     struct sim_machine *machine = sim_find_machine_of_job(cluster, "run-1");
     machine->hung = true;
     assert_true(sim_run_until(cluster, 14, sim_machine_is_deleted, machine));
     assert_true(sim_run_until(cluster, 4, sim_job_runs_three_tasks, "run-1"));
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 /* Many machines that stop their heartbeats at once may be partitioned: their replicas keep running, and none
  * is deleted. */
 static void test_replicas_behind_a_partition_keep_running(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_service(8, 6);
+    struct sim_cluster *cluster = *state;
     for (guint i = 0; i < 5; i++)
         sim_machine_at(cluster, i)->partitioned = true;
     sim_run(cluster, 14);
@@ -68,31 +95,12 @@
         sim_machine_at(cluster, i)->partitioned = false;
     sim_run(cluster, 20);
     assert_int_equal(sim_count_running(cluster, "run-1"), 6);
-    sim_finish(cluster);
-}
-
-/* All machines are full of work of low rank: some of it is preempted at once. */
-static void test_service_preempts_lower_rank(void **state)
-{
-    (void)state;
-    struct sim_cluster *cluster = sim_with_machines(2);
-    cluster->run_time_s = 200;
-    struct ow_submission *low = sim_job("run-9", 32, 1);
-    low->rank = OW_RANK_LOW;
-    sim_submit(cluster, 0, low);
-    sim_run(cluster, 8);
-    assert_int_equal(sim_count_running(cluster, "run-9"), 32);
-    struct ow_submission *service = sim_service("run-1", 3, 1);
-    sim_submit(cluster, 0, service);
-    sim_run(cluster, 5);
-    assert_int_equal(sim_count_running(cluster, "run-1"), 3);
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 static void test_services_respect_spread_and_team_limits(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_provisionable_machines(2, 4);
+    struct sim_cluster *cluster = *state;
     sim_add_machine(cluster, "w-0", "big", "west", false);
     sim_run(cluster, 4);
     struct ow_submission *service = sim_service("run-1", 4, 1);
@@ -106,14 +114,13 @@
     assert_int_equal(sim_response(cluster, large_request)->status, 422);
     assert_int_equal(sim_count_running(cluster, "run-1"), 4);
     assert_int_equal(sim_count_running_on(sim_machine(cluster, "w-0"), "run-1"), 2);
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 /* Across leader changes replicas keep running, none twice. */
 static void test_services_survive_leader_changes(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_service(4, 3);
+    struct sim_cluster *cluster = *state;
     for (int i = 0; i < 4; i++) {
         int old = sim_leader(cluster);
         sim_kill_controller(cluster, old);
@@ -123,15 +130,14 @@
         assert_int_equal(sim_count_running(cluster, "run-1"), 3);
     }
     assert_int_equal(sim_count_launches(cluster), 3);
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 /* Only commands to the machines' own addresses are delayed; responses to heartbeats arrive. No machine is
  * deleted, and new replicas start by the responses. */
 static void test_delayed_direct_commands_delete_no_machine(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_service(4, 3);
+    struct sim_cluster *cluster = *state;
     cluster->run_time_s = 200;
     sim_submit(cluster, 0, sim_job("run-9", 4, 12));
     sim_run(cluster, 6);
@@ -144,69 +150,7 @@
     assert_int_equal(sim_count_running(cluster, "run-2"), 2);
     cluster->delay_direct_commands = false;
     sim_run(cluster, 10);
-    sim_finish(cluster);
-}
-
-/* A service never completes: its age must not count as waiting time. */
-static void test_old_service_is_preempted_by_more_urgent_work(void **state)
-{
-    (void)state;
-    struct sim_cluster *cluster = sim_with_provisionable_machines(1, 4);
-    cluster->provisionable_machines = 0;
-    struct ow_submission *low = sim_service("run-1", 1, 16);
-    low->rank = OW_RANK_LOW;
-    sim_submit(cluster, 0, low);
-    sim_run(cluster, 230);
-    struct sim_machine *machine = sim_machine(cluster, "m-0");
-    machine->fails_tasks = true;
-    g_array_index(machine->tasks, struct sim_task, 0).next_phase_at = cluster->now;
-    sim_run(cluster, 2);
-    machine->fails_tasks = false;
-    assert_true(sim_run_until(cluster, 90, sim_job_is_running, "run-1"));
-    sim_start_job(cluster, sim_service("run-2", 1, 16));
-    sim_finish(cluster);
-}
-
-/* Replicas that must stay in one zone preempt work of lower rank too, all of it in that zone. */
-static void test_preemption_frees_capacity_in_one_zone(void **state)
-{
-    (void)state;
-    struct sim_cluster *cluster = sim_with_provisionable_machines(2, 4);
-    cluster->provisionable_machines = 0;
-    cluster->run_time_s = 200;
-    sim_add_machine(cluster, "w-0", "big", "west", false);
-    struct ow_submission *low = sim_job("run-9", 48, 1);
-    low->rank = OW_RANK_LOW;
-    sim_submit(cluster, 0, low);
-    sim_run(cluster, 8);
-    struct ow_submission *service = sim_service("run-1", 2, 16);
-    service->one_zone = true;
-    sim_submit(cluster, 0, service);
-    sim_run(cluster, 6);
-    assert_int_equal(sim_count_running(cluster, "run-1"), 2);
-    assert_int_equal(sim_count_running_on(sim_machine(cluster, "w-0"), "run-9"), 16);
-    sim_finish(cluster);
-}
-
-/* Only half of the replicas may run in one zone: no more than their share is preempted there. */
-static void test_preemption_respects_the_spread_limit(void **state)
-{
-    (void)state;
-    struct sim_cluster *cluster = sim_with_provisionable_machines(4, 4);
-    cluster->provisionable_machines = 0;
-    cluster->run_time_s = 200;
-    sim_add_group(cluster, "w", 4, "west", false);
-    struct ow_submission *low = sim_job("run-9", 128, 1);
-    low->rank = OW_RANK_LOW;
-    sim_submit(cluster, 0, low);
-    sim_run(cluster, 8);
-    struct ow_submission *service = sim_service("run-1", 4, 16);
-    service->spread = true;
-    sim_submit(cluster, 0, service);
-    sim_run(cluster, 8);
-    assert_int_equal(sim_count_running(cluster, "run-1"), 4);
-    assert_int_equal(sim_count_launches(cluster), 128 + 4);
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 /* Every task on the machine reaches the end of its phase now. */
@@ -246,8 +190,7 @@
 /* A faulty job fails on every machine; while it is paused, polls answer the reason. */
 static void test_poll_of_a_paused_service_answers_the_reason(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_provisionable_machines(4, 4);
+    struct sim_cluster *cluster = *state;
     cluster->provisionable_machines = 0;
     for (guint i = 0; i < 4; i++)
         sim_machine_at(cluster, i)->fails_tasks = true;
@@ -261,25 +204,28 @@
     }
     assert_true(was_answered);
     assert_int_not_equal(sim_job_state(cluster, "run-1"), OW_JOB_DONE);
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_replicas_run_on_separate_machines_and_never_complete),
+        cmocka_unit_test_setup_teardown(test_replicas_run_on_separate_machines_and_never_complete,
+                                        setup_three_replicas_on_three_machines, sim_teardown),
         cmocka_unit_test(test_exited_replica_restarts_on_another_machine),
-        cmocka_unit_test(test_replicas_of_a_dead_machine_restart_before_its_lease_expires),
-        cmocka_unit_test(test_replicas_behind_a_partition_keep_running),
-        cmocka_unit_test(test_service_preempts_lower_rank),
-        cmocka_unit_test(test_services_respect_spread_and_team_limits),
-        cmocka_unit_test(test_services_survive_leader_changes),
-        cmocka_unit_test(test_delayed_direct_commands_delete_no_machine),
-        cmocka_unit_test(test_old_service_is_preempted_by_more_urgent_work),
-        cmocka_unit_test(test_preemption_frees_capacity_in_one_zone),
-        cmocka_unit_test(test_preemption_respects_the_spread_limit),
+        cmocka_unit_test_setup_teardown(test_replicas_of_a_dead_machine_restart_before_its_lease_expires,
+                                        setup_three_replicas_on_four_machines, sim_teardown),
+        cmocka_unit_test_setup_teardown(test_replicas_behind_a_partition_keep_running,
+                                        setup_six_replicas_on_eight_machines, sim_teardown),
+        cmocka_unit_test_setup_teardown(test_services_respect_spread_and_team_limits,
+                                        setup_two_machines_and_four_provisionable, sim_teardown),
+        cmocka_unit_test_setup_teardown(test_services_survive_leader_changes,
+                                        setup_three_replicas_on_four_machines, sim_teardown),
+        cmocka_unit_test_setup_teardown(test_delayed_direct_commands_delete_no_machine,
+                                        setup_three_replicas_on_four_machines, sim_teardown),
         cmocka_unit_test(test_failures_of_a_healthy_service_do_not_accumulate),
-        cmocka_unit_test(test_poll_of_a_paused_service_answers_the_reason),
+        cmocka_unit_test_setup_teardown(test_poll_of_a_paused_service_answers_the_reason,
+                                        setup_four_machines_and_four_provisionable, sim_teardown),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/cluster/test_shard_jobs.c
+++ b/tests/cluster/test_shard_jobs.c
@@ -7,10 +7,21 @@
 
 enum { EAST, WEST };
 
+static int setup_two_shards_of_two_machines(void **state)
+{
+    *state = sim_with_shards(2);
+    return 0;
+}
+
+static int setup_two_shards_of_one_machine(void **state)
+{
+    *state = sim_with_shards(1);
+    return 0;
+}
+
 static void test_any_controller_answers_about_any_job(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_shards(2);
+    struct sim_cluster *cluster = *state;
     cluster->run_time_s = 100;
     sim_submit_accepted(cluster, 0, sim_job_in_zone("run-1", "east", 1));
     sim_submit_accepted(cluster, 1, sim_job_in_zone("run-2", "west", 1));
@@ -25,14 +36,13 @@
     }
     assert_string_equal(sim_find_machine_of_job(cluster, "run-1")->zone, "east");
     assert_string_equal(sim_find_machine_of_job(cluster, "run-2")->zone, "west");
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 /* The same id goes to different shards at the same moment: one of them gets it. */
 static void test_job_submitted_twice_is_in_one_shard(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_shards(2);
+    struct sim_cluster *cluster = *state;
     cluster->run_time_s = 100;
     uint64_t first = sim_submit(cluster, 0, sim_job_in_zone("run-1", "east", 1));
     uint64_t second = sim_submit(cluster, 1, sim_job_in_zone("run-1", "west", 1));
@@ -43,14 +53,13 @@
     unsigned records = (sim_read_value(cluster, "shard/east/j/run-1") != NULL ? 1 : 0) +
                        (sim_read_value(cluster, "shard/west/j/run-1") != NULL ? 1 : 0);
     assert_int_equal(records, 1);
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 /* Repeats are known by their id alone, also where they would now go to another shard or could not run. */
 static void test_retries_reach_the_shard_that_has_the_job(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_shards(2);
+    struct sim_cluster *cluster = *state;
     cluster->run_time_s = 100;
     sim_submit_accepted(cluster, 0, sim_job_in_zone("run-1", "east", 1));
     for (int i = 0; i < SIM_CONTROLLERS; i++) {
@@ -64,15 +73,14 @@
         assert_int_equal(sim_status(cluster, malformed), 200);
     }
     assert_int_equal(sim_count_running(cluster, "run-1"), 1);
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 /* A controller that has not read of the job yet refuses its repeat for what it says: other shards are asked
  * first. */
 static void test_retry_of_a_job_not_read_yet_is_not_refused(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_shards(2);
+    struct sim_cluster *cluster = *state;
     uint64_t accepted = sim_submit(cluster, 0, sim_job_in_zone("run-1", "east", 1));
     sim_run(cluster, 0.1);
     uint64_t repeat = sim_submit(cluster, 1, sim_job("run-1", 1, 1e6));
@@ -81,25 +89,23 @@
     assert_int_equal(sim_status(cluster, accepted), 201);
     assert_int_equal(sim_status(cluster, repeat), 200);
     assert_int_equal(sim_status(cluster, malformed), 200);
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 static void test_impossible_jobs_are_refused(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_shards(2);
+    struct sim_cluster *cluster = *state;
     uint64_t too_large = sim_submit(cluster, 0, sim_job("run-1", 1, 1e6));
     uint64_t malformed = sim_submit_malformed(cluster, 1, "run-2");
     sim_run(cluster, 3);
     assert_int_equal(sim_status(cluster, too_large), 422);
     assert_int_equal(sim_status(cluster, malformed), 400);
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 static void test_cancellation_reaches_the_shard_that_has_the_job(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_shards(2);
+    struct sim_cluster *cluster = *state;
     cluster->run_time_s = 100;
     sim_submit_accepted(cluster, 0, sim_job_in_zone("run-1", "west", 2));
     int elsewhere = sim_shard_leader(cluster, EAST);
@@ -110,14 +116,13 @@
     assert_int_equal(sim_response(cluster, request)->state, OW_JOB_CANCELLED);
     assert_int_equal(sim_status(cluster, nobody), 404);
     assert_int_equal(sim_count_running(cluster, "run-1"), 0);
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 /* Without a zone a job goes where less work waits. */
 static void test_new_jobs_go_where_less_waits(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_shards(1);
+    struct sim_cluster *cluster = *state;
     cluster->run_time_s = 200;
     sim_submit_accepted(cluster, 0, sim_job_in_zone("run-1", "east", 60));
     for (int i = 2; i <= 4; i++) {
@@ -126,14 +131,13 @@
         sim_submit_accepted(cluster, i % SIM_CONTROLLERS, sim_job(id, 1, 1));
         assert_int_equal(sim_count_running_in_zone(cluster, id, "west"), 1);
     }
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 /* The limit of a team is divided: both shards together stay within it. */
 static void test_team_limit_holds_across_shards(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_shards(2);
+    struct sim_cluster *cluster = *state;
     cluster->run_time_s = 100;
     for (int i = 0; i < 2; i++) {
         struct ow_submission *job = sim_job_in_zone(i == 0 ? "run-1" : "run-2", i == 0 ? "east" : "west", 8);
@@ -144,7 +148,7 @@
     /* 8 CPUs at most, half of them in each shard. */
     assert_int_equal(sim_count_running(cluster, "run-1"), 4);
     assert_int_equal(sim_count_running(cluster, "run-2"), 4);
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 static bool shows_reason(struct sim_cluster *cluster, const char *id, const char *text)
@@ -163,8 +167,7 @@
 
 static void test_poll_during_a_handover_answers_the_reason(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_shards(1);
+    struct sim_cluster *cluster = *state;
     cluster->run_time_s = 200;
     sim_run(cluster, 20);
     sim_submit_accepted(cluster, 0, sim_job_in_zone("run-1", "east", 60));
@@ -174,21 +177,30 @@
     for (int i = 0; i < 20 && !told; i++)
         told = shows_reason(cluster, "run-2", "handover of shard east");
     assert_true(told);
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_any_controller_answers_about_any_job),
-        cmocka_unit_test(test_job_submitted_twice_is_in_one_shard),
-        cmocka_unit_test(test_retries_reach_the_shard_that_has_the_job),
-        cmocka_unit_test(test_retry_of_a_job_not_read_yet_is_not_refused),
-        cmocka_unit_test(test_impossible_jobs_are_refused),
-        cmocka_unit_test(test_cancellation_reaches_the_shard_that_has_the_job),
-        cmocka_unit_test(test_new_jobs_go_where_less_waits),
-        cmocka_unit_test(test_team_limit_holds_across_shards),
-        cmocka_unit_test(test_poll_during_a_handover_answers_the_reason),
+        cmocka_unit_test_setup_teardown(test_any_controller_answers_about_any_job,
+                                        setup_two_shards_of_two_machines, sim_teardown),
+        cmocka_unit_test_setup_teardown(test_job_submitted_twice_is_in_one_shard,
+                                        setup_two_shards_of_two_machines, sim_teardown),
+        cmocka_unit_test_setup_teardown(test_retries_reach_the_shard_that_has_the_job,
+                                        setup_two_shards_of_two_machines, sim_teardown),
+        cmocka_unit_test_setup_teardown(test_retry_of_a_job_not_read_yet_is_not_refused,
+                                        setup_two_shards_of_two_machines, sim_teardown),
+        cmocka_unit_test_setup_teardown(test_impossible_jobs_are_refused, setup_two_shards_of_two_machines,
+                                        sim_teardown),
+        cmocka_unit_test_setup_teardown(test_cancellation_reaches_the_shard_that_has_the_job,
+                                        setup_two_shards_of_two_machines, sim_teardown),
+        cmocka_unit_test_setup_teardown(test_new_jobs_go_where_less_waits, setup_two_shards_of_one_machine,
+                                        sim_teardown),
+        cmocka_unit_test_setup_teardown(test_team_limit_holds_across_shards, setup_two_shards_of_two_machines,
+                                        sim_teardown),
+        cmocka_unit_test_setup_teardown(test_poll_during_a_handover_answers_the_reason,
+                                        setup_two_shards_of_one_machine, sim_teardown),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/cluster/test_shard_settings.c
+++ b/tests/cluster/test_shard_settings.c
@@ -8,10 +8,21 @@
 
 enum { EAST, WEST, SHARDS };
 
+static int setup_two_shards_of_one_machine(void **state)
+{
+    *state = sim_with_shards(1);
+    return 0;
+}
+
+static int setup_two_shards_of_no_machines(void **state)
+{
+    *state = sim_with_shards(0);
+    return 0;
+}
+
 static void test_controller_with_other_settings_leads_nothing(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_shards(1);
+    struct sim_cluster *cluster = *state;
     sim_kill_controllers(cluster);
     ((struct ow_shard_settings *)g_ptr_array_index(cluster->sharding->shards, EAST))->share = 0.4;
     sim_start_controller(cluster, 0);
@@ -21,7 +32,7 @@
     assert_non_null(difference);
     assert_non_null(
         strstr(difference, "shard east: share of team open: \"0.4\" here, \"0.5\" in the stored map"));
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 /* The records of a fleet in use would be lost from sight. */
@@ -47,8 +58,7 @@
 /* A controller that does not know of shards must not lead the machines of a sharded fleet. */
 static void test_unsharded_controller_leads_nothing_of_a_sharded_fleet(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_shards(1);
+    struct sim_cluster *cluster = *state;
     struct ow_sharding_settings *sharding = g_steal_pointer(&cluster->sharding);
     sim_kill_controller(cluster, 0);
     sim_start_controller(cluster, 0);
@@ -56,7 +66,7 @@
     assert_int_equal(sim_fencing_token(cluster, 0), 0);
     sim_kill_controllers(cluster);
     cluster->sharding = sharding;
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 static void test_machines_belong_to_one_shard(void **state)
@@ -85,8 +95,7 @@
  */
 static void test_limits_of_shards_never_exceed_the_whole(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_shards(0);
+    struct sim_cluster *cluster = *state;
     const struct ow_settings *whole = &cluster->settings[0];
     ((struct ow_shard_settings *)g_ptr_array_index(cluster->sharding->shards, EAST))->share = 1;
     ((struct ow_shard_settings *)g_ptr_array_index(cluster->sharding->shards, WEST))->share = 0;
@@ -108,17 +117,20 @@
     assert_true(store_rps <= whole->store_rps && write_rps <= whole->store_write_rps);
     assert_true(cloud_rps <= whole->cloud_rps);
     assert_true(limit <= 8.001);
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_controller_with_other_settings_leads_nothing),
+        cmocka_unit_test_setup_teardown(test_controller_with_other_settings_leads_nothing,
+                                        setup_two_shards_of_one_machine, sim_teardown),
         cmocka_unit_test(test_fleet_in_use_is_not_sharded),
-        cmocka_unit_test(test_unsharded_controller_leads_nothing_of_a_sharded_fleet),
+        cmocka_unit_test_setup_teardown(test_unsharded_controller_leads_nothing_of_a_sharded_fleet,
+                                        setup_two_shards_of_one_machine, sim_teardown),
         cmocka_unit_test(test_machines_belong_to_one_shard),
-        cmocka_unit_test(test_limits_of_shards_never_exceed_the_whole),
+        cmocka_unit_test_setup_teardown(test_limits_of_shards_never_exceed_the_whole,
+                                        setup_two_shards_of_no_machines, sim_teardown),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/cluster/test_shards.c
+++ b/tests/cluster/test_shards.c
@@ -32,10 +32,21 @@
 
 /* ---- who leads ---- */
 
+static int setup_two_shards_of_two_machines(void **state)
+{
+    *state = sim_with_shards(2);
+    return 0;
+}
+
+static int setup_two_shards_of_one_machine(void **state)
+{
+    *state = sim_with_shards(1);
+    return 0;
+}
+
 static void test_shards_are_led_by_different_controllers(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_shards(2);
+    struct sim_cluster *cluster = *state;
     assert_int_equal(count_leaders(cluster, EAST), 1);
     assert_int_equal(count_leaders(cluster, WEST), 1);
     assert_int_not_equal(sim_shard_leader(cluster, EAST), sim_shard_leader(cluster, WEST));
@@ -43,13 +54,12 @@
     /* Each machine has seen the fencing token of its own shard. */
     assert_int_equal(sim_machine(cluster, "east-0")->fencing_token, shard_fencing_token(cluster, EAST));
     assert_int_equal(sim_machine(cluster, "west-1")->fencing_token, shard_fencing_token(cluster, WEST));
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 static void test_restarted_controller_does_not_regain_its_shard(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_shards(2);
+    struct sim_cluster *cluster = *state;
     cluster->run_time_s = 60;
     int old = sim_shard_leader(cluster, EAST);
     uint64_t fencing_token = shard_fencing_token(cluster, EAST);
@@ -69,14 +79,13 @@
     sim_run(cluster, 20);
     assert_int_equal(sim_shard_leader(cluster, EAST), successor);
     assert_int_equal(shard_fencing_token(cluster, EAST), fencing_token);
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 /* A lost link is no evidence: before the lease has ended nobody is replaced. */
 static void test_lost_link_moves_nothing(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_shards(1);
+    struct sim_cluster *cluster = *state;
     sim_run(cluster, 10);
     int old = sim_shard_leader(cluster, EAST);
     uint64_t fencing_token = shard_fencing_token(cluster, EAST);
@@ -88,7 +97,7 @@
     const struct ow_member *member =
         g_ptr_array_index(ow_shard_manager_members(cluster->controllers[other]), 0);
     assert_int_equal(member->state, OW_MEMBER_SUSPECTED);
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 /* The same for a fleet of the default shard alone, whose records and messages are those of a fleet without
@@ -123,8 +132,7 @@
 /* The key-value store fails for all: nobody is condemned, and tasks run on. */
 static void test_store_outage_changes_no_leader(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_shards(2);
+    struct sim_cluster *cluster = *state;
     cluster->run_time_s = 200;
     sim_submit_accepted(cluster, 0, sim_job_in_zone("run-1", "east", 2));
     uint64_t fencing_token = shard_fencing_token(cluster, EAST);
@@ -134,15 +142,14 @@
     sim_run(cluster, 10);
     assert_int_equal(shard_fencing_token(cluster, EAST), fencing_token);
     assert_int_equal(sim_count_running(cluster, "run-1"), 2);
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 /* ---- a frozen controller ---- */
 
 static void test_frozen_leader_never_shares_its_machines(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_shards(2);
+    struct sim_cluster *cluster = *state;
     int old = sim_shard_leader(cluster, EAST);
     uint64_t fencing_token = shard_fencing_token(cluster, EAST);
     sim_submit_accepted(cluster, (old + 1) % SIM_CONTROLLERS, sim_job_in_zone("run-1", "east", 3));
@@ -160,7 +167,7 @@
     assert_int_equal(count_leaders(cluster, EAST), 1);
     assert_int_equal(shard_fencing_token(cluster, EAST), successor_fencing_token);
     assert_int_equal(sim_machine(cluster, "east-0")->fencing_token, successor_fencing_token);
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 /* Workers of a leader that stands still turn to its successor only when they have waited for its answer. With
@@ -199,8 +206,7 @@
    nothing before the key-value store has answered, and then learns that its lease is over. */
 static void test_resumed_leader_sends_nothing_before_its_lease_is_proven(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_shards(2);
+    struct sim_cluster *cluster = *state;
     cluster->run_time_s = 100;
     int old = sim_shard_leader(cluster, EAST);
     sim_submit_accepted(cluster, old, sim_job_in_zone("run-1", "east", 2));
@@ -222,20 +228,26 @@
     cluster->store_latency_s = 0;
     sim_run(cluster, 20);
     assert_int_equal(count_leaders(cluster, EAST), 1);
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_shards_are_led_by_different_controllers),
-        cmocka_unit_test(test_restarted_controller_does_not_regain_its_shard),
-        cmocka_unit_test(test_lost_link_moves_nothing),
+        cmocka_unit_test_setup_teardown(test_shards_are_led_by_different_controllers,
+                                        setup_two_shards_of_two_machines, sim_teardown),
+        cmocka_unit_test_setup_teardown(test_restarted_controller_does_not_regain_its_shard,
+                                        setup_two_shards_of_two_machines, sim_teardown),
+        cmocka_unit_test_setup_teardown(test_lost_link_moves_nothing, setup_two_shards_of_one_machine,
+                                        sim_teardown),
         cmocka_unit_test(test_default_shard_keeps_keys_and_leader),
-        cmocka_unit_test(test_store_outage_changes_no_leader),
-        cmocka_unit_test(test_frozen_leader_never_shares_its_machines),
+        cmocka_unit_test_setup_teardown(test_store_outage_changes_no_leader, setup_two_shards_of_two_machines,
+                                        sim_teardown),
+        cmocka_unit_test_setup_teardown(test_frozen_leader_never_shares_its_machines,
+                                        setup_two_shards_of_two_machines, sim_teardown),
         cmocka_unit_test(test_successor_waits_for_workers_of_a_frozen_leader),
-        cmocka_unit_test(test_resumed_leader_sends_nothing_before_its_lease_is_proven),
+        cmocka_unit_test_setup_teardown(test_resumed_leader_sends_nothing_before_its_lease_is_proven,
+                                        setup_two_shards_of_two_machines, sim_teardown),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/cluster/test_starvation.c
+++ b/tests/cluster/test_starvation.c
@@ -74,55 +74,69 @@
     return cluster;
 }
 
+static int setup_staggered_gangs(void **state)
+{
+    *state = sim_with_staggered_gangs();
+    return 0;
+}
+
+static int setup_one_controller_and_four_machines(void **state)
+{
+    *state = sim_with_one_controller_and_machines(4);
+    return 0;
+}
+
+static int setup_one_controller_and_two_machines(void **state)
+{
+    *state = sim_with_one_controller_and_machines(2);
+    return 0;
+}
+
 /* No starvation: a gang that needs the whole zone, among small ones that always fit before it. */
 static void test_largest_gang_starts_under_load(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_staggered_gangs();
+    struct sim_cluster *cluster = *state;
     sim_submit(cluster, 0, numbered(1, 4, 16, true, OW_RANK_URGENT));
     assert_true(starts_under_load(cluster, "run-1", 2.4, small_gang));
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 /* There is capacity for all within the SLO, but small gangs that fit would pass the large one for as
  * long as they come. */
 static void test_largest_gang_starts_within_its_objective(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_staggered_gangs();
+    struct sim_cluster *cluster = *state;
     static char class_name[] = "class";
     struct ow_slo start = {.kind = OW_SLO_WAIT, .class_name = class_name, .within_s = 80, .share = 1};
     g_array_append_val(cluster->settings[0].slos, start);
     sim_submit(cluster, 0, numbered(1, 4, 16, true, OW_RANK_URGENT));
     assert_true(starts_within(cluster, "run-1", 80, 2.6, small_gang, 100));
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 /* Under a load that starves all of them: the reservation of one does not pass to the next. */
 static void test_largest_gang_starts_among_starved_gangs(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_staggered_gangs();
+    struct sim_cluster *cluster = *state;
     for (int n = 56; n < 90; n++)
         sim_submit(cluster, 0, small_gang(n));
     sim_run(cluster, 1);
     sim_submit(cluster, 0, numbered(1, 4, 16, true, OW_RANK_URGENT));
     assert_true(starts_under_load(cluster, "run-1", 1, small_gang));
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 /* Starved jobs take at most every other slot, so that a new job still starts. */
 static void test_new_gang_starts_among_starved_gangs(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_one_controller_and_machines(4);
+    struct sim_cluster *cluster = *state;
     cluster->run_time_s = 10;
     for (int n = 100; n < 220; n++)
         sim_submit(cluster, 0, small_gang(n));
     sim_run(cluster, 165);
     sim_submit(cluster, 0, small_gang(1));
     assert_true(sim_run_until(cluster, 30, sim_job_is_running, "run-1"));
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 /* A large array is delayed by its size, but completes. */
@@ -152,8 +166,7 @@
 /* Only jobs of low rank without an SLO wait for cheap machines. */
 static void test_only_low_rank_without_slo_waits_for_cheap_machines(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_one_controller_and_machines(2);
+    struct sim_cluster *cluster = *state;
     static char another[] = "another";
     struct ow_slo slo = {.kind = OW_SLO_WAIT, .class_name = another, .within_s = 30, .share = 1};
     g_array_append_val(cluster->settings[0].slos, slo);
@@ -172,7 +185,7 @@
         sim_start_controller(cluster, 0);
     }
     assert_true(sim_run_until(cluster, 20, sim_job_is_running, "run-1"));
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 /* A waiting job keeps its age when every controller restarts, twice. */
@@ -193,13 +206,18 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_largest_gang_starts_under_load),
-        cmocka_unit_test(test_largest_gang_starts_within_its_objective),
-        cmocka_unit_test(test_largest_gang_starts_among_starved_gangs),
-        cmocka_unit_test(test_new_gang_starts_among_starved_gangs),
+        cmocka_unit_test_setup_teardown(test_largest_gang_starts_under_load, setup_staggered_gangs,
+                                        sim_teardown),
+        cmocka_unit_test_setup_teardown(test_largest_gang_starts_within_its_objective, setup_staggered_gangs,
+                                        sim_teardown),
+        cmocka_unit_test_setup_teardown(test_largest_gang_starts_among_starved_gangs, setup_staggered_gangs,
+                                        sim_teardown),
+        cmocka_unit_test_setup_teardown(test_new_gang_starts_among_starved_gangs,
+                                        setup_one_controller_and_four_machines, sim_teardown),
         cmocka_unit_test(test_large_array_completes_under_load),
         cmocka_unit_test(test_lowest_rank_starts_under_load),
-        cmocka_unit_test(test_only_low_rank_without_slo_waits_for_cheap_machines),
+        cmocka_unit_test_setup_teardown(test_only_low_rank_without_slo_waits_for_cheap_machines,
+                                        setup_one_controller_and_two_machines, sim_teardown),
         cmocka_unit_test(test_waiting_time_survives_restarts),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/cluster/test_upgrade.c
+++ b/tests/cluster/test_upgrade.c
@@ -42,6 +42,12 @@
     sim_finish(cluster);
 }
 
+static int setup_old_controllers_and_four_machines(void **state)
+{
+    *state = sim_with_old_controllers(4);
+    return 0;
+}
+
 static void test_job_completes_through_a_rolling_upgrade(void **state)
 {
     (void)state;
@@ -54,8 +60,7 @@
 /* Of two running controllers one is upgraded: it takes over before the other is upgraded. */
 static void test_leadership_moves_to_the_new_version_once(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_old_controllers(4);
+    struct sim_cluster *cluster = *state;
     int old = sim_leader(cluster);
     int first = (old + 1) % SIM_CONTROLLERS;
     int last = (old + 2) % SIM_CONTROLLERS;
@@ -67,14 +72,13 @@
     upgrade_controller(cluster, last, 0.3);
     sim_run(cluster, 8);
     assert_int_equal(sim_leader(cluster), first);
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 /* A controller that restarts with the old version does not change the leader. */
 static void test_old_version_does_not_regain_leadership(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_old_controllers(4);
+    struct sim_cluster *cluster = *state;
     int first = (sim_leader(cluster) + 1) % SIM_CONTROLLERS;
     int other = (first + 1) % SIM_CONTROLLERS;
     upgrade_controller(cluster, first, 0.3);
@@ -86,7 +90,7 @@
         sim_run(cluster, 6);
         assert_int_equal(sim_leader(cluster), first);
     }
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 /* Cancellations confirmed with mixed versions hold under either version's leader. */
@@ -115,8 +119,10 @@
 {
     const struct CMUnitTest tests[] = {
         cmocka_unit_test(test_job_completes_through_a_rolling_upgrade),
-        cmocka_unit_test(test_leadership_moves_to_the_new_version_once),
-        cmocka_unit_test(test_old_version_does_not_regain_leadership),
+        cmocka_unit_test_setup_teardown(test_leadership_moves_to_the_new_version_once,
+                                        setup_old_controllers_and_four_machines, sim_teardown),
+        cmocka_unit_test_setup_teardown(test_old_version_does_not_regain_leadership,
+                                        setup_old_controllers_and_four_machines, sim_teardown),
         cmocka_unit_test(test_cancellation_holds_across_versions),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/cluster/test_upgrade_limits.c
+++ b/tests/cluster/test_upgrade_limits.c
@@ -8,6 +8,18 @@
 
 #include <string.h>
 
+static int setup_old_controllers_and_six_machines(void **state)
+{
+    *state = sim_with_old_controllers(6);
+    return 0;
+}
+
+static int setup_old_controllers_and_four_machines(void **state)
+{
+    *state = sim_with_old_controllers(4);
+    return 0;
+}
+
 /* Records in chunks that are too large are split in steps: none is lost whenever the leader crashes. */
 static void test_interrupted_record_split_loses_nothing(void **state)
 {
@@ -51,8 +63,7 @@
 /* A new leader splits stored values above the announced limit, even if their records don't change. */
 static void test_oversized_values_are_split_after_a_failover(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_old_controllers(6);
+    struct sim_cluster *cluster = *state;
     cluster->run_time_s = 200;
     sim_submit_interleaved(cluster, "run-1", 200);
     assert_true(largest_progress(cluster) > 614);
@@ -66,14 +77,13 @@
     sim_run(cluster, 20);
     assert_true(largest_progress(cluster) <= 614);
     assert_int_equal(sim_count_running(cluster, "run-1"), 100);
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 /* While one controller knows only the first format, no leader writes what it would drop. */
 static void test_format_gate_stays_closed_beside_an_old_controller(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_old_controllers(4);
+    struct sim_cluster *cluster = *state;
     cluster->run_time_s = 20;
     upgrade_controller(cluster, 0, 0.3);
     upgrade_controller(cluster, 1, 0.3);
@@ -87,15 +97,14 @@
     assert_null(sim_read_value(cluster, OW_KEY_FORMAT));
     sim_start_controller(cluster, 2);
     assert_true(sim_run_until(cluster, 60, sim_job_is_done, "run-1"));
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 /* Limits fall before every controller is known to read smaller records: values that can't be split yet
  * wait, and all other writes go on. */
 static void test_oversized_value_delays_no_other_write(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_old_controllers(6);
+    struct sim_cluster *cluster = *state;
     cluster->run_time_s = 60;
     sim_submit_interleaved(cluster, "run-1", 200);
     for (int i = 0; i < SIM_CONTROLLERS; i++)
@@ -120,16 +129,18 @@
     cluster->peers_partitioned = false;
     assert_true(sim_run_until(cluster, 90, sim_job_is_done, "run-1"));
     assert_string_equal(cluster->violations->str, "");
-    sim_free(cluster);
 }
 
 int main(void)
 {
     const struct CMUnitTest tests[] = {
         cmocka_unit_test(test_interrupted_record_split_loses_nothing),
-        cmocka_unit_test(test_oversized_values_are_split_after_a_failover),
-        cmocka_unit_test(test_format_gate_stays_closed_beside_an_old_controller),
-        cmocka_unit_test(test_oversized_value_delays_no_other_write),
+        cmocka_unit_test_setup_teardown(test_oversized_values_are_split_after_a_failover,
+                                        setup_old_controllers_and_six_machines, sim_teardown),
+        cmocka_unit_test_setup_teardown(test_format_gate_stays_closed_beside_an_old_controller,
+                                        setup_old_controllers_and_four_machines, sim_teardown),
+        cmocka_unit_test_setup_teardown(test_oversized_value_delays_no_other_write,
+                                        setup_old_controllers_and_six_machines, sim_teardown),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/cluster/test_user_api.c
+++ b/tests/cluster/test_user_api.c
@@ -5,10 +5,33 @@
 
 #include <string.h>
 
+static int setup_three_controllers_and_one_machine(void **state)
+{
+    *state = sim_with_controllers(3, 1);
+    return 0;
+}
+
+static int setup_one_controller_and_one_machine(void **state)
+{
+    *state = sim_with_controllers(1, 1);
+    return 0;
+}
+
+static int setup_two_controllers_and_one_machine(void **state)
+{
+    *state = sim_with_controllers(2, 1);
+    return 0;
+}
+
+static int setup_one_controller(void **state)
+{
+    *state = sim_with_one_controller();
+    return 0;
+}
+
 static void test_submissions_in_an_outage_are_answered_at_once(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_controllers(3, 1);
+    struct sim_cluster *cluster = *state;
     cluster->store_down = true;
     uint64_t request = sim_submit(cluster, 1, sim_job("run-1", 1, 1));
     sim_run(cluster, 0.3);
@@ -16,13 +39,12 @@
     assert_true(sim_response(cluster, request)->retry_after_s > 0);
     cluster->store_down = false;
     assert_int_equal(sim_job_state(cluster, "run-1"), -404);
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 static void test_retried_submission_is_recognized_by_id(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_controllers(3, 1);
+    struct sim_cluster *cluster = *state;
     uint64_t first = sim_submit(cluster, 0, sim_job("run-1", 1, 1));
     sim_run(cluster, 0.5);
     assert_int_equal(sim_status(cluster, first), 201);
@@ -33,13 +55,12 @@
     uint64_t never = sim_submit(cluster, 1, sim_job("run-2", 1, 1000));
     sim_run(cluster, 0.5);
     assert_int_equal(sim_status(cluster, never), 422);
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 static void test_retry_accepted_by_another_controller_is_not_rejected(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_controllers(3, 1);
+    struct sim_cluster *cluster = *state;
     cluster->silent_watches = true;
     uint64_t first = sim_submit(cluster, 0, sim_job("run-1", 1, 1));
     /* Node 1 has not read the record yet, and the repeated submission can never run. */
@@ -48,14 +69,13 @@
     sim_run(cluster, 0.5);
     assert_int_equal(sim_status(cluster, first), 201);
     assert_int_equal(sim_status(cluster, repeat), 200);
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 /* A malformed repeat is recognized as long as its id can be parsed. */
 static void test_malformed_retry_is_recognized_by_id(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_controllers(3, 1);
+    struct sim_cluster *cluster = *state;
     cluster->silent_watches = true;
     sim_submit(cluster, 0, sim_job("run-1", 1, 1));
     sim_run(cluster, 0.1);
@@ -70,13 +90,12 @@
     sim_run(cluster, 0.5);
     assert_int_equal(sim_status(cluster, repeat), 503);
     assert_int_equal(sim_status(cluster, other), 503);
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 static void test_gang_with_contradictory_placement_is_rejected(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_controllers(1, 1);
+    struct sim_cluster *cluster = *state;
     struct ow_submission *gangs[] = {sim_gang("run-1", 2, 1), sim_gang("run-2", 2, 1),
                                      sim_gang("run-3", 2, 1), sim_gang("run-4", 1, 1)};
     uint64_t asked[4];
@@ -89,13 +108,12 @@
     sim_run(cluster, 0.5);
     for (int i = 0; i < 4; i++)
         assert_int_equal(sim_status(cluster, asked[i]), i < 2 ? 422 : 201);
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 static void test_submission_above_the_team_limit_is_rejected(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_controllers(1, 1);
+    struct sim_cluster *cluster = *state;
     struct ow_submission *gang = sim_job("run-1", 3, 4);
     struct ow_submission *array = sim_job("run-2", 3, 4);
     struct ow_submission *stranger = sim_job("run-3", 1, 1);
@@ -110,13 +128,12 @@
     assert_int_equal(sim_status(cluster, gang_request), 422);
     assert_int_equal(sim_status(cluster, array_request), 201);
     assert_int_equal(sim_status(cluster, stranger_request), 422);
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 static void test_live_job_is_answered_from_a_fresh_read(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_controllers(3, 1);
+    struct sim_cluster *cluster = *state;
     cluster->run_time_s = 100;
     sim_submit(cluster, 0, sim_job("run-1", 1, 1));
     sim_run(cluster, 3);
@@ -140,13 +157,12 @@
     sim_run(cluster, 0.5);
     assert_int_equal(sim_status(cluster, blind), 503);
     assert_int_equal(sim_status(cluster, sure), 200);
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 static void test_done_is_answered_only_after_commit(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_controllers(3, 1);
+    struct sim_cluster *cluster = *state;
     cluster->run_time_s = 2;
     sim_start_job(cluster, sim_job("run-1", 1, 1));
     cluster->delay_txns = true;
@@ -160,13 +176,12 @@
     cluster->delay_txns = false;
     assert_true(sim_run_until(cluster, 10, sim_job_is_done, "run-1"));
     assert_int_equal(sim_job_state(cluster, "run-1"), OW_JOB_DONE);
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 static void test_cancellation_and_completion_are_exclusive(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_controllers(3, 1);
+    struct sim_cluster *cluster = *state;
     cluster->run_time_s = 2;
     sim_start_job(cluster, sim_job("run-1", 1, 1));
     assert_true(sim_run_until(cluster, 10, sim_job_is_not_running, "run-1"));
@@ -176,13 +191,12 @@
     enum ow_job_state announced_state = sim_response(cluster, late)->state;
     assert_true(announced_state == OW_JOB_DONE || announced_state == OW_JOB_CANCELLED);
     assert_int_equal(sim_job_state(cluster, "run-1"), announced_state);
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 static void test_poll_answers_the_waiting_reason(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_controllers(2, 1);
+    struct sim_cluster *cluster = *state;
     cluster->cloud_down = true;
     sim_submit(cluster, 0, sim_job("run-1", 1, 16));
     sim_run(cluster, 2);
@@ -196,14 +210,13 @@
         assert_non_null(answer->reason);
         assert_non_null(strstr(answer->reason, "wait"));
     }
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 /* A new user on an empty fleet is told that machines are provisioned and boot, and can cancel meanwhile. */
 static void test_empty_fleet_tells_why_a_job_waits(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_one_controller();
+    struct sim_cluster *cluster = *state;
     sim_run(cluster, 3);
     sim_submit(cluster, 0, sim_job("run-1", 1, 16));
     sim_run(cluster, 1);
@@ -223,23 +236,34 @@
     request = sim_cancel(cluster, 0, "run-1");
     sim_run(cluster, 2);
     assert_int_equal(sim_response(cluster, request)->state, OW_JOB_CANCELLED);
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_submissions_in_an_outage_are_answered_at_once),
-        cmocka_unit_test(test_retried_submission_is_recognized_by_id),
-        cmocka_unit_test(test_retry_accepted_by_another_controller_is_not_rejected),
-        cmocka_unit_test(test_malformed_retry_is_recognized_by_id),
-        cmocka_unit_test(test_gang_with_contradictory_placement_is_rejected),
-        cmocka_unit_test(test_submission_above_the_team_limit_is_rejected),
-        cmocka_unit_test(test_live_job_is_answered_from_a_fresh_read),
-        cmocka_unit_test(test_done_is_answered_only_after_commit),
-        cmocka_unit_test(test_cancellation_and_completion_are_exclusive),
-        cmocka_unit_test(test_poll_answers_the_waiting_reason),
-        cmocka_unit_test(test_empty_fleet_tells_why_a_job_waits),
+        cmocka_unit_test_setup_teardown(test_submissions_in_an_outage_are_answered_at_once,
+                                        setup_three_controllers_and_one_machine, sim_teardown),
+        cmocka_unit_test_setup_teardown(test_retried_submission_is_recognized_by_id,
+                                        setup_three_controllers_and_one_machine, sim_teardown),
+        cmocka_unit_test_setup_teardown(test_retry_accepted_by_another_controller_is_not_rejected,
+                                        setup_three_controllers_and_one_machine, sim_teardown),
+        cmocka_unit_test_setup_teardown(test_malformed_retry_is_recognized_by_id,
+                                        setup_three_controllers_and_one_machine, sim_teardown),
+        cmocka_unit_test_setup_teardown(test_gang_with_contradictory_placement_is_rejected,
+                                        setup_one_controller_and_one_machine, sim_teardown),
+        cmocka_unit_test_setup_teardown(test_submission_above_the_team_limit_is_rejected,
+                                        setup_one_controller_and_one_machine, sim_teardown),
+        cmocka_unit_test_setup_teardown(test_live_job_is_answered_from_a_fresh_read,
+                                        setup_three_controllers_and_one_machine, sim_teardown),
+        cmocka_unit_test_setup_teardown(test_done_is_answered_only_after_commit,
+                                        setup_three_controllers_and_one_machine, sim_teardown),
+        cmocka_unit_test_setup_teardown(test_cancellation_and_completion_are_exclusive,
+                                        setup_three_controllers_and_one_machine, sim_teardown),
+        cmocka_unit_test_setup_teardown(test_poll_answers_the_waiting_reason,
+                                        setup_two_controllers_and_one_machine, sim_teardown),
+        cmocka_unit_test_setup_teardown(test_empty_fleet_tells_why_a_job_waits, setup_one_controller,
+                                        sim_teardown),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/sim/sim_cluster.c
+++ b/tests/sim/sim_cluster.c
@@ -148,9 +148,20 @@
     return holds(cluster, what);
 }
 
-void sim_finish(struct sim_cluster *cluster)
+void sim_check_safety(const struct sim_cluster *cluster)
 {
     assert_string_equal(cluster->violations->str, "");
     assert_int_equal(cluster->oversized_txns, 0);
+}
+
+void sim_finish(struct sim_cluster *cluster)
+{
+    sim_check_safety(cluster);
     sim_free(cluster);
 }
+
+int sim_teardown(void **state)
+{
+    sim_free(*state);
+    return 0;
+}
--- a/tests/sim/sim_cluster.h
+++ b/tests/sim/sim_cluster.h
@@ -5,7 +5,7 @@
  * that each run of a test is the same.
  *
  * The workers and users check the safety rules of docs/design/safety.md from outside (sim_checks.c); a breach
- * is recorded as a violation, which sim_finish() turns into a failure of the test.
+ * is recorded as a violation, which sim_check_safety() turns into a failure of the test.
  *
  * Tests include this header alone. They bring failures about by the fields of struct sim_cluster and struct
  * sim_machine, or by the functions of sim_controllers.h and sim_machines.h.
@@ -114,9 +114,12 @@
 struct sim_cluster *sim_new(void);
 /** Frees the cluster with all its machines and controllers. */
 void sim_free(struct sim_cluster *cluster);
-/** Ends the test: fails if a safety rule was violated or a transaction was too large, and frees the cluster.
- */
+/** Fails the test if a safety rule was violated or a transaction was too large. */
+void sim_check_safety(const struct sim_cluster *cluster);
+/** The same, and frees the cluster: the end of a part of a test that has several clusters. */
 void sim_finish(struct sim_cluster *cluster);
+/** Teardown of cmocka for tests whose setup made one cluster: frees it, also after a failure. */
+int sim_teardown(void **state);
 /** Runs the cluster for this time. */
 void sim_run(struct sim_cluster *cluster, double seconds);
 /** Runs until the predicate holds of `what`; false if it does not within the time. */
--- a/tests/sockets/socket_bench.c
+++ b/tests/sockets/socket_bench.c
@@ -65,6 +65,21 @@
     g_string_free(bench->body, TRUE);
 }
 
+int socket_bench_setup(void **state)
+{
+    struct socket_bench *bench = g_new0(struct socket_bench, 1);
+    socket_bench_open(bench);
+    *state = bench;
+    return 0;
+}
+
+int socket_bench_teardown(void **state)
+{
+    socket_bench_close(*state);
+    g_free(*state);
+    return 0;
+}
+
 void socket_bench_run_until_reply(struct socket_bench *bench, int replies)
 {
     for (int i = 0; i < 1000 && bench->replies < replies; i++)
--- a/tests/sockets/socket_bench.h
+++ b/tests/sockets/socket_bench.h
@@ -25,6 +25,9 @@
 /* A server that answers every request with its own body, unless it is silent. */
 void socket_bench_open(struct socket_bench *bench);
 void socket_bench_close(struct socket_bench *bench);
+/* Setup and teardown of cmocka: a bench for each test, also closed after a failure. */
+int socket_bench_setup(void **state);
+int socket_bench_teardown(void **state);
 /* Runs the loop until so many requests have ended. */
 void socket_bench_run_until_reply(struct socket_bench *bench, int replies);
 /* Sends a request of which the server holds the answer back. */
--- a/tests/unit/test_membership.c
+++ b/tests/unit/test_membership.c
@@ -27,9 +27,11 @@
     ow_peer_message_free(message);
 }
 
-static void open_bench(struct bench *bench)
+static int setup_bench(void **state)
 {
-    *bench = (struct bench){.sharding = ow_sharding_settings_new(), .now = 100};
+    struct bench *bench = g_new0(struct bench, 1);
+    bench->sharding = ow_sharding_settings_new();
+    bench->now = 100;
     bench->sharding->heartbeat_s = HEARTBEAT_S;
     bench->peers = g_array_new(FALSE, TRUE, sizeof(struct ow_peer_settings));
     for (guint i = 0; i < G_N_ELEMENTS(names); i++) {
@@ -39,15 +41,20 @@
     bench->own_shards = ow_peer_shards_new();
     bench->sent = g_ptr_array_new_with_free_func(free_message);
     bench->membership = ow_membership_new(bench->sharding, "self", bench->peers, SELF_NUMBER, DIGEST);
+    *state = bench;
+    return 0;
 }
 
-static void close_bench(struct bench *bench)
+static int teardown_bench(void **state)
 {
+    struct bench *bench = *state;
     ow_membership_free(bench->membership);
     g_ptr_array_free(bench->sent, TRUE);
     g_array_free(bench->own_shards, TRUE);
     g_array_free(bench->peers, TRUE);
     ow_sharding_settings_free(bench->sharding);
+    g_free(bench);
+    return 0;
 }
 
 static struct ow_peer_message *heartbeat(const char *sender, uint64_t incarnation, uint64_t sequence)
@@ -118,125 +125,113 @@
 
 static void test_silent_controller_is_probed_and_then_suspected(void **state)
 {
-    (void)state;
-    struct bench bench;
-    open_bench(&bench);
-    assert_int_equal(state_of(&bench, "one"), OW_MEMBER_UNKNOWN);
-    run(&bench, 30);
+    struct bench *bench = *state;
+    assert_int_equal(state_of(bench, "one"), OW_MEMBER_UNKNOWN);
+    run(bench, 30);
     for (guint i = 0; i < G_N_ELEMENTS(names); i++)
-        assert_int_equal(state_of(&bench, names[i]), OW_MEMBER_ALIVE);
-    bench.silent[0] = true;
-    run(&bench, 2);
-    assert_int_equal(state_of(&bench, "one"), OW_MEMBER_PROBING);
+        assert_int_equal(state_of(bench, names[i]), OW_MEMBER_ALIVE);
+    bench->silent[0] = true;
+    run(bench, 2);
+    assert_int_equal(state_of(bench, "one"), OW_MEMBER_PROBING);
     /* The two others are asked; nobody answers for them here. */
-    assert_int_equal(count_sent(&bench, OW_PROBE_REQUEST, "one"), 2);
-    run(&bench, bench.sharding->probe_timeout_s + 1);
-    assert_int_equal(state_of(&bench, "one"), OW_MEMBER_SUSPECTED);
-    assert_int_equal(state_of(&bench, "two"), OW_MEMBER_ALIVE);
-    bench.silent[0] = false;
-    run(&bench, 1);
-    assert_int_equal(state_of(&bench, "one"), OW_MEMBER_ALIVE);
-    assert_int_equal(ow_membership_find(bench.membership, "one")->suspicions, 1);
-    close_bench(&bench);
+    assert_int_equal(count_sent(bench, OW_PROBE_REQUEST, "one"), 2);
+    run(bench, bench->sharding->probe_timeout_s + 1);
+    assert_int_equal(state_of(bench, "one"), OW_MEMBER_SUSPECTED);
+    assert_int_equal(state_of(bench, "two"), OW_MEMBER_ALIVE);
+    bench->silent[0] = false;
+    run(bench, 1);
+    assert_int_equal(state_of(bench, "one"), OW_MEMBER_ALIVE);
+    assert_int_equal(ow_membership_find(bench->membership, "one")->suspicions, 1);
 }
 
 /* Only our link to it is broken: that is no reason to suspect it. */
 static void test_controller_that_others_reach_is_not_suspected(void **state)
 {
-    (void)state;
-    struct bench bench;
-    open_bench(&bench);
-    run(&bench, 30);
-    bench.silent[0] = true;
+    struct bench *bench = *state;
+    run(bench, 30);
+    bench->silent[0] = true;
     for (int i = 0; i < 60; i++) {
-        run(&bench, HEARTBEAT_S);
-        uint64_t number = ow_membership_find(bench.membership, "one")->probe_number;
-        receive(&bench, probe(OW_PROBE_RELAYED, "two", "self", "two", "one", number));
-        assert_int_not_equal(state_of(&bench, "one"), OW_MEMBER_SUSPECTED);
+        run(bench, HEARTBEAT_S);
+        uint64_t number = ow_membership_find(bench->membership, "one")->probe_number;
+        receive(bench, probe(OW_PROBE_RELAYED, "two", "self", "two", "one", number));
+        assert_int_not_equal(state_of(bench, "one"), OW_MEMBER_SUSPECTED);
     }
-    assert_true(ow_member_is_live(ow_membership_find(bench.membership, "one")));
+    assert_true(ow_member_is_live(ow_membership_find(bench->membership, "one")));
     /* An answer to an earlier probe proves nothing of now. */
-    run(&bench, 10);
-    assert_int_equal(state_of(&bench, "one"), OW_MEMBER_SUSPECTED);
-    uint64_t old = ow_membership_find(bench.membership, "one")->probe_number - 1;
-    receive(&bench, probe(OW_PROBE_RELAYED, "two", "self", "two", "one", old));
-    assert_int_equal(state_of(&bench, "one"), OW_MEMBER_SUSPECTED);
-    close_bench(&bench);
+    run(bench, 10);
+    assert_int_equal(state_of(bench, "one"), OW_MEMBER_SUSPECTED);
+    uint64_t old = ow_membership_find(bench->membership, "one")->probe_number - 1;
+    receive(bench, probe(OW_PROBE_RELAYED, "two", "self", "two", "one", old));
+    assert_int_equal(state_of(bench, "one"), OW_MEMBER_SUSPECTED);
 }
 
 static void test_probe_requests_are_relayed(void **state)
 {
-    (void)state;
-    struct bench bench;
-    open_bench(&bench);
-    run(&bench, 5);
-    receive(&bench, probe(OW_PROBE_REQUEST, "one", "one", "self", "two", 4));
-    assert_int_equal(count_sent(&bench, OW_PROBE_PING, "two"), 1);
-    const struct ow_peer_message *ping = g_ptr_array_index(bench.sent, bench.sent->len - 1);
+    struct bench *bench = *state;
+    run(bench, 5);
+    receive(bench, probe(OW_PROBE_REQUEST, "one", "one", "self", "two", 4));
+    assert_int_equal(count_sent(bench, OW_PROBE_PING, "two"), 1);
+    const struct ow_peer_message *ping = g_ptr_array_index(bench->sent, bench->sent->len - 1);
     assert_string_equal(ping->addressee, "two");
-    receive(&bench, probe(OW_PROBE_ACK, "two", "one", "self", "two", 4));
-    const struct ow_peer_message *relayed = g_ptr_array_index(bench.sent, bench.sent->len - 1);
+    receive(bench, probe(OW_PROBE_ACK, "two", "one", "self", "two", 4));
+    const struct ow_peer_message *relayed = g_ptr_array_index(bench->sent, bench->sent->len - 1);
     assert_int_equal(relayed->probe.step, OW_PROBE_RELAYED);
     assert_string_equal(relayed->addressee, "one");
-    receive(&bench, probe(OW_PROBE_PING, "three", "one", "three", "self", 4));
-    const struct ow_peer_message *ack = g_ptr_array_index(bench.sent, bench.sent->len - 1);
+    receive(bench, probe(OW_PROBE_PING, "three", "one", "three", "self", 4));
+    const struct ow_peer_message *ack = g_ptr_array_index(bench->sent, bench->sent->len - 1);
     assert_int_equal(ack->probe.step, OW_PROBE_ACK);
     assert_string_equal(ack->addressee, "three");
-    close_bench(&bench);
 }
 
 /* A process that stood still has heard nobody, and must not hold that against them. */
 static void test_own_pause_suspects_no_controller(void **state)
 {
-    (void)state;
-    struct bench bench;
-    open_bench(&bench);
-    run(&bench, 30);
-    bench.now += 60;
-    tick(&bench);
+    struct bench *bench = *state;
+    run(bench, 30);
+    bench->now += 60;
+    tick(bench);
     for (guint i = 0; i < G_N_ELEMENTS(names); i++)
-        assert_int_equal(state_of(&bench, names[i]), OW_MEMBER_ALIVE);
-    run(&bench, 3);
+        assert_int_equal(state_of(bench, names[i]), OW_MEMBER_ALIVE);
+    run(bench, 3);
     for (guint i = 0; i < G_N_ELEMENTS(names); i++) {
-        assert_int_equal(state_of(&bench, names[i]), OW_MEMBER_ALIVE);
-        assert_int_equal(ow_membership_find(bench.membership, names[i])->suspicions, 0);
+        assert_int_equal(state_of(bench, names[i]), OW_MEMBER_ALIVE);
+        assert_int_equal(ow_membership_find(bench->membership, names[i])->suspicions, 0);
     }
-    close_bench(&bench);
 }
 
 static void test_invalid_and_stale_messages_are_dropped(void **state)
 {
-    (void)state;
-    struct bench bench;
-    open_bench(&bench);
-    run(&bench, 5);
-    unsigned before = ow_membership_dropped_count(bench.membership);
-    uint64_t last = bench.sequence;
-    receive(&bench, heartbeat("stranger", 1, 1));
-    receive(&bench, heartbeat(NULL, 1, 1));
-    receive(&bench, heartbeat("one", 1, last));     /* a repeat */
-    receive(&bench, heartbeat("one", 1, last - 3)); /* older */
-    receive(&bench, heartbeat("one", 0, last + 5)); /* of no process */
-    receive(&bench, probe(OW_PROBE_STEPS, "one", "one", "self", "two", 4));
-    receive(&bench, probe(OW_PROBE_PING, "one", "one", "two", "three", 4));
-    assert_int_equal(ow_membership_dropped_count(bench.membership), before + 7);
+    struct bench *bench = *state;
+    run(bench, 5);
+    unsigned before = ow_membership_dropped_count(bench->membership);
+    uint64_t last = bench->sequence;
+    receive(bench, heartbeat("stranger", 1, 1));
+    receive(bench, heartbeat(NULL, 1, 1));
+    receive(bench, heartbeat("one", 1, last));     /* a repeat */
+    receive(bench, heartbeat("one", 1, last - 3)); /* older */
+    receive(bench, heartbeat("one", 0, last + 5)); /* of no process */
+    receive(bench, probe(OW_PROBE_STEPS, "one", "one", "self", "two", 4));
+    receive(bench, probe(OW_PROBE_PING, "one", "one", "two", "three", 4));
+    assert_int_equal(ow_membership_dropped_count(bench->membership), before + 7);
     /* After a restart the earlier process counts no more, however late its messages come. */
-    receive(&bench, heartbeat("one", 55, 1));
-    assert_int_equal(ow_membership_dropped_count(bench.membership), before + 7);
-    receive(&bench, heartbeat("one", 1, last + 9));
-    assert_int_equal(ow_membership_dropped_count(bench.membership), before + 8);
-    assert_true(ow_membership_find(bench.membership, "one")->incarnation == 55);
-    close_bench(&bench);
+    receive(bench, heartbeat("one", 55, 1));
+    assert_int_equal(ow_membership_dropped_count(bench->membership), before + 7);
+    receive(bench, heartbeat("one", 1, last + 9));
+    assert_int_equal(ow_membership_dropped_count(bench->membership), before + 8);
+    assert_true(ow_membership_find(bench->membership, "one")->incarnation == 55);
 }
 
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_silent_controller_is_probed_and_then_suspected),
-        cmocka_unit_test(test_controller_that_others_reach_is_not_suspected),
-        cmocka_unit_test(test_probe_requests_are_relayed),
-        cmocka_unit_test(test_own_pause_suspects_no_controller),
-        cmocka_unit_test(test_invalid_and_stale_messages_are_dropped),
+        cmocka_unit_test_setup_teardown(test_silent_controller_is_probed_and_then_suspected, setup_bench,
+                                        teardown_bench),
+        cmocka_unit_test_setup_teardown(test_controller_that_others_reach_is_not_suspected, setup_bench,
+                                        teardown_bench),
+        cmocka_unit_test_setup_teardown(test_probe_requests_are_relayed, setup_bench, teardown_bench),
+        cmocka_unit_test_setup_teardown(test_own_pause_suspects_no_controller, setup_bench, teardown_bench),
+        cmocka_unit_test_setup_teardown(test_invalid_and_stale_messages_are_dropped, setup_bench,
+                                        teardown_bench),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
