--- a/src/core/machines/fleet.h
+++ b/src/core/machines/fleet.h
@@ -1,5 +1,9 @@
-/* The fleet of provisioned machines: the cloud's list of them, and their return. It owns the deletions that
- * are due and the names of deleted machines. */
+/** @file
+ * The fleet: which instances exist by the cloud's list, and the termination of machines.
+ *
+ * It owns the deletions that are due and the names of deleted machines. Guards safety rule 2 for proof by an
+ * acknowledged deletion of the instance; that a machine is missing in the list proves nothing.
+ */
 #ifndef OW_CORE_MACHINES_FLEET_H
 #define OW_CORE_MACHINES_FLEET_H
 
@@ -17,13 +21,12 @@
 bool ow_fleet_is_listed(const struct ow_leader *leader);
 /** Whether the machine of this name has been deleted: whatever still tells of it is late. */
 bool ow_fleet_has_terminated(const struct ow_leader *leader, const char *name);
-/* Asks the cloud for its list of machines when that is due. */
+/** Asks the cloud for its list of machines when that is due. */
 void ow_fleet_list(struct ow_leader *leader);
-/* Marks machines for return that have been idle for long enough and that no class needs ready. */
-void ow_fleet_scale_in(struct ow_leader *leader);
-/* Marks the machine for return to the cloud; `why` is for the log. */
+/** Queues the deletion of the machine, unless the cloud's rate limit is used up or a deletion is queued or
+ * under way; nothing new is placed there from then on. @param why for the log */
 void ow_fleet_terminate(struct ow_leader *leader, struct ow_machine *machine, const char *why);
-/* Sends all deletions that are due in one call. */
+/** Sends the deletions that are queued in one call, within the cloud's limits. */
 void ow_fleet_send_terminations(struct ow_leader *leader);
 
 #endif
--- /dev/null
+++ b/src/core/machines/scale_in.c
@@ -0,0 +1,69 @@
+#include "core/machines/scale_in.h"
+
+#include "core/leader/leader_state.h"
+#include "core/machines/fleet.h"
+#include "core/machines/headroom.h"
+#include "core/machines/machine.h"
+
+/* How long an ordinary machine that is idle alone is kept. */
+static const double IDLE_S = 25;
+/* The cloud charges a minute at least: termination within the first half of it saves little. */
+static const double PAID_S = 30;
+/* How many times longer a spot machine is kept idle than an ordinary one. */
+static const double SPOT_PATIENCE = 2;
+/* An idle share of one in so many counts as one idle machine. */
+static const double CROWD_SHARES = 10;
+
+static bool is_idle(const struct ow_machine *machine)
+{
+    return machine->attempts->len == 0 && machine->liveness.is_fenced && !machine->is_terminating &&
+           machine->holders == 0;
+}
+
+static bool is_same_kind(const struct ow_machine *a, const struct ow_machine *b)
+{
+    return a->type == b->type && a->spot == b->spot;
+}
+
+static unsigned count_of_kind(const GPtrArray *machines, const struct ow_machine *kind)
+{
+    unsigned count = 0;
+    for (guint i = 0; i < machines->len; i++)
+        count += is_same_kind(g_ptr_array_index(machines, i), kind) ? 1 : 0;
+    return count;
+}
+
+/* How long a machine of this kind is kept idle. The more of a kind are idle, the less likely each is to be
+   needed soon; in a large fleet their share counts, or a short lull would empty it. A spot machine costs
+   little to keep until there is work for it. */
+static double idle_limit_s(const struct ow_leader *leader, const GPtrArray *unneeded,
+                           const struct ow_machine *kind)
+{
+    unsigned idle = count_of_kind(unneeded, kind);
+    unsigned all = count_of_kind(leader->machines, kind);
+    double crowd = MIN(idle, CROWD_SHARES * idle / MAX(all, 1));
+    return (kind->spot ? SPOT_PATIENCE : 1) * IDLE_S / MAX(crowd, 1);
+}
+
+static bool is_due(const struct ow_leader *leader, const struct ow_machine *machine, double limit_s)
+{
+    double now = leader->core->now;
+    return now - machine->provisioned_at > PAID_S &&
+           now - MAX(machine->idle_since, leader->ready_at) > limit_s;
+}
+
+void ow_scale_in_tick(struct ow_leader *leader)
+{
+    g_autoptr(GPtrArray) unneeded = ow_headroom_unneeded(leader, is_idle);
+    const struct ow_machine *last = NULL;
+    double limit_s = 0;
+    for (guint i = 0; i < unneeded->len; i++) {
+        struct ow_machine *machine = g_ptr_array_index(unneeded, i);
+        /* Machines of a kind mostly follow one another: the fleet is counted once for them. */
+        if (last == NULL || !is_same_kind(machine, last))
+            limit_s = idle_limit_s(leader, unneeded, machine);
+        last = machine;
+        if (is_due(leader, machine, limit_s))
+            ow_fleet_terminate(leader, machine, "it is idle");
+    }
+}
--- /dev/null
+++ b/src/core/machines/scale_in.h
@@ -0,0 +1,13 @@
+/** @file
+ * Scale-in: termination of machines that have been idle for long enough and that no class needs ready
+ * (headroom.h).
+ */
+#ifndef OW_CORE_MACHINES_SCALE_IN_H
+#define OW_CORE_MACHINES_SCALE_IN_H
+
+struct ow_leader;
+
+/** Terminates the machines that are due; to be called about once a second. */
+void ow_scale_in_tick(struct ow_leader *leader);
+
+#endif
--- a/src/core/machines/scale_out.c
+++ b/src/core/machines/scale_out.c
@@ -9,6 +9,7 @@
 #include "core/machines/instance_offers.h"
 #include "core/machines/machine.h"
 #include "core/machines/machine_registry.h"
+#include "core/machines/scale_in.h"
 #include "core/scheduling/classes.h"
 #include "core/scheduling/deadline.h"
 #include "core/scheduling/placement.h"
@@ -59,8 +60,8 @@
     if (answer->cloud.status != 200 || answer->cloud.provisioned == NULL ||
         answer->cloud.provisioned[0] == NULL) {
         ow_instance_offers_refuse(leader, call->type, call->zone, call->spot);
-        g_info("no %s machine of type %s in %s: status %d", call->spot ? "spot" : "ordinary", type, zone,
-               answer->cloud.status);
+        g_info("cloud refused to provision machines: type=%s zone=%s kind=%s status=%d machines=%u", type,
+               zone, call->spot ? "spot" : "ordinary", answer->cloud.status, call->count);
         return;
     }
     if (g_strv_length(answer->cloud.provisioned) < call->count)
@@ -70,7 +71,8 @@
         ow_machine_describe(leader, machine, NULL, type, zone, call->spot);
         if (machine->listed == OW_LISTED_NOT)
             machine->listed = OW_LISTED_BOOTING;
-        g_info("machine %s rented: %s %s in %s", *name, call->spot ? "spot" : "ordinary", type, zone);
+        g_info("machine provisioned: machine=%s type=%s zone=%s kind=%s", *name, type, zone,
+               call->spot ? "spot" : "ordinary");
     }
 }
 
@@ -200,9 +202,8 @@
         if (taken == 0)
             return;
         wanted -= taken;
-        g_debug("a %s machine is planned for job %s, which would wait %.0f s",
-                ow_interner_text(leader->core->interners.types, expected.machine.type), execution->job->id,
-                waits);
+        g_debug("machine planned for job: job=%s type=%s wait_s=%.0f", execution->job->id,
+                ow_interner_text(leader->core->interners.types, expected.machine.type), waits);
         g_array_append_val(plan, expected);
         (*most)--;
     }
@@ -289,5 +290,5 @@
         return;
     leader->scale_out->next_at = now + 1;
     provision_for_waiting(leader);
-    ow_fleet_scale_in(leader);
+    ow_scale_in_tick(leader);
 }
