--- a/src/core/machines/instance_offers.h
+++ b/src/core/machines/instance_offers.h
@@ -1,5 +1,7 @@
-/* Rental options: which kinds of machines could be provisioned for a job, what they are worth, and which the
- * cloud has refused lately. It owns the list of refusals. */
+/** @file
+ * Instance offers: which kinds of machines could be provisioned for a job, what they are worth, and which the
+ * cloud has refused lately. It owns the list of refusals.
+ */
 #ifndef OW_CORE_MACHINES_INSTANCE_OFFERS_H
 #define OW_CORE_MACHINES_INSTANCE_OFFERS_H
 
@@ -12,27 +14,27 @@
 
 struct ow_leader;
 
-/* A machine that work could have: one that is coming up, or one to be provisioned. */
+/** A machine that work could have: one that is coming up, or one to be provisioned. */
 struct ow_expected_machine {
     struct ow_machine machine; /* a stand-in: type, zone, kind and use alone */
     bool to_provision;
 };
 
-/* The empty list of a leader's refusals; freed with g_array_free(). */
+/** The empty list of a leader's refusals; freed with g_array_free(). */
 GArray *ow_instance_offers_new_refusals(void);
-/* Finds the cheapest kind of machine for the job that has not been refused lately; false if there is none.
-   `waits`: seconds the job would wait without it; `proper`: no machine whose GPUs would be wasted on it;
-   `cheap`: spot machines alone. */
+/** Finds the cheapest kind of machine for the job that has not been refused lately; false if there is none.
+ * `waits`: seconds the job would wait without it; `proper`: no machine whose GPUs would be wasted on it;
+ * `cheap`: spot machines alone. */
 bool ow_instance_offers_best(const struct ow_leader *leader, const struct ow_job_spec *spec, double waits,
                              bool proper, bool cheap, struct ow_expected_machine *out);
-/* Whether a machine with GPUs would be too expensive for work that does not need them. */
+/** Whether a machine with GPUs would be too expensive for work that does not need them. */
 bool ow_instance_offers_is_wasteful(const struct ow_leader *leader, const struct ow_machine_type *type,
                                     const struct ow_class *job_class, bool spot);
-/* Notes that the cloud has refused to rent this kind of machine; it is not asked again for a while. */
+/** Notes that the cloud has refused to provision this kind of machine; it is not asked again for a while. */
 void ow_instance_offers_refuse(struct ow_leader *leader, int type, int zone, bool spot);
-/* Forgets the refusal of the machine's kind: a machine of it has gone back to the cloud. */
+/** Forgets the refusal of the machine's kind: a machine of it has gone back to the cloud. */
 void ow_instance_offers_forget_refusal(struct ow_leader *leader, const struct ow_machine *machine);
-/* Forgets refusals that have expired. */
+/** Forgets refusals that have expired. */
 void ow_instance_offers_forget_old(struct ow_leader *leader);
 
 #endif
--- a/src/core/machines/scale_out.h
+++ b/src/core/machines/scale_out.h
@@ -1,4 +1,6 @@
-/* Renting machines for work that waits. */
+/** @file
+ * Scale-out: provisioning machines for work that would wait too long for those that are up or coming up.
+ */
 #ifndef OW_CORE_MACHINES_SCALE_OUT_H
 #define OW_CORE_MACHINES_SCALE_OUT_H
 
@@ -10,7 +12,7 @@
 /** Frees it. */
 void ow_scale_out_free(struct ow_scale_out *scale_out);
 
-/* Lists the provisioned machines, rents what waiting work needs, and returns what is idle, each when due. */
+/** Reads the cloud's list, provisions what waiting work needs, and terminates what is idle, each when due. */
 void ow_scale_out_tick(struct ow_leader *leader);
 
 #endif
