--- a/src/core/election/election_state.h
+++ b/src/core/election/election_state.h
@@ -39,7 +39,7 @@
 
 /** The watch of the leader key: leader_key.c. */
 struct ow_key_watch {
-    bool is_open;            /**< a watch is under way */
+    bool is_open;            /**< a watch is in flight */
     double next_at;          /**< no watch before this time */
     uint64_t since_revision; /**< changes after this revision are watched for */
 };
@@ -47,7 +47,7 @@
 /** The lease to which our key is attached: leader_lease.c. */
 struct ow_leader_lease {
     uint64_t id;      /**< 0: none */
-    bool is_renewing; /**< a renewal is under way */
+    bool is_renewing; /**< a renewal is in flight */
     double renew_at;  /**< no renewal before this time */
 };
 
@@ -56,7 +56,7 @@
     struct ow_core *core;
     const struct ow_election_callbacks *callbacks;
     enum ow_election_stage stage;
-    bool is_busy;  /**< a request of the present stage is under way */
+    bool is_busy;  /**< a request of the present stage is in flight */
     double act_at; /**< no request of the stage before this time */
     struct ow_candidacy candidacy;
     struct ow_known_key key;
--- a/src/core/election/leader_lease.h
+++ b/src/core/election/leader_lease.h
@@ -10,7 +10,7 @@
 void ow_leader_lease_obtain(struct ow_election *election);
 /** Writes the key, unless it has changed since it was read: stage OW_ELECTION_TAKING. */
 void ow_leader_lease_take_key(struct ow_election *election);
-/** Renews the lease: stage OW_ELECTION_LEADING. No renewal may be under way. */
+/** Renews the lease: stage OW_ELECTION_LEADING. No renewal may be in flight. */
 void ow_leader_lease_renew(struct ow_election *election);
 /** Deletes the key that this controller holds, so that another one can take it at once. */
 void ow_leader_lease_release_key(struct ow_election *election);
--- a/src/core/leader/machine_type_polling.c
+++ b/src/core/leader/machine_type_polling.c
@@ -15,7 +15,7 @@
 static const double RETRY_S = 2;
 
 struct ow_machine_type_polling {
-    bool is_asking; /* a call is under way */
+    bool is_asking; /* a call is in flight */
     double next_at; /* no call before this time; 0: none has been answered yet */
 };
 
--- a/src/core/peers/machine_hints.c
+++ b/src/core/peers/machine_hints.c
@@ -6,7 +6,7 @@
     GArray *machines;       /* struct ow_peer_machine: the last complete list */
     uint64_t fencing_token; /* of the newest leader that has sent a list */
     /* The list that comes in parts: */
-    GArray *assembled;   /* struct ow_peer_machine of the parts so far; NULL: none is under way */
+    GArray *assembled;   /* struct ow_peer_machine of the parts so far; NULL: no list is being assembled */
     uint32_t next_part;  /* index of the expected part */
     uint32_t part_count; /* of the whole list */
 };
--- a/src/core/store_health.c
+++ b/src/core/store_health.c
@@ -18,7 +18,7 @@
     double failing_since; /* 0: the last answer was successful */
     double refused_at;    /* time of the last UNAVAILABLE: the store can be reached, but may serve others */
     bool is_silent;       /* the last failure was a missing response, not an error status */
-    bool is_probing;      /* a probe is under way */
+    bool is_probing;      /* a probe is in flight */
     double probed_at;     /* when the last probe was sent */
 };
 
--- a/src/io/http_client_connection.c
+++ b/src/io/http_client_connection.c
@@ -16,7 +16,7 @@
 
 /* ---- end of a request or connection ---- */
 
-/* Ends the connection, and the request under way on it, if any, with a status of our own. */
+/* Ends the connection, and its current request, if any, with a status of our own. */
 static void fail_with(struct ow_client_connection *connection, enum ow_http_status status)
 {
     struct ow_client_outcome outcome = {
--- a/src/io/http_client_connection.h
+++ b/src/io/http_client_connection.h
@@ -26,15 +26,15 @@
 /** The states, as above. */
 enum ow_client_connection_state {
     OW_CLIENT_CONNECTION_UNREACHABLE, /**< it has a request, but no socket: it could not even begin */
-    OW_CLIENT_CONNECTION_BUSY,        /**< a request is under way */
+    OW_CLIENT_CONNECTION_BUSY,        /**< waits for a response */
     OW_CLIENT_CONNECTION_IDLE,        /**< established, waiting for a request */
 };
 
 struct ow_client_connection;
 
-/** How the request under way ended, or the connection itself. */
+/** How the current request ended, or the connection itself. */
 struct ow_client_outcome {
-    bool has_request; /**< a request was under way and ends with this; false: an idle connection ended */
+    bool has_request; /**< a request ends with this; false: an idle connection ended */
     uint64_t tag;     /**< of the request */
     int status; /**< of the response; OW_HTTP_STATUS_NONE: none, the request might have been carried out */
     const char *body; /**< valid during the call only, also when the connection is freed */
@@ -42,7 +42,7 @@
     bool is_reusable; /**< the connection is IDLE now; false: it has ended, and the callee frees it */
 };
 
-/** The request under way has ended, or an idle connection.
+/** The current request has ended, or an idle connection.
  * @param owner that of ow_client_connection_new
  * @param connection IDLE, or to be freed by the callee
  * @param outcome valid during the call only */
--- a/src/sharding/dropped_messages.h
+++ b/src/sharding/dropped_messages.h
@@ -21,7 +21,7 @@
     double logged_at; /**< seconds of the monotonic clock */
 };
 
-/** Counts a message and logs it, at most every 10 s. `sender` may be NULL: it named none. */
+/** Counts a message and logs it, at most every 10 s. `sender` may be NULL: the message names none. */
 void ow_dropped_messages_add(struct ow_dropped_messages *dropped, double now, const char *sender,
                              enum ow_drop_cause cause);
 
--- a/src/sharding/effect_guard.c
+++ b/src/sharding/effect_guard.c
@@ -18,7 +18,7 @@
 {
     if (lease == OW_LEASE_EXPIRED)
         return remove_launches(effect->commands);
-    /* The worker tries another controller, as after any 503. */
+    /* The worker tries another controller, as the protocol requires after a 503. */
     ow_effect_refuse_temporarily(effect, "this controller does not know whether it still leads");
     return true;
 }
--- a/src/sharding/failover_log.h
+++ b/src/sharding/failover_log.h
@@ -35,13 +35,13 @@
     GArray *steps;          /**< struct ow_failover_step, the last ones, in order; never empty */
     char *leader;           /**< who leads or led last; NULL: unknown */
     uint64_t fencing_token; /**< ours, as last observed; 0: we did not lead */
-    double first_sign_at;   /**< of the failover under way: first sign that the leader is gone; 0: none */
+    double first_sign_at;   /**< of the present failover: first sign that the leader is gone; 0: none */
 };
 
 /** What the phase is derived from. Everything is borrowed. */
 struct ow_failover_observation {
     const char *self;
-    const char *leader_name;        /**< who leads as far as known, or NULL */
+    const char *leader_name;        /**< the leader as far as known, or NULL */
     const struct ow_member *leader; /**< that controller as a member; NULL: ourselves, or unknown */
     uint64_t fencing_token;         /**< ours; 0: we do not lead */
     bool is_key_missing; /**< the key-value store has answered that the leader key does not exist */
--- a/src/sharding/lease_guard.h
+++ b/src/sharding/lease_guard.h
@@ -27,7 +27,7 @@
     double held_until;       /**< by our clock, less drift and margin; 0: never held */
     double resumed_at;       /**< the end of the last pause that may have been longer than the lease */
     double answered_sent_at; /**< when the last renewal was sent that was answered; negative: none */
-    uint64_t renewal_tag;    /**< of the renewal under way; 0: none */
+    uint64_t renewal_tag;    /**< of the renewal in flight; 0: none */
     double renewal_sent_at;  /**< when it was sent */
 };
 
--- a/src/sharding/request_router.h
+++ b/src/sharding/request_router.h
@@ -17,7 +17,7 @@
 #include <glib.h>
 #include <stdbool.h>
 
-/** The requests under way. */
+/** The pending requests. */
 typedef struct ow_request_router ow_request_router;
 
 /** `sharding` and `shards` (struct ow_shard) must outlive it. */
--- a/src/sharding/shard_query.h
+++ b/src/sharding/shard_query.h
@@ -20,7 +20,7 @@
     OW_SHARD_QUERY_TEAMS,  /**< the user gets the sums over all shards */
 };
 
-/** A query under way; owned by the request router. */
+/** A pending query; owned by the request router. */
 struct ow_shard_query {
     enum ow_shard_query_kind kind;
     uint64_t request;          /**< the user's */
