--- a/src/io/daemon.c
+++ b/src/io/daemon.c
@@ -116,7 +116,7 @@
     if (now < daemon->sweep_at)
         return;
     daemon->sweep_at = now + SWEEP_S;
-    ow_outgoing_bound_sockets(daemon);
+    ow_outgoing_limit_sockets(daemon);
     ow_http_client_sweep(daemon->client, now);
     ow_http_server_sweep(daemon->server, now);
     ow_peer_links_sweep(daemon->peers, now);
@@ -190,10 +190,10 @@
     share_sockets(daemon);
     daemon->pending_requests = ow_pending_requests_new();
     daemon->manager = ow_shard_manager_new(settings, tuning, sharding, ow_rng_nonce());
-    daemon->client = ow_http_client_new(loop, daemon->client_sockets_min, ow_outgoing_take_reply, daemon);
+    daemon->client = ow_http_client_new(loop, daemon->client_sockets_min, ow_outgoing_handle_reply, daemon);
     daemon->server = listen_to_requests(daemon);
     daemon->peers = listen_to_peers(daemon);
-    ow_loop_on_wake(loop, handle_wake, daemon);
+    ow_loop_set_wake_callback(loop, handle_wake, daemon);
     if (daemon->server == NULL || daemon->peers == NULL) {
         set_listen_error(daemon, error);
         return NULL;
@@ -204,7 +204,7 @@
 
 void ow_daemon_free(struct ow_daemon *daemon)
 {
-    ow_loop_on_wake(daemon->loop, NULL, NULL);
+    ow_loop_set_wake_callback(daemon->loop, NULL, NULL);
     ow_http_server_free(daemon->server);
     ow_peer_links_free(daemon->peers);
     ow_http_client_free(daemon->client);
--- a/src/io/http_client.c
+++ b/src/io/http_client.c
@@ -155,7 +155,7 @@
     for_each_connection(client, fail_if_unsent, NULL);
 }
 
-void ow_http_client_bound(struct ow_http_client *client, unsigned connections_max)
+void ow_http_client_set_connections_max(struct ow_http_client *client, unsigned connections_max)
 {
     client->connections_max = connections_max;
 }
--- a/src/io/http_client.h
+++ b/src/io/http_client.h
@@ -55,7 +55,7 @@
 /** Closes the connections that still have bytes to send: their requests end without a response. */
 void ow_http_client_drop_unsent(struct ow_http_client *client);
 /** Sets the maximum number of open connections. */
-void ow_http_client_bound(struct ow_http_client *client, unsigned connections_max);
+void ow_http_client_set_connections_max(struct ow_http_client *client, unsigned connections_max);
 /** Whether a request to the endpoint stays within the maximum. Closes the connection idle for longest if that
  * makes room. */
 bool ow_http_client_has_room(struct ow_http_client *client, const char *endpoint);
--- a/src/io/http_connection.c
+++ b/src/io/http_connection.c
@@ -113,7 +113,7 @@
 
 /* Hands over the request that the parser holds, with the bytes behind it kept; false when the connection is
  * gone. */
-static bool hand_over(struct ow_http_connection *connection, const char *rest, size_t rest_size)
+static bool pass_to_handler(struct ow_http_connection *connection, const char *rest, size_t rest_size)
 {
     /* A client that has closed the connection is not served: under load that would delay those that still
        wait. */
@@ -128,7 +128,7 @@
 }
 
 /* Parses received bytes; false when the connection is gone. */
-static bool take_bytes(struct ow_http_connection *connection, const char *data, size_t size)
+static bool parse_bytes(struct ow_http_connection *connection, const char *data, size_t size)
 {
     if (connection->state != OW_HTTP_CONNECTION_READING)
         return keep_pending(connection, data, size);
@@ -143,7 +143,7 @@
     case OW_HTTP_DONE:
         break;
     }
-    return hand_over(connection, data + used, size - used);
+    return pass_to_handler(connection, data + used, size - used);
 }
 
 static void read_bytes(struct ow_http_connection *connection)
@@ -159,7 +159,7 @@
             return;
         }
         connection->active_at = ow_loop_now(connection->loop);
-        if (!take_bytes(connection, buffer, size))
+        if (!parse_bytes(connection, buffer, size))
             return;
     } while (size == sizeof buffer);
 }
@@ -207,5 +207,5 @@
         return;
     g_autoptr(GString) bytes = g_steal_pointer(&connection->pending);
     connection->pending = g_string_sized_new(0);
-    take_bytes(connection, bytes->str, bytes->len);
+    parse_bytes(connection, bytes->str, bytes->len);
 }
--- a/src/io/http_server.c
+++ b/src/io/http_server.c
@@ -159,7 +159,7 @@
     ow_http_connection_answer(connection, status, headers, body, size);
 }
 
-unsigned ow_http_server_count(const struct ow_http_server *server)
+unsigned ow_http_server_count_connections(const struct ow_http_server *server)
 {
     return server->count;
 }
--- a/src/io/http_server.h
+++ b/src/io/http_server.h
@@ -65,7 +65,7 @@
 void ow_http_server_answer(struct ow_http_server *server, ow_request_id id, int status, const char *headers,
                            const char *body, size_t size);
 /** Connections that are open now. */
-unsigned ow_http_server_count(const struct ow_http_server *server);
+unsigned ow_http_server_count_connections(const struct ow_http_server *server);
 /** Closes the connections that still have bytes to send. */
 void ow_http_server_drop_unsent(struct ow_http_server *server);
 /** Closes connections that have been idle for too long; call it every few seconds.
--- a/src/io/loop.c
+++ b/src/io/loop.c
@@ -47,7 +47,7 @@
     g_free(loop);
 }
 
-void ow_loop_on_wake(struct ow_loop *loop, ow_wake_fn wake, void *owner)
+void ow_loop_set_wake_callback(struct ow_loop *loop, ow_wake_fn wake, void *owner)
 {
     loop->wake = wake;
     loop->wake_owner = owner;
--- a/src/io/loop.h
+++ b/src/io/loop.h
@@ -36,7 +36,7 @@
  *
  * Known fault: the events of the batch are fetched by then, but not counted yet. So ow_loop_close does not
  * drop those of a watch that this function closes, and its owner, freed by then, is called with them.
- * @param owner what was handed to ow_loop_on_wake; it must live as long as the loop runs
+ * @param owner what was handed to ow_loop_set_wake_callback; it must live as long as the loop runs
  * @param late_s seconds since the last batch beyond the waiting time that the last round allowed; negative if
  * the loop woke up earlier
  * @param now the monotonic time of the batch, in seconds */
@@ -49,7 +49,7 @@
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(ow_loop, ow_loop_free)
 
 /** Sets the function that is called whenever the loop has finished waiting; `owner` is passed to it. */
-void ow_loop_on_wake(struct ow_loop *loop, ow_wake_fn wake, void *owner);
+void ow_loop_set_wake_callback(struct ow_loop *loop, ow_wake_fn wake, void *owner);
 /** The monotonic time of the current batch, in seconds. */
 double ow_loop_now(const struct ow_loop *loop);
 
--- a/src/io/outgoing.c
+++ b/src/io/outgoing.c
@@ -99,7 +99,7 @@
     return worker_event(pending, status, body, size);
 }
 
-void ow_outgoing_take_reply(void *owner, uint64_t tag, int status, const char *body, size_t size)
+void ow_outgoing_handle_reply(void *owner, uint64_t tag, int status, const char *body, size_t size)
 {
     struct ow_daemon *daemon = owner;
     GHashTable *by_tag = daemon->pending_requests->by_tag;
@@ -154,7 +154,7 @@
 static void send_direct(struct ow_daemon *daemon, const struct ow_effect *effect)
 {
     const char *endpoint = effect->addr;
-    ow_outgoing_bound_sockets(daemon);
+    ow_outgoing_limit_sockets(daemon);
     if (!ow_http_client_has_room(daemon->client, endpoint)) {
         give_up_direct(daemon, effect);
         return;
@@ -187,9 +187,9 @@
     }
 }
 
-void ow_outgoing_bound_sockets(struct ow_daemon *daemon)
+void ow_outgoing_limit_sockets(struct ow_daemon *daemon)
 {
-    unsigned incoming = ow_http_server_count(daemon->server);
+    unsigned incoming = ow_http_server_count_connections(daemon->server);
     unsigned unused = daemon->sockets_max - MIN(daemon->sockets_max, incoming);
-    ow_http_client_bound(daemon->client, MAX(daemon->client_sockets_min, unused));
+    ow_http_client_set_connections_max(daemon->client, MAX(daemon->client_sockets_min, unused));
 }
--- a/src/io/outgoing.h
+++ b/src/io/outgoing.h
@@ -32,8 +32,8 @@
  * @param status of the response, or OW_HTTP_STATUS_NONE
  * @param body valid during the call only
  * @param size bytes of `body` */
-void ow_outgoing_take_reply(void *owner, uint64_t tag, int status, const char *body, size_t size);
+void ow_outgoing_handle_reply(void *owner, uint64_t tag, int status, const char *body, size_t size);
 /** Adapts the HTTP client's maximum of connections to the sockets that incoming connections leave free. */
-void ow_outgoing_bound_sockets(struct ow_daemon *daemon);
+void ow_outgoing_limit_sockets(struct ow_daemon *daemon);
 
 #endif
--- a/src/io/peer_incoming.c
+++ b/src/io/peer_incoming.c
@@ -21,12 +21,12 @@
     void *owner; /* of `end` */
     struct ow_watch watch;
     GString *received; /* bytes of frames that are not complete */
-    double heard_at;
+    double received_at;
 };
 
 /* What the bytes received so far hold. */
 enum frame_result {
-    FRAME_TAKEN,
+    FRAME_COMPLETE,
     FRAME_INCOMPLETE,
     FRAME_INVALID, /* not a valid frame */
 };
@@ -52,7 +52,7 @@
     if (message != NULL)
         link->handlers->take(link->handlers->owner, message);
     *at += LENGTH_BYTES + length;
-    return FRAME_TAKEN;
+    return FRAME_COMPLETE;
 }
 
 /* Passes on the messages of all complete frames; false if the bytes are not a valid frame. */
@@ -62,7 +62,7 @@
     enum frame_result result;
     do
         result = take_frame(link, &at);
-    while (result == FRAME_TAKEN);
+    while (result == FRAME_COMPLETE);
     if (result == FRAME_INVALID)
         return false;
     g_string_erase(link->received, 0, (gssize)at);
@@ -84,7 +84,7 @@
             return;
         }
         g_string_append_len(link->received, buffer, (gssize)size);
-        link->heard_at = ow_loop_now(link->loop);
+        link->received_at = ow_loop_now(link->loop);
         if (!take_frames(link)) {
             g_info("peer link cut: reason=\"not a message\"");
             link->end(link->owner, link);
@@ -103,7 +103,7 @@
     link->end = end;
     link->owner = owner;
     link->received = g_string_new(NULL);
-    link->heard_at = ow_loop_now(loop);
+    link->received_at = ow_loop_now(loop);
     link->watch = (struct ow_watch){.fd = fd, .ready = handle_ready, .owner = link};
     ow_loop_watch(loop, &link->watch, EPOLLIN);
     return link;
@@ -118,5 +118,5 @@
 
 bool ow_peer_incoming_is_silent(const struct ow_peer_incoming *link, double now)
 {
-    return now - link->heard_at > SILENT_S;
+    return now - link->received_at > SILENT_S;
 }
--- a/src/io/peer_link.c
+++ b/src/io/peer_link.c
@@ -9,7 +9,7 @@
 #include <sys/epoll.h>
 
 enum {
-    INCOMING_LEAST = 32,   /* minimum of permitted incoming links, however few controllers there are */
+    INCOMING_MIN = 32,     /* minimum of permitted incoming links, however few controllers there are */
     INCOMING_PER_PEER = 4, /* permitted incoming links per controller: old ones may still be closing */
 };
 
@@ -45,7 +45,7 @@
     int fd = ow_net_accept(links->listener.fd);
     if (fd < 0)
         return;
-    guint incoming_max = MAX(INCOMING_LEAST, INCOMING_PER_PEER * links->outgoing->len);
+    guint incoming_max = MAX(INCOMING_MIN, INCOMING_PER_PEER * links->outgoing->len);
     if (links->incoming->len >= incoming_max)
         ow_net_refuse(fd);
     else
--- a/src/sharding/candidacy.c
+++ b/src/sharding/candidacy.c
@@ -31,8 +31,8 @@
     return hash != other_hash ? hash < other_hash : g_strcmp0(one->name, other->name) < 0;
 }
 
-unsigned ow_candidacy_rank(const struct ow_membership *membership, const char *self, unsigned led_count,
-                           const char *shard)
+unsigned ow_candidacy_compute_rank(const struct ow_membership *membership, const char *self,
+                                   unsigned led_count, const char *shard)
 {
     const GPtrArray *members = ow_membership_members(membership);
     const struct candidate own = {.name = self, .led_count = led_count};
--- a/src/sharding/candidacy.h
+++ b/src/sharding/candidacy.h
@@ -11,8 +11,8 @@
 
 /** Number of live controllers that come before this one, which is named `self` and leads `led_count` shards.
  */
-unsigned ow_candidacy_rank(const struct ow_membership *membership, const char *self, unsigned led_count,
-                           const char *shard);
+unsigned ow_candidacy_compute_rank(const struct ow_membership *membership, const char *self,
+                                   unsigned led_count, const char *shard);
 /** The name of the live controller that comes first, owned by the membership; NULL if it is `self`. */
 const char *ow_candidacy_find_successor(const struct ow_membership *membership, const char *self,
                                         unsigned led_count, const char *shard);
--- a/src/sharding/phi_detector.c
+++ b/src/sharding/phi_detector.c
@@ -79,8 +79,8 @@
     double deviation_s = 0;
     estimate(detector, &mean_s, &deviation_s);
     double deviations = (now - detector->last_heartbeat_at - mean_s) / deviation_s;
-    double still_comes = 0.5 * erfc(deviations / sqrt(2));
-    if (still_comes <= pow(10, -PHI_MAX))
+    double probability = 0.5 * erfc(deviations / sqrt(2));
+    if (probability <= pow(10, -PHI_MAX))
         return PHI_MAX;
-    return fmax(0, -log10(still_comes));
+    return fmax(0, -log10(probability));
 }
--- a/src/sharding/shard_manager.c
+++ b/src/sharding/shard_manager.c
@@ -159,7 +159,8 @@
 static void set_candidacy(const struct ow_shard_manager *manager, const struct ow_shard *shard)
 {
     const char *self = manager->settings->controller_name;
-    unsigned rank = ow_candidacy_rank(manager->membership, self, count_led_shards(manager), shard->name);
+    unsigned rank =
+        ow_candidacy_compute_rank(manager->membership, self, count_led_shards(manager), shard->name);
     ow_core_set_candidacy(shard->core, ow_map_agreement_is_reached(manager->agreement),
                           rank * manager->sharding->candidacy_step_s);
 }
--- a/src/sharding/shard_map.c
+++ b/src/sharding/shard_map.c
@@ -118,9 +118,9 @@
 }
 
 /* The first difference by the names of one of the tables, in words (g_free), or NULL. */
-static char *first_difference(GHashTable *walked, GHashTable *ours, GHashTable *stored)
+static char *first_difference(GHashTable *named, GHashTable *ours, GHashTable *stored)
 {
-    g_autoptr(GList) names = sorted_names(walked);
+    g_autoptr(GList) names = sorted_names(named);
     for (const GList *at = names; at != NULL; at = at->next) {
         char *difference = value_difference(at->data, ours, stored);
         if (difference != NULL)
--- a/tests/sockets/test_pause.c
+++ b/tests/sockets/test_pause.c
@@ -13,9 +13,9 @@
     char *large = g_strnfill(LARGE_BYTES, 'x');
     socket_bench_send_held(bench);
     ow_http_server_answer(bench->server, bench->waiting, 200, NULL, large, LARGE_BYTES);
-    assert_int_equal(ow_http_server_count(bench->server), 1);
+    assert_int_equal(ow_http_server_count_connections(bench->server), 1);
     ow_http_server_drop_unsent(bench->server);
-    assert_int_equal(ow_http_server_count(bench->server), 0);
+    assert_int_equal(ow_http_server_count_connections(bench->server), 0);
     ow_http_client_send(bench->client, socket_endpoint, "POST", "/echo", large, 30, 8);
     ow_http_client_drop_unsent(bench->client);
     assert_int_equal(bench->replies, 1);
@@ -34,7 +34,7 @@
 {
     struct socket_bench *bench = *state;
     double late_s = 0;
-    ow_loop_on_wake(bench->loop, note_lateness, &late_s);
+    ow_loop_set_wake_callback(bench->loop, note_lateness, &late_s);
     ow_loop_once(bench->loop, socket_bench_sweep, bench);
     g_usleep((gulong)(STANDSTILL_S * G_USEC_PER_SEC));
     ow_loop_once(bench->loop, socket_bench_sweep, bench);
--- a/tests/sockets/test_sockets.c
+++ b/tests/sockets/test_sockets.c
@@ -159,17 +159,17 @@
 static void test_client_connections_are_bounded(void **state)
 {
     struct socket_bench *bench = *state;
-    ow_http_client_bound(bench->client, 1);
+    ow_http_client_set_connections_max(bench->client, 1);
     assert_true(ow_http_client_has_room(bench->client, socket_endpoint));
     ow_http_client_send(bench->client, socket_endpoint, "POST", "/echo", "one", 3, 1);
     assert_false(ow_http_client_has_room(bench->client, socket_endpoint));
     socket_bench_run_until_reply(bench, 1);
     assert_true(ow_http_client_has_room(bench->client, socket_endpoint));
-    assert_int_equal(ow_http_server_count(bench->server), 1);
+    assert_int_equal(ow_http_server_count_connections(bench->server), 1);
     assert_true(ow_http_client_has_room(bench->client, "127.0.0.1:1"));
     for (int i = 0; i < 20; i++)
         ow_loop_once(bench->loop, socket_bench_sweep, bench);
-    assert_int_equal(ow_http_server_count(bench->server), 0);
+    assert_int_equal(ow_http_server_count_connections(bench->server), 0);
 }
 
 int main(void)
--- a/tests/unit/test_candidacy.c
+++ b/tests/unit/test_candidacy.c
@@ -55,13 +55,13 @@
     struct bench bench;
     open_bench(&bench, 0);
     /* Nobody is heard: nobody comes before us. */
-    assert_int_equal(ow_candidacy_rank(bench.membership, "self", 9, "north"), 0);
+    assert_int_equal(ow_candidacy_compute_rank(bench.membership, "self", 9, "north"), 0);
     assert_null(ow_candidacy_find_successor(bench.membership, "self", 9, "north"));
     hear(&bench, "one", 2);
     hear(&bench, "two", 0);
     hear(&bench, "three", 4);
-    assert_int_equal(ow_candidacy_rank(bench.membership, "self", 1, "north"), 1);
-    assert_int_equal(ow_candidacy_rank(bench.membership, "self", 3, "north"), 2);
+    assert_int_equal(ow_candidacy_compute_rank(bench.membership, "self", 1, "north"), 1);
+    assert_int_equal(ow_candidacy_compute_rank(bench.membership, "self", 3, "north"), 2);
     assert_string_equal(ow_candidacy_find_successor(bench.membership, "self", 1, "north"), "two");
     close_bench(&bench);
 }
@@ -81,7 +81,7 @@
             for (int i = 0; i < CONTROLLERS; i++)
                 if (i != self)
                     hear(&bench, names[i], 0);
-            unsigned rank = ow_candidacy_rank(bench.membership, names[self], 0, name);
+            unsigned rank = ow_candidacy_compute_rank(bench.membership, names[self], 0, name);
             ranks |= 1U << rank;
             was_first[self] |= rank == 0;
             close_bench(&bench);
@@ -105,13 +105,13 @@
     for (int shard = 0; shard < 40; shard++) {
         char name[16];
         g_snprintf(name, sizeof name, "shard-%d", shard);
-        later += ow_candidacy_rank(bench.membership, "self", 0, name) > 0 ? 1 : 0;
+        later += ow_candidacy_compute_rank(bench.membership, "self", 0, name) > 0 ? 1 : 0;
     }
     assert_true(later > 20);
     /* Those that stay silent are no candidates for long. */
     for (int second = 1; second < 8; second++)
         ow_membership_tick(bench.membership, 100 + second, nothing, sent);
-    assert_int_equal(ow_candidacy_rank(bench.membership, "self", 9, "shard-0"), 0);
+    assert_int_equal(ow_candidacy_compute_rank(bench.membership, "self", 9, "shard-0"), 0);
     for (guint i = 0; i < sent->len; i++)
         ow_peer_message_free(g_ptr_array_index(sent, i));
     g_ptr_array_free(sent, TRUE);
