--- a/src/core/jobs/attempt.h
+++ b/src/core/jobs/attempt.h
@@ -12,7 +12,7 @@
 struct ow_job;
 struct ow_machine;
 
-/** How far an attempt has come, as far as the leader knows. */
+/** The state of an attempt, as known to the leader. */
 enum ow_attempt_state {
     OW_ATTEMPT_PLANNED,   /**< its record is not committed: no launch may leave */
     OW_ATTEMPT_COMMITTED, /**< recorded; no launch has left */
@@ -26,7 +26,7 @@
 struct ow_attempt {
     struct ow_job *job;
     uint32_t task;
-    uint64_t number; /**< grows with each attempt at any task of the chunk */
+    uint64_t number; /**< increases with each attempt at any task of the chunk */
     struct ow_machine *machine;
     uint64_t incarnation; /**< the worker's incarnation that it belongs to */
     enum ow_attempt_state state;
--- a/src/core/jobs/execution.h
+++ b/src/core/jobs/execution.h
@@ -26,7 +26,7 @@
 /** Consecutive tasks of an execution that are recorded together: recorder.c and its neighbours. */
 struct ow_chunk {
     struct ow_job *job;
-    uint32_t index;                       /**< its place among the execution's chunks */
+    uint32_t index;                       /**< its position in `ow_execution.chunks` */
     struct ow_record_value *record_value; /**< the value that holds its record; NULL: none yet */
     uint64_t last_attempt;                /**< the highest attempt number used */
     bool dirty;                           /**< it differs from its record */
@@ -55,9 +55,9 @@
     /* Scheduling. */
     bool aged; /**< it is old, whether or not tasks have started; set by each scheduling cycle: promotion.c */
     bool starves;                       /**< none of its tasks has started for too long; set like `aged` */
-    double ready_at;                    /**< not to be started before */
+    double ready_at;                    /**< no task is started before this time */
     double missing_since;               /**< since when a task is pending; 0: none is: queue.c */
-    double separate_at;                 /**< when its replicas are next looked at: replica_separation.c */
+    double separate_at;                 /**< next check of the spread of its replicas: replica_separation.c */
     struct ow_reservation *reservation; /**< of a waiting gang, owned; NULL: none: reservation.c */
 
     /* Faults: machine_faults.c. */
--- a/src/core/records/transaction_reply.c
+++ b/src/core/records/transaction_reply.c
@@ -41,7 +41,8 @@
     }
 }
 
-/* Attempts that were planned after the text was made wait for the next write of the chunk. */
+/* Marks the recorded attempts as committed. Attempts planned after the value was encoded wait for the next
+   write of the chunk. */
 static void commit_chunk(struct ow_leader *leader, struct ow_chunk *chunk)
 {
     const struct ow_execution *execution = chunk->job->execution;
--- a/src/sharding/request_router.h
+++ b/src/sharding/request_router.h
@@ -1,7 +1,7 @@
 /**
  * @file
- * Users' requests in a fleet of several shards. A job that a shard knows is asked of that shard; about any
- * other, all shards are asked and their answers are combined. A new job goes to the shard with the least
+ * Routes requests of users to the shards. A request about a job goes to the shard that has it; if none is
+ * known, all shards are queried and their answers are combined. A new job goes to the shard with the least
  * waiting work among those that the routes allow and that can run it.
  *
  * Invariant: a user gets the answer that a job does not exist, or that its submission is refused, only after
@@ -31,10 +31,10 @@
  */
 void ow_request_router_push(struct ow_request_router *router, struct ow_event *event, double now);
 /**
- * Looks at an effect of a shard that may be an answer to a user.
+ * Handles an effect of a shard that may be an answer to a user.
  *
- * @return whether it may go to the user as it is. If not it was taken over, and the combined answer, once it
- * is there, is appended to `out`.
+ * @return whether the caller may pass the effect on unchanged. If not, the router has taken ownership, and
+ * appends the combined answer to `out` once all shards have answered.
  */
 bool ow_request_router_forward(struct ow_request_router *router, const struct ow_shard *shard,
                                struct ow_effect *effect, double now, GPtrArray *out);
