--- a/tests/cluster/test_failover.c
+++ b/tests/cluster/test_failover.c
@@ -43,7 +43,7 @@
     struct sim_cluster *cluster = *state;
     cluster->run_time_s = 100;
     sim_start_job(cluster, sim_job("run-1", 1, 1));
-    /* Work elsewhere, so that the machine with room is not returned as idle. */
+    /* Work elsewhere, so that the machine with room is not terminated as idle. */
     struct ow_submission *other = sim_job("run-2", 1, 1);
     other->zone = g_strdup("west");
     sim_add_machine(cluster, "m-9", "big", "west", false);
@@ -186,7 +186,7 @@
 {
     struct sim_cluster *cluster = *state;
     cluster->run_time_s = 200;
-    sim_submit(cluster, 0, sim_job("run-1", 2, 16)); /* machines with work are not returned as idle */
+    sim_submit(cluster, 0, sim_job("run-1", 2, 16)); /* machines with work are not terminated as idle */
     for (int i = 0; i < 3; i++) {
         char name[16];
         g_snprintf(name, sizeof name, "booting-%d", i);
@@ -202,7 +202,7 @@
     sim_check_safety(cluster);
 }
 
-/* A machine that boots for longer than an unresponsive one is left alone is not returned when it sends
+/* A machine that boots for longer than an unresponsive one is left alone is not terminated when it sends
  * heartbeats at last. */
 static void test_slow_boot_is_not_taken_for_unresponsive(void **state)
 {
--- a/tests/cluster/test_gangs.c
+++ b/tests/cluster/test_gangs.c
@@ -41,7 +41,7 @@
 static void test_waiting_gang_keeps_its_reservation_and_queue_position(void **state)
 {
     struct sim_cluster *cluster = *state;
-    cluster->cloud_down = true; /* nothing to rent */
+    cluster->cloud_down = true; /* nothing can be provisioned */
     sim_add_machine(cluster, "m-0", "big", "east", false);
     sim_add_machine(cluster, "m-1", "big", "east", false);
     sim_run(cluster, 3);
--- a/tests/cluster/test_isolation.c
+++ b/tests/cluster/test_isolation.c
@@ -185,8 +185,8 @@
     sim_check_safety(cluster);
 }
 
-/* A controller that was cut off for long has missed more changes than it takes in at once: it reads the table
- * again, page by page, and does not ask for the same changes for ever. */
+/* A controller that was isolated for long has missed more changes than it takes in at once: it reads the
+ * table again, page by page, and does not ask for the same changes for ever. */
 static void test_too_many_missed_changes_are_read_by_pages(void **state)
 {
     struct sim_cluster *cluster = *state;
--- a/tests/cluster/test_limits.c
+++ b/tests/cluster/test_limits.c
@@ -67,7 +67,7 @@
     sim_free(cluster);
 }
 
-/* A repeat of a job that another controller has accepted is recognized by its id, whatever the limit of this
+/* A retry of a job that another controller has accepted is recognized by its id, whatever the limit of this
  * controller. */
 static void test_known_job_is_not_rejected_for_its_size(void **state)
 {
@@ -83,9 +83,9 @@
     uint64_t accepted = sim_submit(cluster, sim_leader(cluster), sim_job("run-2", 1, 1));
     sim_run(cluster, 1);
     assert_int_equal(sim_status(cluster, accepted), 201);
-    uint64_t repeated = sim_submit(cluster, here, sim_job("run-2", 1, 1));
+    uint64_t retry = sim_submit(cluster, here, sim_job("run-2", 1, 1));
     sim_run(cluster, 2);
-    assert_int_equal(sim_status(cluster, repeated), 200);
+    assert_int_equal(sim_status(cluster, retry), 200);
     assert_string_equal(cluster->violations->str, "");
 }
 
--- a/tests/cluster/test_replica_moves.c
+++ b/tests/cluster/test_replica_moves.c
@@ -39,7 +39,7 @@
     return count;
 }
 
-/* Every spot machine reports its remaining time each second until it is reclaimed. */
+/* Every spot machine sends its remaining time each second until it is reclaimed. */
 static void take_spot_machines(struct sim_cluster *cluster, int reclaim_notice_s)
 {
     for (int left = reclaim_notice_s; left > 0; left--) {
--- a/tests/cluster/test_shard_jobs.c
+++ b/tests/cluster/test_shard_jobs.c
@@ -76,18 +76,18 @@
     sim_check_safety(cluster);
 }
 
-/* A controller that has not read of the job yet refuses its repeat for what it says: other shards are asked
- * first. */
+/* A controller that has not read of the job yet would refuse its retry for what it says: other shards are
+ * asked first. */
 static void test_retry_of_a_job_not_read_yet_is_not_refused(void **state)
 {
     struct sim_cluster *cluster = *state;
     uint64_t accepted = sim_submit(cluster, 0, sim_job_in_zone("run-1", "east", 1));
     sim_run(cluster, 0.1);
-    uint64_t repeat = sim_submit(cluster, 1, sim_job("run-1", 1, 1e6));
+    uint64_t retry = sim_submit(cluster, 1, sim_job("run-1", 1, 1e6));
     uint64_t malformed = sim_submit_malformed(cluster, 2, "run-1");
     sim_run(cluster, 3);
     assert_int_equal(sim_status(cluster, accepted), 201);
-    assert_int_equal(sim_status(cluster, repeat), 200);
+    assert_int_equal(sim_status(cluster, retry), 200);
     assert_int_equal(sim_status(cluster, malformed), 200);
     sim_check_safety(cluster);
 }
--- a/tests/cluster/test_shards.c
+++ b/tests/cluster/test_shards.c
@@ -129,7 +129,7 @@
     sim_finish(cluster);
 }
 
-/* The key-value store fails for all: nobody is condemned, and tasks run on. */
+/* The key-value store fails for all: no shard changes its leader, and tasks run on. */
 static void test_store_outage_changes_no_leader(void **state)
 {
     struct sim_cluster *cluster = *state;
@@ -220,7 +220,7 @@
     unsigned before = withheld(cluster, old, EAST);
     assert_int_equal(ow_lease_guard_state(&shard_view(cluster, old, EAST)->guard, cluster->now),
                      OW_LEASE_UNPROVEN);
-    /* Reports come in, and what would be answered is not. */
+    /* Heartbeats come in, and no response to them goes out. */
     sim_send_empty_heartbeat(cluster, old, sim_machine(cluster, "east-0"), 1000,
                              sim_machine(cluster, "east-0")->fencing_token);
     sim_run(cluster, 0.6);
--- a/tests/cluster/test_user_api.c
+++ b/tests/cluster/test_user_api.c
@@ -1,4 +1,4 @@
-/* Answers to users' requests: repeats, rejections, fresh reads, and outages of the key-value store. */
+/* Responses to users' requests: retries, rejections, fresh reads, and outages of the key-value store. */
 #include "check.h"
 #include "sim_cluster.h"
 #include "model/submission.h"
@@ -49,9 +49,9 @@
     sim_run(cluster, 0.5);
     assert_int_equal(sim_status(cluster, first), 201);
     /* At another controller, and with a size that can never run: still the same job. */
-    uint64_t repeat = sim_submit(cluster, 1, sim_job("run-1", 1, 1000));
+    uint64_t retry = sim_submit(cluster, 1, sim_job("run-1", 1, 1000));
     sim_run(cluster, 0.5);
-    assert_int_equal(sim_status(cluster, repeat), 200);
+    assert_int_equal(sim_status(cluster, retry), 200);
     uint64_t never = sim_submit(cluster, 1, sim_job("run-2", 1, 1000));
     sim_run(cluster, 0.5);
     assert_int_equal(sim_status(cluster, never), 422);
@@ -63,32 +63,32 @@
     struct sim_cluster *cluster = *state;
     cluster->silent_watches = true;
     uint64_t first = sim_submit(cluster, 0, sim_job("run-1", 1, 1));
-    /* Node 1 has not read the record yet, and the repeated submission can never run. */
+    /* Node 1 has not read the record yet, and the retried submission can never run. */
     sim_run(cluster, 0.1);
-    uint64_t repeat = sim_submit(cluster, 1, sim_job("run-1", 1, 1000));
+    uint64_t retry = sim_submit(cluster, 1, sim_job("run-1", 1, 1000));
     sim_run(cluster, 0.5);
     assert_int_equal(sim_status(cluster, first), 201);
-    assert_int_equal(sim_status(cluster, repeat), 200);
+    assert_int_equal(sim_status(cluster, retry), 200);
     sim_check_safety(cluster);
 }
 
-/* A malformed repeat is recognized as long as its id can be parsed. */
+/* A malformed retry is recognized as long as its id can be parsed. */
 static void test_malformed_retry_is_recognized_by_id(void **state)
 {
     struct sim_cluster *cluster = *state;
     cluster->silent_watches = true;
     sim_submit(cluster, 0, sim_job("run-1", 1, 1));
     sim_run(cluster, 0.1);
-    uint64_t repeat = sim_submit_malformed(cluster, 1, "run-1");
+    uint64_t retry = sim_submit_malformed(cluster, 1, "run-1");
     uint64_t other = sim_submit_malformed(cluster, 1, "run-2");
     sim_run(cluster, 0.5);
-    assert_int_equal(sim_status(cluster, repeat), 200);
+    assert_int_equal(sim_status(cluster, retry), 200);
     assert_int_equal(sim_status(cluster, other), 400);
     cluster->store_down = true; /* the controller can't know whether the job exists */
-    repeat = sim_submit_malformed(cluster, 2, "run-1");
+    retry = sim_submit_malformed(cluster, 2, "run-1");
     other = sim_submit_malformed(cluster, 2, "run-2");
     sim_run(cluster, 0.5);
-    assert_int_equal(sim_status(cluster, repeat), 503);
+    assert_int_equal(sim_status(cluster, retry), 503);
     assert_int_equal(sim_status(cluster, other), 503);
     sim_check_safety(cluster);
 }
--- a/tests/digest/effect_line.h
+++ b/tests/digest/effect_line.h
@@ -1,4 +1,4 @@
-/** The effects of controllers as text, encoded as for the wire. */
+/** @file The effects of controllers as text, encoded as for the wire. */
 #ifndef OW_TESTS_EFFECT_LINE_H
 #define OW_TESTS_EFFECT_LINE_H
 
--- a/tests/sim/chaos_day.h
+++ b/tests/sim/chaos_day.h
@@ -1,4 +1,5 @@
 /**
+ * @file
  * A day of a simulated cluster with random overlapping failures of its machines, controllers and services.
  * All that happens on it follows from its seed.
  */
--- a/tests/sim/sim_cluster.h
+++ b/tests/sim/sim_cluster.h
@@ -71,7 +71,7 @@
     int controller_without_store; /**< failure: the store answers this controller 503 */
     double store_latency_s;       /**< failure: additional latency of each response */
     int store_latency_controller; /**< the only controller with that latency; -1: all */
-    bool silent_watches;          /**< failure: open watches report nothing before they time out */
+    bool silent_watches;          /**< failure: open watches answer nothing before they time out */
     guint watch_changes_max;      /**< limit: a watch with more changes is answered 413; 0: none is */
     bool delay_txns;              /**< failure: transactions are delayed while it is set */
     bool keep_txns_delayed;       /**< failure: delayed transactions stay delayed */
--- a/tests/sim/sim_store_parts.h
+++ b/tests/sim/sim_store_parts.h
@@ -42,8 +42,19 @@
 
 /* sim_store.c */
 
-/** Answers a request; takes ownership of the items (NULL: none) and of the keys of failed comparisons. */
+/** Answers a request at the current revision; takes ownership of the items (NULL: none) and the failed keys.
+ */
 void sim_store_respond(struct sim_cluster *cluster, int controller, uint64_t nonce,
-                       const struct ow_store_reply *reply);
+                       struct ow_store_reply reply);
+
+/* sim_store_watches.c */
+
+/** Answers a watch at once if there are changes, and keeps it open otherwise. */
+void sim_store_watch(struct sim_cluster *cluster, int controller, uint64_t nonce,
+                     const struct ow_store_request *request);
+/** Answers the open watches that have changes or have timed out. */
+void sim_answer_watches(struct sim_cluster *cluster);
+/** Frees the open watches. */
+void sim_watches_clear(struct sim_cluster *cluster);
 
 #endif
--- a/tests/sim/workload_day.c
+++ b/tests/sim/workload_day.c
@@ -6,7 +6,7 @@
 
 enum {
     BUSY_ROUNDS = 60,            /* of submissions and failures */
-    CALM_S = 100,                /* without either: services are separated, and idle machines returned */
+    CALM_S = 100,                /* without either: replicas are separated, and idle machines terminated */
     PROVISIONABLE_MACHINES = 12, /* beyond those of the start */
     JOBS_PER_ROUND_MOST = 2,     /* new jobs */
     ANSWER_S = 20,               /* every request is answered within it once the failures are over */
--- a/tests/sim/workload_day.h
+++ b/tests/sim/workload_day.h
@@ -1,4 +1,5 @@
 /**
+ * @file
  * A day of a simulated cluster under a random mix of work: arrays, gangs, services, GPU jobs and jobs with
  * deadlines, of several teams, on machines of several types, with a few failures. All that happens on it
  * follows from its seed.
--- a/tests/sockets/test_sockets.c
+++ b/tests/sockets/test_sockets.c
@@ -129,8 +129,8 @@
         close(fds[i]);
 }
 
-/* Where connections run out the one that is quiet for longest makes room: a worker's that reports is never
- * it. */
+/* Where connections run out the one that is quiet for longest makes room: a worker's that sends heartbeats is
+ * never it. */
 static void test_idle_connections_are_evicted(void **state)
 {
     static const char request[] = "POST /echo HTTP/1.1\r\nContent-Length: 2\r\n\r\nhi";
@@ -141,7 +141,7 @@
         fds[i] = ow_net_connect(socket_endpoint);
     for (int i = 0; i < 120; i++)
         ow_loop_once(bench->loop, socket_bench_sweep, bench);
-    /* The first reports; the others have been silent for more than a second. */
+    /* The first sends a heartbeat; the others have been silent for more than a second. */
     assert_true(send(fds[0], request, strlen(request), 0) > 0);
     for (int i = 0; i < 5; i++)
         ow_loop_once(bench->loop, socket_bench_sweep, bench);
@@ -154,7 +154,7 @@
         close(fds[i]);
 }
 
-/* Commands to many machines at once leave the sockets to reports: past the bound there is no room, and the
+/* Commands to many machines at once leave the sockets to heartbeats: past the bound there is no room, and the
    connection that has been idle for longest makes some. */
 static void test_client_connections_are_bounded(void **state)
 {
--- a/tests/support/check.h
+++ b/tests/support/check.h
@@ -1,4 +1,4 @@
-/* What every test file includes for cmocka, in the order that it wants. */
+/** @file What every test file includes for cmocka, in the order that it wants. */
 #ifndef OW_TESTS_CHECK_H
 #define OW_TESTS_CHECK_H
 
--- a/tests/unit/test_agent_tasks.c
+++ b/tests/unit/test_agent_tasks.c
@@ -11,7 +11,7 @@
 #include <sys/wait.h>
 #include <unistd.h>
 
-/* Longer than anything that is waited for takes. */
+/* An upper bound of every wait. */
 static const double PATIENCE_S = 30;
 
 static void test_incarnation_and_fencing_token_outlive_the_process(void **state)
@@ -155,7 +155,7 @@
     obey(&bench, OW_WORKER_CLEAR, 0, 1, 0);
     describe_job(&bench, 3, 0, "sleep 60");
     obey(&bench, OW_WORKER_LAUNCH, 0, 2, 0);
-    obey(&bench, OW_WORKER_LAUNCH, 0, 2, 0); /* a repeat has no effect */
+    obey(&bench, OW_WORKER_LAUNCH, 0, 2, 0); /* a duplicate has no effect */
     assert_int_equal(count_tasks(&bench), 1);
     obey(&bench, OW_WORKER_LAUNCH, 0, 3, 0); /* the task is here with another attempt */
     obey(&bench, OW_WORKER_LAUNCH, 1, 1, 0); /* 3 of 4 CPUs are taken */
--- a/tests/unit/test_candidacy.c
+++ b/tests/unit/test_candidacy.c
@@ -34,6 +34,21 @@
     ow_sharding_settings_free(bench->sharding);
 }
 
+static int setup_bench_of_self(void **state)
+{
+    struct bench *bench = g_new0(struct bench, 1);
+    open_bench(bench, 0);
+    *state = bench;
+    return 0;
+}
+
+static int teardown_bench(void **state)
+{
+    close_bench(*state);
+    g_free(*state);
+    return 0;
+}
+
 /* A heartbeat of a controller that leads so many shards. */
 static void hear(struct bench *bench, const char *name, unsigned count)
 {
@@ -51,19 +66,16 @@
 
 static void test_controller_leading_fewest_shards_ranks_first(void **state)
 {
-    (void)state;
-    struct bench bench;
-    open_bench(&bench, 0);
+    struct bench *bench = *state;
     /* Nobody is heard: nobody comes before us. */
-    assert_int_equal(ow_candidacy_compute_rank(bench.membership, "self", 9, "north"), 0);
-    assert_null(ow_candidacy_find_successor(bench.membership, "self", 9, "north"));
-    hear(&bench, "one", 2);
-    hear(&bench, "two", 0);
-    hear(&bench, "three", 4);
-    assert_int_equal(ow_candidacy_compute_rank(bench.membership, "self", 1, "north"), 1);
-    assert_int_equal(ow_candidacy_compute_rank(bench.membership, "self", 3, "north"), 2);
-    assert_string_equal(ow_candidacy_find_successor(bench.membership, "self", 1, "north"), "two");
-    close_bench(&bench);
+    assert_int_equal(ow_candidacy_compute_rank(bench->membership, "self", 9, "north"), 0);
+    assert_null(ow_candidacy_find_successor(bench->membership, "self", 9, "north"));
+    hear(bench, "one", 2);
+    hear(bench, "two", 0);
+    hear(bench, "three", 4);
+    assert_int_equal(ow_candidacy_compute_rank(bench->membership, "self", 1, "north"), 1);
+    assert_int_equal(ow_candidacy_compute_rank(bench->membership, "self", 3, "north"), 2);
+    assert_string_equal(ow_candidacy_find_successor(bench->membership, "self", 1, "north"), "two");
 }
 
 /* Among equals no two have the same rank, and different shards go to different controllers. */
@@ -95,36 +107,35 @@
 /* Controllers start one after the other: the first must not take every shard before the others are heard. */
 static void test_first_started_controller_leaves_shards_to_the_others(void **state)
 {
-    (void)state;
-    struct bench bench;
+    struct bench *bench = *state;
     GArray *nothing = ow_peer_shards_new();
     GPtrArray *sent = g_ptr_array_new();
-    open_bench(&bench, 0);
-    ow_membership_tick(bench.membership, 100, nothing, sent);
+    ow_membership_tick(bench->membership, 100, nothing, sent);
     unsigned later = 0;
     for (int shard = 0; shard < 40; shard++) {
         char name[16];
         g_snprintf(name, sizeof name, "shard-%d", shard);
-        later += ow_candidacy_compute_rank(bench.membership, "self", 0, name) > 0 ? 1 : 0;
+        later += ow_candidacy_compute_rank(bench->membership, "self", 0, name) > 0 ? 1 : 0;
     }
     assert_true(later > 20);
     /* Those that stay silent are no candidates for long. */
     for (int second = 1; second < 8; second++)
-        ow_membership_tick(bench.membership, 100 + second, nothing, sent);
-    assert_int_equal(ow_candidacy_compute_rank(bench.membership, "self", 9, "shard-0"), 0);
+        ow_membership_tick(bench->membership, 100 + second, nothing, sent);
+    assert_int_equal(ow_candidacy_compute_rank(bench->membership, "self", 9, "shard-0"), 0);
     for (guint i = 0; i < sent->len; i++)
         ow_peer_message_free(g_ptr_array_index(sent, i));
     g_ptr_array_free(sent, TRUE);
     g_array_free(nothing, TRUE);
-    close_bench(&bench);
 }
 
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_controller_leading_fewest_shards_ranks_first),
+        cmocka_unit_test_setup_teardown(test_controller_leading_fewest_shards_ranks_first,
+                                        setup_bench_of_self, teardown_bench),
         cmocka_unit_test(test_equal_candidates_are_ordered_by_shard),
-        cmocka_unit_test(test_first_started_controller_leaves_shards_to_the_others),
+        cmocka_unit_test_setup_teardown(test_first_started_controller_leaves_shards_to_the_others,
+                                        setup_bench_of_self, teardown_bench),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/unit/test_membership.c
+++ b/tests/unit/test_membership.c
@@ -144,7 +144,7 @@
     assert_int_equal(ow_membership_find(bench->membership, "one")->suspicions, 1);
 }
 
-/* Only our link to it is broken: that is no reason to suspect it. */
+/* Only our link to it is broken: it is not suspected. */
 static void test_controller_that_others_reach_is_not_suspected(void **state)
 {
     struct bench *bench = *state;
@@ -183,7 +183,7 @@
     assert_string_equal(ack->addressee, "three");
 }
 
-/* A process that stood still has heard nobody, and must not hold that against them. */
+/* After a pause of its own a process has received nothing: it must not suspect the others for that. */
 static void test_own_pause_suspects_no_controller(void **state)
 {
     struct bench *bench = *state;
@@ -207,7 +207,7 @@
     uint64_t last = bench->sequence;
     receive(bench, heartbeat("stranger", 1, 1));
     receive(bench, heartbeat(NULL, 1, 1));
-    receive(bench, heartbeat("one", 1, last));     /* a repeat */
+    receive(bench, heartbeat("one", 1, last));     /* a duplicate */
     receive(bench, heartbeat("one", 1, last - 3)); /* older */
     receive(bench, heartbeat("one", 0, last + 5)); /* of no process */
     receive(bench, probe(OW_PROBE_STEPS, "one", "one", "self", "two", 4));
--- a/tests/unit/test_peer_lists.c
+++ b/tests/unit/test_peer_lists.c
@@ -110,7 +110,7 @@
     static const uint32_t orders[][4] = {
         {0, 2, 2, 2}, /* one is missing */
         {0, 0, 2, 1}, /* begun anew, then out of order */
-        {0, 1, 1, 2}, /* repeated */
+        {0, 1, 1, 2}, /* twice */
         {1, 2, 1, 2}, /* no beginning */
     };
     for (size_t i = 0; i < G_N_ELEMENTS(orders); i++) {
@@ -126,7 +126,7 @@
     }
 }
 
-/* A deposed leader's list names machines that its successor has returned since. */
+/* A deposed leader's list names machines that its successor has terminated since. */
 static void test_lists_of_older_leaders_are_dropped(void **state)
 {
     (void)state;
