--- a/src/core/election/election.c
+++ b/src/core/election/election.c
@@ -61,7 +61,7 @@
        old leader. */
     g_info("leader seems to have ended: controller=%s", controller_name);
     election->act_at = election->core->now;
-    ow_election_run_for_leader(election);
+    ow_election_become_candidate(election);
 }
 
 void ow_election_note_deposed(struct ow_election *election)
@@ -73,7 +73,7 @@
 void ow_election_invalidate_key(struct ow_election *election)
 {
     ow_election_note_deposed(election);
-    if (election->stage == OW_ELECTION_LOOKING)
+    if (election->stage == OW_ELECTION_FOLLOWING)
         election->key.is_known = false;
 }
 
@@ -83,7 +83,7 @@
         return;
     ow_leader_lease_release_key(election);
     ow_election_step_down(election, why);
-    ow_election_look_again(election, YIELD_S);
+    ow_election_restart(election, YIELD_S);
 }
 
 void ow_election_observe_fencing_token(struct ow_election *election, uint64_t fencing_token,
@@ -102,16 +102,16 @@
 {
     g_info("leader is of an earlier version and is replaced: controller=%s", election->leader_name);
     election->key.held_since = election->core->now; /* if the attempt fails, the next one waits again */
-    ow_election_run_for_leader(election);
+    ow_election_become_candidate(election);
 }
 
-static void tick_leading(struct ow_election *election)
+static void tick_leader(struct ow_election *election)
 {
     if (!election->lease.is_renewing && election->core->now >= election->lease.renew_at)
         ow_leader_lease_renew(election);
 }
 
-static void tick_looking(struct ow_election *election)
+static void tick_follower(struct ow_election *election)
 {
     if (!election->key.is_known)
         ow_leader_key_read(election);
@@ -122,16 +122,16 @@
 }
 
 /* Does what is due while this controller does not lead. */
-static void tick_candidate(struct ow_election *election)
+static void tick_not_leading(struct ow_election *election)
 {
     if (election->is_busy || election->core->now < election->act_at)
         return;
-    if (election->stage == OW_ELECTION_LEASING)
+    if (election->stage == OW_ELECTION_OBTAINING_LEASE)
         ow_leader_lease_obtain(election);
-    else if (election->stage == OW_ELECTION_TAKING)
+    else if (election->stage == OW_ELECTION_TAKING_KEY)
         ow_leader_lease_take_key(election);
     else
-        tick_looking(election);
+        tick_follower(election);
 }
 
 void ow_election_tick(struct ow_election *election)
@@ -139,7 +139,7 @@
     if (election->stage == OW_ELECTION_LEADING && ow_succession_is_cut_off(election))
         ow_election_step_down(election, "the key-value store is out of reach");
     if (election->stage == OW_ELECTION_LEADING)
-        tick_leading(election);
+        tick_leader(election);
     else
-        tick_candidate(election);
+        tick_not_leading(election);
 }
--- a/src/core/election/election_state.c
+++ b/src/core/election/election_state.c
@@ -21,17 +21,17 @@
     election->leader_name = copy;
 }
 
-void ow_election_look_again(struct ow_election *election, double after_s)
+void ow_election_restart(struct ow_election *election, double after_s)
 {
-    election->stage = OW_ELECTION_LOOKING;
+    election->stage = OW_ELECTION_FOLLOWING;
     election->key.is_known = false;
     election->act_at = election->core->now + after_s;
 }
 
-void ow_election_run_for_leader(struct ow_election *election)
+void ow_election_become_candidate(struct ow_election *election)
 {
     election->lease.id = 0;
-    election->stage = OW_ELECTION_LEASING;
+    election->stage = OW_ELECTION_OBTAINING_LEASE;
 }
 
 void ow_election_begin_to_lead(struct ow_election *election, uint64_t fencing_token)
@@ -57,5 +57,5 @@
         election->callbacks->end_leading(election->core);
     }
     ow_election_set_leader_name(election, NULL);
-    ow_election_look_again(election, 0);
+    ow_election_restart(election, 0);
 }
--- a/src/core/election/election_state.h
+++ b/src/core/election/election_state.h
@@ -16,10 +16,10 @@
 
 /** The stage of this controller between follower and leader. */
 enum ow_election_stage {
-    OW_ELECTION_LOOKING, /**< follower: the leader key is read and watched */
-    OW_ELECTION_LEASING, /**< candidate: obtains a lease to attach the key to */
-    OW_ELECTION_TAKING,  /**< candidate: writes the key */
-    OW_ELECTION_LEADING, /**< leader: this controller holds the key, as far as it knows */
+    OW_ELECTION_FOLLOWING,       /**< follower: the leader key is read and watched */
+    OW_ELECTION_OBTAINING_LEASE, /**< candidate: obtains a lease to attach the key to */
+    OW_ELECTION_TAKING_KEY,      /**< candidate: writes the key */
+    OW_ELECTION_LEADING,         /**< leader: this controller holds the key, as far as it knows */
 };
 
 /** Whether and when this controller may take the leader key. */
@@ -72,9 +72,9 @@
 /** Replaces the name of the leader by a copy of `leader_name`; NULL: unknown or none. */
 void ow_election_set_leader_name(struct ow_election *election, const char *leader_name);
 /** Starts over by reading the key, `after_s` seconds from now. */
-void ow_election_look_again(struct ow_election *election, double after_s);
+void ow_election_restart(struct ow_election *election, double after_s);
 /** Becomes a candidate, with a new lease: one from an earlier attempt may have expired. */
-void ow_election_run_for_leader(struct ow_election *election);
+void ow_election_become_candidate(struct ow_election *election);
 /** Begins to lead with a fencing token, the revision of the write that took the key. */
 void ow_election_begin_to_lead(struct ow_election *election, uint64_t fencing_token);
 /** Ends our term if we lead, and reads the key again. `why` is for the log. */
--- a/src/core/election/leader_key.c
+++ b/src/core/election/leader_key.c
@@ -11,7 +11,7 @@
 static const double WATCH_S = 20;
 static const double WATCH_GAP_S = 0.2;
 /* How often a controller that may not lead reads a missing key again. */
-static const double ONLOOKER_INTERVAL_S = 1;
+static const double MISSING_KEY_POLL_S = 1;
 
 bool ow_leader_key_is_own_name(const struct ow_election *election, const char *name)
 {
@@ -54,7 +54,7 @@
 {
     ow_election_set_leader_name(election, NULL);
     if (election->candidacy.may_lead)
-        ow_election_run_for_leader(election);
+        ow_election_become_candidate(election);
 }
 
 static void handle_key(struct ow_election *election, const struct ow_store_item *item)
@@ -83,14 +83,14 @@
     key->is_missing = true;
     ow_election_set_leader_name(election, NULL);
     if (!candidacy->may_lead) {
-        ow_election_look_again(election, ONLOOKER_INTERVAL_S);
+        ow_election_restart(election, MISSING_KEY_POLL_S);
     } else if (candidacy->delay_s > 0 && !key->has_waited) {
         /* Other candidates go first; the key is read again after the delay. */
         key->has_waited = true;
-        ow_election_look_again(election, candidacy->delay_s);
+        ow_election_restart(election, candidacy->delay_s);
     } else {
         key->has_waited = false;
-        ow_election_run_for_leader(election);
+        ow_election_become_candidate(election);
     }
 }
 
@@ -100,7 +100,7 @@
     const struct ow_store_reply *reply = &answer->store;
     (void)data;
     election->is_busy = false;
-    if (election->stage != OW_ELECTION_LOOKING)
+    if (election->stage != OW_ELECTION_FOLLOWING)
         return;
     if (reply->status == OW_HTTP_STATUS_OK && reply->items->len == 1) {
         const struct ow_store_item *item = &g_array_index(reply->items, struct ow_store_item, 0);
@@ -126,7 +126,7 @@
     /* The store no longer keeps the changes since this revision. */
     if (status == OW_HTTP_STATUS_GONE)
         election->watch.since_revision = 0;
-    if (election->stage == OW_ELECTION_LOOKING)
+    if (election->stage == OW_ELECTION_FOLLOWING)
         election->key.is_known = false;
 }
 
@@ -154,7 +154,7 @@
     }
     watch->next_at = election->core->now + WATCH_GAP_S;
     watch->since_revision = MAX(watch->since_revision, reply->revision);
-    for (guint i = 0; i < reply->items->len && election->stage == OW_ELECTION_LOOKING; i++)
+    for (guint i = 0; i < reply->items->len && election->stage == OW_ELECTION_FOLLOWING; i++)
         handle_change(election, &g_array_index(reply->items, struct ow_store_item, i));
 }
 
--- a/src/core/election/leader_lease.c
+++ b/src/core/election/leader_lease.c
@@ -13,14 +13,14 @@
     struct ow_election *election = owner;
     (void)data;
     election->is_busy = false;
-    if (election->stage != OW_ELECTION_LEASING)
+    if (election->stage != OW_ELECTION_OBTAINING_LEASE)
         return;
     if (answer->store.status != OW_HTTP_STATUS_OK) {
-        ow_election_look_again(election, OW_ELECTION_RETRY_S);
+        ow_election_restart(election, OW_ELECTION_RETRY_S);
         return;
     }
     election->lease.id = answer->store.lease;
-    election->stage = OW_ELECTION_TAKING;
+    election->stage = OW_ELECTION_TAKING_KEY;
 }
 
 void ow_leader_lease_obtain(struct ow_election *election)
@@ -37,7 +37,7 @@
     int status = answer->store.status;
     (void)data;
     election->is_busy = false;
-    if (election->stage != OW_ELECTION_TAKING)
+    if (election->stage != OW_ELECTION_TAKING_KEY)
         return;
     if (status == OW_HTTP_STATUS_OK) {
         ow_election_begin_to_lead(election, answer->store.revision);
@@ -47,7 +47,7 @@
        BAD_REQUEST means that the lease has expired: it must not be used again. */
     if (status == OW_HTTP_STATUS_BAD_REQUEST)
         election->lease.id = 0;
-    ow_election_look_again(election, status == OW_HTTP_STATUS_CONFLICT ? 0 : OW_ELECTION_RETRY_S);
+    ow_election_restart(election, status == OW_HTTP_STATUS_CONFLICT ? 0 : OW_ELECTION_RETRY_S);
 }
 
 void ow_leader_lease_take_key(struct ow_election *election)
--- a/src/core/election/leader_lease.h
+++ b/src/core/election/leader_lease.h
@@ -6,9 +6,9 @@
 
 struct ow_election;
 
-/** Obtains a new lease: stage OW_ELECTION_LEASING. */
+/** Obtains a new lease: stage OW_ELECTION_OBTAINING_LEASE. */
 void ow_leader_lease_obtain(struct ow_election *election);
-/** Writes the key, unless it has changed since it was read: stage OW_ELECTION_TAKING. */
+/** Writes the key, unless it has changed since it was read: stage OW_ELECTION_TAKING_KEY. */
 void ow_leader_lease_take_key(struct ow_election *election);
 /** Renews the lease: stage OW_ELECTION_LEADING. No renewal may be in flight. */
 void ow_leader_lease_renew(struct ow_election *election);
--- a/src/core/election/succession.c
+++ b/src/core/election/succession.c
@@ -22,7 +22,7 @@
 
 bool ow_succession_may_replace_ended(const struct ow_election *election, const char *controller_name)
 {
-    if (election->stage != OW_ELECTION_LOOKING || election->is_busy)
+    if (election->stage != OW_ELECTION_FOLLOWING || election->is_busy)
         return false;
     if (!election->key.is_known || election->key.mod_revision == 0)
         return false;
