--- a/tests/cluster/test_deadlines.c
+++ b/tests/cluster/test_deadlines.c
@@ -1,4 +1,4 @@
-/* Deadlines: who can still meet one goes before who can't, and nobody starves for it. */
+/* Deadlines: a job that can still meet one goes before one that can't, and no job starves for it. */
 #include "check.h"
 #include "sim_cluster.h"
 #include "model/submission.h"
@@ -15,13 +15,13 @@
     return submission;
 }
 
-/* A single machine that is busy for `seconds`. */
-static struct sim_cluster *busy_sim(double seconds)
+static int setup_machine_busy_for_20_s(void **state)
 {
     struct sim_cluster *cluster = sim_with_one_controller_and_machines(1);
-    cluster->run_time_s = seconds;
+    *state = cluster;
+    cluster->run_time_s = 20;
     sim_start_job(cluster, array_with_deadline(1, 5, 0));
-    return cluster;
+    return 0;
 }
 
 static void assert_starts_first(struct sim_cluster *cluster, const char *first, const char *second)
@@ -32,39 +32,36 @@
 
 static void test_feasible_deadline_goes_before_a_missed_one(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = busy_sim(20);
+    struct sim_cluster *cluster = *state;
     sim_submit(cluster, 0,
                array_with_deadline(2, 20, 15)); /* it would take until 20 s after its submission */
     sim_run(cluster, 1);
     sim_submit(cluster, 0, array_with_deadline(3, 20, 90));
     assert_starts_first(cluster, "run-3", "run-2");
     assert_true(sim_run_until(cluster, 60, sim_job_is_done, "run-2"));
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 /* Without the missed deadline the order is that of arrival. */
 static void test_jobs_without_deadlines_start_in_order_of_arrival(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = busy_sim(20);
+    struct sim_cluster *cluster = *state;
     sim_submit(cluster, 0, array_with_deadline(2, 20, 0));
     sim_run(cluster, 1);
     sim_submit(cluster, 0, array_with_deadline(3, 20, 0));
     assert_starts_first(cluster, "run-2", "run-3");
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 /* Of two that can be in time, the one with less work passes the one that can wait for it. */
 static void test_short_job_passes_one_that_can_wait(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = busy_sim(20);
+    struct sim_cluster *cluster = *state;
     sim_submit(cluster, 0, array_with_deadline(2, 40, 2000));
     sim_run(cluster, 1);
     sim_submit(cluster, 0, array_with_deadline(3, 5, 100));
     assert_starts_first(cluster, "run-3", "run-2");
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 /* Submits a job with a deadline that it can meet every eight seconds, each of which takes the machine for
@@ -82,20 +79,18 @@
 
 static void test_overdue_job_starts_in_the_end(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = busy_sim(20);
+    struct sim_cluster *cluster = *state;
     sim_submit(cluster, 0, array_with_deadline(2, 30, 10));
     assert_true(starts_among_feasible_ones(cluster, "run-2", 240));
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 static void test_job_with_a_far_deadline_starts_in_the_end(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = busy_sim(20);
+    struct sim_cluster *cluster = *state;
     sim_submit(cluster, 0, array_with_deadline(2, 1000, 1e9));
     assert_true(starts_among_feasible_ones(cluster, "run-2", 240));
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 /* Starts "run-1", which keeps its deadline, and submits urgent work beside it; returns whether run-1 runs on.
@@ -123,8 +118,8 @@
     assert_false(survives_urgent_work(300));
 }
 
-/* The machine that a job starts on, of a spot machine and an ordinary one, while others are taken back. */
-static const char *choice_under_notices(struct sim_cluster *cluster, double deadline_s)
+/* The machine that a job starts on, of a spot machine and an ordinary one, while others are reclaimed. */
+static const char *choose_machine_under_reclaim_notices(struct sim_cluster *cluster, double deadline_s)
 {
     sim_add_group(cluster, "taken", 4, "east", true);
     sim_run(cluster, 6);
@@ -141,21 +136,26 @@
 {
     (void)state;
     struct sim_cluster *cluster = sim_with_one_controller();
-    assert_string_equal(choice_under_notices(cluster, 100), "ordinary");
+    assert_string_equal(choose_machine_under_reclaim_notices(cluster, 100), "ordinary");
     sim_finish(cluster);
     cluster = sim_with_one_controller();
-    assert_string_equal(choice_under_notices(cluster, 0), "spot");
+    assert_string_equal(choose_machine_under_reclaim_notices(cluster, 0), "spot");
     sim_finish(cluster);
 }
 
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_feasible_deadline_goes_before_a_missed_one),
-        cmocka_unit_test(test_jobs_without_deadlines_start_in_order_of_arrival),
-        cmocka_unit_test(test_short_job_passes_one_that_can_wait),
-        cmocka_unit_test(test_overdue_job_starts_in_the_end),
-        cmocka_unit_test(test_job_with_a_far_deadline_starts_in_the_end),
+        cmocka_unit_test_setup_teardown(test_feasible_deadline_goes_before_a_missed_one,
+                                        setup_machine_busy_for_20_s, sim_teardown),
+        cmocka_unit_test_setup_teardown(test_jobs_without_deadlines_start_in_order_of_arrival,
+                                        setup_machine_busy_for_20_s, sim_teardown),
+        cmocka_unit_test_setup_teardown(test_short_job_passes_one_that_can_wait, setup_machine_busy_for_20_s,
+                                        sim_teardown),
+        cmocka_unit_test_setup_teardown(test_overdue_job_starts_in_the_end, setup_machine_busy_for_20_s,
+                                        sim_teardown),
+        cmocka_unit_test_setup_teardown(test_job_with_a_far_deadline_starts_in_the_end,
+                                        setup_machine_busy_for_20_s, sim_teardown),
         cmocka_unit_test(test_missed_deadline_stops_no_work_that_is_in_time),
         cmocka_unit_test(test_job_with_a_deadline_avoids_spot_machines_reclaimed_often),
     };
--- a/tests/cluster/test_fleet.c
+++ b/tests/cluster/test_fleet.c
@@ -8,11 +8,12 @@
 
 enum { MACHINES = 2000, GANGS = 40, SCANS = 40, BILLS = 30 };
 /* Checks of each machine in ten seconds: a hundred rounds, with some lists for each of three classes. */
-enum { LOOKS_MOST = 2000 };
+enum { MACHINE_CHECKS_MAX = 2000 };
 
-static struct sim_cluster *fleet_sim(void)
+static int setup_fleet(void **state)
 {
     struct sim_cluster *cluster = sim_new();
+    *state = cluster;
     sim_set_largest_limits(cluster);
     cluster->provisionable_machines = MACHINES;
     sim_start_controllers(cluster);
@@ -22,7 +23,7 @@
         sim_add_machine(cluster, name, i % 5 < 3 ? "big" : "gpu", i % 2 == 0 ? "east" : "west", i % 3 == 0);
     }
     sim_run(cluster, 12);
-    return cluster;
+    return 0;
 }
 
 static void name_job(char *id, size_t size, int n)
@@ -49,7 +50,7 @@
 }
 
 /* Submits jobs with numbers from `n` on; returns the next number. */
-static int hand_in(struct sim_cluster *cluster, int n)
+static int submit_mix(struct sim_cluster *cluster, int n)
 {
     for (int i = 0; i < GANGS; i++, n++) {
         struct ow_submission *submission =
@@ -95,7 +96,7 @@
 
 /* ---- counted work ---- */
 
-static unsigned long looks;
+static unsigned long machine_checks;
 
 bool __real_ow_machine_is_usable(const struct ow_leader *leader, const struct ow_machine *m);
 bool __wrap_ow_machine_is_usable(const struct ow_leader *leader, const struct ow_machine *m);
@@ -103,40 +104,38 @@
 /* Every check of a machine begins with this call. */
 bool __wrap_ow_machine_is_usable(const struct ow_leader *leader, const struct ow_machine *m)
 {
-    looks++;
+    machine_checks++;
     return __real_ow_machine_is_usable(leader, m);
 }
 
-/* With every machine full, a decision costs a look at each machine for every class, not for every job that
+/* With every machine full, a decision costs a check of each machine for every class, not for every job that
    waits: rounds once took longer than the time between two of them. */
 static void test_waiting_jobs_trigger_no_machine_scans(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = fleet_sim();
+    struct sim_cluster *cluster = *state;
     cluster->provisionable_machines = 0;
     cluster->run_time_s = 100;
     int jobs = 0;
     for (int i = 0; i < 8; i++)
-        jobs = hand_in(cluster, jobs);
+        jobs = submit_mix(cluster, jobs);
     sim_run(cluster, 20);
-    looks = 0;
+    machine_checks = 0;
     sim_run(cluster, 10);
     double machines = 0;
     for (guint i = 0; i < cluster->machines->len; i++)
         machines += !sim_machine_at(cluster, i)->deleted;
     assert_true(2 * machines > MACHINES);
-    assert_true((double)looks / machines < LOOKS_MOST);
-    sim_finish(cluster);
+    assert_true((double)machine_checks / machines < MACHINE_CHECKS_MAX);
+    sim_check_safety(cluster);
 }
 
 /* ---- the fleet restarts ---- */
 
 static void test_all_controllers_restart_in_the_largest_deployment(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = fleet_sim();
+    struct sim_cluster *cluster = *state;
     cluster->run_time_s = 30;
-    int jobs = hand_in(cluster, 0);
+    int jobs = submit_mix(cluster, 0);
     sim_run(cluster, 15);
     restart_all(cluster);
     sim_run(cluster, 3);
@@ -149,14 +148,16 @@
     assert_true(cluster->store_requests < 0.5 * cluster->settings[0].store_rps * took);
     assert_true(cluster->store_mutations < 0.8 * cluster->settings[0].store_write_rps * took);
     assert_true(cluster->cloud_requests < 0.8 * cluster->settings[0].cloud_rps * took);
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_waiting_jobs_trigger_no_machine_scans),
-        cmocka_unit_test(test_all_controllers_restart_in_the_largest_deployment),
+        cmocka_unit_test_setup_teardown(test_waiting_jobs_trigger_no_machine_scans, setup_fleet,
+                                        sim_teardown),
+        cmocka_unit_test_setup_teardown(test_all_controllers_restart_in_the_largest_deployment, setup_fleet,
+                                        sim_teardown),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/cluster/test_large_fleet.c
+++ b/tests/cluster/test_large_fleet.c
@@ -6,11 +6,12 @@
 
 enum { MACHINES = 5000 };
 /* Direct commands to each machine in a phase of a test, on average. */
-static const double DIRECTS_MOST = 4;
+static const double DIRECT_COMMANDS_MAX = 4;
 
-static struct sim_cluster *large_sim(void)
+static int setup_large_fleet(void **state)
 {
     struct sim_cluster *cluster = sim_new();
+    *state = cluster;
     sim_set_largest_limits(cluster);
     for (int i = 0; i < SIM_CONTROLLERS; i++)
         cluster->settings[i].sockets = 2 * MACHINES;
@@ -22,11 +23,11 @@
     }
     sim_run(cluster, 20);
     cluster->run_time_s = 600;
-    return cluster;
+    return 0;
 }
 
 /* One task on every machine. */
-static void fill(struct sim_cluster *cluster)
+static void fill_all_machines(struct sim_cluster *cluster)
 {
     sim_submit(cluster, 0, sim_job("run-1", MACHINES, 16));
     sim_run(cluster, 25);
@@ -38,16 +39,15 @@
 /* The cloud's list has ten pages, and the array a task for every machine; the cancellation ends them all. */
 static void test_array_on_all_machines_is_cancelled(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = large_sim();
-    fill(cluster);
+    struct sim_cluster *cluster = *state;
+    fill_all_machines(cluster);
     cluster->direct_commands_sent = 0;
     uint64_t request = sim_cancel(cluster, 1, "run-1");
     assert_true(sim_run_until(cluster, 20, sim_job_is_not_running, "run-1"));
     sim_run(cluster, 2);
     assert_int_equal(sim_response(cluster, request)->state, OW_JOB_CANCELLED);
-    assert_true(cluster->direct_commands_sent <= DIRECTS_MOST * MACHINES);
-    sim_finish(cluster);
+    assert_true(cluster->direct_commands_sent <= DIRECT_COMMANDS_MAX * MACHINES);
+    sim_check_safety(cluster);
 }
 
 static void set_heartbeats_lost(struct sim_cluster *cluster, bool lost)
@@ -61,9 +61,8 @@
    with their leases. */
 static void test_successor_reaches_all_machines_by_the_leaders_list(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = large_sim();
-    fill(cluster);
+    struct sim_cluster *cluster = *state;
+    fill_all_machines(cluster);
     cluster->cloud_down = true;
     cluster->direct_commands_sent = 0;
     set_heartbeats_lost(cluster, true);
@@ -77,15 +76,17 @@
     sim_run(cluster, 20);
     assert_int_equal(sim_count_running(cluster, "run-1"), MACHINES);
     assert_int_equal(sim_count_launches(cluster), MACHINES);
-    assert_true(cluster->direct_commands_sent <= DIRECTS_MOST * MACHINES);
-    sim_finish(cluster);
+    assert_true(cluster->direct_commands_sent <= DIRECT_COMMANDS_MAX * MACHINES);
+    sim_check_safety(cluster);
 }
 
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_array_on_all_machines_is_cancelled),
-        cmocka_unit_test(test_successor_reaches_all_machines_by_the_leaders_list),
+        cmocka_unit_test_setup_teardown(test_array_on_all_machines_is_cancelled, setup_large_fleet,
+                                        sim_teardown),
+        cmocka_unit_test_setup_teardown(test_successor_reaches_all_machines_by_the_leaders_list,
+                                        setup_large_fleet, sim_teardown),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/cluster/test_starvation.c
+++ b/tests/cluster/test_starvation.c
@@ -139,11 +139,22 @@
     sim_check_safety(cluster);
 }
 
+static int setup_waiting_urgent_arrays(void **state)
+{
+    *state = sim_with_waiting_arrays(urgent_array);
+    return 0;
+}
+
+static int setup_waiting_small_arrays(void **state)
+{
+    *state = sim_with_waiting_arrays(small_array);
+    return 0;
+}
+
 /* A large array is delayed by its size, but completes. */
 static void test_large_array_completes_under_load(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_waiting_arrays(small_array);
+    struct sim_cluster *cluster = *state;
     sim_submit(cluster, 0, numbered(1, 60, 8, false, OW_RANK_STANDARD));
     assert_true(starts_under_load(cluster, "run-1", 1, small_array));
     for (int n = 1000; n < 1250 && !sim_job_is_done(cluster, "run-1"); n++) {
@@ -151,16 +162,15 @@
         sim_run(cluster, 1);
     }
     assert_true(sim_job_is_done(cluster, "run-1"));
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 static void test_lowest_rank_starts_under_load(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_waiting_arrays(urgent_array);
+    struct sim_cluster *cluster = *state;
     sim_submit(cluster, 0, numbered(1, 4, 8, false, OW_RANK_LOW));
     assert_true(starts_under_load(cluster, "run-1", 1, urgent_array));
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 /* Only jobs of low rank without an SLO wait for cheap machines. */
@@ -191,8 +201,7 @@
 /* A waiting job keeps its age when every controller restarts, twice. */
 static void test_waiting_time_survives_restarts(void **state)
 {
-    (void)state;
-    struct sim_cluster *cluster = sim_with_waiting_arrays(urgent_array);
+    struct sim_cluster *cluster = *state;
     sim_submit(cluster, 0, numbered(1, 4, 8, false, OW_RANK_LOW));
     for (int i = 0; i < 2; i++) {
         assert_false(starts_within(cluster, "run-1", 55, 1, urgent_array, 100 + 100 * i));
@@ -200,7 +209,7 @@
         sim_start_controller(cluster, 0);
     }
     assert_true(starts_within(cluster, "run-1", 90, 1, urgent_array, 300));
-    sim_finish(cluster);
+    sim_check_safety(cluster);
 }
 
 int main(void)
@@ -214,11 +223,14 @@
                                         sim_teardown),
         cmocka_unit_test_setup_teardown(test_new_gang_starts_among_starved_gangs,
                                         setup_one_controller_and_four_machines, sim_teardown),
-        cmocka_unit_test(test_large_array_completes_under_load),
-        cmocka_unit_test(test_lowest_rank_starts_under_load),
+        cmocka_unit_test_setup_teardown(test_large_array_completes_under_load, setup_waiting_small_arrays,
+                                        sim_teardown),
+        cmocka_unit_test_setup_teardown(test_lowest_rank_starts_under_load, setup_waiting_urgent_arrays,
+                                        sim_teardown),
         cmocka_unit_test_setup_teardown(test_only_low_rank_without_slo_waits_for_cheap_machines,
                                         setup_one_controller_and_two_machines, sim_teardown),
-        cmocka_unit_test(test_waiting_time_survives_restarts),
+        cmocka_unit_test_setup_teardown(test_waiting_time_survives_restarts, setup_waiting_urgent_arrays,
+                                        sim_teardown),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/sim/sim_checks.c
+++ b/tests/sim/sim_checks.c
@@ -1,4 +1,5 @@
-/* The checks of the safety rules on the simulated machines: each breach is recorded as a violation. */
+/* The checks of the safety rules on the simulated machines: each breach is recorded as a violation. They look
+ * at what is really on the machines, never at what a controller believes. */
 #include "sim_parts.h"
 #include "model/submission.h"
 #include "model/worker.h"
@@ -36,11 +37,11 @@
     return g_hash_table_lookup(cluster->requirements, job);
 }
 
-/* Calls `take` for every task that is on a machine. */
-static void each_task(struct sim_cluster *cluster,
-                      void (*take)(struct sim_cluster *cluster, const struct sim_machine *machine,
-                                   const struct sim_task *task, void *sum),
-                      void *sum)
+/* Calls `take` for every task that has not exited. */
+static void for_each_task(struct sim_cluster *cluster,
+                          void (*take)(struct sim_cluster *cluster, const struct sim_machine *machine,
+                                       const struct sim_task *task, void *sum),
+                          void *sum)
 {
     for (guint i = 0; i < cluster->machines->len; i++) {
         const struct sim_machine *machine = sim_machine_at(cluster, i);
@@ -52,19 +53,19 @@
     }
 }
 
-struct use {
+struct team_usage {
     const char *team;
     double cpus;
 };
 
-static void add_use(struct sim_cluster *cluster, const struct sim_machine *machine,
-                    const struct sim_task *task, void *sum)
+static void add_team_usage(struct sim_cluster *cluster, const struct sim_machine *machine,
+                           const struct sim_task *task, void *sum)
 {
     const struct sim_requirements *requirements = sim_requirements_of(cluster, task->job);
-    struct use *use = sum;
+    struct team_usage *usage = sum;
     (void)machine;
-    if (requirements != NULL && strcmp(requirements->team, use->team) == 0)
-        use->cpus += requirements->cpus;
+    if (requirements != NULL && strcmp(requirements->team, usage->team) == 0)
+        usage->cpus += requirements->cpus;
 }
 
 /* Checks the team's limit against the tasks that are really on machines. */
@@ -74,46 +75,46 @@
     for (guint i = 0; requirements != NULL && i < cluster->settings[0].teams->len; i++) {
         const struct ow_team_settings *team =
             &g_array_index(cluster->settings[0].teams, struct ow_team_settings, i);
-        struct use use = {requirements->team, 0};
+        struct team_usage usage = {requirements->team, 0};
         if (strcmp(team->name, requirements->team) != 0 || team->cpus_max <= 0)
             continue;
-        each_task(cluster, add_use, &use);
-        if (use.cpus > team->cpus_max + 1e-6)
-            g_string_append_printf(cluster->violations, "team %s uses %g of %g with %s; ", use.team, use.cpus,
-                                   team->cpus_max, job);
+        for_each_task(cluster, add_team_usage, &usage);
+        if (usage.cpus > team->cpus_max + 1e-6)
+            g_string_append_printf(cluster->violations, "team %s uses %g of %g with %s; ", usage.team,
+                                   usage.cpus, team->cpus_max, job);
     }
 }
 
-struct place {
+struct zone_counts {
     const char *job;
     const struct sim_machine *here;
     uint32_t in_zone, elsewhere;
 };
 
-static void add_place(struct sim_cluster *cluster, const struct sim_machine *machine,
-                      const struct sim_task *task, void *sum)
+static void add_zone(struct sim_cluster *cluster, const struct sim_machine *machine,
+                     const struct sim_task *task, void *sum)
 {
-    struct place *place = sum;
+    struct zone_counts *counts = sum;
     (void)cluster;
-    if (strcmp(task->job, place->job) != 0)
+    if (strcmp(task->job, counts->job) != 0)
         return;
-    if (strcmp(machine->zone, place->here->zone) == 0)
-        place->in_zone++;
+    if (strcmp(machine->zone, counts->here->zone) == 0)
+        counts->in_zone++;
     else
-        place->elsewhere++;
+        counts->elsewhere++;
 }
 
 void sim_check_placement(struct sim_cluster *cluster, const struct sim_machine *machine, const char *job)
 {
     const struct sim_requirements *requirements = sim_requirements_of(cluster, job);
-    struct place place = {job, machine, 0, 0};
+    struct zone_counts counts = {job, machine, 0, 0};
     if (requirements == NULL)
         return;
     if (requirements->one_zone || requirements->spread)
-        each_task(cluster, add_place, &place);
+        for_each_task(cluster, add_zone, &counts);
     if ((requirements->zone[0] != '\0' && strcmp(requirements->zone, machine->zone) != 0) ||
-        (machine->spot && !requirements->spot) || (requirements->one_zone && place.elsewhere > 0) ||
-        (requirements->spread && place.in_zone > (requirements->tasks + 1) / 2))
+        (machine->spot && !requirements->spot) || (requirements->one_zone && counts.elsewhere > 0) ||
+        (requirements->spread && counts.in_zone > (requirements->tasks + 1) / 2))
         g_string_append_printf(cluster->violations, "%s is at a wrong place on %s; ", job, machine->name);
 }
 
