--- a/src/core/machines/headroom.c
+++ b/src/core/machines/headroom.c
@@ -81,8 +81,8 @@
         const struct ow_execution *sample = NULL;
         double peak = ow_class_update_peak(leader->core, (int)i, class_tasks(leader, (int)i, &sample));
         struct ow_expected_machine candidate;
-        if (sample == NULL ||
-            !ow_instance_offers_best(leader, sample->job->spec, INFINITY, true, false, &candidate))
+        if (sample == NULL || !ow_instance_offers_find_cheapest(leader, sample->job->spec, INFINITY,
+                                                                OW_OFFERS_NOT_WASTEFUL, &candidate))
             continue;
         const struct ow_machine_type *type = ow_machine_type_of(leader, &candidate.machine);
         const struct ow_class *class = ow_class_of(leader->core, (int)i);
@@ -92,7 +92,8 @@
         double wanted = peak + MAX(class->largest, HEADROOM_SHARE * peak);
         uint32_t there = slots_there(leader, class, true, plan);
         while (*most > 0 && there < wanted &&
-               ow_instance_offers_best(leader, sample->job->spec, INFINITY, true, false, &candidate)) {
+               ow_instance_offers_find_cheapest(leader, sample->job->spec, INFINITY, OW_OFFERS_NOT_WASTEFUL,
+                                                &candidate)) {
             there += class_slots(leader, class, &candidate.machine, true);
             g_array_append_val(plan, candidate);
             (*most)--;
@@ -155,7 +156,7 @@
     return true;
 }
 
-static double rent_of(const struct ow_leader *leader, const struct ow_machine *machine)
+static double price_of(const struct ow_leader *leader, const struct ow_machine *machine)
 {
     const struct ow_machine_type *type = ow_machine_type_of(leader, machine);
     return machine->spot ? type->spot_price : type->price;
@@ -163,28 +164,28 @@
 
 static gint dearest_first(gconstpointer a, gconstpointer b, gpointer leader)
 {
-    const struct ow_machine *first = *(const struct ow_machine *const *)a,
-                            *second = *(const struct ow_machine *const *)b;
-    double left = rent_of(leader, first), right = rent_of(leader, second);
-    if (left != right)
-        return left > right ? -1 : 1;
+    const struct ow_machine *first = *(const struct ow_machine *const *)a;
+    const struct ow_machine *second = *(const struct ow_machine *const *)b;
+    double first_price = price_of(leader, first);
+    double second_price = price_of(leader, second);
+    if (first_price != second_price)
+        return first_price > second_price ? -1 : 1;
     return first->type - second->type;
 }
 
 GPtrArray *ow_headroom_unneeded(struct ow_leader *leader, bool (*idle)(const struct ow_machine *machine))
 {
-    GPtrArray *found = g_ptr_array_new(), *unneeded = g_ptr_array_new();
+    g_autoptr(GPtrArray) found = g_ptr_array_new();
+    GPtrArray *unneeded = g_ptr_array_new();
     for (guint i = 0; i < leader->machines->len; i++) {
         struct ow_machine *machine = g_ptr_array_index(leader->machines, i);
         if (ow_machine_type_of(leader, machine) != NULL && idle(machine))
             g_ptr_array_add(found, machine);
     }
     g_ptr_array_sort_with_data(found, dearest_first, leader);
-    GArray *needs = class_needs(leader);
+    g_autoptr(GArray) needs = class_needs(leader);
     for (guint i = 0; i < found->len; i++)
         if (spared(leader, needs, g_ptr_array_index(found, i)))
             g_ptr_array_add(unneeded, g_ptr_array_index(found, i));
-    g_array_free(needs, TRUE);
-    g_ptr_array_free(found, TRUE);
     return unneeded;
 }
--- a/src/core/machines/instance_offers.c
+++ b/src/core/machines/instance_offers.c
@@ -1,5 +1,5 @@
-/* Kinds of machines: which has been refused lately, and which is worth renting for a job. */
 #include "core/machines/instance_offers.h"
+
 #include "core/leader/leader_state.h"
 #include "core/machine_types.h"
 #include "core/machines/machine.h"
@@ -10,18 +10,21 @@
 
 #include <math.h>
 
+/* How long a kind of machine is not asked for again after a refusal. */
 static const double REFUSAL_S = 60;
 /* How many times the start of a machine a job must wait without it to be given one. */
 static const double HELP_PATIENCE = 1.5;
-/* So much dearer for a task than the cheapest proper kind a machine with GPUs may be without being a waste.
+/* So many times the price of the cheapest kind without GPUs a machine with GPUs may cost for a task that does
+   not need them without being a waste.
  */
 static const double FAIR_PRICE = 2;
 
 /* ---- refusals ---- */
 
-/* A kind of machine that the cloud has refused to rent. */
+/* A kind of machine that the cloud has refused to provision. */
 struct ow_offer_refusal {
-    int type, zone;
+    int type;
+    int zone;
     bool spot;
     double until;
 };
@@ -36,7 +39,7 @@
     return refusal->type == type && refusal->zone == zone && refusal->spot == spot;
 }
 
-static bool refused(const struct ow_leader *leader, int type, int zone, bool spot)
+static bool is_refused(const struct ow_leader *leader, int type, int zone, bool spot)
 {
     for (guint i = 0; i < leader->offer_refusals->len; i++)
         if (is_kind(&g_array_index(leader->offer_refusals, struct ow_offer_refusal, i), type, zone, spot))
@@ -61,37 +64,39 @@
 
 void ow_instance_offers_refuse(struct ow_leader *leader, int type, int zone, bool spot)
 {
-    struct ow_offer_refusal refusal = {type, zone, spot, leader->core->now + REFUSAL_S};
+    struct ow_offer_refusal refusal = {
+        .type = type, .zone = zone, .spot = spot, .until = leader->core->now + REFUSAL_S};
     g_array_append_val(leader->offer_refusals, refusal);
 }
 
 /* ---- what they are worth ---- */
 
-static bool offered_in(const struct ow_machine_type *type, const char *zone)
+static bool is_offered_in(const struct ow_machine_type *type, const char *zone)
 {
     return type->zones == NULL || g_strv_contains((const char *const *)type->zones, zone);
 }
 
-static bool improper(const struct ow_machine_type *type, const struct ow_resources *need)
+static bool has_useless_gpus(const struct ow_machine_type *type, const struct ow_resources *need)
 {
     return type->size.gpus > 0 && need->gpus <= 0;
 }
 
-/* Hourly rent for a task. */
+/* Hourly price for a task. */
 static double price_of(const struct ow_machine_type *type, const struct ow_resources *need, bool spot)
 {
     uint32_t slots = ow_placement_slots_on_empty(type, need);
-    double rent = spot ? type->spot_price : type->price;
-    return slots > 0 ? rent / slots : INFINITY;
+    double price = spot ? type->spot_price : type->price;
+    return slots > 0 ? price / slots : INFINITY;
 }
 
 /* The cheapest ordinary machine without GPUs, whether or not it is to be had. */
-static double proper_price(const struct ow_leader *leader, const struct ow_resources *need, uint64_t types)
+static double price_without_gpus(const struct ow_leader *leader, const struct ow_resources *need,
+                                 uint64_t types)
 {
     double best = INFINITY;
     for (int i = 0; i < OW_MAX_TYPES; i++) {
         const struct ow_machine_type *type = ow_machine_types_at(leader->core->machine_types, i);
-        if (type != NULL && !improper(type, need) && (types & (UINT64_C(1) << i)) != 0)
+        if (type != NULL && !has_useless_gpus(type, need) && (types & (UINT64_C(1) << i)) != 0)
             best = MIN(best, price_of(type, need, false));
     }
     return best;
@@ -101,10 +106,10 @@
                                     const struct ow_class *class, bool spot)
 {
     /* Less urgent work gets only what the GPUs leave over. */
-    return improper(type, &class->need) &&
+    return has_useless_gpus(type, &class->need) &&
            ((int)class->rank >= leader->cycle.gpu_rank ||
             price_of(type, &class->need, spot) >
-                FAIR_PRICE * proper_price(leader, &class->need, class->types));
+                FAIR_PRICE * price_without_gpus(leader, &class->need, class->types));
 }
 
 /* How long a new machine takes until it can run the job. */
@@ -115,18 +120,18 @@
 
 /* Whether the kind of machine can be provisioned for the job, and would come in time to help. */
 static bool is_option(const struct ow_leader *leader, const struct ow_job_spec *spec,
-                      const struct ow_machine *kind, double waits)
+                      const struct ow_machine *kind, double wait_s)
 {
     const struct ow_machine_type *type = ow_machine_types_at(leader->core->machine_types, kind->type);
-    if (waits < HELP_PATIENCE * start_s(type, spec))
+    if (wait_s < HELP_PATIENCE * start_s(type, spec))
         return false;
-    if (!offered_in(type, ow_interner_text(leader->core->interners.zones, kind->zone)))
+    if (!is_offered_in(type, ow_interner_text(leader->core->interners.zones, kind->zone)))
         return false;
     return ow_placement_slots(leader, spec, kind) > 0 && ow_placement_is_allowed(spec, kind) &&
-           !refused(leader, kind->type, kind->zone, kind->spot);
+           !is_refused(leader, kind->type, kind->zone, kind->spot);
 }
 
-/* Hourly rent for each task of the job that would run on such a machine. */
+/* Hourly price for each task of the job that would run on such a machine. */
 static double price_for_job(const struct ow_leader *leader, const struct ow_job_spec *spec,
                             const struct ow_machine *kind)
 {
@@ -135,30 +140,48 @@
     return (kind->spot ? type->spot_price : type->price) / MIN(slots, spec->submission->tasks);
 }
 
-bool ow_instance_offers_best(const struct ow_leader *leader, const struct ow_job_spec *spec, double waits,
-                             bool proper, bool cheap, struct ow_expected_machine *out)
+static bool may_be_offered(const struct ow_leader *leader, const struct ow_job_spec *spec,
+                           const struct ow_machine *kind, enum ow_offer_filter filter)
 {
+    if (filter == OW_OFFERS_SPOT)
+        return kind->spot;
+    if (filter == OW_OFFERS_ALL)
+        return true;
+    const struct ow_machine_type *type = ow_machine_types_at(leader->core->machine_types, kind->type);
     const struct ow_class *class = ow_class_of(leader->core, spec->class_index);
-    double best = INFINITY;
+    return !ow_instance_offers_is_wasteful(leader, type, class, kind->spot);
+}
+
+/* Replaces `best` by the kind of machine if that is an option for the job and cheaper. */
+static void consider(const struct ow_leader *leader, const struct ow_job_spec *spec, double wait_s,
+                     const struct ow_machine *kind, double *best_price, struct ow_expected_machine *best)
+{
+    if (!is_option(leader, spec, kind, wait_s))
+        return;
+    double price = price_for_job(leader, spec, kind);
+    if (price >= *best_price)
+        return;
+    *best_price = price;
+    *best = (struct ow_expected_machine){.machine = *kind, .to_provision = true};
+}
+
+bool ow_instance_offers_find_cheapest(const struct ow_leader *leader, const struct ow_job_spec *spec,
+                                      double wait_s, enum ow_offer_filter filter,
+                                      struct ow_expected_machine *out)
+{
+    double best_price = INFINITY;
     for (int type_index = 0; type_index < OW_MAX_TYPES; type_index++) {
-        const struct ow_machine_type *type = ow_machine_types_at(leader->core->machine_types, type_index);
-        for (char **zone = leader->core->settings->zones; type != NULL && *zone != NULL; zone++) {
-            int zone_index = ow_interner_intern(leader->core->interners.zones, *zone);
-            for (int spot = cheap ? 1 : 0; spot < 2; spot++) {
-                struct ow_expected_machine candidate = {
-                    .machine = {.type = type_index, .zone = zone_index, .spot = spot != 0},
-                    .to_provision = true};
-                if (proper && ow_instance_offers_is_wasteful(leader, type, class, spot != 0))
-                    continue;
-                if (!is_option(leader, spec, &candidate.machine, waits))
-                    continue;
-                double price = price_for_job(leader, spec, &candidate.machine);
-                if (price < best) {
-                    best = price;
-                    *out = candidate;
-                }
-            }
+        if (ow_machine_types_at(leader->core->machine_types, type_index) == NULL)
+            continue;
+        for (char **zone = leader->core->settings->zones; *zone != NULL; zone++) {
+            struct ow_machine kind = {.type = type_index,
+                                      .zone = ow_interner_intern(leader->core->interners.zones, *zone)};
+            if (may_be_offered(leader, spec, &kind, filter))
+                consider(leader, spec, wait_s, &kind, &best_price, out);
+            kind.spot = true;
+            if (may_be_offered(leader, spec, &kind, filter))
+                consider(leader, spec, wait_s, &kind, &best_price, out);
         }
     }
-    return best < INFINITY;
+    return best_price < INFINITY;
 }
--- a/src/core/machines/instance_offers.h
+++ b/src/core/machines/instance_offers.h
@@ -20,13 +20,23 @@
     bool to_provision;
 };
 
+/** Which kinds of machines are considered. */
+enum ow_offer_filter {
+    OW_OFFERS_ALL,
+    OW_OFFERS_SPOT,         /**< spot machines alone */
+    OW_OFFERS_NOT_WASTEFUL, /**< no machine whose GPUs would be wasted on the job */
+};
+
 /** The empty list of a leader's refusals; freed with g_array_free(). */
 GArray *ow_instance_offers_new_refusals(void);
-/** Finds the cheapest kind of machine for the job that has not been refused lately; false if there is none.
- * `waits`: seconds the job would wait without it; `proper`: no machine whose GPUs would be wasted on it;
- * `cheap`: spot machines alone. */
-bool ow_instance_offers_best(const struct ow_leader *leader, const struct ow_job_spec *spec, double waits,
-                             bool proper, bool cheap, struct ow_expected_machine *out);
+/** Finds the cheapest kind of machine for the job that has not been refused lately and would start in time to
+ * help.
+ * @param wait_s how long the job would wait without it
+ * @param out filled in if true is returned
+ * @return whether there is one */
+bool ow_instance_offers_find_cheapest(const struct ow_leader *leader, const struct ow_job_spec *spec,
+                                      double wait_s, enum ow_offer_filter filter,
+                                      struct ow_expected_machine *out);
 /** Whether a machine with GPUs would be too expensive for work that does not need them. */
 bool ow_instance_offers_is_wasteful(const struct ow_leader *leader, const struct ow_machine_type *type,
                                     const struct ow_class *job_class, bool spot);
--- a/src/core/machines/machine_images.c
+++ b/src/core/machines/machine_images.c
@@ -73,6 +73,21 @@
     copy->present = copy->present || present;
 }
 
+/* What there is to bring before the image is complete: `own_gb` of its own, and what other fetches that are
+   under way have left, for they share the machine's rate. */
+static double gb_to_fetch(const struct ow_leader *leader, const struct ow_machine *machine, double own_gb,
+                          double gb_per_s)
+{
+    double sum_gb = own_gb;
+    for (guint i = 0; i < machine->images->len; i++) {
+        const struct ow_image_copy *copy = &g_array_index(machine->images, struct ow_image_copy, i);
+        double left_s = copy->ready_at - leader->core->now;
+        if (!copy->present && left_s > 0)
+            sum_gb += MIN(copy->gb, left_s * gb_per_s);
+    }
+    return sum_gb;
+}
+
 double ow_machine_fetch_seconds(const struct ow_leader *leader, const struct ow_machine *machine,
                                 const struct ow_job_spec *spec)
 {
@@ -82,13 +97,8 @@
         return 0;
     if (copy != NULL)
         return MAX(FETCH_LEAST_S, copy->ready_at - leader->core->now);
-    /* Fetches under way share the machine's rate. */
-    double gb = spec->submission->image_gb;
-    for (guint i = 0; i < machine->images->len; i++) {
-        const struct ow_image_copy *other = &g_array_index(machine->images, struct ow_image_copy, i);
-        if (!other->present && other->ready_at > leader->core->now)
-            gb += MIN(other->gb,
-                      (other->ready_at - leader->core->now) * (type != NULL ? type->fetch_gb_per_s : 0));
-    }
-    return type != NULL && type->fetch_gb_per_s > 0 ? gb / type->fetch_gb_per_s : UNKNOWN_FETCH_S;
+    if (type == NULL || type->fetch_gb_per_s <= 0)
+        return UNKNOWN_FETCH_S;
+    double own_gb = spec->submission->image_gb;
+    return gb_to_fetch(leader, machine, own_gb, type->fetch_gb_per_s) / type->fetch_gb_per_s;
 }
--- a/src/core/machines/machine_registry.h
+++ b/src/core/machines/machine_registry.h
@@ -41,7 +41,7 @@
  */
 bool ow_machine_has_unacknowledged_launch(const struct ow_machine *machine, const struct ow_job *job,
                                           uint32_t task, uint64_t number);
-/** Frees a machine: the free function of the registry's array. */
-void ow_machine_free(void *machine);
+/** Frees a machine: the free function of the registry's array. @param item a struct ow_machine */
+void ow_machine_free(void *item);
 
 #endif
--- a/src/core/machines/scale_out.c
+++ b/src/core/machines/scale_out.c
@@ -128,12 +128,12 @@
     double wait_s = ow_work_backlog_add(backlog, leader, execution, plan);
     if (is_in_time(leader, execution, wait_s))
         return;
-    bool cheap = ow_price_filter_applies(leader, execution);
+    enum ow_offer_filter filter = ow_price_filter_applies(leader, execution) ? OW_OFFERS_SPOT : OW_OFFERS_ALL;
     for (guint i = 0; i < plan->len && wanted > 0; i++)
         wanted -= take_room(leader, spec, &g_array_index(plan, struct ow_expected_machine, i), wanted);
     struct ow_expected_machine expected;
     while (wanted > 0 && *most > 0 &&
-           ow_instance_offers_best(leader, spec, wait_s, false, cheap, &expected)) {
+           ow_instance_offers_find_cheapest(leader, spec, wait_s, filter, &expected)) {
         uint32_t taken = take_room(leader, spec, &expected, wanted);
         if (taken == 0)
             return;
@@ -172,21 +172,33 @@
            a->machine.zone == b->machine.zone && a->machine.spot == b->machine.spot;
 }
 
+/* Takes the machine at `first` and all later ones of its kind out of what is to be provisioned. @return how
+   many they are */
+static unsigned take_kind(GArray *plan, guint first)
+{
+    unsigned count = 0;
+    const struct ow_expected_machine kind = g_array_index(plan, struct ow_expected_machine, first);
+    for (guint i = first; i < plan->len; i++) {
+        struct ow_expected_machine *expected = &g_array_index(plan, struct ow_expected_machine, i);
+        if (!is_same_kind(&kind, expected))
+            continue;
+        expected->to_provision = false;
+        count++;
+    }
+    return count;
+}
+
+/* One call for each kind, in the order of the plan, within the cloud's rate limit; what is left over is
+   planned again in a later round. */
 static void provision_planned(struct ow_leader *leader, GArray *plan)
 {
     for (guint i = 0; i < plan->len; i++) {
-        struct ow_expected_machine *expected = &g_array_index(plan, struct ow_expected_machine, i);
-        unsigned count = 0;
+        const struct ow_expected_machine *expected = &g_array_index(plan, struct ow_expected_machine, i);
         if (!expected->to_provision)
             continue;
-        for (guint k = i; k < plan->len; k++)
-            count += is_same_kind(expected, &g_array_index(plan, struct ow_expected_machine, k)) ? 1 : 0;
         if (!ow_rate_limiter_take(&leader->cloud_limiter, 1, leader->core->now))
             return;
-        send_provision_call(leader, expected, count);
-        for (guint k = plan->len; k > i; k--)
-            if (k - 1 != i && is_same_kind(expected, &g_array_index(plan, struct ow_expected_machine, k - 1)))
-                g_array_index(plan, struct ow_expected_machine, k - 1).to_provision = false;
+        send_provision_call(leader, expected, take_kind(plan, i));
     }
 }
 
