--- a/src/config/operators_file.c
+++ b/src/config/operators_file.c
@@ -94,7 +94,7 @@
         if (field != NULL)
             read_number(reader, field, attributes[1]);
         else
-            g_warning("operators' settings: %s of %s is not known and is ignored", attributes[0], element);
+            g_warning("unknown operators' setting ignored: element=%s attribute=%s", element, attributes[0]);
     }
 }
 
