--- a/tests/cluster/test_isolation.c
+++ b/tests/cluster/test_isolation.c
@@ -45,8 +45,8 @@
     sim_submit(cluster, old, sim_job("run-2", 1, 1));
     sim_run(cluster, 4);
     assert_false(ow_shard_manager_is_ready(cluster->controllers[old]));
-    const struct sim_response *answer = sim_response(cluster, poll);
-    assert_true(answer != NULL && answer->status == 503);
+    const struct sim_response *response = sim_response(cluster, poll);
+    assert_true(response != NULL && response->status == 503);
     assert_true(sim_run_until(cluster, 20, sim_job_is_running, "run-1"));
     sim_run(cluster, 10);
     assert_true(sim_leader(cluster) != old && sim_fencing_token(cluster, old) == 0);
@@ -146,8 +146,8 @@
     }
     sim_run(cluster, 2);
     for (int i = 0; i < JOBS; i++) {
-        const struct sim_response *answer = sim_response(cluster, polls[i]);
-        assert_true(answer != NULL && answer->status == 200 && answer->state == OW_JOB_DONE);
+        const struct sim_response *response = sim_response(cluster, polls[i]);
+        assert_true(response != NULL && response->status == 200 && response->state == OW_JOB_DONE);
     }
     sim_check_safety(cluster);
 }
--- a/tests/cluster/test_services.c
+++ b/tests/cluster/test_services.c
@@ -199,8 +199,9 @@
     for (int i = 0; i < 60 && !was_answered; i++) {
         uint64_t request = sim_poll(cluster, sim_leader(cluster), "run-1");
         sim_run(cluster, 1);
-        const struct sim_response *answer = sim_response(cluster, request);
-        was_answered = answer != NULL && answer->reason != NULL && strstr(answer->reason, "paused") != NULL;
+        const struct sim_response *response = sim_response(cluster, request);
+        was_answered =
+            response != NULL && response->reason != NULL && strstr(response->reason, "paused") != NULL;
     }
     assert_true(was_answered);
     assert_int_not_equal(sim_job_state(cluster, "run-1"), OW_JOB_DONE);
--- a/tests/cluster/test_shard_jobs.c
+++ b/tests/cluster/test_shard_jobs.c
@@ -158,8 +158,8 @@
             continue;
         uint64_t request = sim_poll(cluster, i, id);
         sim_run(cluster, 0.3);
-        const struct sim_response *answer = sim_response(cluster, request);
-        if (answer != NULL && answer->reason != NULL && strstr(answer->reason, text) != NULL)
+        const struct sim_response *response = sim_response(cluster, request);
+        if (response != NULL && response->reason != NULL && strstr(response->reason, text) != NULL)
             return true;
     }
     return false;
--- a/tests/cluster/test_user_api.c
+++ b/tests/cluster/test_user_api.c
@@ -205,10 +205,10 @@
     for (int controller = 0; controller < 2; controller++) {
         uint64_t poll = sim_poll(cluster, controller, "run-2");
         sim_run(cluster, 0.3);
-        const struct sim_response *answer = sim_response(cluster, poll);
-        assert_int_equal(answer->status, 200);
-        assert_non_null(answer->reason);
-        assert_non_null(strstr(answer->reason, "wait"));
+        const struct sim_response *response = sim_response(cluster, poll);
+        assert_int_equal(response->status, 200);
+        assert_non_null(response->reason);
+        assert_non_null(strstr(response->reason, "wait"));
     }
     sim_check_safety(cluster);
 }
--- a/tests/sim/chaos_day.c
+++ b/tests/sim/chaos_day.c
@@ -31,8 +31,8 @@
         submission->one_zone = i % 2 == 0;
         uint64_t request = sim_submit(cluster, attempt % SIM_CONTROLLERS, submission);
         sim_run(cluster, 1);
-        const struct sim_response *answer = sim_response(cluster, request);
-        if (answer != NULL && (answer->status == 200 || answer->status == 201))
+        const struct sim_response *response = sim_response(cluster, request);
+        if (response != NULL && (response->status == 200 || response->status == 201))
             return;
         if (g_rand_int_range(day->failures.rand, 0, 4) == 0)
             chaos_failures_disturb(&day->failures);
--- a/tests/sim/sim_workers.c
+++ b/tests/sim/sim_workers.c
@@ -12,6 +12,15 @@
 #include <string.h>
 
 static const double FETCH_S = 0.5;
+/* Of a message between a controller and a worker. */
+static const double LATENCY_S = 0.01;
+/* A change is told in a heartbeat after this time at the latest. */
+static const double CHANGE_HEARTBEAT_S = 0.5;
+/* A worker waits as long for a response, and then before it tries another controller. */
+static const double RESPONSE_TIMEOUT_S = 4;
+static const double RETRY_S = 1;
+/* A controller waits as long for the response to direct commands. */
+static const double DIRECT_TIMEOUT_S = 3;
 
 struct delayed_command {
     char machine[32];
@@ -109,40 +118,52 @@
     }
 }
 
+/* A partition delays packets; they arrive once it heals. Takes the commands out of the effect. */
+static void delay_commands(struct sim_cluster *cluster, const struct sim_machine *machine,
+                           struct ow_effect *effect)
+{
+    struct delayed_command delayed = {.fencing_token = effect->fencing_token,
+                                      .incarnation = effect->incarnation,
+                                      .commands = g_steal_pointer(&effect->commands)};
+    g_strlcpy(delayed.machine, machine->name, sizeof delayed.machine);
+    g_array_append_val(cluster->delayed_commands, delayed);
+}
+
+/* Obeys commands of the highest fencing token so far to its incarnation; returns the status of the response.
+ */
+static int obey_direct_commands(struct sim_cluster *cluster, struct sim_machine *machine,
+                                const struct ow_effect *effect)
+{
+    bool ok = effect->fencing_token >= machine->fencing_token && effect->incarnation == machine->incarnation;
+    if (effect->fencing_token > machine->fencing_token) {
+        machine->fencing_token = effect->fencing_token;
+        machine->next_heartbeat_at = MIN(machine->next_heartbeat_at, cluster->now + CHANGE_HEARTBEAT_S);
+    }
+    if (ok)
+        carry_out_commands(cluster, machine, effect->commands);
+    return ok ? 200 : 409;
+}
+
 void sim_workers_handle_direct_commands(struct sim_cluster *cluster, int controller, struct ow_effect *effect)
 {
     struct sim_machine *machine = sim_machine(cluster, effect->addr);
     struct ow_event *event = ow_event_new(OW_EVENT_DIRECT_REPLY, effect->request);
+    bool exists = machine != NULL && !machine->deleted;
+    double after_s = LATENCY_S;
     cluster->direct_commands_sent++;
     if (cluster->no_sockets) {
         event->status = OW_STATUS_UNSENT;
-        sim_deliver(cluster, controller, cluster->process_nonce[controller], 0, event);
-        return;
-    }
-    if (machine == NULL || machine->deleted || machine->hung || machine->unresponsive ||
-        cluster->delay_direct_commands || is_partitioned(cluster, machine, controller)) {
-        if (machine != NULL && !machine->deleted &&
-            (machine->partitioned || cluster->delay_direct_commands)) {
-            /* The partition delays the packets; they arrive once it heals. */
-            struct delayed_command delayed = {.fencing_token = effect->fencing_token,
-                                              .incarnation = effect->incarnation,
-                                              .commands = g_steal_pointer(&effect->commands)};
-            g_strlcpy(delayed.machine, machine->name, sizeof delayed.machine);
-            g_array_append_val(cluster->delayed_commands, delayed);
-        }
-        sim_deliver(cluster, controller, cluster->process_nonce[controller], 3, event);
-        return;
-    }
-    bool ok = effect->fencing_token >= machine->fencing_token && effect->incarnation == machine->incarnation;
-    if (effect->fencing_token > machine->fencing_token) {
-        machine->fencing_token = effect->fencing_token;
-        machine->next_heartbeat_at = MIN(machine->next_heartbeat_at, cluster->now + 0.5);
+        after_s = 0;
+    } else if (!exists || machine->hung || machine->unresponsive || cluster->delay_direct_commands ||
+               is_partitioned(cluster, machine, controller)) {
+        if (exists && (machine->partitioned || cluster->delay_direct_commands))
+            delay_commands(cluster, machine, effect);
+        after_s = DIRECT_TIMEOUT_S;
+    } else {
+        event->status = obey_direct_commands(cluster, machine, effect);
+        event->heartbeat = sim_heartbeat_new(machine);
     }
-    if (ok)
-        carry_out_commands(cluster, machine, effect->commands);
-    event->status = ok ? 200 : 409;
-    event->heartbeat = sim_heartbeat_new(machine);
-    sim_deliver(cluster, controller, cluster->process_nonce[controller], 0.01, event);
+    sim_deliver(cluster, controller, cluster->process_nonce[controller], after_s, event);
 }
 
 static void release_delayed_commands(struct sim_cluster *cluster)
@@ -184,13 +205,13 @@
     if (effect->fencing_token < machine->fencing_token)
         return;
     if (effect->fencing_token > machine->fencing_token)
-        machine->next_heartbeat_at = cluster->now + 0.5;
+        machine->next_heartbeat_at = cluster->now + CHANGE_HEARTBEAT_S;
     machine->fencing_token = effect->fencing_token;
     machine->lease_renewed_at = machine->heartbeat_sent_at;
     guint before = machine->tasks->len;
     carry_out_commands(cluster, machine, effect->commands);
     if (machine->tasks->len != before)
-        machine->next_heartbeat_at = cluster->now + 0.5;
+        machine->next_heartbeat_at = cluster->now + CHANGE_HEARTBEAT_S;
 }
 
 static void step_task(struct sim_cluster *cluster, struct sim_machine *machine, struct sim_task *task)
@@ -209,44 +230,64 @@
     }
     if (machine->fails_tasks && task->phase == OW_PHASE_RUNNING)
         task->next_phase_at = cluster->now;
-    machine->next_heartbeat_at = MIN(machine->next_heartbeat_at, cluster->now + 0.5);
+    machine->next_heartbeat_at = MIN(machine->next_heartbeat_at, cluster->now + CHANGE_HEARTBEAT_S);
+}
+
+/* A worker whose lease has expired ends its tasks, and begins a new incarnation. */
+static void expire_lease(struct sim_cluster *cluster, struct sim_machine *machine)
+{
+    if (cluster->now - machine->lease_renewed_at <= cluster->settings[0].lease_s)
+        return;
+    machine->incarnation++;
+    machine->lease_renewed_at = cluster->now;
+    machine->awaits_response = false;
+    g_array_set_size(machine->tasks, 0);
+}
+
+static void try_next_controller(struct sim_cluster *cluster, struct sim_machine *machine)
+{
+    machine->controller = (machine->controller + 1) % SIM_CONTROLLERS;
+    machine->next_heartbeat_at = cluster->now + RETRY_S;
+}
+
+/* The index of the machine stands above 2^32 in the number of the request, to find it by the response. */
+static void send_heartbeat(struct sim_cluster *cluster, struct sim_machine *machine, guint index)
+{
+    struct ow_heartbeat *heartbeat = sim_heartbeat_new(machine);
+    struct ow_event *event =
+        ow_event_new(OW_EVENT_HEARTBEAT, ((uint64_t)(index + 1) << 32) | (uint32_t)machine->sequence);
+    event->heartbeat = heartbeat;
+    machine->awaits_response = true;
+    sim_deliver(cluster, machine->controller, cluster->process_nonce[machine->controller], LATENCY_S, event);
+}
+
+static void send_heartbeat_if_due(struct sim_cluster *cluster, struct sim_machine *machine, guint index)
+{
+    if (machine->awaits_response || cluster->now < machine->next_heartbeat_at || machine->partitioned)
+        return;
+    machine->heartbeat_sent_at = cluster->now;
+    if (cluster->controllers[machine->controller] == NULL || machine->heartbeats_lost ||
+        is_partitioned(cluster, machine, machine->controller))
+        try_next_controller(cluster, machine);
+    else
+        send_heartbeat(cluster, machine, index);
 }
 
 static void step_machine(struct sim_cluster *cluster, struct sim_machine *machine, guint index)
 {
     if (machine->deleted || cluster->now < machine->booted_at)
         return;
-    if (cluster->now - machine->lease_renewed_at > cluster->settings[0].lease_s) {
-        machine->incarnation++;
-        machine->lease_renewed_at = cluster->now;
-        machine->awaits_response = false;
-        g_array_set_size(machine->tasks, 0);
-    }
+    expire_lease(cluster, machine);
     sim_check_cancellations(cluster, machine);
     if (machine->hung)
         return;
     for (guint i = 0; i < machine->tasks->len; i++)
         step_task(cluster, machine, &g_array_index(machine->tasks, struct sim_task, i));
-    if (machine->awaits_response && cluster->now - machine->heartbeat_sent_at > 4) {
+    if (machine->awaits_response && cluster->now - machine->heartbeat_sent_at > RESPONSE_TIMEOUT_S) {
         machine->awaits_response = false;
-        machine->controller = (machine->controller + 1) % SIM_CONTROLLERS;
-        machine->next_heartbeat_at = cluster->now + 1;
-    }
-    if (machine->awaits_response || cluster->now < machine->next_heartbeat_at || machine->partitioned)
-        return;
-    machine->heartbeat_sent_at = cluster->now;
-    if (cluster->controllers[machine->controller] == NULL || machine->heartbeats_lost ||
-        is_partitioned(cluster, machine, machine->controller)) {
-        machine->controller = (machine->controller + 1) % SIM_CONTROLLERS;
-        machine->next_heartbeat_at = cluster->now + 1;
-        return;
+        try_next_controller(cluster, machine);
     }
-    struct ow_heartbeat *heartbeat = sim_heartbeat_new(machine);
-    machine->awaits_response = true;
-    struct ow_event *event =
-        ow_event_new(OW_EVENT_HEARTBEAT, ((uint64_t)(index + 1) << 32) | (uint32_t)machine->sequence);
-    event->heartbeat = heartbeat;
-    sim_deliver(cluster, machine->controller, cluster->process_nonce[machine->controller], 0.01, event);
+    send_heartbeat_if_due(cluster, machine, index);
 }
 
 void sim_workers_step(struct sim_cluster *cluster)
