--- a/src/core/api/cancellation_ack.c
+++ b/src/core/api/cancellation_ack.c
@@ -126,7 +126,7 @@
                                         message->fencing_token);
     if (job->state != OW_JOB_CANCELLED)
         return;
-    if (job->cancellation_acked)
+    if (job->is_cancellation_acknowledged)
         send_acknowledgement(core, job);
     else
         ensure_open(acks, message->cancellation.job);
@@ -142,7 +142,7 @@
     /* The acknowledgement of a leader that was deposed before the cancellation was recorded is worth nothing:
        the one that counts may not have it. A later one has read it before it became ready. */
     if (job->state == OW_JOB_CANCELLED && message->fencing_token >= job->cancel_fencing_token)
-        job->cancellation_acked = true;
+        job->is_cancellation_acknowledged = true;
 }
 
 /* Acknowledges the cancellation if we lead with a token that counts, and nothing of the job can start any
@@ -155,7 +155,7 @@
         return false;
     if (!ow_job_cancellation_apply(core->leader, job))
         return false;
-    job->cancellation_acked = true;
+    job->is_cancellation_acknowledged = true;
     send_acknowledgement(core, job);
     return true;
 }
@@ -203,7 +203,7 @@
 static bool advance(struct ow_core *core, struct open_cancellation *cancellation)
 {
     struct ow_job *job = ow_jobs_find(core->jobs, cancellation->id);
-    if (job->cancellation_acked || try_acknowledge(core, job)) {
+    if (job->is_cancellation_acknowledged || try_acknowledge(core, job)) {
         answer_all(core, cancellation, job);
         return true;
     }
--- a/src/core/api/job_answer.c
+++ b/src/core/api/job_answer.c
@@ -29,7 +29,7 @@
 {
     /* The one place that guards when a cancellation is told: before the acknowledgement a leader that has not
        learned of it may still start tasks. */
-    if (job->state == OW_JOB_CANCELLED && !job->cancellation_acked)
+    if (job->state == OW_JOB_CANCELLED && !job->is_cancellation_acknowledged)
         ow_cancellation_ack_wait(core->cancellation_ack, request, status, job);
     else
         ow_job_reply_send(core, request, status, job);
--- a/src/core/jobs/job.c
+++ b/src/core/jobs/job.c
@@ -126,7 +126,7 @@
         ow_job_set_reason(job, NULL);
     /* The final record of a cancelled job is written when no task is left. */
     if (job->state == OW_JOB_CANCELLED && is_settled)
-        job->cancellation_acked = true;
+        job->is_cancellation_acknowledged = true;
     if (is_first_record && job->spec != NULL)
         g_ptr_array_add(jobs->open, job);
     else if (ow_job_is_over(job) && job->execution == NULL && is_settled)
--- a/src/core/jobs/job.h
+++ b/src/core/jobs/job.h
@@ -43,17 +43,17 @@
 
 /** A job, as this controller knows it. Times are by the core's clock, in seconds. */
 struct ow_job {
-    char *id;                       /**< owned */
-    enum ow_job_state state;        /**< OW_JOB_QUEUED for every job that is not over, running or not */
-    uint64_t mod_revision;          /**< of its record: the revision of the last change */
-    uint64_t accepted_revision;     /**< the revision that accepted it, by which jobs are queued */
-    double accepted_at;             /**< may be negative: before the clock began */
-    double first_seen_at;           /**< when this controller first saw it */
-    struct ow_job_spec *spec;       /**< owned; NULL once it is over and no task is left */
-    struct ow_execution *execution; /**< the leader's; NULL: none */
-    uint64_t cancel_fencing_token;  /**< of a cancelled job: that of the leader when the cancellation was
-                                       recorded */
-    bool cancellation_acked;        /**< the leader has acknowledged the cancellation: users may be told */
+    char *id;                          /**< owned */
+    enum ow_job_state state;           /**< OW_JOB_QUEUED for every job that is not over, running or not */
+    uint64_t mod_revision;             /**< of its record: the revision of the last change */
+    uint64_t accepted_revision;        /**< the revision that accepted it, by which jobs are queued */
+    double accepted_at;                /**< may be negative: before the clock began */
+    double first_seen_at;              /**< when this controller first saw it */
+    struct ow_job_spec *spec;          /**< owned; NULL once it is over and no task is left */
+    struct ow_execution *execution;    /**< the leader's; NULL: none */
+    uint64_t cancel_fencing_token;     /**< of a cancelled job: that of the leader when the cancellation was
+                                          recorded */
+    bool is_cancellation_acknowledged; /**< the leader has acknowledged the cancellation: users may be told */
     bool is_record_unread; /**< cancelled before its record has been read: nothing else is known of it */
     /* Shown to users; no decision depends on them. */
     int done;     /**< tasks; OW_UNCOUNTED: not counted yet */
