--- a/src/core/jobs/attempt.h
+++ b/src/core/jobs/attempt.h
@@ -36,7 +36,7 @@
     double placed_at;
     double running_at;    /**< 0: not yet seen running */
     bool not_preemptible; /**< it was started for a starving job: it is not preempted */
-    bool stop;            /**< it is to be stopped */
+    bool is_stopping;     /**< it is to be stopped */
     double stop_grace_s;  /**< time to save its work */
     double stop_at;       /**< when the stop was decided */
 };
--- a/src/core/jobs/attempt_end.c
+++ b/src/core/jobs/attempt_end.c
@@ -91,7 +91,7 @@
     struct ow_execution *execution = attempt->job->execution;
     struct ow_machine *machine = attempt->machine;
     uint32_t task = attempt->task;
-    bool was_stopped = attempt->stop;
+    bool was_stopped = attempt->is_stopping;
     g_debug("attempt ended: job=%s task=%u attempt=%" G_GUINT64_FORMAT " machine=%s reason=\"%s\"",
             attempt->job->id, task, attempt->number, machine->name, proof);
     if (cause == OW_CAUSE_DONE && attempt->running_at > 0 && !ow_execution_is_service(execution))
@@ -108,15 +108,15 @@
 void ow_attempt_stop(struct ow_leader *leader, struct ow_attempt *attempt, double grace_s, const char *why)
 {
     struct ow_machine *machine = attempt->machine;
-    if (attempt->stop && attempt->stop_grace_s <= grace_s)
+    if (attempt->is_stopping && attempt->stop_grace_s <= grace_s)
         return;
-    if (!attempt->stop) {
+    if (!attempt->is_stopping) {
         g_info("attempt is stopped: job=%s task=%u attempt=%" G_GUINT64_FORMAT
                " machine=%s grace_s=%.1f reason=\"%s\"",
                attempt->job->id, attempt->task, attempt->number, machine->name, grace_s, why);
         ow_resources_add(&machine->stopping, &attempt->job->spec->submission->need, 1);
     }
-    attempt->stop = true;
+    attempt->is_stopping = true;
     attempt->stop_grace_s = grace_s;
     attempt->stop_at = leader->core->now;
     if (attempt->state == OW_ATTEMPT_PLANNED || attempt->state == OW_ATTEMPT_COMMITTED)
--- a/src/core/jobs/attempt_table.c
+++ b/src/core/jobs/attempt_table.c
@@ -50,7 +50,7 @@
 {
     struct ow_machine *machine = attempt->machine;
     g_ptr_array_remove_fast(machine->attempts, attempt);
-    if (attempt->stop)
+    if (attempt->is_stopping)
         ow_resources_add(&machine->stopping, &attempt->job->spec->submission->need, -1);
     if (machine->attempts->len > 0)
         return;
--- a/src/core/machines/cancellation_enforcement.c
+++ b/src/core/machines/cancellation_enforcement.c
@@ -15,7 +15,7 @@
 {
     for (guint i = 0; i < machine->attempts->len; i++) {
         const struct ow_attempt *attempt = g_ptr_array_index(machine->attempts, i);
-        if (!attempt->stop || attempt->job->state != OW_JOB_CANCELLED)
+        if (!attempt->is_stopping || attempt->job->state != OW_JOB_CANCELLED)
             continue;
         double waited_s = leader->core->now - attempt->stop_at;
         if (waited_s > STOP_RETRY_S && !machine->direct.is_in_flight)
--- a/src/core/machines/reclaim_notice.c
+++ b/src/core/machines/reclaim_notice.c
@@ -32,7 +32,8 @@
 static bool may_save_checkpoint(const struct ow_attempt *attempt, double left_s)
 {
     const struct ow_submission *submission = attempt->job->spec->submission;
-    return !attempt->stop && submission->kind != OW_KIND_SERVICE && submission->checkpoint_interval_s > 0 &&
+    return !attempt->is_stopping && submission->kind != OW_KIND_SERVICE &&
+           submission->checkpoint_interval_s > 0 &&
            left_s >= submission->checkpoint_duration_s + CHECKPOINT_MARGIN_S;
 }
 
--- a/src/core/machines/worker_commands.c
+++ b/src/core/machines/worker_commands.c
@@ -36,7 +36,7 @@
             g_array_append_val(launches, launch);
         attempt->state = OW_ATTEMPT_SENT;
     }
-    if (attempt->stop)
+    if (attempt->is_stopping)
         add_command(commands, OW_WORKER_STOP, attempt);
 }
 
@@ -45,7 +45,7 @@
 static bool is_command_due(const struct ow_machine *machine, const struct ow_attempt *attempt)
 {
     return attempt->incarnation == machine->liveness.incarnation &&
-           (attempt->state != OW_ATTEMPT_SEEN || attempt->stop);
+           (attempt->state != OW_ATTEMPT_SEEN || attempt->is_stopping);
 }
 
 bool ow_worker_commands_are_due(const struct ow_machine *machine)
--- a/src/core/scheduling/preempt.c
+++ b/src/core/scheduling/preempt.c
@@ -110,7 +110,7 @@
         return 0;
     for (guint i = 0; i < machine->attempts->len; i++) {
         const struct ow_attempt *attempt = g_ptr_array_index(machine->attempts, i);
-        if (attempt->stop || may_stop(leader, execution, attempt))
+        if (attempt->is_stopping || may_stop(leader, execution, attempt))
             add_need(&gone, attempt);
     }
     return slots_without(leader, spec, machine, &gone);
@@ -142,7 +142,7 @@
     for (guint i = 0; i < machine->attempts->len; i++) {
         struct ow_attempt *attempt = g_ptr_array_index(machine->attempts, i);
         struct victim victim = {.attempt = attempt, .loss_s = stop_loss_s(leader, attempt)};
-        if (attempt->stop)
+        if (attempt->is_stopping)
             add_need(&gone, attempt);
         else if (may_stop(leader, execution, attempt))
             g_array_append_val(victims, victim);
--- a/src/core/scheduling/replica_move.c
+++ b/src/core/scheduling/replica_move.c
@@ -13,7 +13,7 @@
 
 static bool is_serving(const struct ow_attempt *attempt)
 {
-    return attempt->state == OW_ATTEMPT_SEEN && attempt->phase == OW_PHASE_RUNNING && !attempt->stop;
+    return attempt->state == OW_ATTEMPT_SEEN && attempt->phase == OW_PHASE_RUNNING && !attempt->is_stopping;
 }
 
 uint32_t ow_replica_move_missing(const struct ow_execution *execution)
--- a/src/core/scheduling/service_moves.c
+++ b/src/core/scheduling/service_moves.c
@@ -21,7 +21,7 @@
 
 static bool is_movable(const struct ow_attempt *attempt)
 {
-    return ow_execution_is_service(attempt->job->execution) && !attempt->stop &&
+    return ow_execution_is_service(attempt->job->execution) && !attempt->is_stopping &&
            !ow_job_is_over(attempt->job);
 }
 
@@ -52,7 +52,7 @@
     uint32_t leaving = 0;
     for (guint i = 0; i < execution->attempts->len; i++) {
         const struct ow_attempt *attempt = g_ptr_array_index(execution->attempts, i);
-        if (!attempt->stop && leaves_at(leader, attempt->machine) > 0)
+        if (!attempt->is_stopping && leaves_at(leader, attempt->machine) > 0)
             leaving++;
     }
     return leaving;
