--- a/src/core/jobs/execution.h
+++ b/src/core/jobs/execution.h
@@ -50,11 +50,12 @@
     struct ow_chunk *chunks; /**< `chunk_count` of them, owned */
     uint32_t chunk_count;
     uint32_t chunk_tasks; /**< of each chunk but the last */
-    bool finishing;       /**< its final record is queued or in flight */
+    bool is_finishing;    /**< its final record is queued or in flight */
 
     /* Scheduling. */
-    bool aged; /**< it is old, whether or not tasks have started; set by each scheduling cycle: promotion.c */
-    bool starves;                       /**< none of its tasks has started for too long; set like `aged` */
+    bool is_aged; /**< it is old, whether or not tasks have started; set by each scheduling cycle: promotion.c
+                   */
+    bool is_starving;                   /**< none of its tasks has started for too long; set like `aged` */
     double ready_at;                    /**< no task is started before this time */
     double missing_since;               /**< since when a task is pending; 0: none is: queue.c */
     double separate_at;                 /**< next check of the spread of its replicas: replica_separation.c */
--- a/src/core/machines/reconciliation.c
+++ b/src/core/machines/reconciliation.c
@@ -43,7 +43,7 @@
     if (ow_job_is_over(job))
         return true;
     /* The final record replaces the chunks, and is not committed yet. */
-    if (job->execution->finishing)
+    if (job->execution->is_finishing)
         return false;
     const struct ow_chunk *chunk = ow_execution_chunk(job->execution, task);
     return job->execution->tasks[task].done && !chunk->dirty && !chunk->writing;
--- a/src/core/records/recorder.c
+++ b/src/core/records/recorder.c
@@ -52,7 +52,7 @@
 
 static bool is_progress_recorded(const struct ow_execution *execution)
 {
-    return !ow_job_is_over(execution->job) && !execution->finishing;
+    return !ow_job_is_over(execution->job) && !execution->is_finishing;
 }
 
 void ow_recorder_queue_urgent(struct ow_leader *leader, struct ow_execution *execution, uint32_t task)
@@ -69,9 +69,9 @@
 
 void ow_recorder_queue_final_record(struct ow_leader *leader, struct ow_execution *execution)
 {
-    if (execution->finishing)
+    if (execution->is_finishing)
         return;
-    execution->finishing = true;
+    execution->is_finishing = true;
     /* A cancelled job is already recorded as cancelled: nothing waits for its final record. */
     bool is_cancelled = execution->job->state == OW_JOB_CANCELLED;
     int order = is_cancelled ? OW_ORDER_BACKGROUND : OW_ORDER_FINAL_RECORD;
--- a/src/core/records/transaction_reply.c
+++ b/src/core/records/transaction_reply.c
@@ -207,7 +207,7 @@
 /* The scheduling cycle queues the final record again, if the job is still over. */
 static void reopen_execution(struct ow_leader *leader, struct ow_execution *execution)
 {
-    execution->finishing = false;
+    execution->is_finishing = false;
     ow_leader_request_cycle(leader);
 }
 
--- a/src/core/scheduling/array_start.c
+++ b/src/core/scheduling/array_start.c
@@ -65,7 +65,7 @@
     const struct ow_job_spec *spec = execution->job->spec;
     double wait_s = start->work_s / start->slots;
     double fetch_s = ow_machine_fetch_seconds(leader, machine, spec);
-    bool starves = execution->starves && start->placed == 0;
+    bool starves = execution->is_starving && start->placed == 0;
     /* Capacity that others are stopped for must be taken, or they would be put there and stopped again. */
     if (fetch_s <= SHORT_FETCH_S || starves || ow_quota_may_reclaim(leader, execution))
         return false;
--- a/src/core/scheduling/gang_start.c
+++ b/src/core/scheduling/gang_start.c
@@ -168,7 +168,7 @@
    starves, and smaller ones that starve would otherwise pass it for ever. */
 static bool claim_exclusive_holds(struct ow_leader *leader, const struct ow_execution *execution)
 {
-    return execution->reservation->is_preempting || execution->starves ||
+    return execution->reservation->is_preempting || execution->is_starving ||
            ow_gang_hold_priority_claim(leader, execution);
 }
 
--- a/src/core/scheduling/price_filter.c
+++ b/src/core/scheduling/price_filter.c
@@ -18,7 +18,7 @@
     /* More urgent work waits for no rent, whether or not anybody has set an SLO for it. */
     if (!spec->submission->spot || spec->submission->rank != OW_RANK_LOW)
         return false;
-    if (ow_class_has_slo(leader->core, spec->class_index) || execution->starves || execution->aged)
+    if (ow_class_has_slo(leader->core, spec->class_index) || execution->is_starving || execution->is_aged)
         return false;
     /* The age of the job does not count: when every controller has restarted all jobs may be old, and would
        go on expensive machines at once; but what has waited too long goes there however often they restart.
--- a/src/core/scheduling/promotion.c
+++ b/src/core/scheduling/promotion.c
@@ -30,8 +30,8 @@
 static void update_service(const struct ow_leader *leader, struct ow_execution *execution)
 {
     double missing_s = leader->core->now - execution->missing_since;
-    execution->starves = missing_s > patience_s(leader, execution);
-    execution->aged = false;
+    execution->is_starving = missing_s > patience_s(leader, execution);
+    execution->is_aged = false;
 }
 
 void ow_promotion_update(const struct ow_leader *leader, struct ow_execution *execution)
@@ -42,15 +42,15 @@
     }
     double age_s = leader->core->now - execution->accepted_at;
     bool has_begun = execution->attempts->len > 0 || execution->done > 0;
-    execution->starves = !has_begun && age_s > patience_s(leader, execution);
+    execution->is_starving = !has_begun && age_s > patience_s(leader, execution);
     /* Its owner does not expect a job with a deadline before it: until then others may pass it. */
     double deadline_s = execution->job->spec->submission->deadline_s;
-    execution->aged = age_s > AGED_S + MIN(deadline_s, OW_DEADLINE_DELAY_LIMIT_S);
+    execution->is_aged = age_s > AGED_S + MIN(deadline_s, OW_DEADLINE_DELAY_LIMIT_S);
 }
 
 bool ow_promotion_is_promoted(const struct ow_execution *execution)
 {
-    return execution->starves || execution->aged;
+    return execution->is_starving || execution->is_aged;
 }
 
 enum ow_rank ow_promotion_rank(const struct ow_execution *execution)
