--- a/src/core/jobs/execution.h
+++ b/src/core/jobs/execution.h
@@ -29,8 +29,8 @@
     uint32_t index;                       /**< its position in `ow_execution.chunks` */
     struct ow_record_value *record_value; /**< the value that holds its record; NULL: none yet */
     uint64_t last_attempt;                /**< the highest attempt number used */
-    bool dirty;                           /**< it differs from its record */
-    bool writing;                         /**< it is in the transaction in flight */
+    bool is_dirty;                        /**< it differs from its record */
+    bool is_writing;                      /**< it is in the transaction in flight */
 };
 
 /** The execution of a job. Times are by the core's clock, in seconds. */
--- a/src/core/machines/reconciliation.c
+++ b/src/core/machines/reconciliation.c
@@ -46,7 +46,7 @@
     if (job->execution->is_finishing)
         return false;
     const struct ow_chunk *chunk = ow_execution_chunk(job->execution, task);
-    return job->execution->tasks[task].done && !chunk->dirty && !chunk->writing;
+    return job->execution->tasks[task].done && !chunk->is_dirty && !chunk->is_writing;
 }
 
 /* Safety rule 3. Guards against a task that runs twice: a worker that has forgotten an attempt would carry
--- a/src/core/records/record_values.c
+++ b/src/core/records/record_values.c
@@ -164,7 +164,7 @@
         return true;
     for (uint32_t task = unmoved->tasks.first; task < unmoved->tasks.end; task += execution->chunk_tasks) {
         const struct ow_chunk *chunk = ow_execution_chunk(execution, task);
-        if (chunk->record_value == NULL || chunk->dirty || chunk->writing)
+        if (chunk->record_value == NULL || chunk->is_dirty || chunk->is_writing)
             return false;
     }
     return true;
--- a/src/core/records/recorder.c
+++ b/src/core/records/recorder.c
@@ -46,7 +46,7 @@
     struct ow_chunk *chunk = ow_execution_chunk(execution, task);
     if (chunk->record_value == NULL)
         ow_record_values_assign_chunk(leader, chunk);
-    chunk->dirty = true;
+    chunk->is_dirty = true;
     ow_write_queue_add_record_value(leader->recorder->queue, chunk->record_value, order, due_at);
 }
 
--- a/src/core/records/transaction.c
+++ b/src/core/records/transaction.c
@@ -39,8 +39,8 @@
 {
     for (guint i = 0; i < record_value->chunks->len; i++) {
         struct ow_chunk *chunk = g_ptr_array_index(record_value->chunks, i);
-        chunk->writing = chunk->writing || chunk->dirty;
-        chunk->dirty = false;
+        chunk->is_writing = chunk->is_writing || chunk->is_dirty;
+        chunk->is_dirty = false;
         mark_attempts(chunk, transaction_serial);
     }
 }
--- a/src/core/records/transaction_reply.c
+++ b/src/core/records/transaction_reply.c
@@ -46,7 +46,7 @@
 static void commit_chunk(struct ow_leader *leader, struct ow_chunk *chunk)
 {
     const struct ow_execution *execution = chunk->job->execution;
-    chunk->writing = false;
+    chunk->is_writing = false;
     for (guint i = 0; i < execution->attempts->len; i++) {
         struct ow_attempt *attempt = g_ptr_array_index(execution->attempts, i);
         if (attempt->state != OW_ATTEMPT_PLANNED ||
@@ -197,8 +197,8 @@
 {
     for (guint i = 0; i < write->record_value->chunks->len; i++) {
         struct ow_chunk *chunk = g_ptr_array_index(write->record_value->chunks, i);
-        chunk->dirty = chunk->dirty || chunk->writing;
-        chunk->writing = false;
+        chunk->is_dirty = chunk->is_dirty || chunk->is_writing;
+        chunk->is_writing = false;
     }
     ow_write_queue_add_record_value(leader->recorder->queue, write->record_value, write->order,
                                     write->due_at);
