--- a/src/core/jobs/attempt_end.c
+++ b/src/core/jobs/attempt_end.c
@@ -20,9 +20,9 @@
 
 static void mark_done(struct ow_execution *execution, uint32_t task)
 {
-    if (execution->tasks[task].done)
+    if (execution->tasks[task].is_done)
         return;
-    execution->tasks[task].done = true;
+    execution->tasks[task].is_done = true;
     execution->done++;
 }
 
@@ -81,7 +81,7 @@
     /* The loss of one task, or its refusal, ends the gang's attempt: the other tasks would wait or fail, too.
      */
     if (ow_submission_is_gang(execution->job->spec->submission) && !was_stopped &&
-        !execution->tasks[task].done)
+        !execution->tasks[task].is_done)
         ow_execution_stop(leader, execution, 0, "another task of the gang is gone");
 }
 
--- a/src/core/jobs/execution.c
+++ b/src/core/jobs/execution.c
@@ -27,7 +27,7 @@
     uint32_t under_way = 0;
     for (guint i = 0; i < execution->attempts->len; i++) {
         const struct ow_attempt *attempt = g_ptr_array_index(execution->attempts, i);
-        under_way += execution->tasks[attempt->task].done ? 0 : 1;
+        under_way += execution->tasks[attempt->task].is_done ? 0 : 1;
     }
     return execution->count - execution->done - under_way;
 }
--- a/src/core/jobs/execution.h
+++ b/src/core/jobs/execution.h
@@ -19,7 +19,7 @@
 
 /** A task of an execution. */
 struct ow_task {
-    bool done;                  /**< it has a result; of a gang: any member has */
+    bool is_done;               /**< it has a result; of a gang: any member has */
     struct ow_attempt *attempt; /**< not owned; NULL: none may exist */
 };
 
--- a/src/core/machines/reconciliation.c
+++ b/src/core/machines/reconciliation.c
@@ -46,7 +46,7 @@
     if (job->execution->is_finishing)
         return false;
     const struct ow_chunk *chunk = ow_execution_chunk(job->execution, task);
-    return job->execution->tasks[task].done && !chunk->is_dirty && !chunk->is_writing;
+    return job->execution->tasks[task].is_done && !chunk->is_dirty && !chunk->is_writing;
 }
 
 /* Safety rule 3. Guards against a task that runs twice: a worker that has forgotten an attempt would carry
@@ -74,7 +74,7 @@
         return false;
     if (ow_execution_is_service(job->execution) || task >= job->execution->count)
         return false;
-    return !job->execution->tasks[task].done && job->execution->tasks[task].attempt == NULL;
+    return !job->execution->tasks[task].is_done && job->execution->tasks[task].attempt == NULL;
 }
 
 /* A result counts even if its attempt has been ended as lost. */
@@ -83,7 +83,7 @@
                                   GArray *commands)
 {
     if (task_status->cause == OW_CAUSE_DONE && awaits_result(job, task_status->task)) {
-        job->execution->tasks[task_status->task].done = true;
+        job->execution->tasks[task_status->task].is_done = true;
         job->execution->done++;
         ow_recorder_queue_lazy(leader, job->execution, task_status->task);
     }
--- a/src/core/records/loaded_records.c
+++ b/src/core/records/loaded_records.c
@@ -129,9 +129,9 @@
 {
     for (guint i = 0; i < done->len; i++) {
         uint32_t task = g_array_index(done, uint32_t, i);
-        if (task >= execution->count || execution->tasks[task].done)
+        if (task >= execution->count || execution->tasks[task].is_done)
             continue;
-        execution->tasks[task].done = true;
+        execution->tasks[task].is_done = true;
         execution->done++;
     }
 }
--- a/src/core/records/record_values.c
+++ b/src/core/records/record_values.c
@@ -194,7 +194,7 @@
 static void add_task(struct ow_progress_record *record, const struct ow_execution *execution, uint32_t task)
 {
     const struct ow_attempt *attempt = execution->tasks[task].attempt;
-    if (execution->tasks[task].done)
+    if (execution->tasks[task].is_done)
         g_array_append_val(record->done, task);
     if (attempt == NULL)
         return;
--- a/src/core/scheduling/bind.c
+++ b/src/core/scheduling/bind.c
@@ -12,7 +12,7 @@
 
 static bool is_pending(const struct ow_task *task)
 {
-    return !task->done && task->attempt == NULL;
+    return !task->is_done && task->attempt == NULL;
 }
 
 uint32_t ow_bind_next_pending_task(struct ow_execution *execution)
