--- a/src/core/machines/command_queue.c
+++ b/src/core/machines/command_queue.c
@@ -3,12 +3,12 @@
 #include "core/leader/leader_state.h"
 #include "core/machines/machine.h"
 
-/* A worker that learns of our fencing token by an answer reports again at once: only if it does not within
-   this time is it sent a direct command. */
+/* A worker that learns of our fencing token by an answer sends a heartbeat at once: only if it does not
+   within this time is it sent a direct command. */
 static const double FENCE_BY_HEARTBEAT_S = 1;
 /* Processor time of a direct command with its answer, in seconds of a core, and the part of our share of a
-   core that those to all machines may take: at a failover every worker reports as well, and the lease has to
-   be renewed. */
+   core that those to all machines may take: at a failover every worker sends a heartbeat as well, and the
+   lease has to be renewed. */
 static const double DIRECT_COST_S = 100e-6;
 static const double ADD_ALL_SHARE = 0.5;
 
--- a/src/core/machines/command_queue.h
+++ b/src/core/machines/command_queue.h
@@ -23,8 +23,8 @@
 void ow_command_queue_take(struct ow_leader *leader, guint position);
 /** From now on the machine is due a direct command. */
 void ow_command_queue_add(struct ow_leader *leader, struct ow_machine *machine);
-/** The same for a machine that has reported under an older fencing token and is answered under ours: a
- * command is sent only if it does not report again of itself. */
+/** The same for a machine that has sent a heartbeat under an older fencing token and is answered under ours:
+ * a command is sent only if it does not send another one of itself. */
 void ow_command_queue_add_unfenced(struct ow_leader *leader, struct ow_machine *machine);
 /** The same for every machine, as a new leader does to show them its fencing token; in a large fleet one
  * after the other, for most of them come with a heartbeat meanwhile. */
--- a/src/core/machines/work_backlog.h
+++ b/src/core/machines/work_backlog.h
@@ -9,6 +9,8 @@
 
 struct ow_execution;
 struct ow_leader;
+
+/** Work that waits, by the jobs that were added. */
 struct ow_work_backlog;
 
 /** An empty backlog for one round of planning; freed by ow_work_backlog_free(). */
