--- a/src/core/api/cancel.c
+++ b/src/core/api/cancel.c
@@ -55,8 +55,7 @@
 {
     const struct ow_pending_request *pending = &call->pending;
     if (leader_has_changed(reply)) {
-        /* A new leader may have read the records already, without this one, and may start tasks of the job.
-         */
+        /* A new leader may have read the records before this one came, and may start tasks of the job. */
         ow_election_invalidate_key(core->election);
         ow_job_reply_retry(core, pending->request, "the leader has just changed");
         return;
--- a/src/core/jobs/execution.h
+++ b/src/core/jobs/execution.h
@@ -55,7 +55,7 @@
     /* Scheduling. */
     bool is_aged; /**< it is old, whether or not tasks have started; set by each scheduling cycle: promotion.c
                    */
-    bool is_starving;                   /**< none of its tasks has started for too long; set like `aged` */
+    bool is_starving;                   /**< none of its tasks has started for too long; set like `is_aged` */
     double ready_at;                    /**< no task is started before this time */
     double missing_since;               /**< since when a task is pending; 0: none is: queue.c */
     double separate_at;                 /**< next check of the spread of its replicas: replica_separation.c */
--- a/src/core/scheduling/promotion.h
+++ b/src/core/scheduling/promotion.h
@@ -1,9 +1,9 @@
 /** @file
  * Promotion (ours): a job that has waited too long goes to the front of the queue, so that none starves.
  *
- * Input: the age of an execution, or how long its replica has been missed. Result: `starves` and `aged` of
- * the execution, which the module owns. Invariant: nothing is stopped for a promotion, nor what it then
- * starts for others.
+ * Input: the age of an execution, or how long its replica has been missed. Result: `is_starving` and
+ * `is_aged` of the execution, which the module owns. Invariant: nothing is stopped for a promotion, nor what
+ * it then starts for others.
  */
 #ifndef OW_CORE_SCHEDULING_PROMOTION_H
 #define OW_CORE_SCHEDULING_PROMOTION_H
