--- a/src/core/machines/work_backlog.h
+++ b/src/core/machines/work_backlog.h
@@ -18,6 +18,7 @@
 /** Frees it. @param backlog may be NULL */
 void ow_work_backlog_free(struct ow_work_backlog *backlog);
 
+/** The name that g_autoptr() takes. */
 typedef struct ow_work_backlog ow_work_backlog;
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(ow_work_backlog, ow_work_backlog_free)
 
