--- a/src/core/jobs/attempt_end.c
+++ b/src/core/jobs/attempt_end.c
@@ -49,7 +49,7 @@
     /* A gang is as fast as its slowest machine, which need not be this one. */
     if (expected_s > 0 && !ow_submission_is_gang(spec->submission)) {
         double slowness = MIN(ran_s / expected_s, SLOWNESS_MOST);
-        machine->slowness += SLOWNESS_WEIGHT * (slowness - machine->slowness);
+        machine->load.slowness += SLOWNESS_WEIGHT * (slowness - machine->load.slowness);
     }
     ow_class_observe_run_time(leader->core, spec, ran_s);
 }
@@ -114,7 +114,7 @@
         g_info("attempt is stopped: job=%s task=%u attempt=%" G_GUINT64_FORMAT
                " machine=%s grace_s=%.1f reason=\"%s\"",
                attempt->job->id, attempt->task, attempt->number, machine->name, grace_s, why);
-        ow_resources_add(&machine->stopping, &attempt->job->spec->submission->need, 1);
+        ow_resources_add(&machine->load.stopping, &attempt->job->spec->submission->need, 1);
     }
     attempt->is_stopping = true;
     attempt->stop_grace_s = grace_s;
--- a/src/core/jobs/attempt_table.c
+++ b/src/core/jobs/attempt_table.c
@@ -16,8 +16,8 @@
     const struct ow_job_spec *spec = attempt->job->spec;
     const struct ow_resources *need = &spec->submission->need;
     struct ow_machine *machine = attempt->machine;
-    ow_resources_add(&machine->used, need, sign);
-    ow_resources_add(&machine->used_by[spec->submission->rank], need, sign);
+    ow_resources_add(&machine->load.used, need, sign);
+    ow_resources_add(&machine->load.used_by_rank[spec->submission->rank], need, sign);
     ow_resources_add(ow_team_usage(leader, spec->team), need, sign);
 }
 
@@ -33,7 +33,7 @@
     attempt->placed_at = leader->core->now;
     execution->tasks[task].attempt = attempt;
     g_ptr_array_add(execution->attempts, attempt);
-    g_ptr_array_add(machine->attempts, attempt);
+    g_ptr_array_add(machine->load.attempts, attempt);
     add_to_sums(leader, attempt, 1);
     return attempt;
 }
@@ -41,21 +41,21 @@
 /* Sums of fractions accumulate rounding errors: they are reset when the machine has no attempt. */
 static void reset_sums(struct ow_machine *machine)
 {
-    machine->used = (struct ow_resources){0};
-    machine->stopping = (struct ow_resources){0};
-    memset(machine->used_by, 0, sizeof machine->used_by);
+    machine->load.used = (struct ow_resources){0};
+    machine->load.stopping = (struct ow_resources){0};
+    memset(machine->load.used_by_rank, 0, sizeof machine->load.used_by_rank);
 }
 
 static void detach_from_machine(const struct ow_leader *leader, struct ow_attempt *attempt)
 {
     struct ow_machine *machine = attempt->machine;
-    g_ptr_array_remove_fast(machine->attempts, attempt);
+    g_ptr_array_remove_fast(machine->load.attempts, attempt);
     if (attempt->is_stopping)
-        ow_resources_add(&machine->stopping, &attempt->job->spec->submission->need, -1);
-    if (machine->attempts->len > 0)
+        ow_resources_add(&machine->load.stopping, &attempt->job->spec->submission->need, -1);
+    if (machine->load.attempts->len > 0)
         return;
     reset_sums(machine);
-    machine->idle_since = leader->core->now;
+    machine->load.idle_since = leader->core->now;
 }
 
 static void detach_from_execution(struct ow_attempt *attempt)
--- a/src/core/machines/cancellation_enforcement.c
+++ b/src/core/machines/cancellation_enforcement.c
@@ -13,8 +13,8 @@
 
 void ow_cancellation_enforce(struct ow_leader *leader, struct ow_machine *machine)
 {
-    for (guint i = 0; i < machine->attempts->len; i++) {
-        const struct ow_attempt *attempt = g_ptr_array_index(machine->attempts, i);
+    for (guint i = 0; i < machine->load.attempts->len; i++) {
+        const struct ow_attempt *attempt = g_ptr_array_index(machine->load.attempts, i);
         if (!attempt->is_stopping || attempt->job->state != OW_JOB_CANCELLED)
             continue;
         double waited_s = leader->core->now - attempt->stop_at;
--- a/src/core/machines/heartbeat_intake.c
+++ b/src/core/machines/heartbeat_intake.c
@@ -46,7 +46,7 @@
 static void note_fenced(struct ow_leader *leader, struct ow_machine *machine)
 {
     machine->liveness.is_fenced = true;
-    machine->liveness.fenced_at = machine->idle_since = leader->core->now;
+    machine->liveness.fenced_at = machine->load.idle_since = leader->core->now;
     machine->liveness.unanswered_since = 0;
     ow_leader_request_cycle(leader);
     g_info("machine has seen fencing token: machine=%s incarnation=%" G_GUINT64_FORMAT
--- a/src/core/machines/lease_expiry.c
+++ b/src/core/machines/lease_expiry.c
@@ -31,9 +31,9 @@
     if (!has_lease_expired(leader, machine))
         return;
     g_info("lease of worker expired: machine=%s incarnation=%" G_GUINT64_FORMAT " tasks=%u", machine->name,
-           machine->liveness.incarnation, machine->attempts->len);
+           machine->liveness.incarnation, machine->load.attempts->len);
     machine->liveness.expired_incarnation = machine->liveness.incarnation;
-    while (machine->attempts->len > 0)
-        ow_attempt_end(leader, g_ptr_array_index(machine->attempts, 0), OW_CAUSE_NONE,
+    while (machine->load.attempts->len > 0)
+        ow_attempt_end(leader, g_ptr_array_index(machine->load.attempts, 0), OW_CAUSE_NONE,
                        "its machine's lease has expired");
 }
--- a/src/core/machines/machine.h
+++ b/src/core/machines/machine.h
@@ -51,6 +51,19 @@
         heartbeat_generation; /**< the leader's count of heartbeats at its newest one: reconciliation.c */
 };
 
+/** What runs there and what that uses: attempt_table.c, attempt_end.c, reconciliation.c and
+ * machine_images.c. */
+struct ow_machine_load {
+    GPtrArray *attempts;                               /**< struct ow_attempt that may exist, not owned */
+    struct ow_resources used;                          /**< by these attempts */
+    struct ow_resources used_by_rank[OW_RANK_LOW + 1]; /**< the same by the rank of their jobs */
+    struct ow_resources stopping;                      /**< the part of `used` that is being stopped */
+    struct ow_resources unknown_tasks_use;             /**< by listed tasks that are in no record */
+    GArray *images;                                    /**< struct ow_image_copy */
+    double idle_since;                                 /**< no attempt since then */
+    double slowness; /**< observed run time divided by the estimate; 1: as expected */
+};
+
 /** Direct commands to the machine's own address: command_queue.c and direct_commands.c. */
 struct ow_machine_direct {
     bool is_in_flight; /**< a call is under way */
@@ -70,6 +83,14 @@
     double quarantine_until; /**< it is at fault: nothing is placed there before this time */
 };
 
+/** Scratch of the scheduling cycle: schedule.c, gpu_reserve.c, gang_start.c, array_preemption.c and
+ * replica_move.c. */
+struct ow_machine_cycle {
+    bool are_gpus_kept;                 /**< waiting work needs its GPUs: other work stays off */
+    struct ow_resources held;           /**< kept from every job behind in the queue */
+    struct ow_resources held_for_gangs; /**< the same, but a gang that can start at once may take it */
+};
+
 /** A machine. */
 struct ow_machine {
     /* Identity: machine_registry.c. */
@@ -87,26 +108,11 @@
     double terminate_not_before; /**< no (further) deletion is queued before this time */
 
     struct ow_machine_liveness liveness;
+    struct ow_machine_load load;
     struct ow_machine_direct direct;
     struct ow_machine_faults faults;
-
-    /* What runs there and what that uses: attempt_table.c, attempt_end.c, reconciliation.c and
-     * machine_images.c. */
-    GPtrArray *attempts;                          /**< struct ow_attempt that may exist, not owned */
-    struct ow_resources used;                     /**< by these attempts */
-    struct ow_resources used_by[OW_RANK_LOW + 1]; /**< the same by the rank of their jobs */
-    struct ow_resources stopping;                 /**< the part of `used` that is being stopped */
-    struct ow_resources unknown_tasks_use;        /**< by listed tasks that are in no record */
-    GArray *images;                               /**< struct ow_image_copy */
-    double idle_since;                            /**< no attempt since then */
-    double slowness; /**< observed run time divided by the estimate; 1: as expected */
-
-    /* Scratch of the scheduling cycle: schedule.c, gpu_reserve.c, gang_start.c, array_preemption.c and
-       replica_move.c; `holders`: reservation.c. */
-    bool gpus_kept;                     /**< waiting work needs its GPUs: other work stays off */
-    struct ow_resources held;           /**< kept from every job behind in the queue */
-    struct ow_resources held_for_gangs; /**< the same, but a gang that can start at once may take it */
-    unsigned holders; /**< waiting gangs with a hold on it; outlives the cycle: reservation.c */
+    struct ow_machine_cycle cycle;
+    unsigned gang_holds; /**< waiting gangs with a hold on it; outlives the cycle: reservation.c */
 };
 
 #endif
--- a/src/core/machines/machine_health.c
+++ b/src/core/machines/machine_health.c
@@ -26,7 +26,7 @@
 /* An empty machine in quarantine is of no use; another one is provisioned in its place if it is missed. */
 static void terminate_if_quarantined(struct ow_leader *leader, struct ow_machine *machine)
 {
-    if (leader->core->now < machine->faults.quarantine_until && machine->attempts->len == 0)
+    if (leader->core->now < machine->faults.quarantine_until && machine->load.attempts->len == 0)
         ow_fleet_terminate(leader, machine, "it is faulty");
 }
 
--- a/src/core/machines/machine_images.c
+++ b/src/core/machines/machine_images.c
@@ -13,8 +13,8 @@
 
 struct ow_image_copy *ow_machine_image(const struct ow_machine *machine, int image)
 {
-    for (guint i = 0; i < machine->images->len; i++) {
-        struct ow_image_copy *copy = &g_array_index(machine->images, struct ow_image_copy, i);
+    for (guint i = 0; i < machine->load.images->len; i++) {
+        struct ow_image_copy *copy = &g_array_index(machine->load.images, struct ow_image_copy, i);
         if (copy->image == image)
             return copy;
     }
@@ -23,8 +23,8 @@
 
 static bool is_image_in_use(const struct ow_machine *machine, int image)
 {
-    for (guint i = 0; i < machine->attempts->len; i++) {
-        const struct ow_attempt *attempt = g_ptr_array_index(machine->attempts, i);
+    for (guint i = 0; i < machine->load.attempts->len; i++) {
+        const struct ow_attempt *attempt = g_ptr_array_index(machine->load.attempts, i);
         if (attempt->job->spec->image == image)
             return true;
     }
@@ -38,19 +38,19 @@
     double limit = type != NULL ? type->cache_gb : 0;
     for (;;) {
         double sum = 0;
-        guint oldest = machine->images->len;
-        for (guint i = 0; i < machine->images->len; i++) {
-            const struct ow_image_copy *copy = &g_array_index(machine->images, struct ow_image_copy, i);
+        guint oldest = machine->load.images->len;
+        for (guint i = 0; i < machine->load.images->len; i++) {
+            const struct ow_image_copy *copy = &g_array_index(machine->load.images, struct ow_image_copy, i);
             sum += copy->gb;
             if (is_image_in_use(machine, copy->image))
                 continue;
-            if (oldest == machine->images->len ||
-                copy->used_at < g_array_index(machine->images, struct ow_image_copy, oldest).used_at)
+            if (oldest == machine->load.images->len ||
+                copy->used_at < g_array_index(machine->load.images, struct ow_image_copy, oldest).used_at)
                 oldest = i;
         }
-        if (sum <= limit || oldest == machine->images->len)
+        if (sum <= limit || oldest == machine->load.images->len)
             return;
-        g_array_remove_index_fast(machine->images, oldest);
+        g_array_remove_index_fast(machine->load.images, oldest);
     }
 }
 
@@ -65,7 +65,7 @@
                                       .used_at = leader->core->now,
                                       .present = present,
                                       .ready_at = ready_at};
-        g_array_append_val(machine->images, fresh);
+        g_array_append_val(machine->load.images, fresh);
         forget_old_images(leader, machine);
         return;
     }
@@ -79,8 +79,8 @@
                           double gb_per_s)
 {
     double sum_gb = own_gb;
-    for (guint i = 0; i < machine->images->len; i++) {
-        const struct ow_image_copy *copy = &g_array_index(machine->images, struct ow_image_copy, i);
+    for (guint i = 0; i < machine->load.images->len; i++) {
+        const struct ow_image_copy *copy = &g_array_index(machine->load.images, struct ow_image_copy, i);
         double left_s = copy->ready_at - leader->core->now;
         if (!copy->present && left_s > 0)
             sum_gb += MIN(copy->gb, left_s * gb_per_s);
--- a/src/core/machines/machine_registry.c
+++ b/src/core/machines/machine_registry.c
@@ -20,13 +20,13 @@
     machine = g_new0(struct ow_machine, 1);
     machine->name = g_strdup(name);
     machine->type = machine->zone = OW_NO_NAME;
-    machine->slowness = 1;
-    machine->provisioned_at = machine->idle_since = machine->liveness.known_since = leader->core->now;
-    machine->attempts = g_ptr_array_new();
+    machine->load.slowness = 1;
+    machine->provisioned_at = machine->load.idle_since = machine->liveness.known_since = leader->core->now;
+    machine->load.attempts = g_ptr_array_new();
     machine->direct.launches = g_array_new(FALSE, FALSE, sizeof(struct ow_unacknowledged_launch));
     machine->direct.unacknowledged_launches =
         g_array_new(FALSE, FALSE, sizeof(struct ow_unacknowledged_launch));
-    machine->images = g_array_new(FALSE, FALSE, sizeof(struct ow_image_copy));
+    machine->load.images = g_array_new(FALSE, FALSE, sizeof(struct ow_image_copy));
     g_hash_table_insert(leader->machines_by_name, machine->name, machine);
     g_ptr_array_add(leader->machines, machine);
     return machine;
@@ -37,10 +37,10 @@
     struct ow_machine *machine = item;
     g_free(machine->name);
     g_free(machine->addr);
-    g_ptr_array_free(machine->attempts, TRUE);
+    g_ptr_array_free(machine->load.attempts, TRUE);
     g_array_free(machine->direct.launches, TRUE);
     g_array_free(machine->direct.unacknowledged_launches, TRUE);
-    g_array_free(machine->images, TRUE);
+    g_array_free(machine->load.images, TRUE);
     g_free(machine);
 }
 
--- a/src/core/machines/machine_removal.c
+++ b/src/core/machines/machine_removal.c
@@ -9,8 +9,8 @@
 
 void ow_machines_remove(struct ow_leader *leader, struct ow_machine *machine, const char *proof)
 {
-    while (machine->attempts->len > 0)
-        ow_attempt_end(leader, g_ptr_array_index(machine->attempts, 0), OW_CAUSE_NONE, proof);
+    while (machine->load.attempts->len > 0)
+        ow_attempt_end(leader, g_ptr_array_index(machine->load.attempts, 0), OW_CAUSE_NONE, proof);
     for (guint i = 0; i < leader->executions->len; i++) {
         struct ow_execution *execution = g_ptr_array_index(leader->executions, i);
         g_hash_table_remove(execution->failed_machines, machine);
--- a/src/core/machines/reclaim_notice.c
+++ b/src/core/machines/reclaim_notice.c
@@ -54,11 +54,11 @@
     if (machine->reclaim_at <= 0)
         return;
     double left_s = machine->reclaim_at - leader->core->now;
-    for (guint i = machine->attempts->len; i > 0; i--) {
+    for (guint i = machine->load.attempts->len; i > 0; i--) {
         /* Stopping one attempt may end others, and take them from the list. */
-        if (i > machine->attempts->len)
+        if (i > machine->load.attempts->len)
             continue;
-        struct ow_attempt *attempt = g_ptr_array_index(machine->attempts, i - 1);
+        struct ow_attempt *attempt = g_ptr_array_index(machine->load.attempts, i - 1);
         if (may_save_checkpoint(attempt, left_s))
             stop_for_checkpoint(leader, attempt, left_s);
     }
--- a/src/core/machines/reconciliation.c
+++ b/src/core/machines/reconciliation.c
@@ -95,9 +95,9 @@
 {
     const struct ow_machine_type *type = ow_machine_type_of(leader, machine);
     if (job != NULL && job->spec != NULL)
-        ow_resources_add(&machine->unknown_tasks_use, &job->spec->submission->need, 1);
+        ow_resources_add(&machine->load.unknown_tasks_use, &job->spec->submission->need, 1);
     else if (type != NULL)
-        ow_resources_add(&machine->unknown_tasks_use, &type->size, 1);
+        ow_resources_add(&machine->load.unknown_tasks_use, &type->size, 1);
 }
 
 static void apply_unrecorded_task(struct ow_leader *leader, struct ow_machine *machine, struct ow_job *job,
@@ -184,11 +184,11 @@
 
 static void apply_absent_tasks(struct ow_leader *leader, struct ow_machine *machine)
 {
-    for (guint i = machine->attempts->len; i > 0; i--) {
+    for (guint i = machine->load.attempts->len; i > 0; i--) {
         /* The end of one attempt may end others of its gang, and take them from the list. */
-        if (i > machine->attempts->len)
+        if (i > machine->load.attempts->len)
             continue;
-        struct ow_attempt *attempt = g_ptr_array_index(machine->attempts, i - 1);
+        struct ow_attempt *attempt = g_ptr_array_index(machine->load.attempts, i - 1);
         if (attempt->heartbeat_generation != machine->liveness.heartbeat_generation &&
             attempt->incarnation == machine->liveness.incarnation)
             apply_absence(leader, attempt);
@@ -199,7 +199,7 @@
                         GArray *commands)
 {
     machine->liveness.heartbeat_generation = ++leader->heartbeat_generation;
-    machine->unknown_tasks_use = (struct ow_resources){0};
+    machine->load.unknown_tasks_use = (struct ow_resources){0};
     for (guint i = 0; i < tasks->len; i++)
         apply_task_status(leader, machine, &g_array_index(tasks, struct ow_task_status, i), commands);
     apply_absent_tasks(leader, machine);
@@ -209,10 +209,10 @@
    are recorded with the incarnation that they were meant for. */
 void ow_reconcile_older_incarnations(struct ow_leader *leader, struct ow_machine *machine)
 {
-    for (guint i = machine->attempts->len; i > 0; i--) {
-        if (i > machine->attempts->len)
+    for (guint i = machine->load.attempts->len; i > 0; i--) {
+        if (i > machine->load.attempts->len)
             continue;
-        struct ow_attempt *attempt = g_ptr_array_index(machine->attempts, i - 1);
+        struct ow_attempt *attempt = g_ptr_array_index(machine->load.attempts, i - 1);
         if (attempt->incarnation < machine->liveness.incarnation)
             ow_attempt_end(leader, attempt, OW_CAUSE_NONE, "its worker has begun a new incarnation");
     }
--- a/src/core/machines/scale_in.c
+++ b/src/core/machines/scale_in.c
@@ -16,8 +16,8 @@
 
 static bool is_idle(const struct ow_machine *machine)
 {
-    return machine->attempts->len == 0 && machine->liveness.is_fenced && !machine->is_terminating &&
-           machine->holders == 0;
+    return machine->load.attempts->len == 0 && machine->liveness.is_fenced && !machine->is_terminating &&
+           machine->gang_holds == 0;
 }
 
 static bool is_same_kind(const struct ow_machine *a, const struct ow_machine *b)
@@ -49,7 +49,7 @@
 {
     double now = leader->core->now;
     return now - machine->provisioned_at > PAID_S &&
-           now - MAX(machine->idle_since, leader->ready_at) > limit_s;
+           now - MAX(machine->load.idle_since, leader->ready_at) > limit_s;
 }
 
 void ow_scale_in_tick(struct ow_leader *leader)
--- a/src/core/machines/scale_out.c
+++ b/src/core/machines/scale_out.c
@@ -106,7 +106,7 @@
     if (!ow_placement_is_allowed(spec, &expected->machine))
         return 0;
     uint32_t slots = MIN(wanted, ow_placement_slots(leader, spec, &expected->machine));
-    ow_resources_add(&expected->machine.used, &spec->submission->need, slots);
+    ow_resources_add(&expected->machine.load.used, &spec->submission->need, slots);
     return slots;
 }
 
--- a/src/core/machines/silent_machines.c
+++ b/src/core/machines/silent_machines.c
@@ -52,7 +52,7 @@
 static bool is_known_from_records_alone(const struct ow_leader *leader, const struct ow_machine *machine)
 {
     return machine->liveness.last_message_at == 0 && machine->listed == OW_LISTED_NOT &&
-           machine->attempts->len > 0 && silent_s(leader, machine) > UNLISTED_S;
+           machine->load.attempts->len > 0 && silent_s(leader, machine) > UNLISTED_S;
 }
 
 static bool is_silent_for_leases(const struct ow_leader *leader, const struct ow_machine *machine)
@@ -85,8 +85,8 @@
 
 static bool has_replicas(const struct ow_machine *machine)
 {
-    for (guint i = 0; i < machine->attempts->len; i++) {
-        const struct ow_attempt *attempt = g_ptr_array_index(machine->attempts, i);
+    for (guint i = 0; i < machine->load.attempts->len; i++) {
+        const struct ow_attempt *attempt = g_ptr_array_index(machine->load.attempts, i);
         if (ow_execution_is_service(attempt->job->execution))
             return true;
     }
--- a/src/core/machines/unresponsive_machines.c
+++ b/src/core/machines/unresponsive_machines.c
@@ -22,7 +22,7 @@
     double now = leader->core->now;
     if (machine->liveness.is_fenced)
         return machine->liveness.unanswered_since > 0 ? now - machine->liveness.unanswered_since : 0;
-    bool should_answer = machine->liveness.last_message_at > 0 || machine->attempts->len > 0;
+    bool should_answer = machine->liveness.last_message_at > 0 || machine->load.attempts->len > 0;
     /* A machine that still boots can't answer: time counts from its first message. */
     double since =
         MAX(MAX(machine->liveness.known_since, leader->ready_at), machine->liveness.first_message_at);
@@ -48,7 +48,7 @@
 {
     double unresponsive = unresponsive_s(leader, machine);
     double lease_s = leader->core->settings->lease_s;
-    double limit_s = machine->attempts->len > 0 ? lease_s + LEASE_MARGIN_S : EMPTY_LEASES * lease_s;
+    double limit_s = machine->load.attempts->len > 0 ? lease_s + LEASE_MARGIN_S : EMPTY_LEASES * lease_s;
     if (unresponsive > limit_s)
         ow_fleet_terminate(leader, machine,
                            "it does not answer commands, and its tasks can't be accounted for");
--- a/src/core/machines/work_backlog.c
+++ b/src/core/machines/work_backlog.c
@@ -48,8 +48,8 @@
 {
     double cpus = type->size.cpus;
     /* A planned machine has no list of attempts. */
-    for (guint i = 0; machine->attempts != NULL && i < machine->attempts->len; i++) {
-        const struct ow_attempt *attempt = g_ptr_array_index(machine->attempts, i);
+    for (guint i = 0; machine->load.attempts != NULL && i < machine->load.attempts->len; i++) {
+        const struct ow_attempt *attempt = g_ptr_array_index(machine->load.attempts, i);
         const struct ow_resources *need = &attempt->job->spec->submission->need;
         if (need->gpus <= 0)
             cpus -= need->cpus;
--- a/src/core/machines/worker_commands.c
+++ b/src/core/machines/worker_commands.c
@@ -50,8 +50,8 @@
 
 bool ow_worker_commands_are_due(const struct ow_machine *machine)
 {
-    for (guint i = 0; i < machine->attempts->len; i++)
-        if (is_command_due(machine, g_ptr_array_index(machine->attempts, i)))
+    for (guint i = 0; i < machine->load.attempts->len; i++)
+        if (is_command_due(machine, g_ptr_array_index(machine->load.attempts, i)))
             return true;
     return false;
 }
@@ -59,8 +59,8 @@
 GArray *ow_worker_commands_for(struct ow_machine *machine, GArray *launches)
 {
     GArray *commands = g_array_new(FALSE, FALSE, sizeof(struct ow_worker_command));
-    for (guint i = 0; i < machine->attempts->len && commands->len < COMMANDS_MAX; i++) {
-        struct ow_attempt *attempt = g_ptr_array_index(machine->attempts, i);
+    for (guint i = 0; i < machine->load.attempts->len && commands->len < COMMANDS_MAX; i++) {
+        struct ow_attempt *attempt = g_ptr_array_index(machine->load.attempts, i);
         if (is_command_due(machine, attempt))
             add_attempt_commands(attempt, commands, launches);
     }
--- a/src/core/scheduling/array_preemption.c
+++ b/src/core/scheduling/array_preemption.c
@@ -68,7 +68,7 @@
     uint32_t slots = MIN(wanted, ow_preempt_slots(leader, execution, machine));
     if (slots == 0 || !ow_preempt_free_slots(leader, execution, machine, slots))
         return 0;
-    ow_resources_add(&machine->held, &spec->submission->need, slots);
+    ow_resources_add(&machine->cycle.held, &spec->submission->need, slots);
     return slots;
 }
 
--- a/src/core/scheduling/array_start.c
+++ b/src/core/scheduling/array_start.c
@@ -42,8 +42,8 @@
                                     const struct ow_machine *machine)
 {
     double longest_s = NO_WAIT_S;
-    for (guint i = 0; i < machine->images->len; i++) {
-        const struct ow_image_copy *copy = &g_array_index(machine->images, struct ow_image_copy, i);
+    for (guint i = 0; i < machine->load.images->len; i++) {
+        const struct ow_image_copy *copy = &g_array_index(machine->load.images, struct ow_image_copy, i);
         const struct ow_image_demand *demand = ow_image_demand_of(leader, copy->image);
         if (!copy->present || copy->image == spec->image)
             continue;
--- a/src/core/scheduling/gang_start.c
+++ b/src/core/scheduling/gang_start.c
@@ -186,6 +186,6 @@
         if (hold->kind != OW_HOLD_SELECTED)
             continue;
         struct ow_machine *machine = hold->machine;
-        ow_resources_add(exclusive ? &machine->held : &machine->held_for_gangs, need, 1);
+        ow_resources_add(exclusive ? &machine->cycle.held : &machine->cycle.held_for_gangs, need, 1);
     }
 }
--- a/src/core/scheduling/gpu_reserve.c
+++ b/src/core/scheduling/gpu_reserve.c
@@ -61,12 +61,12 @@
 
 static enum gpu_fitness rate_for_gpu_jobs(const struct ow_machine *machine)
 {
-    for (guint i = 0; i < machine->attempts->len; i++) {
-        const struct ow_attempt *attempt = g_ptr_array_index(machine->attempts, i);
+    for (guint i = 0; i < machine->load.attempts->len; i++) {
+        const struct ow_attempt *attempt = g_ptr_array_index(machine->load.attempts, i);
         if (attempt->job->spec->submission->need.gpus > 0)
             return GPU_FITNESS_IN_USE;
     }
-    return machine->attempts->len > 0 ? GPU_FITNESS_OTHER_WORK : GPU_FITNESS_FREE;
+    return machine->load.attempts->len > 0 ? GPU_FITNESS_OTHER_WORK : GPU_FITNESS_FREE;
 }
 
 /* Best machines first. Other work may fill GPU machines, except those that GPU jobs need: these would
@@ -80,7 +80,7 @@
             const struct ow_machine_type *type = ow_machine_type_of(leader, machine);
             if (type == NULL || type->size.gpus <= 0 || (int)rate_for_gpu_jobs(machine) != fitness)
                 continue;
-            machine->gpus_kept = wanted > 0;
+            machine->cycle.are_gpus_kept = wanted > 0;
             wanted -= type->size.gpus;
         }
     }
--- a/src/core/scheduling/image_demand.c
+++ b/src/core/scheduling/image_demand.c
@@ -63,8 +63,8 @@
     if (!ow_machine_is_usable(leader, machine))
         return;
     const struct ow_machine_type *type = ow_machine_type_of(leader, machine);
-    for (guint i = 0; i < machine->images->len; i++) {
-        int image = g_array_index(machine->images, struct ow_image_copy, i).image;
+    for (guint i = 0; i < machine->load.images->len; i++) {
+        int image = g_array_index(machine->load.images, struct ow_image_copy, i).image;
         struct ow_image_demand *demand = find_or_add(leader, image);
         if (demand->spec == NULL || !ow_placement_is_allowed(demand->spec, machine))
             continue;
--- a/src/core/scheduling/placement.c
+++ b/src/core/scheduling/placement.c
@@ -65,7 +65,7 @@
     if (submission->need.gpus > 0 || free_gpus <= 0)
         return 0;
     bool urgent = (int)submission->rank < leader->cycle.gpu_rank;
-    if (!machine->gpus_kept && (!urgent || machine->spot))
+    if (!machine->cycle.are_gpus_kept && (!urgent || machine->spot))
         return 0;
     return free_gpus * leader->cycle.gpu_cpus;
 }
@@ -76,10 +76,10 @@
                                         const struct ow_resources *used)
 {
     struct ow_resources taken = *used;
-    ow_resources_add(&taken, &machine->unknown_tasks_use, 1);
-    ow_resources_add(&taken, &machine->held, 1);
+    ow_resources_add(&taken, &machine->load.unknown_tasks_use, 1);
+    ow_resources_add(&taken, &machine->cycle.held, 1);
     if (!ow_submission_is_gang(submission))
-        ow_resources_add(&taken, &machine->held_for_gangs, 1);
+        ow_resources_add(&taken, &machine->cycle.held_for_gangs, 1);
     return taken;
 }
 
@@ -103,7 +103,7 @@
 uint32_t ow_placement_slots(const struct ow_leader *leader, const struct ow_job_spec *spec,
                             const struct ow_machine *machine)
 {
-    return ow_placement_slots_beside(leader, spec, machine, &machine->used);
+    return ow_placement_slots_beside(leader, spec, machine, &machine->load.used);
 }
 
 uint32_t ow_placement_zone_admits(const struct ow_execution *execution, int zone)
--- a/src/core/scheduling/placement_score.c
+++ b/src/core/scheduling/placement_score.c
@@ -23,7 +23,7 @@
 /* Seconds that the run takes longer than expected, beyond what estimates leave open. */
 static double slowness_s(const struct ow_submission *submission, const struct ow_machine *machine)
 {
-    return submission->estimate_s * MAX(0, machine->slowness - SLOWNESS_TOLERANCE);
+    return submission->estimate_s * MAX(0, machine->load.slowness - SLOWNESS_TOLERANCE);
 }
 
 /* Less urgent work gets only what GPUs leave over, which is nobody else's loss. */
@@ -80,7 +80,7 @@
 static double cpu_share_left(const struct ow_submission *submission, const struct ow_machine *machine,
                              const struct ow_machine_type *type)
 {
-    double cpus_left = type->size.cpus - machine->used.cpus - submission->need.cpus;
+    double cpus_left = type->size.cpus - machine->load.used.cpus - submission->need.cpus;
     return cpus_left / type->size.cpus;
 }
 
--- a/src/core/scheduling/preempt.c
+++ b/src/core/scheduling/preempt.c
@@ -72,7 +72,7 @@
 static uint32_t slots_without(const struct ow_leader *leader, const struct ow_job_spec *spec,
                               const struct ow_machine *machine, const struct ow_resources *gone)
 {
-    struct ow_resources used = machine->used;
+    struct ow_resources used = machine->load.used;
     ow_resources_add(&used, gone, -1);
     return ow_placement_slots_beside(leader, spec, machine, &used);
 }
@@ -94,9 +94,9 @@
 uint32_t ow_preempt_slots_upper_bound(const struct ow_leader *leader, const struct ow_job_spec *spec,
                                       const struct ow_machine *machine, int top_rank)
 {
-    struct ow_resources most = machine->stopping;
+    struct ow_resources most = machine->load.stopping;
     for (int rank = top_rank; rank <= OW_RANK_LOW; rank++)
-        ow_resources_add(&most, &machine->used_by[rank], 1);
+        ow_resources_add(&most, &machine->load.used_by_rank[rank], 1);
     return slots_without(leader, spec, machine, &most);
 }
 
@@ -108,8 +108,8 @@
     /* Most machines are full of work that may not be stopped: for them the attempts are not visited. */
     if (ow_preempt_slots_upper_bound(leader, spec, machine, ow_preempt_top_rank(leader, spec)) == 0)
         return 0;
-    for (guint i = 0; i < machine->attempts->len; i++) {
-        const struct ow_attempt *attempt = g_ptr_array_index(machine->attempts, i);
+    for (guint i = 0; i < machine->load.attempts->len; i++) {
+        const struct ow_attempt *attempt = g_ptr_array_index(machine->load.attempts, i);
         if (attempt->is_stopping || may_stop(leader, execution, attempt))
             add_need(&gone, attempt);
     }
@@ -139,8 +139,8 @@
     const struct ow_job_spec *spec = execution->job->spec;
     g_autoptr(GArray) victims = g_array_new(FALSE, FALSE, sizeof(struct victim));
     struct ow_resources gone = {0};
-    for (guint i = 0; i < machine->attempts->len; i++) {
-        struct ow_attempt *attempt = g_ptr_array_index(machine->attempts, i);
+    for (guint i = 0; i < machine->load.attempts->len; i++) {
+        struct ow_attempt *attempt = g_ptr_array_index(machine->load.attempts, i);
         struct victim victim = {.attempt = attempt, .loss_s = stop_loss_s(leader, attempt)};
         if (attempt->is_stopping)
             add_need(&gone, attempt);
--- a/src/core/scheduling/replica_move.c
+++ b/src/core/scheduling/replica_move.c
@@ -28,8 +28,8 @@
 
 static bool has_attempt_on(const struct ow_execution *execution, const struct ow_machine *machine)
 {
-    for (guint i = 0; i < machine->attempts->len; i++) {
-        const struct ow_attempt *attempt = g_ptr_array_index(machine->attempts, i);
+    for (guint i = 0; i < machine->load.attempts->len; i++) {
+        const struct ow_attempt *attempt = g_ptr_array_index(machine->load.attempts, i);
         if (attempt->job == execution->job)
             return true;
     }
@@ -66,6 +66,6 @@
 void ow_replica_move_to(struct ow_leader *leader, struct ow_attempt *attempt, struct ow_machine *target,
                         const char *why)
 {
-    ow_resources_add(&target->held, &attempt->job->spec->submission->need, 1);
+    ow_resources_add(&target->cycle.held, &attempt->job->spec->submission->need, 1);
     ow_attempt_stop(leader, attempt, 0, why);
 }
--- a/src/core/scheduling/reservation.c
+++ b/src/core/scheduling/reservation.c
@@ -30,7 +30,7 @@
 bool ow_reservation_has_conflict(const struct ow_execution *execution, const struct ow_machine *machine)
 {
     unsigned own = has_hold_on(execution->reservation, machine) ? 1 : 0;
-    return machine->holders > own;
+    return machine->gang_holds > own;
 }
 
 static bool member_holds(const struct ow_reservation *reservation, const struct ow_machine *machine,
@@ -50,7 +50,7 @@
     if (member_holds(reservation, machine, member))
         return;
     if (!has_hold_on(reservation, machine))
-        machine->holders++;
+        machine->gang_holds++;
     struct ow_hold hold = {
         .machine = machine,
         .member = member,
@@ -65,7 +65,7 @@
     struct ow_machine *machine = g_array_index(reservation->holds, struct ow_hold, index).machine;
     g_array_remove_index_fast(reservation->holds, index);
     if (!has_hold_on(reservation, machine))
-        machine->holders--;
+        machine->gang_holds--;
 }
 
 void ow_reservation_drop_holds(struct ow_reservation *reservation)
--- a/src/core/scheduling/schedule.c
+++ b/src/core/scheduling/schedule.c
@@ -23,8 +23,8 @@
 {
     for (guint i = 0; i < leader->machines->len; i++) {
         struct ow_machine *machine = g_ptr_array_index(leader->machines, i);
-        machine->held = (struct ow_resources){0};
-        machine->held_for_gangs = (struct ow_resources){0};
+        machine->cycle.held = (struct ow_resources){0};
+        machine->cycle.held_for_gangs = (struct ow_resources){0};
     }
 }
 
@@ -34,8 +34,8 @@
 {
     for (guint i = 0; i < leader->machines->len; i++) {
         struct ow_machine *machine = g_ptr_array_index(leader->machines, i);
-        ow_resources_add(&machine->held, &machine->held_for_gangs, 1);
-        machine->held_for_gangs = (struct ow_resources){0};
+        ow_resources_add(&machine->cycle.held, &machine->cycle.held_for_gangs, 1);
+        machine->cycle.held_for_gangs = (struct ow_resources){0};
     }
 }
 
--- a/src/core/scheduling/service_moves.c
+++ b/src/core/scheduling/service_moves.c
@@ -97,11 +97,11 @@
 static void empty_leaving(struct ow_leader *leader, struct ow_machine *machine)
 {
     double left_s = leaves_at(leader, machine) - leader->core->now;
-    for (guint i = machine->attempts->len; i > 0; i--) {
+    for (guint i = machine->load.attempts->len; i > 0; i--) {
         /* A stop may have ended several attempts. */
-        if (i > machine->attempts->len)
+        if (i > machine->load.attempts->len)
             continue;
-        struct ow_attempt *attempt = g_ptr_array_index(machine->attempts, i - 1);
+        struct ow_attempt *attempt = g_ptr_array_index(machine->load.attempts, i - 1);
         if (is_movable(attempt))
             move_off_leaving(leader, attempt, left_s);
     }
@@ -109,8 +109,8 @@
 
 static bool has_only_replicas(const struct ow_machine *machine)
 {
-    for (guint i = 0; i < machine->attempts->len; i++) {
-        const struct ow_attempt *attempt = g_ptr_array_index(machine->attempts, i);
+    for (guint i = 0; i < machine->load.attempts->len; i++) {
+        const struct ow_attempt *attempt = g_ptr_array_index(machine->load.attempts, i);
         if (!ow_execution_is_service(attempt->job->execution))
             return false;
     }
@@ -123,11 +123,11 @@
 {
     if (!has_only_replicas(machine) || !ow_machine_heard_recently(leader, machine))
         return;
-    for (guint i = machine->attempts->len; i > 0; i--) {
+    for (guint i = machine->load.attempts->len; i > 0; i--) {
         /* A stop may have ended several attempts. */
-        if (i > machine->attempts->len)
+        if (i > machine->load.attempts->len)
             continue;
-        struct ow_attempt *attempt = g_ptr_array_index(machine->attempts, i - 1);
+        struct ow_attempt *attempt = g_ptr_array_index(machine->load.attempts, i - 1);
         if (!is_movable(attempt) || ow_replica_move_missing(attempt->job->execution) >= MOVES_MAX)
             continue;
         struct ow_machine *target = ow_replica_move_find_target(leader, attempt->job->execution, OW_NO_NAME);
--- a/src/core/scheduling/service_replicas.c
+++ b/src/core/scheduling/service_replicas.c
@@ -38,7 +38,7 @@
 {
     for (guint i = 0; i < candidates->len; i++) {
         struct ow_candidate *candidate = &g_array_index(candidates, struct ow_candidate, i);
-        const GPtrArray *attempts = candidate->machine->attempts;
+        const GPtrArray *attempts = candidate->machine->load.attempts;
         double crowding_s = 0;
         for (guint k = 0; k < attempts->len && crowding_s < CROWDING_LIMIT_S; k++) {
             const struct ow_attempt *attempt = g_ptr_array_index(attempts, k);
