--- a/src/core/machines/machine_health.c
+++ b/src/core/machines/machine_health.c
@@ -37,6 +37,7 @@
     bool are_silent_few = ow_silent_machines_are_few(leader);
     ow_service_moves_tick(leader);
     ow_spot_risk_tick(leader);
+    /* No check removes a machine from the list: terminations are queued, and the cloud's reply removes it. */
     for (guint i = leader->machines->len; i > 0; i--) {
         struct ow_machine *machine = g_ptr_array_index(leader->machines, i - 1);
         ow_lease_expiry_check(leader, machine);
--- a/src/io/daemon.c
+++ b/src/io/daemon.c
@@ -23,7 +23,7 @@
    commands, get the sockets that are left, but at least this share. */
 static const double CLIENT_SHARE_MIN = 0.05;
 
-G_DEFINE_QUARK(ow - daemon - error - quark, ow_daemon_error)
+G_DEFINE_QUARK(ow_daemon_error, ow_daemon_error)
 
 /* ---- other controllers ---- */
 
--- a/src/sharding/sharding_settings_check.c
+++ b/src/sharding/sharding_settings_check.c
@@ -13,7 +13,7 @@
    with the keys of all shards, so that this bounds their number. */
 enum { COMPARISONS_PER_MUTATION = 4 };
 
-G_DEFINE_QUARK(ow - sharding - settings - error, ow_sharding_settings_error)
+G_DEFINE_QUARK(ow_sharding_settings_error, ow_sharding_settings_error)
 
 static bool contains(char **list, const char *name)
 {
--- a/src/wire/submission_json.c
+++ b/src/wire/submission_json.c
@@ -14,7 +14,7 @@
 /* The one field of a job's description that a submission has not. */
 #define F_COMMAND "command"
 
-G_DEFINE_QUARK(wire - submission - error - quark, wire_submission_error)
+G_DEFINE_QUARK(wire_submission_error, wire_submission_error)
 
 bool wire_job_id_is_valid(const char *id)
 {
