--- a/src/core/api/cancellation_ack.c
+++ b/src/core/api/cancellation_ack.c
@@ -115,7 +115,8 @@
     send_to_peers(core, OW_PEER_CANCELLATION_ACK, job, ow_election_fencing_token(core->election));
 }
 
-void ow_cancellation_ack_requested(struct ow_cancellation_ack *acks, const struct ow_peer_message *message)
+void ow_cancellation_ack_handle_cancellation(struct ow_cancellation_ack *acks,
+                                             const struct ow_peer_message *message)
 {
     struct ow_core *core = acks->core;
     if (core->leader == NULL)
@@ -132,7 +133,7 @@
         ensure_open(acks, message->cancellation.job);
 }
 
-void ow_cancellation_ack_received(struct ow_cancellation_ack *acks, const struct ow_peer_message *message)
+void ow_cancellation_ack_handle_ack(struct ow_cancellation_ack *acks, const struct ow_peer_message *message)
 {
     struct ow_job *job = ow_jobs_find(acks->core->jobs, message->cancellation.job);
     /* A job that we don't know, or take to be open, is read before anybody is told of it; the leader is asked
--- a/src/core/api/cancellation_ack.h
+++ b/src/core/api/cancellation_ack.h
@@ -28,9 +28,10 @@
                               const struct ow_job *job);
 /** Another controller announces a committed cancellation (OW_PEER_CANCELLATION). Only a leader takes notice.
  */
-void ow_cancellation_ack_requested(struct ow_cancellation_ack *acks, const struct ow_peer_message *message);
+void ow_cancellation_ack_handle_cancellation(struct ow_cancellation_ack *acks,
+                                             const struct ow_peer_message *message);
 /** A leader has acknowledged a cancellation (OW_PEER_CANCELLATION_ACK). */
-void ow_cancellation_ack_received(struct ow_cancellation_ack *acks, const struct ow_peer_message *message);
+void ow_cancellation_ack_handle_ack(struct ow_cancellation_ack *acks, const struct ow_peer_message *message);
 /** Does what is due: acknowledges if we lead, answers users, sends cancellations to the leader again. */
 void ow_cancellation_ack_tick(struct ow_cancellation_ack *acks);
 
--- a/src/core/api/job_answer.c
+++ b/src/core/api/job_answer.c
@@ -39,7 +39,7 @@
 {
     /* Another controller may have answered from a newer record than ours already. The read begins after the
        request, so it shows whatever was told before that, and this answer does not go back behind it. */
-    ow_job_cache_refresh(core->job_cache, ow_job_answer_fresh, ow_pending_request_new(request, id));
+    ow_job_cache_refresh(core->job_cache, ow_job_answer_on_refreshed, ow_pending_request_new(request, id));
 }
 
 const struct ow_job *ow_job_answer_find(struct ow_core *core, const struct ow_pending_request *pending,
@@ -55,7 +55,7 @@
     return job;
 }
 
-void ow_job_answer_fresh(struct ow_core *core, void *data, bool is_fresh)
+void ow_job_answer_on_refreshed(struct ow_core *core, void *data, bool is_fresh)
 {
     const struct ow_pending_request *pending = data;
     const struct ow_job *job = ow_job_answer_find(core, pending, is_fresh);
--- a/src/core/api/job_answer.h
+++ b/src/core/api/job_answer.h
@@ -45,6 +45,6 @@
                                         bool is_fresh);
 /** Answers a pending request from what the read for it shows: an ow_refreshed_fn of ow_job_cache_refresh().
  * `data` is a struct ow_pending_request, which stays the caller's. */
-void ow_job_answer_fresh(struct ow_core *core, void *data, bool is_fresh);
+void ow_job_answer_on_refreshed(struct ow_core *core, void *data, bool is_fresh);
 
 #endif
--- a/src/core/api/submit.c
+++ b/src/core/api/submit.c
@@ -35,7 +35,7 @@
     if (is_fresh && ow_jobs_find(core->jobs, pending->id) == NULL)
         ow_core_reject_request(core, pending->request, refusal->status, refusal->reason, 0);
     else
-        ow_job_answer_fresh(core, &refusal->pending, is_fresh);
+        ow_job_answer_on_refreshed(core, &refusal->pending, is_fresh);
 }
 
 /* What can't run now, or can't be read, may have been accepted by another controller before: such a repeat
--- a/src/core/core.c
+++ b/src/core/core.c
@@ -30,20 +30,20 @@
 
 /* ---- callbacks of the election ---- */
 
-static void begin_to_lead(struct ow_core *core, uint64_t fencing_token)
+static void start_leading(struct ow_core *core, uint64_t fencing_token)
 {
     core->leader = ow_leader_new(core, fencing_token);
 }
 
-static void end_leading(struct ow_core *core)
+static void stop_leading(struct ow_core *core)
 {
     ow_leader_free(core->leader);
     core->leader = NULL;
 }
 
 static const struct ow_election_callbacks election_callbacks = {
-    .begin_to_lead = begin_to_lead,
-    .end_leading = end_leading,
+    .start_leading = start_leading,
+    .stop_leading = stop_leading,
 };
 
 /* ---- creation and destruction ---- */
--- a/src/core/election/election.c
+++ b/src/core/election/election.c
@@ -53,9 +53,9 @@
     return election->stage != OW_ELECTION_LEADING && election->key.is_missing;
 }
 
-void ow_election_note_peer_ended(struct ow_election *election, const char *controller_name)
+void ow_election_note_peer_exited(struct ow_election *election, const char *controller_name)
 {
-    if (!ow_succession_may_replace_ended(election, controller_name))
+    if (!ow_succession_may_replace_exited(election, controller_name))
         return;
     /* A wrong hint is safe: the new fencing token and the compare on the leader key in every write depose the
        old leader. */
@@ -136,7 +136,7 @@
 
 void ow_election_tick(struct ow_election *election)
 {
-    if (election->stage == OW_ELECTION_LEADING && ow_succession_is_cut_off(election))
+    if (election->stage == OW_ELECTION_LEADING && ow_succession_is_partitioned(election))
         ow_election_step_down(election, "the key-value store is out of reach");
     if (election->stage == OW_ELECTION_LEADING)
         tick_leader(election);
--- a/src/core/election/election.h
+++ b/src/core/election/election.h
@@ -42,7 +42,7 @@
                                        const char *leader_name);
 /** Handles the hint that a controller's process has ended. If it leads, this controller tries to take the key
  * without waiting for the lease to expire. */
-void ow_election_note_peer_ended(struct ow_election *election, const char *controller_name);
+void ow_election_note_peer_exited(struct ow_election *election, const char *controller_name);
 /** Gives up leadership, for example because no worker reaches this controller: deletes the key, and leaves it
  * to others for a while. `why` is for the log. */
 void ow_election_yield(struct ow_election *election, const char *why);
--- a/src/core/election/election_callbacks.h
+++ b/src/core/election/election_callbacks.h
@@ -13,9 +13,9 @@
  * own state (begin), or before (end). */
 struct ow_election_callbacks {
     /** A term has begun under this fencing token. */
-    void (*begin_to_lead)(struct ow_core *core, uint64_t fencing_token);
+    void (*start_leading)(struct ow_core *core, uint64_t fencing_token);
     /** The term has ended: nothing may be done in its name any more. */
-    void (*end_leading)(struct ow_core *core);
+    void (*stop_leading)(struct ow_core *core);
 };
 
 #endif
--- a/src/core/election/election_state.c
+++ b/src/core/election/election_state.c
@@ -34,7 +34,7 @@
     election->stage = OW_ELECTION_OBTAINING_LEASE;
 }
 
-void ow_election_begin_to_lead(struct ow_election *election, uint64_t fencing_token)
+void ow_election_start_leading(struct ow_election *election, uint64_t fencing_token)
 {
     struct ow_core *core = election->core;
     election->stage = OW_ELECTION_LEADING;
@@ -46,7 +46,7 @@
     election->watch.since_revision = fencing_token;
     ow_election_set_leader_name(election, NULL);
     g_info("became leader: fencing_token=%" G_GUINT64_FORMAT, fencing_token);
-    election->callbacks->begin_to_lead(core, fencing_token);
+    election->callbacks->start_leading(core, fencing_token);
 }
 
 void ow_election_step_down(struct ow_election *election, const char *why)
@@ -54,7 +54,7 @@
     if (election->stage == OW_ELECTION_LEADING) {
         g_info("stepped down as leader: fencing_token=%" G_GUINT64_FORMAT " reason=\"%s\"",
                election->fencing_token, why);
-        election->callbacks->end_leading(election->core);
+        election->callbacks->stop_leading(election->core);
     }
     ow_election_set_leader_name(election, NULL);
     ow_election_restart(election, 0);
--- a/src/core/election/election_state.h
+++ b/src/core/election/election_state.h
@@ -76,7 +76,7 @@
 /** Becomes a candidate, with a new lease: one from an earlier attempt may have expired. */
 void ow_election_become_candidate(struct ow_election *election);
 /** Begins to lead with a fencing token, the revision of the write that took the key. */
-void ow_election_begin_to_lead(struct ow_election *election, uint64_t fencing_token);
+void ow_election_start_leading(struct ow_election *election, uint64_t fencing_token);
 /** Ends our term if we lead, and reads the key again. `why` is for the log. */
 void ow_election_step_down(struct ow_election *election, const char *why);
 /** Seconds from the grant or last renewal of a lease to its next renewal. */
--- a/src/core/election/leader_key.c
+++ b/src/core/election/leader_key.c
@@ -65,7 +65,7 @@
     note_holder(election, item->mod_revision);
     if (is_own_write(election, item->mod_revision, leader_name, nonce)) {
         /* Our own write was committed, but its reply was lost. */
-        ow_election_begin_to_lead(election, item->mod_revision);
+        ow_election_start_leading(election, item->mod_revision);
     } else if (ow_leader_key_is_own_name(election, leader_name)) {
         replace_earlier_process(election);
     } else {
--- a/src/core/election/leader_lease.c
+++ b/src/core/election/leader_lease.c
@@ -40,7 +40,7 @@
     if (election->stage != OW_ELECTION_TAKING_KEY)
         return;
     if (status == OW_HTTP_STATUS_OK) {
-        ow_election_begin_to_lead(election, answer->store.revision);
+        ow_election_start_leading(election, answer->store.revision);
         return;
     }
     /* Without a response the write may have been committed, so the key is read before anything else.
--- a/src/core/election/succession.c
+++ b/src/core/election/succession.c
@@ -20,7 +20,7 @@
 static const double OUTDATED_LEADER_S = 2;
 static const double PEER_FRESH_S = 5;
 
-bool ow_succession_may_replace_ended(const struct ow_election *election, const char *controller_name)
+bool ow_succession_may_replace_exited(const struct ow_election *election, const char *controller_name)
 {
     if (election->stage != OW_ELECTION_FOLLOWING || election->is_busy)
         return false;
@@ -36,7 +36,7 @@
    cancellations it does not see; by answering heartbeats it would renew the leases of workers and keep
    cancelled tasks running. So it steps down early enough for these leases to expire within `cancel_s`. In an
    ordinary outage the store answers with an error status, which proves that the leader is not partitioned. */
-bool ow_succession_is_cut_off(const struct ow_election *election)
+bool ow_succession_is_partitioned(const struct ow_election *election)
 {
     const struct ow_core *core = election->core;
     const struct ow_settings *settings = core->settings;
--- a/src/core/election/succession.h
+++ b/src/core/election/succession.h
@@ -10,10 +10,10 @@
 struct ow_election;
 
 /** Whether the key may be taken because the controller of this name has ended. */
-bool ow_succession_may_replace_ended(const struct ow_election *election, const char *controller_name);
+bool ow_succession_may_replace_exited(const struct ow_election *election, const char *controller_name);
 /** Whether this controller, the leader, has had no response from the key-value store for so long that it must
  * step down. */
-bool ow_succession_is_cut_off(const struct ow_election *election);
+bool ow_succession_is_partitioned(const struct ow_election *election);
 /** Whether the leader runs an earlier version, which a rolling upgrade is about to restart. Replacing it now
  * moves leadership once; otherwise it might move at every restart of a controller of that version. Earlier
  * versions do not replace a newer leader for this reason, so leadership does not alternate. */
--- a/src/core/peers/machine_hints.c
+++ b/src/core/peers/machine_hints.c
@@ -81,7 +81,7 @@
         use_list(hints, g_steal_pointer(&hints->assembled));
 }
 
-void ow_machine_hints_take(struct ow_machine_hints *hints, struct ow_peer_message *message)
+void ow_machine_hints_receive(struct ow_machine_hints *hints, struct ow_peer_message *message)
 {
     if (message->fencing_token < hints->fencing_token) {
         g_info("machine list of an older leader dropped: fencing_token=%" G_GUINT64_FORMAT,
--- a/src/core/peers/machine_hints.h
+++ b/src/core/peers/machine_hints.h
@@ -17,7 +17,7 @@
 void ow_machine_hints_free(struct ow_machine_hints *hints);
 /** Handles a message of kind OW_PEER_MACHINES or OW_PEER_MACHINES_PART, and takes ownership of its list. A
  * message of an older leader is dropped; a part out of sequence drops all parts before it. */
-void ow_machine_hints_take(struct ow_machine_hints *hints, struct ow_peer_message *message);
+void ow_machine_hints_receive(struct ow_machine_hints *hints, struct ow_peer_message *message);
 /** The last complete list, of struct ow_peer_machine; valid until the next message. It is empty if none has
  * come. */
 const GArray *ow_machine_hints_list(const struct ow_machine_hints *hints);
--- a/src/core/peers/peer_messages.c
+++ b/src/core/peers/peer_messages.c
@@ -53,20 +53,20 @@
         ow_job_cache_hint(core->job_cache, message->job_change.revision);
         break;
     case OW_PEER_CANCELLATION:
-        ow_cancellation_ack_requested(core->cancellation_ack, message);
+        ow_cancellation_ack_handle_cancellation(core->cancellation_ack, message);
         break;
     case OW_PEER_CANCELLATION_ACK:
-        ow_cancellation_ack_received(core->cancellation_ack, message);
+        ow_cancellation_ack_handle_ack(core->cancellation_ack, message);
         break;
     case OW_PEER_LINK_LOST:
-        ow_election_note_peer_ended(core->election, message->sender);
+        ow_election_note_peer_exited(core->election, message->sender);
         break;
     case OW_PEER_HEARTBEAT:
     case OW_PEER_PROBE:
         break; /* handled by src/sharding, which does not pass them to a core */
     case OW_PEER_MACHINES:
     case OW_PEER_MACHINES_PART:
-        ow_machine_hints_take(core->machine_hints, message);
+        ow_machine_hints_receive(core->machine_hints, message);
         break;
     }
 }
--- a/src/core/peers/peer_status.c
+++ b/src/core/peers/peer_status.c
@@ -76,7 +76,7 @@
     return false;
 }
 
-bool ow_peer_status_has_heard_recently(const struct ow_peer_status *status, double now)
+bool ow_peer_status_has_recent_message(const struct ow_peer_status *status, double now)
 {
     return status->last_message_at > 0 && now - status->last_message_at < RECENT_S;
 }
--- a/src/core/peers/peer_status.h
+++ b/src/core/peers/peer_status.h
@@ -27,7 +27,7 @@
 /** Whether any other controller has recently said that the key-value store answers it. */
 bool ow_peer_status_any_store_answers(const struct ow_peer_status *status, double now);
 /** Whether any message of a peer has come recently. */
-bool ow_peer_status_has_heard_recently(const struct ow_peer_status *status, double now);
+bool ow_peer_status_has_recent_message(const struct ow_peer_status *status, double now);
 /** Whether a peer has said less than `within_s` seconds ago that workers send it heartbeats. */
 bool ow_peer_status_receives_heartbeats(const struct ow_peer_status *status, double now, double within_s);
 
--- a/src/core/readiness.c
+++ b/src/core/readiness.c
@@ -13,7 +13,7 @@
 {
     bool has_peers = core->settings->peers->len > 0;
     return ow_store_health_is_silent(core->store_health) && has_peers &&
-           !ow_peer_status_has_heard_recently(core->peer_status, core->now);
+           !ow_peer_status_has_recent_message(core->peer_status, core->now);
 }
 
 bool ow_readiness_is_ready(const struct ow_core *core)
--- a/tests/unit/test_peer_lists.c
+++ b/tests/unit/test_peer_lists.c
@@ -40,7 +40,7 @@
 
 static void take(struct ow_machine_hints *hints, struct ow_peer_message *message)
 {
-    ow_machine_hints_take(hints, message);
+    ow_machine_hints_receive(hints, message);
     ow_peer_message_free(message);
 }
 
