--- a/src/core/election/election.c
+++ b/src/core/election/election.c
@@ -6,8 +6,8 @@
 #include "core/election/leader_lease.h"
 #include "core/election/succession.h"
 
-/* After ow_election_yield() this controller leaves the key to others for this long. */
-static const double YIELD_S = 15;
+/* After ow_election_yield() this controller does not try to take the key for this long. */
+static const double YIELD_DURATION_S = 15;
 
 struct ow_election *ow_election_new(struct ow_core *core, const struct ow_election_callbacks *callbacks)
 {
@@ -59,15 +59,15 @@
         return;
     /* A wrong hint is safe: the new fencing token and the compare on the leader key in every write depose the
        old leader. */
-    g_info("leader seems to have ended: controller=%s", controller_name);
-    election->act_at = election->core->now;
+    g_info("leader process appears to have exited: controller=%s", controller_name);
+    election->next_request_at = election->core->now;
     ow_election_become_candidate(election);
 }
 
 void ow_election_note_deposed(struct ow_election *election)
 {
     if (election->stage == OW_ELECTION_LEADING)
-        ow_election_step_down(election, "the key has changed hands");
+        ow_election_step_down(election, "another controller has taken the leader key");
 }
 
 void ow_election_invalidate_key(struct ow_election *election)
@@ -77,31 +77,31 @@
         election->key.is_known = false;
 }
 
-void ow_election_yield(struct ow_election *election, const char *why)
+void ow_election_yield(struct ow_election *election, const char *reason)
 {
     if (election->stage != OW_ELECTION_LEADING)
         return;
     ow_leader_lease_release_key(election);
-    ow_election_step_down(election, why);
-    ow_election_restart(election, YIELD_S);
+    ow_election_step_down(election, reason);
+    ow_election_restart(election, YIELD_DURATION_S);
 }
 
 void ow_election_observe_fencing_token(struct ow_election *election, uint64_t fencing_token,
                                        const char *leader_name)
 {
-    if (fencing_token < election->seen_fencing_token)
+    if (fencing_token < election->highest_fencing_token)
         return;
-    election->seen_fencing_token = fencing_token;
+    election->highest_fencing_token = fencing_token;
     if (election->stage == OW_ELECTION_LEADING && fencing_token > election->fencing_token)
-        ow_election_step_down(election, "a higher fencing token is known");
+        ow_election_step_down(election, "a higher fencing token was observed");
     if (leader_name != NULL && election->stage != OW_ELECTION_LEADING)
         ow_election_set_leader_name(election, leader_name);
 }
 
 static void replace_outdated_leader(struct ow_election *election)
 {
-    g_info("leader is of an earlier version and is replaced: controller=%s", election->leader_name);
-    election->key.held_since = election->core->now; /* if the attempt fails, the next one waits again */
+    g_info("replacing leader that runs an earlier version: controller=%s", election->leader_name);
+    election->key.held_since = election->core->now; /* a failed attempt is repeated after another wait */
     ow_election_become_candidate(election);
 }
 
@@ -121,10 +121,10 @@
         ow_leader_key_watch(election);
 }
 
-/* Does what is due while this controller does not lead. */
+/* Sends the next request of a follower or candidate, if it is due. */
 static void tick_not_leading(struct ow_election *election)
 {
-    if (election->is_busy || election->core->now < election->act_at)
+    if (election->is_request_pending || election->core->now < election->next_request_at)
         return;
     if (election->stage == OW_ELECTION_OBTAINING_LEASE)
         ow_leader_lease_obtain(election);
@@ -137,7 +137,7 @@
 void ow_election_tick(struct ow_election *election)
 {
     if (election->stage == OW_ELECTION_LEADING && ow_succession_is_partitioned(election))
-        ow_election_step_down(election, "the key-value store is out of reach");
+        ow_election_step_down(election, "no response from the key-value store");
     if (election->stage == OW_ELECTION_LEADING)
         tick_leader(election);
     else
--- a/src/core/election/election_callbacks.h
+++ b/src/core/election/election_callbacks.h
@@ -9,12 +9,12 @@
 
 struct ow_core;
 
-/** Called when a term of this controller begins and ends, from within the election: after it has changed its
- * own state (begin), or before (end). */
+/** Called when a term of this controller starts and ends: at the start after the election has changed its own
+ * state, at the end before it does. */
 struct ow_election_callbacks {
-    /** A term has begun under this fencing token. */
+    /** A term has started under this fencing token. */
     void (*start_leading)(struct ow_core *core, uint64_t fencing_token);
-    /** The term has ended: nothing may be done in its name any more. */
+    /** The term has ended: no further requests may be sent with its fencing token. */
     void (*stop_leading)(struct ow_core *core);
 };
 
--- a/src/core/election/election_state.c
+++ b/src/core/election/election_state.c
@@ -5,7 +5,7 @@
 
 #include <glib.h>
 
-/* Renewals per lease duration: several may fail before the lease expires. */
+/* Renewals per lease duration; more than one, so that the lease survives failed renewals. */
 static const double RENEWALS_PER_LEASE = 4;
 
 double ow_election_renewal_interval_s(const struct ow_election *election)
@@ -25,7 +25,7 @@
 {
     election->stage = OW_ELECTION_FOLLOWING;
     election->key.is_known = false;
-    election->act_at = election->core->now + after_s;
+    election->next_request_at = election->core->now + after_s;
 }
 
 void ow_election_become_candidate(struct ow_election *election)
@@ -40,8 +40,8 @@
     election->stage = OW_ELECTION_LEADING;
     election->fencing_token = fencing_token;
     election->key.is_missing = false;
-    election->began_at = core->now;
-    election->seen_fencing_token = MAX(election->seen_fencing_token, fencing_token);
+    election->term_started_at = core->now;
+    election->highest_fencing_token = MAX(election->highest_fencing_token, fencing_token);
     election->lease.renew_at = core->now + ow_election_renewal_interval_s(election);
     election->watch.since_revision = fencing_token;
     ow_election_set_leader_name(election, NULL);
@@ -49,11 +49,11 @@
     election->callbacks->start_leading(core, fencing_token);
 }
 
-void ow_election_step_down(struct ow_election *election, const char *why)
+void ow_election_step_down(struct ow_election *election, const char *reason)
 {
     if (election->stage == OW_ELECTION_LEADING) {
         g_info("stepped down as leader: fencing_token=%" G_GUINT64_FORMAT " reason=\"%s\"",
-               election->fencing_token, why);
+               election->fencing_token, reason);
         election->callbacks->stop_leading(election->core);
     }
     ow_election_set_leader_name(election, NULL);
--- a/src/core/election/election_state.h
+++ b/src/core/election/election_state.h
@@ -1,6 +1,6 @@
 /** @file
  * The state of the election and the changes between its stages, shared by the modules of this folder.
- * Everybody else uses election.h.
+ * Other folders use election.h.
  */
 #ifndef OW_CORE_ELECTION_ELECTION_STATE_H
 #define OW_CORE_ELECTION_ELECTION_STATE_H
@@ -11,7 +11,7 @@
 struct ow_core;
 struct ow_election_callbacks;
 
-/** How long after a failed request the next one is sent. */
+/** Pause between a failed request and the next one. */
 static const double OW_ELECTION_RETRY_S = 0.4;
 
 /** The stage of this controller between follower and leader. */
@@ -25,16 +25,16 @@
 /** Whether and when this controller may take the leader key. */
 struct ow_candidacy {
     bool may_lead;  /**< false: it never takes the key */
-    double delay_s; /**< how long it leaves a missing key to others before it takes it */
+    double delay_s; /**< how long it waits before it takes a missing key */
 };
 
 /** The leader key as last read or watched: leader_key.c. */
 struct ow_known_key {
     bool is_known;         /**< the other fields, and the leader's name, have been read from the store */
-    bool is_missing;       /**< nobody held it when it was last read; kept while it is read again */
+    bool is_missing;       /**< it did not exist when last read; kept while it is read again */
     bool has_waited;       /**< the candidacy delay for the missing key has passed */
-    uint64_t mod_revision; /**< of its last change; 0: nobody holds it */
-    double held_since;     /**< when this controller first saw its present holder */
+    uint64_t mod_revision; /**< of its last change; 0: the key does not exist */
+    double held_since;     /**< when this controller first saw its current holder */
 };
 
 /** The watch of the leader key: leader_key.c. */
@@ -51,34 +51,34 @@
     double renew_at;  /**< no renewal before this time */
 };
 
-/** One controller's part in the election. */
+/** The election state of this controller. Times are seconds of the core's monotonic clock. */
 struct ow_election {
     struct ow_core *core;
     const struct ow_election_callbacks *callbacks;
     enum ow_election_stage stage;
-    bool is_busy;  /**< a request of the present stage is in flight */
-    double act_at; /**< no request of the stage before this time */
+    bool is_request_pending; /**< a request of the current stage is in flight */
+    double next_request_at;  /**< no request of the stage is sent before this time */
     struct ow_candidacy candidacy;
     struct ow_known_key key;
     struct ow_key_watch watch;
     struct ow_leader_lease lease;
-    char *leader_name;           /**< owned; the leader, if it is another controller; NULL: unknown or none */
-    uint64_t seen_fencing_token; /**< the highest known */
-    uint64_t replaced_revision;  /**< the mod_revision that our write of the key expected */
-    uint64_t fencing_token;      /**< ours in stage OW_ELECTION_LEADING; else of our last term, 0: none */
-    double began_at;             /**< when that term began */
+    char *leader_name; /**< owned; the leader, if it is another controller; NULL: unknown or none */
+    uint64_t highest_fencing_token; /**< the highest observed from any leader */
+    uint64_t compared_revision;     /**< the mod_revision that our write of the key compared with */
+    uint64_t fencing_token;         /**< of our current or last term; 0: none yet */
+    double term_started_at;         /**< when that term started */
 };
 
 /** Replaces the name of the leader by a copy of `leader_name`; NULL: unknown or none. */
 void ow_election_set_leader_name(struct ow_election *election, const char *leader_name);
-/** Starts over by reading the key, `after_s` seconds from now. */
+/** Becomes a follower, and reads the key `after_s` seconds from now. */
 void ow_election_restart(struct ow_election *election, double after_s);
 /** Becomes a candidate, with a new lease: one from an earlier attempt may have expired. */
 void ow_election_become_candidate(struct ow_election *election);
-/** Begins to lead with a fencing token, the revision of the write that took the key. */
+/** Starts a term with the fencing token: the revision of the write that took the key. */
 void ow_election_start_leading(struct ow_election *election, uint64_t fencing_token);
-/** Ends our term if we lead, and reads the key again. `why` is for the log. */
-void ow_election_step_down(struct ow_election *election, const char *why);
+/** Ends our term if we lead, and reads the key again. `reason` is for the log. */
+void ow_election_step_down(struct ow_election *election, const char *reason);
 /** Seconds from the grant or last renewal of a lease to its next renewal. */
 double ow_election_renewal_interval_s(const struct ow_election *election);
 
--- a/src/core/election/leader_key.c
+++ b/src/core/election/leader_key.c
@@ -7,8 +7,8 @@
 #include "model/records.h"
 #include "wire/records_json.h"
 
-/* How long one watch lasts, and the time from the end of one to the next. */
-static const double WATCH_S = 20;
+/* Duration of a watch, and the pause between two watches. */
+static const double WATCH_DURATION_S = 20;
 static const double WATCH_GAP_S = 0.2;
 /* How often a controller that may not lead reads a missing key again. */
 static const double MISSING_KEY_POLL_S = 1;
@@ -24,21 +24,21 @@
 }
 
 /* Whether this process wrote the key with the lease that it still holds, and has not led under this revision
-   yet. A fencing token is never used for a second term: launches sent in the first one may still be in
-   flight. */
+   yet. A fencing token is never reused for a second term, because launches sent in the first one may still be
+   in flight. */
 static bool is_own_write(const struct ow_election *election, uint64_t mod_revision, const char *leader_name,
                          const char *nonce)
 {
     if (!ow_leader_key_is_own_name(election, leader_name) || election->lease.id == 0)
         return false;
-    if (mod_revision <= election->replaced_revision || mod_revision <= election->fencing_token)
+    if (mod_revision <= election->compared_revision || mod_revision <= election->fencing_token)
         return false;
     g_autofree char *own_nonce = ow_leader_key_nonce(election);
     return g_strcmp0(nonce, own_nonce) == 0;
 }
 
-/* Notes that somebody holds the key. */
-static void note_holder(struct ow_election *election, uint64_t mod_revision)
+/* Records that the key exists, with this revision. */
+static void record_holder(struct ow_election *election, uint64_t mod_revision)
 {
     struct ow_known_key *key = &election->key;
     if (mod_revision != key->mod_revision)
@@ -49,8 +49,9 @@
     key->has_waited = false;
 }
 
-/* An earlier process of this controller holds the key. It has ended, so its lease need not expire first. */
-static void replace_earlier_process(struct ow_election *election)
+/* The key was written by an earlier process of this controller. That process has exited, so there is no need
+   to wait until its lease expires. */
+static void take_over_from_earlier_process(struct ow_election *election)
 {
     ow_election_set_leader_name(election, NULL);
     if (election->candidacy.may_lead)
@@ -62,15 +63,15 @@
     const char *leader_name = NULL;
     const char *nonce = NULL;
     wire_leader_record_decode(item->value, &leader_name, &nonce);
-    note_holder(election, item->mod_revision);
+    record_holder(election, item->mod_revision);
     if (is_own_write(election, item->mod_revision, leader_name, nonce)) {
-        /* Our own write was committed, but its reply was lost. */
+        /* Our write was committed, but its reply was lost. */
         ow_election_start_leading(election, item->mod_revision);
     } else if (ow_leader_key_is_own_name(election, leader_name)) {
-        replace_earlier_process(election);
+        take_over_from_earlier_process(election);
     } else {
         ow_election_set_leader_name(election, leader_name);
-        election->seen_fencing_token = MAX(election->seen_fencing_token, item->mod_revision);
+        election->highest_fencing_token = MAX(election->highest_fencing_token, item->mod_revision);
     }
 }
 
@@ -99,7 +100,7 @@
     struct ow_election *election = owner;
     const struct ow_store_reply *reply = &answer->store;
     (void)data;
-    election->is_busy = false;
+    election->is_request_pending = false;
     if (election->stage != OW_ELECTION_FOLLOWING)
         return;
     if (reply->status == OW_HTTP_STATUS_OK && reply->items->len == 1) {
@@ -110,14 +111,14 @@
         election->watch.since_revision = MAX(election->watch.since_revision, reply->revision);
         handle_missing_key(election);
     } else {
-        election->act_at = election->core->now + OW_ELECTION_RETRY_S;
+        election->next_request_at = election->core->now + OW_ELECTION_RETRY_S;
     }
 }
 
 void ow_leader_key_read(struct ow_election *election)
 {
     struct ow_store_request *request = ow_store_request_new(OW_STORE_GET, OW_KEY_LEADER);
-    election->is_busy = true;
+    election->is_request_pending = true;
     ow_core_call_store(election->core, request, on_read, election, NULL, NULL);
 }
 
@@ -162,7 +163,7 @@
 {
     struct ow_store_request *request = ow_store_request_new(OW_STORE_WATCH, OW_KEY_LEADER);
     request->since_revision = election->watch.since_revision;
-    request->duration_s = WATCH_S;
+    request->duration_s = WATCH_DURATION_S;
     election->watch.is_open = true;
     ow_core_call_store(election->core, request, on_watch, election, NULL, NULL);
 }
--- a/src/core/election/leader_key.h
+++ b/src/core/election/leader_key.h
@@ -8,7 +8,7 @@
 
 struct ow_election;
 
-/** Whether the name is that of this controller. */
+/** Whether `name` is the name of this controller; NULL is not. */
 bool ow_leader_key_is_own_name(const struct ow_election *election, const char *name);
 /** The nonce that this process writes into the key, to recognize its own write; the caller frees it. */
 char *ow_leader_key_nonce(const struct ow_election *election);
--- a/src/core/election/leader_lease.c
+++ b/src/core/election/leader_lease.c
@@ -12,7 +12,7 @@
 {
     struct ow_election *election = owner;
     (void)data;
-    election->is_busy = false;
+    election->is_request_pending = false;
     if (election->stage != OW_ELECTION_OBTAINING_LEASE)
         return;
     if (answer->store.status != OW_HTTP_STATUS_OK) {
@@ -27,7 +27,7 @@
 {
     struct ow_store_request *request = ow_store_request_new(OW_STORE_GRANT_LEASE, NULL);
     request->duration_s = election->core->tuning->leader_lease_s;
-    election->is_busy = true;
+    election->is_request_pending = true;
     ow_core_call_store(election->core, request, on_lease, election, NULL, NULL);
 }
 
@@ -36,7 +36,7 @@
     struct ow_election *election = owner;
     int status = answer->store.status;
     (void)data;
-    election->is_busy = false;
+    election->is_request_pending = false;
     if (election->stage != OW_ELECTION_TAKING_KEY)
         return;
     if (status == OW_HTTP_STATUS_OK) {
@@ -57,8 +57,8 @@
     char *record = wire_leader_record_encode(election->core->settings->controller_name, nonce);
     ow_store_request_compare(transaction, OW_KEY_LEADER, election->key.mod_revision);
     ow_store_request_put(transaction, OW_KEY_LEADER, record, election->lease.id);
-    election->replaced_revision = election->key.mod_revision;
-    election->is_busy = true;
+    election->compared_revision = election->key.mod_revision;
+    election->is_request_pending = true;
     ow_core_call_store(election->core, transaction, on_key_taken, election, NULL, NULL);
 }
 
@@ -70,10 +70,10 @@
     election->lease.is_renewing = false;
     if (election->stage != OW_ELECTION_LEADING || *lease_id != election->lease.id)
         return;
-    /* After an outage of the store every lease has its full duration again, so failed renewals prove nothing:
-       only a definite "no such lease" ends our term. */
+    /* The store restarts every lease with its full duration after an outage, so a failed renewal does not
+       mean that ours has expired: only NOT_FOUND (no such lease) ends our term. */
     if (status == OW_HTTP_STATUS_NOT_FOUND) {
-        ow_election_step_down(election, "its lease has expired");
+        ow_election_step_down(election, "the leader lease has expired");
         return;
     }
     bool has_renewed = status == OW_HTTP_STATUS_OK;
--- a/src/core/election/leader_lease.h
+++ b/src/core/election/leader_lease.h
@@ -12,7 +12,8 @@
 void ow_leader_lease_take_key(struct ow_election *election);
 /** Renews the lease: stage OW_ELECTION_LEADING. No renewal may be in flight. */
 void ow_leader_lease_renew(struct ow_election *election);
-/** Deletes the key that this controller holds, so that another one can take it at once. */
+/** Deletes the key that this controller holds, so that another one can take it without waiting for the lease
+ * to expire. The reply is ignored. */
 void ow_leader_lease_release_key(struct ow_election *election);
 
 #endif
--- a/src/core/election/succession.h
+++ b/src/core/election/succession.h
@@ -1,6 +1,7 @@
 /** @file
- * Decides when leadership moves before a lease has expired: from a leader that has ended, that is partitioned
- * from the store, or whose version an upgrade is about to replace. It only decides; it changes nothing.
+ * Decides when leadership moves before a lease has expired: from a leader that has exited, that is
+ * partitioned from the store, or that runs an earlier version during a rolling upgrade. Pure decisions: no
+ * state is changed.
  */
 #ifndef OW_CORE_ELECTION_SUCCESSION_H
 #define OW_CORE_ELECTION_SUCCESSION_H
@@ -9,7 +10,8 @@
 
 struct ow_election;
 
-/** Whether the key may be taken because the controller of this name has ended. */
+/** Whether the key may be taken because the controller of this name appears to have exited: it leads, and
+ * has held the key long enough. */
 bool ow_succession_may_replace_exited(const struct ow_election *election, const char *controller_name);
 /** Whether this controller, the leader, has had no response from the key-value store for so long that it must
  * step down. */
