--- a/src/core/peers/hello.c
+++ b/src/core/peers/hello.c
@@ -5,14 +5,14 @@
 #include "core/store_health.h"
 #include "model/peer.h"
 
-static const double INTERVAL_S = 1;
+static const double SEND_INTERVAL_S = 1;
 /* How long a worker's heartbeat counts as recent. */
-static const double WORKER_RECENT_S = 6;
+static const double WORKER_HEARTBEAT_MAX_AGE_S = 6;
 
 struct ow_hello {
     struct ow_core *core;
-    double next_at;
-    double worker_heard_at; /* the last heartbeat of any worker; 0: none yet */
+    double next_send_at;
+    double last_worker_heartbeat_at; /* the last heartbeat of any worker; 0: none yet */
 };
 
 struct ow_hello *ow_hello_new(struct ow_core *core)
@@ -29,12 +29,13 @@
 
 void ow_hello_note_worker_heartbeat(struct ow_hello *hello)
 {
-    hello->worker_heard_at = hello->core->now;
+    hello->last_worker_heartbeat_at = hello->core->now;
 }
 
 static bool receives_heartbeats(const struct ow_hello *hello)
 {
-    return hello->worker_heard_at > 0 && hello->core->now - hello->worker_heard_at < WORKER_RECENT_S;
+    return hello->last_worker_heartbeat_at > 0 &&
+           hello->core->now - hello->last_worker_heartbeat_at < WORKER_HEARTBEAT_MAX_AGE_S;
 }
 
 static void send(const struct ow_hello *hello)
@@ -52,8 +53,8 @@
 void ow_hello_tick(struct ow_hello *hello)
 {
     double now = hello->core->now;
-    if (now < hello->next_at)
+    if (now < hello->next_send_at)
         return;
-    hello->next_at = now + INTERVAL_S;
+    hello->next_send_at = now + SEND_INTERVAL_S;
     send(hello);
 }
--- a/src/core/peers/job_summary.h
+++ b/src/core/peers/job_summary.h
@@ -6,8 +6,8 @@
 
 struct ow_leader;
 
-/** Sends the progress of all jobs of the leader, in as many messages as needed. Each message has other jobs,
- * so peers of every version can apply them one by one. */
+/** Sends the progress of all jobs of the leader, in as many messages as needed. No job is in two of them,
+ * so peers of every version can apply each message on its own. */
 void ow_job_summary_send(struct ow_leader *leader);
 
 #endif
--- a/src/core/peers/leader_broadcast.h
+++ b/src/core/peers/leader_broadcast.h
@@ -1,6 +1,6 @@
 /** @file
- * Schedules the leader's regular messages to its peers: the progress of its jobs (job_summary.h) and the
- * addresses of its machines (machine_list.h). They make the next failover faster; no safety rule depends on
+ * Schedules the leader's periodic messages to its peers: the progress of its jobs (job_summary.h) and the
+ * addresses of its machines (machine_list.h). They shorten the next failover; no safety rule depends on
  * them.
  */
 #ifndef OW_CORE_PEERS_LEADER_BROADCAST_H
@@ -9,11 +9,11 @@
 struct ow_leader;
 struct ow_leader_broadcast;
 
-/** Everything is due at once; freed by ow_leader_broadcast_free(). */
+/** Creates a schedule on which both messages are due at once; freed by ow_leader_broadcast_free(). */
 struct ow_leader_broadcast *ow_leader_broadcast_new(void);
-/** Frees it. */
+/** Frees the schedule; NULL is allowed. */
 void ow_leader_broadcast_free(struct ow_leader_broadcast *broadcast);
-/** Sends whatever is due. */
+/** Sends each message whose interval has passed. */
 void ow_leader_broadcast_tick(struct ow_leader *leader);
 
 #endif
--- a/src/core/peers/machine_hints.c
+++ b/src/core/peers/machine_hints.c
@@ -5,7 +5,7 @@
 struct ow_machine_hints {
     GArray *machines;       /* struct ow_peer_machine: the last complete list */
     uint64_t fencing_token; /* of the newest leader that has sent a list */
-    /* The list that comes in parts: */
+    /* A list that is received in parts: */
     GArray *assembled;   /* struct ow_peer_machine of the parts so far; NULL: no list is being assembled */
     uint32_t next_part;  /* index of the expected part */
     uint32_t part_count; /* of the whole list */
@@ -37,7 +37,7 @@
     return hints->machines;
 }
 
-static void use_list(struct ow_machine_hints *hints, GArray *machines)
+static void replace_list(struct ow_machine_hints *hints, GArray *machines)
 {
     g_array_free(hints->machines, TRUE);
     hints->machines = machines;
@@ -52,7 +52,7 @@
            part->part_count == hints->part_count;
 }
 
-/* Moves the machines of the part behind those of the parts before it. */
+/* Moves the machines of the part to the end of the list being assembled. */
 static void append_part(struct ow_machine_hints *hints, struct ow_peer_machine_list *part)
 {
     for (guint i = 0; i < part->machines->len; i++) {
@@ -62,10 +62,10 @@
     }
 }
 
-static void take_part(struct ow_machine_hints *hints, struct ow_peer_machine_list *part)
+static void receive_part(struct ow_machine_hints *hints, struct ow_peer_machine_list *part)
 {
     if (part->part_index >= part->part_count || !is_expected(hints, part)) {
-        g_info("machine list dropped, its next part is missing: part=%u parts=%u", part->part_index + 1,
+        g_info("machine list dropped, part out of sequence: part=%u parts=%u", part->part_index + 1,
                part->part_count);
         drop_parts(hints);
         return;
@@ -78,7 +78,7 @@
     append_part(hints, part);
     hints->next_part = part->part_index + 1;
     if (hints->next_part == hints->part_count)
-        use_list(hints, g_steal_pointer(&hints->assembled));
+        replace_list(hints, g_steal_pointer(&hints->assembled));
 }
 
 void ow_machine_hints_receive(struct ow_machine_hints *hints, struct ow_peer_message *message)
@@ -93,9 +93,9 @@
         drop_parts(hints);
     hints->fencing_token = message->fencing_token;
     if (message->kind == OW_PEER_MACHINES_PART) {
-        take_part(hints, &message->machine_list);
+        receive_part(hints, &message->machine_list);
         return;
     }
     drop_parts(hints);
-    use_list(hints, g_steal_pointer(&message->machine_list.machines));
+    replace_list(hints, g_steal_pointer(&message->machine_list.machines));
 }
--- a/src/core/peers/machine_list.c
+++ b/src/core/peers/machine_list.c
@@ -7,13 +7,13 @@
 
 #include <string.h>
 
-/* Up to this size the list is sent in one message. Earlier versions know only whole lists, in a message of up
-   to 4,000 machines and 262,144 bytes. */
+/* Up to this size the list is sent in one message. Earlier versions support only this form, with up to 4,000
+   machines and 262,144 bytes. */
 enum { WHOLE_LIST_MACHINES = 4000, WHOLE_LIST_BYTES = 200 * 1024 };
 
-/* Whether the next leader can use the machine. A booting machine does not listen yet, and would be taken for
-   an unresponsive one. */
-static bool is_of_use(const struct ow_machine *machine)
+/* Whether the next leader can use the machine. A booting machine does not listen yet, and would be considered
+   unresponsive. */
+static bool is_usable_by_next_leader(const struct ow_machine *machine)
 {
     bool listens = machine->liveness.last_message_at > 0;
     return listens && machine->addr != NULL && machine->type >= 0 && !machine->is_terminating;
@@ -25,7 +25,7 @@
     GArray *machines = ow_peer_machines_new();
     for (guint i = 0; i < leader->machines->len; i++) {
         const struct ow_machine *machine = g_ptr_array_index(leader->machines, i);
-        if (!is_of_use(machine))
+        if (!is_usable_by_next_leader(machine))
             continue;
         struct ow_peer_machine entry = {
             .name = g_strdup(machine->name),
@@ -92,8 +92,8 @@
     return parts;
 }
 
-/* Parts have a message kind of their own, which earlier versions ignore: they would take each part for the
-   whole list. */
+/* Parts have a separate message kind, which earlier versions ignore: they would treat each part as the whole
+   list. */
 static void send_list_in_parts(struct ow_leader *leader, GArray *machines)
 {
     GPtrArray *parts = divide_list(leader, machines);
--- a/src/core/peers/message_limits.h
+++ b/src/core/peers/message_limits.h
@@ -5,9 +5,9 @@
 #define OW_CORE_PEERS_MESSAGE_LIMITS_H
 
 enum {
-    OW_MESSAGE_PART_BYTES = 64 * 1024, /**< of the entries of one message */
-    OW_MESSAGE_PART_ENTRIES = 1000,
-    OW_MESSAGE_ENTRY_BYTES = 32, /**< upper bound of an entry without its texts */
+    OW_MESSAGE_PART_BYTES = 64 * 1024, /**< total size of the entries of one message */
+    OW_MESSAGE_PART_ENTRIES = 1000,    /**< entries of one message */
+    OW_MESSAGE_ENTRY_BYTES = 32,       /**< upper bound of the size of an entry without its strings */
 };
 
 #endif
--- a/src/core/peers/peer_messages.c
+++ b/src/core/peers/peer_messages.c
@@ -17,7 +17,7 @@
     }
 }
 
-/* The progress of a job, as counted by its leader; no decision depends on it. */
+/* Applies a job's progress as counted by its leader; it is only shown to users, no decision depends on it. */
 static void handle_job_summary(struct ow_core *core, const struct ow_peer_job *summary)
 {
     struct ow_job *job = ow_jobs_find(core->jobs, summary->id);
@@ -31,7 +31,7 @@
 
 static void handle_summary(struct ow_core *core, const struct ow_peer_message *message)
 {
-    /* A leader counts the tasks of its jobs itself. */
+    /* A leader has its own counts of the tasks. */
     if (core->leader != NULL)
         return;
     for (guint i = 0; i < message->summary.jobs->len; i++)
--- a/src/core/peers/peer_messages.h
+++ b/src/core/peers/peer_messages.h
@@ -1,5 +1,5 @@
 /** @file
- * Dispatches messages of other controllers to the modules that handle them. Keeps no state.
+ * Dispatches messages of other controllers to the modules that handle them. Stateless.
  */
 #ifndef OW_CORE_PEERS_PEER_MESSAGES_H
 #define OW_CORE_PEERS_PEER_MESSAGES_H
--- a/src/core/peers/peer_status.c
+++ b/src/core/peers/peer_status.c
@@ -4,13 +4,13 @@
 
 #include <glib.h>
 
-/* How long a peer's message counts as recent. */
-static const double RECENT_S = 4;
+/* Maximum age of a peer's message that counts as recent. */
+static const double RECENT_MAX_AGE_S = 4;
 
 struct ow_peer_status {
-    GHashTable *formats;           /* controller name -> GUINT_TO_POINTER: the format that it speaks */
-    GHashTable *store_ok_at;       /* controller name -> double *: when it last said that its store answers */
-    double receives_heartbeats_at; /* when a peer last said that workers send it heartbeats */
+    GHashTable *formats;           /* controller name -> GUINT_TO_POINTER: its format version */
+    GHashTable *store_ok_at;       /* controller name -> double *: when it last reported a working store */
+    double receives_heartbeats_at; /* when a peer last reported heartbeats of workers */
     double last_message_at;        /* the last message of any peer; 0: none yet */
 };
 
@@ -71,14 +71,14 @@
     void *ok_at;
     g_hash_table_iter_init(&iter, status->store_ok_at);
     while (g_hash_table_iter_next(&iter, NULL, &ok_at))
-        if (now - *(const double *)ok_at < RECENT_S)
+        if (now - *(const double *)ok_at < RECENT_MAX_AGE_S)
             return true;
     return false;
 }
 
 bool ow_peer_status_has_recent_message(const struct ow_peer_status *status, double now)
 {
-    return status->last_message_at > 0 && now - status->last_message_at < RECENT_S;
+    return status->last_message_at > 0 && now - status->last_message_at < RECENT_MAX_AGE_S;
 }
 
 bool ow_peer_status_receives_heartbeats(const struct ow_peer_status *status, double now, double within_s)
