--- a/src/core/api/cancel.c
+++ b/src/core/api/cancel.c
@@ -13,18 +13,18 @@
 
 #include <string.h>
 
-/* A cancellation whose record is under way. */
+/* A cancellation whose write is in flight. */
 struct cancel_call {
     struct ow_pending_request pending;
     uint64_t leader_fencing_token; /* of the leader that the record names */
     size_t record_bytes;
 };
 
-/* Cancelling reads and writes in turns until the job is over: a write that finds the record changed is
-   followed by a read, and that by the next try. */
+/* Cancellation is an optimistic read-write loop: a write that conflicts with a changed record is followed by
+   a read and another write, until one is committed or the job is over. */
 static void cancel_known(struct ow_core *core, uint64_t request, const struct ow_job *job);
 
-static void cancel_fresh(struct ow_core *core, void *data, bool is_fresh)
+static void on_cancel_refreshed(struct ow_core *core, void *data, bool is_fresh)
 {
     const struct ow_pending_request *pending = data;
     const struct ow_job *job = ow_job_answer_find(core, pending, is_fresh);
@@ -34,7 +34,7 @@
 
 static void cancel_after_read(struct ow_core *core, uint64_t request, const char *id)
 {
-    ow_job_cache_refresh(core->job_cache, cancel_fresh, ow_pending_request_new(request, id));
+    ow_job_cache_refresh(core->job_cache, on_cancel_refreshed, ow_pending_request_new(request, id));
 }
 
 static void handle_success(struct ow_core *core, const struct cancel_call *call, uint64_t revision)
@@ -55,17 +55,19 @@
 {
     const struct ow_pending_request *pending = &call->pending;
     if (leader_has_changed(reply)) {
-        /* A new leader may have read the records before this one came, and may start tasks of the job. */
+        /* A new leader may have read the records without this cancellation, and may start tasks of the job.
+         */
         ow_election_invalidate_key(core->election);
         ow_job_reply_retry(core, pending->request, "the leader has just changed");
         return;
     }
-    /* The job's record has changed since we read it: only a fresh one says whether the job is over. */
+    /* The job's record has changed since it was read: it must be read again to know whether the job is over.
+     */
     cancel_after_read(core, pending->request, pending->id);
 }
 
-/* The limits have fallen since the job was accepted: now that this is known, the user's next try writes a
-   record that leaves out what is not needed. */
+/* The store's size limit has become lower since the job was accepted. The limit is recorded, so that the
+   user's next request writes a record without the fields that are not needed. */
 static void handle_too_large(struct ow_core *core, const struct cancel_call *call)
 {
     ow_store_limits_shrink(&core->store_limits, 1, call->record_bytes);
@@ -92,9 +94,9 @@
     }
 }
 
-/* The text of the record; owned by the caller. */
-static char *cancellation_record(const struct ow_core *core, const struct ow_job *job,
-                                 uint64_t leader_fencing_token)
+/* Encodes the record of the cancelled job; the text is owned by the caller. */
+static char *encode_cancelled_record(const struct ow_core *core, const struct ow_job *job,
+                                     uint64_t leader_fencing_token)
 {
     double age_s = core->now - job->accepted_at;
     struct ow_job_record record = {
@@ -103,18 +105,19 @@
         .leader_fencing_token = leader_fencing_token,
         .submission = job->spec->submission,
     };
-    g_autofree char *whole = wire_job_record_encode(&record);
-    if (strlen(whole) < core->store_limits.refused_value_bytes)
-        return g_steal_pointer(&whole);
-    /* Accepted when values were larger. Nothing of it will start, so its types don't matter any more. */
+    g_autofree char *full_record = wire_job_record_encode(&record);
+    if (strlen(full_record) < core->store_limits.refused_value_bytes)
+        return g_steal_pointer(&full_record);
+    /* The job was accepted when larger values were allowed. None of its tasks will start, so its machine
+       types are not needed any more. */
     struct ow_submission without_types = *record.submission;
     without_types.types = NULL;
     record.submission = &without_types;
     return wire_job_record_encode(&record);
 }
 
-/* The record is committed only while the leader that it names holds the key: so it comes before any later
-   failover, which reads it before it starts anything. */
+/* The record is committed only while the leader that it names holds the key. So it precedes any later
+   failover, and the new leader reads it before it starts tasks. */
 static void write_cancellation(struct ow_core *core, uint64_t request, const struct ow_job *job,
                                uint64_t leader_fencing_token)
 {
@@ -122,7 +125,7 @@
     struct ow_store_request *transaction = ow_store_request_new(OW_STORE_TXN, NULL);
     ow_store_request_compare(transaction, OW_KEY_LEADER, leader_fencing_token);
     ow_store_request_compare(transaction, key, job->mod_revision);
-    ow_store_request_put(transaction, key, cancellation_record(core, job, leader_fencing_token), 0);
+    ow_store_request_put(transaction, key, encode_cancelled_record(core, job, leader_fencing_token), 0);
 
     struct cancel_call *call = g_new0(struct cancel_call, 1);
     ow_pending_request_init(&call->pending, request, job->id);
--- a/src/core/api/cancellation_ack.c
+++ b/src/core/api/cancellation_ack.c
@@ -7,31 +7,30 @@
 #include "model/peer.h"
 #include "model/submission.h"
 
-/* How long a user waits for the leader's acknowledgement before being asked to repeat the request. */
-static const double ANSWER_WITHIN_S = 0.6;
-/* How often a cancellation is sent to the leader: at first, and at most after the pause has doubled each
- * time. */
-static const double RESEND_FIRST_S = 0.3;
+/* Timeout for the leader's acknowledgement; after it the user is asked to repeat the request. */
+static const double ACK_TIMEOUT_S = 0.6;
+/* Exponential backoff for sending a cancellation to the leader: the first and the longest interval. */
+static const double RESEND_INITIAL_S = 0.3;
 static const double RESEND_MAX_S = 2;
 /* How long a cancellation that another controller announced is kept: that controller sends it again as long
-   as a user asks there. */
-static const double FORGET_AFTER_S = 6;
+   as a user's request waits there. */
+static const double ANNOUNCED_RETENTION_S = 6;
 
 /* A user's request that waits for the acknowledgement. */
 struct waiting_request {
     uint64_t request;
-    int status;       /* HTTP status of the answer once it is acknowledged */
-    double refuse_at; /* when the user is told to ask again */
+    int status;          /* HTTP status of the answer after the acknowledgement */
+    double times_out_at; /* when the user is asked to repeat the request */
 };
 
-/* A committed cancellation that no leader has acknowledged yet, as far as we know. Times are by the core's
-   clock, in seconds. */
+/* A committed cancellation without a known acknowledgement of a leader. Times are seconds of the core's
+   clock. */
 struct open_cancellation {
     char id[OW_ID_MAX + 1]; /* of the job */
-    double since;
-    double send_at;           /* when it is sent to the leader next, if that is not us */
-    double resend_s;          /* the pause after that */
-    double forget_at;         /* 0: a user has asked here, and it is kept until it is acknowledged */
+    double added_at;
+    double next_send_at;      /* when it is sent to the leader next, if another controller leads */
+    double resend_interval_s; /* the interval after that */
+    double expires_at;        /* 0: a user has asked this controller, so it is kept until acknowledged */
     GArray *waiting_requests; /* struct waiting_request */
 };
 
@@ -65,22 +64,22 @@
 {
     struct open_cancellation *cancellation = g_new0(struct open_cancellation, 1);
     g_strlcpy(cancellation->id, id, sizeof cancellation->id);
-    cancellation->since = acks->core->now;
-    cancellation->forget_at = acks->core->now + FORGET_AFTER_S;
-    cancellation->resend_s = RESEND_FIRST_S;
+    cancellation->added_at = acks->core->now;
+    cancellation->expires_at = acks->core->now + ANNOUNCED_RETENTION_S;
+    cancellation->resend_interval_s = RESEND_INITIAL_S;
     cancellation->waiting_requests = g_array_new(FALSE, FALSE, sizeof(struct waiting_request));
     g_hash_table_insert(acks->open, cancellation->id, cancellation);
     return cancellation;
 }
 
-/* The open cancellation of this job, which is added if need be. */
+/* The open cancellation of this job, which is added if there is none. */
 static struct open_cancellation *ensure_open(struct ow_cancellation_ack *acks, const char *id)
 {
     struct open_cancellation *cancellation = g_hash_table_lookup(acks->open, id);
     if (cancellation != NULL)
         return cancellation;
     cancellation = add_open(acks, id);
-    /* If we lead, the stops are queued at once, before this step starts anything. */
+    /* On the leader the stop commands are queued at once, before this step starts any task. */
     if (acks->core->leader != NULL)
         ow_job_cancellation_apply(acks->core->leader, ow_jobs_find(acks->core->jobs, id));
     return cancellation;
@@ -93,15 +92,15 @@
     struct waiting_request waiting = {
         .request = request,
         .status = status,
-        .refuse_at = acks->core->now + ANSWER_WITHIN_S,
+        .times_out_at = acks->core->now + ACK_TIMEOUT_S,
     };
-    cancellation->forget_at = 0;
+    cancellation->expires_at = 0;
     g_array_append_val(cancellation->waiting_requests, waiting);
 }
 
-/* Sends a message about the job's cancellation to all controllers: whichever leads is among them. */
-static void send_to_peers(struct ow_core *core, enum ow_peer_kind kind, const struct ow_job *job,
-                          uint64_t fencing_token)
+/* Broadcasts a message about the job's cancellation to all controllers, so that it reaches the leader. */
+static void broadcast_cancellation(struct ow_core *core, enum ow_peer_kind kind, const struct ow_job *job,
+                                   uint64_t fencing_token)
 {
     struct ow_peer_message *message = ow_peer_message_new(kind);
     g_strlcpy(message->cancellation.job, job->id, sizeof message->cancellation.job);
@@ -112,7 +111,7 @@
 
 static void send_acknowledgement(struct ow_core *core, const struct ow_job *job)
 {
-    send_to_peers(core, OW_PEER_CANCELLATION_ACK, job, ow_election_fencing_token(core->election));
+    broadcast_cancellation(core, OW_PEER_CANCELLATION_ACK, job, ow_election_fencing_token(core->election));
 }
 
 void ow_cancellation_ack_handle_cancellation(struct ow_cancellation_ack *acks,
@@ -121,8 +120,8 @@
     struct ow_core *core = acks->core;
     if (core->leader == NULL)
         return;
-    /* Committed is committed: whoever leads, or still believes to, acts on it, also before reading the
-     * record. */
+    /* The cancellation is committed, so every controller that leads, or still considers itself leader,
+       applies it, even before it reads the record. */
     struct ow_job *job = ow_jobs_cancel(core->jobs, message->cancellation.job, message->cancellation.revision,
                                         message->fencing_token);
     if (job->state != OW_JOB_CANCELLED)
@@ -136,18 +135,18 @@
 void ow_cancellation_ack_handle_ack(struct ow_cancellation_ack *acks, const struct ow_peer_message *message)
 {
     struct ow_job *job = ow_jobs_find(acks->core->jobs, message->cancellation.job);
-    /* A job that we don't know, or take to be open, is read before anybody is told of it; the leader is asked
-       then. */
+    /* A job that is unknown here, or not known to be cancelled, is read before any user gets an answer about
+       it; the acknowledgement is requested then. */
     if (job == NULL)
         return;
-    /* The acknowledgement of a leader that was deposed before the cancellation was recorded is worth nothing:
-       the one that counts may not have it. A later one has read it before it became ready. */
+    /* An acknowledgement of a leader that was deposed before the cancellation was committed does not count:
+       its successor may not know of the cancellation. Every later leader reads it before it becomes ready. */
     if (job->state == OW_JOB_CANCELLED && message->fencing_token >= job->cancel_fencing_token)
         job->is_cancellation_acknowledged = true;
 }
 
-/* Acknowledges the cancellation if we lead with a token that counts, and nothing of the job can start any
-   more. Returns whether that is so. */
+/* Acknowledges the cancellation if this controller leads with a sufficient fencing token and no task of the
+   job can start any more. Returns whether it did. */
 static bool try_acknowledge(struct ow_core *core, struct ow_job *job)
 {
     if (core->leader == NULL)
@@ -171,19 +170,19 @@
 {
     if (cancellation->waiting_requests->len > 0)
         g_info("cancellation acknowledged by leader: job=%s wait_s=%.3f", cancellation->id,
-               core->now - cancellation->since);
+               core->now - cancellation->added_at);
     for (guint i = 0; i < cancellation->waiting_requests->len; i++) {
         const struct waiting_request *waiting = waiting_at(cancellation, i);
         ow_job_reply_send(core, waiting->request, waiting->status, job);
     }
 }
 
-/* No request waits without end: after its time the user is told to ask again. */
-static void refuse_late(struct ow_core *core, struct open_cancellation *cancellation)
+/* Answers requests that have timed out: the user is asked to repeat them. */
+static void answer_timed_out(struct ow_core *core, struct open_cancellation *cancellation)
 {
     for (guint i = cancellation->waiting_requests->len; i > 0; i--) {
         const struct waiting_request *waiting = waiting_at(cancellation, i - 1);
-        if (core->now < waiting->refuse_at)
+        if (core->now < waiting->times_out_at)
             continue;
         ow_job_reply_retry(core, waiting->request, "the leader has not acknowledged the cancellation yet");
         g_array_remove_index(cancellation->waiting_requests, i - 1);
@@ -193,14 +192,14 @@
 static void send_if_due(struct ow_core *core, struct open_cancellation *cancellation,
                         const struct ow_job *job)
 {
-    if (core->leader != NULL || core->now < cancellation->send_at)
+    if (core->leader != NULL || core->now < cancellation->next_send_at)
         return;
-    cancellation->send_at = core->now + cancellation->resend_s;
-    cancellation->resend_s = MIN(2 * cancellation->resend_s, RESEND_MAX_S);
-    send_to_peers(core, OW_PEER_CANCELLATION, job, job->cancel_fencing_token);
+    cancellation->next_send_at = core->now + cancellation->resend_interval_s;
+    cancellation->resend_interval_s = MIN(2 * cancellation->resend_interval_s, RESEND_MAX_S);
+    broadcast_cancellation(core, OW_PEER_CANCELLATION, job, job->cancel_fencing_token);
 }
 
-/* Does what is due for a cancellation. Returns whether it is closed: acknowledged, or to be forgotten. */
+/* Advances a cancellation. Returns whether it can be removed: acknowledged, or expired. */
 static bool advance(struct ow_core *core, struct open_cancellation *cancellation)
 {
     struct ow_job *job = ow_jobs_find(core->jobs, cancellation->id);
@@ -208,9 +207,9 @@
         answer_all(core, cancellation, job);
         return true;
     }
-    refuse_late(core, cancellation);
-    if (cancellation->forget_at > 0)
-        return core->now > cancellation->forget_at;
+    answer_timed_out(core, cancellation);
+    if (cancellation->expires_at > 0)
+        return core->now > cancellation->expires_at;
     send_if_due(core, cancellation, job);
     return false;
 }
--- a/src/core/api/cancellation_ack.h
+++ b/src/core/api/cancellation_ack.h
@@ -1,11 +1,11 @@
 /** @file
- * Committed cancellations until a leader has acknowledged them. The module owns the requests of users that
- * wait for that, and sends the cancellation to the leader until it has.
+ * Tracks committed cancellations until a leader has acknowledged them. The module owns the requests of users
+ * that wait for the acknowledgement, and sends the cancellation to the leader until it is acknowledged.
  *
  * Invariant: a user is answered "cancelled" only once a leader that can still end the tasks has acknowledged
  * the cancellation. The record alone is not enough: a leader that cannot reach the key-value store does not
- * know of it, and could still start a task of the job. Only a leader counts whose fencing token is not below
- * the one that the record names: a leader that was deposed before the commit decides nothing any more.
+ * know of it, and could still start a task of the job. Only acknowledgements with a fencing token not below
+ * the one in the record count: a leader with a lower token was deposed before the commit.
  */
 #ifndef OW_CORE_API_CANCELLATION_ACK_H
 #define OW_CORE_API_CANCELLATION_ACK_H
@@ -17,22 +17,24 @@
 struct ow_core;
 struct ow_peer_message;
 
-/** No cancellation waits yet; freed by ow_cancellation_ack_free(). `core` must outlive it. */
+/** Creates a tracker without open cancellations; freed by ow_cancellation_ack_free(). `core` must outlive it.
+ */
 struct ow_cancellation_ack *ow_cancellation_ack_new(struct ow_core *core);
-/** Frees it; requests that still wait get no answer. */
+/** Frees the tracker; requests that still wait get no answer. NULL is not allowed. */
 void ow_cancellation_ack_free(struct ow_cancellation_ack *acks);
-/** A user's request waits for the acknowledgement of the job's committed cancellation. It is answered by a
- * tick: with `status` (HTTP) and the state of the job once that has come, or after a short time with status
- * 503. */
+/** Makes a user's request wait for the acknowledgement of the job's committed cancellation. A tick answers
+ * it: with `status` (HTTP) and the state of the job after the acknowledgement, or with status 503 after a
+ * timeout. */
 void ow_cancellation_ack_wait(struct ow_cancellation_ack *acks, uint64_t request, int status,
                               const struct ow_job *job);
-/** Another controller announces a committed cancellation (OW_PEER_CANCELLATION). Only a leader takes notice.
- */
+/** Handles OW_PEER_CANCELLATION: another controller announces a committed cancellation. Ignored unless this
+ * controller leads. */
 void ow_cancellation_ack_handle_cancellation(struct ow_cancellation_ack *acks,
                                              const struct ow_peer_message *message);
-/** A leader has acknowledged a cancellation (OW_PEER_CANCELLATION_ACK). */
+/** Handles OW_PEER_CANCELLATION_ACK: a leader has acknowledged a cancellation. */
 void ow_cancellation_ack_handle_ack(struct ow_cancellation_ack *acks, const struct ow_peer_message *message);
-/** Does what is due: acknowledges if we lead, answers users, sends cancellations to the leader again. */
+/** Acknowledges cancellations if this controller leads, answers users, and sends open cancellations to the
+ * leader again when due. */
 void ow_cancellation_ack_tick(struct ow_cancellation_ack *acks);
 
 #endif
--- a/src/core/api/feasibility.c
+++ b/src/core/api/feasibility.c
@@ -17,7 +17,7 @@
     return need->cpus <= size->cpus && need->gpus <= size->gpus && need->memory_gb <= size->memory_gb;
 }
 
-/* Whether the job allows machines of this type, and one of them, empty, has room for a task. */
+/* Whether the job allows machines of this type, and a task fits an empty one. */
 static bool may_run_on_type(const struct ow_submission *submission, const struct ow_machine_type *type)
 {
     if (submission->types != NULL && !contains(submission->types, type->name))
@@ -37,8 +37,8 @@
     return false;
 }
 
-/* Whether it is a gang or service whose tasks must be in several zones, and may not. Tasks of an array need
-   not run at the same time: a part of them can always run in the one zone. */
+/* Whether the tasks of a gang or service must be in several zones, but are restricted to one. Tasks of an
+   array need not run at the same time, so some of them can always run in the one zone. */
 static bool has_contradicting_zones(const struct ow_submission *submission)
 {
     if (submission->kind == OW_KIND_ARRAY || !submission->spread || submission->tasks <= 1)
@@ -46,7 +46,7 @@
     return submission->one_zone || submission->zone != NULL;
 }
 
-/* Whether what must run at the same time is more than the team may ever use; a limit of 0 is none. */
+/* Whether the tasks that must run at the same time need more than the team's limit; 0 is no limit. */
 static bool exceeds_team_limit(const struct ow_team_settings *team, const struct ow_submission *submission)
 {
     bool runs_at_once = ow_submission_is_gang(submission) || submission->kind == OW_KIND_SERVICE;
--- a/src/core/api/job_answer.c
+++ b/src/core/api/job_answer.c
@@ -27,8 +27,8 @@
 
 void ow_job_answer(struct ow_core *core, uint64_t request, int status, const struct ow_job *job)
 {
-    /* The one place that guards when a cancellation is told: before the acknowledgement a leader that has not
-       learned of it may still start tasks. */
+    /* The only place that decides when a cancellation is shown to a user: before the acknowledgement, a
+       leader that does not know of it may still start tasks. */
     if (job->state == OW_JOB_CANCELLED && !job->is_cancellation_acknowledged)
         ow_cancellation_ack_wait(core->cancellation_ack, request, status, job);
     else
@@ -37,8 +37,8 @@
 
 void ow_job_answer_after_read(struct ow_core *core, uint64_t request, const char *id)
 {
-    /* Another controller may have answered from a newer record than ours already. The read begins after the
-       request, so it shows whatever was told before that, and this answer does not go back behind it. */
+    /* Another controller may already have answered from a newer record than ours. The read starts after the
+       request came, so it covers every earlier answer, and users see no state older than one shown before. */
     ow_job_cache_refresh(core->job_cache, ow_job_answer_on_refreshed, ow_pending_request_new(request, id));
 }
 
--- a/src/core/api/job_reply.c
+++ b/src/core/api/job_reply.c
@@ -5,7 +5,7 @@
 #include "model/http_status.h"
 #include "model/submission.h"
 
-/* After how many seconds a user is to repeat a request that could not be handled. */
+/* Seconds after which a user should repeat a request that could not be handled (Retry-After). */
 enum { RETRY_AFTER_S = 1 };
 
 void ow_job_reply_send(struct ow_core *core, uint64_t request, int status, const struct ow_job *job)
--- a/src/core/api/job_reply.h
+++ b/src/core/api/job_reply.h
@@ -1,5 +1,5 @@
 /** @file
- * The replies to a user's request about a job: its state, or that the request is to be repeated.
+ * Replies to a user's request about a job: its state, or that the request should be repeated.
  */
 #ifndef OW_CORE_API_JOB_REPLY_H
 #define OW_CORE_API_JOB_REPLY_H
@@ -10,11 +10,11 @@
 struct ow_job;
 
 /** Replies with the state of the job. A cancelled job may be shown only once a leader has acknowledged its
- * cancellation: ow_job_answer() sees to that. `status` is the HTTP status. */
+ * cancellation: ow_job_answer() ensures that. `status` is the HTTP status. */
 void ow_job_reply_send(struct ow_core *core, uint64_t request, int status, const struct ow_job *job);
 
-/** Replies with status 503 that the request could not be handled yet and is to be repeated soon. `text` says
- * why; it is copied. */
+/** Replies with status 503 that the request could not be handled and should be repeated after 1 s. `text` is
+ * the reason for the user; it is copied. */
 void ow_job_reply_retry(struct ow_core *core, uint64_t request, const char *text);
 
 #endif
--- a/src/core/api/poll.c
+++ b/src/core/api/poll.c
@@ -7,7 +7,7 @@
 void ow_poll_job(struct ow_core *core, uint64_t request, const char *id)
 {
     const struct ow_job *job = ow_jobs_find(core->jobs, id);
-    /* What is over stays over: no later answer can differ, so none needs a read. */
+    /* The state of a finished job is final, so it needs no read. */
     if (job != NULL && ow_job_is_over(job))
         ow_job_answer(core, request, OW_HTTP_STATUS_OK, job);
     else
--- a/src/core/api/poll.h
+++ b/src/core/api/poll.h
@@ -1,5 +1,5 @@
 /** @file
- * Users' polls for the state of a job. What may be answered when is in job_answer.h.
+ * Users' polls for the state of a job. The rules for answers are in job_answer.h.
  */
 #ifndef OW_CORE_API_POLL_H
 #define OW_CORE_API_POLL_H
--- a/src/core/api/submit.c
+++ b/src/core/api/submit.c
@@ -16,16 +16,16 @@
 
 #include <string.h>
 
-/* Seen by users. */
+/* A reason that users see. */
 static const char TOO_LARGE[] = "its description is too large to be recorded";
 
 /* ---- refusals ---- */
 
-/* A refusal that waits until a read has shown that the job is new. */
+/* A refusal that is sent once a read has shown that the job is new. */
 struct refusal {
     struct ow_pending_request pending;
     int status;         /* HTTP status */
-    const char *reason; /* not owned: valid for ever */
+    const char *reason; /* static or interned */
 };
 
 static void refuse_if_new(struct ow_core *core, void *data, bool is_fresh)
@@ -38,8 +38,8 @@
         ow_job_answer_on_refreshed(core, &refusal->pending, is_fresh);
 }
 
-/* What can't run now, or can't be read, may have been accepted by another controller before: such a repeat
-   is no 422 or 400. `reason` must stay valid for ever. */
+/* Refuses a submission unless a read shows that its id is known: another controller may have accepted the job
+   before, and a repeat must not get status 422 or 400. `reason` must be a static or interned string. */
 static void refuse_unless_known(struct ow_core *core, uint64_t request, const char *id, int status,
                                 const char *reason)
 {
@@ -52,7 +52,7 @@
 
 /* ---- the record of a new job ---- */
 
-/* A submission whose record is under way. */
+/* A submission whose write is in flight. */
 struct submit_call {
     struct ow_submission *submission; /* owned */
     uint64_t request;
@@ -66,7 +66,8 @@
     g_free(call);
 }
 
-/* Takes over `submission`, whose record is committed with this revision. */
+/* Adds the job to the job table and answers. The record has been committed with this revision. Takes
+   ownership of `submission`. */
 static void accept_job(struct ow_core *core, uint64_t request, uint64_t revision,
                        struct ow_submission *submission)
 {
@@ -80,8 +81,8 @@
     ow_job_change_announce(core, revision);
 }
 
-/* A value that is refused on its own is refused for ever: its user is told so instead of being asked to come
-   again, unless an earlier try was carried out after all. */
+/* The store refused this value alone as too large, so a repeat can't succeed: the job is refused for good,
+   unless an earlier attempt was committed. */
 static void refuse_too_large(struct ow_core *core, const struct submit_call *call)
 {
     ow_store_limits_shrink(&core->store_limits, 1, call->record_bytes);
@@ -108,10 +109,11 @@
     }
 }
 
-/* The text of the record, owned by the caller, or NULL, and the request answered, if it doesn't fit a value
-   of the key-value store. Another controller, which has not met the limit, may have accepted the job before.
- */
-static char *record_that_fits(struct ow_core *core, uint64_t request, const struct ow_job_record *record)
+/* Encodes the record; the text is owned by the caller. If it exceeds the value size limit of the key-value
+   store, the request is answered, and the result is NULL. Another controller, which does not know of the
+   limit, may have accepted the job before. */
+static char *encode_record_or_refuse(struct ow_core *core, uint64_t request,
+                                     const struct ow_job_record *record)
 {
     g_autofree char *text = wire_job_record_encode(record);
     if (strlen(text) < core->store_limits.refused_value_bytes)
@@ -120,8 +122,9 @@
     return NULL;
 }
 
-/* Takes over `text`. The record is committed only if no other controller has accepted the id. */
-static struct ow_store_request *creation_of(const char *id, char *text)
+/* The transaction that creates the record, unless another controller has accepted the id. Takes ownership of
+   `text`. */
+static struct ow_store_request *new_creation_transaction(const char *id, char *text)
 {
     g_autofree char *key = g_strconcat(OW_KEY_JOBS, id, NULL);
     struct ow_store_request *transaction = ow_store_request_new(OW_STORE_TXN, NULL);
@@ -130,7 +133,7 @@
     return transaction;
 }
 
-/* Takes over `taken`. */
+/* Writes the record of a new job. Takes ownership of `taken`. */
 static void create_job(struct ow_core *core, uint64_t request, struct ow_submission *taken)
 {
     g_autoptr(ow_submission) submission = taken;
@@ -139,10 +142,10 @@
         .accepted_at = core->time_of_day,
         .submission = submission,
     };
-    char *text = record_that_fits(core, request, &record);
+    char *text = encode_record_or_refuse(core, request, &record);
     if (text == NULL)
         return;
-    struct ow_store_request *transaction = creation_of(submission->id, text);
+    struct ow_store_request *transaction = new_creation_transaction(submission->id, text);
     struct submit_call *call = g_new0(struct submit_call, 1);
     call->submission = g_steal_pointer(&submission);
     call->request = request;
@@ -152,12 +155,13 @@
 
 /* ---- submissions ---- */
 
-/* Answers a submission that leads to no record: a repeat, one that comes too early, or one that can never
-   run. False, and no answer, if the job is new and can run some day. */
-static bool answer_unrecorded(struct ow_core *core, uint64_t request, const struct ow_submission *submission)
+/* Answers a submission that is not recorded: a repeat, one received before this controller is ready, or one
+   that can never run. Returns false, without an answer, if the job is new and can run. */
+static bool answer_without_recording(struct ow_core *core, uint64_t request,
+                                     const struct ow_submission *submission)
 {
     if (ow_jobs_find(core->jobs, submission->id) != NULL) {
-        /* A repeat is known by its id alone and never refused, whatever it says now. */
+        /* A repeat is identified by its id alone and never refused, even if its other fields differ. */
         ow_poll_job(core, request, submission->id);
         return true;
     }
@@ -175,13 +179,13 @@
 void ow_submit_job(struct ow_core *core, uint64_t request, struct ow_submission *submission)
 {
     g_autoptr(ow_submission) owned = submission;
-    if (!answer_unrecorded(core, request, owned))
+    if (!answer_without_recording(core, request, owned))
         create_job(core, request, g_steal_pointer(&owned));
 }
 
 void ow_submit_malformed(struct ow_core *core, uint64_t request, const char *id, const char *error)
 {
-    /* The refusal outlives the event that holds the text. */
+    /* The text is interned because the refusal outlives the event that holds it. */
     if (ow_jobs_find(core->jobs, id) != NULL)
         ow_poll_job(core, request, id);
     else
--- a/src/core/api/team_usage.c
+++ b/src/core/api/team_usage.c
@@ -11,7 +11,7 @@
 static void add_job(struct ow_team_view *view, const struct ow_job *job)
 {
     const struct ow_submission *submission = job->spec->submission;
-    /* OW_UNCOUNTED is negative: until a leader has counted the tasks, all of them count as waiting. */
+    /* OW_UNCOUNTED is negative: until a leader has counted the tasks, all of them are shown as waiting. */
     int done = MAX(job->done, 0);
     int running = MAX(job->running, 0);
     int waiting = MAX((int)submission->tasks - done - running, 0);
@@ -22,7 +22,7 @@
     ow_resources_add(&view->waiting, &submission->need, waiting);
 }
 
-static bool is_unfinished_job_of(const struct ow_job *job, const char *team_name)
+static bool is_open_job_of(const struct ow_job *job, const char *team_name)
 {
     return !ow_job_is_over(job) && strcmp(job->spec->submission->team, team_name) == 0;
 }
@@ -32,7 +32,7 @@
     struct ow_team_view view = {.name = team_name};
     for (guint i = 0; i < open_jobs->len; i++) {
         const struct ow_job *job = g_ptr_array_index(open_jobs, i);
-        if (is_unfinished_job_of(job, team_name))
+        if (is_open_job_of(job, team_name))
             add_job(&view, job);
     }
     return view;
--- a/src/core/api/team_usage.h
+++ b/src/core/api/team_usage.h
@@ -1,5 +1,5 @@
 /** @file
- * Users' requests for what each team uses and waits for.
+ * Users' requests for the resources that each team uses and waits for.
  */
 #ifndef OW_CORE_API_TEAM_USAGE_H
 #define OW_CORE_API_TEAM_USAGE_H
@@ -8,8 +8,8 @@
 
 struct ow_core;
 
-/** Answers with the usage of every team in the settings, by the counts of tasks that are shown to users:
- * nothing is decided by them. */
+/** Answers with the usage of every team in the settings, computed from the task counts that users see. No
+ * scheduling decision depends on these counts. */
 void ow_team_usage_answer(struct ow_core *core, uint64_t request);
 
 #endif
--- a/src/core/election/election.h
+++ b/src/core/election/election.h
@@ -42,8 +42,8 @@
  * `leader_name` is its holder's name, or NULL if unknown. */
 void ow_election_observe_fencing_token(struct ow_election *election, uint64_t fencing_token,
                                        const char *leader_name);
-/** Handles the hint that a controller's process has ended. If it leads, this controller tries to take the key
- * without waiting for the lease to expire. */
+/** Handles the hint that a controller's process has exited. If it leads, this controller tries to take the
+ * key without waiting for the lease to expire. */
 void ow_election_note_peer_exited(struct ow_election *election, const char *controller_name);
 /** Gives up leadership, for example because no worker reaches this controller: deletes the key, and does not
  * try to take it again for 15 s. `reason` is for the log. */
