--- a/src/sharding/candidacy.c
+++ b/src/sharding/candidacy.c
@@ -1,21 +1,22 @@
 #include "sharding/candidacy.h"
 
-/* A controller that may become leader of a shard. */
+/* A controller that is able to lead a shard. */
 struct candidate {
     const char *name;
-    unsigned led_count; /* shards that it leads already */
+    unsigned led_count; /* shards that it already leads */
 };
 
 /* Constants of an integer hash finalizer (multiply and xor-shift). */
 enum { MIX_MULTIPLIER = 0x45d9f3b, MIX_SHIFT = 16 };
 
-/* Rendezvous hashing: each shard has its own order of candidates with equal load; the lowest hash comes
-   first. */
+/* Rendezvous hashing: candidates with equal load are ordered by a hash of controller and shard, lowest first,
+   so the order differs from shard to shard. */
 static guint rendezvous_hash(const char *controller, const char *shard)
 {
-    g_autofree char *both = g_strconcat(controller, "/", shard, NULL);
-    guint hash = g_str_hash(both);
-    /* g_str_hash() gives adjacent hashes to names that differ in the last letter, so the bits are mixed. */
+    g_autofree char *hash_input = g_strconcat(controller, "/", shard, NULL);
+    guint hash = g_str_hash(hash_input);
+    /* g_str_hash() gives adjacent hashes to names that differ in the last letter, so a finalizer mixes the
+     * bits. */
     hash ^= hash >> MIX_SHIFT;
     hash *= (guint)MIX_MULTIPLIER;
     hash ^= hash >> MIX_SHIFT;
--- a/src/sharding/dropped_messages.c
+++ b/src/sharding/dropped_messages.c
@@ -2,7 +2,7 @@
 
 #include <glib.h>
 
-/* Rate limit of the log line: a misconfigured peer sends several messages a second. */
+/* Minimum interval between log lines: a misconfigured peer sends several messages a second. */
 static const double LOG_INTERVAL_S = 10;
 
 static const char *cause_name(enum ow_drop_cause cause)
--- a/src/sharding/dropped_messages.h
+++ b/src/sharding/dropped_messages.h
@@ -7,7 +7,7 @@
 
 /** Why a message is dropped. */
 enum ow_drop_cause {
-    OW_DROP_NONE,               /**< it is not dropped */
+    OW_DROP_NONE,               /**< the message is not dropped */
     OW_DROP_UNKNOWN_SENDER,     /**< its sender is not in the settings */
     OW_DROP_NO_INCARNATION,     /**< it has no incarnation */
     OW_DROP_OLD_INCARNATION,    /**< it is of an earlier process of the sender */
@@ -15,10 +15,10 @@
     OW_DROP_MISADDRESSED_PROBE, /**< a step of a probe that is not for this controller */
 };
 
-/** The count. All zeros is the start. */
+/** The count of dropped messages. Initialized with zeros. */
 struct ow_dropped_messages {
     unsigned count;
-    double logged_at; /**< seconds of the monotonic clock */
+    double logged_at; /**< time of the last log line, in seconds of the monotonic clock */
 };
 
 /** Counts a message and logs it, at most every 10 s. `sender` may be NULL: the message names none. */
--- a/src/sharding/effect_guard.c
+++ b/src/sharding/effect_guard.c
@@ -4,7 +4,7 @@
 #include "model/http_status.h"
 #include "model/worker.h"
 
-/* Returns whether there were any. */
+/* Removes launches of tasks, and returns whether there were any. */
 static bool remove_launches(GArray *commands)
 {
     guint before = commands->len;
@@ -36,7 +36,7 @@
 {
     if (effect->cloud->op == OW_CLOUD_TYPES || effect->cloud->op == OW_CLOUD_LIST)
         return false;
-    /* The core knows that a 503 was not carried out, and sends the request again. */
+    /* The core treats a request with status 503 as not executed, and sends it again. */
     *reply = ow_event_new(OW_EVENT_CLOUD, effect->cloud->tag);
     (*reply)->cloud.status = OW_HTTP_STATUS_UNAVAILABLE;
     return true;
--- a/src/sharding/failover_log.c
+++ b/src/sharding/failover_log.c
@@ -1,6 +1,6 @@
 #include "sharding/failover_log.h"
 
-/* Steps that are kept. */
+/* Maximum number of steps that are kept. */
 enum { STEPS_MAX = 16 };
 
 static void clear_step(void *item)
@@ -51,7 +51,7 @@
     return names[phase];
 }
 
-/* ---- the phase that follows from what is observed ---- */
+/* ---- the phase, derived from the observation ---- */
 
 static enum ow_failover_phase phase_of_leader(const struct ow_failover_observation *observation)
 {
@@ -72,7 +72,7 @@
     return is_suspected ? OW_FAILOVER_SUSPECTED : OW_FAILOVER_LED_ELSEWHERE;
 }
 
-/* Why the phase is what it is (g_free). */
+/* The cause of the phase, for operators (g_free). */
 static char *describe_cause(const struct ow_failover_log *log, enum ow_failover_phase phase,
                             const struct ow_failover_observation *observation)
 {
@@ -101,36 +101,37 @@
 /* ---- updates ---- */
 
 /* A machine that joins while this controller serves the shard does not reset the phase to RECORDS_READ. */
-static bool is_late_machine(const struct ow_failover_log *log,
-                            const struct ow_failover_observation *observation, enum ow_failover_phase phase)
+static bool is_new_machine_while_serving(const struct ow_failover_log *log,
+                                         const struct ow_failover_observation *observation,
+                                         enum ow_failover_phase phase)
 {
     return phase == OW_FAILOVER_RECORDS_READ && log->fencing_token == observation->fencing_token &&
            ow_failover_log_last(log)->phase == OW_FAILOVER_SERVING;
 }
 
-static void note_first_sign(struct ow_failover_log *log, enum ow_failover_phase phase, double now)
+static void track_loss_detection(struct ow_failover_log *log, enum ow_failover_phase phase, double now)
 {
     bool is_leader_gone = phase == OW_FAILOVER_SUSPECTED || phase == OW_FAILOVER_LEASE_EXPIRED;
-    if (is_leader_gone && log->first_sign_at <= 0)
-        log->first_sign_at = now;
+    if (is_leader_gone && log->loss_detected_at <= 0)
+        log->loss_detected_at = now;
     else if (phase == OW_FAILOVER_SERVING || phase == OW_FAILOVER_LED_ELSEWHERE)
-        log->first_sign_at = 0;
+        log->loss_detected_at = 0;
 }
 
 static void enter_phase(struct ow_failover_log *log, const char *shard, enum ow_failover_phase phase,
                         const struct ow_failover_observation *observation, double now)
 {
     char *cause = describe_cause(log, phase, observation);
-    double duration_s = log->first_sign_at > 0 ? now - log->first_sign_at : 0;
+    double duration_s = log->loss_detected_at > 0 ? now - log->loss_detected_at : 0;
     g_info("failover phase entered: shard=%s phase=\"%s\" fencing_token=%" G_GUINT64_FORMAT
            " duration_s=%.2f reason=\"%s\"",
            shard, ow_failover_phase_name(phase), observation->fencing_token, duration_s, cause);
     add_step(log, phase, now, cause);
-    note_first_sign(log, phase, now);
+    track_loss_detection(log, phase, now);
 }
 
 /* The time was not known when the log was initialized. */
-static void date_first_step(struct ow_failover_log *log, double now)
+static void set_time_of_first_step(struct ow_failover_log *log, double now)
 {
     struct ow_failover_step *first = &g_array_index(log->steps, struct ow_failover_step, 0);
     if (first->began_at <= 0)
@@ -146,8 +147,9 @@
     bool is_new_leader = leader != NULL && g_strcmp0(leader, log->leader) != 0;
     bool is_new_term = token != 0 && token != log->fencing_token;
     bool is_new_phase = phase != ow_failover_log_last(log)->phase;
-    date_first_step(log, now);
-    if ((is_new_phase || is_new_leader || is_new_term) && !is_late_machine(log, observation, phase))
+    set_time_of_first_step(log, now);
+    if ((is_new_phase || is_new_leader || is_new_term) &&
+        !is_new_machine_while_serving(log, observation, phase))
         enter_phase(log, shard, phase, observation, now);
     if (is_new_leader) {
         g_free(log->leader);
--- a/src/sharding/failover_log.h
+++ b/src/sharding/failover_log.h
@@ -12,7 +12,7 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** The phases of a shard's failover. */
+/** The phases of a shard's failover, as one controller sees them. */
 enum ow_failover_phase {
     OW_FAILOVER_UNKNOWN,       /**< the leader is not known yet */
     OW_FAILOVER_LED_ELSEWHERE, /**< another controller leads */
@@ -32,38 +32,37 @@
 
 /** The log of one shard. Changed by the functions below only. */
 struct ow_failover_log {
-    GArray *steps;          /**< struct ow_failover_step, the last ones, in order; never empty */
-    char *leader;           /**< who leads or led last; NULL: unknown */
-    uint64_t fencing_token; /**< ours, as last observed; 0: we did not lead */
-    double first_sign_at;   /**< of the present failover: first sign that the leader is gone; 0: none */
+    GArray *steps;           /**< struct ow_failover_step, the last ones, in order; never empty */
+    char *leader;            /**< the current or last leader; NULL: unknown */
+    uint64_t fencing_token;  /**< ours, as last observed; 0: we did not lead */
+    double loss_detected_at; /**< when this failover's loss of the leader was detected; 0: no failover */
 };
 
-/** What the phase is derived from. Everything is borrowed. */
+/** The inputs from which the phase is derived. All pointers are borrowed. */
 struct ow_failover_observation {
     const char *self;
-    const char *leader_name;        /**< the leader as far as known, or NULL */
-    const struct ow_member *leader; /**< that controller as a member; NULL: ourselves, or unknown */
+    const char *leader_name;        /**< the last known leader, or NULL */
+    const struct ow_member *leader; /**< that controller's member; NULL: this controller, or unknown */
     uint64_t fencing_token;         /**< ours; 0: we do not lead */
     bool is_key_missing; /**< the key-value store has answered that the leader key does not exist */
     bool are_records_read;
-    bool is_settled;   /**< we have led long enough for every live machine to send us a heartbeat */
+    bool is_settled;   /**< this term is long enough for every live machine to have sent a heartbeat */
     unsigned machines; /**< that have sent a heartbeat */
     unsigned fenced;   /**< of them, those that have seen our fencing token */
 };
 
 /** Initializes a log with one step of phase OW_FAILOVER_UNKNOWN; the first update sets its time. */
 void ow_failover_log_init(struct ow_failover_log *log);
-/** Frees what it holds. */
+/** Frees the contents of the log, but not the struct. */
 void ow_failover_log_clear(struct ow_failover_log *log);
-/** Notes and logs a new phase of the shard, if there is one. */
+/** Adds a step and logs it if the phase, the leader or our term has changed. */
 void ow_failover_log_update(struct ow_failover_log *log, const char *shard,
                             const struct ow_failover_observation *observation, double now);
-/** The present phase with its cause; owned by the log. */
+/** The current phase with its cause; owned by the log. */
 const struct ow_failover_step *ow_failover_log_last(const struct ow_failover_log *log);
-/** The phase as words for operators. */
+/** The name of the phase for operators and the log; a constant string. */
 const char *ow_failover_phase_name(enum ow_failover_phase phase);
-/** The reason shown to users while the shard can't start anything (g_free); NULL: it can, as far as is known.
- */
+/** The reason that users see while no task of the shard can start (g_free); NULL: none is known. */
 char *ow_failover_log_waiting_reason(const struct ow_failover_log *log, const char *shard);
 
 #endif
--- a/src/sharding/indirect_probe.c
+++ b/src/sharding/indirect_probe.c
@@ -37,7 +37,7 @@
     target->probed_at = now;
     target->relays = 0;
     for (guint i = 0; i < members->len && target->relays < prober->relays_max; i++) {
-        /* Each probe starts at another member, so that probes spread over all relays. */
+        /* Each probe starts at a different member, to spread the probes over all relays. */
         guint index = (guint)((i + target->probe_number) % members->len);
         const struct ow_member *relay = g_ptr_array_index(members, index);
         if (relay == target || relay->state != OW_MEMBER_ALIVE)
@@ -47,9 +47,9 @@
     }
 }
 
-/* A relay reaches the target. */
-static void receive_relayed(const struct ow_indirect_prober *prober, const struct ow_peer_probe *probe,
-                            double now)
+/* Handles a relay's report that it reaches the target. */
+static void handle_relayed(const struct ow_indirect_prober *prober, const struct ow_peer_probe *probe,
+                           double now)
 {
     struct ow_member *target = ow_members_find(prober->members, probe->target);
     if (target == NULL || probe->number != target->probe_number || target->state == OW_MEMBER_ALIVE)
@@ -69,7 +69,7 @@
     else if (probe->step == OW_PROBE_ACK && g_strcmp0(probe->relay, self) == 0)
         send_step(prober, OW_PROBE_RELAYED, probe->origin, probe, out);
     else if (probe->step == OW_PROBE_RELAYED && g_strcmp0(probe->origin, self) == 0)
-        receive_relayed(prober, probe, now);
+        handle_relayed(prober, probe, now);
     else
         return false;
     return true;
--- a/src/sharding/indirect_probe.h
+++ b/src/sharding/indirect_probe.h
@@ -1,7 +1,7 @@
 /**
  * @file
- * Indirect probes, as in SWIM: before a silent controller is suspected, other controllers are asked to
- * contact it. Steps: origin -> relay (request) -> target (ping) -> relay (ack) -> origin (relayed).
+ * Indirect probes, as in SWIM: before an unresponsive controller is suspected, other controllers are asked
+ * to ping it. Steps: origin -> relay (request) -> target (ping) -> relay (ack) -> origin (relayed).
  */
 #ifndef OW_SHARDING_INDIRECT_PROBE_H
 #define OW_SHARDING_INDIRECT_PROBE_H
@@ -18,11 +18,11 @@
     const char *self;         /**< this controller's name; borrowed */
     const GPtrArray *members; /**< struct ow_member; borrowed */
     unsigned relays_max;      /**< how many controllers one probe asks */
-    uint64_t last_number;     /**< of the last probe that began here; 0: none yet */
+    uint64_t last_number;     /**< of the last probe that this controller started; 0: none yet */
 };
 
-/** Asks up to relays_max live controllers whether they reach the target; messages are added to `out`, which
- * owns them. A reply to an earlier probe of the target no longer counts. */
+/** Asks up to relays_max alive controllers whether they reach the target; messages are added to `out`, which
+ * owns them. Replies to earlier probes of the target are ignored from now on. */
 void ow_indirect_probe_begin(struct ow_indirect_prober *prober, struct ow_member *target, double now,
                              GPtrArray *out);
 
--- a/src/sharding/lease_guard.c
+++ b/src/sharding/lease_guard.c
@@ -3,7 +3,7 @@
 #include "model/http_status.h"
 #include "util/clock_drift.h"
 
-/* Safety margin beyond clock drift: upper bound for the time from the check until the effect is on the wire.
+/* Safety margin beyond clock drift: upper bound of the time from the check until the effect is on the wire.
  */
 static const double MARGIN_S = 0.1;
 
@@ -23,10 +23,10 @@
     if (tag != guard->renewal_tag || status == OW_HTTP_STATUS_NONE)
         return;
     guard->renewal_tag = 0;
-    /* The reply may have waited in the socket during a pause, so it proves contact only for when its request
-       was sent. */
+    /* The reply may have waited in the socket during a pause, so it proves contact with the store only at
+       the time its request was sent. */
     guard->answered_sent_at = guard->renewal_sent_at;
-    /* The store may have started the lease as early as when the request was sent. */
+    /* The lease may have started at any time since the request was sent, so the earliest time counts. */
     if (status == OW_HTTP_STATUS_OK)
         guard->held_until = guard->renewal_sent_at + ow_clock_drift_shortest_s(guard->lease_s) - MARGIN_S;
 }
--- a/src/sharding/lease_guard.h
+++ b/src/sharding/lease_guard.h
@@ -1,34 +1,34 @@
 /**
  * @file
- * Decides by the leader's own clock whether it still holds its lease; checked before every effect leaves.
+ * Decides by the leader's own clock whether it still holds its lease; checked before every effect is sent.
  *
  * Guards safety rule 9 of the architecture: the lease is counted from when its request was sent, less clock
- * drift and a margin, and after a pause of the process nothing leaves before the key-value store has answered
- * a request sent since. No clock and no I/O: times are seconds of the caller's monotonic clock.
+ * drift and a margin, and after a pause of the process nothing is sent before the key-value store has
+ * answered a request sent since. No clock and no I/O: times are seconds of the caller's monotonic clock.
  */
 #ifndef OW_SHARDING_LEASE_GUARD_H
 #define OW_SHARDING_LEASE_GUARD_H
 
 #include <stdint.h>
 
-/** The state of the lease, which decides what may leave. */
+/** The state of the lease, which decides which effects may be sent. */
 enum ow_lease_state {
-    OW_LEASE_HELD,     /**< everything may leave */
-    OW_LEASE_EXPIRED,  /**< expired by our clock, but the store has answered since the last pause: replies to
-                          heartbeats and stops of tasks may leave; nothing is started, provisioned or
-                          terminated */
-    OW_LEASE_UNPROVEN, /**< a pause may have outlived the lease, and the store has not answered since: nothing
-                            may leave */
+    OW_LEASE_HELD,     /**< all effects may be sent */
+    OW_LEASE_EXPIRED,  /**< expired by the local clock, but the store has answered since the last pause:
+                          heartbeat replies and stops of tasks may be sent, but nothing is started,
+                          provisioned or terminated */
+    OW_LEASE_UNPROVEN, /**< a pause may have been longer than the lease, and the store has not answered since:
+                            nothing may be sent */
 };
 
 /** The lease of one leader. Changed by the functions below only. */
 struct ow_lease_guard {
-    double lease_s;          /**< how long the store grants it for */
-    double held_until;       /**< by our clock, less drift and margin; 0: never held */
+    double lease_s;          /**< the duration that the store grants */
+    double held_until;       /**< expiry by the local clock, less drift and margin; 0: never held */
     double resumed_at;       /**< the end of the last pause that may have been longer than the lease */
-    double answered_sent_at; /**< when the last renewal was sent that was answered; negative: none */
+    double answered_sent_at; /**< when the last answered renewal was sent; negative: none */
     uint64_t renewal_tag;    /**< of the renewal in flight; 0: none */
-    double renewal_sent_at;  /**< when it was sent */
+    double renewal_sent_at;  /**< when the last renewal was sent */
 };
 
 /** Initializes the guard of a lease of `lease_s` seconds that is not held yet. */
--- a/src/sharding/map_agreement.c
+++ b/src/sharding/map_agreement.c
@@ -13,21 +13,21 @@
    taking it. */
 #define DIVIDED_NAME "(divided into shards)"
 
-/* How often the stored map is compared again. */
+/* Interval at which the stored map is read and compared. */
 static const double COMPARE_INTERVAL_S = 10;
 /* Pause after a failed request. */
 static const double RETRY_INTERVAL_S = 0.5;
 
 enum agreement_state {
     AGREEMENT_READING,  /* the stored map is not known yet */
-    AGREEMENT_CREATING, /* there is none: ours is being stored */
+    AGREEMENT_CREATING, /* no map is stored: ours is being written */
     AGREEMENT_REACHED,
     AGREEMENT_DIFFERS,
 };
 
 struct ow_map_agreement {
     enum agreement_state state;
-    GHashTable *values; /* ours: name -> value, owned */
+    GHashTable *values; /* of our map: name -> value, owned */
     bool has_only_default_shard;
     bool is_request_pending;
     double next_request_at;
@@ -64,7 +64,7 @@
 
 /* ---- requests ---- */
 
-/* Stores our map, if there is none. */
+/* The transaction that stores our map, unless one is stored already. */
 static struct ow_store_request *new_creation(const struct ow_map_agreement *agreement)
 {
     struct ow_store_request *request = ow_store_request_new(OW_STORE_TXN, NULL);
@@ -72,8 +72,8 @@
     ow_store_request_put(request, MAP_KEY, wire_shard_map_encode(agreement->values), 0);
     if (agreement->has_only_default_shard)
         return request;
-    /* Otherwise the records without a shard prefix would be ignored, and their machines would get a second
-       owner. */
+    /* The fleet must not have been in use without shards: its records without a shard prefix would be
+       ignored, and the machines in them would be managed by two leaders. */
     ow_store_request_compare(request, OW_KEY_TYPES, 0);
     ow_store_request_compare(request, OW_KEY_FORMAT, 0);
     ow_store_request_compare(request, OW_KEY_LEADER, 0);
@@ -99,7 +99,7 @@
 static void set_result(struct ow_map_agreement *agreement, char *difference)
 {
     if (g_strcmp0(difference, agreement->difference) != 0)
-        g_warning("settings differ from the stored shard map, no shard is led anew: reason=\"%s\"",
+        g_warning("settings differ from the stored shard map, not taking leadership: reason=\"%s\"",
                   difference);
     if (difference == NULL && agreement->state != AGREEMENT_REACHED)
         g_info("settings agree with the stored shard map: revision=%" G_GUINT64_FORMAT,
@@ -128,7 +128,8 @@
     }
 }
 
-/* Our map was not stored: another controller's was, or the fleet has been in use without shards. */
+/* Our map was not stored, because another controller has stored one, or because the fleet is in use without
+   shards. */
 static void explain_conflict(struct ow_map_agreement *agreement, const struct ow_store_reply *reply)
 {
     if (ow_store_reply_failed_on(reply, MAP_KEY))
@@ -146,7 +147,7 @@
         explain_conflict(agreement, reply);
         return;
     }
-    /* Also without a response: reading the map shows whether it was stored. */
+    /* Without a response the map may have been stored; reading it shows whether it was. */
     agreement->state = AGREEMENT_READING;
     if (reply->status == OW_HTTP_STATUS_OK)
         agreement->next_request_at = now;
--- a/src/sharding/map_agreement.h
+++ b/src/sharding/map_agreement.h
@@ -1,10 +1,10 @@
 /**
  * @file
- * The shard map in the key-value store: the first controller stores the values of its settings, and a
- * controller takes leader keys only while its own values are equal.
+ * The shard map in the key-value store: the first controller stores the values of its settings, and every
+ * controller takes leader keys only while its own values equal the stored ones.
  *
  * Invariant: a stored map is never changed. If machines or jobs moved between shards while a lease is valid,
- * tasks could be started twice. No I/O: requests are added to an array.
+ * tasks could be started twice. No I/O: requests are appended to an array.
  */
 #ifndef OW_SHARDING_MAP_AGREEMENT_H
 #define OW_SHARDING_MAP_AGREEMENT_H
@@ -18,11 +18,11 @@
 /** The comparison of our shard map with the stored one. */
 typedef struct ow_map_agreement ow_map_agreement;
 
-/** Creates an agreement that has not been compared yet. Takes ownership of `values`, which are ours: name ->
- * value (shard_map.h). Only a map with nothing but the default shard may be created for a fleet that has been
- * in use without shards. */
+/** Creates an agreement that has not been compared yet. Takes ownership of `values`, the values of this
+ * controller's map by name (shard_map.h). With `has_only_default_shard` the map may also be stored for a
+ * fleet that has been in use without shards. */
 struct ow_map_agreement *ow_map_agreement_new(GHashTable *values, bool has_only_default_shard);
-/** NULL is not allowed. */
+/** Frees the agreement and its values. NULL is not allowed. */
 void ow_map_agreement_free(struct ow_map_agreement *agreement);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(ow_map_agreement, ow_map_agreement_free)
 
@@ -35,7 +35,7 @@
 /** Whether our map equals the stored one, so that this controller may take leader keys. A difference does not
  * end terms that have begun. */
 bool ow_map_agreement_is_reached(const struct ow_map_agreement *agreement);
-/** What differs from the stored map, in words, owned by the agreement; NULL: nothing, as far as is known. */
+/** A description of the difference from the stored map, owned by the agreement; NULL: none is known. */
 const char *ow_map_agreement_difference(const struct ow_map_agreement *agreement);
 
 #endif
--- a/src/sharding/membership.c
+++ b/src/sharding/membership.c
@@ -4,14 +4,14 @@
 #include "sharding/indirect_probe.h"
 #include "sharding/peer_heartbeats.h"
 
-/* A gap between ticks longer than this many heartbeat intervals is a pause of this process, and is not
-   counted as silence of others. */
-static const double PAUSE_HEARTBEATS = 2;
+/* A gap between ticks longer than this many heartbeat intervals is a pause of this process, which does not
+   count as missing heartbeats of others. */
+static const double MIN_PAUSE_HEARTBEATS = 2;
 /* An unreachable or suspected controller is probed again after this many probe timeouts. */
-static const double PROBE_AGAIN_TIMEOUTS = 3;
-/* For this long after the start, controllers that have not been heard count as starting, too, so that the
+static const double REPROBE_TIMEOUTS = 3;
+/* For this long after the start, controllers without a heartbeat are assumed to be starting, so that the
    first one to start does not take every shard. */
-static const double STARTING_S = 5;
+static const double STARTUP_GRACE_S = 5;
 
 struct ow_membership {
     const struct ow_sharding_settings *sharding;
@@ -19,9 +19,9 @@
     struct ow_heartbeat_source heartbeats;
     struct ow_indirect_prober prober;
     struct ow_dropped_messages dropped;
-    double started_at; /* of the first tick; 0: none yet */
-    double ticked_at;  /* of the last tick; 0: none yet */
-    double heartbeat_at;
+    double started_at;   /* of the first tick; 0: none yet */
+    double last_tick_at; /* of the last tick; 0: none yet */
+    double next_heartbeat_at;
 };
 
 /* ---- creation and destruction ---- */
@@ -64,7 +64,7 @@
 bool ow_membership_may_lead(const struct ow_membership *membership, const struct ow_member *member)
 {
     bool is_starting =
-        membership->started_at > 0 && membership->ticked_at - membership->started_at < STARTING_S;
+        membership->started_at > 0 && membership->last_tick_at - membership->started_at < STARTUP_GRACE_S;
     return ow_member_is_live(member) || (is_starting && member->state == OW_MEMBER_UNKNOWN);
 }
 
@@ -99,15 +99,14 @@
 
 /* ---- failure detection ---- */
 
-/* While this process was paused it could not receive anything: that time is not counted as silence of others.
- */
+/* Shifts the failure detectors by a pause of this process: it could not receive heartbeats in that time. */
 static void exclude_own_pause(struct ow_membership *membership, double now)
 {
-    double gap_s = membership->ticked_at > 0 ? now - membership->ticked_at : 0;
-    membership->ticked_at = now;
+    double gap_s = membership->last_tick_at > 0 ? now - membership->last_tick_at : 0;
+    membership->last_tick_at = now;
     if (membership->started_at <= 0)
         membership->started_at = now;
-    if (gap_s <= PAUSE_HEARTBEATS * membership->sharding->heartbeat_s)
+    if (gap_s <= MIN_PAUSE_HEARTBEATS * membership->sharding->heartbeat_s)
         return;
     for (guint i = 0; i < membership->members->len; i++) {
         struct ow_member *member = g_ptr_array_index(membership->members, i);
@@ -139,7 +138,7 @@
 {
     double probe_timeout_s = membership->sharding->probe_timeout_s;
     double probe_age_s = now - member->probed_at;
-    bool is_probe_due = probe_age_s > PROBE_AGAIN_TIMEOUTS * probe_timeout_s;
+    bool is_probe_due = probe_age_s > REPROBE_TIMEOUTS * probe_timeout_s;
     switch (member->state) {
     case OW_MEMBER_UNKNOWN:
         break;
@@ -168,8 +167,8 @@
                         GPtrArray *out)
 {
     exclude_own_pause(membership, now);
-    if (now >= membership->heartbeat_at) {
-        membership->heartbeat_at = now + membership->sharding->heartbeat_s;
+    if (now >= membership->next_heartbeat_at) {
+        membership->next_heartbeat_at = now + membership->sharding->heartbeat_s;
         g_ptr_array_add(out, ow_peer_heartbeat_new(&membership->heartbeats, led_shards));
     }
     for (guint i = 0; i < membership->members->len; i++)
--- a/src/sharding/membership.h
+++ b/src/sharding/membership.h
@@ -4,8 +4,8 @@
  * through other controllers before one is suspected.
  *
  * Invariant: a suspicion is only a hint, and no irreversible action may depend on it; only the key-value
- * store decides whether a leader's lease has expired. No clock and no I/O: messages to be sent are added to
- * an array.
+ * store decides whether a leader's lease has expired. No clock and no I/O: messages to be sent are
+ * appended to an array.
  */
 #ifndef OW_SHARDING_MEMBERSHIP_H
 #define OW_SHARDING_MEMBERSHIP_H
@@ -18,11 +18,11 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** All other controllers; owns its struct ow_member. */
+/** The other controllers of the settings; owns their struct ow_member. */
 typedef struct ow_membership ow_membership;
 
 /**
- * The membership of a process that starts.
+ * Creates the membership of a starting process.
  *
  * @param sharding must outlive the membership.
  * @param self the name of this controller; must outlive the membership.
@@ -31,7 +31,7 @@
  * @param settings_digest of the settings by which this controller shares the fleet (shard_map.h). */
 struct ow_membership *ow_membership_new(const struct ow_sharding_settings *sharding, const char *self,
                                         const GArray *peers, uint64_t incarnation, uint64_t settings_digest);
-/** NULL is not allowed. */
+/** Frees the membership and its members. NULL is not allowed. */
 void ow_membership_free(struct ow_membership *membership);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(ow_membership, ow_membership_free)
 
@@ -49,8 +49,8 @@
 const GPtrArray *ow_membership_members(const struct ow_membership *membership);
 /** The controller of this name, or NULL; `name` may be NULL. */
 const struct ow_member *ow_membership_find(const struct ow_membership *membership, const char *name);
-/** Whether the controller counts as able to lead: alive, directly or by relay, or not heard yet while this
- * process has only just started. */
+/** Whether the controller counts as able to lead: alive, directly or by relay, or without a heartbeat
+ * within the first 5 s of this process. */
 bool ow_membership_may_lead(const struct ow_membership *membership, const struct ow_member *member);
 /** Number of messages dropped as invalid or outdated. */
 unsigned ow_membership_dropped_count(const struct ow_membership *membership);
--- a/src/sharding/peer_heartbeats.c
+++ b/src/sharding/peer_heartbeats.c
@@ -1,6 +1,6 @@
 #include "sharding/peer_heartbeats.h"
 
-static void copy_shards(GArray *to, const GArray *from)
+static void replace_shards(GArray *to, const GArray *from)
 {
     g_array_set_size(to, 0);
     for (guint i = 0; i < from->len; i++)
@@ -14,11 +14,11 @@
     message->heartbeat.incarnation = self->incarnation;
     message->heartbeat.sequence = ++self->sequence;
     message->heartbeat.digest = self->settings_digest;
-    copy_shards(message->heartbeat.shards, led_shards);
+    replace_shards(message->heartbeat.shards, led_shards);
     return message;
 }
 
-static bool is_old_incarnation(const struct ow_member *member, uint64_t incarnation)
+static bool is_earlier_incarnation(const struct ow_member *member, uint64_t incarnation)
 {
     for (unsigned i = 0; i < OW_MEMBER_OLD_INCARNATIONS; i++)
         if (member->old_incarnations[i] == incarnation)
@@ -31,7 +31,7 @@
 {
     if (heartbeat->incarnation == 0)
         return OW_DROP_NO_INCARNATION;
-    if (is_old_incarnation(member, heartbeat->incarnation))
+    if (is_earlier_incarnation(member, heartbeat->incarnation))
         return OW_DROP_OLD_INCARNATION;
     if (heartbeat->incarnation == member->incarnation && heartbeat->sequence <= member->sequence)
         return OW_DROP_OLD_SEQUENCE;
@@ -51,13 +51,13 @@
     ow_phi_detector_forget_intervals(&member->detector);
 }
 
-/* Warns once per digest. This is only a diagnosis: the map agreement keeps controllers with other settings
-   from leading. */
+/* Warns once per digest. This is only a diagnostic: the map agreement prevents controllers with different
+   settings from leading. */
 static void note_settings_digest(const struct ow_heartbeat_source *self, struct ow_member *member,
                                  uint64_t digest)
 {
     if (digest != member->settings_digest && digest != self->settings_digest)
-        g_warning("controller shares the fleet by other settings than this one: controller=%s", member->name);
+        g_warning("controller has different sharding settings: controller=%s", member->name);
     member->settings_digest = digest;
 }
 
@@ -71,7 +71,7 @@
         begin_incarnation(sender, heartbeat->incarnation);
     sender->sequence = heartbeat->sequence;
     note_settings_digest(self, sender, heartbeat->digest);
-    copy_shards(sender->led_shards, heartbeat->shards);
+    replace_shards(sender->led_shards, heartbeat->shards);
     ow_phi_detector_add_heartbeat(&sender->detector, now);
     if (sender->state != OW_MEMBER_ALIVE)
         ow_member_set_state(sender, OW_MEMBER_ALIVE, now, g_strdup("its heartbeats arrive"));
--- a/src/sharding/peer_heartbeats.h
+++ b/src/sharding/peer_heartbeats.h
@@ -17,17 +17,18 @@
 struct ow_heartbeat_source {
     const char *name;         /**< this controller; borrowed */
     uint64_t incarnation;     /**< of this process; not 0 */
-    uint64_t settings_digest; /**< of the settings by which it shares the fleet */
+    uint64_t settings_digest; /**< of the settings that all controllers must agree on (shard_map.h) */
     uint64_t sequence;        /**< of the last heartbeat; 0: none yet */
 };
 
-/** This controller's next heartbeat, owned by the caller. `led_shards`: struct ow_peer_shard, copied. */
+/** Creates this controller's next heartbeat, owned by the caller. `led_shards`: struct ow_peer_shard, copied.
+ */
 struct ow_peer_message *ow_peer_heartbeat_new(struct ow_heartbeat_source *self, const GArray *led_shards);
 
 /**
- * Applies a heartbeat of `sender` to what is known of it.
+ * Applies a heartbeat to its sender's member.
  *
- * @return OW_DROP_NONE, or why it was dropped; nothing has changed then. */
+ * @return OW_DROP_NONE, or why it was dropped without any change. */
 enum ow_drop_cause ow_peer_heartbeat_receive(const struct ow_heartbeat_source *self, struct ow_member *sender,
                                              const struct ow_peer_heartbeat *heartbeat, double now);
 
--- a/src/sharding/phi_detector.c
+++ b/src/sharding/phi_detector.c
@@ -2,10 +2,10 @@
 
 #include <math.h>
 
-/* Lower bound of the deviation, as a share of the mean: with very regular heartbeats a slight delay would
-   otherwise raise phi steeply. */
+/* Lower bound of the standard deviation, as a fraction of the mean: otherwise a slight delay after very
+   regular heartbeats would raise phi steeply. */
 static const double DEVIATION_SHARE_MIN = 0.25;
-/* Until this many intervals have been seen, the expected interval is used as mean and as deviation. */
+/* With fewer samples than this, the expected interval is used as mean and as standard deviation. */
 enum { INTERVALS_MIN = 5 };
 /* Upper bound of an interval that is added, as a multiple of the mean. */
 static const double INTERVAL_GROWTH_MAX = 3;
@@ -36,8 +36,9 @@
     double mean_s = 0;
     double deviation_s = 0;
     estimate(detector, &mean_s, &deviation_s);
-    /* A long silence is a failure and no sample of network latency: unbounded, it would raise the mean so
-       much that the next failure is detected late. A network that is really slower is followed in steps. */
+    /* A very long interval indicates a failure, not network latency. Unbounded, it would raise the mean so
+       much that the next failure is detected late. The mean still adapts to a slower network, in several
+       steps. */
     interval_s = fmin(interval_s, INTERVAL_GROWTH_MAX * mean_s);
     if (detector->count == OW_PHI_HISTORY) {
         detector->sum_s -= *slot;
--- a/src/sharding/request_router.c
+++ b/src/sharding/request_router.c
@@ -7,11 +7,11 @@
 
 /* Marks the request numbers of queries to all shards; requests of users never have this bit. */
 static const uint64_t QUERY_BIT = 1ULL << 63;
-/* Pending queries and submissions are dropped after this time: no user waits longer. */
+/* Pending queries and submissions are dropped after this time: no request of a user lasts longer. */
 static const double ANSWER_TIMEOUT_S = 20;
 
-/* A submission whose answer from its shard is pending. */
-struct submission {
+/* A submission that its shard has not answered yet. */
+struct pending_submission {
     char id[OW_ID_MAX + 1];
     double sent_at;
 };
@@ -20,7 +20,7 @@
     const struct ow_sharding_settings *sharding;
     const GPtrArray *shards;
     GHashTable *queries;     /* request number -> struct ow_shard_query */
-    GHashTable *submissions; /* request -> struct submission */
+    GHashTable *submissions; /* request -> struct pending_submission */
     uint64_t last_query;
 };
 
@@ -56,7 +56,7 @@
     return g_ptr_array_index(router->shards, index);
 }
 
-/* The shard that knows the job, or NULL. */
+/* The shard whose job table has the job, or NULL. */
 static struct ow_shard *find_shard_of_job(const struct ow_request_router *router, const char *id)
 {
     for (guint i = 0; i < router->shards->len; i++)
@@ -82,7 +82,7 @@
     struct ow_shard_query *query = g_new0(struct ow_shard_query, 1);
     query->kind = kind;
     query->request = request;
-    query->missing = router->shards->len;
+    query->pending_answers = router->shards->len;
     query->asked_at = now;
     g_strlcpy(query->id, id, sizeof query->id);
     g_hash_table_insert(router->queries, new_key(number), query);
@@ -92,8 +92,8 @@
     return query;
 }
 
-/* Ends a query that all shards have answered. A cancellation is passed to the shard that has the job, if one
-   has read it since. */
+/* Completes a query that all shards have answered. A cancellation is passed to the shard that has the job, if
+   a shard has read the job in the meantime. */
 static void conclude_query(struct ow_request_router *router, struct ow_shard_query *query, GPtrArray *out)
 {
     struct ow_shard *owner =
@@ -139,7 +139,7 @@
 
 static void note_submission(struct ow_request_router *router, uint64_t request, const char *id, double now)
 {
-    struct submission *submission = g_new0(struct submission, 1);
+    struct pending_submission *submission = g_new0(struct pending_submission, 1);
     g_strlcpy(submission->id, id, sizeof submission->id);
     submission->sent_at = now;
     g_hash_table_insert(router->submissions, new_key(request), submission);
@@ -194,7 +194,7 @@
 
 static bool forward_submission(struct ow_request_router *router, struct ow_effect *answer, double now)
 {
-    const struct submission *submission = g_hash_table_lookup(router->submissions, &answer->request);
+    const struct pending_submission *submission = g_hash_table_lookup(router->submissions, &answer->request);
     if (submission == NULL)
         return true;
     bool is_final = !may_be_elsewhere(answer);
@@ -216,7 +216,7 @@
         return;
     }
     ow_shard_query_add_answer(query, answer);
-    if (--query->missing > 0)
+    if (--query->pending_answers > 0)
         return;
     conclude_query(router, query, out);
     g_hash_table_remove(router->queries, &number);
@@ -269,7 +269,7 @@
 
 static gboolean is_submission_timed_out(gpointer key, gpointer value, gpointer now)
 {
-    const struct submission *submission = value;
+    const struct pending_submission *submission = value;
     (void)key;
     return *(const double *)now - submission->sent_at > ANSWER_TIMEOUT_S;
 }
--- a/src/sharding/shard.c
+++ b/src/sharding/shard.c
@@ -54,7 +54,7 @@
     return ow_shard_map_find_shard(shard->sharding, zone, type) == (int)shard->index;
 }
 
-/* Removes instances of other shards from a list: the core would take them for its own. */
+/* Removes the machines of other shards from a list: the core would treat them as its own. */
 static void keep_own_machines(const struct ow_shard *shard, GArray *listed)
 {
     for (guint i = listed->len; i > 0; i--) {
@@ -142,7 +142,7 @@
     }
 }
 
-/* Whether the effect may leave. If not, it is freed, and the core gets a reply in its place in its next step.
+/* Whether the effect may be sent. If not, it is freed, and the core receives a reply to it in its next step.
  */
 static bool apply_guard(struct ow_shard *shard, struct ow_effect *effect, enum ow_lease_state lease)
 {
--- a/src/sharding/shard.h
+++ b/src/sharding/shard.h
@@ -1,10 +1,10 @@
 /**
  * @file
- * One shard in this process: a core with a name space of its own. This module translates keys, tags and
- * machines between the core and the outside, and applies the shard's lease guard to every effect.
+ * One shard in this process: a core with its own key namespace. This module translates keys, tags and
+ * machines between the core and the rest of the process, and applies the shard's lease guard to every effect.
  *
- * Invariants: the core sees only machines of its shard; nothing that requires the lease leaves while it is
- * not held.
+ * Invariants: the core sees only machines of its shard; no effect that requires the lease is sent while the
+ * lease is not held.
  */
 #ifndef OW_SHARDING_SHARD_H
 #define OW_SHARDING_SHARD_H
@@ -18,19 +18,19 @@
 #include <glib.h>
 #include <stdint.h>
 
-/** A shard. The shard manager owns it and keeps the failover log; others only read. */
+/** A shard. The shard manager owns it and updates the failover log; read-only for other modules. */
 typedef struct ow_shard {
-    unsigned index;   /**< among the shards of the settings */
-    const char *name; /**< borrowed from the settings */
-    char *key_prefix; /**< of its keys in the key-value store; NULL: the default shard, without one */
-    const GPtrArray *key_prefixes;               /**< of all shards, borrowed */
+    unsigned index;                /**< among the shards of the settings */
+    const char *name;              /**< borrowed from the settings */
+    char *key_prefix;              /**< of its keys in the key-value store; NULL: none, the default shard */
+    const GPtrArray *key_prefixes; /**< of all shards, borrowed */
     const struct ow_sharding_settings *sharding; /**< borrowed */
     struct ow_settings *settings;                /**< the platform's, as this shard sees them */
     struct ow_core *core;
     struct ow_core_status status; /**< after the last step of the core */
     struct ow_lease_guard guard;
     struct ow_failover_log failovers;
-    unsigned withheld; /**< effects that the lease guard has kept back, whole or in part */
+    unsigned withheld; /**< effects that the lease guard has withheld, whole or in part */
 } ow_shard;
 
 /** Creates the shard with this index. The settings, `tuning` and `key_prefixes` (those of all shards) must
@@ -38,7 +38,7 @@
 struct ow_shard *ow_shard_new(const struct ow_sharding_settings *sharding, unsigned index,
                               const struct ow_settings *platform, const struct ow_tuning *tuning,
                               uint64_t nonce, const GPtrArray *key_prefixes);
-/** NULL is not allowed. */
+/** Frees the shard and its core. NULL is not allowed. */
 void ow_shard_free(struct ow_shard *shard);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(ow_shard, ow_shard_free)
 
--- a/src/sharding/shard_dispatch.c
+++ b/src/sharding/shard_dispatch.c
@@ -60,7 +60,7 @@
     g_ptr_array_free(messages, TRUE);
 }
 
-/* The shard that a message is for, or NULL. Messages of the default shard carry no name. */
+/* The shard to which a message is addressed, or NULL. Messages of the default shard have no shard name. */
 static struct ow_shard *find_shard_of_message(const struct ow_dispatch_targets *targets,
                                               const struct ow_peer_message *message)
 {
@@ -93,7 +93,7 @@
         break;
     case OW_PEER_LINK_LOST:
         /* Ignored: in a divided fleet no leader is replaced before its lease has expired, and a lost link
-           does not prove that. */
+           does not prove that it has. */
         break;
     default:
         shard = find_shard_of_message(targets, message);
--- a/src/sharding/shard_keys.c
+++ b/src/sharding/shard_keys.c
@@ -65,7 +65,7 @@
 
 /* ---- new jobs ---- */
 
-/* The key of the job that the request accepts, or NULL. */
+/* The key of the job that the request creates, or NULL if it creates none. */
 static const char *accepted_job_key(const struct ow_store_request *request)
 {
     if (request->op != OW_STORE_TXN || request->comparisons->len != 1)
--- a/src/sharding/shard_manager.c
+++ b/src/sharding/shard_manager.c
@@ -11,7 +11,7 @@
 #include "sharding/shard_map.h"
 #include "sharding/shard_tag.h"
 
-/* Shorter pauses of the process are ordinary scheduling delays. */
+/* Shorter pauses of the process are normal scheduling delays. */
 static const double PAUSE_MIN_S = 0.5;
 
 struct ow_shard_manager {
@@ -53,7 +53,7 @@
                                                       manager->key_prefixes));
 }
 
-/* Creates what a divided fleet needs. */
+/* Creates the shards and the other components of a divided fleet. */
 static void divide(struct ow_shard_manager *manager, const struct ow_tuning *tuning, uint64_t nonce)
 {
     const struct ow_settings *settings = manager->settings;
@@ -214,7 +214,7 @@
 
 double ow_shard_manager_idle_seconds(const struct ow_shard_manager *manager)
 {
-    /* The value is the same for every core. */
+    /* All cores have the same value. */
     return ow_core_idle_seconds(manager->core != NULL ? manager->core : shard_at(manager, 0)->core);
 }
 
@@ -250,7 +250,7 @@
             is_lease_in_doubt = true;
     }
     if (is_lease_in_doubt)
-        g_info("process paused, nothing leaves before its leases are proven: pause_s=%.2f", paused_s);
+        g_info("process paused, effects withheld until leases are confirmed: pause_s=%.2f", paused_s);
     return is_lease_in_doubt;
 }
 
--- a/src/sharding/shard_map.c
+++ b/src/sharding/shard_map.c
@@ -57,7 +57,7 @@
     g_hash_table_replace(values, name, value);
 }
 
-/* The names of zones or types as one text (g_free). */
+/* The names of zones or types, separated by spaces (g_free). */
 static char *join_names(char **list)
 {
     return list != NULL ? g_strjoinv(" ", list) : g_strdup("(all others)");
@@ -106,7 +106,7 @@
     return g_list_sort(g_hash_table_get_keys(values), (GCompareFunc)strcmp);
 }
 
-/* The difference in one value, in words (g_free), or NULL. */
+/* A description of the difference in one value (g_free); NULL: none. */
 static char *value_difference(const char *name, GHashTable *ours, GHashTable *stored)
 {
     const char *our_value = g_hash_table_lookup(ours, name);
@@ -117,12 +117,13 @@
                            our_value != NULL ? our_value : "", stored_value != NULL ? stored_value : "");
 }
 
-/* The first difference by the names of one of the tables, in words (g_free), or NULL. */
+/* A description of the first value that differs, in the order of the names in `named` (g_free); NULL: none.
+ */
 static char *first_difference(GHashTable *named, GHashTable *ours, GHashTable *stored)
 {
     g_autoptr(GList) names = sorted_names(named);
-    for (const GList *at = names; at != NULL; at = at->next) {
-        char *difference = value_difference(at->data, ours, stored);
+    for (const GList *node = names; node != NULL; node = node->next) {
+        char *difference = value_difference(node->data, ours, stored);
         if (difference != NULL)
             return difference;
     }
@@ -139,10 +140,10 @@
 {
     g_autoptr(GChecksum) checksum = g_checksum_new(G_CHECKSUM_SHA256);
     g_autoptr(GList) names = sorted_names(values);
-    for (const GList *at = names; at != NULL; at = at->next) {
-        const char *value = g_hash_table_lookup(values, at->data);
-        /* Includes the terminating NUL, so that different tables can't give the same bytes. */
-        g_checksum_update(checksum, at->data, (gssize)strlen(at->data) + 1);
+    for (const GList *node = names; node != NULL; node = node->next) {
+        const char *value = g_hash_table_lookup(values, node->data);
+        /* Includes the terminating NUL, so that different tables never hash the same bytes. */
+        g_checksum_update(checksum, node->data, (gssize)strlen(node->data) + 1);
         g_checksum_update(checksum, (const guchar *)value, (gssize)strlen(value) + 1);
     }
     guint8 digest[SHA256_BYTES];
--- a/src/sharding/shard_platform.c
+++ b/src/sharding/shard_platform.c
@@ -24,7 +24,8 @@
     return parts;
 }
 
-/* Request budgets belong to the shard, not to the controller: a new leader uses those of the previous one. */
+/* Request budgets belong to the shard, not to the controller: a new leader inherits those of the previous
+   one. */
 static void divide_budgets(struct ow_settings *settings, double part)
 {
     settings->store_rps *= part;
@@ -50,7 +51,7 @@
 {
     if (settings == NULL)
         return;
-    /* Everything else is the platform's or the sharding settings'. */
+    /* All other fields are borrowed from the platform's or the sharding settings. */
     g_array_free(settings->teams, TRUE);
     g_free(settings);
 }
--- a/src/sharding/shard_query.c
+++ b/src/sharding/shard_query.c
@@ -45,14 +45,14 @@
         query->answer = answer;
         return;
     }
-    struct ow_effect *surplus = answer;
+    struct ow_effect *discarded = answer;
     if (query->kind == OW_SHARD_QUERY_TEAMS) {
         add_teams(query->answer->teams, answer->teams);
     } else if (evidence_of(answer) > evidence_of(query->answer)) {
-        surplus = query->answer;
+        discarded = query->answer;
         query->answer = answer;
     }
-    ow_effect_free(surplus);
+    ow_effect_free(discarded);
 }
 
 /* The result of a query after a refused submission: the user gets the refusal only if every shard has
@@ -65,7 +65,7 @@
     ow_effect_free(answer);
     struct ow_effect *refusal = g_steal_pointer(&query->refusal);
     /* The transaction failed because another shard has the job, but that shard's core has not read it yet, or
-       the job has ended since. */
+       the job has finished in the meantime. */
     if (refusal->status == OW_HTTP_STATUS_NOT_FOUND)
         ow_effect_refuse_temporarily(refusal, "another shard has accepted this job");
     return refusal;
--- a/src/sharding/shard_query.h
+++ b/src/sharding/shard_query.h
@@ -11,7 +11,7 @@
 
 #include <stdint.h>
 
-/** What is done once all shards have answered. */
+/** The kind of a query, which decides what happens once all shards have answered. */
 enum ow_shard_query_kind {
     OW_SHARD_QUERY_POLL,   /**< the user gets the combined answer */
     OW_SHARD_QUERY_CANCEL, /**< the cancellation is passed to the shard that has the job */
@@ -23,10 +23,10 @@
 /** A pending query; owned by the request router. */
 struct ow_shard_query {
     enum ow_shard_query_kind kind;
-    uint64_t request;          /**< the user's */
-    char id[OW_ID_MAX + 1];    /**< of the job; empty: about teams */
-    unsigned missing;          /**< answers still to come */
-    struct ow_effect *answer;  /**< the best or the sum so far, owned; NULL: none yet */
+    uint64_t request;          /**< number of the user's request */
+    char id[OW_ID_MAX + 1];    /**< of the job; empty for a query about teams */
+    unsigned pending_answers;  /**< number of shards that have not answered yet */
+    struct ow_effect *answer;  /**< the strongest answer or the sum so far, owned; NULL: none yet */
     struct ow_effect *refusal; /**< of a submission, owned; NULL for other kinds */
     double asked_at;           /**< seconds of the monotonic clock */
 };
--- a/src/sharding/shard_tag.h
+++ b/src/sharding/shard_tag.h
@@ -15,7 +15,8 @@
 /** The index that requests of the shard manager itself carry in place of a shard's. */
 enum { OW_SHARD_TAG_MANAGER = OW_SHARDS_MAX };
 
-/** The tag under which the outside replies to a request with tag `tag` of the shard with this index. */
+/** The tag that is sent with a request of the shard with this index, whose core gave it the tag `tag`; the
+ * reply carries the same tag. */
 static inline uint64_t ow_shard_tag_make(unsigned index, uint64_t tag)
 {
     return tag | (uint64_t)index << OW_SHARD_TAG_BITS;
--- a/src/sharding/sharding_settings.c
+++ b/src/sharding/sharding_settings.c
@@ -29,7 +29,7 @@
     g_free(route);
 }
 
-/* sharding_settings.h has the meaning of each. */
+/* Defaults of the fields of struct ow_sharding_settings. */
 static const double DEFAULT_HEARTBEAT_S = 0.5;
 static const double DEFAULT_SUSPICION_PHI = 8;
 static const double DEFAULT_PROBE_TIMEOUT_S = 1;
--- a/src/sharding/sharding_settings.h
+++ b/src/sharding/sharding_settings.h
@@ -1,6 +1,6 @@
 /**
  * @file
- * How the fleet is divided into shards, which jobs go where, and when a controller is suspected: the
+ * How the fleet is divided into shards, how jobs are routed, and when a controller is suspected: the
  * `control` element of the operators' file as plain data. Read by src/config, checked by
  * sharding_settings_check, and not changed after that.
  */
@@ -12,7 +12,7 @@
 #include <glib.h>
 #include <stdbool.h>
 
-/** Tags of requests and messages have room for this many. */
+/** Maximum number of shards; limited by the tags of requests and messages. */
 enum { OW_SHARDS_MAX = 32 };
 
 /** A part of the fleet that one controller at a time leads. All texts are owned. */
@@ -24,7 +24,8 @@
     unsigned long line; /**< of the file, for error texts */
 };
 
-/** A shard's share of one team's quota, guaranteed and limit alike. All texts are owned. */
+/** A shard's share of one team's quota; applies to the guaranteed quota and to the limit. All texts are
+ * owned. */
 struct ow_allotment {
     char *team;
     char *shard;
@@ -32,8 +33,8 @@
     unsigned long line; /**< of the file, for error texts */
 };
 
-/** Which shards may take a job: the first route that matches counts, and jobs without one may go to any
- * shard. All texts are owned. */
+/** Restricts the shards of matching jobs: the first route that matches applies, and jobs without one may go
+ * to any shard. All texts are owned. */
 struct ow_route {
     char *class_name;   /**< NULL: any */
     char *team;         /**< NULL: any */
@@ -44,10 +45,10 @@
 
 /** All settings of a divided fleet. */
 typedef struct ow_sharding_settings {
-    bool is_enabled;         /**< the element is there: the fleet is divided */
+    bool is_enabled;         /**< the element is present: the fleet is divided */
     unsigned long line;      /**< of the element, for error texts */
-    double heartbeat_s;      /**< between heartbeats of a controller */
-    double suspicion_phi;    /**< a controller with a phi from here on is probed, and then suspected */
+    double heartbeat_s;      /**< interval between a controller's heartbeats */
+    double suspicion_phi;    /**< threshold of phi at which a controller is probed, and then suspected */
     double probe_timeout_s;  /**< how long an indirect probe waits for replies */
     unsigned relays;         /**< how many controllers an indirect probe asks */
     double candidacy_step_s; /**< delay of each next candidate before it takes the key of a shard without a
@@ -57,7 +58,7 @@
     GPtrArray *routes;       /**< struct ow_route, owned */
 } ow_sharding_settings;
 
-/** Settings that are switched off, with the default values; free with ow_sharding_settings_free(). */
+/** Creates settings that are not enabled, with the default values; free with ow_sharding_settings_free(). */
 struct ow_sharding_settings *ow_sharding_settings_new(void);
 /** Frees the settings and what they own. NULL is allowed. */
 void ow_sharding_settings_free(struct ow_sharding_settings *sharding);
--- a/src/sharding/sharding_settings_check.c
+++ b/src/sharding/sharding_settings_check.c
@@ -6,11 +6,11 @@
 
 /* Tolerance for rounding errors in sums of shares. */
 static const double SHARE_SLACK = 1e-9;
-/* Upper bound of the leader's lease as a share of the workers' lease: a leader must notice its expiry long
-   before theirs. */
+/* Upper bound of the leader's lease as a fraction of the workers' lease: a leader must detect its own expiry
+   well before theirs. */
 static const double LEASE_SHARE_MAX = 0.5;
-/* The store allows this many times as many comparisons as mutations in a transaction. A new job is compared
-   with the keys of all shards, so that this bounds their number. */
+/* The store allows this many comparisons per mutation in a transaction. The transaction for a new job
+   compares a key of every shard, so this limits the number of shards. */
 enum { COMPARISONS_PER_MUTATION = 4 };
 
 G_DEFINE_QUARK(ow_sharding_settings_error, ow_sharding_settings_error)
@@ -42,7 +42,7 @@
     }
     if (sharding->shards->len > shards_max) {
         g_set_error(error, OW_SHARDING_SETTINGS_ERROR, OW_SHARDING_SETTINGS_ERROR_SHARD_COUNT,
-                    "line %lu: control: has %u shards, and at most %u are possible", sharding->line,
+                    "line %lu: control: has %u shards, the maximum is %u", sharding->line,
                     sharding->shards->len, shards_max);
         return false;
     }
@@ -70,8 +70,7 @@
 
 /* ---- each shard ---- */
 
-/* A machine type that both shards name, or "any other" if neither names types; NULL: they have none in
- * common. */
+/* A machine type that both shards list, or "any other" if neither lists types; NULL: none in common. */
 static const char *common_type(const struct ow_shard_settings *one, const struct ow_shard_settings *other)
 {
     if (one->types == NULL || other->types == NULL)
@@ -90,7 +89,7 @@
         if (!contains(shard->zones, *zone))
             continue;
         g_set_error(error, OW_SHARDING_SETTINGS_ERROR, OW_SHARDING_SETTINGS_ERROR_SHARD,
-                    "line %lu: shard %s: has %s type in zone %s, and so has shard %s", shard->line,
+                    "line %lu: shard %s: %s type in zone %s already belongs to shard %s", shard->line,
                     shard->name, type, *zone, earlier->name);
         return false;
     }
@@ -103,7 +102,8 @@
     if (sharding->shards->len == 1 || strcmp(shard->name, OW_DEFAULT_SHARD) != 0)
         return true;
     g_set_error(error, OW_SHARDING_SETTINGS_ERROR, OW_SHARDING_SETTINGS_ERROR_SHARD,
-                "line %lu: shard %s: this name is for the only shard of a fleet", shard->line, shard->name);
+                "line %lu: shard %s: this name is reserved for a fleet with a single shard", shard->line,
+                shard->name);
     return false;
 }
 
@@ -127,7 +127,7 @@
         const struct ow_shard_settings *earlier = g_ptr_array_index(sharding->shards, i);
         if (strcmp(earlier->name, shard->name) == 0) {
             g_set_error(error, OW_SHARDING_SETTINGS_ERROR, OW_SHARDING_SETTINGS_ERROR_SHARD,
-                        "line %lu: shard %s: is there twice", shard->line, shard->name);
+                        "line %lu: shard %s: is defined twice", shard->line, shard->name);
             return false;
         }
         if (!check_overlap(earlier, shard, error))
@@ -148,7 +148,7 @@
     return true;
 }
 
-/* ---- coverage: every machine must belong to a shard, whatever its type ---- */
+/* ---- coverage: machines of every type must belong to a shard ---- */
 
 static bool is_covered(const struct ow_sharding_settings *sharding, const char *zone)
 {
@@ -167,7 +167,7 @@
         if (is_covered(sharding, *zone))
             continue;
         g_set_error(error, OW_SHARDING_SETTINGS_ERROR, OW_SHARDING_SETTINGS_ERROR_COVERAGE,
-                    "line %lu: control: no shard takes the types of zone %s that no shard names",
+                    "line %lu: control: zone %s has no shard for machine types that no shard lists",
                     sharding->line, *zone);
         return false;
     }
