--- a/src/core/leader/leader.c
+++ b/src/core/leader/leader.c
@@ -41,7 +41,7 @@
     leader->executions = g_ptr_array_new();
     leader->cycle.image_demand = ow_image_demand_new_table();
     leader->cycle.shortlists = ow_shortlists_new();
-    leader->cycle.allowances = ow_reason_new_allowances();
+    leader->cycle.machine_counts = ow_reason_new_machine_counts();
     leader->record_values = g_ptr_array_new_with_free_func(ow_record_value_free);
     leader->fleet = ow_fleet_new();
     leader->scale_out = ow_scale_out_new();
@@ -77,7 +77,7 @@
     g_ptr_array_free(leader->record_values, TRUE);
     g_array_free(leader->cycle.image_demand, TRUE);
     g_array_free(leader->cycle.shortlists, TRUE);
-    g_array_free(leader->cycle.allowances, TRUE);
+    g_array_free(leader->cycle.machine_counts, TRUE);
     ow_machine_type_polling_free(leader->machine_type_polling);
     ow_leader_broadcast_free(leader->broadcast);
     ow_quota_free(leader->quota);
--- a/src/core/leader/leader_state.h
+++ b/src/core/leader/leader_state.h
@@ -30,7 +30,7 @@
     double last_at;              /* when the last one began: cycle_timer.c, as `due` */
     GArray *image_demand;        /* image_demand.c; by image */
     GArray *shortlists;          /* shortlist.c; by class */
-    GArray *allowances;          /* reason.c */
+    GArray *machine_counts;      /* reason.c */
     bool gang_has_hold_priority; /* gang_hold_priority.c: a gang keeps its holds to start in time */
     int gpu_rank;                /* gpu_reserve.c: the most urgent rank among open jobs that need GPUs */
     double gpu_cpus;             /* gpu_reserve.c: CPUs that a GPU needs to be of use, by the open jobs */
--- a/src/core/scheduling/array_preemption.c
+++ b/src/core/scheduling/array_preemption.c
@@ -28,7 +28,7 @@
     g_autoptr(GArray) candidates = ow_candidates_new();
     for (guint i = 0; i < machines->len; i++) {
         struct ow_machine *machine = g_ptr_array_index(machines, i);
-        if (!ow_placement_is_permitted(leader, execution, machine))
+        if (!ow_placement_is_eligible(leader, execution, machine))
             continue;
         struct ow_candidate candidate = {
             .machine = machine,
@@ -84,7 +84,7 @@
     g_autoptr(GArray) made_zones = g_array_new(FALSE, FALSE, sizeof(int));
     for (guint i = 0; i < machines->len && wanted > 0; i++) {
         struct ow_machine *machine = g_ptr_array_index(machines, i);
-        if (!ow_placement_is_permitted(leader, execution, machine))
+        if (!ow_placement_is_eligible(leader, execution, machine))
             continue;
         if (only_zone != OW_NO_NAME && machine->zone != only_zone)
             continue;
--- a/src/core/scheduling/candidates.c
+++ b/src/core/scheduling/candidates.c
@@ -36,7 +36,7 @@
     bool only_cheap = ow_price_filter_applies(leader, execution);
     for (guint i = 0; i < machines->len; i++) {
         struct ow_machine *machine = g_ptr_array_index(machines, i);
-        if (!ow_placement_is_permitted(leader, execution, machine))
+        if (!ow_placement_is_eligible(leader, execution, machine))
             continue;
         uint32_t slots = ow_placement_slots(leader, spec, machine);
         if (slots == 0)
@@ -73,7 +73,7 @@
     const GPtrArray *machines = ow_shortlist_find_with_preemption(leader, spec->class_index);
     for (guint i = 0; i < machines->len; i++) {
         struct ow_machine *machine = g_ptr_array_index(machines, i);
-        if (!ow_placement_is_permitted(leader, execution, machine))
+        if (!ow_placement_is_eligible(leader, execution, machine))
             continue;
         uint32_t slots = MIN(ow_preempt_slots(leader, execution, machine), execution->count);
         if (slots == 0)
--- a/src/core/scheduling/deadline.c
+++ b/src/core/scheduling/deadline.c
@@ -42,7 +42,7 @@
     return seconds_left(leader, execution) >= HOPEFUL_RUN_TIMES * remaining_s + delay_s;
 }
 
-bool ow_deadline_is_kept(const struct ow_leader *leader, const struct ow_attempt *attempt)
+bool ow_deadline_can_be_met(const struct ow_leader *leader, const struct ow_attempt *attempt)
 {
     return ow_deadline_is_set(attempt->job->execution) && ow_deadline_allows_delay(leader, attempt, 0);
 }
--- a/src/core/scheduling/deadline.h
+++ b/src/core/scheduling/deadline.h
@@ -23,7 +23,7 @@
 /** Whether the job has a deadline that it can't meet any more. */
 bool ow_deadline_is_missed(const struct ow_leader *leader, const struct ow_execution *execution);
 /** Whether the task's job has a deadline that the task will have kept, as it runs now. */
-bool ow_deadline_is_kept(const struct ow_leader *leader, const struct ow_attempt *attempt);
+bool ow_deadline_can_be_met(const struct ow_leader *leader, const struct ow_attempt *attempt);
 /** Whether the task would still keep its job's deadline if it were `delay_s` seconds behind. */
 bool ow_deadline_allows_delay(const struct ow_leader *leader, const struct ow_attempt *attempt,
                               double delay_s);
--- a/src/core/scheduling/placement.c
+++ b/src/core/scheduling/placement.c
@@ -25,8 +25,8 @@
     return spec->submission->spot || !machine->spot;
 }
 
-bool ow_placement_is_permitted(const struct ow_leader *leader, const struct ow_execution *execution,
-                               const struct ow_machine *machine)
+bool ow_placement_is_eligible(const struct ow_leader *leader, const struct ow_execution *execution,
+                              const struct ow_machine *machine)
 {
     if (!ow_machine_is_usable(leader, machine))
         return false;
@@ -83,8 +83,8 @@
     return taken;
 }
 
-uint32_t ow_placement_slots_beside(const struct ow_leader *leader, const struct ow_job_spec *spec,
-                                   const struct ow_machine *machine, const struct ow_resources *used)
+uint32_t ow_placement_slots_with_usage(const struct ow_leader *leader, const struct ow_job_spec *spec,
+                                       const struct ow_machine *machine, const struct ow_resources *used)
 {
     const struct ow_machine_type *type = ow_machine_type_of(leader, machine);
     if (type == NULL)
@@ -103,7 +103,7 @@
 uint32_t ow_placement_slots(const struct ow_leader *leader, const struct ow_job_spec *spec,
                             const struct ow_machine *machine)
 {
-    return ow_placement_slots_beside(leader, spec, machine, &machine->load.used);
+    return ow_placement_slots_with_usage(leader, spec, machine, &machine->load.used);
 }
 
 uint32_t ow_placement_zone_admits(const struct ow_execution *execution, int zone)
--- a/src/core/scheduling/placement.h
+++ b/src/core/scheduling/placement.h
@@ -22,8 +22,8 @@
 /** Whether the job's own rules (type, zone, spot) allow the machine. */
 bool ow_placement_is_allowed(const struct ow_job_spec *spec, const struct ow_machine *machine);
 /** Whether tasks of the execution may be placed there now, apart from the question of capacity. */
-bool ow_placement_is_permitted(const struct ow_leader *leader, const struct ow_execution *execution,
-                               const struct ow_machine *machine);
+bool ow_placement_is_eligible(const struct ow_leader *leader, const struct ow_execution *execution,
+                              const struct ow_machine *machine);
 /** Tasks that fit an empty machine of the type. */
 uint32_t ow_placement_slots_on_empty(const struct ow_machine_type *type, const struct ow_resources *need);
 /** Tasks of the job that fit the machine's free capacity: beside attempts, unknown tasks and what is held. 0
@@ -31,8 +31,8 @@
 uint32_t ow_placement_slots(const struct ow_leader *leader, const struct ow_job_spec *spec,
                             const struct ow_machine *machine);
 /** The same if attempts used `used` of the machine. */
-uint32_t ow_placement_slots_beside(const struct ow_leader *leader, const struct ow_job_spec *spec,
-                                   const struct ow_machine *machine, const struct ow_resources *used);
+uint32_t ow_placement_slots_with_usage(const struct ow_leader *leader, const struct ow_job_spec *spec,
+                                       const struct ow_machine *machine, const struct ow_resources *used);
 /** How many more tasks the job's zone rules admit in the zone, given the attempts that may exist. */
 uint32_t ow_placement_zone_admits(const struct ow_execution *execution, int zone);
 
--- a/src/core/scheduling/preempt.c
+++ b/src/core/scheduling/preempt.c
@@ -41,7 +41,7 @@
     if (attempt->incarnation != attempt->machine->liveness.incarnation || attempt->not_preemptible)
         return false;
     /* A job that can't be in time any more takes nothing from one that still can. */
-    if (ow_deadline_is_missed(leader, execution) && ow_deadline_is_kept(leader, attempt))
+    if (ow_deadline_is_missed(leader, execution) && ow_deadline_can_be_met(leader, attempt))
         return false;
     if (other->submission->rank > spec->submission->rank)
         return true;
@@ -64,7 +64,7 @@
 {
     double work_s = lost_work_s(leader, attempt);
     bool loses_deadline =
-        ow_deadline_is_kept(leader, attempt) && !ow_deadline_allows_delay(leader, attempt, work_s);
+        ow_deadline_can_be_met(leader, attempt) && !ow_deadline_allows_delay(leader, attempt, work_s);
     return work_s + (loses_deadline ? DEADLINE_MISSED_BY_STOP_S : 0);
 }
 
@@ -74,7 +74,7 @@
 {
     struct ow_resources used = machine->load.used;
     ow_resources_add(&used, gone, -1);
-    return ow_placement_slots_beside(leader, spec, machine, &used);
+    return ow_placement_slots_with_usage(leader, spec, machine, &used);
 }
 
 static void add_need(struct ow_resources *sum, const struct ow_attempt *attempt)
--- a/src/core/scheduling/promotion.c
+++ b/src/core/scheduling/promotion.c
@@ -58,7 +58,7 @@
     return ow_promotion_is_promoted(execution) ? OW_RANK_CRITICAL : execution->job->spec->submission->rank;
 }
 
-bool ow_promotion_can_begin_in_time(double age_s)
+bool ow_promotion_can_start_in_time(double age_s)
 {
     return age_s < BEGIN_S;
 }
--- a/src/core/scheduling/promotion.h
+++ b/src/core/scheduling/promotion.h
@@ -22,6 +22,6 @@
 /** The rank by which the execution is queued: that of its job, or the most urgent one if it is promoted. */
 enum ow_rank ow_promotion_rank(const struct ow_execution *execution);
 /** Whether a starving job of this age can still begin within the time that every job is to begin in. */
-bool ow_promotion_can_begin_in_time(double age_s);
+bool ow_promotion_can_start_in_time(double age_s);
 
 #endif
--- a/src/core/scheduling/queue.c
+++ b/src/core/scheduling/queue.c
@@ -117,7 +117,7 @@
     /* Of starving jobs those that can still begin in time go first: in order of age, with too much load, none
        would begin in time. */
     if (execution->is_starving)
-        return ow_promotion_can_begin_in_time(age_s) ? 0 : 1;
+        return ow_promotion_can_start_in_time(age_s) ? 0 : 1;
     unsigned missed = ow_class_missed_start_slos(leader->core, execution->job->spec->class_index, age_s);
     return missed + (ow_deadline_is_missed(leader, execution) ? 1 : 0);
 }
--- a/src/core/scheduling/reason.c
+++ b/src/core/scheduling/reason.c
@@ -21,14 +21,14 @@
     uint32_t usable;
 };
 
-GArray *ow_reason_new_allowances(void)
+GArray *ow_reason_new_machine_counts(void)
 {
     return g_array_new(FALSE, FALSE, sizeof(struct allowance));
 }
 
 void ow_reason_begin_cycle(struct ow_leader *leader)
 {
-    g_array_set_size(leader->cycle.allowances, 0);
+    g_array_set_size(leader->cycle.machine_counts, 0);
 }
 
 static bool is_for(const struct allowance *allowance, const struct ow_job_spec *spec)
@@ -56,13 +56,13 @@
 /* How many machines such jobs allow, from the cycle's cache if it has been counted. */
 static struct allowance find_allowance(struct ow_leader *leader, const struct ow_job_spec *spec)
 {
-    for (guint i = 0; i < leader->cycle.allowances->len; i++) {
-        const struct allowance *allowance = &g_array_index(leader->cycle.allowances, struct allowance, i);
+    for (guint i = 0; i < leader->cycle.machine_counts->len; i++) {
+        const struct allowance *allowance = &g_array_index(leader->cycle.machine_counts, struct allowance, i);
         if (is_for(allowance, spec))
             return *allowance;
     }
     struct allowance count = count_machines(leader, spec);
-    g_array_append_val(leader->cycle.allowances, count);
+    g_array_append_val(leader->cycle.machine_counts, count);
     return count;
 }
 
--- a/src/core/scheduling/reason.h
+++ b/src/core/scheduling/reason.h
@@ -13,7 +13,7 @@
 struct ow_leader;
 
 /** The empty cache of a leader, of machine counts by demand; freed with g_array_free(). */
-GArray *ow_reason_new_allowances(void);
+GArray *ow_reason_new_machine_counts(void);
 /** Begins a cycle: drops the machine counts of the previous one. */
 void ow_reason_begin_cycle(struct ow_leader *leader);
 /** Sets the reason of the execution's job, or clears it if no task waits. */
--- a/src/core/scheduling/replica_move.c
+++ b/src/core/scheduling/replica_move.c
@@ -16,7 +16,7 @@
     return attempt->state == OW_ATTEMPT_SEEN && attempt->phase == OW_PHASE_RUNNING && !attempt->is_stopping;
 }
 
-uint32_t ow_replica_move_missing(const struct ow_execution *execution)
+uint32_t ow_replica_move_count_missing(const struct ow_execution *execution)
 {
     uint32_t serving = 0;
     for (guint i = 0; i < execution->attempts->len; i++) {
@@ -48,7 +48,7 @@
                       const struct ow_machine *machine)
 {
     const struct ow_job_spec *spec = execution->job->spec;
-    return has_image(machine, spec->image) && ow_placement_is_permitted(leader, execution, machine) &&
+    return has_image(machine, spec->image) && ow_placement_is_eligible(leader, execution, machine) &&
            ow_placement_slots(leader, spec, machine) > 0 && !has_attempt_on(execution, machine);
 }
 
--- a/src/core/scheduling/replica_move.h
+++ b/src/core/scheduling/replica_move.h
@@ -16,7 +16,7 @@
 struct ow_machine;
 
 /** How many of the service's replicas don't serve now: their tasks don't run, or are being stopped. */
-uint32_t ow_replica_move_missing(const struct ow_execution *execution);
+uint32_t ow_replica_move_count_missing(const struct ow_execution *execution);
 /** A machine where a replica could start at once, apart from the others of its service and outside a zone
  * (OW_NO_NAME: in any); NULL: none has capacity and the image. */
 struct ow_machine *ow_replica_move_find_target(const struct ow_leader *leader,
--- a/src/core/scheduling/replica_separation.c
+++ b/src/core/scheduling/replica_separation.c
@@ -52,7 +52,7 @@
         if (leader->core->now - attempt->placed_at < CALM_S)
             return false;
     }
-    return leader->core->now - leader->ready_at >= CALM_S && ow_replica_move_missing(execution) == 0;
+    return leader->core->now - leader->ready_at >= CALM_S && ow_replica_move_count_missing(execution) == 0;
 }
 
 void ow_replica_separation_consider(struct ow_leader *leader, struct ow_execution *execution)
--- a/src/core/scheduling/service_moves.c
+++ b/src/core/scheduling/service_moves.c
@@ -63,7 +63,7 @@
 static bool may_miss_one_more(const struct ow_leader *leader, const struct ow_execution *execution,
                               double left_s)
 {
-    return ow_replica_move_missing(execution) < MOVES_MAX ||
+    return ow_replica_move_count_missing(execution) < MOVES_MAX ||
            count_leaving(leader, execution) * MOVE_S > left_s - LAST_MOVE_S;
 }
 
@@ -128,7 +128,7 @@
         if (i > machine->load.attempts->len)
             continue;
         struct ow_attempt *attempt = g_ptr_array_index(machine->load.attempts, i - 1);
-        if (!is_movable(attempt) || ow_replica_move_missing(attempt->job->execution) >= MOVES_MAX)
+        if (!is_movable(attempt) || ow_replica_move_count_missing(attempt->job->execution) >= MOVES_MAX)
             continue;
         struct ow_machine *target = ow_replica_move_find_target(leader, attempt->job->execution, OW_NO_NAME);
         if (target != NULL)
