--- a/src/core/scheduling/array_preemption.c
+++ b/src/core/scheduling/array_preemption.c
@@ -12,7 +12,8 @@
 #include "model/resources.h"
 #include "model/submission.h"
 
-/* Whether other work may be stopped for the execution at all. */
+/* Whether work may be stopped for the execution at all: low rank only reclaims quota, and arrays with zone
+   rules never preempt. */
 static bool may_preempt(const struct ow_leader *leader, const struct ow_execution *execution)
 {
     const struct ow_submission *submission = execution->job->spec->submission;
@@ -21,7 +22,7 @@
     return ow_execution_is_service(execution) || (!submission->one_zone && !submission->spread);
 }
 
-/* The zone where stopping less urgent work makes most capacity for tasks that must stay together. */
+/* The zone in which preemption gives most slots, for tasks that must be in one zone. */
 static int best_zone_with_preemption(struct ow_leader *leader, const struct ow_execution *execution,
                                      const GPtrArray *machines)
 {
@@ -39,28 +40,28 @@
     return ow_candidates_best_zone(execution, candidates);
 }
 
-/* Replicas the zone still admits, given the zones (int) of the slots that were made in this cycle. */
-static uint32_t zone_still_admits(const struct ow_execution *execution, const GArray *made_zones, int zone)
+/* How many more replicas the zone admits, given the zones (int) of the slots freed in this cycle. */
+static uint32_t zone_still_admits(const struct ow_execution *execution, const GArray *freed_zones, int zone)
 {
     uint32_t admitted = ow_placement_zone_admits(execution, zone);
-    for (guint i = 0; i < made_zones->len && admitted > 0; i++) {
-        if (g_array_index(made_zones, int, i) == zone)
+    for (guint i = 0; i < freed_zones->len && admitted > 0; i++) {
+        if (g_array_index(freed_zones, int, i) == zone)
             admitted--;
     }
     return admitted;
 }
 
-/* How many tasks to make capacity for on one machine in the zone. Replicas are kept apart: a machine of its
-   own for each, if need be. */
-static uint32_t slots_wanted(const struct ow_execution *execution, const GArray *made_zones, int zone,
-                             uint32_t wanted)
+/* How many slots to free on one machine in the zone. Replicas are kept apart: at most one slot on each
+   machine. */
+static uint32_t slots_to_free(const struct ow_execution *execution, const GArray *freed_zones, int zone,
+                              uint32_t wanted)
 {
     if (!ow_execution_is_service(execution))
         return wanted;
-    return MIN(zone_still_admits(execution, made_zones, zone), 1);
+    return MIN(zone_still_admits(execution, freed_zones, zone), 1);
 }
 
-/* Stops work on the machine for up to `wanted` tasks; returns for how many there will be capacity. */
+/* Stops work on the machine to free up to `wanted` slots, and holds them; returns how many. */
 static uint32_t preempt_on(struct ow_leader *leader, const struct ow_execution *execution,
                            struct ow_machine *machine, uint32_t wanted)
 {
@@ -81,17 +82,17 @@
     const GPtrArray *machines = ow_shortlist_find_with_preemption(leader, spec->class_index);
     int only_zone =
         spec->submission->one_zone ? best_zone_with_preemption(leader, execution, machines) : OW_NO_NAME;
-    g_autoptr(GArray) made_zones = g_array_new(FALSE, FALSE, sizeof(int));
+    g_autoptr(GArray) freed_zones = g_array_new(FALSE, FALSE, sizeof(int));
     for (guint i = 0; i < machines->len && wanted > 0; i++) {
         struct ow_machine *machine = g_ptr_array_index(machines, i);
         if (!ow_placement_is_eligible(leader, execution, machine))
             continue;
         if (only_zone != OW_NO_NAME && machine->zone != only_zone)
             continue;
-        uint32_t limit = slots_wanted(execution, made_zones, machine->zone, wanted);
-        uint32_t made = preempt_on(leader, execution, machine, limit);
-        if (made > 0)
-            g_array_append_val(made_zones, machine->zone);
-        wanted -= made;
+        uint32_t limit = slots_to_free(execution, freed_zones, machine->zone, wanted);
+        uint32_t freed = preempt_on(leader, execution, machine, limit);
+        if (freed > 0)
+            g_array_append_val(freed_zones, machine->zone);
+        wanted -= freed;
     }
 }
--- a/src/core/scheduling/array_start.c
+++ b/src/core/scheduling/array_start.c
@@ -15,33 +15,33 @@
 #include "core/scheduling/quota_reclaim.h"
 #include "model/cloud.h"
 
-/* The share of a class's slack that tasks may wait for a machine with their image, if a fetch is expensive.
- */
-static const double IMAGE_PATIENCE_SHARE = 0.9;
-/* A fetch so short is never worth waiting for. */
+/* The share of the slack for which tasks may wait for a machine with their image if a fetch takes longer
+   than a run. */
+static const double IMAGE_WAIT_SHARE = 0.9;
+/* A fetch of at most this long is never worth waiting for. */
 static const double SHORT_FETCH_S = 10;
-/* Of two waits, one is clearly the longer if it takes so many times as long. */
-static const double CLEARLY_LONGER_TIMES = 2;
-/* The machine has no image that other work of the class waits for. */
-static const double NO_WAIT_S = -1;
+/* One wait counts as clearly longer than another if it takes at least this many times as long. */
+static const double LONGER_WAIT_FACTOR = 2;
+/* Result if the machine has no image that other work of the class waits for. */
+static const double NO_WAITING_WORK_S = -1;
 
-/* The start of an array's tasks in one scheduling cycle. */
+/* State of starting an array's tasks in one scheduling cycle. */
 struct array_start {
     struct ow_execution *execution;
-    uint64_t attempt; /* the number of the attempts */
+    uint64_t attempt; /* attempt number of the tasks started */
     uint32_t wanted;  /* tasks to start */
-    uint32_t placed;  /* of them, those started */
+    uint32_t placed;  /* tasks started so far */
     int only_zone;    /* OW_NO_NAME: any */
-    double work_s;    /* of work that waits for the image */
-    double slots;     /* on machines that have the image, or fetch it */
+    double work_s;    /* work that waits for the image: pending tasks times run time */
+    double slots;     /* slots on machines that have the image or fetch it */
 };
 
-/* How long work of the class waits that the machine could start at once with the images it has; NO_WAIT_S:
-   there is none. */
-static double wait_for_its_images_s(struct ow_leader *leader, const struct ow_job_spec *spec,
-                                    const struct ow_machine *machine)
+/* The longest that other work of the class would wait for one of the images that the machine has already;
+   NO_WAITING_WORK_S if there is no such work. */
+static double longest_wait_for_local_images_s(struct ow_leader *leader, const struct ow_job_spec *spec,
+                                              const struct ow_machine *machine)
 {
-    double longest_s = NO_WAIT_S;
+    double longest_s = NO_WAITING_WORK_S;
     for (guint i = 0; i < machine->load.images->len; i++) {
         const struct ow_image_copy *copy = &g_array_index(machine->load.images, struct ow_image_copy, i);
         const struct ow_image_demand *demand = ow_image_demand_of(leader, copy->image);
@@ -54,10 +54,11 @@
     return longest_s;
 }
 
-/* Whether to leave a machine without the image alone: those that have it complete the work sooner, in
-   `wait_s`, than it could fetch the image, and the SLOs of the class leave the time. */
-static bool is_better_to_wait(struct ow_leader *leader, const struct array_start *start,
-                              const struct ow_machine *machine)
+/* Whether to leave out a machine without the image: the machines that have it will complete the waiting
+   work within `wait_s`, sooner than this one could fetch the image, and the SLOs of the class allow the
+   wait. */
+static bool should_wait_for_image(struct ow_leader *leader, const struct array_start *start,
+                                  const struct ow_machine *machine)
 {
     if (start->slots <= 0)
         return false;
@@ -66,24 +67,25 @@
     double wait_s = start->work_s / start->slots;
     double fetch_s = ow_machine_fetch_seconds(leader, machine, spec);
     bool starves = execution->is_starving && start->placed == 0;
-    /* Capacity that others are stopped for must be taken, or they would be put there and stopped again. */
+    /* Capacity for which other work is stopped must be taken; otherwise that work would be placed there
+       again, and be stopped again. */
     if (fetch_s <= SHORT_FETCH_S || starves || ow_quota_may_reclaim(leader, execution))
         return false;
-    /* However late it is, a fetch that takes twice as long as the work that is left helps nobody. */
-    if (CLEARLY_LONGER_TIMES * wait_s < fetch_s)
+    /* Even if the job is late, a fetch that takes twice as long as the remaining work is useless. */
+    if (LONGER_WAIT_FACTOR * wait_s < fetch_s)
         return true;
     double waited_s = leader->core->now - execution->accepted_at + wait_s;
     double slack_s = ow_deadline_slack_s(leader, execution);
     if (wait_s < fetch_s && waited_s < slack_s)
         return true;
-    /* A fetch that takes longer than the work it serves is made only when the SLOs need it, ... */
+    /* A fetch that takes longer than a run of the task is made only if the SLOs require it, ... */
     if (fetch_s <= ow_class_run_time_s(leader->core, spec))
         return false;
-    if (waited_s < IMAGE_PATIENCE_SHARE * slack_s)
+    if (waited_s < IMAGE_WAIT_SHARE * slack_s)
         return true;
-    /* ... and not if it takes the machine from work that waits as long for an image which it has. */
-    double others_wait_s = wait_for_its_images_s(leader, spec, machine);
-    return others_wait_s >= 0 && wait_s < CLEARLY_LONGER_TIMES * MAX(fetch_s, others_wait_s);
+    /* ... and not if it takes the machine from work that waits as long for an image that is on it. */
+    double others_wait_s = longest_wait_for_local_images_s(leader, spec, machine);
+    return others_wait_s >= 0 && wait_s < LONGER_WAIT_FACTOR * MAX(fetch_s, others_wait_s);
 }
 
 static void start_on(struct ow_leader *leader, struct array_start *start,
@@ -106,7 +108,7 @@
     if (start->only_zone != OW_NO_NAME && machine->zone != start->only_zone)
         return;
     if (ow_machine_image(machine, spec->image) == NULL) {
-        if (is_better_to_wait(leader, start, machine))
+        if (should_wait_for_image(leader, start, machine))
             return;
         const struct ow_machine_type *type = ow_machine_type_of(leader, machine);
         start->slots += ow_placement_slots_on_empty(type, &spec->submission->need);
--- a/src/core/scheduling/candidates.c
+++ b/src/core/scheduling/candidates.c
@@ -56,7 +56,7 @@
     return candidates;
 }
 
-/* Inserts the candidate behind all whose score is no higher. */
+/* Inserts the candidate after all whose score is not higher. */
 static void insert_by_score(GArray *candidates, const struct ow_candidate *candidate)
 {
     guint index = 0;
--- a/src/core/scheduling/gang_selection.c
+++ b/src/core/scheduling/gang_selection.c
@@ -8,7 +8,7 @@
 
 #include <math.h>
 
-/* One way to place the members. */
+/* A selection under evaluation. */
 struct selection {
     GArray *picks; /* struct ow_gang_pick */
     uint32_t members_left;
@@ -20,7 +20,7 @@
     return g_array_new(FALSE, FALSE, sizeof(struct ow_gang_pick));
 }
 
-/* How many members the zone rules admit in the zone, beside those picked already. */
+/* How many more members the zone rules admit in the zone, given the picks so far. */
 static uint32_t zone_admits(const struct ow_execution *execution, const GArray *picks, int zone,
                             int only_zone)
 {
@@ -38,7 +38,7 @@
     return admits;
 }
 
-/* Picks machines for as many members as the candidates have slots for, in their order. */
+/* Picks machines for as many members as possible, taking the candidates in their order. */
 static struct selection select_in_order(const struct ow_execution *execution, const GArray *candidates,
                                         int only_zone)
 {
@@ -64,7 +64,7 @@
     return selection->score_s < best->score_s;
 }
 
-/* Copies `selection` to `best` if it is better. Its picks are freed. */
+/* Copies `selection` to `best` if it is better. Frees the picks of `selection` in either case. */
 static void keep_if_better(struct selection *best, struct selection *selection)
 {
     if (is_better(selection, best)) {
@@ -76,7 +76,7 @@
     g_array_free(selection->picks, TRUE);
 }
 
-/* Whether one of the first `end` candidates is in the zone. */
+/* Whether one of the first `end` candidates is in the zone: the zone has been tried already. */
 static bool is_zone_before(const GArray *candidates, guint end, int zone)
 {
     for (guint i = 0; i < end; i++) {
--- a/src/core/scheduling/gang_start.c
+++ b/src/core/scheduling/gang_start.c
@@ -12,15 +12,15 @@
 #include "core/scheduling/reservation.h"
 #include "model/resources.h"
 
-/* Stopping work for a gang is considered no more often than once in this time. */
+/* Shortest interval between two decisions on preemption for the same gang. */
 static const double PREEMPTION_INTERVAL_S = 0.5;
-/* A gang that has dropped its holds at the waiting limit holds again after this share of the limit. */
+/* Time after which a suspended gang holds capacity again, as a share of the waiting limit. */
 static const double RESUME_SHARE_OF_LIMIT = 0.25;
 
 /* ---- holds ---- */
 
-/* Each member holds what is selected for it now, and nothing else: a hold left over from an earlier selection
-   would keep capacity from everybody. */
+/* Replaces all holds by the current selection. A hold left over from an earlier selection would block
+   capacity that nobody uses. */
 static void hold_picks(const struct ow_leader *leader, struct ow_reservation *reservation,
                        const GArray *picks)
 {
@@ -35,9 +35,9 @@
     }
 }
 
-/* While the window is open every member collects further candidates. The members of a gang are alike, so
-   their lists have the same machines in the same order; a machine stands in as many lists as it has slots for
-   members. */
+/* Adds the further candidates that members collect while the window is open. The members of a gang are
+   identical, so their lists have the same machines in the same order; a machine is in as many lists as it has
+   slots for members. */
 static void collect_candidates(const struct ow_leader *leader, struct ow_execution *execution,
                                const GArray *candidates)
 {
@@ -52,9 +52,10 @@
     }
 }
 
-/* ---- one try ---- */
+/* ---- attempt to start ---- */
 
-/* The paper's commit: every member starts where it was selected, in one round with one attempt number. */
+/* The commit of docs/design/paper.md: every member starts on its selected machine, in one round with one
+   attempt number. */
 static void start_all(struct ow_leader *leader, struct ow_execution *execution, const GArray *picks)
 {
     uint64_t attempt = ow_execution_next_attempt(execution);
@@ -68,11 +69,12 @@
     }
     g_info("gang starts in one round: job=%s tasks=%u attempt=%" G_GUINT64_FORMAT, execution->job->id,
            execution->count, attempt);
-    /* Holds that were not selected are cancelled with the reservation. */
+    /* Freeing the reservation also cancels the holds that were not selected. */
     g_clear_pointer(&execution->reservation, ow_reservation_free);
 }
 
-/* Stops less urgent work if that makes capacity for every member, and holds it; returns whether it does. */
+/* Stops less urgent work if that frees capacity for every member, and holds that capacity; returns whether it
+   does. */
 static bool preempt_for_all(struct ow_leader *leader, struct ow_execution *execution)
 {
     g_autoptr(GArray) candidates = ow_candidates_find_with_preemption(leader, execution);
@@ -83,12 +85,12 @@
         const struct ow_gang_pick *pick = &g_array_index(picks, struct ow_gang_pick, i);
         ow_preempt_free_slots(leader, execution, pick->machine, pick->members);
     }
-    /* Every member has its machine: the other holds are cancelled. */
+    /* Every member has a machine now; the other holds are cancelled. */
     hold_picks(leader, execution->reservation, picks);
     return true;
 }
 
-/* Drops the holds of a gang that has been short for longer than the limit. */
+/* Suspends a gang that has been short of capacity for longer than the waiting limit: drops its holds. */
 static void suspend_after_limit(const struct ow_leader *leader, struct ow_execution *execution)
 {
     struct ow_reservation *reservation = execution->reservation;
@@ -102,7 +104,7 @@
     g_info("gang holds dropped at the waiting limit: job=%s wait_s=%.0f", execution->job->id, limit_s);
 }
 
-/* Updates the holds of a gang of which some members have no machine. */
+/* Updates the holds of a gang with members for which no machine was selected. */
 static void hold_while_short(const struct ow_leader *leader, struct ow_execution *execution,
                              const GArray *candidates, const GArray *picks)
 {
@@ -127,17 +129,18 @@
     hold_picks(leader, reservation, picks);
 }
 
-/* Stops work for a gang that is short, or updates its holds if that does not help. */
+/* Stops work for a gang that is short of capacity, or updates its holds if stopping work would not free
+   enough. */
 static void wait_for_capacity(struct ow_leader *leader, struct ow_execution *execution,
                               const GArray *candidates, const GArray *picks)
 {
     struct ow_reservation *reservation = execution->reservation;
     double now = leader->core->now;
-    /* Until preemption is considered again, what was selected with it stays held. */
-    bool was_considered_lately = now < reservation->preemption_considered_at + PREEMPTION_INTERVAL_S;
-    if (was_considered_lately && reservation->is_preempting)
+    /* The selection made with preemption stays held until preemption is considered again. */
+    bool was_considered_recently = now < reservation->preemption_considered_at + PREEMPTION_INTERVAL_S;
+    if (was_considered_recently && reservation->is_preempting)
         return;
-    if (!was_considered_lately) {
+    if (!was_considered_recently) {
         reservation->is_preempting = preempt_for_all(leader, execution);
         reservation->preemption_considered_at = now;
     }
@@ -149,32 +152,32 @@
 {
     struct ow_reservation *reservation = ow_reservation_find_or_add(leader, execution);
     ow_reservation_drop_expired_holds(leader, reservation);
-    /* Rule 4: nothing of a gang starts while an earlier attempt is not accounted for. */
+    /* Rule 4: nothing of a gang starts while an earlier attempt may still exist. */
     if (execution->attempts->len > 0)
         return;
     if (ow_team_count_admitted(leader, execution->job->spec, execution->count) < execution->count)
         return;
     g_autoptr(GArray) candidates = ow_candidates_find(leader, execution);
     g_autoptr(GArray) picks = ow_gang_selection_new();
-    /* The window closes as soon as every member has a candidate, which in the leader's own view of the fleet
-       is often at once. */
+    /* The window ends early when every member has a candidate. The leader knows the whole fleet, so this is
+       often the case at once. */
     if (ow_gang_selection_choose(execution, candidates, picks) == 0)
         start_all(leader, execution, picks);
     else
         wait_for_capacity(leader, execution, candidates, picks);
 }
 
-/* Whether other gangs may not take what the gang holds, either: work is being stopped for it, or the gang
-   starves, and smaller ones that starve would otherwise pass it for ever. */
+/* Whether other gangs are excluded from what the gang holds, too: work is being stopped for it, or it is
+   starving, since smaller starving gangs would otherwise overtake it indefinitely, or it has priority. */
 static bool claim_exclusive_holds(struct ow_leader *leader, const struct ow_execution *execution)
 {
     return execution->reservation->is_preempting || execution->is_starving ||
            ow_gang_hold_priority_claim(leader, execution);
 }
 
-/* In general a gang behind in the queue that can start at once may take capacity from one that is short: as
-   in the paper, a candidate in conflict is taken if there is no other, and a large gang would otherwise idle
-   a zone while it fills. */
+/* By default a later gang that can start at once may take capacity from one that is short: as in
+   docs/design/paper.md, a candidate in conflict is taken if there is no other. Otherwise a large gang would
+   leave a zone idle while it waits for the rest of its capacity. */
 void ow_gang_start_subtract_holds(struct ow_leader *leader, const struct ow_execution *execution)
 {
     if (execution->reservation == NULL)
--- a/src/core/scheduling/placement.c
+++ b/src/core/scheduling/placement.c
@@ -11,7 +11,8 @@
 
 #include <math.h>
 
-/* Sums of fractions drift: so much more than what is free still fits, in CPUs, GPUs or gigabytes. */
+/* Sums of fractions accumulate rounding errors: a need that exceeds the free amount by no more than this
+   still fits. In CPUs, GPUs or gigabytes. */
 static const double AMOUNT_TOLERANCE = 1e-6;
 
 bool ow_placement_is_allowed(const struct ow_job_spec *spec, const struct ow_machine *machine)
@@ -36,7 +37,7 @@
            !g_hash_table_contains(execution->failed_machines, machine);
 }
 
-/* How often `need` fits in `free`. */
+/* How many times `need` fits in `free`; OW_MAX_TASKS if there is no need. */
 static double times_fitting(double free, double need)
 {
     if (need <= 0)
@@ -44,7 +45,7 @@
     return floor((free + AMOUNT_TOLERANCE) / need);
 }
 
-/* How many tasks with such a need fit in the free amounts; negative if too much is taken already. */
+/* How many tasks with such a need fit in the free amounts; negative if more is taken than there is. */
 static double tasks_fitting(const struct ow_resources *free, const struct ow_resources *need)
 {
     double cpus = times_fitting(free->cpus, need->cpus);
@@ -58,7 +59,9 @@
     return (uint32_t)tasks_fitting(&type->size, need);
 }
 
-/* CPUs that the machine's free GPUs need to be of use to other work, or are too expensive to be without. */
+/* CPUs kept for the machine's free GPUs, which are useless without CPUs. They are kept if the GPUs are
+   reserved; on an on-demand machine, whose GPUs are too expensive to idle, also from jobs more urgent than
+   rank low and every GPU job. */
 static double cpus_kept_for_gpus(const struct ow_leader *leader, const struct ow_submission *submission,
                                  const struct ow_machine *machine, double free_gpus)
 {
@@ -70,10 +73,10 @@
     return free_gpus * leader->cycle.gpu_cpus;
 }
 
-/* What such a job can't use if attempts use `used`: gangs alone may take what is held for gangs. */
-static struct ow_resources taken_beside(const struct ow_machine *machine,
-                                        const struct ow_submission *submission,
-                                        const struct ow_resources *used)
+/* Capacity that the job can't use if attempts use `used`. Only gangs may take what is held for gangs. */
+static struct ow_resources unavailable_resources(const struct ow_machine *machine,
+                                                 const struct ow_submission *submission,
+                                                 const struct ow_resources *used)
 {
     struct ow_resources taken = *used;
     ow_resources_add(&taken, &machine->load.unknown_tasks_use, 1);
@@ -89,7 +92,7 @@
     const struct ow_machine_type *type = ow_machine_type_of(leader, machine);
     if (type == NULL)
         return 0;
-    struct ow_resources taken = taken_beside(machine, spec->submission, used);
+    struct ow_resources taken = unavailable_resources(machine, spec->submission, used);
     struct ow_resources free = {
         .cpus = type->size.cpus - taken.cpus,
         .gpus = type->size.gpus - taken.gpus,
@@ -112,11 +115,12 @@
     if (!submission->one_zone && !submission->spread)
         return execution->count;
     uint32_t in_zone = 0;
-    /* Rule 6: against all attempts that may still exist, also of tasks that are done or on their way out. */
+    /* Safety rule 6: all attempts that may still exist count, also those of tasks that are done or being
+       stopped. */
     for (guint i = 0; i < execution->attempts->len; i++) {
         const struct ow_attempt *attempt = g_ptr_array_index(execution->attempts, i);
         int attempt_zone = attempt->machine->zone;
-        /* A machine whose zone is not known may be in any. */
+        /* A machine of unknown zone may be in any zone. */
         if (attempt_zone == OW_NO_NAME || (submission->one_zone && attempt_zone != zone))
             return 0;
         if (attempt_zone == zone)
--- a/src/core/scheduling/placement_score.c
+++ b/src/core/scheduling/placement_score.c
@@ -11,22 +11,23 @@
 #include "model/cloud.h"
 #include "model/submission.h"
 
-/* Seconds that a job which needs no GPUs is worth waiting rather than taking a machine with GPUs. */
+/* How long a job without need of GPUs had better wait than take a machine with GPUs. */
 static const double GPU_WASTE_S = 20;
-/* The same for a machine that a more urgent gang is likely to want whole. */
+/* The same for a machine that a more urgent gang is likely to need as a whole. */
 static const double GANG_DEMAND_S = 15;
-/* Estimates are rough: only a machine so many times slower than expected counts as slow. */
+/* Estimates are rough: a machine counts as slow only beyond this ratio of observed to expected run time. */
 static const double SLOWNESS_TOLERANCE = 1.7;
-/* What a reclaim that also costs the deadline counts, in addition to the run that is lost. */
+/* Added to the lost run time if a reclaim would also make the job miss its deadline. */
 static const double DEADLINE_MISSED_BY_RECLAIM_S = 100;
 
-/* Seconds that the run takes longer than expected, beyond what estimates leave open. */
+/* How much longer than expected the run takes, beyond the tolerance for rough estimates. */
 static double slowness_s(const struct ow_submission *submission, const struct ow_machine *machine)
 {
     return submission->estimate_s * MAX(0, machine->load.slowness - SLOWNESS_TOLERANCE);
 }
 
-/* Less urgent work gets only what GPUs leave over, which is nobody else's loss. */
+/* Applies only to jobs more urgent than rank low and every GPU job: less urgent ones get only what GPU jobs
+   leave over, which is no loss to anybody. */
 static double gpu_waste_s(const struct ow_leader *leader, const struct ow_submission *submission,
                           const struct ow_machine_type *type)
 {
@@ -35,9 +36,9 @@
     return wastes ? GPU_WASTE_S : 0;
 }
 
-/* Whether a class of gangs needs the better part of such a machine for a single task. */
-static bool is_wanted_whole(const struct ow_class *class, const struct ow_machine *machine,
-                            const struct ow_machine_type *type)
+/* Whether one task of the class needs more than half of the machine's CPUs, and fits on it. */
+static bool needs_whole_machine(const struct ow_class *class, const struct ow_machine *machine,
+                                const struct ow_machine_type *type)
 {
     if (!class->spot && machine->spot)
         return false;
@@ -47,7 +48,7 @@
            class->need.memory_gb <= type->size.memory_gb && class->need.gpus <= type->size.gpus;
 }
 
-/* What is put on a machine that a more urgent class of gangs wants whole is likely to be stopped for it. */
+/* Work on a machine that a more urgent class of gangs needs as a whole is likely to be stopped for it. */
 static double gang_demand_s(const struct ow_leader *leader, const struct ow_submission *submission,
                             const struct ow_machine *machine, const struct ow_machine_type *type)
 {
@@ -56,14 +57,14 @@
         const struct ow_class *class = &g_array_index(classes, struct ow_class, i);
         if (!class->seen || !class->gang || class->rank >= submission->rank)
             continue;
-        if (is_wanted_whole(class, machine, type))
+        if (needs_whole_machine(class, machine, type))
             return GANG_DEMAND_S;
     }
     return 0;
 }
 
-/* Seconds that a task with a deadline is expected to lose on a spot machine. Without one it takes its
- * chances. */
+/* Expected loss, in seconds, of a task with a deadline on a spot machine. Without a deadline, or once it is
+   missed, the risk is ignored. */
 static double spot_risk_s(const struct ow_leader *leader, const struct ow_execution *execution,
                           const struct ow_machine *machine)
 {
@@ -76,7 +77,7 @@
     return ow_spot_risk_within(leader, run_time_s) * loss_s;
 }
 
-/* The share of the machine's CPUs that is left with the task there: the smaller, the tighter the fit. */
+/* The share of the machine's CPUs that is left once the task is placed: less means a tighter fit. */
 static double cpu_share_left(const struct ow_submission *submission, const struct ow_machine *machine,
                              const struct ow_machine_type *type)
 {
--- a/src/core/scheduling/preempt.c
+++ b/src/core/scheduling/preempt.c
@@ -13,15 +13,16 @@
 
 #include <math.h>
 
-/* Time that a stop and the heartbeat that shows it take in addition to the checkpoint itself. */
+/* Time that a stop and the heartbeat that reports it take in addition to the checkpoint itself. */
 static const double GRACE_MARGIN_S = 2;
-/* The loss counted for each job that is affected: a job is late with its last task. */
+/* Loss added for each affected job: a job is complete only with its last task, so stopping any task delays
+   all of it. */
 static const double JOB_LOSS_S = 500;
-/* The loss counted for a deadline that would be missed because of the stop. */
+/* Loss added if the stop makes a job miss its deadline. */
 static const double DEADLINE_MISSED_BY_STOP_S = 500;
 
-/* Whether a team may take back from another what it is guaranteed and that one has borrowed, for such jobs.
- */
+/* Whether the team of `spec` may reclaim from the team of `other` what the former is guaranteed and the
+   latter has borrowed, for jobs with such needs. */
 static bool may_reclaim_from(const struct ow_leader *leader, const struct ow_job_spec *spec,
                              const struct ow_job_spec *other)
 {
@@ -31,8 +32,8 @@
            ow_team_has_guarantee_for(leader, other->team, &other->submission->need);
 }
 
-/* Less urgent work may be stopped for more urgent work. Work of the same rank may be stopped where a team
-   takes back its guarantee. */
+/* More urgent work may stop less urgent work. Work of the same rank may be stopped if a team reclaims its
+   guarantee. */
 static bool may_stop(const struct ow_leader *leader, const struct ow_execution *execution,
                      const struct ow_attempt *attempt)
 {
@@ -40,7 +41,7 @@
     const struct ow_job_spec *other = attempt->job->spec;
     if (attempt->incarnation != attempt->machine->liveness.incarnation || attempt->not_preemptible)
         return false;
-    /* A job that can't be in time any more takes nothing from one that still can. */
+    /* A job that can no longer meet its deadline takes nothing from one that still can. */
     if (ow_deadline_is_missed(leader, execution) && ow_deadline_can_be_met(leader, attempt))
         return false;
     if (other->submission->rank > spec->submission->rank)
@@ -48,18 +49,18 @@
     return other->submission->rank == spec->submission->rank && may_reclaim_from(leader, spec, other);
 }
 
-/* Seconds of one task's work that stopping it now throws away. */
+/* Seconds of work of one task that are lost if it is stopped now. */
 static double lost_work_s(const struct ow_leader *leader, const struct ow_attempt *attempt)
 {
     const struct ow_submission *submission = attempt->job->spec->submission;
-    /* A fetch given up has to begin anew. */
+    /* An aborted image fetch starts again from the beginning. */
     if (attempt->running_at == 0)
         return leader->core->now - attempt->placed_at;
     double ran_s = leader->core->now - attempt->running_at;
     return submission->checkpoint_interval_s > 0 ? MIN(ran_s, submission->checkpoint_duration_s) : ran_s;
 }
 
-/* The same, and what its deadline is worth if that is lost as well. */
+/* The lost work, plus the loss of the deadline if the stop would make the job miss it. */
 static double stop_loss_s(const struct ow_leader *leader, const struct ow_attempt *attempt)
 {
     double work_s = lost_work_s(leader, attempt);
@@ -68,12 +69,12 @@
     return work_s + (loses_deadline ? DEADLINE_MISSED_BY_STOP_S : 0);
 }
 
-/* Slots for the job on the machine as they would be with some attempts gone. */
+/* Slots for the job on the machine without the attempts that use `freed`. */
 static uint32_t slots_without(const struct ow_leader *leader, const struct ow_job_spec *spec,
-                              const struct ow_machine *machine, const struct ow_resources *gone)
+                              const struct ow_machine *machine, const struct ow_resources *freed)
 {
     struct ow_resources used = machine->load.used;
-    ow_resources_add(&used, gone, -1);
+    ow_resources_add(&used, freed, -1);
     return ow_placement_slots_with_usage(leader, spec, machine, &used);
 }
 
@@ -104,19 +105,19 @@
                           const struct ow_machine *machine)
 {
     const struct ow_job_spec *spec = execution->job->spec;
-    struct ow_resources gone = {0};
-    /* Most machines are full of work that may not be stopped: for them the attempts are not visited. */
+    struct ow_resources freed = {0};
+    /* Most machines are full of work that may not be stopped: the bound saves visiting their attempts. */
     if (ow_preempt_slots_upper_bound(leader, spec, machine, ow_preempt_top_rank(leader, spec)) == 0)
         return 0;
     for (guint i = 0; i < machine->load.attempts->len; i++) {
         const struct ow_attempt *attempt = g_ptr_array_index(machine->load.attempts, i);
         if (attempt->is_stopping || may_stop(leader, execution, attempt))
-            add_need(&gone, attempt);
+            add_need(&freed, attempt);
     }
-    return slots_without(leader, spec, machine, &gone);
+    return slots_without(leader, spec, machine, &freed);
 }
 
-/* An attempt that may be stopped, and what that loses. */
+/* An attempt that may be stopped, with the loss that this causes. */
 struct victim {
     struct ow_attempt *attempt; /* not owned */
     double loss_s;
@@ -131,35 +132,35 @@
     return first->loss_s > second->loss_s;
 }
 
-/* The victims that free `slots` slots, or NULL if all of them don't; the caller frees the array. Work already
-   being stopped comes first and costs nothing. */
+/* The victims with the smallest loss that free `slots` slots, or NULL if all of them together don't; the
+   caller frees the array. Work that is being stopped already is counted first, at no loss. */
 static GArray *choose_victims(const struct ow_leader *leader, const struct ow_execution *execution,
                               const struct ow_machine *machine, uint32_t slots)
 {
     const struct ow_job_spec *spec = execution->job->spec;
     g_autoptr(GArray) victims = g_array_new(FALSE, FALSE, sizeof(struct victim));
-    struct ow_resources gone = {0};
+    struct ow_resources freed = {0};
     for (guint i = 0; i < machine->load.attempts->len; i++) {
         struct ow_attempt *attempt = g_ptr_array_index(machine->load.attempts, i);
         struct victim victim = {.attempt = attempt, .loss_s = stop_loss_s(leader, attempt)};
         if (attempt->is_stopping)
-            add_need(&gone, attempt);
+            add_need(&freed, attempt);
         else if (may_stop(leader, execution, attempt))
             g_array_append_val(victims, victim);
     }
     g_array_sort(victims, compare_losses);
     guint taken = 0;
-    while (slots_without(leader, spec, machine, &gone) < slots && taken < victims->len) {
-        add_need(&gone, g_array_index(victims, struct victim, taken).attempt);
+    while (slots_without(leader, spec, machine, &freed) < slots && taken < victims->len) {
+        add_need(&freed, g_array_index(victims, struct victim, taken).attempt);
         taken++;
     }
-    if (slots_without(leader, spec, machine, &gone) < slots)
+    if (slots_without(leader, spec, machine, &freed) < slots)
         return NULL;
     g_array_set_size(victims, taken);
     return g_steal_pointer(&victims);
 }
 
-/* Whether no victim before the one at the index is of the same job. */
+/* Whether the victim at the index is the first one of its job. */
 static bool is_first_of_job(const GArray *victims, guint index)
 {
     const struct ow_job *job = g_array_index(victims, struct victim, index).attempt->job;
@@ -185,7 +186,7 @@
     return loss_s;
 }
 
-/* How long an attempt of such a job gets to save its work. */
+/* Time that an attempt of such a job gets to write a checkpoint when it is stopped. */
 static double grace_s(const struct ow_submission *submission)
 {
     return submission->checkpoint_interval_s > 0 ? submission->checkpoint_duration_s + GRACE_MARGIN_S : 0;
@@ -197,12 +198,13 @@
     g_autoptr(GArray) victims = choose_victims(leader, execution, machine, slots);
     if (victims == NULL)
         return false;
-    g_autofree char *why = g_strdup_printf("room for job %s", execution->job->id);
+    g_autofree char *why = g_strdup_printf("preempted for job %s", execution->job->id);
     for (guint i = 0; i < victims->len; i++) {
         struct ow_attempt *attempt = g_array_index(victims, struct victim, i).attempt;
         const struct ow_submission *submission = attempt->job->spec->submission;
-        /* The tasks of a gang stop in one round, or their checkpoint fails. That may have ended, and freed,
-           other victims: the next cycle stops what is still needed. */
+        /* The tasks of a gang must be stopped in one round, or their checkpoint fails. The stop may also
+           have ended other victims, whose attempts are freed then: the next cycle stops what is still
+           needed. */
         if (ow_submission_is_gang(submission)) {
             ow_execution_stop(leader, attempt->job->execution, grace_s(submission), why);
             break;
--- a/src/core/scheduling/price_filter.c
+++ b/src/core/scheduling/price_filter.c
@@ -9,25 +9,26 @@
 #include "model/cloud.h"
 #include "model/submission.h"
 
-/* Work without SLOs goes on expensive machines only after it has waited so long for cheap ones. */
+/* Work without SLOs is placed on expensive machines only after waiting this long for cheap ones. */
 static const double CHEAP_WAIT_S = 120;
 
 bool ow_price_filter_applies(const struct ow_leader *leader, const struct ow_execution *execution)
 {
     const struct ow_job_spec *spec = execution->job->spec;
-    /* More urgent work waits for no rent, whether or not anybody has set an SLO for it. */
+    /* More urgent work doesn't wait for cheaper machines, even if no SLO is set for it. */
     if (!spec->submission->spot || spec->submission->rank != OW_RANK_LOW)
         return false;
     if (ow_class_has_slo(leader->core, spec->class_index) || execution->is_starving || execution->is_aged)
         return false;
-    /* The age of the job does not count: when every controller has restarted all jobs may be old, and would
-       go on expensive machines at once; but what has waited too long goes there however often they restart.
-     */
+    /* The time since this controller first saw the job counts, not the job's age: after a restart of every
+       controller all jobs may be old, and would all be placed on expensive machines at once. Promoted jobs
+       take expensive machines however often the controllers restart. */
     return leader->core->now - execution->job->first_seen_at < CHEAP_WAIT_S;
 }
 
-/* Whether the class has an SLO and makes proper use of machines of the type. */
-static bool is_of_use_to_class(const struct ow_leader *leader, int class_index, int type_index,
+/* Whether the class has an SLO and makes proper use of machines of the type: its tasks fit, and need the
+   GPUs if there are any. */
+static bool is_useful_to_class(const struct ow_leader *leader, int class_index, int type_index,
                                const struct ow_machine_type *type)
 {
     const struct ow_class *class = &g_array_index(leader->core->classes, struct ow_class, class_index);
@@ -48,7 +49,7 @@
     if (leader->core->settings->slos->len == 0)
         return false;
     for (guint i = 0; i < leader->core->classes->len; i++) {
-        if (is_of_use_to_class(leader, (int)i, machine->type, type))
+        if (is_useful_to_class(leader, (int)i, machine->type, type))
             return false;
     }
     return true;
--- a/src/core/scheduling/queue.c
+++ b/src/core/scheduling/queue.c
@@ -12,19 +12,19 @@
 #include "model/resources.h"
 #include "model/submission.h"
 
-/* How far the size of an array counts against its age. */
+/* Weight of an array's size against its age. */
 static const double SIZE_WEIGHT = 5;
-/* Nobody starves: the size of an array delays it no longer than this. */
+/* Upper limit of the delay by an array's size, so that no array starves. */
 static const double SIZE_DELAY_LIMIT_S = 60;
-/* The size of an array with a deadline counts so many times as much, for its deadline bounds the delay. */
+/* The size of an array with a deadline weighs this many times more: its deadline already bounds the delay. */
 static const double DEADLINE_SIZE_WEIGHT = 3;
 
-/* The place of a waiting execution. */
+/* Sort key of a waiting execution. */
 struct queue_entry {
     struct ow_execution *execution;
     enum ow_rank rank;
-    bool is_borrowing;    /* with it its team is beyond its guarantee */
-    unsigned missed_slos; /* for its start, and its deadline if that is missed */
+    bool is_borrowing;    /* its waiting tasks would take its team beyond its guarantee */
+    unsigned missed_slos; /* start SLOs that can no longer be met, plus 1 for a missed deadline */
     double queue_time;    /* earlier goes first */
 };
 
@@ -34,7 +34,7 @@
     double gpus;
 };
 
-/* Whether the team stays within its guarantee with the job's waiting tasks. */
+/* Whether the team stays within its guarantee when the job's waiting tasks are added. */
 static bool is_guaranteed(struct ow_leader *leader, const struct ow_execution *execution)
 {
     const struct ow_job_spec *spec = execution->job->spec;
@@ -59,7 +59,8 @@
         return first->rank < second->rank ? -1 : 1;
     if (first->is_borrowing != second->is_borrowing)
         return first->is_borrowing ? 1 : -1;
-    /* Jobs that can still be in time go before those that can't; promotion bounds how long these wait. */
+    /* Jobs that can still meet their SLOs go before those that can't; promotion bounds how long the latter
+       wait. */
     if (first->missed_slos != second->missed_slos)
         return first->missed_slos < second->missed_slos ? -1 : 1;
     if (first->queue_time != second->queue_time)
@@ -81,7 +82,7 @@
     return capacity;
 }
 
-/* The share of the fleet that one such task takes. */
+/* The share of the fleet's capacity that one task with such a need takes. */
 static double fleet_share(const struct ow_resources *need, const struct fleet_capacity *capacity)
 {
     if (need->gpus > 0)
@@ -89,9 +90,9 @@
     return need->cpus / MAX(capacity->cpus, 1);
 }
 
-/* An array's queue time is its arrival, delayed by the time that its waiting work needs of the whole fleet: a
-   short one passes a long one, and each is reached in the end. One with a deadline can be passed for as long
-   as the deadline allows. A gang keeps its place. */
+/* An array's queue time is its acceptance, delayed by the time that the whole fleet needs for its waiting
+   work: short arrays overtake long ones, and the bounded delay makes sure that each is reached. An array with
+   a deadline can be overtaken for as long as the deadline allows. Gangs are queued by acceptance alone. */
 static double queue_time(struct ow_leader *leader, const struct ow_execution *execution,
                          const struct fleet_capacity *capacity)
 {
@@ -111,18 +112,18 @@
 static unsigned missed_slos(struct ow_leader *leader, const struct ow_execution *execution)
 {
     double age_s = leader->core->now - execution->accepted_at;
-    /* A service's age says nothing of how long its replica has been missed. */
+    /* The age of a service does not tell how long a replica of it has been missing. */
     if (ow_execution_is_service(execution))
         return 0;
-    /* Of starving jobs those that can still begin in time go first: in order of age, with too much load, none
-       would begin in time. */
+    /* Starving jobs that can still start in time go first: under overload, none would start in time if they
+       were ordered by age. */
     if (execution->is_starving)
         return ow_promotion_can_start_in_time(age_s) ? 0 : 1;
     unsigned missed = ow_class_missed_start_slos(leader->core, execution->job->spec->class_index, age_s);
     return missed + (ow_deadline_is_missed(leader, execution) ? 1 : 0);
 }
 
-/* Updates since when a task of the execution waits; returns whether the execution belongs in the queue. */
+/* Updates `missing_since`; returns whether the execution belongs in the queue. */
 static bool update_waiting(const struct ow_leader *leader, struct ow_execution *execution)
 {
     if (ow_execution_count_pending(execution) == 0) {
@@ -157,8 +158,8 @@
     return entries;
 }
 
-/* The index, from `start` on, of the next entry whose execution is promoted, or is not; the length if there
-   is none. `start` is at most the length. */
+/* The index of the next entry, from `start` on, whose execution is promoted or not promoted, as asked for;
+   the length if there is none. `start` is at most the length. */
 static guint next_entry(const GArray *entries, guint start, bool promoted)
 {
     for (guint i = start; i < entries->len; i++) {
@@ -168,8 +169,8 @@
     return entries->len;
 }
 
-/* The first place and every other one after it are for promoted executions. With all of them before the rest
-   no job would be in time under much load. */
+/* Promoted executions take the first place and every other one after it. If all of them went first, no other
+   job would start in time under high load. */
 static GPtrArray *interleave_promoted(const GArray *entries)
 {
     GPtrArray *executions = g_ptr_array_new();
--- a/src/core/scheduling/reservation.c
+++ b/src/core/scheduling/reservation.c
@@ -55,7 +55,7 @@
         .machine = machine,
         .member = member,
         .kind = kind,
-        .made_at = now,
+        .created_at = now,
     };
     g_array_append_val(reservation->holds, hold);
 }
@@ -77,8 +77,8 @@
 void ow_reservation_drop_expired_holds(const struct ow_leader *leader, struct ow_reservation *reservation)
 {
     for (guint i = reservation->holds->len; i > 0; i--) {
-        double made_at = g_array_index(reservation->holds, struct ow_hold, i - 1).made_at;
-        if (leader->core->now - made_at >= leader->core->tuning->hold_life_s)
+        double created_at = g_array_index(reservation->holds, struct ow_hold, i - 1).created_at;
+        if (leader->core->now - created_at >= leader->core->tuning->hold_life_s)
             drop_hold(reservation, i - 1);
     }
 }
--- a/src/core/scheduling/schedule.c
+++ b/src/core/scheduling/schedule.c
@@ -18,8 +18,8 @@
 #include "model/resources.h"
 #include "model/submission.h"
 
-/* What is held in a cycle is decided anew in the next. */
-static void clear_held(struct ow_leader *leader)
+/* Clears the capacity held by the previous cycle: each cycle decides anew what it holds. */
+static void clear_held_capacity(struct ow_leader *leader)
 {
     for (guint i = 0; i < leader->machines->len; i++) {
         struct ow_machine *machine = g_ptr_array_index(leader->machines, i);
@@ -28,8 +28,8 @@
     }
 }
 
-/* From here on other gangs may not take what gangs before them hold, either: gangs take nothing from those of
-   a more urgent rank. */
+/* Called between two ranks: makes the holds of the gangs so far exclusive, so that less urgent gangs can't
+   take them either. */
 static void make_holds_exclusive(struct ow_leader *leader)
 {
     for (guint i = 0; i < leader->machines->len; i++) {
@@ -39,19 +39,19 @@
     }
 }
 
-/* Computes once what all executions of the cycle are compared with. */
+/* Computes what all executions of the cycle share. */
 static void begin_cycle(struct ow_leader *leader)
 {
     ow_quota_begin_cycle(leader);
     ow_gpu_reserve_mark_machines(leader);
     ow_image_demand_update(leader);
-    clear_held(leader);
+    clear_held_capacity(leader);
     ow_shortlists_begin_cycle(leader);
     ow_reason_begin_cycle(leader);
     leader->cycle.gang_has_hold_priority = false;
 }
 
-/* Starts what can be started of the execution, and holds or makes capacity for the rest. */
+/* Starts the pending tasks that can be started, and holds or frees capacity for the rest. */
 static void schedule_execution(struct ow_leader *leader, struct ow_execution *execution)
 {
     if (ow_submission_is_gang(execution->job->spec->submission)) {
@@ -70,7 +70,7 @@
 static void schedule_in_queue_order(struct ow_leader *leader)
 {
     g_autoptr(GPtrArray) executions = ow_queue_sorted(leader);
-    const struct ow_execution *previous = NULL; /* the last one that is not promoted */
+    const struct ow_execution *previous = NULL; /* the last one that was not promoted */
     for (guint i = 0; i < executions->len; i++) {
         struct ow_execution *execution = g_ptr_array_index(executions, i);
         if (!ow_promotion_is_promoted(execution)) {
@@ -83,7 +83,7 @@
     }
 }
 
-/* Executions that are paused have no place in the queue, but their teams ask why they wait. */
+/* Paused executions are not in the queue, but their jobs show a waiting reason, too. */
 static void explain_paused_executions(struct ow_leader *leader)
 {
     for (guint i = 0; i < leader->executions->len; i++) {
--- a/src/core/scheduling/shortlist.c
+++ b/src/core/scheduling/shortlist.c
@@ -10,20 +10,21 @@
 
 #include <stdbool.h>
 
-/* Which capacity a list counts. */
+/* The capacity that a list counts. */
 enum capacity_view {
-    CAPACITY_FREE,            /* what is free now */
-    CAPACITY_WITH_PREEMPTION, /* and at most what stopping work could free */
+    CAPACITY_FREE,            /* free now */
+    CAPACITY_WITH_PREEMPTION, /* free now, plus an upper bound of what stopping work could free */
 };
 
 /* The lists of one class. */
 struct shortlist {
-    bool has_waiting_job; /* a job of the class waits */
-    bool is_mixed; /* some of its jobs need GPUs and some don't: capacity for one says nothing of the other */
-    struct ow_submission least; /* the least that its jobs need */
-    int top_rank;               /* the most urgent rank that may be stopped for any of its jobs */
-    GPtrArray *free;            /* struct ow_machine *; NULL: not listed yet */
-    GPtrArray *with_preemption; /* struct ow_machine *; NULL: not listed yet */
+    bool has_waiting_job; /* a job of the class waits; else the lists are empty */
+    bool is_mixed; /* some waiting jobs need GPUs and some don't: capacity for the one kind says nothing about
+                      the other */
+    struct ow_submission least; /* the smallest needs of its waiting jobs */
+    int top_rank;               /* the most urgent rank that may be stopped for any of them */
+    GPtrArray *free;            /* struct ow_machine *; NULL: not computed yet */
+    GPtrArray *with_preemption; /* struct ow_machine *; NULL: not computed yet */
 };
 
 static void clear_list(void *item)
@@ -47,7 +48,7 @@
     return &g_array_index(leader->cycle.shortlists, struct shortlist, class_index);
 }
 
-/* Lowers the least needs of the class so that they cover the job, too. */
+/* Lowers the least needs of the class to cover the job. */
 static void include_job(struct shortlist *list, const struct ow_submission *job, int top_rank)
 {
     struct ow_submission *least = &list->least;
@@ -61,7 +62,7 @@
     least->need.cpus = MIN(least->need.cpus, job->need.cpus);
     least->need.gpus = MIN(least->need.gpus, job->need.gpus);
     least->need.memory_gb = MIN(least->need.memory_gb, job->need.memory_gb);
-    /* The less urgent are let onto more machines, and gangs onto capacity held for gangs. */
+    /* The GPU reserve admits less urgent jobs to more machines; gangs may use capacity held for gangs. */
     least->rank = MAX(least->rank, job->rank);
     if (ow_submission_is_gang(job))
         least->kind = OW_KIND_GANG;
@@ -80,7 +81,7 @@
     }
 }
 
-/* Slots on the machine for a job with the least need of its class. */
+/* Slots on the machine for a job with the least needs of its class. */
 static uint32_t slots_for_least(const struct ow_leader *leader, const struct shortlist *list,
                                 const struct ow_job_spec *spec, const struct ow_machine *machine,
                                 enum capacity_view view)
