--- a/src/core/scheduling/classes.c
+++ b/src/core/scheduling/classes.c
@@ -7,40 +7,42 @@
 #include <math.h>
 #include <string.h>
 
-/* Weight of the newest run in the ratio of its class. */
+/* Weight of the newest run in the run-time ratio of its class. */
 static const double RATIO_WEIGHT = 0.05;
-/* Bounds of a run's ratio, which keep one unusual job from dominating its class. */
-static const double RATIO_LEAST = 0.3;
-static const double RATIO_MOST = 4;
-/* Weight of the newest job in the estimate of its class. */
+/* Bounds of the ratio of a single run, which keep an outlier from dominating its class. */
+static const double MIN_RATIO = 0.3;
+static const double MAX_RATIO = 4;
+/* Weight of the newest job in the mean estimate of its class. */
 static const double ESTIMATE_WEIGHT = 0.2;
-/* The slack of a class without SLOs. */
+/* Slack of a class without SLOs. */
 static const double NO_SLO_SLACK_S = 80;
-/* Time constant with which the peak of a class decays. */
+/* Time constant of the exponential decay of the peak of a class. */
 static const double PEAK_DECAY_S = 150;
-/* Weight of the newest interval between two jobs of a class, and the interval assumed before the second. */
+/* Weight of the newest interval between two jobs of a class, and the interval assumed before the second
+   job. */
 static const double ARRIVAL_WEIGHT = 0.1;
-static const double ARRIVAL_INTERVAL_S = 20;
-/* A class is quiet when no job has come for so many mean intervals, and for so long. */
+static const double INITIAL_ARRIVAL_INTERVAL_S = 20;
+/* A class is quiet when no job has arrived for this many mean intervals, and for at least this long. */
 static const double QUIET_INTERVALS = 6;
-static const double QUIET_LEAST_S = 30;
-/* The longer runs of a class take so many times its expected run time. */
-static const double LONGER_RUN_TIMES = 1.5;
+static const double MIN_QUIET_S = 30;
+/* The longer runs of a class are assumed to take this many times its expected run time. */
+static const double LONG_RUN_FACTOR = 1.5;
 
 struct ow_class *ow_class_of(struct ow_core *core, int class_index)
 {
     while (core->classes->len <= (guint)class_index) {
-        struct ow_class fresh = {.run_time_ratio = 1};
-        g_array_append_val(core->classes, fresh);
+        struct ow_class unobserved = {.run_time_ratio = 1};
+        g_array_append_val(core->classes, unobserved);
     }
     return &g_array_index(core->classes, struct ow_class, class_index);
 }
 
-/* At a failover jobs come in any order: only a job newer than all before shows an interval. */
+/* At a failover jobs are observed in any order: only a job accepted after all those observed gives an
+   interval. */
 static void observe_arrival(struct ow_class *class, double accepted_at)
 {
     if (!class->seen) {
-        class->arrival_interval_s = ARRIVAL_INTERVAL_S;
+        class->arrival_interval_s = INITIAL_ARRIVAL_INTERVAL_S;
         class->last_arrival_at = accepted_at;
         return;
     }
@@ -62,8 +64,8 @@
         class->estimate_s = submission->estimate_s;
     class->image_gb = MAX(class->image_gb, submission->image_gb);
     class->service = submission->kind == OW_KIND_SERVICE;
-    bool together = ow_submission_is_gang(submission) || class->service;
-    class->largest = MAX(class->largest, together ? submission->tasks : 1);
+    bool is_group = ow_submission_is_gang(submission) || class->service;
+    class->largest = MAX(class->largest, is_group ? submission->tasks : 1);
     class->need = submission->need;
     class->gang = ow_submission_is_gang(submission);
     class->spot = submission->spot;
@@ -77,7 +79,7 @@
     struct ow_class *class = ow_class_of(core, spec->class_index);
     if (spec->submission->estimate_s <= 0)
         return;
-    double ratio = CLAMP(ran_s / spec->submission->estimate_s, RATIO_LEAST, RATIO_MOST);
+    double ratio = CLAMP(ran_s / spec->submission->estimate_s, MIN_RATIO, MAX_RATIO);
     class->run_time_ratio += RATIO_WEIGHT * (ratio - class->run_time_ratio);
 }
 
@@ -92,10 +94,11 @@
 bool ow_class_is_quiet(struct ow_core *core, int class_index)
 {
     const struct ow_class *class = ow_class_of(core, class_index);
-    /* While the key-value store is away nothing can be accepted: that shows nothing of the class. */
+    /* While the store is unavailable no job can be accepted, so the time without arrivals says nothing
+       about the class. */
     if (class->service || !class->seen || !ow_store_health_is_ok(core->store_health))
         return false;
-    double limit_s = MAX(QUIET_LEAST_S, QUIET_INTERVALS * class->arrival_interval_s);
+    double limit_s = MAX(MIN_QUIET_S, QUIET_INTERVALS * class->arrival_interval_s);
     return core->now - class->last_arrival_at > limit_s;
 }
 
@@ -109,20 +112,19 @@
     return strcmp(slo->class_name, class_name) == 0;
 }
 
-/* How long a task may wait without missing the SLO. The longer runs are the ones that decide whether it is
- * met. */
+/* How long a task may wait without missing the SLO. The longer runs decide whether a finish SLO is met. */
 static double slo_slack_s(const struct ow_slo *slo, const struct ow_class *class)
 {
     double run_time_s = 0;
     if (slo->kind == OW_SLO_FINISHED)
-        run_time_s = LONGER_RUN_TIMES * class->estimate_s * class->run_time_ratio;
+        run_time_s = LONG_RUN_FACTOR * class->estimate_s * class->run_time_ratio;
     return MAX(0, slo->within_s - run_time_s);
 }
 
 double ow_class_slack_s(struct ow_core *core, int class_index)
 {
     const struct ow_class *class = ow_class_of(core, class_index);
-    /* A replica that does not run is an outage, whatever SLOs are stated. */
+    /* A replica that doesn't run is an outage, whatever the SLOs. */
     if (class->service)
         return 0;
     const char *name = ow_interner_text(core->interners.classes, class_index);
--- a/src/core/scheduling/deadline.c
+++ b/src/core/scheduling/deadline.c
@@ -7,18 +7,18 @@
 
 #include <math.h>
 
-/* Estimates are often wrong. A start counts as in time if the task may run for so many times what is
- * expected, ... */
-static const double CAUTIOUS_RUN_TIMES = 1.25;
-/* ... and a deadline is given up only when not even so many times that is left. */
-static const double HOPEFUL_RUN_TIMES = 0.8;
+/* Estimates are often wrong. A start counts as in time if the deadline leaves room for this many times the
+   expected run time, ... */
+static const double PESSIMISTIC_RUN_FACTOR = 1.25;
+/* ... and a deadline is given up only when less than this many times the expected run time is left. */
+static const double OPTIMISTIC_RUN_FACTOR = 0.8;
 
 bool ow_deadline_is_set(const struct ow_execution *execution)
 {
     return execution->job->spec->submission->deadline_s > 0;
 }
 
-/* Seconds until the deadline; negative once it has passed. */
+/* Seconds until the deadline; negative after it. */
 static double seconds_left(const struct ow_leader *leader, const struct ow_execution *execution)
 {
     double age_s = leader->core->now - execution->accepted_at;
@@ -30,7 +30,7 @@
     if (!ow_deadline_is_set(execution))
         return false;
     double run_time_s = ow_class_run_time_s(leader->core, execution->job->spec);
-    return seconds_left(leader, execution) < HOPEFUL_RUN_TIMES * run_time_s;
+    return seconds_left(leader, execution) < OPTIMISTIC_RUN_FACTOR * run_time_s;
 }
 
 bool ow_deadline_allows_delay(const struct ow_leader *leader, const struct ow_attempt *attempt,
@@ -39,7 +39,7 @@
     const struct ow_execution *execution = attempt->job->execution;
     double ran_s = attempt->running_at > 0 ? leader->core->now - attempt->running_at : 0;
     double remaining_s = MAX(0, ow_class_run_time_s(leader->core, execution->job->spec) - ran_s);
-    return seconds_left(leader, execution) >= HOPEFUL_RUN_TIMES * remaining_s + delay_s;
+    return seconds_left(leader, execution) >= OPTIMISTIC_RUN_FACTOR * remaining_s + delay_s;
 }
 
 bool ow_deadline_can_be_met(const struct ow_leader *leader, const struct ow_attempt *attempt)
@@ -52,8 +52,8 @@
     const struct ow_job_spec *spec = execution->job->spec;
     if (!ow_deadline_is_set(execution))
         return INFINITY;
-    return MAX(0,
-               spec->submission->deadline_s - CAUTIOUS_RUN_TIMES * ow_class_run_time_s(leader->core, spec));
+    return MAX(0, spec->submission->deadline_s -
+                      PESSIMISTIC_RUN_FACTOR * ow_class_run_time_s(leader->core, spec));
 }
 
 double ow_deadline_slack_s(const struct ow_leader *leader, const struct ow_execution *execution)
--- a/src/core/scheduling/deadline.h
+++ b/src/core/scheduling/deadline.h
@@ -1,9 +1,9 @@
 /** @file
- * Deadlines of jobs (ours): how long their tasks may wait, and whether they can still be met.
+ * Deadlines of jobs: how long their tasks may wait, and whether the deadlines can still be met.
  *
- * A deadline is the owner's, measured from the job's acceptance; most jobs have none. Input: deadlines, and
- * run times as estimated and corrected by what was seen of the class. Result: bounds in seconds. It has no
- * state.
+ * A deadline is set by the job's owner and measured from the job's acceptance; most jobs have none. Input:
+ * deadlines, and estimated run times corrected by the observations of the class. Result: bounds in seconds.
+ * The module has no state.
  */
 #ifndef OW_CORE_SCHEDULING_DEADLINE_H
 #define OW_CORE_SCHEDULING_DEADLINE_H
@@ -14,24 +14,26 @@
 struct ow_execution;
 struct ow_leader;
 
-/** However far away its deadline is, a job is passed on its account for no longer than this: nobody starves.
- */
+/** Upper limit of the time for which a job is overtaken because of its deadline, however distant that is:
+ * no job starves. */
 static const double OW_DEADLINE_DELAY_LIMIT_S = 300;
 
 /** Whether the job was submitted with a deadline. */
 bool ow_deadline_is_set(const struct ow_execution *execution);
-/** Whether the job has a deadline that it can't meet any more. */
+/** Whether the job has a deadline that it can no longer meet. */
 bool ow_deadline_is_missed(const struct ow_leader *leader, const struct ow_execution *execution);
-/** Whether the task's job has a deadline that the task will have kept, as it runs now. */
+/** Whether the attempt's job has a deadline and the task is expected to meet it if it runs on without a
+ * stop. */
 bool ow_deadline_can_be_met(const struct ow_leader *leader, const struct ow_attempt *attempt);
-/** Whether the task would still keep its job's deadline if it were `delay_s` seconds behind. */
+/** Whether the attempt's task is expected to meet its job's deadline even if delayed by `delay_s` seconds.
+ * The job must have a deadline. */
 bool ow_deadline_allows_delay(const struct ow_leader *leader, const struct ow_attempt *attempt,
                               double delay_s);
-/** How long after its acceptance a task of the execution may start without the job missing its deadline;
- * INFINITY without one. */
+/** How long after the job's acceptance a task may start without the job missing its deadline, in seconds,
+ * at least 0; INFINITY without a deadline. */
 double ow_deadline_latest_start_s(const struct ow_leader *leader, const struct ow_execution *execution);
-/** The same for the deadline and for the SLOs of its class. Without either it is the slack of a class without
- * SLOs. */
+/** The same bound for both the deadline and the SLOs of the job's class. Without either it is the slack of
+ * a class without SLOs. */
 double ow_deadline_slack_s(const struct ow_leader *leader, const struct ow_execution *execution);
 
 #endif
--- a/src/core/scheduling/gang_hold_priority.c
+++ b/src/core/scheduling/gang_hold_priority.c
@@ -7,10 +7,10 @@
 
 #include <math.h>
 
-/* The share of an SLO for its start after which a gang no longer lets others take what it holds. */
+/* A gang qualifies once this share of its start SLO has passed. */
 static const double PRIORITY_SHARE_OF_SLO = 0.25;
 
-/* The gangs of a class: members that wait, and members that run or are about to. */
+/* Members of the gangs of a class: those that wait, and those that run or are about to. */
 struct class_members {
     double waiting;
     double placed;
@@ -29,7 +29,8 @@
     return members;
 }
 
-/* Whether everything that waits of the gang's class can start within `left_s`, as members that run end. */
+/* Whether all waiting members of the gang's class can start within `left_s`, given the rate at which
+   running members end. */
 static bool is_backlog_short(struct ow_leader *leader, const struct ow_execution *execution, double left_s)
 {
     const struct ow_job_spec *spec = execution->job->spec;
@@ -38,9 +39,10 @@
     return members.placed > 0 && members.waiting * run_time_s / members.placed < left_s;
 }
 
-/* Smaller gangs that fit pass a large one for as long as they come, and it would miss its SLO although
-   there is capacity for all. Once a quarter of its time is over, the first such gang in the queue keeps what
-   it holds. Where not all can be in time, small ones still go first: more of them are. */
+/* Without priority, smaller gangs that fit overtake a large one for as long as they arrive, and it would
+   miss its SLO although the capacity suffices for all. Once a quarter of the SLO's time has passed, the
+   first such gang in the queue keeps its holds. If not all gangs can start in time, small ones still go
+   first, because more of them can. */
 bool ow_gang_hold_priority_claim(struct ow_leader *leader, const struct ow_execution *execution)
 {
     const struct ow_job_spec *spec = execution->job->spec;
--- a/src/core/scheduling/gpu_reserve.c
+++ b/src/core/scheduling/gpu_reserve.c
@@ -10,12 +10,12 @@
 #include "core/scheduling/image_demand.h"
 #include "model/cloud.h"
 
-/* What is kept for GPU jobs as a multiple of what they need now. */
+/* GPUs kept for GPU jobs, as a multiple of the GPUs that they need now. */
 static const double GPU_MARGIN = 1.2;
-/* The share of tasks that are assumed to fetch their image first. */
+/* Assumed share of tasks that have to fetch their image first. */
 static const double FETCH_SHARE = 0.5;
 
-/* How well a machine serves GPU jobs, the best last. */
+/* How well a machine serves GPU jobs, from worst to best. */
 enum gpu_fitness {
     GPU_FITNESS_OTHER_WORK, /* it runs other work */
     GPU_FITNESS_FREE,       /* it runs nothing */
@@ -38,7 +38,8 @@
     }
 }
 
-/* GPUs that complete the execution's waiting work in the time that its class leaves to wait. */
+/* GPUs needed to complete the execution's unfinished tasks within its slack, at most one task's need for
+   each. */
 static double gpus_wanted_by(struct ow_leader *leader, const struct ow_execution *execution)
 {
     const struct ow_job_spec *spec = execution->job->spec;
@@ -59,7 +60,7 @@
     return GPU_MARGIN * wanted;
 }
 
-static enum gpu_fitness rate_for_gpu_jobs(const struct ow_machine *machine)
+static enum gpu_fitness gpu_fitness_of(const struct ow_machine *machine)
 {
     for (guint i = 0; i < machine->load.attempts->len; i++) {
         const struct ow_attempt *attempt = g_ptr_array_index(machine->load.attempts, i);
@@ -69,8 +70,8 @@
     return machine->load.attempts->len > 0 ? GPU_FITNESS_OTHER_WORK : GPU_FITNESS_FREE;
 }
 
-/* Best machines first. Other work may fill GPU machines, except those that GPU jobs need: these would
-   otherwise wait, or be driven to expensive machines. */
+/* Reserves the best machines first. Other work may fill GPU machines except those that GPU jobs need;
+   otherwise GPU jobs would have to wait or take expensive machines. */
 void ow_gpu_reserve_mark_machines(struct ow_leader *leader)
 {
     double wanted = gpus_wanted(leader);
@@ -78,7 +79,7 @@
         for (guint i = 0; i < leader->machines->len; i++) {
             struct ow_machine *machine = g_ptr_array_index(leader->machines, i);
             const struct ow_machine_type *type = ow_machine_type_of(leader, machine);
-            if (type == NULL || type->size.gpus <= 0 || (int)rate_for_gpu_jobs(machine) != fitness)
+            if (type == NULL || type->size.gpus <= 0 || (int)gpu_fitness_of(machine) != fitness)
                 continue;
             machine->cycle.are_gpus_kept = wanted > 0;
             wanted -= type->size.gpus;
--- a/src/core/scheduling/reason.c
+++ b/src/core/scheduling/reason.c
@@ -11,8 +11,8 @@
 #include "model/cloud.h"
 #include "model/submission.h"
 
-/* How many machines jobs with such demands allow, as counted once a cycle. */
-struct allowance {
+/* Counts of the machines that a job with these demands allows; computed once a cycle. */
+struct machine_counts {
     uint64_t types;
     int zone;
     bool spot;
@@ -23,7 +23,7 @@
 
 GArray *ow_reason_new_machine_counts(void)
 {
-    return g_array_new(FALSE, FALSE, sizeof(struct allowance));
+    return g_array_new(FALSE, FALSE, sizeof(struct machine_counts));
 }
 
 void ow_reason_begin_cycle(struct ow_leader *leader)
@@ -31,42 +31,44 @@
     g_array_set_size(leader->cycle.machine_counts, 0);
 }
 
-static bool is_for(const struct allowance *allowance, const struct ow_job_spec *spec)
+static bool applies_to(const struct machine_counts *counts, const struct ow_job_spec *spec)
 {
-    return allowance->types == spec->types && allowance->zone == spec->zone &&
-           allowance->spot == spec->submission->spot;
+    return counts->types == spec->types && counts->zone == spec->zone &&
+           counts->spot == spec->submission->spot;
 }
 
-static struct allowance count_machines(const struct ow_leader *leader, const struct ow_job_spec *spec)
+static struct machine_counts count_machines(const struct ow_leader *leader, const struct ow_job_spec *spec)
 {
-    struct allowance count = {.types = spec->types, .zone = spec->zone, .spot = spec->submission->spot};
+    struct machine_counts counts = {.types = spec->types, .zone = spec->zone, .spot = spec->submission->spot};
     for (guint i = 0; i < leader->machines->len; i++) {
         const struct ow_machine *machine = g_ptr_array_index(leader->machines, i);
         if (!ow_placement_is_allowed(spec, machine))
             continue;
-        count.allowed++;
+        counts.allowed++;
         if (machine->liveness.last_message_at == 0 && machine->listed == OW_LISTED_BOOTING)
-            count.booting++;
+            counts.booting++;
         if (ow_machine_is_usable(leader, machine))
-            count.usable++;
+            counts.usable++;
     }
-    return count;
+    return counts;
 }
 
-/* How many machines such jobs allow, from the cycle's cache if it has been counted. */
-static struct allowance find_allowance(struct ow_leader *leader, const struct ow_job_spec *spec)
+/* The machine counts for such jobs, from the cycle's cache if they have been computed. */
+static struct machine_counts find_machine_counts(struct ow_leader *leader, const struct ow_job_spec *spec)
 {
     for (guint i = 0; i < leader->cycle.machine_counts->len; i++) {
-        const struct allowance *allowance = &g_array_index(leader->cycle.machine_counts, struct allowance, i);
-        if (is_for(allowance, spec))
-            return *allowance;
+        const struct machine_counts *counts =
+            &g_array_index(leader->cycle.machine_counts, struct machine_counts, i);
+        if (applies_to(counts, spec))
+            return *counts;
     }
-    struct allowance count = count_machines(leader, spec);
-    g_array_append_val(leader->cycle.machine_counts, count);
-    return count;
+    struct machine_counts counts = count_machines(leader, spec);
+    g_array_append_val(leader->cycle.machine_counts, counts);
+    return counts;
 }
 
-/* A gang's holds are counted up to its size: members may hold several machines. */
+/* Holds are counted up to the size of the gang, because a member may hold several machines. The caller
+   frees the reason. */
 static char *gang_reason(const struct ow_execution *execution)
 {
     uint32_t held = 0;
@@ -76,21 +78,21 @@
                            execution->count, held);
 }
 
-/* The reason that lies in the machines; NULL: some can take tasks now. The caller frees it. */
-static char *machines_reason(const struct allowance *allowance)
+/* The reason if no machine can take tasks; NULL if some can. The caller frees it. */
+static char *machines_reason(const struct machine_counts *counts)
 {
-    if (allowance->allowed == 0)
+    if (counts->allowed == 0)
         return g_strdup("no machine that it allows is rented yet; as many are rented as the cloud gives");
-    if (allowance->usable == 0 && allowance->booting > 0)
+    if (counts->usable == 0 && counts->booting > 0)
         return g_strdup_printf("%u of the %u machines that it allows are booting, and none is up yet",
-                               allowance->booting, allowance->allowed);
-    if (allowance->usable == 0)
-        return g_strdup_printf("none of the %u machines that it allows can take tasks now",
-                               allowance->allowed);
+                               counts->booting, counts->allowed);
+    if (counts->usable == 0)
+        return g_strdup_printf("none of the %u machines that it allows can take tasks now", counts->allowed);
     return NULL;
 }
 
-/* The reason of an array or a service for which no machine has capacity left. The caller frees it. */
+/* The reason of an array or a service when machines can take tasks but have too little capacity left. The
+   caller frees it. */
 static char *capacity_reason(const struct ow_leader *leader, const struct ow_execution *execution,
                              uint32_t pending, uint32_t usable)
 {
@@ -104,7 +106,7 @@
                            pending, usable);
 }
 
-/* The reason of an execution with waiting tasks; the caller frees it. */
+/* The reason of an execution with pending tasks. The caller frees it. */
 static char *waiting_reason(struct ow_leader *leader, const struct ow_execution *execution, uint32_t pending)
 {
     const struct ow_job_spec *spec = execution->job->spec;
@@ -116,13 +118,13 @@
         return g_strdup("waits until every task of its last attempt is proven gone");
     if (ow_team_count_admitted(leader, spec, wanted) < wanted)
         return g_strdup_printf("team %s is at its limit", spec->submission->team);
-    struct allowance allowance = find_allowance(leader, spec);
-    char *reason = machines_reason(&allowance);
+    struct machine_counts counts = find_machine_counts(leader, spec);
+    char *reason = machines_reason(&counts);
     if (reason != NULL)
         return reason;
     if (is_gang)
         return gang_reason(execution);
-    return capacity_reason(leader, execution, pending, allowance.usable);
+    return capacity_reason(leader, execution, pending, counts.usable);
 }
 
 void ow_reason_update(struct ow_leader *leader, struct ow_execution *execution)
--- a/src/core/scheduling/replica_move.c
+++ b/src/core/scheduling/replica_move.c
@@ -36,14 +36,14 @@
     return false;
 }
 
-/* Whether the machine has the image, and not only a fetch of it under way. */
+/* Whether the machine has the complete image; a fetch in progress doesn't count. */
 static bool has_image(const struct ow_machine *machine, int image)
 {
     const struct ow_image_copy *copy = ow_machine_image(machine, image);
     return copy != NULL && copy->present;
 }
 
-/* Whether a replica of the service could start on the machine at once, apart from the others. */
+/* Whether a replica of the service could start on the machine at once, apart from its other replicas. */
 static bool is_target(const struct ow_leader *leader, const struct ow_execution *execution,
                       const struct ow_machine *machine)
 {
--- a/src/core/scheduling/replica_separation.c
+++ b/src/core/scheduling/replica_separation.c
@@ -7,9 +7,9 @@
 #include "core/scheduling/replica_move.h"
 #include "core/scheduling/replica_spread.h"
 
-/* Replicas are separated only in a service that has lost none for so long, ... */
-static const double CALM_S = 60;
-/* ... and that is considered so often. */
+/* Replicas are separated only in a service that has been stable for this long, ... */
+static const double STABLE_S = 60;
+/* ... and each service is checked at this interval. */
 static const double SEPARATION_INTERVAL_S = 5;
 
 static struct ow_attempt *find_on_shared_machine(const struct ow_execution *execution,
@@ -23,7 +23,7 @@
     return NULL;
 }
 
-/* Whether all replicas are in one zone although their job does not ask for that. */
+/* Whether all replicas are in one zone although the job does not require that. */
 static bool are_in_one_zone(const struct ow_execution *execution, const struct ow_replica_spread *spread)
 {
     const struct ow_job_spec *spec = execution->job->spec;
@@ -31,9 +31,9 @@
            !spec->submission->one_zone && spec->zone == OW_NO_NAME;
 }
 
-/* A replica whose loss would come together with another one's: on one machine with it, or in the only zone
-   that the service has left; that zone is returned, too. NULL: there is none. */
-static struct ow_attempt *find_crowded(const struct ow_execution *execution, int *not_in_zone)
+/* A replica that would be lost together with another one: it shares a machine with another, or all replicas
+   are in one zone, which is then stored in `not_in_zone`. NULL if there is none. */
+static struct ow_attempt *find_colocated(const struct ow_execution *execution, int *not_in_zone)
 {
     g_auto(ow_replica_spread) spread = ow_replica_spread_of(execution);
     struct ow_attempt *found = find_on_shared_machine(execution, &spread);
@@ -45,14 +45,14 @@
     return found;
 }
 
-static bool has_been_calm(const struct ow_leader *leader, const struct ow_execution *execution)
+static bool has_been_stable(const struct ow_leader *leader, const struct ow_execution *execution)
 {
     for (guint i = 0; i < execution->attempts->len; i++) {
         const struct ow_attempt *attempt = g_ptr_array_index(execution->attempts, i);
-        if (leader->core->now - attempt->placed_at < CALM_S)
+        if (leader->core->now - attempt->placed_at < STABLE_S)
             return false;
     }
-    return leader->core->now - leader->ready_at >= CALM_S && ow_replica_move_count_missing(execution) == 0;
+    return leader->core->now - leader->ready_at >= STABLE_S && ow_replica_move_count_missing(execution) == 0;
 }
 
 void ow_replica_separation_consider(struct ow_leader *leader, struct ow_execution *execution)
@@ -61,14 +61,14 @@
         leader->core->now < execution->separate_at)
         return;
     execution->separate_at = leader->core->now + SEPARATION_INTERVAL_S;
-    if (!has_been_calm(leader, execution))
+    if (!has_been_stable(leader, execution))
         return;
     int not_in_zone = OW_NO_NAME;
-    struct ow_attempt *attempt = find_crowded(execution, &not_in_zone);
+    struct ow_attempt *attempt = find_colocated(execution, &not_in_zone);
     if (attempt == NULL)
         return;
     struct ow_machine *target = ow_replica_move_find_target(leader, execution, not_in_zone);
     if (target != NULL)
         ow_replica_move_to(leader, attempt, target,
-                           "it stands together with others of its service; it moves");
+                           "it shares a machine or zone with others of its service; it is moved");
 }
--- a/src/core/scheduling/service_moves.c
+++ b/src/core/scheduling/service_moves.c
@@ -10,14 +10,15 @@
 #include "core/scheduling/replica_separation.h"
 #include "model/cloud.h"
 
-/* Replicas of one service that are moved at a time. */
-enum { MOVES_MAX = 1 };
-/* How long a move takes: a stop, the heartbeat that shows it, a launch. */
-static const double MOVE_S = 2;
-/* A replica is stopped at the latest so long before its machine goes. */
-static const double LAST_MOVE_S = 4;
-/* A machine that has lost its lease is taken to send heartbeats again within so many heartbeat intervals. */
-static const double RETURN_HEARTBEATS = 2;
+/* A replica is moved only while fewer replicas than this of its service are missing. */
+enum { MAX_MISSING_REPLICAS = 1 };
+/* Duration of a move: a stop, the heartbeat that reports it, and a launch. */
+static const double MOVE_DURATION_S = 2;
+/* A replica is stopped at the latest this long before its machine leaves. */
+static const double LAST_STOP_LEAD_S = 4;
+/* A machine that has lost its lease is assumed to send heartbeats again within this many heartbeat
+   intervals. */
+static const double RECOVERY_HEARTBEATS = 2;
 
 static bool is_movable(const struct ow_attempt *attempt)
 {
@@ -25,28 +26,29 @@
            !ow_job_is_over(attempt->job);
 }
 
-/* A machine whose heartbeats no longer arrive although it answers commands: its lease is not renewed, so its
-   worker is about to end all tasks. One that answers nothing is none of these, for no stop would reach it. */
-static bool is_losing_its_lease(const struct ow_leader *leader, const struct ow_machine *machine)
+/* Whether heartbeats of the machine no longer arrive although it answers commands: its lease is not
+   renewed, so its worker is about to end all tasks. False for a machine that answers nothing, because no
+   stop would reach it. */
+static bool is_losing_lease(const struct ow_leader *leader, const struct ow_machine *machine)
 {
     return machine->liveness.is_fenced && machine->liveness.unanswered_since == 0 &&
            ow_machine_heard_recently(leader, machine) && ow_machine_is_silent(leader, machine);
 }
 
-/* When tasks on the machine will be gone: the cloud takes it back, or its lease expires. 0: not as far as is
-   known. */
+/* When the tasks on the machine will end because the cloud reclaims it or its lease expires; 0 if that is
+   not expected. */
 static double leaves_at(const struct ow_leader *leader, const struct ow_machine *machine)
 {
     if (machine->reclaim_at > 0)
         return machine->reclaim_at;
-    if (!is_losing_its_lease(leader, machine))
+    if (!is_losing_lease(leader, machine))
         return 0;
-    /* This leader may never have had a heartbeat of it: then there is no time that could be counted on. */
+    /* Without a heartbeat under this leader the expiry is unknown, so the machine counts as leaving now. */
     double since = machine->liveness.last_heartbeat_at;
     return since > 0 ? since + leader->core->settings->lease_s : leader->core->now;
 }
 
-/* The service's replicas on machines that are about to go. */
+/* Number of the service's replicas on leaving machines. */
 static uint32_t count_leaving(const struct ow_leader *leader, const struct ow_execution *execution)
 {
     uint32_t leaving = 0;
@@ -58,19 +60,21 @@
     return leaving;
 }
 
-/* Whether the service can do without one more replica for a moment. Counted anew for each replica: a stop may
-   end further attempts. */
-static bool may_miss_one_more(const struct ow_leader *leader, const struct ow_execution *execution,
-                              double left_s)
+/* Whether one more replica of the service may be stopped now: none is missing, or the leaving machines
+   leave too little time to move replicas one by one. Computed for each replica, since a stop may end
+   further attempts. */
+static bool can_stop_another(const struct ow_leader *leader, const struct ow_execution *execution,
+                             double left_s)
 {
-    return ow_replica_move_count_missing(execution) < MOVES_MAX ||
-           count_leaving(leader, execution) * MOVE_S > left_s - LAST_MOVE_S;
+    return ow_replica_move_count_missing(execution) < MAX_MISSING_REPLICAS ||
+           count_leaving(leader, execution) * MOVE_DURATION_S > left_s - LAST_STOP_LEAD_S;
 }
 
-/* Whether a replica is stopped at the last moment although it has to wait for its image elsewhere. One whose
-   machine is taken back is, for the proof that it is gone would take far longer. A machine that only lost its
-   lease may soon send heartbeats again, with the image: a long fetch would be the longer outage. */
-static bool is_worth_a_fetch(const struct ow_leader *leader, const struct ow_attempt *attempt)
+/* Whether a replica is stopped at the last moment although it has to fetch its image elsewhere. If its
+   machine is reclaimed it is, because proof that it is gone would take far longer otherwise. A machine that
+   only lost its lease may soon send heartbeats again and has the image, so a long fetch would be the longer
+   outage. */
+static bool should_stop_without_image(const struct ow_leader *leader, const struct ow_attempt *attempt)
 {
     const struct ow_machine *machine = attempt->machine;
     const struct ow_machine_type *type = ow_machine_type_of(leader, machine);
@@ -79,22 +83,23 @@
     if (type == NULL || type->fetch_gb_per_s <= 0)
         return false;
     double fetch_s = attempt->job->spec->submission->image_gb / type->fetch_gb_per_s;
-    return fetch_s < RETURN_HEARTBEATS * leader->core->settings->heartbeat_interval_s;
+    return fetch_s < RECOVERY_HEARTBEATS * leader->core->settings->heartbeat_interval_s;
 }
 
-/* With its image elsewhere a replica is moved as soon as its service can do without it. Where no machine with
-   the image has capacity, it serves as long as it may. */
-static void move_off_leaving(struct ow_leader *leader, struct ow_attempt *attempt, double left_s)
+/* A replica is moved as soon as its service can spare it, if a machine with the image has capacity.
+   Otherwise it serves as long as possible. */
+static void move_off_leaving_machine(struct ow_leader *leader, struct ow_attempt *attempt, double left_s)
 {
     const struct ow_execution *execution = attempt->job->execution;
     struct ow_machine *target = ow_replica_move_find_target(leader, execution, OW_NO_NAME);
-    if (target != NULL && may_miss_one_more(leader, execution, left_s))
-        ow_replica_move_to(leader, attempt, target, "its machine is about to go; it moves");
-    else if (left_s < LAST_MOVE_S && is_worth_a_fetch(leader, attempt))
-        ow_attempt_stop(leader, attempt, 0, "its machine is about to go, and no other one has its image");
+    if (target != NULL && can_stop_another(leader, execution, left_s))
+        ow_replica_move_to(leader, attempt, target, "its machine is leaving; the replica is moved");
+    else if (left_s < LAST_STOP_LEAD_S && should_stop_without_image(leader, attempt))
+        ow_attempt_stop(leader, attempt, 0,
+                        "its machine is leaving, and no other one with its image has capacity");
 }
 
-static void empty_leaving(struct ow_leader *leader, struct ow_machine *machine)
+static void drain_leaving_machine(struct ow_leader *leader, struct ow_machine *machine)
 {
     double left_s = leaves_at(leader, machine) - leader->core->now;
     for (guint i = machine->load.attempts->len; i > 0; i--) {
@@ -103,7 +108,7 @@
             continue;
         struct ow_attempt *attempt = g_ptr_array_index(machine->load.attempts, i - 1);
         if (is_movable(attempt))
-            move_off_leaving(leader, attempt, left_s);
+            move_off_leaving_machine(leader, attempt, left_s);
     }
 }
 
@@ -117,9 +122,10 @@
     return true;
 }
 
-/* A machine that fails tasks is terminated once it is empty, which replicas that happen to run on it would
-   put off for ever. They serve, so they move only where they are hardly missed. */
-static void empty_faulty(struct ow_leader *leader, struct ow_machine *machine)
+/* A quarantined machine is terminated once it is empty, which replicas that run on it would delay
+   indefinitely. They still serve, so they are moved only while no other replica of their service is missing
+   and a machine with the image has capacity. */
+static void drain_faulty_machine(struct ow_leader *leader, struct ow_machine *machine)
 {
     if (!has_only_replicas(machine) || !ow_machine_heard_recently(leader, machine))
         return;
@@ -128,11 +134,12 @@
         if (i > machine->load.attempts->len)
             continue;
         struct ow_attempt *attempt = g_ptr_array_index(machine->load.attempts, i - 1);
-        if (!is_movable(attempt) || ow_replica_move_count_missing(attempt->job->execution) >= MOVES_MAX)
+        if (!is_movable(attempt) ||
+            ow_replica_move_count_missing(attempt->job->execution) >= MAX_MISSING_REPLICAS)
             continue;
         struct ow_machine *target = ow_replica_move_find_target(leader, attempt->job->execution, OW_NO_NAME);
         if (target != NULL)
-            ow_replica_move_to(leader, attempt, target, "its machine is faulty; it moves");
+            ow_replica_move_to(leader, attempt, target, "its machine is faulty; the replica is moved");
     }
 }
 
@@ -141,9 +148,9 @@
     for (guint i = 0; i < leader->machines->len; i++) {
         struct ow_machine *machine = g_ptr_array_index(leader->machines, i);
         if (leaves_at(leader, machine) > 0)
-            empty_leaving(leader, machine);
+            drain_leaving_machine(leader, machine);
         else if (leader->core->now < machine->faults.quarantine_until)
-            empty_faulty(leader, machine);
+            drain_faulty_machine(leader, machine);
     }
     for (guint i = 0; i < leader->executions->len; i++)
         ow_replica_separation_consider(leader, g_ptr_array_index(leader->executions, i));
--- a/src/core/scheduling/service_moves.h
+++ b/src/core/scheduling/service_moves.h
@@ -1,17 +1,17 @@
 /** @file
- * Moving replicas of services off machines that are about to go, lose their lease or fail tasks, and away
- * from one another.
+ * Service moves: moves replicas off machines that are about to be reclaimed, lose their lease or are
+ * faulty, and away from one another.
  *
- * Input: what is known of each machine, and which replicas serve. Result: replicas to be stopped and started
- * elsewhere. Invariant: one replica of a service is missed at a time, unless its machines leave no time for
- * that.
+ * Input: the state of each machine, and which replicas serve. Result: replicas stopped, to be started
+ * elsewhere. Invariant: one replica of a service is missing at a time, unless its machines leave too little
+ * time for that.
  */
 #ifndef OW_CORE_SCHEDULING_SERVICE_MOVES_H
 #define OW_CORE_SCHEDULING_SERVICE_MOVES_H
 
 struct ow_leader;
 
-/** Considers every machine and service; called a few times a second. */
+/** Considers every machine and every service for moves; called several times a second. */
 void ow_service_moves_tick(struct ow_leader *leader);
 
 #endif
--- a/src/core/scheduling/service_replicas.c
+++ b/src/core/scheduling/service_replicas.c
@@ -13,16 +13,17 @@
 
 #include <math.h>
 
-/* The score, in seconds of a later start, of each replica of the same service on the machine, and in its
-   zone: one loss is to take few. */
+/* Added to the score for each replica of the same service on the machine, and in its zone, so that the loss
+   of one affects few replicas. */
 static const double SAME_MACHINE_S = 60;
 static const double SAME_ZONE_S = 4;
-/* The score of each replica of any service on the machine, and of all of them at most. */
+/* Added to the score for each replica of any service on the machine, and the limit for all of them. */
 static const double CROWDING_S = 0.2;
 static const double CROWDING_LIMIT_S = 2;
 
-/* What the job's own rules admit in each zone, by zone index. */
-static GArray *zones_admit(const struct ow_leader *leader, const struct ow_execution *execution)
+/* How many more replicas the job's zone rules admit in each zone, by zone index. The caller frees the
+   array. */
+static GArray *admitted_by_zone(const struct ow_leader *leader, const struct ow_execution *execution)
 {
     GArray *admitted = g_array_new(FALSE, FALSE, sizeof(uint32_t));
     for (int zone = 0; zone < ow_interner_count(leader->core->interners.zones); zone++) {
@@ -32,8 +33,9 @@
     return admitted;
 }
 
-/* One loss is to take few replicas of other services as well: of machines that are much alike the one with
-   fewer of them is chosen. Never at the price of an image fetch. */
+/* Adds the crowding term, so that the loss of one machine affects few replicas of other services, too: of
+   otherwise similar machines the one with fewer replicas is chosen. The limit is far below the cost of an
+   image fetch. */
 static void add_crowding_scores(GArray *candidates)
 {
     for (guint i = 0; i < candidates->len; i++) {
@@ -49,7 +51,8 @@
     }
 }
 
-/* The score of one more replica on the machine, higher the more of its service are there or in the zone. */
+/* The score of one more replica on the machine: the more replicas of its service are on the machine or in
+   its zone, the higher. */
 static double replica_score_s(const struct ow_replica_spread *spread, const struct ow_candidate *candidate)
 {
     const struct ow_machine *machine = candidate->machine;
@@ -57,12 +60,12 @@
            SAME_ZONE_S * ow_replica_spread_in_zone(spread, machine->zone);
 }
 
-/* The candidate with the lowest score in an admitted zone; NULL: there is none. */
+/* The candidate with the lowest score in a zone that admits a replica; NULL if there is none. */
 static struct ow_candidate *best_candidate(const struct ow_replica_spread *spread, GArray *candidates,
                                            const GArray *admitted, int only_zone)
 {
     struct ow_candidate *best = NULL;
-    double least_s = INFINITY;
+    double lowest_score_s = INFINITY;
     for (guint i = 0; i < candidates->len; i++) {
         struct ow_candidate *candidate = &g_array_index(candidates, struct ow_candidate, i);
         int zone = candidate->machine->zone;
@@ -71,8 +74,8 @@
         if (candidate->slots == 0 || g_array_index(admitted, uint32_t, zone) == 0)
             continue;
         double score_s = replica_score_s(spread, candidate);
-        if (score_s < least_s) {
-            least_s = score_s;
+        if (score_s < lowest_score_s) {
+            lowest_score_s = score_s;
             best = candidate;
         }
     }
@@ -101,7 +104,7 @@
     g_auto(ow_replica_spread) spread = ow_replica_spread_of(execution);
     add_crowding_scores(candidates);
     for (; wanted > 0; wanted--) {
-        g_autoptr(GArray) admitted = zones_admit(leader, execution);
+        g_autoptr(GArray) admitted = admitted_by_zone(leader, execution);
         struct ow_candidate *candidate = best_candidate(&spread, candidates, admitted, only_zone);
         if (candidate == NULL)
             break;
--- a/src/core/scheduling/service_replicas.h
+++ b/src/core/scheduling/service_replicas.h
@@ -1,9 +1,10 @@
 /** @file
- * Starting replicas of services: they run until their job is cancelled, kept apart from one another.
+ * Starting replicas of services, which run until their job is cancelled and are kept apart from one
+ * another.
  *
  * Input: candidates, and where the service's replicas are. Result: replicas bound one by one, each to the
  * candidate with the lowest score. Invariant: no replica breaks the job's zone rules. The terms that are
- * added to placement_score.h, in seconds of a later start:
+ * added to placement_score.h, in seconds:
  *
  * | term         | amount                                                              |
  * |--------------|---------------------------------------------------------------------|
@@ -17,7 +18,7 @@
 struct ow_execution;
 struct ow_leader;
 
-/** Starts the missing replicas of a service, as far as there is capacity. */
+/** Starts pending replicas of a service as far as the team's limit, the zone rules and capacity admit. */
 void ow_service_replicas_start(struct ow_leader *leader, struct ow_execution *execution);
 
 #endif
