--- a/src/core/scheduling/gang_start.c
+++ b/src/core/scheduling/gang_start.c
@@ -36,8 +36,8 @@
 }
 
 /* Adds the further candidates that members collect while the window is open. The members of a gang are
-   identical, so their lists have the same machines in the same order; a machine is in as many lists as it has
-   slots for members. */
+   identical, so their lists have the same machines in the same order; there are at most as many lists as
+   candidates. */
 static void collect_candidates(const struct ow_leader *leader, struct ow_execution *execution,
                                const GArray *candidates)
 {
