--- a/src/core/scheduling/replica_move.c
+++ b/src/core/scheduling/replica_move.c
@@ -16,7 +16,7 @@
     return attempt->state == OW_ATTEMPT_SEEN && attempt->phase == OW_PHASE_RUNNING && !attempt->is_stopping;
 }
 
-uint32_t ow_replica_move_missing(const struct ow_execution *execution)
+uint32_t ow_replica_move_count_missing(const struct ow_execution *execution)
 {
     uint32_t serving = 0;
     for (guint i = 0; i < execution->attempts->len; i++) {
@@ -36,19 +36,19 @@
     return false;
 }
 
-/* Whether the machine has the image, and not only a fetch of it under way. */
+/* Whether the machine has the complete image; a fetch in progress doesn't count. */
 static bool has_image(const struct ow_machine *machine, int image)
 {
     const struct ow_image_copy *copy = ow_machine_image(machine, image);
     return copy != NULL && copy->present;
 }
 
-/* Whether a replica of the service could start on the machine at once, apart from the others. */
+/* Whether a replica of the service could start on the machine at once, apart from its other replicas. */
 static bool is_target(const struct ow_leader *leader, const struct ow_execution *execution,
                       const struct ow_machine *machine)
 {
     const struct ow_job_spec *spec = execution->job->spec;
-    return has_image(machine, spec->image) && ow_placement_is_permitted(leader, execution, machine) &&
+    return has_image(machine, spec->image) && ow_placement_is_eligible(leader, execution, machine) &&
            ow_placement_slots(leader, spec, machine) > 0 && !has_attempt_on(execution, machine);
 }
 
