--- a/src/core/jobs/attempt.h
+++ b/src/core/jobs/attempt.h
@@ -17,7 +17,7 @@
     OW_ATTEMPT_PLANNED,   /**< its record is not committed: no launch may leave */
     OW_ATTEMPT_COMMITTED, /**< recorded; no launch has left */
     OW_ATTEMPT_SENT,      /**< a launch has left and may have been executed */
-    OW_ATTEMPT_SEEN,      /**< a heartbeat has listed it */
+    OW_ATTEMPT_REPORTED,  /**< a heartbeat has listed it */
     OW_ATTEMPT_INHERITED, /**< recorded by an earlier leader; no heartbeat has shown its state yet */
 };
 
@@ -30,7 +30,7 @@
     struct ow_machine *machine;
     uint64_t incarnation; /**< the worker's incarnation that it belongs to */
     enum ow_attempt_state state;
-    enum ow_task_phase phase;      /**< from the last heartbeat; valid in state OW_ATTEMPT_SEEN */
+    enum ow_task_phase phase;      /**< from the last heartbeat; valid in state OW_ATTEMPT_REPORTED */
     uint64_t transaction_serial;   /**< of the transaction that carries its record */
     uint32_t heartbeat_generation; /**< of the last heartbeat that lists it */
     double placed_at;
--- a/src/core/jobs/attempt_table.c
+++ b/src/core/jobs/attempt_table.c
@@ -62,10 +62,10 @@
 {
     struct ow_execution *execution = attempt->job->execution;
     g_ptr_array_remove_fast(execution->attempts, attempt);
-    if (attempt->state == OW_ATTEMPT_SEEN && attempt->phase == OW_PHASE_RUNNING)
+    if (attempt->state == OW_ATTEMPT_REPORTED && attempt->phase == OW_PHASE_RUNNING)
         execution->running--;
     execution->tasks[attempt->task].attempt = NULL;
-    execution->cursor = MIN(execution->cursor, attempt->task);
+    execution->pending_cursor = MIN(execution->pending_cursor, attempt->task);
 }
 
 void ow_attempt_remove(struct ow_leader *leader, struct ow_attempt *attempt)
--- a/src/core/jobs/execution.h
+++ b/src/core/jobs/execution.h
@@ -41,10 +41,10 @@
     /* Tasks: attempt_table.c, attempt_end.c and reconciliation.c. */
     struct ow_task *tasks; /**< `count` of them, owned */
     uint32_t count;
-    uint32_t done;       /**< how many of them are done */
-    uint32_t running;    /**< how many of them have an attempt that runs */
-    GPtrArray *attempts; /**< struct ow_attempt that may exist, in no order */
-    uint32_t cursor;     /**< no pending task below it: also bind.c */
+    uint32_t done;           /**< how many of them are done */
+    uint32_t running;        /**< how many of them have an attempt that runs */
+    GPtrArray *attempts;     /**< struct ow_attempt that may exist, in no order */
+    uint32_t pending_cursor; /**< no pending task below it: also bind.c */
 
     /* Records. */
     struct ow_chunk *chunks; /**< `chunk_count` of them, owned */
@@ -57,8 +57,8 @@
                    */
     bool is_starving;                   /**< none of its tasks has started for too long; set like `is_aged` */
     double ready_at;                    /**< no task is started before this time */
-    double missing_since;               /**< since when a task is pending; 0: none is: queue.c */
-    double separate_at;                 /**< next check of the spread of its replicas: replica_separation.c */
+    double pending_since;               /**< since when a task is pending; 0: none is: queue.c */
+    double separation_check_at;         /**< next check of the spread of its replicas: replica_separation.c */
     struct ow_reservation *reservation; /**< of a waiting gang, owned; NULL: none: reservation.c */
 
     /* Faults: machine_faults.c. */
--- a/src/core/jobs/job_cache.c
+++ b/src/core/jobs/job_cache.c
@@ -233,7 +233,7 @@
     g_array_append_val(job_cache->waiting, waiter);
 }
 
-void ow_job_cache_hint(struct ow_job_cache *job_cache, uint64_t revision)
+void ow_job_cache_note_change(struct ow_job_cache *job_cache, uint64_t revision)
 {
     job_cache->is_stale = job_cache->is_stale || revision > job_cache->revision;
 }
--- a/src/core/jobs/job_cache.h
+++ b/src/core/jobs/job_cache.h
@@ -26,7 +26,7 @@
  * callers share one read. */
 void ow_job_cache_refresh(struct ow_job_cache *job_cache, ow_refreshed_fn fn, void *data);
 /** Tells that the stored table has changed at `revision`: it is read soon if our copy is older. */
-void ow_job_cache_hint(struct ow_job_cache *job_cache, uint64_t revision);
+void ow_job_cache_note_change(struct ow_job_cache *job_cache, uint64_t revision);
 /** Sends the reads that are due. */
 void ow_job_cache_tick(struct ow_job_cache *job_cache);
 
--- a/src/core/leader/heartbeat_answer.c
+++ b/src/core/leader/heartbeat_answer.c
@@ -46,7 +46,7 @@
 static GArray *choose_commands(struct ow_leader *leader, struct ow_machine *machine,
                                const struct ow_heartbeat *heartbeat, const GArray *clears)
 {
-    if (leader->phase == OW_LEADER_REFRESH)
+    if (leader->phase == OW_LEADER_REFRESHING)
         return g_array_new(FALSE, FALSE, sizeof(struct ow_worker_command));
     if (!may_be_commanded(leader, machine, heartbeat))
         return ow_reconcile_cancelled(leader, heartbeat);
@@ -69,7 +69,7 @@
     /* Until the job table has been read, renewing the worker's lease could keep a task running whose
        cancellation has been acknowledged to a user. A reply without our fencing token does not renew the
        lease, but keeps the worker from trying another controller. */
-    effect->fencing_token = leader->phase == OW_LEADER_REFRESH ? 0 : leader->fencing_token;
+    effect->fencing_token = leader->phase == OW_LEADER_REFRESHING ? 0 : leader->fencing_token;
     effect->commands = choose_commands(leader, machine, heartbeat, clears);
     ow_core_emit(leader->core, effect);
 }
--- a/src/core/leader/job_cancellation.c
+++ b/src/core/leader/job_cancellation.c
@@ -11,7 +11,7 @@
    acknowledged, while its stop is in flight. */
 static bool can_only_end(const struct ow_attempt *attempt)
 {
-    return attempt->is_stopping && attempt->state == OW_ATTEMPT_SEEN &&
+    return attempt->is_stopping && attempt->state == OW_ATTEMPT_REPORTED &&
            attempt->machine->liveness.is_fenced &&
            (attempt->phase == OW_PHASE_RUNNING || attempt->phase == OW_PHASE_CHECKPOINTING);
 }
--- a/src/core/leader/leader_state.h
+++ b/src/core/leader/leader_state.h
@@ -25,7 +25,7 @@
 
 /** When the scheduling cycle is due, and what it computes once for all jobs: schedule.c unless said
  * otherwise. */
-struct ow_cycle_scratch {
+struct ow_cycle_state {
     bool due;                    /* something has changed since the last cycle */
     double last_at;              /* when the last one began: cycle_timer.c, as `due` */
     GArray *image_demand;        /* image_demand.c; by image */
@@ -38,9 +38,9 @@
 
 /** The phases of a new leader's failover. Only failover.c changes the phase. */
 enum ow_leader_phase {
-    OW_LEADER_REFRESH, /**< the copy of the job table is being refreshed */
-    OW_LEADER_LOADING, /**< the progress records are being read */
-    OW_LEADER_READY,   /**< all records are known: the leader makes decisions */
+    OW_LEADER_REFRESHING, /**< the copy of the job table is being refreshed */
+    OW_LEADER_LOADING,    /**< the progress records are being read */
+    OW_LEADER_READY,      /**< all records are known: the leader makes decisions */
 };
 
 /** The leader of a shard. */
@@ -68,7 +68,7 @@
     /* Jobs. */
     GPtrArray *executions; /**< struct ow_execution, owned: execution_table.c */
     struct ow_quota *quota;
-    struct ow_cycle_scratch cycle;
+    struct ow_cycle_state cycle;
 
     /* Records. */
     struct ow_record_format *record_format;
--- a/src/core/machines/reconciliation.c
+++ b/src/core/machines/reconciliation.c
@@ -117,7 +117,7 @@
 
 static bool is_seen_running(const struct ow_attempt *attempt)
 {
-    return attempt->state == OW_ATTEMPT_SEEN && attempt->phase == OW_PHASE_RUNNING;
+    return attempt->state == OW_ATTEMPT_REPORTED && attempt->phase == OW_PHASE_RUNNING;
 }
 
 static void apply_phase(struct ow_leader *leader, struct ow_attempt *attempt, enum ow_task_phase phase)
@@ -126,7 +126,7 @@
     if (attempt->state == OW_ATTEMPT_SENT)
         attempt->machine->liveness.unanswered_since = 0; /* the launch has arrived, by whichever way */
     execution->running -= is_seen_running(attempt) ? 1 : 0;
-    attempt->state = OW_ATTEMPT_SEEN;
+    attempt->state = OW_ATTEMPT_REPORTED;
     attempt->phase = phase;
     execution->running += is_seen_running(attempt) ? 1 : 0;
     if (phase == OW_PHASE_RUNNING && attempt->running_at == 0)
@@ -176,7 +176,7 @@
     if (attempt->state == OW_ATTEMPT_INHERITED) {
         ow_attempt_end(leader, attempt, OW_CAUSE_NONE,
                        "its worker does not list it under the new fencing token");
-    } else if (attempt->state == OW_ATTEMPT_SEEN) {
+    } else if (attempt->state == OW_ATTEMPT_REPORTED) {
         attempt->job->execution->running -= is_seen_running(attempt) ? 1 : 0;
         attempt->state = OW_ATTEMPT_SENT;
     }
--- a/src/core/machines/worker_commands.c
+++ b/src/core/machines/worker_commands.c
@@ -45,7 +45,7 @@
 static bool is_command_due(const struct ow_machine *machine, const struct ow_attempt *attempt)
 {
     return attempt->incarnation == machine->liveness.incarnation &&
-           (attempt->state != OW_ATTEMPT_SEEN || attempt->is_stopping);
+           (attempt->state != OW_ATTEMPT_REPORTED || attempt->is_stopping);
 }
 
 bool ow_worker_commands_are_due(const struct ow_machine *machine)
--- a/src/core/peers/peer_messages.c
+++ b/src/core/peers/peer_messages.c
@@ -50,7 +50,7 @@
         handle_summary(core, message);
         break;
     case OW_PEER_JOB_CHANGED:
-        ow_job_cache_hint(core->job_cache, message->job_change.revision);
+        ow_job_cache_note_change(core->job_cache, message->job_change.revision);
         break;
     case OW_PEER_CANCELLATION:
         ow_cancellation_ack_requested(core->cancellation_ack, message);
--- a/src/core/records/failover.c
+++ b/src/core/records/failover.c
@@ -133,7 +133,7 @@
         return;
     /* The format decides how jobs are divided into chunks, so it must be known first. */
     bool is_format_known = ow_record_format_is_known(leader->record_format);
-    if (leader->phase == OW_LEADER_REFRESH)
+    if (leader->phase == OW_LEADER_REFRESHING)
         refresh_jobs(leader);
     else if (is_format_known)
         read_progress_page(leader);
--- a/src/core/records/failover.h
+++ b/src/core/records/failover.h
@@ -1,7 +1,7 @@
 /** @file
  * The failover of a new leader, from taking the leader key until it is ready to make decisions.
  *
- * Phases, in `ow_leader.phase`: the copy of the job table is refreshed (OW_LEADER_REFRESH), all progress
+ * Phases, in `ow_leader.phase`: the copy of the job table is refreshed (OW_LEADER_REFRESHING), all progress
  * records are read and the executions restored from them (OW_LEADER_LOADING), then the leader makes decisions
  * (OW_LEADER_READY). Invariant: it makes none before it knows every attempt that an earlier leader may have
  * launched. Heartbeats then show which of these still run: machines/reconciliation.h.
--- a/src/core/scheduling/bind.c
+++ b/src/core/scheduling/bind.c
@@ -17,9 +17,10 @@
 
 uint32_t ow_bind_next_pending_task(struct ow_execution *execution)
 {
-    while (execution->cursor < execution->count && !is_pending(&execution->tasks[execution->cursor]))
-        execution->cursor++;
-    return execution->cursor;
+    while (execution->pending_cursor < execution->count &&
+           !is_pending(&execution->tasks[execution->pending_cursor]))
+        execution->pending_cursor++;
+    return execution->pending_cursor;
 }
 
 void ow_bind_task(struct ow_leader *leader, struct ow_execution *execution, uint32_t task, uint64_t number,
--- a/src/core/scheduling/promotion.c
+++ b/src/core/scheduling/promotion.c
@@ -29,7 +29,7 @@
    replica has been missed. */
 static void update_service(const struct ow_leader *leader, struct ow_execution *execution)
 {
-    double missing_s = leader->core->now - execution->missing_since;
+    double missing_s = leader->core->now - execution->pending_since;
     execution->is_starving = missing_s > patience_s(leader, execution);
     execution->is_aged = false;
 }
--- a/src/core/scheduling/queue.c
+++ b/src/core/scheduling/queue.c
@@ -126,11 +126,11 @@
 static bool update_waiting(const struct ow_leader *leader, struct ow_execution *execution)
 {
     if (ow_execution_count_pending(execution) == 0) {
-        execution->missing_since = 0;
+        execution->pending_since = 0;
         return false;
     }
-    if (execution->missing_since == 0)
-        execution->missing_since = leader->core->now;
+    if (execution->pending_since == 0)
+        execution->pending_since = leader->core->now;
     return execution->ready_at <= leader->core->now;
 }
 
--- a/src/core/scheduling/replica_move.c
+++ b/src/core/scheduling/replica_move.c
@@ -13,7 +13,8 @@
 
 static bool is_serving(const struct ow_attempt *attempt)
 {
-    return attempt->state == OW_ATTEMPT_SEEN && attempt->phase == OW_PHASE_RUNNING && !attempt->is_stopping;
+    return attempt->state == OW_ATTEMPT_REPORTED && attempt->phase == OW_PHASE_RUNNING &&
+           !attempt->is_stopping;
 }
 
 uint32_t ow_replica_move_missing(const struct ow_execution *execution)
--- a/src/core/scheduling/replica_separation.c
+++ b/src/core/scheduling/replica_separation.c
@@ -58,9 +58,9 @@
 void ow_replica_separation_consider(struct ow_leader *leader, struct ow_execution *execution)
 {
     if (!ow_execution_is_service(execution) || ow_job_is_over(execution->job) ||
-        leader->core->now < execution->separate_at)
+        leader->core->now < execution->separation_check_at)
         return;
-    execution->separate_at = leader->core->now + SEPARATION_INTERVAL_S;
+    execution->separation_check_at = leader->core->now + SEPARATION_INTERVAL_S;
     if (!has_been_calm(leader, execution))
         return;
     int not_in_zone = OW_NO_NAME;
