--- a/src/core/records/failover.c
+++ b/src/core/records/failover.c
@@ -15,7 +15,7 @@
 
 #include <inttypes.h>
 
-/* How long after a failed read the next one is sent. */
+/* Delay before a failed read is repeated. */
 static const double RETRY_S = 0.3;
 
 struct ow_failover {
@@ -44,7 +44,8 @@
     leader->failover->next_at = leader->core->now + RETRY_S;
 }
 
-/* Machines announced by the previous leader can be commanded before the cloud's list has come. */
+/* Adds the machines that the previous leader announced, so that commands can be sent to them before the
+   cloud's list arrives. */
 static void use_machine_hints(struct ow_leader *leader)
 {
     const GArray *hints = ow_machine_hints_list(leader->core->machine_hints);
@@ -102,7 +103,7 @@
     ow_core_call_store(leader->core, request, on_progress_page, leader, NULL, NULL);
 }
 
-/* `data` is the fencing token of the leader that asked: its term may have ended. */
+/* `data` is the fencing token of the leader that requested the refresh; its term may have ended since. */
 static void on_jobs_refreshed(struct ow_core *core, void *data, bool ok)
 {
     struct ow_leader *leader = core->leader;
@@ -117,8 +118,8 @@
     leader->phase = OW_LEADER_LOADING;
 }
 
-/* The copy of the job table must be current first: a progress record whose job is not in it would be taken
-   for a leftover of a job that is over, and removed. */
+/* The copy of the job table must be current first: a progress record whose job is not in it would be treated
+ * as left over from a job that is over, and removed. */
 static void refresh_jobs(struct ow_leader *leader)
 {
     uint64_t *fencing_token = g_memdup2(&leader->fencing_token, sizeof leader->fencing_token);
--- a/src/core/records/failover.h
+++ b/src/core/records/failover.h
@@ -12,11 +12,11 @@
 struct ow_failover;
 struct ow_leader;
 
-/** Nothing has been read yet; freed by ow_failover_free(). */
+/** Creates the state of a failover that has read nothing yet; freed by ow_failover_free(). */
 struct ow_failover *ow_failover_new(void);
-/** Frees it with the records read so far. */
+/** Frees the state and the records read so far. */
 void ow_failover_free(struct ow_failover *failover);
-/** Takes the next step while the leader is not ready; a failed read is repeated. */
+/** Sends the next read that is due while the leader is not ready; a failed read is repeated. */
 void ow_failover_tick(struct ow_leader *leader);
 
 #endif
--- a/src/core/records/loaded_records.c
+++ b/src/core/records/loaded_records.c
@@ -53,7 +53,8 @@
 
 /* ---- reading values ---- */
 
-/* Whether the value exceeds the announced limit, so that it could not be written again once that holds. */
+/* Whether the value exceeds the announced limit, so that it could not be written again once that limit takes
+ * effect. */
 static bool is_too_large(const struct ow_leader *leader, const json_t *value)
 {
     const struct ow_store_limits *limits = &leader->core->store_limits;
@@ -87,13 +88,13 @@
     struct ow_record_value *record_value = ow_record_values_find_or_add(leader, (uint32_t)number);
     const char *name;
     json_t *value;
-    bool all_used = true;
+    bool all_current = true;
     record_value->mod_revision = item->mod_revision;
     json_object_foreach(item->value, name, value)
     {
-        all_used = add_record(loaded, leader, record_value, name, value) && all_used;
+        all_current = add_record(loaded, leader, record_value, name, value) && all_current;
     }
-    if (!all_used || is_too_large(leader, item->value))
+    if (!all_current || is_too_large(leader, item->value))
         ow_recorder_queue_compaction(leader, record_value);
 }
 
@@ -166,7 +167,7 @@
 
 /* Assigns the record's chunk to its record value or, if the job is now divided into smaller chunks, queues
    these for new values, which must be written before the old record is removed. */
-static void place_record(struct ow_leader *leader, const struct loaded_record *record)
+static void assign_chunk(struct ow_leader *leader, const struct loaded_record *record)
 {
     struct ow_execution *execution = record->job->execution;
     if (record->chunk_tasks == execution->chunk_tasks) {
@@ -212,7 +213,7 @@
         return;
     }
     restore_record(leader, record);
-    place_record(leader, record);
+    assign_chunk(leader, record);
 }
 
 void ow_loaded_records_restore(struct ow_loaded_records *loaded, struct ow_leader *leader)
--- a/src/core/records/loaded_records.h
+++ b/src/core/records/loaded_records.h
@@ -3,8 +3,8 @@
  * been read.
  *
  * The same tasks may be recorded in two values, or in chunks of two sizes, if an earlier leader ended before
- * it removed the old record. The value with the higher mod_revision counts. So records are applied in the
- * order of mod_revision, and each replaces what earlier ones said of its tasks.
+ * it removed the old record. The value with the higher mod_revision is valid. So records are applied in the
+ * order of mod_revision, and each replaces the state of its tasks that earlier ones have restored.
  */
 #ifndef OW_CORE_RECORDS_LOADED_RECORDS_H
 #define OW_CORE_RECORDS_LOADED_RECORDS_H
@@ -13,9 +13,9 @@
 struct ow_loaded_records;
 struct ow_store_item;
 
-/** No records; freed by ow_loaded_records_free(). */
+/** Creates an empty collection; freed by ow_loaded_records_free(). */
 struct ow_loaded_records *ow_loaded_records_new(void);
-/** Frees the records; NULL is allowed. */
+/** Frees the collection and the records in it; NULL is allowed. */
 void ow_loaded_records_free(struct ow_loaded_records *loaded);
 /** Adds the records of a value read from the store, and its record value to the leader. Keys of other kinds
  * are ignored. Records of jobs that are over are queued for removal. */
--- a/src/core/records/record_format.h
+++ b/src/core/records/record_format.h
@@ -14,11 +14,12 @@
 struct ow_leader;
 struct ow_record_format;
 
-/** The format is not known yet; freed by ow_record_format_free(). */
+/** Creates the state with an unknown format; freed by ow_record_format_free(). */
 struct ow_record_format *ow_record_format_new(void);
-/** Frees it. */
+/** Frees the state; NULL is allowed. */
 void ow_record_format_free(struct ow_record_format *format);
-/** Whether the stored format has been read. It becomes unknown again if a write of it had no clear result. */
+/** Whether the stored format has been read. It becomes unknown again when
+ * the comparisons of a write of it fail. */
 bool ow_record_format_is_known(const struct ow_record_format *format);
 /** Whether chunks may be recorded that have fewer tasks than OW_CHUNK_MAX_TASKS. */
 bool ow_record_format_has_small_chunks(const struct ow_record_format *format);
--- a/src/core/records/record_values.c
+++ b/src/core/records/record_values.c
@@ -20,7 +20,7 @@
 static const double FILL_SHARE = 0.6;
 /* Estimated size of a chunk that has not been encoded yet: a fixed part, and a part for each task. */
 enum { CHUNK_BYTES = 100, TASK_BYTES = 8 };
-/* Room for growth of the text's buffer beyond the size as last written. */
+/* Bytes that the text's buffer has beyond the estimated size, for growth since the value was last encoded. */
 enum { TEXT_MARGIN_BYTES = 64 };
 
 static size_t value_limit_bytes(const struct ow_leader *leader)
@@ -84,7 +84,7 @@
     return record_value != NULL ? record_value : add_record_value(leader, number);
 }
 
-static struct ow_record_value *add_under_free_number(struct ow_leader *leader)
+static struct ow_record_value *add_with_free_number(struct ow_leader *leader)
 {
     uint32_t number = 0;
     while (ow_record_values_find(leader, number) != NULL)
@@ -132,7 +132,7 @@
         if (is_fuller && may_take_chunk(leader, record_value, chunk))
             fullest = record_value;
     }
-    ow_record_value_add_chunk(fullest != NULL ? fullest : add_under_free_number(leader), chunk);
+    ow_record_value_add_chunk(fullest != NULL ? fullest : add_with_free_number(leader), chunk);
 }
 
 struct ow_record_value *ow_record_value_remove_chunk(struct ow_chunk *chunk)
@@ -179,7 +179,7 @@
 
 /* ---- the text of a record value ---- */
 
-static gint compare_places(gconstpointer a, gconstpointer b)
+static gint compare_by_machine(gconstpointer a, gconstpointer b)
 {
     const struct ow_attempt_record *left = a;
     const struct ow_attempt_record *right = b;
@@ -215,7 +215,7 @@
     struct ow_task_range tasks = tasks_of(chunk);
     for (uint32_t task = tasks.first; task < tasks.end; task++)
         add_task(&record, chunk->job->execution, task);
-    g_array_sort(record.attempts, compare_places);
+    g_array_sort(record.attempts, compare_by_machine);
     char *text = wire_progress_record_encode(&record);
     wire_progress_record_clear(&record);
     return text;
@@ -253,7 +253,7 @@
     *overflow = NULL;
     while (strlen(text) > value_limit_bytes(leader) && record_value->chunks->len > 1) {
         if (*overflow == NULL)
-            *overflow = add_under_free_number(leader);
+            *overflow = add_with_free_number(leader);
         move_half(record_value, *overflow);
         g_free(text);
         text = encode_chunks(record_value);
--- a/src/core/records/record_values.h
+++ b/src/core/records/record_values.h
@@ -1,9 +1,10 @@
 /** @file
  * Record values of a leader: which chunks share a value of the key-value store, and the text of that value.
  *
- * Mutations are scarcer than bytes in the store, so chunks that change together share a value. A chunk stays
- * in its record value until its job is over or the value outgrows the store's limit. Every chunk is in at
- * most one record value. recorder.h and transaction.h decide when they are written.
+ * The rate of mutations is a tighter limit of the store than the size of values, so chunks that change
+ * together share a value. A chunk stays in its record value until its job is over or the value exceeds
+ * the store's limit. Every chunk is in at most one record value. recorder.h and transaction.h decide when
+ * they are written.
  *
  * Invariant: a stored value is not replaced while it is the only record of a task that the new text omits. So
  * a chunk that moves is written in its new value before the old value is replaced (`waits_for`), and a value
@@ -30,7 +31,7 @@
 struct ow_record_value *ow_record_values_find(const struct ow_leader *leader, uint32_t number);
 /** The record value of this number, owned by the leader; it is added without chunks if it is new. */
 struct ow_record_value *ow_record_values_find_or_add(struct ow_leader *leader, uint32_t number);
-/** Frees a record value: the free function of the leader's array. */
+/** Frees a record value, but not its chunks: the free function of the leader's array. */
 void ow_record_value_free(void *item);
 
 /** Adds a chunk that is in no record value to this one. */
@@ -48,8 +49,8 @@
 void ow_record_value_drop_moved_tasks(struct ow_record_value *record_value);
 
 /** The JSON text of the record value, which the caller frees. While it exceeds the limit of a value and has
-   more than one chunk, chunks move to a new record value, which is returned in `*overflow` and must be
-   written first; otherwise `*overflow` is NULL. The text of a single chunk may still be too large. */
+ * more than one chunk, chunks move to a new record value, which is returned in `*overflow` and must be
+ * written first; otherwise `*overflow` is NULL. The text of a single chunk may still be too large. */
 char *ow_record_values_encode(struct ow_leader *leader, struct ow_record_value *record_value,
                               struct ow_record_value **overflow);
 
--- a/src/core/records/record_writer.c
+++ b/src/core/records/record_writer.c
@@ -23,7 +23,7 @@
     ow_transaction_reply_handle(owner, &answer->store);
 }
 
-static void send(struct ow_leader *leader, struct ow_store_request *transaction)
+static void send_transaction(struct ow_leader *leader, struct ow_store_request *transaction)
 {
     struct ow_recorder *recorder = leader->recorder;
     recorder->mutations_in_flight = transaction->mutations->len;
@@ -43,5 +43,5 @@
     leader->recorder->transaction_serial++;
     ow_transaction_fill(leader, transaction);
     if (transaction->mutations->len > 0)
-        send(leader, g_steal_pointer(&transaction));
+        send_transaction(leader, g_steal_pointer(&transaction));
 }
--- a/src/core/records/record_writer.h
+++ b/src/core/records/record_writer.h
@@ -8,8 +8,8 @@
 
 struct ow_leader;
 
-/** Sends the next transaction if there is something to write, the rate of writes permits it and none is in
-    flight. */
+/** Sends the next transaction if there is something to write, the rate of mutations permits it and none is in
+ * flight. */
 void ow_record_writer_tick(struct ow_leader *leader);
 
 #endif
--- a/src/core/records/recorder.c
+++ b/src/core/records/recorder.c
@@ -10,9 +10,10 @@
 /* Delay before a value is rewritten without the records of jobs that are over, so that one write removes
    several jobs. */
 static const double COMPACTION_DELAY_S = 10;
-/* The recorder's share of the permitted rate of mutations, and for how many seconds of that rate unused ones
-   accumulate. The rest is left for submissions and cancellations, which any controller writes. */
+/* The recorder's share of the permitted rate of mutations; the rest is left for submissions and
+   cancellations, which any controller writes. */
 static const double RATE_SHARE = 0.8;
+/* A burst is as many mutations as the permitted rate allows in this time. */
 static const double BURST_S = 0.7;
 /* Distance in write order between launches of one rank and of the next. */
 enum { LAUNCH_RANK_STEP = 10 };
--- a/src/core/records/recorder.h
+++ b/src/core/records/recorder.h
@@ -4,7 +4,7 @@
  * Every module that changes a job's tasks calls it. record_writer.h sends the queued writes.
  *
  * Invariants of the write path:
- *  - No launch leaves before the record of its attempt is committed (safety rule 1): an attempt stays
+ *  - No launch is sent before the record of its attempt is committed (safety rule 1): an attempt stays
  *    OW_ATTEMPT_PLANNED until transaction_reply.c handles the success of the transaction that recorded it.
  *  - One transaction is in flight at a time, so writes are applied in the order in which they were decided.
  *  - Every transaction compares the leader key, so that a deposed leader changes nothing, and the
@@ -40,7 +40,7 @@
 /** Queues a rewrite of the record value, in the background, without the records of jobs that are over. */
 void ow_recorder_queue_compaction(struct ow_leader *leader, struct ow_record_value *record_value);
 /** Drops every reference to an execution that is about to be freed, and queues the rewrite of its record
-   values without it. */
+ * values without it. */
 void ow_recorder_forget_execution(struct ow_leader *leader, const struct ow_execution *execution);
 
 #endif
--- a/src/core/records/recorder_state.h
+++ b/src/core/records/recorder_state.h
@@ -1,5 +1,5 @@
 /** @file
- * The state of the recorder, as plain data for the modules that write records. Everybody else uses
+ * The state of the recorder, as plain data for the modules that write records. All other modules use
  * recorder.h.
  */
 #ifndef OW_CORE_RECORDS_RECORDER_STATE_H
--- a/src/core/records/store_limits.h
+++ b/src/core/records/store_limits.h
@@ -27,15 +27,16 @@
     double mutations_per_s;
 };
 
-/** The limits by the settings. */
+/** The limits that the settings give: of each kind the smaller of the present and the announced one. */
 struct ow_store_limits ow_store_limits_from_settings(const struct ow_settings *settings);
 /** Lowers the limits after a transaction of `mutations` changes was refused as too large, whatever the
-   settings say; `largest_bytes` is the size of its largest value. If it had several changes, their number
-   alone may have been the cause: the next ones have half as many. A single one shows that its value was too
-   large, and the next ones are half its size. False when nothing is left to make smaller. */
+ * settings say; `largest_bytes` is the size of its largest value. If it had several changes, their number
+ * alone may have been the cause: the next ones have half as many. A single one shows that its value was too
+ * large, and the next ones are half its size. Returns false if neither can be reduced any
+ * further. */
 bool ow_store_limits_shrink(struct ow_store_limits *limits, unsigned mutations, size_t largest_bytes);
 /** How many tasks fit a progress record of their own even if each of them is on another machine: a power of
-   two from OW_CHUNK_MIN_TASKS to OW_CHUNK_MAX_TASKS. */
+ * two from OW_CHUNK_MIN_TASKS to OW_CHUNK_MAX_TASKS. */
 unsigned ow_store_limits_chunk_tasks(const struct ow_store_limits *limits);
 
 #endif
--- a/src/core/records/transaction.c
+++ b/src/core/records/transaction.c
@@ -1,6 +1,5 @@
 #include "core/records/transaction.h"
 
-#include "core/jobs/attempt.h"
 #include "core/jobs/attempt.h"
 #include "core/jobs/execution.h"
 #include "core/leader/leader_state.h"
@@ -16,12 +15,12 @@
 
 /* Maximum size of a transaction, and overhead of a mutation beside its key and value. */
 enum { TRANSACTION_BYTES = 60 * 1024, MUTATION_BYTES = 120 };
-/* With at least this share of the burst of mutations unused, ... */
+/* Mutations count as spare while more than this share of the burst is unused. */
 static const double SPARE_SHARE = 0.8;
-/* ... writes that are due within this time are sent at once. */
+/* With spare mutations, writes that are due within this time are sent at once. */
 static const double DUE_SOON_S = OW_PROGRESS_DELAY_S / 2;
 
-/* ---- putting a write into the transaction ---- */
+/* ---- adding a write to the transaction ---- */
 
 /* Attempts whose record the transaction carries may be launched once it is committed. */
 static void mark_attempts(const struct ow_chunk *chunk, uint64_t transaction_serial)
@@ -62,8 +61,9 @@
            chunk->job->execution->chunk_tasks > OW_CHUNK_MIN_TASKS;
 }
 
-/* The text of the record value, or NULL if it must not go into this transaction: a value that chunks have
-   moved to must be written first, its chunk must be divided first, or it is too large and must go alone. */
+/* The text of the record value, or NULL if it must not be added to this transaction: a value that chunks have
+   moved to must be written first, its chunk must be divided first, or it is too large and must be sent
+   alone. */
 static char *encode_for_transaction(struct ow_leader *leader, const struct ow_write *write,
                                     const struct ow_store_request *transaction)
 {
@@ -91,7 +91,7 @@
     g_ptr_array_add(recorder->writes_in_flight, g_memdup2(write, sizeof *write));
 }
 
-static void put_record_value(struct ow_leader *leader, const struct ow_write *write,
+static void add_record_value(struct ow_leader *leader, const struct ow_write *write,
                              struct ow_store_request *transaction)
 {
     struct ow_recorder *recorder = leader->recorder;
@@ -108,7 +108,7 @@
     add_to_in_flight(recorder, write);
 }
 
-static void put_final_record(struct ow_leader *leader, const struct ow_write *write,
+static void add_final_record(struct ow_leader *leader, const struct ow_write *write,
                              struct ow_store_request *transaction)
 {
     const struct ow_job *job = write->execution->job;
@@ -120,15 +120,16 @@
     add_to_in_flight(leader->recorder, write);
 }
 
-static void put(struct ow_leader *leader, const struct ow_write *write, struct ow_store_request *transaction)
+static void add_write(struct ow_leader *leader, const struct ow_write *write,
+                      struct ow_store_request *transaction)
 {
     if (write->kind == OW_WRITE_RECORD_VALUE)
-        put_record_value(leader, write, transaction);
+        add_record_value(leader, write, transaction);
     else
-        put_final_record(leader, write, transaction);
+        add_final_record(leader, write, transaction);
 }
 
-/* ---- which writes go into the transaction ---- */
+/* ---- selecting the writes of the transaction ---- */
 
 /* Whether the stored value must not be replaced yet: a value that chunks have moved to must be written first,
    its chunk must be divided first, or it is the only record of some tasks. */
@@ -140,24 +141,24 @@
     return record_value->unmoved_tasks->len > 0;
 }
 
-/* A value that may be refused for its size goes alone: the refusal would fail the whole transaction. */
-static bool must_go_alone(const struct ow_write *write)
+/* A value that may be refused for its size is sent alone: the refusal would fail the whole transaction. */
+static bool must_be_sent_alone(const struct ow_write *write)
 {
     return write->kind == OW_WRITE_RECORD_VALUE && write->record_value->is_oversized;
 }
 
-/* Whether the write may go into the transaction now. With spare mutations there is no gain in delaying one
-   that is due soon. */
-static bool may_go(const struct ow_write *write, const struct ow_store_request *transaction, double now,
-                   bool has_spare)
+/* Whether the write may be added to the transaction now. With spare mutations there is no gain in delaying
+   one that is due soon. */
+static bool may_include(const struct ow_write *write, const struct ow_store_request *transaction, double now,
+                        bool has_spare_mutations)
 {
     if (write->kind == OW_WRITE_RECORD_VALUE &&
         (is_blocked(write->record_value) || now < write->record_value->refused_until))
         return false;
     bool is_due_soon = write->due_at - now < DUE_SOON_S;
-    if (write->due_at > now && !(has_spare && is_due_soon))
+    if (write->due_at > now && !(has_spare_mutations && is_due_soon))
         return false;
-    return transaction->mutations->len == 0 || !must_go_alone(write);
+    return transaction->mutations->len == 0 || !must_be_sent_alone(write);
 }
 
 /* An upper estimate of the transaction's size, with its comparisons. */
@@ -192,19 +193,21 @@
 {
     struct ow_recorder *recorder = leader->recorder;
     double now = leader->core->now;
-    double permitted = ow_rate_limiter_level(&recorder->mutation_limiter, now);
-    bool has_spare = permitted > SPARE_SHARE * recorder->mutation_limiter.depth;
-    guint mutations_max = (guint)MIN((double)leader->core->store_limits.transaction_mutations, permitted);
+    double available_mutations = ow_rate_limiter_level(&recorder->mutation_limiter, now);
+    bool has_spare_mutations = available_mutations > SPARE_SHARE * recorder->mutation_limiter.depth;
+    guint mutations_max =
+        (guint)MIN((double)leader->core->store_limits.transaction_mutations, available_mutations);
     guint position = 0;
     ow_write_queue_sort(recorder->queue);
     while (position < ow_write_queue_length(recorder->queue) &&
            has_room(leader, transaction, mutations_max)) {
-        if (!may_go(ow_write_queue_at(recorder->queue, position), transaction, now, has_spare)) {
+        if (!may_include(ow_write_queue_at(recorder->queue, position), transaction, now,
+                         has_spare_mutations)) {
             position++;
             continue;
         }
-        /* put() appends the write to the queue again if it has to wait after all. */
+        /* add_write() appends the write to the queue again if it has to wait after all. */
         g_autofree struct ow_write *write = ow_write_queue_take(recorder->queue, position);
-        put(leader, write, transaction);
+        add_write(leader, write, transaction);
     }
 }
--- a/src/core/records/transaction_reply.c
+++ b/src/core/records/transaction_reply.c
@@ -16,7 +16,7 @@
 
 #include <string.h>
 
-/* How long after a failure the next transaction is sent; and when it can't be made any smaller. */
+/* Delay of the next transaction after a failure, and after the refusal of one that can't be made smaller. */
 static const double RETRY_S = 0.2;
 static const double REFUSED_RETRY_S = 5;
 
@@ -31,8 +31,8 @@
 
 /* ---- success ---- */
 
-/* Record values that waited for this one need not wait any more. */
-static void unblock_others(struct ow_leader *leader, const struct ow_record_value *record_value)
+/* Unblocks the record values that wait until this one is written. */
+static void unblock_waiting(struct ow_leader *leader, const struct ow_record_value *record_value)
 {
     for (guint i = 0; i < leader->record_values->len; i++) {
         struct ow_record_value *other = g_ptr_array_index(leader->record_values, i);
@@ -63,7 +63,7 @@
                                 uint64_t revision)
 {
     record_value->mod_revision = revision;
-    unblock_others(leader, record_value);
+    unblock_waiting(leader, record_value);
     for (guint i = 0; i < record_value->chunks->len; i++)
         commit_chunk(leader, g_ptr_array_index(record_value->chunks, i));
 }
@@ -129,7 +129,7 @@
     ow_core_call_store(leader->core, request, on_mod_revision, leader, g_strdup(key), g_free);
 }
 
-/* `data` is the fencing token of the leader that asked: its term may have ended. */
+/* `data` is the fencing token of the leader that requested the refresh; its term may have ended since. */
 static void on_jobs_refreshed(struct ow_core *core, void *data, bool ok)
 {
     struct ow_leader *leader = core->leader;
@@ -141,7 +141,7 @@
     ow_leader_request_cycle(leader);
 }
 
-/* Learns the mod_revision of a key whose comparison did not hold. */
+/* Reads the present mod_revision of a key whose comparison failed. */
 static void refresh_mod_revision(struct ow_leader *leader, const char *key)
 {
     leader->recorder->mod_revision_reads++;
@@ -161,7 +161,7 @@
         refresh_mod_revision(leader, *key);
 }
 
-/* ---- refusal for its size ---- */
+/* ---- refused as too large ---- */
 
 /* Postpones record values that can't be divided yet, so that all others are written meanwhile. */
 static bool postpone_refused(struct ow_recorder *recorder, double until)
@@ -177,7 +177,7 @@
     return postponed;
 }
 
-/* The store's limits are lower than the settings say: retrying the same transaction would fail for ever. */
+/* The store's limits are lower than the settings say: every retry of the same transaction would fail. */
 static void shrink_limits(struct ow_leader *leader)
 {
     double now = leader->core->now;
@@ -186,9 +186,9 @@
                                              recorder->largest_bytes_in_flight);
     g_warning("transaction refused as too large: count=%u largest_bytes=%zu reason=\"%s\"",
               recorder->mutations_in_flight, recorder->largest_bytes_in_flight,
-              is_smaller ? "the next ones are smaller" : "it can't be made smaller");
-    bool others_may_go = is_smaller || postpone_refused(recorder, now + REFUSED_RETRY_S);
-    recorder->next_at = now + (others_may_go ? RETRY_S : REFUSED_RETRY_S);
+              is_smaller ? "limits lowered for later transactions" : "it can't be made smaller");
+    bool others_may_proceed = is_smaller || postpone_refused(recorder, now + REFUSED_RETRY_S);
+    recorder->next_at = now + (others_may_proceed ? RETRY_S : REFUSED_RETRY_S);
 }
 
 /* ---- every failure ---- */
@@ -204,7 +204,7 @@
                                     write->due_at);
 }
 
-/* The scheduling cycle queues the final record again, if the job is still over. */
+/* Lets the scheduling cycle queue the final record again, if the job is still over. */
 static void reopen_execution(struct ow_leader *leader, struct ow_execution *execution)
 {
     execution->is_finishing = false;
@@ -239,8 +239,8 @@
         break;
     default:
         /* Without a response the transaction may have been committed, or may be later. Its comparisons keep a
-           second attempt from being applied twice: that one fails on them and learns the present
-           mod_revisions. */
+           second attempt from being applied twice: that one fails on them, and the present
+           mod_revisions are read then. */
         break;
     }
     requeue(leader);
--- a/src/core/records/transaction_reply.h
+++ b/src/core/records/transaction_reply.h
@@ -4,8 +4,8 @@
  * What each status means for the recorder:
  *  - OK: committed. Planned attempts that it records may be launched from now on.
  *  - CONFLICT on the leader key: another controller leads. This leader is deposed, and may be freed at once.
- *  - CONFLICT on another key: its last change is not the one that we know of, and nothing was written. An
- *    earlier transaction without a response was carried out after all, or (a job's record) another
+ *  - CONFLICT on another key: its last change is not the one known to the leader, and nothing was written. An
+ *    earlier transaction without a response was committed after all, or (a job's record) another
  *    controller recorded a cancellation. No transaction is sent before the present mod_revision has been
  *    read.
  *  - BAD_REQUEST: too large. The limits are lowered, so that later transactions are smaller.
--- a/src/core/records/write_queue.h
+++ b/src/core/records/write_queue.h
@@ -37,23 +37,24 @@
     int order;                            /**< enum ow_write_order, or between two of them for launches */
 };
 
-/** An empty queue; freed by ow_write_queue_free(). */
+/** Creates an empty queue; freed by ow_write_queue_free(). */
 struct ow_write_queue *ow_write_queue_new(void);
 /** Frees the queue with its writes. */
 void ow_write_queue_free(struct ow_write_queue *queue);
-/** How many writes wait. */
+/** Number of writes in the queue. */
 guint ow_write_queue_length(const struct ow_write_queue *queue);
 /** The write at a position below the length; the queue keeps ownership. */
 struct ow_write *ow_write_queue_at(const struct ow_write_queue *queue, guint position);
-/** Queues the record value. If it is queued already, the more urgent order and the earlier time count. */
+/** Queues the record value. If it is queued already, its write gets the more urgent order and the
+ * earlier time. */
 void ow_write_queue_add_record_value(struct ow_write_queue *queue, struct ow_record_value *record_value,
                                      int order, double due_at);
 /** Queues the final record of the execution's job. */
 void ow_write_queue_add_final_record(struct ow_write_queue *queue, struct ow_execution *execution, int order,
                                      double due_at);
-/** Sorts the queue: the most urgent order first, within it the earliest time. */
+/** Sorts the queue by urgency: lowest order first, within it the earliest due time first. */
 void ow_write_queue_sort(struct ow_write_queue *queue);
-/** Takes the write at a position out of the queue; the caller frees it with g_free(). */
+/** Removes the write at a position from the queue and returns it; the caller frees it with g_free(). */
 struct ow_write *ow_write_queue_take(struct ow_write_queue *queue, guint position);
 /** Removes the writes of an execution that is about to be freed. */
 void ow_write_queue_remove_execution(struct ow_write_queue *queue, const struct ow_execution *execution);
