--- a/src/core/jobs/attempt.h
+++ b/src/core/jobs/attempt.h
@@ -14,15 +14,15 @@
 
 /** The state of an attempt, as known to the leader. */
 enum ow_attempt_state {
-    OW_ATTEMPT_PLANNED,   /**< its record is not committed: no launch may leave */
-    OW_ATTEMPT_COMMITTED, /**< recorded; no launch has left */
-    OW_ATTEMPT_SENT,      /**< a launch has left and may have been executed */
+    OW_ATTEMPT_PLANNED,   /**< its record is not committed: no launch may be sent */
+    OW_ATTEMPT_COMMITTED, /**< recorded; no launch has been sent */
+    OW_ATTEMPT_SENT,      /**< a launch has been sent and may have been executed */
     OW_ATTEMPT_REPORTED,  /**< a heartbeat has listed it */
     OW_ATTEMPT_INHERITED, /**< recorded by an earlier leader; no heartbeat has shown its state yet */
 };
 
-/** One try to run a task on a machine. It is kept until there is proof that the worker does not run it and
- * never will. */
+/** One attempt to run a task on a machine. It is kept until there is proof that the worker does not run it
+ * and never will. */
 struct ow_attempt {
     struct ow_job *job;
     uint32_t task;
--- a/src/core/jobs/attempt_end.c
+++ b/src/core/jobs/attempt_end.c
@@ -11,10 +11,10 @@
 #include "core/scheduling/classes.h"
 #include "model/submission.h"
 
-/* Weight of the newest completed task in a machine's slowness. */
+/* Weight of the newest completed task in the moving average of a machine's slowness. */
 static const double SLOWNESS_WEIGHT = 0.1;
-/* Upper bound of one task's run time, as a multiple of the expected one. */
-static const double SLOWNESS_MOST = 6;
+/* Upper bound of one task's run time in that average, as a multiple of the expected one. */
+static const double SLOWNESS_MAX = 6;
 /* Pause before an execution starts tasks again after a machine has lost or refused one. */
 static const double RETRY_PAUSE_S = 1;
 
@@ -48,7 +48,7 @@
     double expected_s = ow_class_run_time_s(leader->core, spec);
     /* A gang is as fast as its slowest machine, which need not be this one. */
     if (expected_s > 0 && !ow_submission_is_gang(spec->submission)) {
-        double slowness = MIN(ran_s / expected_s, SLOWNESS_MOST);
+        double slowness = MIN(ran_s / expected_s, SLOWNESS_MAX);
         machine->load.slowness += SLOWNESS_WEIGHT * (slowness - machine->load.slowness);
     }
     ow_class_observe_run_time(leader->core, spec, ran_s);
@@ -82,7 +82,7 @@
      */
     if (ow_submission_is_gang(execution->job->spec->submission) && !was_stopped &&
         !execution->tasks[task].is_done)
-        ow_execution_stop(leader, execution, 0, "another task of the gang is gone");
+        ow_execution_stop(leader, execution, 0, "another task of the gang was lost or has failed");
 }
 
 void ow_attempt_end(struct ow_leader *leader, struct ow_attempt *attempt, enum ow_exit_cause cause,
@@ -120,7 +120,7 @@
     attempt->stop_grace_s = grace_s;
     attempt->stop_at = leader->core->now;
     if (attempt->state == OW_ATTEMPT_PLANNED || attempt->state == OW_ATTEMPT_COMMITTED)
-        ow_attempt_end(leader, attempt, OW_CAUSE_STOPPED, "no launch has left");
+        ow_attempt_end(leader, attempt, OW_CAUSE_STOPPED, "no launch was sent");
     else
         ow_command_queue_add(leader, machine);
 }
@@ -129,7 +129,7 @@
                        const char *why)
 {
     for (guint i = execution->attempts->len; i > 0; i--) {
-        /* Stopping one attempt may end others. */
+        /* Stopping one attempt may end others, which shortens the list. */
         if (i <= execution->attempts->len)
             ow_attempt_stop(leader, g_ptr_array_index(execution->attempts, i - 1), grace_s, why);
     }
--- a/src/core/jobs/attempt_end.h
+++ b/src/core/jobs/attempt_end.h
@@ -11,12 +11,12 @@
 struct ow_execution;
 struct ow_leader;
 
-/** Ends and frees an attempt that is proven gone, or whose launch has never left. `proof` is for the log.
+/** Ends and frees an attempt that is proven gone, or whose launch was never sent. `proof` is only logged.
  * Other attempts of a gang may end with it. */
 void ow_attempt_end(struct ow_leader *leader, struct ow_attempt *attempt, enum ow_exit_cause cause,
                     const char *proof);
 /** Decides to stop the attempt with `grace_s` seconds to save its work; a shorter grace replaces a longer
- * one. An attempt whose launch has not left ends, and is freed, at once. `why` is for the log. */
+ * one. An attempt whose launch has not been sent ends, and is freed, at once. `why` is only logged. */
 void ow_attempt_stop(struct ow_leader *leader, struct ow_attempt *attempt, double grace_s, const char *why);
 /** Stops all attempts of an execution in one round, each with `grace_s` seconds to save its work. */
 void ow_execution_stop(struct ow_leader *leader, struct ow_execution *execution, double grace_s,
--- a/src/core/jobs/execution.h
+++ b/src/core/jobs/execution.h
@@ -23,7 +23,8 @@
     struct ow_attempt *attempt; /**< not owned; NULL: none may exist */
 };
 
-/** Consecutive tasks of an execution that are recorded together: recorder.c and its neighbours. */
+/** Consecutive tasks of an execution that are recorded together: recorder.c and the other modules of
+ * core/records. */
 struct ow_chunk {
     struct ow_job *job;
     uint32_t index;                       /**< its position in `ow_execution.chunks` */
@@ -44,7 +45,7 @@
     uint32_t done;           /**< how many of them are done */
     uint32_t running;        /**< how many of them have an attempt that runs */
     GPtrArray *attempts;     /**< struct ow_attempt that may exist, in no order */
-    uint32_t pending_cursor; /**< no pending task below it: also bind.c */
+    uint32_t pending_cursor; /**< lower bound of the indices of pending tasks: also bind.c */
 
     /* Records. */
     struct ow_chunk *chunks; /**< `chunk_count` of them, owned */
@@ -53,11 +54,10 @@
     bool is_finishing;    /**< its final record is queued or in flight */
 
     /* Scheduling. */
-    bool is_aged; /**< it is old, whether or not tasks have started; set by each scheduling cycle: promotion.c
-                   */
-    bool is_starving;                   /**< none of its tasks has started for too long; set like `is_aged` */
-    double ready_at;                    /**< no task is started before this time */
-    double pending_since;               /**< since when a task is pending; 0: none is: queue.c */
+    bool is_aged;         /**< it is old, whether or not tasks have started: promotion.c, in each cycle */
+    bool is_starving;     /**< none of its tasks has started for too long: promotion.c, in each cycle */
+    double ready_at;      /**< no task is started before this time */
+    double pending_since; /**< since when a task is pending; 0: none is: queue.c */
     double separation_check_at;         /**< next check of the spread of its replicas: replica_separation.c */
     struct ow_reservation *reservation; /**< of a waiting gang, owned; NULL: none: reservation.c */
 
@@ -84,7 +84,7 @@
 void ow_execution_divide(struct ow_execution *execution, uint32_t chunk_tasks);
 /** Tasks that are neither done nor have an attempt; 0 for a job that is over. */
 uint32_t ow_execution_count_pending(const struct ow_execution *execution);
-/** The lowest attempt number that no task of the execution has used. */
+/** One more than the highest attempt number that any task of the execution has used. */
 uint64_t ow_execution_next_attempt(const struct ow_execution *execution);
 
 #endif
--- a/src/core/jobs/execution_table.h
+++ b/src/core/jobs/execution_table.h
@@ -9,7 +9,8 @@
 struct ow_job;
 struct ow_leader;
 
-/** The job's execution, which is created if there is none; the leader owns it. The job must have its spec. */
+/** The job's execution, which is created if there is none; the leader owns it. The job must still have its
+ * spec. */
 struct ow_execution *ow_execution_find_or_add(struct ow_leader *leader, struct ow_job *job);
 /** Frees the execution with its attempts and reservation; its record values are rewritten without it. */
 void ow_execution_drop(struct ow_leader *leader, struct ow_execution *execution);
--- a/src/core/jobs/job.c
+++ b/src/core/jobs/job.c
@@ -111,7 +111,7 @@
         return NULL;
     }
     bool is_first_record = job == NULL || job->is_record_unread;
-    bool is_settled = submission == NULL; /* it is over and no task of it is left */
+    bool is_final = submission == NULL; /* it is over and no task of it is left */
     if (job == NULL)
         job = add_job(jobs, id, mod_revision);
     if (is_first_record) {
@@ -125,11 +125,11 @@
     if (ow_job_is_over(job))
         ow_job_set_reason(job, NULL);
     /* The final record of a cancelled job is written when no task is left. */
-    if (job->state == OW_JOB_CANCELLED && is_settled)
+    if (job->state == OW_JOB_CANCELLED && is_final)
         job->is_cancellation_acknowledged = true;
     if (is_first_record && job->spec != NULL)
         g_ptr_array_add(jobs->open, job);
-    else if (ow_job_is_over(job) && job->execution == NULL && is_settled)
+    else if (ow_job_is_over(job) && job->execution == NULL && is_final)
         ow_jobs_close(jobs, job);
     return job;
 }
--- a/src/core/jobs/job.h
+++ b/src/core/jobs/job.h
@@ -1,6 +1,6 @@
 /** @file
  * The job table: every job ever accepted, by id. Jobs that are over keep little more than their id. The
- * module owns the jobs and their specs; it does not know where records come from.
+ * module owns the jobs and their specs; it neither reads nor writes records.
  */
 #ifndef OW_CORE_JOBS_JOB_H
 #define OW_CORE_JOBS_JOB_H
@@ -15,7 +15,7 @@
 struct ow_execution;
 struct ow_jobs;
 
-/** The names that are used as indices throughout the core. */
+/** The interners of the names that the core represents as indices. */
 struct ow_interners {
     struct ow_interner *classes;
     struct ow_interner *teams;
@@ -47,7 +47,7 @@
     enum ow_job_state state;           /**< OW_JOB_QUEUED for every job that is not over, running or not */
     uint64_t mod_revision;             /**< of its record: the revision of the last change */
     uint64_t accepted_revision;        /**< the revision that accepted it, by which jobs are queued */
-    double accepted_at;                /**< may be negative: before the clock began */
+    double accepted_at;                /**< negative: before the origin of the clock */
     double first_seen_at;              /**< when this controller first saw it */
     struct ow_job_spec *spec;          /**< owned; NULL once it is over and no task is left */
     struct ow_execution *execution;    /**< the leader's; NULL: none */
@@ -61,7 +61,7 @@
     char *reason; /**< owned; why it waits; NULL: it does not, or that is not known */
 };
 
-/** An empty table; freed by ow_jobs_free(). `names` must outlive it. */
+/** Creates an empty table; freed by ow_jobs_free(). `names` must outlive it. */
 struct ow_jobs *ow_jobs_new(struct ow_interners *names);
 /** Frees the table and its jobs; NULL is allowed. */
 void ow_jobs_free(struct ow_jobs *jobs);
@@ -83,7 +83,7 @@
 const GPtrArray *ow_jobs_open(const struct ow_jobs *jobs);
 /** Removes a job from the open ones and frees its spec. The job must be over, with no task left. */
 void ow_jobs_close(struct ow_jobs *jobs, struct ow_job *job);
-/** CPUs that the tasks of open jobs wait for, by the counts that are shown to users. */
+/** CPUs that the waiting tasks of open jobs need, by the counts that are shown to users. */
 double ow_jobs_waiting_cpus(const struct ow_jobs *jobs);
 
 /** Whether the job is done or cancelled. */
@@ -93,7 +93,7 @@
 /** Creates a job's spec, which takes ownership of `submission`; its names are added to `names`. Freed by
  * ow_job_spec_free(). */
 struct ow_job_spec *ow_job_spec_new(struct ow_interners *names, struct ow_submission *submission);
-/** Frees it and its submission; NULL is allowed. */
+/** Frees a spec and its submission; NULL is allowed. */
 void ow_job_spec_free(struct ow_job_spec *spec);
 
 #endif
--- a/src/core/jobs/job_cache.c
+++ b/src/core/jobs/job_cache.c
@@ -21,7 +21,7 @@
 /* The time until a failed read is repeated. */
 static const double RETRY_S = 0.5;
 
-/* A caller that waits for a read that begins after its request. */
+/* A caller that waits for a read that is sent after its request. */
 struct waiter {
     ow_refreshed_fn fn;
     void *data;
@@ -39,12 +39,12 @@
 struct ow_job_cache {
     struct ow_core *core;
     struct loading loading;
-    uint64_t revision;  /* up to which changes have been taken in */
+    uint64_t revision;  /* up to which changes have been applied */
     bool is_watching;   /* a watch is open */
     double watch_at;    /* no watch before this time */
     bool is_refreshing; /* a refresh is in flight */
     double refresh_at;  /* no refresh before this time */
-    bool is_stale;      /* the table is known to have changed since our revision */
+    bool is_stale;      /* the stored table is known to have changed since `revision` */
     GArray *waiting;    /* struct waiter: for the next refresh */
     GArray *refreshing; /* struct waiter: for the refresh in flight */
 };
@@ -85,7 +85,7 @@
     return accepted_at > 0 ? MAX(0, core->time_of_day - accepted_at) : 0;
 }
 
-/* Takes in a job's record, unless a newer one is known. */
+/* Applies a job's record, unless a newer one is known. */
 static void apply_record(struct ow_job_cache *job_cache, const struct ow_store_item *item)
 {
     struct ow_core *core = job_cache->core;
@@ -123,14 +123,14 @@
     free_waiters(batch);
 }
 
-/* Whether the changes since our revision can't be read in one reply: the key-value store no longer keeps
-   them, or they exceed the size limit of a reply. The same request would fail for ever. */
-static bool is_beyond_reach(int status)
+/* Whether a failed read of the changes since `revision` can't succeed when repeated, so that the whole table
+   must be read: the key-value store no longer keeps the changes, or they exceed the size limit of a reply. */
+static bool needs_full_read(int status)
 {
     return status == OW_HTTP_STATUS_GONE || status == OW_HTTP_STATUS_CONTENT_TOO_LARGE;
 }
 
-/* Reads everything again, page by page. */
+/* Reads the whole table again, page by page. */
 static void restart_load(struct ow_job_cache *job_cache)
 {
     job_cache->loading.is_done = false;
@@ -154,7 +154,7 @@
     bool ok = answer->store.status == OW_HTTP_STATUS_OK;
     if (ok)
         apply_changes(job_cache, &answer->store);
-    else if (is_beyond_reach(answer->store.status))
+    else if (needs_full_read(answer->store.status))
         restart_load(job_cache);
     answer_waiters(job_cache, job_cache->refreshing, ok);
 }
@@ -167,7 +167,7 @@
     double gap_s = job_cache->core->leader != NULL ? WATCH_GAP_LEADER_S : WATCH_GAP_S;
     if (answer->store.status == OW_HTTP_STATUS_OK)
         apply_changes(job_cache, &answer->store);
-    else if (is_beyond_reach(answer->store.status))
+    else if (needs_full_read(answer->store.status))
         restart_load(job_cache);
     else
         gap_s = RETRY_S;
@@ -182,8 +182,8 @@
     ow_core_call_store(job_cache->core, request, fn, job_cache, NULL, NULL);
 }
 
-/* The next page begins after the last key of this one. */
-static void note_page_end(struct ow_job_cache *job_cache, const GArray *items)
+/* Notes the last key of this page: the next one begins after it. */
+static void set_last_key(struct ow_job_cache *job_cache, const GArray *items)
 {
     const struct ow_store_item *last = &g_array_index(items, struct ow_store_item, items->len - 1);
     g_free(job_cache->loading.last_key);
@@ -214,7 +214,7 @@
         job_cache->loading.revision = reply->revision;
     apply_items(job_cache, reply->items);
     if (reply->has_more && reply->items->len > 0)
-        note_page_end(job_cache, reply->items);
+        set_last_key(job_cache, reply->items);
     else
         finish_loading(job_cache);
 }
--- a/src/core/jobs/job_cache.h
+++ b/src/core/jobs/job_cache.h
@@ -18,14 +18,14 @@
 /** Creates a cache that loads the table in the following ticks. Freed by ow_job_cache_free(); `core` must
  * outlive it. */
 struct ow_job_cache *ow_job_cache_new(struct ow_core *core);
-/** Frees it; waiting callbacks are not called. */
+/** Frees the cache and the data of waiting callbacks, which are not called. */
 void ow_job_cache_free(struct ow_job_cache *job_cache);
 /** Whether the whole table has been read and no change since has been missed. */
 bool ow_job_cache_is_loaded(const struct ow_job_cache *job_cache);
 /** Calls `fn` after a read that begins later than this call, and then frees `data` with g_free(). Waiting
  * callers share one read. */
 void ow_job_cache_refresh(struct ow_job_cache *job_cache, ow_refreshed_fn fn, void *data);
-/** Tells that the stored table has changed at `revision`: it is read soon if our copy is older. */
+/** Notes that the stored table has changed at `revision`: a refresh is sent soon if this copy is older. */
 void ow_job_cache_note_change(struct ow_job_cache *job_cache, uint64_t revision);
 /** Sends the reads that are due. */
 void ow_job_cache_tick(struct ow_job_cache *job_cache);
--- a/src/core/jobs/job_change.h
+++ b/src/core/jobs/job_change.h
@@ -8,8 +8,8 @@
 
 struct ow_core;
 
-/** A job's record has changed, with the key-value store's `revision`: a leader in this process makes a
- * scheduling cycle due, any other controller is told. */
+/** Announces that a job's record has changed at `revision` of the key-value store. If this controller leads,
+ * a scheduling cycle becomes due; otherwise a message goes to all peers. */
 void ow_job_change_announce(struct ow_core *core, uint64_t revision);
 
 #endif
--- a/src/core/jobs/quota.c
+++ b/src/core/jobs/quota.c
@@ -10,7 +10,7 @@
 static const double AMOUNT_TOLERANCE = 1e-6;
 
 struct ow_quota {
-    struct ow_resources *used; /* `count` of them, by team index; grown as teams come */
+    struct ow_resources *used; /* `count` of them, by team index; grows when a team is first used */
     guint count;
     /* As of the beginning of the scheduling cycle, by team index: */
     bool *demand_is_guaranteed;
@@ -81,7 +81,7 @@
     return limit_admits(settings->gpus_max, used->gpus, need->gpus, wanted);
 }
 
-/* A resource without a guarantee never exceeds it. */
+/* An amount of a resource without a guarantee never exceeds it. */
 static bool exceeds(double guarantee, double amount)
 {
     return guarantee > 0 && amount > guarantee + AMOUNT_TOLERANCE;
--- a/src/core/jobs/quota.h
+++ b/src/core/jobs/quota.h
@@ -1,7 +1,7 @@
 /** @file
  * Quotas of teams: usage, guarantee and limit. The module owns the usage sums, which attempt_table.h keeps up
- * to date, and, for each scheduling cycle, which teams may claim their guarantee or have to give back. `team`
- * is a name index.
+ * to date, and, for each scheduling cycle, which teams may claim their guarantee or have to give
+ * resources back. `team` is a name index.
  */
 #ifndef OW_CORE_JOBS_QUOTA_H
 #define OW_CORE_JOBS_QUOTA_H
@@ -16,16 +16,16 @@
 struct ow_leader;
 struct ow_quota;
 
-/** No team uses anything; freed by ow_quota_free(). */
+/** Creates the quotas, without usage by any team; freed by ow_quota_free(). */
 struct ow_quota *ow_quota_new(void);
-/** Frees it. */
+/** Frees the quotas with their usage sums; NULL is not allowed. */
 void ow_quota_free(struct ow_quota *quota);
 /** Determines, for a whole scheduling cycle, which teams may claim their guarantee and which have to give
- * back. */
+ * resources back. */
 void ow_quota_begin_cycle(struct ow_leader *leader);
 /** The settings of the team of this name, owned by `settings`, or NULL if they name no such team. */
 const struct ow_team_settings *ow_team_settings_find(const struct ow_settings *settings, const char *name);
-/** What the team's attempts use. Valid until the next call. */
+/** The sum of what the team's attempts use, owned by the quotas. Valid until the next call. */
 struct ow_resources *ow_team_usage(struct ow_leader *leader, int team);
 /** Whether the amounts lie within the team's guarantee. Resources without a guarantee are ignored, but the
  * amounts must include at least one guaranteed resource. */
