--- a/src/core/leader/cutoff_detection.c
+++ b/src/core/leader/cutoff_detection.c
@@ -9,7 +9,8 @@
 static const double SILENCE_HEARTBEATS = 2.5;
 /* How recently a peer must have announced that workers send it heartbeats. */
 static const double PEER_RECENT_S = 3;
-/* With a single machine its silence may be its own fault. */
+/* Minimum number of machines that should send heartbeats: a single one may be silent by a fault of its own.
+ */
 enum { EXPECTED_MACHINES_MIN = 2 };
 
 /* Time of the newest message of any machine; not before the leader became ready, as no heartbeat was due
@@ -24,7 +25,7 @@
     return last_at;
 }
 
-/* How many machines should send heartbeats. */
+/* The number of machines that should send heartbeats. */
 static unsigned count_expected(const struct ow_leader *leader)
 {
     unsigned expected = 0;
--- a/src/core/leader/cutoff_detection.h
+++ b/src/core/leader/cutoff_detection.h
@@ -8,7 +8,8 @@
 
 struct ow_leader;
 
-/** Whether no machine has sent anything here for some heartbeat intervals while a peer receives heartbeats.
+/** Whether no machine has sent this leader any message for some heartbeat intervals while a peer receives
+ * heartbeats.
  * Then this controller is cut off from the workers, even if it reaches the key-value store. If no peer
  * receives heartbeats either, the workers are gone, and another leader would not help. */
 bool ow_cutoff_detection_is_cut_off(const struct ow_leader *leader);
--- a/src/core/leader/heartbeat_answer.c
+++ b/src/core/leader/heartbeat_answer.c
@@ -10,9 +10,9 @@
 #include "model/worker.h"
 
 /* A worker has one heartbeat in flight, and tries the next controller if it gets no reply within
-   OW_HEARTBEAT_TIMEOUT_S. So a heartbeat that follows the last one sooner proves that our reply arrived: the
-   machine can be commanded by replies even if commands sent to its own address fail. */
-static void note_answers_arrive(struct ow_machine *machine, double now)
+   OW_HEARTBEAT_TIMEOUT_S. So a heartbeat that follows the last one sooner proves that the leader's reply
+   arrived: the machine can be commanded by replies even if commands sent to its own address fail. */
+static void note_reply_received(struct ow_machine *machine, double now)
 {
     if (machine->liveness.last_heartbeat_at > 0 &&
         now - machine->liveness.last_heartbeat_at < OW_HEARTBEAT_TIMEOUT_S)
@@ -62,13 +62,13 @@
     struct ow_machine *machine = ow_heartbeat_intake_apply(leader, heartbeat, clears);
     if (is_newest(machine, heartbeat)) {
         if (machine->liveness.is_fenced && heartbeat->incarnation == incarnation_before)
-            note_answers_arrive(machine, leader->core->now);
+            note_reply_received(machine, leader->core->now);
         machine->liveness.last_heartbeat_at = leader->core->now;
     }
     struct ow_effect *effect = ow_effect_new(OW_EFFECT_WORKER_COMMANDS, request);
     /* Until the job table has been read, renewing the worker's lease could keep a task running whose
-       cancellation has been acknowledged to a user. A reply without our fencing token does not renew the
-       lease, but keeps the worker from trying another controller. */
+       cancellation has been acknowledged to a user. A reply without the leader's fencing token does not renew
+       the lease, but keeps the worker from trying another controller. */
     effect->fencing_token = leader->phase == OW_LEADER_REFRESHING ? 0 : leader->fencing_token;
     effect->commands = choose_commands(leader, machine, heartbeat, clears);
     ow_core_emit(leader->core, effect);
--- a/src/core/leader/job_cancellation.h
+++ b/src/core/leader/job_cancellation.h
@@ -1,5 +1,5 @@
 /** @file
- * Applies a cancellation on the leader: stops the job's attempts, and tells whether any of them may still
+ * Applies a cancellation on the leader: stops the job's attempts, and reports whether any of them may still
  * start.
  */
 #ifndef OW_CORE_LEADER_JOB_CANCELLATION_H
@@ -11,7 +11,7 @@
 struct ow_leader;
 
 /** Applies a committed cancellation: queues the stops of all attempts. Returns false while an attempt of the
- * job may still start, or before the leader is ready; the caller repeats it then. */
+ * job may still start, or before the leader is ready; the caller must then repeat the call. */
 bool ow_job_cancellation_apply(struct ow_leader *leader, struct ow_job *job);
 
 #endif
--- a/src/core/leader/leader.c
+++ b/src/core/leader/leader.c
@@ -28,7 +28,7 @@
 /* How often the health of machines, and of the leader itself, is checked. */
 static const double HEALTH_CHECK_INTERVAL_S = 0.5;
 /* The share of the permitted cloud requests that the leader uses. */
-static const double CLOUD_SHARE = 0.8;
+static const double CLOUD_REQUEST_SHARE = 0.8;
 
 struct ow_leader *ow_leader_new(struct ow_core *core, uint64_t fencing_token)
 {
@@ -53,7 +53,7 @@
     leader->machine_type_polling = ow_machine_type_polling_new();
     leader->broadcast = ow_leader_broadcast_new();
     leader->quota = ow_quota_new();
-    ow_rate_limiter_init(&leader->cloud_limiter, CLOUD_SHARE * core->settings->cloud_rps,
+    ow_rate_limiter_init(&leader->cloud_limiter, CLOUD_REQUEST_SHARE * core->settings->cloud_rps,
                          core->settings->cloud_rps, core->now);
     return leader;
 }
@@ -84,8 +84,8 @@
     g_free(leader);
 }
 
-/* Checks the health of machines when that is due. Returns false if the leader has stepped down because it is
-   cut off: it has been freed then. */
+/* Checks the health of the leader and its machines when that is due. Returns false if the leader has stepped
+   down, and has been freed, because it is cut off. */
 static bool check_health(struct ow_leader *leader)
 {
     double now = leader->core->now;
@@ -93,7 +93,7 @@
         return true;
     leader->health_check_at = now + HEALTH_CHECK_INTERVAL_S;
     if (ow_cutoff_detection_is_cut_off(leader)) {
-        ow_election_yield(leader->core->election, "no worker is heard any more");
+        ow_election_yield(leader->core->election, "no worker reaches this leader");
         return false;
     }
     ow_machine_health_tick(leader);
--- a/src/core/leader/leader_state.h
+++ b/src/core/leader/leader_state.h
@@ -23,10 +23,10 @@
 struct ow_scale_out;
 struct ow_spot_risk;
 
-/** When the scheduling cycle is due, and what it computes once for all jobs: schedule.c unless said
- * otherwise. */
+/** The timing of the scheduling cycle, and what a cycle computes once for all jobs. schedule.c changes it
+ * unless a comment names another module. */
 struct ow_cycle_state {
-    bool due;                    /* something has changed since the last cycle */
+    bool due;                    /* something that a cycle depends on has changed since the last one */
     double last_at;              /* when the last one began: cycle_timer.c, as `due` */
     GArray *image_demand;        /* image_demand.c; by image */
     GArray *shortlists;          /* shortlist.c; by class */
--- a/src/core/leader/leader_status.h
+++ b/src/core/leader/leader_status.h
@@ -8,7 +8,7 @@
 
 struct ow_leader;
 
-/** A snapshot of a leader. */
+/** The state of a leader at one time. */
 struct ow_leader_status {
     bool is_ready;            /**< it has read all records and makes decisions */
     bool has_settled;         /**< ready long enough for every live worker to have sent it a heartbeat */
@@ -16,7 +16,7 @@
     unsigned fenced_machines; /**< of `machines`: those whose heartbeat carried its fencing token */
 };
 
-/** How the leader is now. */
+/** Takes a snapshot of the leader. */
 struct ow_leader_status ow_leader_status_of(const struct ow_leader *leader);
 
 #endif
--- a/src/core/leader/machine_type_polling.c
+++ b/src/core/leader/machine_type_polling.c
@@ -15,8 +15,8 @@
 static const double RETRY_S = 2;
 
 struct ow_machine_type_polling {
-    bool is_asking; /* a call is in flight */
-    double next_at; /* no call before this time; 0: none has been answered yet */
+    bool is_in_flight; /* a request to the cloud */
+    double next_at;    /* no call before this time; 0: none has been answered */
 };
 
 struct ow_machine_type_polling *ow_machine_type_polling_new(void)
@@ -40,8 +40,8 @@
         ow_store_request_put(transaction, OW_KEY_TYPES, g_steal_pointer(&record), 0);
     else
         g_warning(
-            "machine types not recorded: reason=\"they don't fit a value: a controller that starts while "
-            "the cloud is down can't accept jobs\"");
+            "machine types not recorded: reason=\"they exceed the size limit of a value: a controller that "
+            "starts while the cloud is down can't accept jobs\"");
     ow_core_call_store(leader->core, transaction, NULL, leader, NULL, NULL);
 }
 
@@ -52,7 +52,7 @@
     const GArray *types = answer->cloud.types;
     bool is_first_answer = polling->next_at == 0;
     (void)data;
-    polling->is_asking = false;
+    polling->is_in_flight = false;
     if (answer->cloud.status != OW_HTTP_STATUS_OK || types == NULL || types->len == 0) {
         polling->next_at = leader->core->now + RETRY_S;
         return;
@@ -67,10 +67,11 @@
 {
     struct ow_machine_type_polling *polling = leader->machine_type_polling;
     double now = leader->core->now;
-    if (polling->is_asking || now < polling->next_at || !ow_rate_limiter_take(&leader->cloud_limiter, 1, now))
+    if (polling->is_in_flight || now < polling->next_at ||
+        !ow_rate_limiter_take(&leader->cloud_limiter, 1, now))
         return;
     struct ow_cloud_request *request = g_new0(struct ow_cloud_request, 1);
     request->op = OW_CLOUD_TYPES;
-    polling->is_asking = true;
+    polling->is_in_flight = true;
     ow_core_call_cloud(leader->core, request, on_types, leader, NULL, NULL);
 }
--- a/src/core/leader/machine_type_polling.h
+++ b/src/core/leader/machine_type_polling.h
@@ -8,11 +8,11 @@
 struct ow_leader;
 struct ow_machine_type_polling;
 
-/** Nothing has been asked yet; freed by ow_machine_type_polling_free(). */
+/** Creates the state of a polling that has sent no request yet; freed by ow_machine_type_polling_free(). */
 struct ow_machine_type_polling *ow_machine_type_polling_new(void);
-/** Frees it. */
+/** Frees the state; NULL is allowed. */
 void ow_machine_type_polling_free(struct ow_machine_type_polling *polling);
-/** Asks the cloud for the machine types when that is due. */
+/** Requests the machine types from the cloud when that is due, as far as the limit of requests permits. */
 void ow_machine_type_polling_tick(struct ow_leader *leader);
 
 #endif
