--- a/src/core/core.c
+++ b/src/core/core.c
@@ -25,8 +25,8 @@
 #include "model/event.h"
 #include "model/submission.h"
 
-/* Longest time between two steps when no event comes. */
-static const double IDLE_S = 0.05;
+/* Maximum time between two steps when no event arrives. */
+static const double STEP_INTERVAL_MAX_S = 0.05;
 
 /* ---- callbacks of the election ---- */
 
@@ -128,7 +128,8 @@
 static void handle_heartbeat(struct ow_core *core, const struct ow_event *event)
 {
     ow_hello_note_worker_heartbeat(core->hello);
-    /* A worker that has seen a higher fencing token obeys another leader: if we lead, our term ends here. */
+    /* A worker that has seen a higher fencing token obeys another leader: if this controller leads, its term
+       ends here. */
     ow_election_observe_fencing_token(core->election, event->heartbeat->fencing_token, NULL);
     if (core->leader != NULL) {
         ow_heartbeat_answer(core->leader, event->request, event->heartbeat);
@@ -219,7 +220,7 @@
 double ow_core_idle_seconds(const struct ow_core *core)
 {
     (void)core;
-    return IDLE_S;
+    return STEP_INTERVAL_MAX_S;
 }
 
 bool ow_core_is_ready(const struct ow_core *core)
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -16,11 +16,11 @@
 
 struct ow_core;
 
-/** A core that has not run yet; freed by ow_core_free(). `settings` and `tuning` must outlive it. `nonce` is
- * a number that no other process has. */
+/** Creates a core that has not run yet; freed by ow_core_free(). `settings` and `tuning` must outlive it.
+ * `nonce` is a number that no other process has. */
 struct ow_core *ow_core_new(const struct ow_settings *settings, const struct ow_tuning *tuning,
                             uint64_t nonce);
-/** Frees the core with all that it owns. */
+/** Frees the core with its leader, jobs and queued events; pending callbacks are not called. */
 void ow_core_free(struct ow_core *core);
 /** Queues an event; the core takes ownership of it. */
 void ow_core_push(struct ow_core *core, struct ow_event *event);
@@ -28,9 +28,9 @@
  * ow_effect); the caller owns the array and its members. `now` is the monotonic clock in seconds.
  * `time_of_day`, in seconds since 1970, is used only for the age of jobs. */
 GPtrArray *ow_core_step(struct ow_core *core, double now, double time_of_day);
-/** Seconds until the next step is due if no event comes. */
+/** Seconds until the next step is due if no event arrives. */
 double ow_core_idle_seconds(const struct ow_core *core);
-/** Whether users should be sent here. */
+/** Whether the load balancer should send users to this controller. */
 bool ow_core_is_ready(const struct ow_core *core);
 /** The leader as this controller knows it and, if this controller leads, the progress of its failover.
  * Strings are valid until the next event. */
@@ -39,10 +39,9 @@
     uint64_t fencing_token;  /**< of this controller's term; 0: it does not lead */
     bool key_missing;        /**< the key-value store has answered that the leader key does not exist */
     bool records_read;       /**< the leader is ready */
-    bool settled; /**< the leader has been ready long enough for every live worker to have sent it a heartbeat
-                   */
-    unsigned machines; /**< known to the leader, with at least one heartbeat ever */
-    unsigned fenced;   /**< of `machines`: those whose heartbeat carried its fencing token */
+    bool settled;            /**< ready long enough for every live worker to have sent it a heartbeat */
+    unsigned machines;       /**< known to the leader, with at least one heartbeat ever */
+    unsigned fenced;         /**< of `machines`: those whose heartbeat carried its fencing token */
 };
 /** Fills in `status` with the present state. */
 void ow_core_status(const struct ow_core *core, struct ow_core_status *status);
--- a/src/core/machine_types.h
+++ b/src/core/machine_types.h
@@ -1,5 +1,5 @@
 /** @file
- * The machine types that the cloud offers, as far as this controller knows them. A type that has disappeared
+ * The table of machine types that the cloud offers, as known to this controller. A type that has disappeared
  * from the cloud's answers is kept: machines of it may still exist.
  */
 #ifndef OW_CORE_MACHINE_TYPES_H
@@ -13,8 +13,8 @@
 struct ow_interner;
 struct ow_machine_types;
 
-/** An empty table; freed by ow_machine_types_free(). `names` gives the types their indices and must outlive
- * it. */
+/** Creates an empty table; freed by ow_machine_types_free(). `names` gives the types their indices and must
+ * outlive it. */
 struct ow_machine_types *ow_machine_types_new(struct ow_interner *names);
 /** Frees the table and the types in it. */
 void ow_machine_types_free(struct ow_machine_types *types);
--- a/src/core/pending_calls.h
+++ b/src/core/pending_calls.h
@@ -11,19 +11,19 @@
 struct ow_event;
 struct ow_pending_calls;
 
-/** Gets the answer to a call. `owner` and `data` are those of ow_pending_calls_add(); the event stays the
- * caller's. */
+/** Handles the answer to a call. `owner` and `data` are those of ow_pending_calls_add(); the event remains
+ * owned by the caller. */
 typedef void (*ow_call_fn)(void *owner, void *data, const struct ow_event *answer);
 
-/** No call is pending; freed by ow_pending_calls_free(). */
+/** Creates an empty table of calls; freed by ow_pending_calls_free(). */
 struct ow_pending_calls *ow_pending_calls_new(void);
-/** Frees it with the data of all calls; no function is called. NULL is allowed. */
+/** Frees the table and the data of all calls, whose callbacks are not called. NULL is allowed. */
 void ow_pending_calls_free(struct ow_pending_calls *calls);
 /** Adds a call and returns its tag, which is never 0. `free_data` (NULL: nothing to free) frees `data` once
  * the call has been answered or forgotten. */
 uint64_t ow_pending_calls_add(struct ow_pending_calls *calls, ow_call_fn fn, void *owner, void *data,
                               void (*free_data)(void *));
-/** Calls the callback of the call with this tag; nothing happens if the call has been forgotten. */
+/** Calls the callback of the call with this tag; no effect if the call has been forgotten. */
 void ow_pending_calls_answer(struct ow_pending_calls *calls, uint64_t tag, const struct ow_event *answer);
 /** Forgets all calls of an owner that is about to be freed: replies to a leader that has stepped down must be
  * ignored. */
--- a/src/core/readiness.c
+++ b/src/core/readiness.c
@@ -25,8 +25,8 @@
         return true;
     if (is_store_lost && is_cut_off(core))
         return false;
-    /* In an outage of the key-value store all controllers are equal, also one that has just started: if the
-       load balancer removed it, it would be missing for seconds after the outage. Only if the store answers a
-       peer are users better served there. */
+    /* During an outage of the key-value store no controller serves users better than another, not even better
+       than one that has just started: if the load balancer removed this one, it would be missing for seconds
+       after the outage. Only if the store answers a peer are users better served there. */
     return !ow_peer_status_any_store_answers(core->peer_status, core->now);
 }
--- a/src/core/readiness.h
+++ b/src/core/readiness.h
@@ -8,7 +8,7 @@
 
 struct ow_core;
 
-/** Whether users should be sent to this controller. */
+/** Whether users should be sent to this controller, by its own state and the reports of its peers. */
 bool ow_readiness_is_ready(const struct ow_core *core);
 
 #endif
--- a/src/core/store_health.c
+++ b/src/core/store_health.c
@@ -77,7 +77,7 @@
 
 bool ow_store_health_is_ok(const struct ow_store_health *health)
 {
-    /* An open watch is no evidence: it gives no answer, be it for an outage or for lack of changes. */
+    /* An open watch is no evidence: it gives no answer in an outage, and none while nothing changes. */
     return health->succeeded_at > 0 && ow_store_health_has_answered_within(health, ANSWER_RECENT_S);
 }
 
--- a/src/core/store_health.h
+++ b/src/core/store_health.h
@@ -13,14 +13,14 @@
 /** Creates the health state of a key-value store without any answer yet; freed by ow_store_health_free().
  * `core` must outlive it. */
 struct ow_store_health *ow_store_health_new(struct ow_core *core);
-/** Frees it. No answer to a probe may come after that. */
+/** Frees the state; no answer to a probe may arrive afterwards. */
 void ow_store_health_free(struct ow_store_health *health);
-/** Records the HTTP status of a reply from the key-value store; 0: no response. */
+/** Records the HTTP status of a reply from the key-value store; OW_HTTP_STATUS_NONE: no response. */
 void ow_store_health_note_reply(struct ow_store_health *health, int status);
 /** Probes the key-value store if it has not answered for some time. A controller without other requests has
  * only open watches, and these show nothing when it is cut off. */
 void ow_store_health_probe(struct ow_store_health *health);
-/** Whether the key-value store has answered recently, and not failed since. */
+/** Whether the key-value store has answered recently, and has not failed since. */
 bool ow_store_health_is_ok(const struct ow_store_health *health);
 /** Whether its last answer was successful and came less than `within_s` seconds ago. */
 bool ow_store_health_has_answered_within(const struct ow_store_health *health, double within_s);
--- a/src/core/type_discovery.c
+++ b/src/core/type_discovery.c
@@ -13,8 +13,8 @@
 
 struct ow_type_discovery {
     struct ow_core *core;
-    bool is_asking;  /* a request to the cloud is in flight */
-    double asked_at; /* when the last one was sent */
+    bool is_in_flight;   /* a request to the cloud */
+    double requested_at; /* when the last one was sent */
 };
 
 struct ow_type_discovery *ow_type_discovery_new(struct ow_core *core)
@@ -33,7 +33,7 @@
 {
     struct ow_type_discovery *discovery = owner;
     (void)data;
-    discovery->is_asking = false;
+    discovery->is_in_flight = false;
     if (answer->cloud.status == OW_HTTP_STATUS_OK && answer->cloud.types != NULL)
         ow_machine_types_update(discovery->core->machine_types, answer->cloud.types);
 }
@@ -55,8 +55,8 @@
 {
     struct ow_cloud_request *request = g_new0(struct ow_cloud_request, 1);
     request->op = OW_CLOUD_TYPES;
-    discovery->asked_at = discovery->core->now;
-    discovery->is_asking = true;
+    discovery->requested_at = discovery->core->now;
+    discovery->is_in_flight = true;
     ow_core_call_cloud(discovery->core, request, on_cloud_types, discovery, NULL, NULL);
 }
 
@@ -69,9 +69,9 @@
 void ow_type_discovery_tick(struct ow_type_discovery *discovery)
 {
     const struct ow_core *core = discovery->core;
-    if (ow_machine_types_are_known(core->machine_types) || core->leader != NULL || discovery->is_asking)
+    if (ow_machine_types_are_known(core->machine_types) || core->leader != NULL || discovery->is_in_flight)
         return;
-    if (core->now < discovery->asked_at + RETRY_S)
+    if (core->now < discovery->requested_at + RETRY_S)
         return;
     ask_cloud(discovery);
     read_stored_types(discovery);
--- a/src/core/type_discovery.h
+++ b/src/core/type_discovery.h
@@ -8,9 +8,10 @@
 struct ow_core;
 struct ow_type_discovery;
 
-/** Nothing has been asked yet; freed by ow_type_discovery_free(). `core` must outlive it. */
+/** Creates the state of a discovery that has sent no request yet; freed by ow_type_discovery_free(). `core`
+ * must outlive it. */
 struct ow_type_discovery *ow_type_discovery_new(struct ow_core *core);
-/** Frees it. No answer to a call of its may come after that. */
+/** Frees the state; no answer to a request of it may arrive afterwards. */
 void ow_type_discovery_free(struct ow_type_discovery *discovery);
 /** Requests the machine types while they are not known: from the cloud and, in case that is down, from the
  * record of a leader in the key-value store. */
