--- a/src/core/jobs/attempt_end.c
+++ b/src/core/jobs/attempt_end.c
@@ -35,7 +35,7 @@
         return;
     for (uint32_t i = 0; i < execution->count; i++) {
         mark_done(execution, i);
-        ow_recorder_queue_lazy(leader, execution, i);
+        ow_recorder_queue_deferred(leader, execution, i);
     }
 }
 
@@ -98,7 +98,7 @@
         observe_run_time(leader, attempt);
     ow_attempt_remove(leader, attempt);
     ow_leader_request_cycle(leader);
-    ow_recorder_queue_lazy(leader, execution, task);
+    ow_recorder_queue_deferred(leader, execution, task);
     if (cause == OW_CAUSE_DONE)
         apply_result(leader, execution, task, machine);
     else
--- a/src/core/machines/reconciliation.c
+++ b/src/core/machines/reconciliation.c
@@ -85,7 +85,7 @@
     if (task_status->cause == OW_CAUSE_DONE && awaits_result(job, task_status->task)) {
         job->execution->tasks[task_status->task].is_done = true;
         job->execution->done++;
-        ow_recorder_queue_lazy(leader, job->execution, task_status->task);
+        ow_recorder_queue_deferred(leader, job->execution, task_status->task);
     }
     clear_ended(machine, job, task_status, commands);
 }
--- a/src/core/records/recorder.c
+++ b/src/core/records/recorder.c
@@ -62,7 +62,7 @@
         queue_chunk(leader, execution, task, launch_order(execution), leader->core->now);
 }
 
-void ow_recorder_queue_lazy(struct ow_leader *leader, struct ow_execution *execution, uint32_t task)
+void ow_recorder_queue_deferred(struct ow_leader *leader, struct ow_execution *execution, uint32_t task)
 {
     if (is_progress_recorded(execution))
         queue_chunk(leader, execution, task, OW_ORDER_PROGRESS, leader->core->now + OW_PROGRESS_DELAY_S);
--- a/src/core/records/recorder.h
+++ b/src/core/records/recorder.h
@@ -34,7 +34,7 @@
 void ow_recorder_queue_urgent(struct ow_leader *leader, struct ow_execution *execution, uint32_t task);
 /** Queues the record of the task's chunk, due within OW_PROGRESS_DELAY_S, because nothing depends on it. No
  * effect once the job is over. */
-void ow_recorder_queue_lazy(struct ow_leader *leader, struct ow_execution *execution, uint32_t task);
+void ow_recorder_queue_deferred(struct ow_leader *leader, struct ow_execution *execution, uint32_t task);
 /** Queues the final record of the job, once. Its progress is not written from then on. */
 void ow_recorder_queue_final_record(struct ow_leader *leader, struct ow_execution *execution);
 /** Queues a rewrite of the record value, in the background, without the records of jobs that are over. */
