--- a/src/core/core.h
+++ b/src/core/core.h
@@ -32,10 +32,10 @@
 double ow_core_idle_seconds(const struct ow_core *core);
 /** Whether the load balancer should send users to this controller. */
 bool ow_core_is_ready(const struct ow_core *core);
-/** The leader as this controller knows it and, if this controller leads, the progress of its failover.
+/** The leader known to this controller and, if this controller leads, the progress of its failover.
  * Strings are valid until the next event. */
 struct ow_core_status {
-    const char *leader_name; /**< NULL: nobody, or unknown */
+    const char *leader_name; /**< NULL: none, or unknown */
     uint64_t fencing_token;  /**< of this controller's term; 0: it does not lead */
     bool key_missing;        /**< the key-value store has answered that the leader key does not exist */
     bool records_read;       /**< the leader is ready */
@@ -52,7 +52,7 @@
 bool ow_core_knows_job(const struct ow_core *core, const char *id);
 /** Why the job can never run here; NULL: it can, or that is not known yet. */
 const char *ow_core_infeasible_reason(const struct ow_core *core, const struct ow_submission *submission);
-/** CPUs requested by pending tasks of open jobs, as far as this controller knows. */
+/** CPUs that the pending tasks of open jobs need, as far as known to this controller. */
 double ow_core_waiting_cpus(const struct ow_core *core);
 /** The fencing token under which this controller leads; 0: it does not. */
 uint64_t ow_core_fencing_token(const struct ow_core *core);
--- a/src/core/jobs/job.c
+++ b/src/core/jobs/job.c
@@ -82,8 +82,8 @@
     return job;
 }
 
-/* Whether a record of this mod_revision is newer than the known state. Replies to watches and lists may come
-   out of order, and a job that is over must never be reopened. */
+/* Whether a record of this mod_revision is newer than the known state. Replies to watches and lists may
+   arrive out of order, and a job that is over must never be reopened. */
 static bool is_newer(const struct ow_job *job, uint64_t mod_revision)
 {
     if (job == NULL || mod_revision > job->mod_revision)
--- a/src/core/jobs/job.h
+++ b/src/core/jobs/job.h
@@ -41,7 +41,7 @@
     return (types & (UINT64_C(1) << type_index)) != 0;
 }
 
-/** A job, as this controller knows it. Times are by the core's clock, in seconds. */
+/** A job, as known to this controller. Times are by the core's clock, in seconds. */
 struct ow_job {
     char *id;                          /**< owned */
     enum ow_job_state state;           /**< OW_JOB_QUEUED for every job that is not over, running or not */
--- a/src/core/jobs/quota.c
+++ b/src/core/jobs/quota.c
@@ -59,8 +59,8 @@
     return ow_team_settings_find(leader->core->settings, name);
 }
 
-/* How many of `wanted` tasks the limit of one resource admits. A limit of 0 means no limit. */
-static uint32_t limit_admits(double limit, double used, double need, uint32_t wanted)
+/* How many of `wanted` tasks the limit of one resource permits. A limit of 0 means no limit. */
+static uint32_t count_within_limit(double limit, double used, double need, uint32_t wanted)
 {
     if (limit <= 0 || need <= 0)
         return wanted;
@@ -77,8 +77,8 @@
     const struct ow_team_settings *settings = settings_of(leader, spec->team);
     if (settings == NULL)
         return 0;
-    wanted = limit_admits(settings->cpus_max, used->cpus, need->cpus, wanted);
-    return limit_admits(settings->gpus_max, used->gpus, need->gpus, wanted);
+    wanted = count_within_limit(settings->cpus_max, used->cpus, need->cpus, wanted);
+    return count_within_limit(settings->gpus_max, used->gpus, need->gpus, wanted);
 }
 
 /* An amount of a resource without a guarantee never exceeds it. */
--- a/src/core/jobs/quota.h
+++ b/src/core/jobs/quota.h
@@ -1,7 +1,7 @@
 /** @file
  * Quotas of teams: usage, guarantee and limit. The module owns the usage sums, which attempt_table.h keeps up
- * to date, and, for each scheduling cycle, which teams may claim their guarantee or have to give
- * resources back. `team` is a name index.
+ * to date, and the decision, for each scheduling cycle, which teams may claim their guarantee and which have
+ * to give resources back. `team` is a name index.
  */
 #ifndef OW_CORE_JOBS_QUOTA_H
 #define OW_CORE_JOBS_QUOTA_H
--- a/src/core/records/failover.c
+++ b/src/core/records/failover.c
@@ -65,7 +65,7 @@
     leader->ready_at = leader->core->now;
     ow_leader_request_cycle(leader);
     use_machine_hints(leader);
-    /* Fencing: a worker that has seen our fencing token rejects commands of earlier leaders. */
+    /* Fencing: a worker that has seen this leader's fencing token rejects commands of earlier leaders. */
     ow_command_queue_add_all(leader);
     g_info("failover complete: fencing_token=%" PRIu64 " jobs=%u machines=%u", leader->fencing_token,
            leader->executions->len, leader->machines->len);
--- a/src/core/records/transaction_reply.c
+++ b/src/core/records/transaction_reply.c
@@ -71,7 +71,7 @@
 static void commit_final_record(struct ow_leader *leader, struct ow_execution *execution, uint64_t revision)
 {
     struct ow_job *job = execution->job;
-    /* The watch may have delivered the record before the reply to its write came. */
+    /* The watch may have delivered the record before the reply to its write arrived. */
     bool is_cancelled = job->state == OW_JOB_CANCELLED;
     if (!is_cancelled)
         g_info("job done: job=%s", job->id);
@@ -211,7 +211,7 @@
     ow_leader_request_cycle(leader);
 }
 
-/* Queues all writes again; each is encoded anew when it is sent, from the state at that time. */
+/* Queues all writes again; each is encoded again when it is sent, from the state at that time. */
 static void requeue(struct ow_leader *leader)
 {
     g_autoptr(GPtrArray) writes = take_writes(leader->recorder);
--- a/src/core/records/transaction_reply.h
+++ b/src/core/records/transaction_reply.h
@@ -13,7 +13,7 @@
  *  - anything else, including NONE: it may have been committed, or may be later. The comparisons keep it
  *    from being applied twice.
  *
- * After every failure but the first CONFLICT the records are queued again, and encoded anew after a pause.
+ * After every failure but the first CONFLICT the records are queued again, and encoded again after a pause.
  */
 #ifndef OW_CORE_RECORDS_TRANSACTION_REPLY_H
 #define OW_CORE_RECORDS_TRANSACTION_REPLY_H
--- a/src/core/records/write_queue.h
+++ b/src/core/records/write_queue.h
@@ -31,7 +31,7 @@
 /** A write that waits in the queue, or is in the transaction in flight. */
 struct ow_write {
     enum ow_write_kind kind;
-    struct ow_execution *execution;       /**< of a final record; NULL once the execution is gone */
+    struct ow_execution *execution;       /**< of a final record; NULL once the execution is freed */
     struct ow_record_value *record_value; /**< of a record value */
     double due_at;                        /**< it need not be written before this time */
     int order;                            /**< enum ow_write_order, or between two of them for launches */
--- a/src/core/store_health.h
+++ b/src/core/store_health.h
@@ -22,7 +22,7 @@
 void ow_store_health_probe(struct ow_store_health *health);
 /** Whether the key-value store has answered recently, and has not failed since. */
 bool ow_store_health_is_ok(const struct ow_store_health *health);
-/** Whether its last answer was successful and came less than `within_s` seconds ago. */
+/** Whether its last answer was successful and arrived less than `within_s` seconds ago. */
 bool ow_store_health_has_answered_within(const struct ow_store_health *health, double within_s);
 /** Time of its last answer, success or UNAVAILABLE, by the core's clock: either proves that it can be
  * reached. 0: none yet. */
