--- a/src/core/records/transaction_reply.h
+++ b/src/core/records/transaction_reply.h
@@ -4,8 +4,8 @@
  * What each status means for the recorder:
  *  - OK: committed. Planned attempts that it records may be launched from now on.
  *  - CONFLICT on the leader key: another controller leads. This leader is deposed, and may be freed at once.
- *  - CONFLICT on another key: its last change is not the one that we know of, and nothing was written. An
- *    earlier transaction without a response was carried out after all, or (a job's record) another
+ *  - CONFLICT on another key: its last change is not the one known to the leader, and nothing was written. An
+ *    earlier transaction without a response was committed after all, or (a job's record) another
  *    controller recorded a cancellation. No transaction is sent before the present mod_revision has been
  *    read.
  *  - BAD_REQUEST: too large. The limits are lowered, so that later transactions are smaller.
@@ -13,7 +13,7 @@
  *  - anything else, including NONE: it may have been committed, or may be later. The comparisons keep it
  *    from being applied twice.
  *
- * After every failure but the first CONFLICT the records are queued again, and encoded anew after a pause.
+ * After every failure but the first CONFLICT the records are queued again, and encoded again after a pause.
  */
 #ifndef OW_CORE_RECORDS_TRANSACTION_REPLY_H
 #define OW_CORE_RECORDS_TRANSACTION_REPLY_H
--- a/src/core/scheduling/promotion.h
+++ b/src/core/scheduling/promotion.h
@@ -15,7 +15,7 @@
 struct ow_execution;
 struct ow_leader;
 
-/** Updates `is_starving` and `is_aged` of a waiting execution, as of now. Its `missing_since` must be up to
+/** Updates `is_starving` and `is_aged` of a waiting execution, as of now. Its `pending_since` must be up to
  * date. */
 void ow_promotion_update(const struct ow_leader *leader, struct ow_execution *execution);
 /** Whether the execution is promoted, according to its last update. */
