--- a/src/core/machines/command_queue.c
+++ b/src/core/machines/command_queue.c
@@ -39,7 +39,7 @@
     return g_ptr_array_index(leader->command_queue->machines, position);
 }
 
-void ow_command_queue_take(struct ow_leader *leader, guint position)
+void ow_command_queue_remove_at(struct ow_leader *leader, guint position)
 {
     ow_command_queue_at(leader, position)->direct.is_queued = false;
     g_ptr_array_remove_index_fast(leader->command_queue->machines, position);
--- a/src/core/machines/command_queue.h
+++ b/src/core/machines/command_queue.h
@@ -20,7 +20,7 @@
 /** The machine at a position below the length; in no order. */
 struct ow_machine *ow_command_queue_at(const struct ow_leader *leader, guint position);
 /** Takes the machine at a position out of the queue; the last one takes its place. */
-void ow_command_queue_take(struct ow_leader *leader, guint position);
+void ow_command_queue_remove_at(struct ow_leader *leader, guint position);
 /** From now on the machine is due a direct command. */
 void ow_command_queue_add(struct ow_leader *leader, struct ow_machine *machine);
 /** The same for a machine that has sent a heartbeat under an older fencing token and is answered under ours:
--- a/src/core/machines/direct_commands.c
+++ b/src/core/machines/direct_commands.c
@@ -151,7 +151,7 @@
         bool is_needed = is_call_needed(leader, machine);
         if (is_needed && !is_call_possible(leader, machine))
             continue;
-        ow_command_queue_take(leader, i - 1);
+        ow_command_queue_remove_at(leader, i - 1);
         if (is_needed)
             send_call(leader, machine);
     }
--- a/src/core/machines/fleet.c
+++ b/src/core/machines/fleet.c
@@ -61,7 +61,7 @@
 {
     g_info("machine terminated: machine=%s", machine->name);
     g_hash_table_add(leader->fleet->terminated, g_strdup(machine->name));
-    ow_instance_offers_forget_refusal(leader, machine); /* its place is free again */
+    ow_instance_offers_remove_refusal(leader, machine); /* its place is free again */
     ow_machines_remove(leader, machine, "its instance is deleted");
 }
 
--- a/src/core/machines/instance_offers.c
+++ b/src/core/machines/instance_offers.c
@@ -47,7 +47,7 @@
     return false;
 }
 
-void ow_instance_offers_forget_refusal(struct ow_leader *leader, const struct ow_machine *machine)
+void ow_instance_offers_remove_refusal(struct ow_leader *leader, const struct ow_machine *machine)
 {
     for (guint i = leader->offer_refusals->len; i > 0; i--)
         if (is_kind(&g_array_index(leader->offer_refusals, struct ow_offer_refusal, i - 1), machine->type,
@@ -55,14 +55,14 @@
             g_array_remove_index_fast(leader->offer_refusals, i - 1);
 }
 
-void ow_instance_offers_forget_old(struct ow_leader *leader)
+void ow_instance_offers_remove_expired(struct ow_leader *leader)
 {
     for (guint i = leader->offer_refusals->len; i > 0; i--)
         if (g_array_index(leader->offer_refusals, struct ow_offer_refusal, i - 1).until < leader->core->now)
             g_array_remove_index_fast(leader->offer_refusals, i - 1);
 }
 
-void ow_instance_offers_refuse(struct ow_leader *leader, int type, int zone, bool spot)
+void ow_instance_offers_add_refusal(struct ow_leader *leader, int type, int zone, bool spot)
 {
     struct ow_offer_refusal refusal = {
         .type = type, .zone = zone, .spot = spot, .until = leader->core->now + REFUSAL_S};
--- a/src/core/machines/instance_offers.h
+++ b/src/core/machines/instance_offers.h
@@ -41,10 +41,10 @@
 bool ow_instance_offers_is_wasteful(const struct ow_leader *leader, const struct ow_machine_type *type,
                                     const struct ow_class *job_class, bool spot);
 /** Notes that the cloud has refused to provision this kind of machine; it is not asked again for a while. */
-void ow_instance_offers_refuse(struct ow_leader *leader, int type, int zone, bool spot);
+void ow_instance_offers_add_refusal(struct ow_leader *leader, int type, int zone, bool spot);
 /** Forgets the refusal of the machine's kind: a machine of it has gone back to the cloud. */
-void ow_instance_offers_forget_refusal(struct ow_leader *leader, const struct ow_machine *machine);
+void ow_instance_offers_remove_refusal(struct ow_leader *leader, const struct ow_machine *machine);
 /** Forgets refusals that have expired. */
-void ow_instance_offers_forget_old(struct ow_leader *leader);
+void ow_instance_offers_remove_expired(struct ow_leader *leader);
 
 #endif
--- a/src/core/machines/machine.h
+++ b/src/core/machines/machine.h
@@ -21,9 +21,9 @@
 struct ow_image_copy {
     int image; /**< name index */
     double gb;
-    double used_at;  /**< when a task last needed it: the machine's cache drops the oldest first */
-    bool present;    /**< else it is being fetched */
-    double ready_at; /**< when the fetch is expected to be complete */
+    double last_used_at; /**< when a task last needed it: the machine's cache drops the oldest first */
+    bool present;        /**< else it is being fetched */
+    double ready_at;     /**< when the fetch is expected to be complete */
 };
 
 /** A launch sent to the machine's own address to which no answer has come: it may be carried out at any time
@@ -78,15 +78,15 @@
 struct ow_machine_faults {
     unsigned errors;                 /**< jobs that failed there since the last task that succeeded */
     const struct ow_job *failed_job; /**< the last of them, not owned */
-    double probation_until;  /**< a job failed there, and it is not known yet which of the two is at fault */
-    unsigned quarantines;    /**< how often it has been in quarantine */
-    double quarantine_until; /**< it is at fault: nothing is placed there before this time */
+    double probation_until; /**< a job failed there, and it is not known yet which of the two is at fault */
+    unsigned quarantine_count; /**< how often it has been in quarantine */
+    double quarantine_until;   /**< it is at fault: nothing is placed there before this time */
 };
 
 /** Scratch of the scheduling cycle: schedule.c, gpu_reserve.c, gang_start.c, array_preemption.c and
  * replica_move.c. */
 struct ow_machine_cycle {
-    bool are_gpus_kept;                 /**< waiting work needs its GPUs: other work stays off */
+    bool are_gpus_reserved;             /**< waiting work needs its GPUs: other work stays off */
     struct ow_resources held;           /**< kept from every job behind in the queue */
     struct ow_resources held_for_gangs; /**< the same, but a gang that can start at once may take it */
 };
--- a/src/core/machines/machine_faults.c
+++ b/src/core/machines/machine_faults.c
@@ -70,9 +70,9 @@
 static void quarantine(struct ow_leader *leader, struct ow_machine *machine)
 {
     struct ow_machine_faults *faults = &machine->faults;
-    unsigned doubles = MIN(faults->quarantines, QUARANTINE_DOUBLES);
+    unsigned doubles = MIN(faults->quarantine_count, QUARANTINE_DOUBLES);
     double pause_s = MIN(QUARANTINE_MOST_S, QUARANTINE_LEAST_S << doubles);
-    faults->quarantines++;
+    faults->quarantine_count++;
     faults->quarantine_until = leader->core->now + pause_s;
     faults->errors = ERRORS_TO_QUARANTINE - 1; /* one more job after it is enough */
     g_info("machine in quarantine, jobs fail there: machine=%s pause_s=%.0f", machine->name, pause_s);
--- a/src/core/machines/machine_images.c
+++ b/src/core/machines/machine_images.c
@@ -11,7 +11,7 @@
 /* What a fetch takes at a rate that is not known. */
 static const double UNKNOWN_FETCH_S = 60;
 
-struct ow_image_copy *ow_machine_image(const struct ow_machine *machine, int image)
+struct ow_image_copy *ow_machine_image_find(const struct ow_machine *machine, int image)
 {
     for (guint i = 0; i < machine->load.images->len; i++) {
         struct ow_image_copy *copy = &g_array_index(machine->load.images, struct ow_image_copy, i);
@@ -45,7 +45,8 @@
             if (is_image_in_use(machine, copy->image))
                 continue;
             if (oldest == machine->load.images->len ||
-                copy->used_at < g_array_index(machine->load.images, struct ow_image_copy, oldest).used_at)
+                copy->last_used_at <
+                    g_array_index(machine->load.images, struct ow_image_copy, oldest).last_used_at)
                 oldest = i;
         }
         if (sum <= limit || oldest == machine->load.images->len)
@@ -54,22 +55,22 @@
     }
 }
 
-void ow_machine_image_use(struct ow_leader *leader, struct ow_machine *machine,
-                          const struct ow_job_spec *spec, bool present)
+void ow_machine_image_note_use(struct ow_leader *leader, struct ow_machine *machine,
+                               const struct ow_job_spec *spec, bool present)
 {
-    struct ow_image_copy *copy = ow_machine_image(machine, spec->image);
+    struct ow_image_copy *copy = ow_machine_image_find(machine, spec->image);
     if (copy == NULL) {
-        double ready_at = leader->core->now + ow_machine_fetch_seconds(leader, machine, spec);
+        double ready_at = leader->core->now + ow_machine_image_fetch_s(leader, machine, spec);
         struct ow_image_copy fresh = {.image = spec->image,
                                       .gb = spec->submission->image_gb,
-                                      .used_at = leader->core->now,
+                                      .last_used_at = leader->core->now,
                                       .present = present,
                                       .ready_at = ready_at};
         g_array_append_val(machine->load.images, fresh);
         forget_old_images(leader, machine);
         return;
     }
-    copy->used_at = leader->core->now;
+    copy->last_used_at = leader->core->now;
     copy->present = copy->present || present;
 }
 
@@ -88,11 +89,11 @@
     return sum_gb;
 }
 
-double ow_machine_fetch_seconds(const struct ow_leader *leader, const struct ow_machine *machine,
+double ow_machine_image_fetch_s(const struct ow_leader *leader, const struct ow_machine *machine,
                                 const struct ow_job_spec *spec)
 {
     const struct ow_machine_type *type = ow_machine_type_of(leader, machine);
-    const struct ow_image_copy *copy = ow_machine_image(machine, spec->image);
+    const struct ow_image_copy *copy = ow_machine_image_find(machine, spec->image);
     if (copy != NULL && copy->present)
         return 0;
     if (copy != NULL)
--- a/src/core/machines/machine_images.h
+++ b/src/core/machines/machine_images.h
@@ -13,14 +13,14 @@
 struct ow_machine;
 
 /** The machine's copy of an image, present or being fetched; NULL if there is none. Valid until the next
- * ow_machine_image_use(). */
-struct ow_image_copy *ow_machine_image(const struct ow_machine *machine, int image);
+ * ow_machine_image_note_use(). */
+struct ow_image_copy *ow_machine_image_find(const struct ow_machine *machine, int image);
 /** Notes that a task uses its job's image there. Copies that the machine's cache has no room for are
  * forgotten, the one that was used last at the end. @param present the image is known to have been fetched */
-void ow_machine_image_use(struct ow_leader *leader, struct ow_machine *machine,
-                          const struct ow_job_spec *spec, bool present);
+void ow_machine_image_note_use(struct ow_leader *leader, struct ow_machine *machine,
+                               const struct ow_job_spec *spec, bool present);
 /** Expected seconds until a task with the job's image could run there; 0 if the image is present. */
-double ow_machine_fetch_seconds(const struct ow_leader *leader, const struct ow_machine *machine,
+double ow_machine_image_fetch_s(const struct ow_leader *leader, const struct ow_machine *machine,
                                 const struct ow_job_spec *spec);
 
 #endif
--- a/src/core/machines/reconciliation.c
+++ b/src/core/machines/reconciliation.c
@@ -131,7 +131,7 @@
     execution->running += is_seen_running(attempt) ? 1 : 0;
     if (phase == OW_PHASE_RUNNING && attempt->running_at == 0)
         attempt->running_at = leader->core->now;
-    ow_machine_image_use(leader, attempt->machine, attempt->job->spec, phase != OW_PHASE_FETCHING);
+    ow_machine_image_note_use(leader, attempt->machine, attempt->job->spec, phase != OW_PHASE_FETCHING);
 }
 
 static void apply_exit(struct ow_leader *leader, struct ow_attempt *attempt,
@@ -140,7 +140,7 @@
     const struct ow_job *job = attempt->job;
     struct ow_machine *machine = attempt->machine;
     if (task_status->cause == OW_CAUSE_DONE)
-        ow_machine_image_use(leader, machine, job->spec, true);
+        ow_machine_image_note_use(leader, machine, job->spec, true);
     else
         g_info("task ended without result: job=%s task=%u attempt=%" G_GUINT64_FORMAT
                " machine=%s cause=%s checkpoint=%s",
--- a/src/core/machines/scale_out.c
+++ b/src/core/machines/scale_out.c
@@ -66,13 +66,13 @@
     leader->scale_out->next_at = leader->core->now; /* plan again with what this one has shown */
     if (answer->cloud.status != OW_HTTP_STATUS_OK || answer->cloud.provisioned == NULL ||
         answer->cloud.provisioned[0] == NULL) {
-        ow_instance_offers_refuse(leader, call->type, call->zone, call->spot);
+        ow_instance_offers_add_refusal(leader, call->type, call->zone, call->spot);
         g_info("cloud refused to provision machines: type=%s zone=%s kind=%s status=%d machines=%u", type,
                zone, call->spot ? "spot" : "ordinary", answer->cloud.status, call->count);
         return;
     }
     if (g_strv_length(answer->cloud.provisioned) < call->count)
-        ow_instance_offers_refuse(leader, call->type, call->zone, call->spot); /* these were the last */
+        ow_instance_offers_add_refusal(leader, call->type, call->zone, call->spot); /* these were the last */
     for (char **name = answer->cloud.provisioned; *name != NULL; name++) {
         struct ow_machine *machine = ow_machines_find_or_add(leader, *name);
         ow_machine_describe(leader, machine, NULL, type, zone, call->spot);
@@ -219,7 +219,7 @@
        that are there had time to send heartbeats. */
     if (leader->scale_out->calls > 0 || leader->core->now - leader->ready_at < settling_s)
         return;
-    ow_instance_offers_forget_old(leader);
+    ow_instance_offers_remove_expired(leader);
     g_autoptr(GArray) plan = coming_up(leader);
     g_autoptr(GPtrArray) executions = ow_queue_sorted(leader);
     g_autoptr(ow_work_backlog) backlog = ow_work_backlog_new();
--- a/src/core/scheduling/array_start.c
+++ b/src/core/scheduling/array_start.c
@@ -64,7 +64,7 @@
     const struct ow_execution *execution = start->execution;
     const struct ow_job_spec *spec = execution->job->spec;
     double wait_s = start->work_s / start->slots;
-    double fetch_s = ow_machine_fetch_seconds(leader, machine, spec);
+    double fetch_s = ow_machine_image_fetch_s(leader, machine, spec);
     bool starves = execution->is_starving && start->placed == 0;
     /* Capacity that others are stopped for must be taken, or they would be put there and stopped again. */
     if (fetch_s <= SHORT_FETCH_S || starves || ow_quota_may_reclaim(leader, execution))
@@ -105,7 +105,7 @@
     const struct ow_job_spec *spec = start->execution->job->spec;
     if (start->only_zone != OW_NO_NAME && machine->zone != start->only_zone)
         return;
-    if (ow_machine_image(machine, spec->image) == NULL) {
+    if (ow_machine_image_find(machine, spec->image) == NULL) {
         if (is_better_to_wait(leader, start, machine))
             return;
         const struct ow_machine_type *type = ow_machine_type_of(leader, machine);
--- a/src/core/scheduling/bind.c
+++ b/src/core/scheduling/bind.c
@@ -31,7 +31,7 @@
         ow_attempt_new(leader, execution, task, number, machine, machine->liveness.incarnation);
     /* A replica has no end: what is not stopped for others must be complete some day. */
     attempt->not_preemptible = ow_promotion_is_promoted(execution) && !ow_execution_is_service(execution);
-    ow_machine_image_use(leader, machine, execution->job->spec, false);
+    ow_machine_image_note_use(leader, machine, execution->job->spec, false);
     ow_recorder_queue_urgent(leader, execution, task);
     g_debug("task placed: job=%s task=%u attempt=%" G_GUINT64_FORMAT " machine=%s", execution->job->id, task,
             number, machine->name);
--- a/src/core/scheduling/gpu_reserve.c
+++ b/src/core/scheduling/gpu_reserve.c
@@ -80,7 +80,7 @@
             const struct ow_machine_type *type = ow_machine_type_of(leader, machine);
             if (type == NULL || type->size.gpus <= 0 || (int)rate_for_gpu_jobs(machine) != fitness)
                 continue;
-            machine->cycle.are_gpus_kept = wanted > 0;
+            machine->cycle.are_gpus_reserved = wanted > 0;
             wanted -= type->size.gpus;
         }
     }
--- a/src/core/scheduling/placement.c
+++ b/src/core/scheduling/placement.c
@@ -65,7 +65,7 @@
     if (submission->need.gpus > 0 || free_gpus <= 0)
         return 0;
     bool urgent = (int)submission->rank < leader->cycle.gpu_rank;
-    if (!machine->cycle.are_gpus_kept && (!urgent || machine->spot))
+    if (!machine->cycle.are_gpus_reserved && (!urgent || machine->spot))
         return 0;
     return free_gpus * leader->cycle.gpu_cpus;
 }
--- a/src/core/scheduling/placement_score.c
+++ b/src/core/scheduling/placement_score.c
@@ -89,7 +89,7 @@
 {
     const struct ow_submission *submission = execution->job->spec->submission;
     const struct ow_machine_type *type = ow_machine_type_of(leader, machine);
-    double score_s = ow_machine_fetch_seconds(leader, machine, execution->job->spec);
+    double score_s = ow_machine_image_fetch_s(leader, machine, execution->job->spec);
     score_s += slowness_s(submission, machine);
     score_s += gpu_waste_s(leader, submission, type);
     score_s += gang_demand_s(leader, submission, machine, type);
--- a/src/core/scheduling/replica_move.c
+++ b/src/core/scheduling/replica_move.c
@@ -39,7 +39,7 @@
 /* Whether the machine has the image, and not only a fetch of it under way. */
 static bool has_image(const struct ow_machine *machine, int image)
 {
-    const struct ow_image_copy *copy = ow_machine_image(machine, image);
+    const struct ow_image_copy *copy = ow_machine_image_find(machine, image);
     return copy != NULL && copy->present;
 }
 
