--- a/src/core/machines/machine.h
+++ b/src/core/machines/machine.h
@@ -1,9 +1,9 @@
 /** @file
- * A provisioned machine as the leader knows it: plain data, in a group for each owner.
+ * The leader's state for one machine: plain data, grouped by the modules that write it.
  *
- * machine_registry.h creates and frees machines; the modules that are named at a group keep it up to date,
- * and others read it. Times are seconds of the controller's monotonic clock, and 0 means "not yet" unless
- * said otherwise.
+ * machine_registry.h creates and frees machines. Only the modules named at a group write its fields; any
+ * module may read them. Times are seconds of the controller's monotonic clock; 0 means "not yet" unless noted
+ * otherwise.
  */
 #ifndef OW_CORE_MACHINES_MACHINE_H
 #define OW_CORE_MACHINES_MACHINE_H
@@ -21,98 +21,96 @@
 struct ow_image_copy {
     int image; /**< name index */
     double gb;
-    double last_used_at; /**< when a task last needed it: the machine's cache drops the oldest first */
-    bool present;        /**< else it is being fetched */
-    double ready_at;     /**< when the fetch is expected to be complete */
+    double last_used_at; /**< last use by a task: the machine's cache evicts the least recently used first */
+    bool present;        /**< false: it is being fetched */
+    double ready_at;     /**< expected completion of the fetch */
 };
 
-/** A launch sent to the machine's own address to which no answer has come: it may be carried out at any time
- * until the worker's incarnation ends. */
+/** A launch that was sent to the machine's own address and not answered: the worker may execute it at any
+ * time until its incarnation ends. */
 struct ow_unacknowledged_launch {
     const struct ow_job *job;
     uint32_t task;
     uint64_t number; /**< of the attempt */
 };
 
-/** What the worker's messages say of it: heartbeat_intake.c, heartbeat_answer.c, direct_commands.c and
- * lease_expiry.c. */
+/** Liveness and fencing state, derived from the worker's messages: heartbeat_intake.c, heartbeat_answer.c,
+ * direct_commands.c and lease_expiry.c. */
 struct ow_machine_liveness {
-    double known_since;       /**< when this leader first learnt of the machine */
-    double first_message_at;  /**< arrival of the first message of any kind */
-    double last_message_at;   /**< arrival of its newest message of any kind */
-    double last_heartbeat_at; /**< arrival of its newest heartbeat; an answer to a command renews no lease */
-    double unanswered_since;  /**< commands have found no answer since then; 0: it answers */
-    uint64_t incarnation;     /**< of its newest message */
-    uint64_t sequence;        /**< of its newest message */
-    uint64_t expired_incarnation; /**< every incarnation up to this one is proven over */
-    bool is_fenced;   /**< it has seen this leader's fencing token: it accepts no older leader's commands */
-    double fenced_at; /**< when that was learnt */
-    uint32_t
-        heartbeat_generation; /**< the leader's count of heartbeats at its newest one: reconciliation.c */
+    double known_since;           /**< when this leader registered the machine */
+    double first_message_at;      /**< arrival of the first message (heartbeat or answer) */
+    double last_message_at;       /**< arrival of the newest message (heartbeat or answer) */
+    double last_heartbeat_at;     /**< arrival of the newest heartbeat; answers to commands renew no lease */
+    double unanswered_since;      /**< commands have been unanswered since then; 0: it answers */
+    uint64_t incarnation;         /**< of the newest message */
+    uint64_t sequence;            /**< of the newest message */
+    uint64_t expired_incarnation; /**< all incarnations up to and including this one are proven over */
+    bool is_fenced;   /**< has seen this leader's fencing token, so it rejects older leaders' commands */
+    double fenced_at; /**< when is_fenced was set */
+    uint32_t heartbeat_generation; /**< of the leader at the newest heartbeat: reconciliation.c */
 };
 
-/** What runs there and what that uses: attempt_table.c, attempt_end.c, reconciliation.c and
+/** Attempts on the machine and their use of resources: attempt_table.c, attempt_end.c, reconciliation.c and
  * machine_images.c. */
 struct ow_machine_load {
-    GPtrArray *attempts;                               /**< struct ow_attempt that may exist, not owned */
-    struct ow_resources used;                          /**< by these attempts */
-    struct ow_resources used_by_rank[OW_RANK_LOW + 1]; /**< the same by the rank of their jobs */
+    GPtrArray *attempts;                               /**< struct ow_attempt that may run there, not owned */
+    struct ow_resources used;                          /**< by `attempts` */
+    struct ow_resources used_by_rank[OW_RANK_LOW + 1]; /**< the same, by rank of the job */
     struct ow_resources stopping;                      /**< the part of `used` that is being stopped */
-    struct ow_resources unknown_tasks_use;             /**< by listed tasks that are in no record */
+    struct ow_resources unknown_tasks_use;             /**< by tasks in the heartbeat that no record names */
     GArray *images;                                    /**< struct ow_image_copy */
-    double idle_since;                                 /**< no attempt since then */
-    double slowness; /**< observed run time divided by the estimate; 1: as expected */
+    double idle_since;                                 /**< since when there has been no attempt */
+    double slowness;                                   /**< observed run time divided by the estimate */
 };
 
 /** Direct commands to the machine's own address: command_queue.c and direct_commands.c. */
 struct ow_machine_direct {
-    bool is_in_flight; /**< a call is under way */
-    bool is_queued;    /**< a call is due: the machine is in the command queue */
-    double not_before; /**< no call before this time */
-    GArray *launches;  /**< struct ow_unacknowledged_launch of the call under way */
-    GArray
-        *unacknowledged_launches; /**< struct ow_unacknowledged_launch of earlier calls without an answer */
+    bool is_in_flight;               /**< a call is in flight */
+    bool is_queued;                  /**< the machine is in the command queue */
+    double not_before;               /**< no call before this time */
+    GArray *launches;                /**< struct ow_unacknowledged_launch of the call in flight */
+    GArray *unacknowledged_launches; /**< struct ow_unacknowledged_launch of earlier, unanswered calls */
 };
 
-/** Fault history: machine_faults.c, and attempt_end.c for results. */
+/** Fault history: machine_faults.c, and attempt_end.c for successful tasks. */
 struct ow_machine_faults {
-    unsigned errors;                 /**< jobs that failed there since the last task that succeeded */
-    const struct ow_job *failed_job; /**< the last of them, not owned */
-    double probation_until; /**< a job failed there, and it is not known yet which of the two is at fault */
-    unsigned quarantine_count; /**< how often it has been in quarantine */
-    double quarantine_until;   /**< it is at fault: nothing is placed there before this time */
+    unsigned errors; /**< failures of different jobs in a row since the last successful task */
+    const struct ow_job *failed_job; /**< the last job that failed there, not owned */
+    double probation_until;    /**< a job failed there; whether the job or the machine is at fault is open */
+    unsigned quarantine_count; /**< number of quarantines so far */
+    double quarantine_until;   /**< the machine is at fault: nothing is placed on it before this time */
 };
 
-/** Scratch of the scheduling cycle: schedule.c, gpu_reserve.c, gang_start.c, array_preemption.c and
+/** Scratch state of the scheduling cycle: schedule.c, gpu_reserve.c, gang_start.c, array_preemption.c and
  * replica_move.c. */
 struct ow_machine_cycle {
-    bool are_gpus_reserved;             /**< waiting work needs its GPUs: other work stays off */
-    struct ow_resources held;           /**< kept from every job behind in the queue */
-    struct ow_resources held_for_gangs; /**< the same, but a gang that can start at once may take it */
+    bool are_gpus_reserved;   /**< its GPUs are reserved for waiting work: no other work is placed */
+    struct ow_resources held; /**< reserved: not available to later jobs in the queue */
+    struct ow_resources held_for_gangs; /**< the same, but available to a gang that can start at once */
 };
 
-/** A machine. */
+/** One machine, from registration until its deletion is proven. */
 struct ow_machine {
     /* Identity: machine_registry.c. */
     char *name;
-    char *addr; /**< ADDRESS:PORT where the worker takes commands; NULL until known */
+    char *addr; /**< ADDRESS:PORT at which the worker accepts commands; NULL until known */
     int type;   /**< name index; OW_NO_NAME: not known yet */
     int zone;   /**< name index; OW_NO_NAME: not known yet */
     bool spot;  /**< the cloud may reclaim it at short notice */
 
-    /* The instance: fleet.c, and heartbeat_intake.c for machines that send messages. */
+    /* Instance: fleet.c, and heartbeat_intake.c once the machine sends messages. */
     enum ow_listed_state listed;
     double provisioned_at;
-    double reclaim_at;   /**< when the cloud reclaims it; 0: no notice: reclaim_notice.c */
-    bool is_terminating; /**< its deletion is queued or may be carried out: nothing new is placed there */
-    double terminate_not_before; /**< no (further) deletion is queued before this time */
+    double reclaim_at;   /**< when the cloud reclaims it; 0: no reclaim notice: reclaim_notice.c */
+    bool is_terminating; /**< its deletion is queued or may still take effect: nothing new is placed there */
+    double terminate_not_before; /**< no further deletion is queued before this time */
 
     struct ow_machine_liveness liveness;
     struct ow_machine_load load;
     struct ow_machine_direct direct;
     struct ow_machine_faults faults;
     struct ow_machine_cycle cycle;
-    unsigned gang_holds; /**< waiting gangs with a hold on it; outlives the cycle: reservation.c */
+    unsigned gang_holds; /**< waiting gangs that hold room on it, across cycles: reservation.c */
 };
 
 #endif
--- a/src/core/machines/machine_health.c
+++ b/src/core/machines/machine_health.c
@@ -13,8 +13,8 @@
 #include "core/scheduling/service_moves.h"
 #include "model/cloud.h"
 
-/* Whether the machine is to be called at its own address: it has not seen our fencing token, it left commands
-   unanswered, or it is silent and services miss their replicas. One that boots can't answer yet. */
+/* Whether the machine needs a direct command: it has not seen this leader's fencing token, left commands
+   unanswered, or is silent and has replicas of services. A booting machine can't answer yet. */
 static bool needs_direct_command(const struct ow_leader *leader, const struct ow_machine *machine)
 {
     if (machine->addr == NULL || machine->listed == OW_LISTED_BOOTING)
@@ -23,21 +23,22 @@
            ow_silent_machine_has_replicas(leader, machine);
 }
 
-/* An empty machine in quarantine is of no use; another one is provisioned in its place if it is missed. */
+/* An empty machine in quarantine costs money without taking work; scale-out replaces it if needed. */
 static void terminate_if_quarantined(struct ow_leader *leader, struct ow_machine *machine)
 {
     if (leader->core->now < machine->faults.quarantine_until && machine->load.attempts->len == 0)
-        ow_fleet_terminate(leader, machine, "it is faulty");
+        ow_fleet_terminate(leader, machine, "it is in quarantine and empty");
 }
 
 void ow_machine_health_tick(struct ow_leader *leader)
 {
-    /* Counted once, before the checks below change what is counted. */
+    /* Counted once, before the checks below change the counts. */
     bool are_unresponsive_few = ow_unresponsive_machines_are_few(leader);
     bool are_silent_few = ow_silent_machines_are_few(leader);
     ow_service_moves_tick(leader);
     ow_spot_risk_tick(leader);
-    /* No check removes a machine from the list: terminations are queued, and the cloud's reply removes it. */
+    /* No check removes a machine from the list: a termination is only queued, and the cloud's answer to it
+       removes the machine. */
     for (guint i = leader->machines->len; i > 0; i--) {
         struct ow_machine *machine = g_ptr_array_index(leader->machines, i - 1);
         ow_lease_expiry_check(leader, machine);
--- a/src/core/machines/machine_registry.c
+++ b/src/core/machines/machine_registry.c
@@ -4,7 +4,7 @@
 #include "core/machines/machine.h"
 #include "model/cloud.h"
 
-/* A machine without a message for so many heartbeat intervals is silent. */
+/* A machine is silent after this many heartbeat intervals without a message. */
 static const double MISSED_HEARTBEATS = 2.5;
 
 struct ow_machine *ow_machines_find(const struct ow_leader *leader, const char *name)
@@ -64,7 +64,8 @@
 
 bool ow_machine_is_silent(const struct ow_leader *leader, const struct ow_machine *machine)
 {
-    /* Answers to commands fence a machine at a failover before its next heartbeat comes. */
+    /* At a failover, an answer to a command may fence the machine before its next heartbeat arrives, so the
+       time counts at the earliest from when this leader became ready. */
     double since =
         MAX(MAX(machine->liveness.last_heartbeat_at, machine->liveness.known_since), leader->ready_at);
     return leader->core->now - since > MISSED_HEARTBEATS * leader->core->settings->heartbeat_interval_s;
@@ -73,9 +74,10 @@
 bool ow_machine_is_usable(const struct ow_leader *leader, const struct ow_machine *machine)
 {
     double now = leader->core->now;
-    /* Safety rule 4: nothing starts before the machine's heartbeat under our own fencing token. Beyond that,
-       not on one that is silent, that answers commands without sending heartbeats (its lease expires), that
-       is unresponsive, about to be reclaimed, or being terminated. */
+    /* Safety rule 4: nothing starts before the machine's heartbeat under this leader's fencing token. Also
+       excluded are machines that are silent, answer commands without sending heartbeats (their lease
+       expires), are unresponsive, have a reclaim notice, are being terminated, or are in quarantine or on
+       probation. */
     return machine->liveness.is_fenced &&
            machine->liveness.incarnation > machine->liveness.expired_incarnation &&
            ow_machine_type_of(leader, machine) != NULL && machine->addr != NULL &&
