--- a/src/core/machines/heartbeat_intake.c
+++ b/src/core/machines/heartbeat_intake.c
@@ -9,8 +9,8 @@
 #include "core/machines/reconciliation.h"
 #include "model/cloud.h"
 
-/* A late copy says nothing of the present and renews no lease, and an incarnation that is proven over stays
-   over. */
+/* Late copies are rejected: they don't show the current state and must not renew the lease. So are messages
+   of incarnations that are proven over. */
 static bool is_newer(const struct ow_machine *machine, const struct ow_heartbeat *heartbeat)
 {
     if (heartbeat->incarnation <= machine->liveness.expired_incarnation)
@@ -20,7 +20,7 @@
     return heartbeat->sequence > machine->liveness.sequence;
 }
 
-/* Every older incarnation is over, and so are the launches that were meant for it. */
+/* All older incarnations are over, and the launches addressed to them can't take effect any more. */
 static void begin_incarnation(struct ow_machine *machine, uint64_t incarnation)
 {
     machine->liveness.incarnation = incarnation;
@@ -28,13 +28,13 @@
     g_array_set_size(machine->direct.unacknowledged_launches, 0);
 }
 
-/* Applies what holds whichever leader's commands the worker accepts. */
+/* Applies the part of a heartbeat that is valid whichever leader's commands the worker accepts. */
 static void apply_liveness(struct ow_leader *leader, struct ow_machine *machine,
                            const struct ow_heartbeat *heartbeat)
 {
     if (heartbeat->incarnation > machine->liveness.incarnation)
         begin_incarnation(machine, heartbeat->incarnation);
-    /* Also in an incarnation that is known already: records that were read meanwhile may name older ones. */
+    /* Also if the incarnation is not new: records that were read since may name older incarnations. */
     ow_reconcile_older_incarnations(leader, machine);
     machine->listed = OW_LISTED_RUNNING;
     machine->liveness.last_message_at = leader->core->now;
@@ -54,7 +54,7 @@
            machine->name, machine->liveness.incarnation, leader->fencing_token);
 }
 
-/* Applies what holds only because the worker accepts no commands but this leader's any more. */
+/* Applies the part of a heartbeat that is valid only if the worker accepts no other leader's commands. */
 static void apply_fenced(struct ow_leader *leader, struct ow_machine *machine,
                          const struct ow_heartbeat *heartbeat, GArray *commands)
 {
@@ -67,7 +67,7 @@
 struct ow_machine *ow_heartbeat_intake_apply(struct ow_leader *leader, const struct ow_heartbeat *heartbeat,
                                              GArray *commands)
 {
-    /* A late copy of a heartbeat must not register a deleted machine anew. */
+    /* A late copy of a heartbeat must not register a deleted machine again. */
     if (ow_fleet_has_terminated(leader, heartbeat->machine))
         return NULL;
     struct ow_machine *machine = ow_machines_find_or_add(leader, heartbeat->machine);
@@ -77,7 +77,8 @@
     apply_liveness(leader, machine, heartbeat);
     if (leader->phase != OW_LEADER_READY)
         return machine;
-    /* Until the worker has seen our fencing token an older leader may still change what it runs. */
+    /* Until the worker has seen this leader's fencing token, an older leader may still start and stop
+       its tasks. */
     if (heartbeat->fencing_token == leader->fencing_token)
         apply_fenced(leader, machine, heartbeat, commands);
     else
--- a/src/core/machines/lease_expiry.c
+++ b/src/core/machines/lease_expiry.c
@@ -6,24 +6,24 @@
 #include "model/worker.h"
 #include "util/clock_drift.h"
 
-/* What a worker may need beyond its lease until its tasks have ended. */
-static const double MARGIN_S = 1.5;
+/* Time that a worker may need after the end of its lease until its tasks have ended. */
+static const double TASK_END_MARGIN_S = 1.5;
 
-/* Safety rule 2, proof by lease expiry. Guards against a task that starts elsewhere while its last attempt
-   still runs on a worker that we don't hear. The evidence:
+/* Safety rule 2, proof by lease expiry. Prevents that a task starts elsewhere while its last attempt still
+   runs on an unreachable worker. The evidence:
    - A worker ends its tasks once lease_s has passed since it sent the last heartbeat that was answered.
-   - Only answers of this leader count once the worker has seen its fencing token: it accepts none of an older
-     leader. Hence nothing is proven of a machine that is not fenced.
-   - That heartbeat was sent before the newest message arrived here that we have of the incarnation: late
-     copies of older ones renew nothing. */
+   - Once the worker has seen this leader's fencing token, it accepts answers of this leader only. Hence
+   nothing is proven of a machine that is not fenced.
+   - The last answered heartbeat was sent before the newest message of the incarnation arrived here: late
+     copies of older messages renew nothing. */
 static bool has_lease_expired(const struct ow_leader *leader, const struct ow_machine *machine)
 {
     if (!machine->liveness.is_fenced ||
         machine->liveness.incarnation <= machine->liveness.expired_incarnation)
         return false;
     double renewed_at = MAX(machine->liveness.last_message_at, machine->liveness.fenced_at);
-    double longest_s = ow_clock_drift_longest_s(leader->core->settings->lease_s) + MARGIN_S;
-    return leader->core->now >= renewed_at + longest_s;
+    double lease_limit_s = ow_clock_drift_longest_s(leader->core->settings->lease_s) + TASK_END_MARGIN_S;
+    return leader->core->now >= renewed_at + lease_limit_s;
 }
 
 void ow_lease_expiry_check(struct ow_leader *leader, struct ow_machine *machine)
--- a/src/core/machines/reconciliation.c
+++ b/src/core/machines/reconciliation.c
@@ -36,23 +36,23 @@
     g_array_append_val(commands, command);
 }
 
-/* ---- clearing tasks that are over ---- */
+/* ---- clearing of ended tasks ---- */
 
 static bool is_result_recorded(const struct ow_job *job, uint32_t task)
 {
     if (ow_job_is_over(job))
         return true;
-    /* The final record replaces the chunks, and is not committed yet. */
+    /* The final record, which replaces the chunks, is not committed yet. */
     if (job->execution->is_finishing)
         return false;
     const struct ow_chunk *chunk = ow_execution_chunk(job->execution, task);
     return job->execution->tasks[task].is_done && !chunk->is_dirty && !chunk->is_writing;
 }
 
-/* Safety rule 3. Guards against a task that runs twice: a worker that has forgotten an attempt would carry
-   out a late copy of its launch. So an attempt is cleared only when no launch of it can still be delivered,
-   and its result only after it was recorded. While the job goes on, an attempt that ended in any other way
-   stays listed by the worker: a late copy of its launch then finds it there and does nothing. */
+/* Safety rule 3. Prevents that a task runs twice: a worker that has cleared an attempt would execute a late
+   copy of its launch. So an attempt is cleared only when no launch of it can still be delivered, and one with
+   a result only after the result was recorded. While the job is not over, an attempt that ended in any other
+   way stays in the worker's list, so that the worker ignores a late copy of its launch. */
 static void clear_ended(const struct ow_machine *machine, const struct ow_job *job,
                         const struct ow_task_status *task_status, GArray *commands)
 {
@@ -65,9 +65,9 @@
         add_command(commands, OW_WORKER_CLEAR, task_status);
 }
 
-/* ---- tasks that no attempt of ours accounts for: copies of old launches ---- */
+/* ---- tasks without a recorded attempt: late copies of launches ---- */
 
-/* Whether the task belongs to a batch job that goes on, is not done and has no attempt. */
+/* Whether the task belongs to a batch job that is not over, is not done and has no attempt. */
 static bool awaits_result(const struct ow_job *job, uint32_t task)
 {
     if (job == NULL || job->execution == NULL || ow_job_is_over(job))
@@ -77,7 +77,7 @@
     return !job->execution->tasks[task].is_done && job->execution->tasks[task].attempt == NULL;
 }
 
-/* A result counts even if its attempt has been ended as lost. */
+/* A result counts even if its attempt has already been ended as lost. */
 static void apply_unrecorded_exit(struct ow_leader *leader, const struct ow_machine *machine,
                                   struct ow_job *job, const struct ow_task_status *task_status,
                                   GArray *commands)
@@ -90,7 +90,8 @@
     clear_ended(machine, job, task_status, commands);
 }
 
-/* What the task uses until it ends; without its job's spec (no such job, or it is over) that may be all. */
+/* Counts the resources that the task uses until it ends. Without the job's spec (unknown job, or job that is
+   over) the whole machine is assumed to be in use. */
 static void count_unknown_use(struct ow_leader *leader, struct ow_machine *machine, const struct ow_job *job)
 {
     const struct ow_machine_type *type = ow_machine_type_of(leader, machine);
@@ -124,7 +125,8 @@
 {
     struct ow_execution *execution = attempt->job->execution;
     if (attempt->state == OW_ATTEMPT_SENT)
-        attempt->machine->liveness.unanswered_since = 0; /* the launch has arrived, by whichever way */
+        attempt->machine->liveness.unanswered_since =
+            0; /* the launch has arrived, directly or by heartbeat */
     execution->running -= is_seen_running(attempt) ? 1 : 0;
     attempt->state = OW_ATTEMPT_SEEN;
     attempt->phase = phase;
@@ -166,11 +168,11 @@
         apply_phase(leader, attempt, task_status->phase);
 }
 
-/* ---- recorded attempts that the worker does not list ---- */
+/* ---- recorded attempts that are missing from the worker's list ---- */
 
-/* Safety rule 2, proof by a newer heartbeat that lacks the attempt. An older leader's launch can't be carried
-   out any more, for the worker has seen our fencing token: the attempt is gone. A launch of our own may still
-   be in flight: nothing is proven, and it is sent again until the worker lists it. */
+/* Safety rule 2, proof by a newer heartbeat that lacks the attempt. An older leader's launch can't be
+   executed any more, since the worker has seen this leader's fencing token: the attempt is gone. A launch of
+   this leader may still be in flight: nothing is proven, and it is sent again until the worker lists it. */
 static void apply_absence(struct ow_leader *leader, struct ow_attempt *attempt)
 {
     if (attempt->state == OW_ATTEMPT_INHERITED) {
@@ -185,7 +187,7 @@
 static void apply_absent_tasks(struct ow_leader *leader, struct ow_machine *machine)
 {
     for (guint i = machine->load.attempts->len; i > 0; i--) {
-        /* The end of one attempt may end others of its gang, and take them from the list. */
+        /* Ending one attempt may end others of its gang and remove them from the array. */
         if (i > machine->load.attempts->len)
             continue;
         struct ow_attempt *attempt = g_ptr_array_index(machine->load.attempts, i - 1);
@@ -205,8 +207,8 @@
     apply_absent_tasks(leader, machine);
 }
 
-/* Safety rule 2, proof by a newer incarnation: an incarnation that is over took its tasks along, and attempts
-   are recorded with the incarnation that they were meant for. */
+/* Safety rule 2, proof by a newer incarnation: the tasks of an incarnation end with it, and each attempt is
+   recorded with the incarnation that it belongs to. */
 void ow_reconcile_older_incarnations(struct ow_leader *leader, struct ow_machine *machine)
 {
     for (guint i = machine->load.attempts->len; i > 0; i--) {
