--- a/src/core/machines/cancellation_enforcement.c
+++ b/src/core/machines/cancellation_enforcement.c
@@ -6,9 +6,9 @@
 #include "core/machines/fleet.h"
 #include "core/machines/machine.h"
 
-/* A stop that has brought no end for so long is repeated by a direct command. */
+/* A stop is repeated by a direct command if the task has not ended after this time. */
 static const double STOP_RETRY_S = 1;
-/* The share of `cancel_s` after which the machine is terminated: the rest is for the cloud to delete it. */
+/* Share of `cancel_s` after which the machine is terminated: the cloud needs the rest to delete it. */
 static const double TERMINATION_SHARE = 0.5;
 
 void ow_cancellation_enforce(struct ow_leader *leader, struct ow_machine *machine)
@@ -21,7 +21,7 @@
         if (waited_s > STOP_RETRY_S && !machine->direct.is_in_flight)
             ow_command_queue_add(leader, machine);
         if (waited_s > TERMINATION_SHARE * leader->core->settings->cancel_s) {
-            ow_fleet_terminate(leader, machine, "a cancelled task can't be ended otherwise");
+            ow_fleet_terminate(leader, machine, "a cancelled task did not end after stop commands");
             return;
         }
     }
--- a/src/core/machines/cancellation_enforcement.h
+++ b/src/core/machines/cancellation_enforcement.h
@@ -1,6 +1,6 @@
 /** @file
- * Enforcement of acknowledged cancellations (safety rule 7): tasks of a cancelled job that don't end by a
- * stop command within half of `cancel_s` are ended by terminating their machine.
+ * Enforcement of acknowledged cancellations (safety rule 7): if a task of a cancelled job has not
+ * ended within half of `cancel_s` after the stop command, its machine is terminated.
  */
 #ifndef OW_CORE_MACHINES_CANCELLATION_ENFORCEMENT_H
 #define OW_CORE_MACHINES_CANCELLATION_ENFORCEMENT_H
@@ -8,8 +8,8 @@
 struct ow_leader;
 struct ow_machine;
 
-/** Repeats stops to the machine that have brought no end within a second, and terminates it when half of
- * `cancel_s` has passed. */
+/** Repeats, by direct command, stops on the machine for cancelled jobs that have had no effect within a
+ * second; terminates the machine when half of `cancel_s` has passed. */
 void ow_cancellation_enforce(struct ow_leader *leader, struct ow_machine *machine);
 
 #endif
--- a/src/core/machines/machine_faults.c
+++ b/src/core/machines/machine_faults.c
@@ -5,23 +5,23 @@
 #include "core/leader/leader_state.h"
 #include "core/machines/machine.h"
 
-/* How long a job avoids a machine where a task of it failed. */
+/* How long a job avoids a machine on which one of its tasks failed. */
 static const double FAILED_MACHINE_AVOIDANCE_S = 60;
-/* How long a machine where a task failed is kept from every job, unless a result shows it to be sound. */
+/* How long no job is placed on a machine after a task failed there, unless a result clears the machine. */
 static const double PROBATION_S = 20;
-/* A replica that has run for so long shows that its job is sound. */
-static const double PROVEN_S = 20;
-/* A machine is at fault once so many jobs failed there; a job is once it failed on so many machines. */
+/* A replica that has run longer than this shows that its job works. */
+static const double PROVEN_RUN_S = 20;
+/* Failed jobs after which a machine, and failed machines after which a job, is considered at fault. */
 enum { ERRORS_TO_QUARANTINE = 2, MACHINES_TO_BLAME_JOB = 3 };
-/* A pause of a job that fails wherever it goes lasts at least and at most so long, and doubles with so many
-   further failures. */
-enum { JOB_PAUSE_LEAST_S = 5, JOB_PAUSE_MOST_S = 60, JOB_PAUSE_DOUBLES = 4, FAILURES_TO_DOUBLE = 4 };
-/* The same for a quarantine, which doubles each time. */
-enum { QUARANTINE_LEAST_S = 30, QUARANTINE_MOST_S = 240, QUARANTINE_DOUBLES = 3 };
-/* Failures beyond this number make no difference. */
-enum { FAILURES_MOST = 1000 };
+/* Exponential back-off of a job that fails on every machine: the pause doubles every FAILURES_PER_DOUBLING
+   failures. */
+enum { JOB_PAUSE_MIN_S = 5, JOB_PAUSE_MAX_S = 60, JOB_PAUSE_DOUBLINGS_MAX = 4, FAILURES_PER_DOUBLING = 4 };
+/* Exponential back-off of a machine: each quarantine is twice as long as the last. */
+enum { QUARANTINE_MIN_S = 30, QUARANTINE_MAX_S = 240, QUARANTINE_DOUBLINGS_MAX = 3 };
+/* Failures are counted up to this number. */
+enum { FAILURES_MAX = 1000 };
 
-/* The job is at fault: the machines where it failed may be used by others at once. */
+/* The job is at fault: the machines on which it failed are available to other jobs at once. */
 static void end_probation(const struct ow_execution *execution)
 {
     GHashTableIter iter;
@@ -34,53 +34,53 @@
 void ow_machine_faults_avoid(struct ow_leader *leader, struct ow_machine *machine,
                              struct ow_execution *execution)
 {
-    /* For a while only: a job must not run out of machines because each of them failed it once. */
+    /* The set expires: otherwise a job would run out of machines once it had failed on each of them. */
     if (leader->core->now > execution->failed_machines_until)
         g_hash_table_remove_all(execution->failed_machines);
     execution->failed_machines_until = leader->core->now + FAILED_MACHINE_AVOIDANCE_S;
     g_hash_table_add(execution->failed_machines, machine);
 }
 
-/* Whether a replica of the service has served for a while: the job is sound, and what fails is the machines.
- */
+/* Whether a replica of the service has run long enough to show that the job works, so that failures are due
+   to machines. */
 static bool is_proven(const struct ow_leader *leader, const struct ow_execution *execution)
 {
     for (guint i = 0; ow_execution_is_service(execution) && i < execution->attempts->len; i++) {
         const struct ow_attempt *attempt = g_ptr_array_index(execution->attempts, i);
-        if (attempt->running_at > 0 && leader->core->now - attempt->running_at > PROVEN_S)
+        if (attempt->running_at > 0 && leader->core->now - attempt->running_at > PROVEN_RUN_S)
             return true;
     }
     return false;
 }
 
-/* Pauses the job. Evidence: tasks of it failed on MACHINES_TO_BLAME_JOB machines, which hardly fail all at
-   once. */
+/* Pauses the job. Evidence: its tasks failed on MACHINES_TO_BLAME_JOB machines, which are unlikely to be all
+   faulty at the same time. */
 static void pause_job(struct ow_leader *leader, struct ow_execution *execution)
 {
     double now = leader->core->now;
-    unsigned doubles = MIN(execution->failures / FAILURES_TO_DOUBLE, JOB_PAUSE_DOUBLES);
-    double pause_s = MIN(JOB_PAUSE_MOST_S, JOB_PAUSE_LEAST_S << doubles);
+    unsigned doublings = MIN(execution->failures / FAILURES_PER_DOUBLING, JOB_PAUSE_DOUBLINGS_MAX);
+    double pause_s = MIN(JOB_PAUSE_MAX_S, JOB_PAUSE_MIN_S << doublings);
     if (execution->ready_at < now + 1)
         g_info("job paused, tasks fail wherever they start: job=%s machines=%u pause_s=%.0f",
                execution->job->id, g_hash_table_size(execution->failed_machines), pause_s);
     execution->ready_at = MAX(execution->ready_at, now + pause_s);
 }
 
-/* Nothing is placed on the machine for a while; it is terminated once it is empty (machine_health.c). */
+/* Keeps new tasks off the machine for a time; it is terminated once it is empty (machine_health.c). */
 static void quarantine(struct ow_leader *leader, struct ow_machine *machine)
 {
     struct ow_machine_faults *faults = &machine->faults;
-    unsigned doubles = MIN(faults->quarantine_count, QUARANTINE_DOUBLES);
-    double pause_s = MIN(QUARANTINE_MOST_S, QUARANTINE_LEAST_S << doubles);
+    unsigned doublings = MIN(faults->quarantine_count, QUARANTINE_DOUBLINGS_MAX);
+    double pause_s = MIN(QUARANTINE_MAX_S, QUARANTINE_MIN_S << doublings);
     faults->quarantine_count++;
     faults->quarantine_until = leader->core->now + pause_s;
-    faults->errors = ERRORS_TO_QUARANTINE - 1; /* one more job after it is enough */
+    faults->errors = ERRORS_TO_QUARANTINE - 1; /* one more failed job starts the next quarantine */
     g_info("machine in quarantine, jobs fail there: machine=%s pause_s=%.0f", machine->name, pause_s);
 }
 
-/* Evidence against a machine: several jobs failed there and none succeeded in between. A job with many tasks
-   proves no more than one with a single task. Until a second job has shown which of the two is at fault, the
-   machine is on probation. */
+/* Evidence against a machine: several jobs failed there without a success in between. Repeated failures of
+   one job count once, however many tasks it has. Until another job has shown whether the machine or the job
+   is at fault, the machine is on probation. */
 static void blame_machine(struct ow_leader *leader, struct ow_machine *machine, const struct ow_job *job)
 {
     struct ow_machine_faults *faults = &machine->faults;
@@ -96,21 +96,22 @@
                                   struct ow_execution *execution)
 {
     ow_machine_faults_avoid(leader, machine, execution);
-    /* A service that otherwise serves has no result that would reset its failures: without this they would
-       add up as long as it lives, and its replicas would wait ever longer. */
+    /* A service never produces a result that would reset its failure count: without this reset the failures
+       of a working service would accumulate over its lifetime, and so would the pauses of its replicas. */
     bool is_job_proven = is_proven(leader, execution);
     if (is_job_proven)
         execution->failures = 0;
-    execution->failures = MIN(execution->failures + 1, FAILURES_MOST);
+    execution->failures = MIN(execution->failures + 1, FAILURES_MAX);
     if (g_hash_table_size(execution->failed_machines) >= MACHINES_TO_BLAME_JOB) {
         pause_job(leader, execution);
         if (!is_job_proven) {
-            /* The job is at fault, and the machines are not. */
+            /* The job is at fault, so its failures don't count against the machines. */
             end_probation(execution);
             g_hash_table_remove_all(execution->failed_machines);
             return;
         }
-        /* Of a proven service the machines are at fault: it must not go back to them at once. */
+        /* The service is proven to work, so the machines are at fault: they stay in its set of avoided
+           machines. */
     }
     blame_machine(leader, machine, execution->job);
 }
--- a/src/core/machines/machine_faults.h
+++ b/src/core/machines/machine_faults.h
@@ -1,6 +1,6 @@
 /** @file
- * The fault history of machines: whether a machine or a job is at fault when a task fails, and for how long
- * either is left alone for it.
+ * Fault history: decides whether the machine or the job is at fault when a task fails, and quarantines the
+ * machine or pauses the job for a time.
  */
 #ifndef OW_CORE_MACHINES_MACHINE_FAULTS_H
 #define OW_CORE_MACHINES_MACHINE_FAULTS_H
@@ -9,11 +9,12 @@
 struct ow_leader;
 struct ow_machine;
 
-/** The execution is not placed on the machine for a while. */
+/** Adds the machine to those on which the execution is not placed; the set expires a minute after the last
+ * addition. */
 void ow_machine_faults_avoid(struct ow_leader *leader, struct ow_machine *machine,
                              struct ow_execution *execution);
-/** Notes that a task of the execution failed there: the execution avoids the machine, and whichever of the
- * two is found at fault is paused or quarantined. */
+/** Notes that a task of the execution failed on the machine: the execution avoids the machine, and the job is
+ * paused or the machine quarantined, depending on which is found at fault. */
 void ow_machine_faults_note_error(struct ow_leader *leader, struct ow_machine *machine,
                                   struct ow_execution *execution);
 
