--- a/src/core/machines/command_queue.c
+++ b/src/core/machines/command_queue.c
@@ -3,14 +3,14 @@
 #include "core/leader/leader_state.h"
 #include "core/machines/machine.h"
 
-/* A worker that learns of our fencing token by an answer sends a heartbeat at once: only if it does not
-   within this time is it sent a direct command. */
+/* A worker that learns this leader's fencing token from an answer sends a heartbeat at once; it is sent a
+   direct command only if no heartbeat arrives within this time. */
 static const double FENCE_BY_HEARTBEAT_S = 1;
-/* Processor time of a direct command with its answer, in seconds of a core, and the part of our share of a
-   core that those to all machines may take: at a failover every worker sends a heartbeat as well, and the
-   lease has to be renewed. */
-static const double DIRECT_COST_S = 100e-6;
-static const double ADD_ALL_SHARE = 0.5;
+/* CPU time of a direct command with its answer, in core seconds. */
+static const double DIRECT_COMMAND_CPU_S = 100e-6;
+/* Share of this process's CPU time for the direct commands to all machines: at a failover every worker also
+   sends a heartbeat, and the leader's lease has to be renewed. */
+static const double ADD_ALL_CPU_SHARE = 0.5;
 
 struct ow_command_queue {
     GPtrArray *machines; /* struct ow_machine, not owned, each once */
@@ -63,7 +63,7 @@
 
 void ow_command_queue_add_all(struct ow_leader *leader)
 {
-    double interval_s = DIRECT_COST_S / (ADD_ALL_SHARE * leader->core->settings->core_share);
+    double interval_s = DIRECT_COMMAND_CPU_S / (ADD_ALL_CPU_SHARE * leader->core->settings->core_share);
     for (guint i = 0; i < leader->machines->len; i++) {
         struct ow_machine *machine = g_ptr_array_index(leader->machines, i);
         machine->direct.not_before = leader->core->now + i * interval_s;
--- a/src/core/machines/command_queue.h
+++ b/src/core/machines/command_queue.h
@@ -1,6 +1,6 @@
 /** @file
- * Which machines are due a direct command: a call to the machine's own address, with what there is to tell
- * it, or else to hear from it. worker_commands.h sends them.
+ * The queue of machines that are due a direct command: a call to the machine's own address, with the commands
+ * that are due or only to request an answer. direct_commands.h sends them.
  */
 #ifndef OW_CORE_MACHINES_COMMAND_QUEUE_H
 #define OW_CORE_MACHINES_COMMAND_QUEUE_H
@@ -11,25 +11,25 @@
 struct ow_leader;
 struct ow_machine;
 
-/** No machine is due a command; freed by ow_command_queue_free(). */
+/** Creates an empty queue; freed by ow_command_queue_free(). */
 struct ow_command_queue *ow_command_queue_new(void);
-/** Frees it, not the machines in it. */
+/** Frees the queue, but not the machines in it. @param queue must not be NULL */
 void ow_command_queue_free(struct ow_command_queue *queue);
-/** How many machines are due a command. */
+/** Returns the number of machines in the queue. */
 guint ow_command_queue_length(const struct ow_leader *leader);
-/** The machine at a position below the length; in no order. */
+/** Returns the machine at a position below the length; the order is unspecified. */
 struct ow_machine *ow_command_queue_at(const struct ow_leader *leader, guint position);
-/** Takes the machine at a position out of the queue; the last one takes its place. */
+/** Removes the machine at a position below the length; the last machine moves to this position. */
 void ow_command_queue_remove_at(struct ow_leader *leader, guint position);
-/** From now on the machine is due a direct command. */
+/** Adds the machine unless it is in the queue already. */
 void ow_command_queue_add(struct ow_leader *leader, struct ow_machine *machine);
-/** The same for a machine that has sent a heartbeat under an older fencing token and is answered under ours:
- * a command is sent only if it does not send another one of itself. */
+/** Adds a machine that has sent a heartbeat under an older fencing token and is answered with this leader's
+ * token. The call is delayed by a second: the machine's next heartbeat usually makes it unnecessary. */
 void ow_command_queue_add_unfenced(struct ow_leader *leader, struct ow_machine *machine);
-/** The same for every machine, as a new leader does to show them its fencing token; in a large fleet one
- * after the other, for most of them come with a heartbeat meanwhile. */
+/** Adds every machine; for a new leader, which shows them its fencing token. The calls are spread over time
+ * in a large fleet, since most machines send a heartbeat in the meantime and need no call. */
 void ow_command_queue_add_all(struct ow_leader *leader);
-/** The machine is due none any more; to be called before it is freed. */
+/** Removes the machine if it is in the queue; to be called before the machine is freed. */
 void ow_command_queue_remove(struct ow_leader *leader, struct ow_machine *machine);
 
 #endif
--- a/src/core/machines/direct_commands.c
+++ b/src/core/machines/direct_commands.c
@@ -12,20 +12,20 @@
 #include "model/http_status.h"
 #include "model/worker.h"
 
-/* Calls in flight to machines that may not answer: at least so many, and so many for each core of ours. */
-enum { PROBES_LEAST = 64, PROBES_PER_CORE = 1000 };
-/* No further call to the machine for so long after one without an answer. */
+/* Limit of probes in flight: PROBES_PER_CORE for each core of this process, but at least PROBES_MIN. */
+enum { PROBES_MIN = 64, PROBES_PER_CORE = 1000 };
+/* Pause before the next call to a machine after an unanswered call. */
 static const double UNANSWERED_PAUSE_S = 3;
-/* The same after the worker refused the commands, as those of an older leader or another incarnation. */
+/* The same after the worker refused the commands because of their fencing token or incarnation. */
 static const double REFUSED_PAUSE_S = 0.5;
 /* The same after a call that could not be sent. */
 static const double UNSENT_PAUSE_S = 0.5;
 
 /* A call in flight. */
 struct direct_call {
-    char *machine; /* its name: it may be gone when the answer comes */
+    char *machine; /* name: the machine may have been removed when the answer arrives */
     double sent_at;
-    bool is_probe; /* to a machine of which nobody knows that it would answer */
+    bool is_probe; /* to a machine that is not known to answer */
 };
 
 static void direct_call_free(void *data)
@@ -37,17 +37,17 @@
 
 /* ---- pacing ---- */
 
-/* Whether nobody knows that the machine would answer. */
+/* Whether the machine is not known to answer: no message yet, or unanswered commands. */
 static bool is_unheard(const struct ow_machine *machine)
 {
     return machine->liveness.last_message_at == 0 || machine->liveness.unanswered_since > 0;
 }
 
-/* Probes in flight at a time. Answers that this process can't handle in time would count as missing, and
-   their probes would be sent again: without a limit, thousands of them would never end. */
-static unsigned probes_most(const struct ow_leader *leader)
+/* Limit of probes in flight. Answers that this process can't handle in time count as missing, so their probes
+   are sent again: without a limit, thousands of probes would be repeated for ever. */
+static unsigned probe_limit(const struct ow_leader *leader)
 {
-    return MAX(PROBES_LEAST, (unsigned)(PROBES_PER_CORE * leader->core->settings->core_share));
+    return MAX(PROBES_MIN, (unsigned)(PROBES_PER_CORE * leader->core->settings->core_share));
 }
 
 static bool is_call_possible(const struct ow_leader *leader, const struct ow_machine *machine)
@@ -55,11 +55,11 @@
     if (machine->direct.is_in_flight || machine->addr == NULL ||
         leader->core->now < machine->direct.not_before)
         return false;
-    return !is_unheard(machine) || leader->probes < probes_most(leader);
+    return !is_unheard(machine) || leader->probes < probe_limit(leader);
 }
 
-/* Whether a call would tell or show anything. A machine that has meanwhile shown our fencing token by a
-   heartbeat, and for which no command is due, is not called. */
+/* Whether a call is still of use: not if a heartbeat has meanwhile shown this leader's fencing token and no
+   command is due. */
 static bool is_call_needed(const struct ow_leader *leader, const struct ow_machine *machine)
 {
     return !machine->liveness.is_fenced || is_unheard(machine) ||
@@ -78,7 +78,8 @@
         machine->direct.not_before = leader->core->now + REFUSED_PAUSE_S;
 }
 
-/* Nothing has left this process: no launch is unacknowledged, and nothing is known of the machine. */
+/* The call has not left this process: no launch is unacknowledged, and nothing is learnt about
+   the machine. */
 static void apply_unsent(struct ow_leader *leader, struct ow_machine *machine)
 {
     g_array_set_size(machine->direct.launches, 0);
@@ -86,7 +87,7 @@
     machine->direct.not_before = leader->core->now + UNSENT_PAUSE_S;
 }
 
-/* No answer proves nothing (safety rule 2): the launches may be carried out minutes later, for as long as the
+/* A missing answer proves nothing (safety rule 2): the launches may be executed minutes later, as long as the
    incarnation lasts. */
 static void apply_missing_answer(struct ow_leader *leader, struct ow_machine *machine, double sent_at)
 {
@@ -109,7 +110,7 @@
     if (machine == NULL)
         return;
     if (answer->heartbeat != NULL && answer->heartbeat->fencing_token > leader->fencing_token) {
-        /* There is a newer leader: the election ends this one's term, and frees it. */
+        /* A newer leader exists: the election ends this leader's term and frees it. */
         ow_election_observe_fencing_token(leader->core->election, answer->heartbeat->fencing_token, NULL);
         return;
     }
@@ -142,8 +143,8 @@
     ow_core_emit(leader->core, effect);
 }
 
-/* Only the machines in the queue are visited: in a large fleet a look at each machine in every step would
-   cost as much as their heartbeats. */
+/* Visits only the machines in the queue: in a large fleet, visiting every machine in every step would cost as
+   much as processing their heartbeats. */
 void ow_direct_commands_send(struct ow_leader *leader)
 {
     for (guint i = ow_command_queue_length(leader); i > 0; i--) {
--- a/src/core/machines/worker_commands.c
+++ b/src/core/machines/worker_commands.c
@@ -5,7 +5,7 @@
 #include "core/machines/machine.h"
 #include "model/worker.h"
 
-/* Attempts are passed over once a message has so many commands: the others follow with the next one. */
+/* A message takes no further attempts once it has this many commands: they follow with the next message. */
 enum { COMMANDS_MAX = 400 };
 
 static void add_command(GArray *commands, enum ow_worker_command_kind kind, const struct ow_attempt *attempt)
@@ -16,16 +16,16 @@
     g_array_append_val(commands, command);
 }
 
-/* Safety rule 1. Guards against a task that runs without a record: a later leader would not know of it and
-   start it again. What is only planned has no committed record, and what an earlier leader has recorded is
-   launched by nobody any more. */
+/* Safety rule 1. Prevents that a task runs without a record: a later leader would not know of it and would
+   start it again. Planned attempts have no committed record yet, and attempts inherited from an earlier
+   leader are never launched. */
 static bool may_be_launched(const struct ow_attempt *attempt)
 {
     return attempt->state == OW_ATTEMPT_COMMITTED || attempt->state == OW_ATTEMPT_SENT;
 }
 
-/* A task that is no longer wanted, but whose launch may be in flight, is launched as well and stopped in the
-   same message: the worker then lists it as exited, and a late copy of the launch finds it there. */
+/* If an attempt is to be stopped while its launch may be in flight, the message contains the launch again as
+   well as the stop: the worker then lists the attempt as exited and ignores a late copy of the launch. */
 static void add_attempt_commands(struct ow_attempt *attempt, GArray *commands, GArray *launches)
 {
     if (may_be_launched(attempt)) {
@@ -40,8 +40,8 @@
         add_command(commands, OW_WORKER_STOP, attempt);
 }
 
-/* Whether there is something to tell the machine of the attempt. A new incarnation has forgotten the tasks of
-   the old one; it must not be given them again. */
+/* Whether a launch or stop of the attempt is due. Attempts of an older incarnation ended with it and must not
+   be launched again in the new one. */
 static bool is_command_due(const struct ow_machine *machine, const struct ow_attempt *attempt)
 {
     return attempt->incarnation == machine->liveness.incarnation &&
