--- a/src/core/machines/fleet.c
+++ b/src/core/machines/fleet.c
@@ -11,21 +11,21 @@
 
 #include <math.h>
 
-/* How often the list is read, and how soon again after a failure. */
-static const double LIST_S = 10;
+/* Interval between reads of the list, and the delay before a retry after a failure. */
+static const double LIST_INTERVAL_S = 10;
 static const double LIST_RETRY_S = 2;
-/* How soon a deletion is tried again that was refused or not answered. */
+/* Delay before the retry of a deletion that was refused or not answered. */
 static const double DELETE_RETRY_S = 2;
-/* Names in one deletion, by the cloud's protocol. */
-enum { DELETE_MOST = 100 };
+/* The cloud's limit of machines in one deletion. */
+enum { DELETE_BATCH_MAX = 100 };
 
 struct ow_fleet {
-    double list_at;          /* when the list is due next */
-    bool is_listing;         /* a call for it is under way */
-    bool is_listed;          /* the list has been read completely */
-    char *last_listed;       /* the last machine of the pages read so far; NULL: at the beginning */
+    double next_list_at;     /* when the list is due next */
+    bool is_list_in_flight;  /* a call for a page is in flight */
+    bool is_listed;          /* the list has been read completely at least once */
+    char *list_cursor;       /* last machine of the pages read so far; NULL: at the first page */
     GPtrArray *to_terminate; /* names of machines whose deletion is to be sent */
-    GHashTable *terminated;  /* set of names of machines deleted, which lagging lists still show */
+    GHashTable *terminated;  /* set of names of deleted machines, which a lagging list may still show */
 };
 
 struct ow_fleet *ow_fleet_new(void)
@@ -38,7 +38,7 @@
 
 void ow_fleet_free(struct ow_fleet *fleet)
 {
-    g_free(fleet->last_listed);
+    g_free(fleet->list_cursor);
     g_ptr_array_free(fleet->to_terminate, TRUE);
     g_hash_table_destroy(fleet->terminated);
     g_free(fleet);
@@ -54,19 +54,19 @@
     return g_hash_table_contains(leader->fleet->terminated, name);
 }
 
-/* ---- deleting ---- */
+/* ---- deletion ---- */
 
 /* Safety rule 2, proof by an acknowledged deletion: nothing runs on the machine any more. */
 static void apply_deletion(struct ow_leader *leader, struct ow_machine *machine)
 {
     g_info("machine terminated: machine=%s", machine->name);
     g_hash_table_add(leader->fleet->terminated, g_strdup(machine->name));
-    ow_instance_offers_remove_refusal(leader, machine); /* its place is free again */
+    ow_instance_offers_remove_refusal(leader, machine); /* its capacity is free again */
     ow_machines_remove(leader, machine, "its instance is deleted");
 }
 
-/* A deletion that was refused was not carried out, and the machine stays of use. One without an answer may be
-   carried out yet, so nothing new is placed there. */
+/* A refused deletion had no effect, so the machine stays usable. An unanswered one may still take effect, so
+   nothing new is placed on the machine. */
 static void apply_failed_deletion(struct ow_leader *leader, struct ow_machine *machine, int status)
 {
     machine->is_terminating = status == OW_HTTP_STATUS_NONE;
@@ -112,7 +112,7 @@
     GPtrArray *names = g_ptr_array_new_with_free_func(g_free);
     request->op = OW_CLOUD_TERMINATE;
     request->machines = g_ptr_array_new_with_free_func(g_free);
-    for (guint i = 0; i < leader->fleet->to_terminate->len && i < DELETE_MOST; i++) {
+    for (guint i = 0; i < leader->fleet->to_terminate->len && i < DELETE_BATCH_MAX; i++) {
         g_ptr_array_add(names, g_strdup(g_ptr_array_index(leader->fleet->to_terminate, i)));
         g_ptr_array_add(request->machines, g_strdup(g_ptr_array_index(leader->fleet->to_terminate, i)));
     }
@@ -120,12 +120,12 @@
     ow_core_call_cloud(leader->core, request, on_deleted, leader, names, free_names);
 }
 
-/* ---- the list ---- */
+/* ---- list of instances ---- */
 
 static void apply_listed_machine(struct ow_leader *leader, const struct ow_listed_machine *listed)
 {
     if (ow_fleet_has_terminated(leader, listed->name))
-        return; /* the list lags */
+        return; /* the list lags behind the deletion */
     double provisioned_at = leader->core->now - listed->age_s;
     struct ow_machine *machine = ow_machines_find(leader, listed->name);
     if (machine == NULL) {
@@ -133,25 +133,25 @@
         machine->provisioned_at = provisioned_at;
     }
     ow_machine_describe(leader, machine, listed->addr, listed->type, listed->zone, listed->spot);
-    /* The list lags: what the machine's own worker has sent is newer. */
+    /* The list lags: messages of the machine's own worker are newer. */
     if (machine->liveness.last_message_at == 0 || listed->state == OW_LISTED_FAILED)
         machine->listed = listed->state;
-    /* A machine that was first learnt of by a heartbeat is older than that. */
+    /* A machine that was registered by a heartbeat was provisioned before that. */
     machine->provisioned_at = MIN(machine->provisioned_at, provisioned_at);
 }
 
-/* Only after its last page is the list complete: before, what is not known yet would be provisioned a second
-   time. */
-static void note_page_read(struct ow_leader *leader, const GArray *listed, bool has_more)
+/* The list counts as read only after its last page: before, scale-out would provision replacements for
+   machines that are not known yet. */
+static void advance_list_cursor(struct ow_leader *leader, const GArray *listed, bool has_more)
 {
     struct ow_fleet *fleet = leader->fleet;
-    g_clear_pointer(&fleet->last_listed, g_free);
+    g_clear_pointer(&fleet->list_cursor, g_free);
     if (has_more && listed->len > 0) {
-        fleet->last_listed = g_strdup(g_array_index(listed, struct ow_listed_machine, listed->len - 1).name);
+        fleet->list_cursor = g_strdup(g_array_index(listed, struct ow_listed_machine, listed->len - 1).name);
         return;
     }
     fleet->is_listed = true;
-    fleet->list_at = leader->core->now + LIST_S;
+    fleet->next_list_at = leader->core->now + LIST_INTERVAL_S;
 }
 
 static void on_listed(void *owner, void *data, const struct ow_event *answer)
@@ -159,25 +159,25 @@
     struct ow_leader *leader = owner;
     const GArray *listed = answer->cloud.listed;
     (void)data;
-    leader->fleet->is_listing = false;
+    leader->fleet->is_list_in_flight = false;
     if (answer->cloud.status != OW_HTTP_STATUS_OK || listed == NULL) {
-        leader->fleet->list_at = leader->core->now + LIST_RETRY_S;
+        leader->fleet->next_list_at = leader->core->now + LIST_RETRY_S;
         return;
     }
     for (guint i = 0; i < listed->len; i++)
         apply_listed_machine(leader, &g_array_index(listed, struct ow_listed_machine, i));
-    note_page_read(leader, listed, answer->cloud.has_more);
+    advance_list_cursor(leader, listed, answer->cloud.has_more);
 }
 
 void ow_fleet_list(struct ow_leader *leader)
 {
     struct ow_fleet *fleet = leader->fleet;
-    if (fleet->is_listing || leader->core->now < fleet->list_at ||
+    if (fleet->is_list_in_flight || leader->core->now < fleet->next_list_at ||
         !ow_rate_limiter_take(&leader->cloud_limiter, 1, leader->core->now))
         return;
     struct ow_cloud_request *request = g_new0(struct ow_cloud_request, 1);
     request->op = OW_CLOUD_LIST;
-    request->after = g_strdup(fleet->last_listed);
-    fleet->is_listing = true;
+    request->after = g_strdup(fleet->list_cursor);
+    fleet->is_list_in_flight = true;
     ow_core_call_cloud(leader->core, request, on_listed, leader, NULL, NULL);
 }
--- a/src/core/machines/machine_images.c
+++ b/src/core/machines/machine_images.c
@@ -6,10 +6,10 @@
 #include "core/machines/machine_registry.h"
 #include "model/cloud.h"
 
-/* What a fetch takes yet that should be complete by now, but that no heartbeat has shown to be. */
-static const double FETCH_LEAST_S = 0.5;
-/* What a fetch takes at a rate that is not known. */
-static const double UNKNOWN_FETCH_S = 60;
+/* Assumed remainder of a fetch that is past its expected completion, but not yet reported as complete. */
+static const double FETCH_MIN_S = 0.5;
+/* Assumed duration of a fetch whose rate is unknown. */
+static const double DEFAULT_FETCH_S = 60;
 
 struct ow_image_copy *ow_machine_image_find(const struct ow_machine *machine, int image)
 {
@@ -31,8 +31,8 @@
     return false;
 }
 
-/* The machine caches the images that were used last, and those of its tasks. */
-static void forget_old_images(const struct ow_leader *leader, struct ow_machine *machine)
+/* Evicts the least recently used images beyond the size of the machine's cache, except those of its tasks. */
+static void evict_unused_images(const struct ow_leader *leader, struct ow_machine *machine)
 {
     const struct ow_machine_type *type = ow_machine_type_of(leader, machine);
     double limit = type != NULL ? type->cache_gb : 0;
@@ -61,21 +61,21 @@
     struct ow_image_copy *copy = ow_machine_image_find(machine, spec->image);
     if (copy == NULL) {
         double ready_at = leader->core->now + ow_machine_image_fetch_s(leader, machine, spec);
-        struct ow_image_copy fresh = {.image = spec->image,
-                                      .gb = spec->submission->image_gb,
-                                      .last_used_at = leader->core->now,
-                                      .present = present,
-                                      .ready_at = ready_at};
-        g_array_append_val(machine->load.images, fresh);
-        forget_old_images(leader, machine);
+        struct ow_image_copy new_copy = {.image = spec->image,
+                                         .gb = spec->submission->image_gb,
+                                         .last_used_at = leader->core->now,
+                                         .present = present,
+                                         .ready_at = ready_at};
+        g_array_append_val(machine->load.images, new_copy);
+        evict_unused_images(leader, machine);
         return;
     }
     copy->last_used_at = leader->core->now;
     copy->present = copy->present || present;
 }
 
-/* What there is to bring before the image is complete: `own_gb` of its own, and what other fetches that are
-   under way have left, for they share the machine's rate. */
+/* Data to transfer before the image is complete: `own_gb` of its own plus the remainder of other fetches in
+   progress, since they share the machine's rate. */
 static double gb_to_fetch(const struct ow_leader *leader, const struct ow_machine *machine, double own_gb,
                           double gb_per_s)
 {
@@ -97,9 +97,9 @@
     if (copy != NULL && copy->present)
         return 0;
     if (copy != NULL)
-        return MAX(FETCH_LEAST_S, copy->ready_at - leader->core->now);
+        return MAX(FETCH_MIN_S, copy->ready_at - leader->core->now);
     if (type == NULL || type->fetch_gb_per_s <= 0)
-        return UNKNOWN_FETCH_S;
+        return DEFAULT_FETCH_S;
     double own_gb = spec->submission->image_gb;
     return gb_to_fetch(leader, machine, own_gb, type->fetch_gb_per_s) / type->fetch_gb_per_s;
 }
--- a/src/core/machines/reclaim_notice.c
+++ b/src/core/machines/reclaim_notice.c
@@ -8,9 +8,9 @@
 #include "core/machines/spot_risk.h"
 #include "model/submission.h"
 
-/* Beyond the duration of a checkpoint: the least time that must be left for a task to be stopped for it. */
+/* A task is stopped for a checkpoint only if at least the checkpoint's duration plus this margin remains. */
 static const double CHECKPOINT_MARGIN_S = 1;
-/* Beyond the duration of a checkpoint: the most time that a task is given to save it. */
+/* A task gets at most the checkpoint's duration plus this grace to save it. */
 static const double CHECKPOINT_GRACE_S = 2;
 
 void ow_reclaim_notice_apply(struct ow_leader *leader, struct ow_machine *machine, double notice_s)
@@ -37,7 +37,7 @@
            left_s >= submission->checkpoint_duration_s + CHECKPOINT_MARGIN_S;
 }
 
-/* A gang saves its work together: all of its tasks are stopped. */
+/* A gang saves its checkpoint together, so all of its tasks are stopped. */
 static void stop_for_checkpoint(struct ow_leader *leader, struct ow_attempt *attempt, double left_s)
 {
     static const char why[] = "the cloud reclaims its machine";
@@ -55,7 +55,7 @@
         return;
     double left_s = machine->reclaim_at - leader->core->now;
     for (guint i = machine->load.attempts->len; i > 0; i--) {
-        /* Stopping one attempt may end others, and take them from the list. */
+        /* Stopping one attempt may end others and remove them from the array. */
         if (i > machine->load.attempts->len)
             continue;
         struct ow_attempt *attempt = g_ptr_array_index(machine->load.attempts, i - 1);
--- a/src/core/machines/spot_risk.c
+++ b/src/core/machines/spot_risk.c
@@ -5,16 +5,16 @@
 
 #include <math.h>
 
-/* Time constant with which what was seen loses its weight. */
-static const double MEMORY_S = 180;
-/* What is assumed beside what was seen: one notice in so many machine seconds. */
-static const double ASSUMED_RECLAIM_NOTICES = 1;
-static const double ASSUMED_MACHINE_S = 1800;
+/* Time constant of the exponential decay of observations. */
+static const double DECAY_S = 180;
+/* Prior added to the observations: this many notices in this many machine seconds. */
+static const double PRIOR_RECLAIM_NOTICES = 1;
+static const double PRIOR_MACHINE_S = 1800;
 
-/* What was seen of spot machines; all of it fades. */
+/* Observations of spot machines, with exponential decay. */
 struct ow_spot_risk {
     double reclaim_notices;
-    double machine_s; /* how long there were such machines */
+    double machine_s; /* total observed time of spot machines */
     double updated_at;
 };
 
@@ -38,20 +38,20 @@
     struct ow_spot_risk *risk = leader->spot_risk;
     double now = leader->core->now;
     double passed_s = risk->updated_at > 0 ? now - risk->updated_at : 0;
-    double weight = exp(-passed_s / MEMORY_S);
+    double decay = exp(-passed_s / DECAY_S);
     unsigned machines = 0;
     for (guint i = 0; i < leader->machines->len; i++) {
         const struct ow_machine *machine = g_ptr_array_index(leader->machines, i);
         machines += machine->spot && machine->liveness.last_message_at > 0 ? 1 : 0;
     }
-    risk->reclaim_notices *= weight;
-    risk->machine_s = risk->machine_s * weight + machines * passed_s;
+    risk->reclaim_notices *= decay;
+    risk->machine_s = risk->machine_s * decay + machines * passed_s;
     risk->updated_at = now;
 }
 
 double ow_spot_risk_within(const struct ow_leader *leader, double seconds)
 {
     const struct ow_spot_risk *risk = leader->spot_risk;
-    double rate = (risk->reclaim_notices + ASSUMED_RECLAIM_NOTICES) / (risk->machine_s + ASSUMED_MACHINE_S);
+    double rate = (risk->reclaim_notices + PRIOR_RECLAIM_NOTICES) / (risk->machine_s + PRIOR_MACHINE_S);
     return 1 - exp(-rate * MAX(0, seconds));
 }
--- a/src/core/machines/spot_risk.h
+++ b/src/core/machines/spot_risk.h
@@ -1,5 +1,5 @@
 /** @file
- * How often the cloud reclaims spot machines, as seen lately. What was seen fades.
+ * Estimate of the rate at which the cloud reclaims spot machines, from exponentially decaying observations.
  */
 #ifndef OW_CORE_MACHINES_SPOT_RISK_H
 #define OW_CORE_MACHINES_SPOT_RISK_H
@@ -7,16 +7,17 @@
 struct ow_leader;
 struct ow_spot_risk;
 
-/** Nothing has been seen yet; freed by ow_spot_risk_free(). */
+/** Creates an estimate without observations; freed by ow_spot_risk_free(). */
 struct ow_spot_risk *ow_spot_risk_new(void);
-/** Frees it. */
+/** Frees the estimate. @param risk may be NULL */
 void ow_spot_risk_free(struct ow_spot_risk *risk);
 
-/** Notes that a spot machine has got a reclaim notice. */
+/** Counts a reclaim notice for a spot machine. */
 void ow_spot_risk_observe_reclaim_notice(struct ow_leader *leader);
-/** Takes in how many spot machines there are; to be called a few times a second. */
+/** Adds the time for which the present spot machines have been observed, and decays older observations; to be
+ * called a few times a second. */
 void ow_spot_risk_tick(struct ow_leader *leader);
-/** The probability that a spot machine is reclaimed within `seconds`. */
+/** Returns the probability that a spot machine is reclaimed within `seconds`. */
 double ow_spot_risk_within(const struct ow_leader *leader, double seconds);
 
 #endif
