--- a/src/core/machines/headroom.c
+++ b/src/core/machines/headroom.c
@@ -1,5 +1,5 @@
-/* Room kept ready for classes that can't wait for a machine to boot. */
 #include "core/machines/headroom.h"
+
 #include "core/jobs/execution.h"
 #include "core/leader/leader_state.h"
 #include "core/machines/instance_offers.h"
@@ -11,54 +11,56 @@
 
 #include <math.h>
 
-/* Room kept ready beyond what a class uses. */
+/* Headroom relative to the peak use of a class. */
 static const double HEADROOM_SHARE = 0.5;
-/* The time a machine provisioned at need is expected to take: so many boot times, the fetch and this margin.
- */
-static const double START_BOOTS = 2, START_MARGIN_S = 20;
+/* Assumed start time of a machine provisioned on demand: START_BOOT_TIMES boot times, the image fetch and
+   START_MARGIN_S. */
+static const double START_BOOT_TIMES = 2, START_MARGIN_S = 20;
 
-/* Whether the class has so little slack that a machine provisioned at need would come late for it. */
-static bool is_tight(struct ow_leader *leader, int class_index, const struct ow_machine_type *type)
+/* Whether the class has so little slack that a machine provisioned on demand would start too late for it. */
+static bool needs_headroom(struct ow_leader *leader, int class_index, const struct ow_machine_type *type)
 {
     const struct ow_class *class = ow_class_of(leader->core, class_index);
-    double fetch = type->fetch_gb_per_s > 0 ? class->image_gb / type->fetch_gb_per_s : 0;
-    /* A class without aims has no promise to keep: no machine is kept idle for it. */
+    double fetch_s = type->fetch_gb_per_s > 0 ? class->image_gb / type->fetch_gb_per_s : 0;
+    /* No machine is kept idle for a class without an SLO. */
     return ow_class_has_slo(leader->core, class_index) &&
-           ow_class_slack_s(leader->core, class_index) < START_BOOTS * type->boot_s + fetch + START_MARGIN_S;
+           ow_class_slack_s(leader->core, class_index) <
+               START_BOOT_TIMES * type->boot_s + fetch_s + START_MARGIN_S;
 }
 
-/* Slots of the class on a machine, full and free ones. */
+/* Number of slots for the class on a machine, used and free ones. */
 static uint32_t class_slots(const struct ow_leader *leader, const struct ow_class *class,
-                            const struct ow_machine *machine, bool proper)
+                            const struct ow_machine *machine, bool exclude_wasteful)
 {
     const struct ow_machine_type *type = ow_machine_type_of(leader, machine);
-    if (type == NULL || (proper && ow_instance_offers_is_wasteful(leader, type, class, machine->spot)) ||
+    if (type == NULL ||
+        (exclude_wasteful && ow_instance_offers_is_wasteful(leader, type, class, machine->spot)) ||
         (machine->spot && !class->spot) || (class->types & (UINT64_C(1) << machine->type)) == 0)
         return 0;
-    /* What ordinary GPU machines have for it is what their GPUs leave over, as in placement. */
-    struct ow_machine_type left = {.size = type->size};
+    /* On an ordinary machine with GPUs it gets only the CPUs that the GPUs don't need, as in placement. */
+    struct ow_machine_type leftover = {.size = type->size};
     if (ow_instance_offers_is_wasteful(leader, type, class, machine->spot) && !machine->spot)
-        left.size.cpus = MAX(0, left.size.cpus - left.size.gpus * leader->cycle.gpu_cpus);
-    return ow_placement_slots_on_empty(&left, &class->need);
+        leftover.size.cpus = MAX(0, leftover.size.cpus - leftover.size.gpus * leader->cycle.gpu_cpus);
+    return ow_placement_slots_on_empty(&leftover, &class->need);
 }
 
-/* `plan` may be NULL: machines that are up alone. */
-static uint32_t slots_there(const struct ow_leader *leader, const struct ow_class *class, bool proper,
-                            const GArray *plan)
+/* Slots for the class on usable machines and on those of `plan`, which may be NULL. */
+static uint32_t available_slots(const struct ow_leader *leader, const struct ow_class *class,
+                                bool exclude_wasteful, const GArray *plan)
 {
     uint32_t slots = 0;
     for (guint i = 0; i < leader->machines->len; i++) {
         const struct ow_machine *machine = g_ptr_array_index(leader->machines, i);
         if (ow_machine_is_usable(leader, machine))
-            slots += class_slots(leader, class, machine, proper);
+            slots += class_slots(leader, class, machine, exclude_wasteful);
     }
     for (guint i = 0; plan != NULL && i < plan->len; i++)
-        slots +=
-            class_slots(leader, class, &g_array_index(plan, struct ow_expected_machine, i).machine, proper);
+        slots += class_slots(leader, class, &g_array_index(plan, struct ow_expected_machine, i).machine,
+                             exclude_wasteful);
     return slots;
 }
 
-/* The tasks of a class that run or wait, and the newest of its runs as a sample. */
+/* Number of unfinished tasks of a class; `sample` is set to its newest execution, or NULL. */
 static uint32_t class_tasks(const struct ow_leader *leader, int class_index,
                             const struct ow_execution **sample)
 {
@@ -75,7 +77,7 @@
     return tasks;
 }
 
-void ow_headroom_plan(struct ow_leader *leader, GArray *plan, unsigned *most)
+void ow_headroom_plan(struct ow_leader *leader, GArray *plan, unsigned *limit)
 {
     for (guint i = 0; i < leader->core->classes->len; i++) {
         const struct ow_execution *sample = NULL;
@@ -86,88 +88,89 @@
             continue;
         const struct ow_machine_type *type = ow_machine_type_of(leader, &candidate.machine);
         const struct ow_class *class = ow_class_of(leader->core, (int)i);
-        if (!is_tight(leader, (int)i, type) || ow_class_is_quiet(leader->core, (int)i))
+        if (!needs_headroom(leader, (int)i, type) || ow_class_is_quiet(leader->core, (int)i))
             continue;
-        /* What it used lately and some more. */
+        /* The recent peak plus headroom. */
         double wanted = peak + MAX(class->largest, HEADROOM_SHARE * peak);
-        uint32_t there = slots_there(leader, class, true, plan);
-        while (*most > 0 && there < wanted &&
+        uint32_t available = available_slots(leader, class, true, plan);
+        while (*limit > 0 && available < wanted &&
                ow_instance_offers_find_cheapest(leader, sample->job->spec, INFINITY, OW_OFFERS_NOT_WASTEFUL,
                                                 &candidate)) {
-            there += class_slots(leader, class, &candidate.machine, true);
+            available += class_slots(leader, class, &candidate.machine, true);
             g_array_append_val(plan, candidate);
-            (*most)--;
+            (*limit)--;
         }
     }
 }
 
-/* What a class needs to find ready, and what of that is there. */
-struct need {
+/* Slots that a class needs ready, and those that are available. */
+struct class_need {
     const struct ow_class *class;
     int class_index;
-    bool proper;
-    double wanted, there;
+    bool exclude_wasteful;
+    double wanted, available;
 };
 
-/* Slots that a class needs: what it used lately and some more. An improper machine is kept only for what the
-   class really had running lately; for a class that is quiet only what it runs now counts, or machines would
-   be kept idle for long after its last job. */
-static double slots_wanted(struct ow_leader *leader, int class_index, bool proper)
+/* Slots that a class needs: its recent peak plus headroom. If wasteful machines count, only the peak, so that
+   they are not kept for headroom. For a quiet class only its present tasks count, or machines would be kept
+   idle long after its last job. */
+static double wanted_slots(struct ow_leader *leader, int class_index, bool exclude_wasteful)
 {
     const struct ow_class *class = ow_class_of(leader->core, class_index);
     const struct ow_execution *sample = NULL;
     if (ow_class_is_quiet(leader->core, class_index))
         return class_tasks(leader, class_index, &sample);
-    return proper ? class->peak * (1 + HEADROOM_SHARE) + class->largest : class->peak;
+    return exclude_wasteful ? class->peak * (1 + HEADROOM_SHARE) + class->largest : class->peak;
 }
 
 static GArray *class_needs(struct ow_leader *leader)
 {
-    GArray *needs = g_array_new(FALSE, FALSE, sizeof(struct need));
+    GArray *needs = g_array_new(FALSE, FALSE, sizeof(struct class_need));
     for (guint i = 0; i < leader->core->classes->len; i++) {
         const struct ow_class *class = ow_class_of(leader->core, (int)i);
-        for (int proper = 0; class->seen && proper < 2; proper++) {
-            struct need need = {class, (int)i, proper != 0, slots_wanted(leader, (int)i, proper != 0),
-                                slots_there(leader, class, proper, NULL)};
+        for (int exclude_wasteful = 0; class->seen && exclude_wasteful < 2; exclude_wasteful++) {
+            struct class_need need = {class, (int)i, exclude_wasteful != 0,
+                                      wanted_slots(leader, (int)i, exclude_wasteful != 0),
+                                      available_slots(leader, class, exclude_wasteful, NULL)};
             g_array_append_val(needs, need);
         }
     }
     return needs;
 }
 
-/* Whether a class would miss the machine; if none would, it counts as gone from here on. */
-static bool spared(struct ow_leader *leader, GArray *needs, const struct ow_machine *machine)
+/* Whether no class needs the machine; if so, its slots are subtracted from those available. */
+static bool release_if_unneeded(struct ow_leader *leader, GArray *needs, const struct ow_machine *machine)
 {
     const struct ow_machine_type *type = ow_machine_type_of(leader, machine);
     for (guint i = 0; i < needs->len; i++) {
-        const struct need *need = &g_array_index(needs, struct need, i);
-        uint32_t slots = class_slots(leader, need->class, machine, need->proper);
-        bool matters =
-            slots > 0 &&
-            need->proper == !ow_instance_offers_is_wasteful(leader, type, need->class, machine->spot) &&
-            is_tight(leader, need->class_index, type);
-        if (matters && need->there < need->wanted + slots)
+        const struct class_need *need = &g_array_index(needs, struct class_need, i);
+        uint32_t slots = class_slots(leader, need->class, machine, need->exclude_wasteful);
+        bool matters = slots > 0 &&
+                       need->exclude_wasteful ==
+                           !ow_instance_offers_is_wasteful(leader, type, need->class, machine->spot) &&
+                       needs_headroom(leader, need->class_index, type);
+        if (matters && need->available < need->wanted + slots)
             return false;
     }
     for (guint i = 0; i < needs->len; i++) {
-        struct need *need = &g_array_index(needs, struct need, i);
-        need->there -= class_slots(leader, need->class, machine, need->proper);
+        struct class_need *need = &g_array_index(needs, struct class_need, i);
+        need->available -= class_slots(leader, need->class, machine, need->exclude_wasteful);
     }
     return true;
 }
 
-static double price_of(const struct ow_leader *leader, const struct ow_machine *machine)
+static double hourly_price(const struct ow_leader *leader, const struct ow_machine *machine)
 {
     const struct ow_machine_type *type = ow_machine_type_of(leader, machine);
     return machine->spot ? type->spot_price : type->price;
 }
 
-static gint dearest_first(gconstpointer a, gconstpointer b, gpointer leader)
+static gint compare_price_descending(gconstpointer a, gconstpointer b, gpointer leader)
 {
     const struct ow_machine *first = *(const struct ow_machine *const *)a;
     const struct ow_machine *second = *(const struct ow_machine *const *)b;
-    double first_price = price_of(leader, first);
-    double second_price = price_of(leader, second);
+    double first_price = hourly_price(leader, first);
+    double second_price = hourly_price(leader, second);
     if (first_price != second_price)
         return first_price > second_price ? -1 : 1;
     return first->type - second->type;
@@ -175,17 +178,17 @@
 
 GPtrArray *ow_headroom_unneeded(struct ow_leader *leader, bool (*idle)(const struct ow_machine *machine))
 {
-    g_autoptr(GPtrArray) found = g_ptr_array_new();
+    g_autoptr(GPtrArray) idle_machines = g_ptr_array_new();
     GPtrArray *unneeded = g_ptr_array_new();
     for (guint i = 0; i < leader->machines->len; i++) {
         struct ow_machine *machine = g_ptr_array_index(leader->machines, i);
         if (ow_machine_type_of(leader, machine) != NULL && idle(machine))
-            g_ptr_array_add(found, machine);
+            g_ptr_array_add(idle_machines, machine);
     }
-    g_ptr_array_sort_with_data(found, dearest_first, leader);
+    g_ptr_array_sort_with_data(idle_machines, compare_price_descending, leader);
     g_autoptr(GArray) needs = class_needs(leader);
-    for (guint i = 0; i < found->len; i++)
-        if (spared(leader, needs, g_ptr_array_index(found, i)))
-            g_ptr_array_add(unneeded, g_ptr_array_index(found, i));
+    for (guint i = 0; i < idle_machines->len; i++)
+        if (release_if_unneeded(leader, needs, g_ptr_array_index(idle_machines, i)))
+            g_ptr_array_add(unneeded, g_ptr_array_index(idle_machines, i));
     return unneeded;
 }
--- a/src/core/machines/headroom.h
+++ b/src/core/machines/headroom.h
@@ -1,5 +1,5 @@
 /** @file
- * Headroom: idle machines kept ready for classes whose SLOs leave no time for a machine to boot.
+ * Headroom: idle machines kept ready for classes whose SLOs leave no time to boot a machine.
  */
 #ifndef OW_CORE_MACHINES_HEADROOM_H
 #define OW_CORE_MACHINES_HEADROOM_H
@@ -10,11 +10,13 @@
 struct ow_leader;
 struct ow_machine;
 
-/** Appends the machines to provision for such classes to `plan` (struct ow_expected_machine), at most
- * `*most`, which is reduced accordingly. */
-void ow_headroom_plan(struct ow_leader *leader, GArray *plan, unsigned *most);
-/** The idle machines (struct ow_machine *) that no such class needs, most expensive first; the caller frees
- * the array. */
+/** Plans machines to provision for such classes.
+ * @param plan struct ow_expected_machine: the planned machines are appended
+ * @param limit maximum number to append; reduced by the number appended */
+void ow_headroom_plan(struct ow_leader *leader, GArray *plan, unsigned *limit);
+/** Returns the idle machines (struct ow_machine *) that no such class needs, most expensive first; the caller
+ * frees the array.
+ * @param idle tells whether a machine is idle */
 GPtrArray *ow_headroom_unneeded(struct ow_leader *leader, bool (*idle)(const struct ow_machine *machine));
 
 #endif
--- a/src/core/machines/instance_offers.c
+++ b/src/core/machines/instance_offers.c
@@ -10,14 +10,14 @@
 
 #include <math.h>
 
-/* How long a kind of machine is not asked for again after a refusal. */
-static const double REFUSAL_S = 60;
-/* How many times the start of a machine a job must wait without it to be given one. */
-static const double HELP_PATIENCE = 1.5;
-/* So many times the price of the cheapest kind without GPUs a machine with GPUs may cost for a task that does
-   not need them without being a waste.
- */
-static const double FAIR_PRICE = 2;
+/* How long a kind of machine is not requested again after a refusal. */
+static const double REFUSAL_TTL_S = 60;
+/* A machine is provisioned for a job only if the job's wait without it is at least this many times its start
+   time. */
+static const double WAIT_TO_START_RATIO = 1.5;
+/* For tasks without GPUs, a machine with GPUs is a waste above this ratio of its price to that of the
+   cheapest type without GPUs. */
+static const double WASTEFUL_PRICE_RATIO = 2;
 
 /* ---- refusals ---- */
 
@@ -65,39 +65,40 @@
 void ow_instance_offers_add_refusal(struct ow_leader *leader, int type, int zone, bool spot)
 {
     struct ow_offer_refusal refusal = {
-        .type = type, .zone = zone, .spot = spot, .until = leader->core->now + REFUSAL_S};
+        .type = type, .zone = zone, .spot = spot, .until = leader->core->now + REFUSAL_TTL_S};
     g_array_append_val(leader->offer_refusals, refusal);
 }
 
-/* ---- what they are worth ---- */
+/* ---- prices ---- */
 
 static bool is_offered_in(const struct ow_machine_type *type, const char *zone)
 {
     return type->zones == NULL || g_strv_contains((const char *const *)type->zones, zone);
 }
 
-static bool has_useless_gpus(const struct ow_machine_type *type, const struct ow_resources *need)
+static bool has_unneeded_gpus(const struct ow_machine_type *type, const struct ow_resources *need)
 {
     return type->size.gpus > 0 && need->gpus <= 0;
 }
 
-/* Hourly price for a task. */
-static double price_of(const struct ow_machine_type *type, const struct ow_resources *need, bool spot)
+/* Hourly price of the machine for each task that fits on it; INFINITY if none does. */
+static double price_per_task(const struct ow_machine_type *type, const struct ow_resources *need, bool spot)
 {
     uint32_t slots = ow_placement_slots_on_empty(type, need);
     double price = spot ? type->spot_price : type->price;
     return slots > 0 ? price / slots : INFINITY;
 }
 
-/* The cheapest ordinary machine without GPUs, whether or not it is to be had. */
+/* Lowest hourly price for a task on an ordinary machine of these types without unneeded GPUs, whether or not
+   the cloud can provide it. */
 static double price_without_gpus(const struct ow_leader *leader, const struct ow_resources *need,
                                  uint64_t types)
 {
     double best = INFINITY;
     for (int i = 0; i < OW_MAX_TYPES; i++) {
         const struct ow_machine_type *type = ow_machine_types_at(leader->core->machine_types, i);
-        if (type != NULL && !has_useless_gpus(type, need) && (types & (UINT64_C(1) << i)) != 0)
-            best = MIN(best, price_of(type, need, false));
+        if (type != NULL && !has_unneeded_gpus(type, need) && (types & (UINT64_C(1) << i)) != 0)
+            best = MIN(best, price_per_task(type, need, false));
     }
     return best;
 }
@@ -105,25 +106,27 @@
 bool ow_instance_offers_is_wasteful(const struct ow_leader *leader, const struct ow_machine_type *type,
                                     const struct ow_class *class, bool spot)
 {
-    /* Less urgent work gets only what the GPUs leave over. */
-    return has_useless_gpus(type, &class->need) &&
+    /* Work that is not more urgent than the open jobs that need GPUs gets only the CPUs that the
+       GPUs don't need. */
+    return has_unneeded_gpus(type, &class->need) &&
            ((int)class->rank >= leader->cycle.gpu_rank ||
-            price_of(type, &class->need, spot) >
-                FAIR_PRICE * price_without_gpus(leader, &class->need, class->types));
+            price_per_task(type, &class->need, spot) >
+                WASTEFUL_PRICE_RATIO * price_without_gpus(leader, &class->need, class->types));
 }
 
-/* How long a new machine takes until it can run the job. */
+/* Seconds until a new machine can run the job: boot and fetch of the image. */
 static double start_s(const struct ow_machine_type *type, const struct ow_job_spec *spec)
 {
     return type->boot_s + (type->fetch_gb_per_s > 0 ? spec->submission->image_gb / type->fetch_gb_per_s : 0);
 }
 
-/* Whether the kind of machine can be provisioned for the job, and would come in time to help. */
-static bool is_option(const struct ow_leader *leader, const struct ow_job_spec *spec,
-                      const struct ow_machine *kind, double wait_s)
+/* Whether the kind of machine can be provisioned for the job and would start soon enough to shorten
+   its wait. */
+static bool is_candidate(const struct ow_leader *leader, const struct ow_job_spec *spec,
+                         const struct ow_machine *kind, double wait_s)
 {
     const struct ow_machine_type *type = ow_machine_types_at(leader->core->machine_types, kind->type);
-    if (wait_s < HELP_PATIENCE * start_s(type, spec))
+    if (wait_s < WAIT_TO_START_RATIO * start_s(type, spec))
         return false;
     if (!is_offered_in(type, ow_interner_text(leader->core->interners.zones, kind->zone)))
         return false;
@@ -131,9 +134,9 @@
            !is_refused(leader, kind->type, kind->zone, kind->spot);
 }
 
-/* Hourly price for each task of the job that would run on such a machine. */
-static double price_for_job(const struct ow_leader *leader, const struct ow_job_spec *spec,
-                            const struct ow_machine *kind)
+/* Hourly price of the machine for each task of the job that would run on it. */
+static double price_per_job_task(const struct ow_leader *leader, const struct ow_job_spec *spec,
+                                 const struct ow_machine *kind)
 {
     const struct ow_machine_type *type = ow_machine_types_at(leader->core->machine_types, kind->type);
     uint32_t slots = ow_placement_slots(leader, spec, kind);
@@ -152,13 +155,14 @@
     return !ow_instance_offers_is_wasteful(leader, type, class, kind->spot);
 }
 
-/* Replaces `best` by the kind of machine if that is an option for the job and cheaper. */
-static void consider(const struct ow_leader *leader, const struct ow_job_spec *spec, double wait_s,
-                     const struct ow_machine *kind, double *best_price, struct ow_expected_machine *best)
+/* Replaces `best` by the kind of machine if that is a candidate for the job and cheaper. */
+static void replace_if_cheaper(const struct ow_leader *leader, const struct ow_job_spec *spec, double wait_s,
+                               const struct ow_machine *kind, double *best_price,
+                               struct ow_expected_machine *best)
 {
-    if (!is_option(leader, spec, kind, wait_s))
+    if (!is_candidate(leader, spec, kind, wait_s))
         return;
-    double price = price_for_job(leader, spec, kind);
+    double price = price_per_job_task(leader, spec, kind);
     if (price >= *best_price)
         return;
     *best_price = price;
@@ -177,10 +181,10 @@
             struct ow_machine kind = {.type = type_index,
                                       .zone = ow_interner_intern(leader->core->interners.zones, *zone)};
             if (may_be_offered(leader, spec, &kind, filter))
-                consider(leader, spec, wait_s, &kind, &best_price, out);
+                replace_if_cheaper(leader, spec, wait_s, &kind, &best_price, out);
             kind.spot = true;
             if (may_be_offered(leader, spec, &kind, filter))
-                consider(leader, spec, wait_s, &kind, &best_price, out);
+                replace_if_cheaper(leader, spec, wait_s, &kind, &best_price, out);
         }
     }
     return best_price < INFINITY;
--- a/src/core/machines/instance_offers.h
+++ b/src/core/machines/instance_offers.h
@@ -1,6 +1,6 @@
 /** @file
- * Instance offers: which kinds of machines could be provisioned for a job, what they are worth, and which the
- * cloud has refused lately. It owns the list of refusals.
+ * Instance offers: the kinds of machines (type, zone, spot or ordinary) that could be provisioned for a job,
+ * their price, and recent refusals by the cloud. It owns the list of refusals.
  */
 #ifndef OW_CORE_MACHINES_INSTANCE_OFFERS_H
 #define OW_CORE_MACHINES_INSTANCE_OFFERS_H
@@ -14,37 +14,39 @@
 
 struct ow_leader;
 
-/** A machine that work could have: one that is coming up, or one to be provisioned. */
+/** A machine that a plan of scale_out.h counts on: it is booting or is to be provisioned. */
 struct ow_expected_machine {
-    struct ow_machine machine; /* a stand-in: type, zone, kind and use alone */
-    bool to_provision;
+    struct ow_machine machine; /**< placeholder: only type, zone, spot and load.used are set */
+    bool to_provision;         /**< no call to the cloud has been sent for it yet; false if it is booting */
 };
 
 /** Which kinds of machines are considered. */
 enum ow_offer_filter {
     OW_OFFERS_ALL,
-    OW_OFFERS_SPOT,         /**< spot machines alone */
-    OW_OFFERS_NOT_WASTEFUL, /**< no machine whose GPUs would be wasted on the job */
+    OW_OFFERS_SPOT,         /**< only spot machines */
+    OW_OFFERS_NOT_WASTEFUL, /**< no machines for which ow_instance_offers_is_wasteful() holds */
 };
 
-/** The empty list of a leader's refusals; freed with g_array_free(). */
+/** Creates the empty list of a leader's refusals; the caller frees it with g_array_free(). */
 GArray *ow_instance_offers_new_refusals(void);
-/** Finds the cheapest kind of machine for the job that has not been refused lately and would start in time to
- * help.
- * @param wait_s how long the job would wait without it
- * @param out filled in if true is returned
- * @return whether there is one */
+/** Finds the cheapest kind of machine for the job that the cloud has not refused recently and that would
+ * start soon enough to shorten the job's wait.
+ * @param wait_s expected wait of the job without the machine
+ * @param out set if true is returned
+ * @return whether there is such a kind */
 bool ow_instance_offers_find_cheapest(const struct ow_leader *leader, const struct ow_job_spec *spec,
                                       double wait_s, enum ow_offer_filter filter,
                                       struct ow_expected_machine *out);
-/** Whether a machine with GPUs would be too expensive for work that does not need them. */
+/** Whether a machine with GPUs is a waste for a class that does not need them: open jobs that need GPUs
+ * are at least as urgent, or the machine's price for each task is too high. */
 bool ow_instance_offers_is_wasteful(const struct ow_leader *leader, const struct ow_machine_type *type,
                                     const struct ow_class *job_class, bool spot);
-/** Notes that the cloud has refused to provision this kind of machine; it is not asked again for a while. */
+/** Records that the cloud has refused to provision this kind of machine, which is then not requested for a
+ * minute. */
 void ow_instance_offers_add_refusal(struct ow_leader *leader, int type, int zone, bool spot);
-/** Forgets the refusal of the machine's kind: a machine of it has gone back to the cloud. */
+/** Removes the refusal of the machine's kind: its deletion has returned capacity to the cloud. */
 void ow_instance_offers_remove_refusal(struct ow_leader *leader, const struct ow_machine *machine);
-/** Forgets refusals that have expired. */
+/** Removes refusals that have expired. */
 void ow_instance_offers_remove_expired(struct ow_leader *leader);
 
 #endif
--- a/src/core/machines/scale_in.c
+++ b/src/core/machines/scale_in.c
@@ -5,14 +5,14 @@
 #include "core/machines/headroom.h"
 #include "core/machines/machine.h"
 
-/* How long an ordinary machine that is idle alone is kept. */
-static const double IDLE_S = 25;
-/* The cloud charges a minute at least: termination within the first half of it saves little. */
-static const double PAID_S = 30;
-/* How many times longer a spot machine is kept idle than an ordinary one. */
-static const double SPOT_PATIENCE = 2;
-/* An idle share of one in so many counts as one idle machine. */
-static const double CROWD_SHARES = 10;
+/* How long an ordinary machine is kept if it is the only idle one of its kind. */
+static const double IDLE_TIMEOUT_S = 25;
+/* No machine is terminated earlier: the cloud charges for a minute at least, so that saves little. */
+static const double MIN_LIFETIME_S = 30;
+/* A spot machine is kept idle this many times longer than an ordinary one. */
+static const double SPOT_TIMEOUT_FACTOR = 2;
+/* Weight of the idle share of a kind: a share of 1 / IDLE_SHARE_WEIGHT counts as one idle machine. */
+static const double IDLE_SHARE_WEIGHT = 10;
 
 static bool is_idle(const struct ow_machine *machine)
 {
@@ -33,22 +33,22 @@
     return count;
 }
 
-/* How long a machine of this kind is kept idle. The more of a kind are idle, the less likely each is to be
-   needed soon; in a large fleet their share counts, or a short lull would empty it. A spot machine costs
-   little to keep until there is work for it. */
+/* How long a machine of this kind is kept idle. The more machines of a kind are idle, the less likely each is
+   to be needed soon; in a large fleet their share counts instead of their number, or a short lull would empty
+   it. A spot machine costs little to keep. */
 static double idle_limit_s(const struct ow_leader *leader, const GPtrArray *unneeded,
                            const struct ow_machine *kind)
 {
     unsigned idle = count_of_kind(unneeded, kind);
     unsigned all = count_of_kind(leader->machines, kind);
-    double crowd = MIN(idle, CROWD_SHARES * idle / MAX(all, 1));
-    return (kind->spot ? SPOT_PATIENCE : 1) * IDLE_S / MAX(crowd, 1);
+    double weighted_idle = MIN(idle, IDLE_SHARE_WEIGHT * idle / MAX(all, 1));
+    return (kind->spot ? SPOT_TIMEOUT_FACTOR : 1) * IDLE_TIMEOUT_S / MAX(weighted_idle, 1);
 }
 
 static bool is_due(const struct ow_leader *leader, const struct ow_machine *machine, double limit_s)
 {
     double now = leader->core->now;
-    return now - machine->provisioned_at > PAID_S &&
+    return now - machine->provisioned_at > MIN_LIFETIME_S &&
            now - MAX(machine->load.idle_since, leader->ready_at) > limit_s;
 }
 
@@ -59,7 +59,7 @@
     double limit_s = 0;
     for (guint i = 0; i < unneeded->len; i++) {
         struct ow_machine *machine = g_ptr_array_index(unneeded, i);
-        /* Machines of a kind mostly follow one another: the fleet is counted once for them. */
+        /* Machines of one kind mostly follow one another: the limit is computed once for each run of them. */
         if (last == NULL || !is_same_kind(machine, last))
             limit_s = idle_limit_s(leader, unneeded, machine);
         last = machine;
--- a/src/core/machines/scale_in.h
+++ b/src/core/machines/scale_in.h
@@ -1,6 +1,6 @@
 /** @file
- * Scale-in: termination of machines that have been idle for long enough and that no class needs ready
- * (headroom.h).
+ * Scale-in: terminates machines that have been idle for longer than their limit and are not needed as
+ * headroom (headroom.h).
  */
 #ifndef OW_CORE_MACHINES_SCALE_IN_H
 #define OW_CORE_MACHINES_SCALE_IN_H
--- a/src/core/machines/scale_out.c
+++ b/src/core/machines/scale_out.c
@@ -21,18 +21,18 @@
 
 #include <math.h>
 
-/* The share of a job's slack that may be spent on waiting for machines that are there. */
-static const double PATIENCE = 0.75;
-/* Machines that are planned in one round. */
+/* Share of a job's slack that it may spend waiting for the machines that are up or planned. */
+static const double WAIT_SLACK_SHARE = 0.75;
+/* Limit of machines planned in one round. */
 enum { PROVISION_BATCH_MAX = 50 };
-/* How often scale-out and scale-in are considered. */
-static const double INTERVAL_S = 1;
-/* How long a new leader waits before it provisions once every running machine has sent it a heartbeat. */
-static const double SETTLED_S = 1;
-/* The same while some have not. */
-static const double UNSETTLED_S = 4;
-
-/* A call to the cloud in flight. */
+/* Interval between rounds of scale-out and scale-in. */
+static const double SCALING_INTERVAL_S = 1;
+/* A new leader provisions after this delay if every running machine has seen its fencing token. */
+static const double PROVISION_DELAY_S = 1;
+/* The same if some have not. */
+static const double PROVISION_DELAY_UNHEARD_S = 4;
+
+/* A provision call in flight. */
 struct provision_call {
     int type;
     int zone;
@@ -41,9 +41,9 @@
 };
 
 struct ow_scale_out {
-    double next_at; /* when it is considered next */
-    unsigned count; /* of provision requests, which gives names to the machines */
-    unsigned calls; /* under way */
+    double next_at;           /* when the next round is due */
+    unsigned request_count;   /* provision requests so far: part of their names */
+    unsigned calls_in_flight; /* to provision machines */
 };
 
 struct ow_scale_out *ow_scale_out_new(void)
@@ -62,8 +62,8 @@
     const struct provision_call *call = data;
     const char *type = ow_interner_text(leader->core->interners.types, call->type);
     const char *zone = ow_interner_text(leader->core->interners.zones, call->zone);
-    leader->scale_out->calls--;
-    leader->scale_out->next_at = leader->core->now; /* plan again with what this one has shown */
+    leader->scale_out->calls_in_flight--;
+    leader->scale_out->next_at = leader->core->now; /* plan again with the result of this call */
     if (answer->cloud.status != OW_HTTP_STATUS_OK || answer->cloud.provisioned == NULL ||
         answer->cloud.provisioned[0] == NULL) {
         ow_instance_offers_add_refusal(leader, call->type, call->zone, call->spot);
@@ -72,7 +72,8 @@
         return;
     }
     if (g_strv_length(answer->cloud.provisioned) < call->count)
-        ow_instance_offers_add_refusal(leader, call->type, call->zone, call->spot); /* these were the last */
+        /* Fewer than requested: the cloud has no more of this kind. */
+        ow_instance_offers_add_refusal(leader, call->type, call->zone, call->spot);
     for (char **name = answer->cloud.provisioned; *name != NULL; name++) {
         struct ow_machine *machine = ow_machines_find_or_add(leader, *name);
         ow_machine_describe(leader, machine, NULL, type, zone, call->spot);
@@ -83,8 +84,8 @@
     }
 }
 
-/* The machines that boot, as struct ow_expected_machine; the caller owns the array. */
-static GArray *coming_up(const struct ow_leader *leader)
+/* The booting machines as struct ow_expected_machine; the caller owns the array. */
+static GArray *list_booting_machines(const struct ow_leader *leader)
 {
     GArray *expected_machines = g_array_new(FALSE, TRUE, sizeof(struct ow_expected_machine));
     for (guint i = 0; i < leader->machines->len; i++) {
@@ -99,9 +100,9 @@
     return expected_machines;
 }
 
-/* Sets aside slots for tasks of the job on a machine of the plan. @return how many, at most `wanted` */
-static uint32_t take_room(const struct ow_leader *leader, const struct ow_job_spec *spec,
-                          struct ow_expected_machine *expected, uint32_t wanted)
+/* Reserves slots for tasks of the job on a machine of the plan. @return how many, at most `wanted` */
+static uint32_t reserve_slots(const struct ow_leader *leader, const struct ow_job_spec *spec,
+                              struct ow_expected_machine *expected, uint32_t wanted)
 {
     if (!ow_placement_is_allowed(spec, &expected->machine))
         return 0;
@@ -110,38 +111,38 @@
     return slots;
 }
 
-/* Whether a job that waits `wait_s` for the machines that are up or planned still meets the SLO of its class.
- */
-static bool is_in_time(struct ow_leader *leader, const struct ow_execution *execution, double wait_s)
+/* Whether a job still meets the SLO of its class after a wait of `wait_s` for the machines that are up or
+   planned. */
+static bool meets_slo_after(struct ow_leader *leader, const struct ow_execution *execution, double wait_s)
 {
     if (wait_s == INFINITY)
         return false;
     double waited_s = leader->core->now - execution->accepted_at;
-    return wait_s < PATIENCE * (ow_deadline_slack_s(leader, execution) - waited_s);
+    return wait_s < WAIT_SLACK_SHARE * (ow_deadline_slack_s(leader, execution) - waited_s);
 }
 
-static void plan_for(struct ow_leader *leader, const struct ow_execution *execution, GArray *plan,
-                     struct ow_work_backlog *backlog, unsigned *most)
+static void plan_for_execution(struct ow_leader *leader, const struct ow_execution *execution, GArray *plan,
+                               struct ow_work_backlog *backlog, unsigned *limit)
 {
     const struct ow_job_spec *spec = execution->job->spec;
     uint32_t wanted = ow_team_count_admitted(leader, spec, ow_execution_count_pending(execution));
     double wait_s = ow_work_backlog_add(backlog, leader, execution, plan);
-    if (is_in_time(leader, execution, wait_s))
+    if (meets_slo_after(leader, execution, wait_s))
         return;
     enum ow_offer_filter filter = ow_price_filter_applies(leader, execution) ? OW_OFFERS_SPOT : OW_OFFERS_ALL;
     for (guint i = 0; i < plan->len && wanted > 0; i++)
-        wanted -= take_room(leader, spec, &g_array_index(plan, struct ow_expected_machine, i), wanted);
+        wanted -= reserve_slots(leader, spec, &g_array_index(plan, struct ow_expected_machine, i), wanted);
     struct ow_expected_machine expected;
-    while (wanted > 0 && *most > 0 &&
+    while (wanted > 0 && *limit > 0 &&
            ow_instance_offers_find_cheapest(leader, spec, wait_s, filter, &expected)) {
-        uint32_t taken = take_room(leader, spec, &expected, wanted);
+        uint32_t taken = reserve_slots(leader, spec, &expected, wanted);
         if (taken == 0)
             return;
         wanted -= taken;
         g_debug("machine planned for job: job=%s type=%s wait_s=%.0f", execution->job->id,
                 ow_interner_text(leader->core->interners.types, expected.machine.type), wait_s);
         g_array_append_val(plan, expected);
-        (*most)--;
+        (*limit)--;
     }
 }
 
@@ -155,14 +156,14 @@
                                     .spot = expected->machine.spot,
                                     .count = count};
     request->op = OW_CLOUD_PROVISION;
-    /* The fencing token is ours alone, so no other process ever uses the same name for another request. */
-    request->name =
-        g_strdup_printf("r-%" G_GUINT64_FORMAT "-%u", leader->fencing_token, ++leader->scale_out->count);
+    /* The fencing token is unique to this leader, so no other process uses the name for another request. */
+    request->name = g_strdup_printf("r-%" G_GUINT64_FORMAT "-%u", leader->fencing_token,
+                                    ++leader->scale_out->request_count);
     request->type = g_strdup(ow_interner_text(leader->core->interners.types, call->type));
     request->zone = g_strdup(ow_interner_text(leader->core->interners.zones, call->zone));
     request->spot = call->spot;
     request->count = count;
-    leader->scale_out->calls++;
+    leader->scale_out->calls_in_flight++;
     ow_core_call_cloud(leader->core, request, on_provisioned, leader, call, g_free);
 }
 
@@ -172,9 +173,8 @@
            a->machine.zone == b->machine.zone && a->machine.spot == b->machine.spot;
 }
 
-/* Takes the machine at `first` and all later ones of its kind out of what is to be provisioned. @return how
-   many they are */
-static unsigned take_kind(GArray *plan, guint first)
+/* Marks the planned machine at `first` and all later ones of its kind as requested. @return their number */
+static unsigned mark_kind_requested(GArray *plan, guint first)
 {
     unsigned count = 0;
     const struct ow_expected_machine kind = g_array_index(plan, struct ow_expected_machine, first);
@@ -188,8 +188,8 @@
     return count;
 }
 
-/* One call for each kind, in the order of the plan, within the cloud's rate limit; what is left over is
-   planned again in a later round. */
+/* Sends one call for each kind, in the order of the plan, within the cloud's rate limit; the remaining
+   machines are planned again in a later round. */
 static void provision_planned(struct ow_leader *leader, GArray *plan)
 {
     for (guint i = 0; i < plan->len; i++) {
@@ -198,7 +198,7 @@
             continue;
         if (!ow_rate_limiter_take(&leader->cloud_limiter, 1, leader->core->now))
             return;
-        send_provision_call(leader, expected, take_kind(plan, i));
+        send_provision_call(leader, expected, mark_kind_requested(plan, i));
     }
 }
 
@@ -212,21 +212,21 @@
     return ow_fleet_is_listed(leader);
 }
 
-static void provision_for_waiting(struct ow_leader *leader)
+static void provision_for_waiting_jobs(struct ow_leader *leader)
 {
-    double settling_s = have_all_sent_heartbeats(leader) ? SETTLED_S : UNSETTLED_S;
-    /* One round at a time: a second plan must see what the first has brought. And none before the machines
-       that are there had time to send heartbeats. */
-    if (leader->scale_out->calls > 0 || leader->core->now - leader->ready_at < settling_s)
+    double delay_s = have_all_sent_heartbeats(leader) ? PROVISION_DELAY_S : PROVISION_DELAY_UNHEARD_S;
+    /* One round at a time: a plan needs the results of the one before. And none before the machines that are
+       up have had time to send heartbeats. */
+    if (leader->scale_out->calls_in_flight > 0 || leader->core->now - leader->ready_at < delay_s)
         return;
     ow_instance_offers_remove_expired(leader);
-    g_autoptr(GArray) plan = coming_up(leader);
+    g_autoptr(GArray) plan = list_booting_machines(leader);
     g_autoptr(GPtrArray) executions = ow_queue_sorted(leader);
     g_autoptr(ow_work_backlog) backlog = ow_work_backlog_new();
-    unsigned most = PROVISION_BATCH_MAX;
+    unsigned limit = PROVISION_BATCH_MAX;
     for (guint i = 0; i < executions->len; i++)
-        plan_for(leader, g_ptr_array_index(executions, i), plan, backlog, &most);
-    ow_headroom_plan(leader, plan, &most);
+        plan_for_execution(leader, g_ptr_array_index(executions, i), plan, backlog, &limit);
+    ow_headroom_plan(leader, plan, &limit);
     provision_planned(leader, plan);
 }
 
@@ -236,7 +236,7 @@
     ow_fleet_list(leader);
     if (now < leader->scale_out->next_at)
         return;
-    leader->scale_out->next_at = now + INTERVAL_S;
-    provision_for_waiting(leader);
+    leader->scale_out->next_at = now + SCALING_INTERVAL_S;
+    provision_for_waiting_jobs(leader);
     ow_scale_in_tick(leader);
 }
--- a/src/core/machines/scale_out.h
+++ b/src/core/machines/scale_out.h
@@ -1,5 +1,5 @@
 /** @file
- * Scale-out: provisioning machines for work that would wait too long for those that are up or coming up.
+ * Scale-out: provisions machines for work that would wait too long for the machines that are up or booting.
  */
 #ifndef OW_CORE_MACHINES_SCALE_OUT_H
 #define OW_CORE_MACHINES_SCALE_OUT_H
@@ -7,12 +7,13 @@
 struct ow_leader;
 struct ow_scale_out;
 
-/** Nothing has been provisioned yet; freed by ow_scale_out_free(). */
+/** Creates the state of scale-out, without calls in flight; freed by ow_scale_out_free(). */
 struct ow_scale_out *ow_scale_out_new(void);
-/** Frees it. */
+/** Frees the state. @param scale_out may be NULL */
 void ow_scale_out_free(struct ow_scale_out *scale_out);
 
-/** Reads the cloud's list, provisions what waiting work needs, and terminates what is idle, each when due. */
+/** Reads the cloud's list, provisions machines for waiting work and terminates idle machines, each when due;
+ * to be called in every step of a leader that is ready. */
 void ow_scale_out_tick(struct ow_leader *leader);
 
 #endif
