--- a/src/core/machines/lease_expiry.c
+++ b/src/core/machines/lease_expiry.c
@@ -9,11 +9,11 @@
 /* Time that a worker may need after the end of its lease until its tasks have ended. */
 static const double TASK_END_MARGIN_S = 1.5;
 
-/* Safety rule 2, proof by lease expiry. Prevents that a task starts elsewhere while its last attempt still
-   runs on an unreachable worker. The evidence:
+/* Safety rule 2, proof by lease expiry. Prevents a task from starting elsewhere while its last attempt
+   still runs on an unreachable worker. The evidence:
    - A worker ends its tasks once lease_s has passed since it sent the last heartbeat that was answered.
    - Once the worker has seen this leader's fencing token, it accepts answers of this leader only. Hence
-   nothing is proven of a machine that is not fenced.
+     nothing is proven of a machine that is not fenced.
    - The last answered heartbeat was sent before the newest message of the incarnation arrived here: late
      copies of older messages renew nothing. */
 static bool has_lease_expired(const struct ow_leader *leader, const struct ow_machine *machine)
--- a/src/core/machines/reconciliation.c
+++ b/src/core/machines/reconciliation.c
@@ -49,10 +49,10 @@
     return job->execution->tasks[task].is_done && !chunk->is_dirty && !chunk->is_writing;
 }
 
-/* Safety rule 3. Prevents that a task runs twice: a worker that has cleared an attempt would execute a late
-   copy of its launch. So an attempt is cleared only when no launch of it can still be delivered, and one with
-   a result only after the result was recorded. While the job is not over, an attempt that ended in any other
-   way stays in the worker's list, so that the worker ignores a late copy of its launch. */
+/* Safety rule 3. Prevents a task from running twice: a worker that has cleared an attempt would execute a
+   late copy of its launch. So an attempt is cleared only when no launch of it can still be delivered, and one
+   with a result only after the result was recorded. While the job is not over, an attempt that ended in any
+   other way stays in the worker's list, so that the worker ignores a late copy of its launch. */
 static void clear_ended(const struct ow_machine *machine, const struct ow_job *job,
                         const struct ow_task_status *task_status, GArray *commands)
 {
@@ -125,8 +125,7 @@
 {
     struct ow_execution *execution = attempt->job->execution;
     if (attempt->state == OW_ATTEMPT_SENT)
-        attempt->machine->liveness.unanswered_since =
-            0; /* the launch has arrived, directly or by heartbeat */
+        attempt->machine->liveness.unanswered_since = 0; /* a launch has arrived, by either route */
     execution->running -= is_seen_running(attempt) ? 1 : 0;
     attempt->state = OW_ATTEMPT_SEEN;
     attempt->phase = phase;
--- a/src/core/machines/silent_machines.c
+++ b/src/core/machines/silent_machines.c
@@ -24,7 +24,7 @@
 /* A machine that has sent messages is terminated after this many leases without a heartbeat. */
 static const double SILENT_LEASES = 3;
 /* Heartbeat intervals that a new leader waits before it terminates silent machines for their replicas. */
-static const double MISSED_HEARTBEATS = 2.5;
+static const double MIN_READY_HEARTBEATS = 2.5;
 /* More silent machines than this are attributed to a network fault. */
 enum { ISOLATED_SILENT_MAX = 3 };
 
@@ -114,8 +114,8 @@
 
 void ow_silent_machine_terminate_for_replicas(struct ow_leader *leader, struct ow_machine *machine)
 {
-    double settling_s = MISSED_HEARTBEATS * leader->core->settings->heartbeat_interval_s;
+    double min_ready_s = MIN_READY_HEARTBEATS * leader->core->settings->heartbeat_interval_s;
     if (ow_silent_machine_has_replicas(leader, machine) && machine->liveness.unanswered_since > 0 &&
-        leader->core->now - leader->ready_at > settling_s)
+        leader->core->now - leader->ready_at > min_ready_s)
         ow_fleet_terminate(leader, machine, "it is silent and has replicas of services");
 }
--- a/src/core/machines/work_backlog.c
+++ b/src/core/machines/work_backlog.c
@@ -122,6 +122,6 @@
     double capacity = running_and_planned_capacity(backlog, leader, spec, plan);
     if (capacity <= 0 || ow_execution_is_service(execution))
         return INFINITY;
-    /* One run time until the first room is free, then the work ahead of it. */
+    /* One run time until capacity is first freed, plus the work ahead in the queue. */
     return (*work_s + run_time_s * need_per_task) / capacity;
 }
--- a/src/core/machines/worker_commands.c
+++ b/src/core/machines/worker_commands.c
@@ -16,8 +16,8 @@
     g_array_append_val(commands, command);
 }
 
-/* Safety rule 1. Prevents that a task runs without a record: a later leader would not know of it and would
-   start it again. Planned attempts have no committed record yet, and attempts inherited from an earlier
+/* Safety rule 1. Prevents a task from running without a record: a later leader would not know of it and
+   would start it again. Planned attempts have no committed record yet, and attempts inherited from an earlier
    leader are never launched. */
 static bool may_be_launched(const struct ow_attempt *attempt)
 {
