--- a/src/core/machines/headroom.c
+++ b/src/core/machines/headroom.c
@@ -37,8 +37,7 @@
         (exclude_wasteful && ow_instance_offers_is_wasteful(leader, type, class, machine->spot)) ||
         (machine->spot && !class->spot) || (class->types & (UINT64_C(1) << machine->type)) == 0)
         return 0;
-    /* On an ordinary machine with GPUs the class gets only the CPUs that the GPUs don't need, as in
-     * placement. */
+    /* On an ordinary machine with GPUs, a class gets only CPUs that the GPUs don't need, as in placement. */
     struct ow_machine_type leftover = {.size = type->size};
     if (ow_instance_offers_is_wasteful(leader, type, class, machine->spot) && !machine->spot)
         leftover.size.cpus = MAX(0, leftover.size.cpus - leftover.size.gpus * leader->cycle.gpu_cpus);
