--- a/src/core/scheduling/replica_move.c
+++ b/src/core/scheduling/replica_move.c
@@ -40,7 +40,7 @@
 /* Whether the machine has the complete image; a fetch in progress doesn't count. */
 static bool has_image(const struct ow_machine *machine, int image)
 {
-    const struct ow_image_copy *copy = ow_machine_image(machine, image);
+    const struct ow_image_copy *copy = ow_machine_image_find(machine, image);
     return copy != NULL && copy->present;
 }
 
