--- a/tests/cluster/test_cancellation_races.c
+++ b/tests/cluster/test_cancellation_races.c
@@ -1,5 +1,6 @@
 /* Cancellations that race with the end of a job, with delayed launches and with leader changes
- * (docs/overlapping-failures.md). */
+ * (docs/overlapping-failures.md). Guards against a job with two outcomes, and against tasks that run after
+ * their cancellation was confirmed because a command or a record arrived late. */
 #include "check.h"
 #include "failure_setup.h"
 #include "sim_cluster.h"
@@ -32,24 +33,25 @@
         cluster->store_latency_s = offset % 2 == 0 ? 0 : 0.2;
         sim_submit(cluster, offset % SIM_CONTROLLERS, sim_job("run-1", 2, 1));
         sim_run(cluster, 1 + 0.1 * offset);
-        uint64_t cancel = sim_cancel(cluster, (offset + 1) % SIM_CONTROLLERS, "run-1");
-        uint64_t poll = sim_poll(cluster, (offset + 2) % SIM_CONTROLLERS, "run-1");
+        uint64_t cancel_request = sim_cancel(cluster, (offset + 1) % SIM_CONTROLLERS, "run-1");
+        uint64_t first_poll = sim_poll(cluster, (offset + 2) % SIM_CONTROLLERS, "run-1");
         sim_submit(cluster, offset % SIM_CONTROLLERS, sim_job("run-1", 2, 1));
         sim_run(cluster, 0.1);
-        uint64_t again = sim_poll(cluster, offset % SIM_CONTROLLERS, "run-1");
+        uint64_t second_poll = sim_poll(cluster, offset % SIM_CONTROLLERS, "run-1");
         sim_run(cluster, 6);
-        assert_int_not_equal(sim_status(cluster, cancel), 0);
-        assert_int_not_equal(sim_status(cluster, poll), 0);
-        assert_int_not_equal(sim_status(cluster, again), 0);
-        int end = sim_job_state(cluster, "run-1");
-        assert_true(end == OW_JOB_DONE || end == OW_JOB_CANCELLED);
-        if (sim_status(cluster, cancel) == 200)
-            assert_int_equal(sim_response(cluster, cancel)->state, end);
+        assert_int_not_equal(sim_status(cluster, cancel_request), 0);
+        assert_int_not_equal(sim_status(cluster, first_poll), 0);
+        assert_int_not_equal(sim_status(cluster, second_poll), 0);
+        int job_state = sim_job_state(cluster, "run-1");
+        assert_true(job_state == OW_JOB_DONE || job_state == OW_JOB_CANCELLED);
+        if (sim_status(cluster, cancel_request) == 200)
+            assert_int_equal(sim_response(cluster, cancel_request)->state, job_state);
         sim_finish(cluster);
     }
 }
 
-/* A machine hangs while the job is cancelled, and resumes before its lease expires. */
+/* A machine hangs while the job is cancelled, and resumes before its lease expires: it must not continue
+ * the cancelled task. */
 static void test_cancelled_task_ends_on_a_machine_that_hung(void **state)
 {
     struct sim_cluster *cluster = *state;
@@ -64,7 +66,8 @@
     sim_check_safety(cluster);
 }
 
-/* A launch to a hanging machine is delayed; the job is cancelled, and then the machine resumes. */
+/* A launch to a machine that does not send heartbeats is delayed, and is delivered only after the job has
+ * been cancelled. */
 static void test_delayed_launch_does_not_outlive_a_cancellation(void **state)
 {
     struct sim_cluster *cluster = *state;
@@ -82,7 +85,9 @@
     sim_check_safety(cluster);
 }
 
-/* A team at its limit, a leader change, an unreachable machine, and a cancellation. */
+/* A team is at its limit when the leader crashes and a machine with its tasks becomes unreachable. The
+ * unreachable tasks count against the limit until their end is proven; the next job of the team starts
+ * only then. */
 static void test_team_limit_holds_across_a_leader_change(void **state)
 {
     struct sim_cluster *cluster = *state;
@@ -121,12 +126,12 @@
     }
     sim_run(cluster, 2);
     for (int change = 0; change < 10; change++) {
-        int old = sim_leader(cluster);
-        if (old >= 0)
-            sim_kill_controller(cluster, old);
+        int old_leader = sim_leader(cluster);
+        if (old_leader >= 0)
+            sim_kill_controller(cluster, old_leader);
         sim_run_with_canceller(cluster, &canceller, 1);
-        if (old >= 0)
-            sim_start_controller(cluster, old);
+        if (old_leader >= 0)
+            sim_start_controller(cluster, old_leader);
         canceller.controller = change % SIM_CONTROLLERS;
         cluster->store_down = change == 4 || change == 5;
         sim_run_with_canceller(cluster, &canceller, 10);
--- a/tests/cluster/test_chaos.c
+++ b/tests/cluster/test_chaos.c
@@ -1,5 +1,5 @@
-/* Random overlapping failures from fixed seeds: no safety rule may break, and in the end every job completes.
- */
+/* Guards against violations of the safety rules, and against jobs that never complete, when failures
+ * overlap in combinations that no other test covers. The failures are random, from fixed seeds. */
 #include "chaos_day.h"
 #include "check.h"
 
@@ -10,8 +10,8 @@
         chaos_day_play(seed, false, NULL);
 }
 
-/* The same with two shards, and with controllers that stand still. */
-static void test_safety_rules_hold_through_random_failures_of_shards(void **state)
+/* As above, with the fleet divided into two shards and with controllers whose processes freeze. */
+static void test_safety_rules_hold_through_random_failures_with_shards(void **state)
 {
     (void)state;
     for (guint32 seed = 1; seed <= 30; seed++)
@@ -22,6 +22,6 @@
 {
     const struct CMUnitTest tests[] = {
         cmocka_unit_test(test_safety_rules_hold_through_random_failures),
-        cmocka_unit_test(test_safety_rules_hold_through_random_failures_of_shards)};
+        cmocka_unit_test(test_safety_rules_hold_through_random_failures_with_shards)};
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/cluster/test_election.c
+++ b/tests/cluster/test_election.c
@@ -1,4 +1,6 @@
-/* Election of a leader, its term, and the health of controllers while the key-value store fails. */
+/* Election of a leader, its term, and the health of controllers while the key-value store fails. Guards
+ * against a cluster that stays without a leader, against controllers that depose each other in turn, and
+ * against a leader that loses its term or its health to an outage of the store. */
 #include "check.h"
 #include "sim_cluster.h"
 
@@ -23,16 +25,16 @@
 static void test_new_leader_is_elected_after_a_crash(void **state)
 {
     struct sim_cluster *cluster = *state;
-    int first = sim_leader(cluster);
-    assert_true(first >= 0);
-    uint64_t fencing_token = sim_fencing_token(cluster, first);
+    int first_leader = sim_leader(cluster);
+    assert_true(first_leader >= 0);
+    uint64_t fencing_token = sim_fencing_token(cluster, first_leader);
     for (int i = 0; i < SIM_CONTROLLERS; i++)
-        assert_true(i == first || sim_fencing_token(cluster, i) == 0);
-    sim_kill_controller(cluster, first);
+        assert_true(i == first_leader || sim_fencing_token(cluster, i) == 0);
+    sim_kill_controller(cluster, first_leader);
     sim_run(cluster, 8);
-    int second = sim_leader(cluster);
-    assert_true(second >= 0 && second != first);
-    assert_true(sim_fencing_token(cluster, second) > fencing_token);
+    int second_leader = sim_leader(cluster);
+    assert_true(second_leader >= 0 && second_leader != first_leader);
+    assert_true(sim_fencing_token(cluster, second_leader) > fencing_token);
     sim_check_safety(cluster);
 }
 
@@ -40,19 +42,19 @@
 {
     struct sim_cluster *cluster = *state;
     sim_run(cluster, 8);
-    int first = sim_leader(cluster);
-    int other = (first + 1) % SIM_CONTROLLERS;
-    sim_kill_controller(cluster, first);
-    sim_break_peer_link(cluster, other, first);
+    int first_leader = sim_leader(cluster);
+    int other_controller = (first_leader + 1) % SIM_CONTROLLERS;
+    sim_kill_controller(cluster, first_leader);
+    sim_break_peer_link(cluster, other_controller, first_leader);
     sim_run(cluster, 0.5);
-    assert_int_equal(sim_leader(cluster), other);
-    /* Two controllers without a link must not depose each other in turn. */
-    sim_start_controller(cluster, first);
+    assert_int_equal(sim_leader(cluster), other_controller);
+    /* Controllers without a link between them must not depose each other in turn. */
+    sim_start_controller(cluster, first_leader);
     sim_run(cluster, 2);
-    uint64_t fencing_token = sim_fencing_token(cluster, other);
-    sim_break_peer_link(cluster, first, other);
+    uint64_t fencing_token = sim_fencing_token(cluster, other_controller);
+    sim_break_peer_link(cluster, first_leader, other_controller);
     sim_run(cluster, 1);
-    assert_true(sim_fencing_token(cluster, other) == fencing_token);
+    assert_true(sim_fencing_token(cluster, other_controller) == fencing_token);
     sim_check_safety(cluster);
 }
 
@@ -90,7 +92,7 @@
     assert_true(sim_run_until(cluster, 10, sim_job_is_running, "run-1"));
     cluster->store_down = true;
     sim_run(cluster, 45);
-    /* Rule 8: workers are answered all along, so their tasks outlive the outage. */
+    /* Rule 8: the leader answers workers throughout the outage, so that their tasks outlive it. */
     assert_int_equal(sim_count_running(cluster, "run-1"), 2);
     cluster->store_down = false;
     sim_run(cluster, 2);
@@ -102,7 +104,7 @@
 {
     struct sim_cluster *cluster = *state;
     cluster->controller_without_store = 2;
-    sim_poll(cluster, 2, "run-1"); /* so that it notices */
+    sim_poll(cluster, 2, "run-1"); /* its read fails, and it learns that the store denies it */
     sim_run(cluster, 5);
     assert_false(ow_shard_manager_is_ready(cluster->controllers[2]));
     assert_true(ow_shard_manager_is_ready(cluster->controllers[0]) &&
--- a/tests/cluster/test_isolation.c
+++ b/tests/cluster/test_isolation.c
@@ -1,5 +1,6 @@
-/* Isolated controllers, immediate restarts and scarce machines or sockets: every job is answered and
- * completes. */
+/* Isolated controllers, immediate restarts, and scarce machines or sockets. Guards against a controller
+ * that keeps leading or answering without the key-value store, and against jobs that are never answered or
+ * never complete. */
 #include "check.h"
 #include "sim_cluster.h"
 #include "model/submission.h"
@@ -38,19 +39,19 @@
 {
     struct sim_cluster *cluster = *state;
     struct sim_machine *machine = sim_start_long_job(cluster);
-    int old = sim_leader(cluster);
-    cluster->isolated_controller = old;
+    int old_leader = sim_leader(cluster);
+    cluster->isolated_controller = old_leader;
     sim_run(cluster, 4);
-    uint64_t poll = sim_poll(cluster, old, "run-1");
-    sim_submit(cluster, old, sim_job("run-2", 1, 1));
+    uint64_t poll = sim_poll(cluster, old_leader, "run-1");
+    sim_submit(cluster, old_leader, sim_job("run-2", 1, 1));
     sim_run(cluster, 4);
-    assert_false(ow_shard_manager_is_ready(cluster->controllers[old]));
+    assert_false(ow_shard_manager_is_ready(cluster->controllers[old_leader]));
     const struct sim_response *response = sim_response(cluster, poll);
     assert_true(response != NULL && response->status == 503);
     assert_true(sim_run_until(cluster, 20, sim_job_is_running, "run-1"));
     sim_run(cluster, 10);
-    assert_true(sim_leader(cluster) != old && sim_fencing_token(cluster, old) == 0);
-    /* The task has survived on its machine. */
+    assert_true(sim_leader(cluster) != old_leader && sim_fencing_token(cluster, old_leader) == 0);
+    /* The task has kept running on its machine. */
     assert_true(sim_find_machine_of_job(cluster, "run-1") == machine);
     assert_int_equal(machine->launches, 1);
     cluster->run_time_s = 1;
@@ -59,33 +60,33 @@
     assert_int_equal(sim_count_running(cluster, "run-2"), 0);
     cluster->isolated_controller = -1;
     sim_run(cluster, 10);
-    assert_true(ow_shard_manager_is_ready(cluster->controllers[old]));
+    assert_true(ow_shard_manager_is_ready(cluster->controllers[old_leader]));
     sim_check_safety(cluster);
 }
 
 static void test_isolated_follower_is_unhealthy(void **state)
 {
     struct sim_cluster *cluster = *state;
-    int other = (sim_leader(cluster) + 1) % SIM_CONTROLLERS;
-    cluster->isolated_controller = other;
+    int isolated_follower = (sim_leader(cluster) + 1) % SIM_CONTROLLERS;
+    cluster->isolated_controller = isolated_follower;
     sim_run(cluster, 8);
-    assert_false(ow_shard_manager_is_ready(cluster->controllers[other]));
+    assert_false(ow_shard_manager_is_ready(cluster->controllers[isolated_follower]));
     assert_true(ow_shard_manager_is_ready(cluster->controllers[sim_leader(cluster)]));
     cluster->isolated_controller = -1;
     sim_run(cluster, 8);
-    assert_true(ow_shard_manager_is_ready(cluster->controllers[other]));
+    assert_true(ow_shard_manager_is_ready(cluster->controllers[isolated_follower]));
     sim_check_safety(cluster);
 }
 
-/* A leader that no worker can reach steps down even if the key-value store is available to it. */
+/* A leader that no worker can reach steps down even while it reaches the key-value store. */
 static void test_leader_without_workers_steps_down(void **state)
 {
     struct sim_cluster *cluster = *state;
     struct sim_machine *machine = sim_start_long_job(cluster);
-    int old = sim_leader(cluster);
-    cluster->controller_without_workers = old;
+    int old_leader = sim_leader(cluster);
+    cluster->controller_without_workers = old_leader;
     sim_run(cluster, 18);
-    assert_true(sim_leader(cluster) >= 0 && sim_leader(cluster) != old);
+    assert_true(sim_leader(cluster) >= 0 && sim_leader(cluster) != old_leader);
     assert_true(sim_find_machine_of_job(cluster, "run-1") == machine);
     sim_check_safety(cluster);
 }
@@ -98,22 +99,22 @@
         cluster->run_time_s = 4;
         sim_submit(cluster, 0, sim_job("run-1", 3, 1));
         sim_run(cluster, 0.1);
-        /* The leader crashes, its successor crashes during the election, and both restart at once. */
-        int old = sim_leader(cluster);
-        int next = (old + 1) % SIM_CONTROLLERS;
+        /* The leader crashes, its successor crashes during the election, and each restarts at once. */
+        int old_leader = sim_leader(cluster);
+        int successor = (old_leader + 1) % SIM_CONTROLLERS;
         cluster->lose_txn_responses = step % 3 == 0;
-        sim_kill_controller(cluster, old);
-        sim_break_peer_link(cluster, next, old);
-        sim_start_controller(cluster, old);
+        sim_kill_controller(cluster, old_leader);
+        sim_break_peer_link(cluster, successor, old_leader);
+        sim_start_controller(cluster, old_leader);
         sim_run(cluster, 0.05 * step);
-        sim_kill_controller(cluster, next);
-        sim_start_controller(cluster, next);
+        sim_kill_controller(cluster, successor);
+        sim_start_controller(cluster, successor);
         cluster->lose_txn_responses = false;
         sim_run(cluster, 0.1);
-        sim_submit(cluster, next, sim_job("run-1", 3, 1));
-        sim_submit(cluster, old, sim_job("run-2", 2, 1));
+        sim_submit(cluster, successor, sim_job("run-1", 3, 1));
+        sim_submit(cluster, old_leader, sim_job("run-2", 2, 1));
         assert_true(sim_run_until(cluster, 60, sim_job_is_done, "run-1"));
-        sim_submit(cluster, next, sim_job("run-2", 2, 1));
+        sim_submit(cluster, successor, sim_job("run-2", 2, 1));
         assert_true(sim_run_until(cluster, 60, sim_job_is_done, "run-2"));
         sim_finish(cluster);
     }
@@ -152,12 +153,12 @@
     sim_check_safety(cluster);
 }
 
-/* A job that has failed on each of the few machines is retried on them. */
+/* Each of the few machines has failed the job: it must be retried on them, as there are no others. */
 static void test_job_is_retried_on_machines_that_failed_it(void **state)
 {
     struct sim_cluster *cluster = *state;
     cluster->provisionable_machines = 0;
-    cluster->cloud_down = true; /* no machine is deleted or provisioned */
+    cluster->cloud_down = true; /* no machine can be deleted or provisioned */
     for (guint i = 0; i < cluster->machines->len; i++)
         sim_machine_at(cluster, i)->fails_tasks = true;
     cluster->run_time_s = 1;
@@ -169,7 +170,7 @@
     sim_check_safety(cluster);
 }
 
-/* Without free sockets, commands are sent with the responses to heartbeats, and no machine counts as
+/* Without free sockets the commands go out with the responses to heartbeats, and no machine counts as
  * unresponsive. */
 static void test_work_continues_without_free_sockets(void **state)
 {
@@ -185,9 +186,10 @@
     sim_check_safety(cluster);
 }
 
-/* A controller that was isolated for long has missed more changes than it takes in at once: it reads the
- * table again, page by page, and does not ask for the same changes for ever. */
-static void test_too_many_missed_changes_are_read_by_pages(void **state)
+/* A controller that was isolated for a long time has missed more changes than one response of the
+ * key-value store may hold. It must read the table again, page by page, instead of requesting the same
+ * changes indefinitely. */
+static void test_follower_with_too_many_missed_changes_rereads_the_table(void **state)
 {
     struct sim_cluster *cluster = *state;
     int follower = sim_follower(cluster);
@@ -223,8 +225,8 @@
                                         setup_two_machines_and_six_provisionable, sim_teardown),
         cmocka_unit_test_setup_teardown(test_work_continues_without_free_sockets,
                                         setup_three_machines_and_six_provisionable, sim_teardown),
-        cmocka_unit_test_setup_teardown(test_too_many_missed_changes_are_read_by_pages, setup_two_machines,
-                                        sim_teardown),
+        cmocka_unit_test_setup_teardown(test_follower_with_too_many_missed_changes_rereads_the_table,
+                                        setup_two_machines, sim_teardown),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/cluster/test_leader_changes.c
+++ b/tests/cluster/test_leader_changes.c
@@ -1,5 +1,6 @@
 /* Leader changes together with lost machines, expired leases and tasks that end
- * (docs/overlapping-failures.md). */
+ * (docs/overlapping-failures.md). Guards against tasks that run twice, and against jobs that never
+ * complete because the successor lacks what its predecessor knew. */
 #include "check.h"
 #include "failure_setup.h"
 #include "sim_cluster.h"
@@ -23,32 +24,33 @@
     return 0;
 }
 
-/* A fencing token that was released is never reused: launches sent under it may still be in flight. */
+/* A fencing token that was released must not be reused: launches sent under it may still be in flight. */
 static void test_returning_leader_takes_a_new_fencing_token(void **state)
 {
     struct sim_cluster *cluster = *state;
-    int old = sim_leader(cluster);
-    uint64_t before = sim_fencing_token(cluster, old);
-    cluster->isolated_controller = old;
-    cluster->store_down = true; /* its key stays: leases don't expire in an outage */
+    int old_leader = sim_leader(cluster);
+    uint64_t before = sim_fencing_token(cluster, old_leader);
+    cluster->isolated_controller = old_leader;
+    cluster->store_down = true; /* its leader key stays: the store's leases don't expire in an outage */
     sim_run(cluster, 30);
-    assert_int_equal(sim_fencing_token(cluster, old), 0);
+    assert_int_equal(sim_fencing_token(cluster, old_leader), 0);
     cluster->isolated_controller = -1;
     cluster->store_down = false;
     sim_run(cluster, 8);
-    assert_int_equal(sim_leader(cluster), old);
-    assert_true(sim_fencing_token(cluster, old) > before);
+    assert_int_equal(sim_leader(cluster), old_leader);
+    assert_true(sim_fencing_token(cluster, old_leader) > before);
     sim_check_safety(cluster);
 }
 
-/* Its heartbeats reach no controller, so its lease expires repeatedly although it answers commands. */
+/* A machine's heartbeats reach no controller, so its lease expires repeatedly, although it answers
+ * commands: it must get no new tasks. */
 static void test_machine_without_heartbeats_gets_no_new_tasks(void **state)
 {
     struct sim_cluster *cluster = *state;
     cluster->run_time_s = 15;
     struct sim_machine *machine = sim_start_job_at_follower(cluster, sim_job("run-1", 1, 1));
     machine->heartbeats_lost = true;
-    /* A new leader queries it at its own address and gets responses to every command. */
+    /* A new leader queries the machine directly and gets a response to every command. */
     sim_kill_controller(cluster, sim_leader(cluster));
     sim_run(cluster, 6);
     unsigned before = machine->launches;
@@ -65,8 +67,8 @@
     sim_check_safety(cluster);
 }
 
-/* Tasks bound to one zone lose their machine during a failover: none starts in another zone before they have
- * ended. */
+/* Tasks that must stay in one zone lose their machine during a failover: none may start in another zone
+ * before they have ended. */
 static void test_one_zone_array_survives_a_machine_loss(void **state)
 {
     struct sim_cluster *cluster = *state;
@@ -108,8 +110,8 @@
     sim_check_safety(cluster);
 }
 
-/* Tasks that end far apart: a result recorded under one leader counts under the next, and no task runs twice.
- */
+/* The tasks of a job end far apart, with a leader change after each: a result recorded under one leader
+ * must count under the next, and no task runs twice. */
 static void test_recorded_results_survive_leader_changes(void **state)
 {
     struct sim_cluster *cluster = *state;
@@ -126,10 +128,10 @@
         tasks[i]->next_phase_at = cluster->now + 2 + 15 * i;
     for (int i = 0; i < 3; i++) {
         sim_run(cluster, 9);
-        int old = sim_leader(cluster);
-        sim_kill_controller(cluster, old);
+        int old_leader = sim_leader(cluster);
+        sim_kill_controller(cluster, old_leader);
         sim_run(cluster, 6);
-        sim_start_controller(cluster, old);
+        sim_start_controller(cluster, old_leader);
         assert_int_equal(sim_job_state(cluster, "run-1") == OW_JOB_DONE, i == 2);
     }
     assert_int_equal(sim_count_launches(cluster), 3);
--- a/tests/cluster/test_safety.c
+++ b/tests/cluster/test_safety.c
@@ -1,5 +1,6 @@
-/* The safety rules of docs/design/safety.md on launches, results, records and cancellations: each test fails
- * without the guard that it names. */
+/* The safety rules of docs/design/safety.md on launches, results, records and cancellations. Guards
+ * against tasks that run twice and results that are lost when messages are delayed, lost or duplicated.
+ * Each test fails without the check that it covers. */
 #include "check.h"
 #include "sim_cluster.h"
 #include "model/submission.h"
@@ -16,7 +17,7 @@
     return 0;
 }
 
-/* Rule 1: no launch before its record has committed. */
+/* Rule 1: an attempt is launched only after its record has committed. */
 static void test_no_launch_before_its_record_commits(void **state)
 {
     struct sim_cluster *cluster = *state;
@@ -40,19 +41,19 @@
 {
     struct sim_cluster *cluster = *state;
     cluster->run_time_s = 100;
-    cluster->cloud_down = true; /* no proof by deletion */
+    cluster->cloud_down = true; /* no deletion can prove the end of the task */
     struct sim_machine *machine = sim_start_and_settle_job(cluster, sim_job("run-1", 1, 1));
     machine->partitioned = true;
     sim_run(cluster, 15);
     assert_false(sim_job_runs_on_another(cluster, machine));
     assert_true(sim_run_until(cluster, 20, sim_job_runs_on_another, machine));
-    /* When the partition heals, delayed packets arrive: they must be ignored. */
+    /* When the partition ends, delayed messages arrive: they must be ignored. */
     machine->partitioned = false;
     sim_run(cluster, 20);
     sim_check_safety(cluster);
 }
 
-/* Rule 2: an acknowledged deletion proves it at once. */
+/* Rule 2: the acknowledged deletion of a machine proves at once that its tasks have ended. */
 static void test_deleted_machine_frees_its_tasks(void **state)
 {
     struct sim_cluster *cluster = *state;
@@ -66,8 +67,8 @@
     sim_check_safety(cluster);
 }
 
-/* Rule 3: a launch without a response may still be delivered: its result is not cleared, so that a late
- * duplicate finds it. */
+/* Rule 3: a launch without a response may still be delivered. The result of its task is not cleared, so
+ * that a late duplicate of the launch finds it and starts nothing. */
 static void test_unacknowledged_launch_is_not_cleared(void **state)
 {
     struct sim_cluster *cluster = *state;
@@ -95,7 +96,7 @@
     sim_run(cluster, 8);
     assert_true(sim_job_is_not_running(cluster, "run-1"));
     assert_int_equal(sim_machine(cluster, "m-0")->cleared_results, 0);
-    /* All controllers crash with the result unrecorded: it is still on the machine. */
+    /* All controllers crash before the result is recorded: it must still be on the machine. */
     sim_kill_controllers(cluster);
     cluster->delay_txns = false;
     sim_start_controllers(cluster);
@@ -106,7 +107,7 @@
     sim_check_safety(cluster);
 }
 
-/* A delayed transaction of the current leader is rejected once a newer one has committed. */
+/* A delayed transaction of the current leader must be rejected once a newer one has committed. */
 static void test_stale_record_write_is_rejected(void **state)
 {
     struct sim_cluster *cluster = *state;
@@ -122,18 +123,18 @@
     struct sim_machine *machine = sim_find_machine_of_job(cluster, "run-1");
     sim_delete_machine(machine);
     assert_true(sim_run_until(cluster, 60, sim_job_runs_on_another, machine));
-    char *before = sim_read_progress_record(cluster, "run-1/0");
+    char *record_before = sim_read_progress_record(cluster, "run-1/0");
     cluster->keep_txns_delayed = false;
     sim_run(cluster, 0.2);
     assert_int_equal(cluster->delayed_txns->len, 0);
-    char *after = sim_read_progress_record(cluster, "run-1/0");
-    assert_string_equal(after, before);
-    g_free(after);
-    g_free(before);
+    char *record_after = sim_read_progress_record(cluster, "run-1/0");
+    assert_string_equal(record_after, record_before);
+    g_free(record_after);
+    g_free(record_before);
     sim_check_safety(cluster);
 }
 
-/* Rule 7: a cancellation ends every attempt, including those whose launch is still in flight. */
+/* Rule 7: a cancellation ends every attempt, including one whose launch is still in flight. */
 static void test_cancellation_ends_a_launch_in_flight(void **state)
 {
     struct sim_cluster *cluster = *state;
@@ -142,23 +143,23 @@
     machine->partitioned = true;
     sim_submit(cluster, 0, sim_job("run-1", 2, 1));
     sim_run(cluster, 2);
-    uint64_t cancellation = sim_cancel(cluster, 1, "run-1");
+    uint64_t cancel_request = sim_cancel(cluster, 1, "run-1");
     sim_run(cluster, 4);
     /* While the launch may still be delivered, the cancellation is not confirmed. */
-    assert_int_equal(sim_response(cluster, cancellation)->status, 503);
-    assert_true(sim_response(cluster, cancellation)->retry_after_s > 0);
-    machine->partitioned = false; /* the delayed launch is delivered now */
+    assert_int_equal(sim_response(cluster, cancel_request)->status, 503);
+    assert_true(sim_response(cluster, cancel_request)->retry_after_s > 0);
+    machine->partitioned = false; /* the launch is delivered now */
     sim_run(cluster, 6);
     assert_int_equal(sim_count_running(cluster, "run-1"), 0);
-    cancellation = sim_cancel(cluster, 1, "run-1");
+    cancel_request = sim_cancel(cluster, 1, "run-1");
     sim_run(cluster, 0.3);
-    assert_int_equal(sim_response(cluster, cancellation)->status, 200);
-    assert_int_equal(sim_response(cluster, cancellation)->state, OW_JOB_CANCELLED);
+    assert_int_equal(sim_response(cluster, cancel_request)->status, 200);
+    assert_int_equal(sim_response(cluster, cancel_request)->state, OW_JOB_CANCELLED);
     sim_run(cluster, 60);
     sim_check_safety(cluster);
 }
 
-/* Rule 7: an unreachable task is ended by deleting its machine in time. */
+/* Rule 7: a cancelled task that is unreachable is ended in time by deleting its machine. */
 static void test_machine_with_an_unreachable_cancelled_task_is_deleted(void **state)
 {
     struct sim_cluster *cluster = *state;
@@ -166,34 +167,34 @@
     sim_start_job(cluster, sim_job("run-1", 1, 1));
     struct sim_machine *machine = sim_machine(cluster, "m-0");
     machine->partitioned = true;
-    machine->lease_renewed_at = cluster->now + 1000; /* the isolated leader keeps its lease alive */
-    int old = sim_leader(cluster);
-    sim_cancel(cluster, (old + 1) % SIM_CONTROLLERS, "run-1");
+    machine->lease_renewed_at = cluster->now + 1000; /* as if an isolated leader kept renewing the lease */
+    int old_leader = sim_leader(cluster);
+    sim_cancel(cluster, (old_leader + 1) % SIM_CONTROLLERS, "run-1");
     sim_run(cluster, 0.2);
-    sim_kill_controller(cluster, old);
+    sim_kill_controller(cluster, old_leader);
     sim_run(cluster, 38);
     assert_true(machine->deleted);
     sim_run(cluster, 10);
     sim_check_safety(cluster);
 }
 
-/* A transaction that is applied late must not undo what came after it. */
-static void test_late_transaction_changes_nothing(void **state)
+/* A transaction that is applied late must not undo a newer one. */
+static void test_late_transaction_causes_no_second_launch(void **state)
 {
     struct sim_cluster *cluster = *state;
     cluster->run_time_s = 3;
     sim_submit(cluster, 0, sim_job("run-1", 4, 1));
     sim_run(cluster, 0.1);
     cluster->delay_txns = true;
-    sim_run(cluster, 3); /* timed out at the controller, still in flight */
+    sim_run(cluster, 3); /* the transactions have timed out at the controller, and are still in flight */
     cluster->delay_txns = false;
     assert_true(sim_run_until(cluster, 30, sim_job_is_done, "run-1"));
-    unsigned starts = sim_machine(cluster, "m-0")->launches + sim_machine(cluster, "m-1")->launches;
-    assert_int_equal(starts, 4);
+    unsigned launch_count = sim_machine(cluster, "m-0")->launches + sim_machine(cluster, "m-1")->launches;
+    assert_int_equal(launch_count, 4);
     sim_check_safety(cluster);
 }
 
-/* Responses to writes are lost: the outcome is read back, and nothing is done twice. */
+/* Responses to writes are lost: the outcome is read back, and no write takes effect twice. */
 static void test_lost_write_responses_are_resolved_without_duplicates(void **state)
 {
     struct sim_cluster *cluster = *state;
@@ -213,13 +214,13 @@
     sim_check_safety(cluster);
 }
 
-static bool one_task_started(struct sim_cluster *cluster, const void *faulty)
+static bool machine_has_launched(struct sim_cluster *cluster, const void *faulty)
 {
     (void)cluster;
     return ((const struct sim_machine *)faulty)->launches >= 1;
 }
 
-/* A machine on which every task fails is avoided after a few failures. */
+/* A machine on which every task fails gets no new tasks after a few failures. */
 static void test_failing_machine_is_avoided(void **state)
 {
     struct sim_cluster *cluster = *state;
@@ -231,7 +232,7 @@
         g_snprintf(id, sizeof id, "run-%d", i);
         sim_submit(cluster, 0, sim_job(id, 4, 2));
     }
-    assert_true(sim_run_until(cluster, 20, one_task_started, faulty));
+    assert_true(sim_run_until(cluster, 20, machine_has_launched, faulty));
     assert_true(sim_run_until(cluster, 60, sim_job_is_done, "run-6"));
     assert_true(faulty->launches < 24);
     sim_check_safety(cluster);
@@ -255,7 +256,7 @@
                                         sim_teardown),
         cmocka_unit_test_setup_teardown(test_machine_with_an_unreachable_cancelled_task_is_deleted,
                                         setup_one_machine, sim_teardown),
-        cmocka_unit_test_setup_teardown(test_late_transaction_changes_nothing, setup_two_machines,
+        cmocka_unit_test_setup_teardown(test_late_transaction_causes_no_second_launch, setup_two_machines,
                                         sim_teardown),
         cmocka_unit_test_setup_teardown(test_lost_write_responses_are_resolved_without_duplicates,
                                         setup_two_machines, sim_teardown),
