--- a/tests/cluster/test_deadlines.c
+++ b/tests/cluster/test_deadlines.c
@@ -1,4 +1,6 @@
-/* Deadlines: a job that can still meet one goes before one that can't, and no job starves for it. */
+/* Deadlines in the order of the queue: a job that can still meet its deadline starts before one that
+ * can't. Guards against deadlines that delay other work for nothing, and against jobs that starve behind
+ * jobs with deadlines. */
 #include "check.h"
 #include "sim_cluster.h"
 #include "model/submission.h"
@@ -30,11 +32,10 @@
     assert_int_equal(sim_count_running(cluster, second), 0);
 }
 
-static void test_feasible_deadline_goes_before_a_missed_one(void **state)
+static void test_job_with_a_feasible_deadline_starts_before_an_overdue_one(void **state)
 {
     struct sim_cluster *cluster = *state;
-    sim_submit(cluster, 0,
-               array_with_deadline(2, 20, 15)); /* it would take until 20 s after its submission */
+    sim_submit(cluster, 0, array_with_deadline(2, 20, 15)); /* it needs 20 s, and has 15 s */
     sim_run(cluster, 1);
     sim_submit(cluster, 0, array_with_deadline(3, 20, 90));
     assert_starts_first(cluster, "run-3", "run-2");
@@ -42,7 +43,8 @@
     sim_check_safety(cluster);
 }
 
-/* Without the missed deadline the order is that of arrival. */
+/* Without deadlines the order is that of arrival: the order in the test above comes from the deadline
+ * alone. */
 static void test_jobs_without_deadlines_start_in_order_of_arrival(void **state)
 {
     struct sim_cluster *cluster = *state;
@@ -53,8 +55,9 @@
     sim_check_safety(cluster);
 }
 
-/* Of two that can be in time, the one with less work passes the one that can wait for it. */
-static void test_short_job_passes_one_that_can_wait(void **state)
+/* Of two jobs that can meet their deadlines, the one with less work starts before the one with time to
+ * spare. */
+static void test_short_job_starts_before_one_with_time_to_spare(void **state)
 {
     struct sim_cluster *cluster = *state;
     sim_submit(cluster, 0, array_with_deadline(2, 40, 2000));
@@ -64,9 +67,9 @@
     sim_check_safety(cluster);
 }
 
-/* Submits a job with a deadline that it can meet every eight seconds, each of which takes the machine for
- * ten, until the job runs; returns whether it does in time. */
-static bool starts_among_feasible_ones(struct sim_cluster *cluster, const char *id, double seconds)
+/* Submits a job with a feasible deadline every 8 s, each of which occupies the machine for 10 s, until the
+ * job `id` runs. Returns whether it does within `seconds`. */
+static bool starts_under_feasible_load(struct sim_cluster *cluster, const char *id, double seconds)
 {
     cluster->run_time_s = 10;
     double end = cluster->now + seconds;
@@ -77,25 +80,25 @@
     return sim_count_running(cluster, id) > 0;
 }
 
-static void test_overdue_job_starts_in_the_end(void **state)
+static void test_overdue_job_starts_under_feasible_load(void **state)
 {
     struct sim_cluster *cluster = *state;
     sim_submit(cluster, 0, array_with_deadline(2, 30, 10));
-    assert_true(starts_among_feasible_ones(cluster, "run-2", 240));
+    assert_true(starts_under_feasible_load(cluster, "run-2", 240));
     sim_check_safety(cluster);
 }
 
-static void test_job_with_a_far_deadline_starts_in_the_end(void **state)
+static void test_job_with_a_distant_deadline_starts_under_feasible_load(void **state)
 {
     struct sim_cluster *cluster = *state;
     sim_submit(cluster, 0, array_with_deadline(2, 1000, 1e9));
-    assert_true(starts_among_feasible_ones(cluster, "run-2", 240));
+    assert_true(starts_under_feasible_load(cluster, "run-2", 240));
     sim_check_safety(cluster);
 }
 
-/* Starts "run-1", which keeps its deadline, and submits urgent work beside it; returns whether run-1 runs on.
- */
-static bool survives_urgent_work(double urgent_deadline_s)
+/* Starts "run-1", which can meet its deadline, and submits an urgent job. Returns whether run-1 keeps
+ * running. */
+static bool feasible_job_survives_urgent_job(double urgent_deadline_s)
 {
     struct sim_cluster *cluster = sim_with_one_controller_and_machines(1);
     cluster->run_time_s = 60;
@@ -109,16 +112,17 @@
     return survives;
 }
 
-/* Work that can't be in time any more takes no machine from work that can. */
-static void test_missed_deadline_stops_no_work_that_is_in_time(void **state)
+/* A job that can't meet its deadline any more preempts none that can. */
+static void test_overdue_job_preempts_no_feasible_job(void **state)
 {
     (void)state;
-    assert_true(survives_urgent_work(5));
-    assert_false(survives_urgent_work(0));
-    assert_false(survives_urgent_work(300));
+    assert_true(feasible_job_survives_urgent_job(5));
+    assert_false(feasible_job_survives_urgent_job(0));
+    assert_false(feasible_job_survives_urgent_job(300));
 }
 
-/* The machine that a job starts on, of a spot machine and an ordinary one, while others are reclaimed. */
+/* Returns the name of the machine that a job starts on, of a spot machine and an ordinary one, while all
+ * other spot machines have reclaim notices. */
 static const char *choose_machine_under_reclaim_notices(struct sim_cluster *cluster, double deadline_s)
 {
     sim_add_group(cluster, "taken", 4, "east", true);
@@ -146,17 +150,17 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test_setup_teardown(test_feasible_deadline_goes_before_a_missed_one,
+        cmocka_unit_test_setup_teardown(test_job_with_a_feasible_deadline_starts_before_an_overdue_one,
                                         setup_machine_busy_for_20_s, sim_teardown),
         cmocka_unit_test_setup_teardown(test_jobs_without_deadlines_start_in_order_of_arrival,
                                         setup_machine_busy_for_20_s, sim_teardown),
-        cmocka_unit_test_setup_teardown(test_short_job_passes_one_that_can_wait, setup_machine_busy_for_20_s,
-                                        sim_teardown),
-        cmocka_unit_test_setup_teardown(test_overdue_job_starts_in_the_end, setup_machine_busy_for_20_s,
-                                        sim_teardown),
-        cmocka_unit_test_setup_teardown(test_job_with_a_far_deadline_starts_in_the_end,
+        cmocka_unit_test_setup_teardown(test_short_job_starts_before_one_with_time_to_spare,
                                         setup_machine_busy_for_20_s, sim_teardown),
-        cmocka_unit_test(test_missed_deadline_stops_no_work_that_is_in_time),
+        cmocka_unit_test_setup_teardown(test_overdue_job_starts_under_feasible_load,
+                                        setup_machine_busy_for_20_s, sim_teardown),
+        cmocka_unit_test_setup_teardown(test_job_with_a_distant_deadline_starts_under_feasible_load,
+                                        setup_machine_busy_for_20_s, sim_teardown),
+        cmocka_unit_test(test_overdue_job_preempts_no_feasible_job),
         cmocka_unit_test(test_job_with_a_deadline_avoids_spot_machines_reclaimed_often),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/cluster/test_fleet.c
+++ b/tests/cluster/test_fleet.c
@@ -1,14 +1,16 @@
-/* A cluster half as large again as the largest deployment: every controller restarts at once and a third of
- * the machines is lost. No safety rule may break, all jobs complete, and the load on other services is
- * bounded. */
+/* A cluster half as large again as the largest deployment. Guards against scheduling rounds that take
+ * longer than their interval while many jobs wait. Also guards against broken safety rules, incomplete
+ * jobs and an unbounded load on other services when all controllers restart at once and a third of the
+ * machines is lost. */
 #include "check.h"
 #include "core/machines/machine_registry.h"
 #include "sim_cluster.h"
 #include "model/submission.h"
 
-enum { MACHINES = 2000, GANGS = 40, SCANS = 40, BILLS = 30 };
-/* Checks of each machine in ten seconds: a hundred rounds, with some lists for each of three classes. */
-enum { MACHINE_CHECKS_MAX = 2000 };
+enum { MACHINES = 2000, SYNC_GANGS = 40, SCAN_ARRAYS = 40, BILL_ARRAYS = 30 };
+/* The limit for 10 s, averaged over the machines: 100 rounds, each with some lists for each of the 3
+ * classes. */
+enum { CHECKS_PER_MACHINE_MAX = 2000 };
 
 static int setup_fleet(void **state)
 {
@@ -26,7 +28,7 @@
     return 0;
 }
 
-static void name_job(char *id, size_t size, int n)
+static void format_job_id(char *id, size_t size, int n)
 {
     g_snprintf(id, size, "run-%06d", n);
 }
@@ -36,7 +38,7 @@
 {
     char id[16];
     char image[16];
-    name_job(id, sizeof id, n);
+    format_job_id(id, sizeof id, n);
     g_snprintf(image, sizeof image, "img-%s-%d", class_name, n % 10);
     struct ow_submission *submission = sim_job(id, tasks, cpus);
     g_free(submission->class_name);
@@ -49,33 +51,33 @@
     return submission;
 }
 
-/* Submits jobs with numbers from `n` on; returns the next number. */
-static int submit_mix(struct sim_cluster *cluster, int n)
+/* Submits gangs and arrays of three classes, numbered from `n`; returns the next number. */
+static int submit_mixed_jobs(struct sim_cluster *cluster, int n)
 {
-    for (int i = 0; i < GANGS; i++, n++) {
+    for (int i = 0; i < SYNC_GANGS; i++, n++) {
         struct ow_submission *submission =
             job_of_class(n, "sync", 6 + 5 * ((uint32_t)i % 3), 8, 0, OW_RANK_URGENT);
         submission->kind = OW_KIND_GANG;
         submission->one_zone = true;
         sim_submit(cluster, i % SIM_CONTROLLERS, submission);
     }
-    for (int i = 0; i < SCANS; i++, n++)
+    for (int i = 0; i < SCAN_ARRAYS; i++, n++)
         sim_submit(cluster, i % SIM_CONTROLLERS,
                    job_of_class(n, "scan", 20 + (uint32_t)i, 3, 1, OW_RANK_STANDARD));
-    for (int i = 0; i < BILLS; i++, n++)
+    for (int i = 0; i < BILL_ARRAYS; i++, n++)
         sim_submit(cluster, i % SIM_CONTROLLERS,
                    job_of_class(n, "bill", 100 + 10 * (uint32_t)i, 1, 0, OW_RANK_LOW));
     return n;
 }
 
-static void restart_all(struct sim_cluster *cluster)
+static void restart_all_controllers(struct sim_cluster *cluster)
 {
     sim_kill_controllers(cluster);
     sim_run(cluster, 8);
     sim_start_controllers(cluster);
 }
 
-static void lose_a_third(struct sim_cluster *cluster)
+static void delete_a_third_of_the_machines(struct sim_cluster *cluster)
 {
     for (guint i = 0; i < cluster->machines->len; i += 3) {
         struct sim_machine *machine = sim_machine_at(cluster, i);
@@ -87,37 +89,37 @@
 {
     char id[16];
     for (int n = 0; n < *(const int *)count; n++) {
-        name_job(id, sizeof id, n);
+        format_job_id(id, sizeof id, n);
         if (!sim_job_is_done(cluster, id))
             return false;
     }
     return true;
 }
 
-/* ---- counted work ---- */
+/* ---- checks of machines while jobs wait ---- */
 
 static unsigned long machine_checks;
 
 bool __real_ow_machine_is_usable(const struct ow_leader *leader, const struct ow_machine *m);
 bool __wrap_ow_machine_is_usable(const struct ow_leader *leader, const struct ow_machine *m);
 
-/* Every check of a machine begins with this call. */
+/* Counts the checks of machines: every check begins with this call. */
 bool __wrap_ow_machine_is_usable(const struct ow_leader *leader, const struct ow_machine *m)
 {
     machine_checks++;
     return __real_ow_machine_is_usable(leader, m);
 }
 
-/* With every machine full, a decision costs a check of each machine for every class, not for every job that
-   waits: rounds once took longer than the time between two of them. */
-static void test_waiting_jobs_trigger_no_machine_scans(void **state)
+/* Every machine is full while many jobs wait. A round must check each machine once for every class, not
+ * for every waiting job: rounds once took longer than the interval between them. */
+static void test_waiting_jobs_add_no_machine_checks(void **state)
 {
     struct sim_cluster *cluster = *state;
     cluster->provisionable_machines = 0;
     cluster->run_time_s = 100;
     int jobs = 0;
     for (int i = 0; i < 8; i++)
-        jobs = submit_mix(cluster, jobs);
+        jobs = submit_mixed_jobs(cluster, jobs);
     sim_run(cluster, 20);
     machine_checks = 0;
     sim_run(cluster, 10);
@@ -125,39 +127,39 @@
     for (guint i = 0; i < cluster->machines->len; i++)
         machines += !sim_machine_at(cluster, i)->deleted;
     assert_true(2 * machines > MACHINES);
-    assert_true((double)machine_checks / machines < MACHINE_CHECKS_MAX);
+    assert_true((double)machine_checks / machines < CHECKS_PER_MACHINE_MAX);
     sim_check_safety(cluster);
 }
 
-/* ---- the fleet restarts ---- */
+/* ---- restart of all controllers ---- */
 
-static void test_all_controllers_restart_in_the_largest_deployment(void **state)
+static void test_jobs_complete_after_all_controllers_restart_and_machines_are_lost(void **state)
 {
     struct sim_cluster *cluster = *state;
     cluster->run_time_s = 30;
-    int jobs = submit_mix(cluster, 0);
+    int jobs = submit_mixed_jobs(cluster, 0);
     sim_run(cluster, 15);
-    restart_all(cluster);
+    restart_all_controllers(cluster);
     sim_run(cluster, 3);
-    lose_a_third(cluster);
-    double since = cluster->now;
+    delete_a_third_of_the_machines(cluster);
+    double started_at = cluster->now;
     cluster->store_requests = cluster->store_mutations = cluster->cloud_requests = 0;
     assert_true(sim_run_until(cluster, 240, all_jobs_done, &jobs));
-    /* Within the rate limits of the services, with a reserve for users. */
-    double took = cluster->now - since;
-    assert_true(cluster->store_requests < 0.5 * cluster->settings[0].store_rps * took);
-    assert_true(cluster->store_mutations < 0.8 * cluster->settings[0].store_write_rps * took);
-    assert_true(cluster->cloud_requests < 0.8 * cluster->settings[0].cloud_rps * took);
+    /* Within the services' rate limits, less a reserve for requests of users. */
+    double elapsed_s = cluster->now - started_at;
+    assert_true(cluster->store_requests < 0.5 * cluster->settings[0].store_rps * elapsed_s);
+    assert_true(cluster->store_mutations < 0.8 * cluster->settings[0].store_write_rps * elapsed_s);
+    assert_true(cluster->cloud_requests < 0.8 * cluster->settings[0].cloud_rps * elapsed_s);
     sim_check_safety(cluster);
 }
 
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test_setup_teardown(test_waiting_jobs_trigger_no_machine_scans, setup_fleet,
-                                        sim_teardown),
-        cmocka_unit_test_setup_teardown(test_all_controllers_restart_in_the_largest_deployment, setup_fleet,
-                                        sim_teardown),
+        cmocka_unit_test_setup_teardown(test_waiting_jobs_add_no_machine_checks, setup_fleet, sim_teardown),
+        cmocka_unit_test_setup_teardown(
+            test_jobs_complete_after_all_controllers_restart_and_machines_are_lost, setup_fleet,
+            sim_teardown),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/cluster/test_gangs.c
+++ b/tests/cluster/test_gangs.c
@@ -1,4 +1,5 @@
-/* Scheduling of gangs: reservations, queue order, zones and preemption. */
+/* Scheduling of gangs: reservations, queue order, zones and preemption. Guards against a gang of which
+ * only some members run, and against gangs that wait or hold capacity indefinitely. */
 #include "check.h"
 #include "sim_cluster.h"
 #include "model/submission.h"
@@ -41,15 +42,15 @@
 static void test_waiting_gang_keeps_its_reservation_and_queue_position(void **state)
 {
     struct sim_cluster *cluster = *state;
-    cluster->cloud_down = true; /* nothing can be provisioned */
+    cluster->cloud_down = true; /* no machine can be provisioned */
     sim_add_machine(cluster, "m-0", "big", "east", false);
     sim_add_machine(cluster, "m-1", "big", "east", false);
     sim_run(cluster, 3);
     cluster->cloud_down = false;
     sim_run(cluster, 4);
     cluster->run_time_s = 20;
-    sim_start_job(cluster, sim_job("run-1", 1, 16));  /* fills one machine */
-    sim_submit(cluster, 0, sim_gang("run-2", 2, 16)); /* needs both */
+    sim_start_job(cluster, sim_job("run-1", 1, 16));  /* fills one of the two machines */
+    sim_submit(cluster, 0, sim_gang("run-2", 2, 16)); /* needs both machines */
     sim_run(cluster, 1);
     cluster->run_time_s = 200;
     sim_submit(cluster, 0, sim_job("run-3", 16, 1)); /* fits the free machine, but was submitted later */
@@ -76,7 +77,7 @@
     sim_submit(cluster, 0, sim_job("run-3", 1, 4));
     sim_run(cluster, 10);
     assert_int_equal(sim_count_running(cluster, "run-3"), 0);
-    /* The window of 5 s, then the waiting limit. */
+    /* The reservation window of 5 s, then the waiting limit. */
     assert_true(sim_run_until(cluster, 10, sim_job_is_running, "run-3"));
     sim_check_safety(cluster);
 }
@@ -102,13 +103,13 @@
     struct sim_cluster *cluster = *state;
     cluster->run_time_s = 300;
     struct ow_submission *low = sim_job("run-1", 16, 1);
-    struct ow_submission *peer = sim_gang("run-2", 1, 12);
+    struct ow_submission *low_gang = sim_gang("run-2", 1, 12);
     struct ow_submission *urgent = sim_gang("run-3", 1, 12);
     low->rank = OW_RANK_LOW;
-    peer->rank = OW_RANK_LOW;
+    low_gang->rank = OW_RANK_LOW;
     urgent->rank = OW_RANK_URGENT;
     sim_start_job(cluster, low);
-    sim_submit(cluster, 0, peer); /* equal rank: must not preempt */
+    sim_submit(cluster, 0, low_gang); /* equal rank: it must not preempt */
     sim_run(cluster, 5);
     assert_int_equal(sim_count_running(cluster, "run-1"), 16);
     sim_start_job(cluster, urgent);
--- a/tests/cluster/test_large_fleet.c
+++ b/tests/cluster/test_large_fleet.c
@@ -1,12 +1,12 @@
-/* A fleet of 5,000 machines: no list may be cut, and the work and the messages grow with the machines alone.
- */
+/* A fleet of 5,000 machines. Guards against lists that are truncated, so that the machines beyond the
+ * limit lose their tasks, and against work and messages that grow faster than the number of machines. */
 #include "check.h"
 #include "sim_cluster.h"
 #include "model/submission.h"
 
 enum { MACHINES = 5000 };
-/* Direct commands to each machine in a phase of a test, on average. */
-static const double DIRECT_COMMANDS_MAX = 4;
+/* The limit for one phase of a test, averaged over the machines. */
+static const double DIRECT_COMMANDS_PER_MACHINE_MAX = 4;
 
 static int setup_large_fleet(void **state)
 {
@@ -26,7 +26,7 @@
     return 0;
 }
 
-/* One task on every machine. */
+/* Runs one task on every machine. */
 static void fill_all_machines(struct sim_cluster *cluster)
 {
     sim_submit(cluster, 0, sim_job("run-1", MACHINES, 16));
@@ -36,8 +36,9 @@
         assert_int_equal(sim_machine_at(cluster, (guint)i)->launches, 1);
 }
 
-/* The cloud's list has ten pages, and the array a task for every machine; the cancellation ends them all. */
-static void test_array_on_all_machines_is_cancelled(void **state)
+/* The cloud's list has ten pages, and the array has a task for every machine: the cancellation must end
+ * all of them. */
+static void test_cancellation_ends_an_array_on_all_machines(void **state)
 {
     struct sim_cluster *cluster = *state;
     fill_all_machines(cluster);
@@ -46,7 +47,7 @@
     assert_true(sim_run_until(cluster, 20, sim_job_is_not_running, "run-1"));
     sim_run(cluster, 2);
     assert_int_equal(sim_response(cluster, request)->state, OW_JOB_CANCELLED);
-    assert_true(cluster->direct_commands_sent <= DIRECT_COMMANDS_MAX * MACHINES);
+    assert_true(cluster->direct_commands_sent <= DIRECT_COMMANDS_PER_MACHINE_MAX * MACHINES);
     sim_check_safety(cluster);
 }
 
@@ -56,10 +57,10 @@
         sim_machine_at(cluster, (guint)i)->heartbeats_lost = lost;
 }
 
-/* The successor reaches every machine with what the leader told it alone: no heartbeat comes, and no list of
-   the cloud. Of a list that was cut it would reach the first machines only, and the others' tasks would end
-   with their leases. */
-static void test_successor_reaches_all_machines_by_the_leaders_list(void **state)
+/* The successor knows the machines only from the list that the leader has sent to its peers: no heartbeat
+ * arrives, and the cloud doesn't answer. If that list were truncated, the tasks on the missing machines
+ * would end with their leases. */
+static void test_successor_reaches_all_machines_by_the_list_of_its_predecessor(void **state)
 {
     struct sim_cluster *cluster = *state;
     fill_all_machines(cluster);
@@ -76,16 +77,16 @@
     sim_run(cluster, 20);
     assert_int_equal(sim_count_running(cluster, "run-1"), MACHINES);
     assert_int_equal(sim_count_launches(cluster), MACHINES);
-    assert_true(cluster->direct_commands_sent <= DIRECT_COMMANDS_MAX * MACHINES);
+    assert_true(cluster->direct_commands_sent <= DIRECT_COMMANDS_PER_MACHINE_MAX * MACHINES);
     sim_check_safety(cluster);
 }
 
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test_setup_teardown(test_array_on_all_machines_is_cancelled, setup_large_fleet,
+        cmocka_unit_test_setup_teardown(test_cancellation_ends_an_array_on_all_machines, setup_large_fleet,
                                         sim_teardown),
-        cmocka_unit_test_setup_teardown(test_successor_reaches_all_machines_by_the_leaders_list,
+        cmocka_unit_test_setup_teardown(test_successor_reaches_all_machines_by_the_list_of_its_predecessor,
                                         setup_large_fleet, sim_teardown),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/cluster/test_limits.c
+++ b/tests/cluster/test_limits.c
@@ -1,4 +1,6 @@
-/* Limits of the key-value store that fall without notice, and submissions that exceed them. */
+/* Limits of the key-value store that fall without notice, and submissions that exceed them. Guards against
+ * records that are never written because a transaction is retried at a size that the store rejects, and
+ * against submissions that are accepted but can never be recorded. */
 #include "check.h"
 #include "sim_cluster.h"
 #include "model/submission.h"
@@ -32,13 +34,13 @@
     assert_true(sim_run_until(cluster, 10, sim_job_is_running, "run-2"));
     assert_true(sim_run_until(cluster, 90, sim_job_is_done, "run-1"));
     assert_true(sim_run_until(cluster, 60, sim_job_is_done, "run-2"));
-    /* Each refusal halves the size of the next attempt, so that retries are bounded. */
+    /* Each rejection halves the size of the next attempt, so the number of retries is bounded. */
     assert_true(cluster->oversized_txns > 0 && cluster->oversized_txns < 20);
     assert_string_equal(cluster->violations->str, "");
 }
 
-/* Transactions are refused for their number of changes; the limit of a single value has fallen less, and a
- * job's own record still fits. */
+/* Transactions are rejected for their number of changes, while the limit of a single value has fallen
+ * less: a job's own record still fits and must be accepted. */
 static void test_lower_txn_ops_does_not_lower_the_value_size(void **state)
 {
     (void)state;
@@ -59,45 +61,45 @@
     }
     sim_run(cluster, 30);
     assert_true(cluster->oversized_txns > 0);
-    uint64_t asked = sim_submit(cluster, sim_leader(cluster), sim_job("run-1", 2, 0.4));
+    uint64_t request = sim_submit(cluster, sim_leader(cluster), sim_job("run-1", 2, 0.4));
     sim_run(cluster, 2);
-    assert_int_equal(sim_status(cluster, asked), 201);
+    assert_int_equal(sim_status(cluster, request), 201);
     assert_true(sim_run_until(cluster, 30, sim_job_is_done, "run-1"));
     assert_string_equal(cluster->violations->str, "");
     sim_free(cluster);
 }
 
-/* A retry of a job that another controller has accepted is recognized by its id, whatever the limit of this
- * controller. */
+/* Another controller has accepted the job. Its retry is recognized by the id, although the record would
+ * exceed the limit that this controller knows. */
 static void test_known_job_is_not_rejected_for_its_size(void **state)
 {
     struct sim_cluster *cluster = *state;
-    int here = (sim_leader(cluster) + 1) % SIM_CONTROLLERS;
+    int follower = (sim_leader(cluster) + 1) % SIM_CONTROLLERS;
     double value_kb = cluster->value_kb;
     cluster->value_kb = 0.1;
-    sim_submit(cluster, here, sim_job("run-1", 1, 1));
+    sim_submit(cluster, follower, sim_job("run-1", 1, 1));
     sim_run(cluster, 2);
     cluster->value_kb = value_kb;
     cluster->silent_watches = true;
     cluster->peers_partitioned = true;
-    uint64_t accepted = sim_submit(cluster, sim_leader(cluster), sim_job("run-2", 1, 1));
+    uint64_t accepted_request = sim_submit(cluster, sim_leader(cluster), sim_job("run-2", 1, 1));
     sim_run(cluster, 1);
-    assert_int_equal(sim_status(cluster, accepted), 201);
-    uint64_t retry = sim_submit(cluster, here, sim_job("run-2", 1, 1));
+    assert_int_equal(sim_status(cluster, accepted_request), 201);
+    uint64_t retry_request = sim_submit(cluster, follower, sim_job("run-2", 1, 1));
     sim_run(cluster, 2);
-    assert_int_equal(sim_status(cluster, retry), 200);
+    assert_int_equal(sim_status(cluster, retry_request), 200);
     assert_string_equal(cluster->violations->str, "");
 }
 
-/* The limit has fallen below the size of a job's record, without notice: the submission is rejected at once.
- */
+/* The limit has fallen below the size of a job's record without notice: the submission is rejected at once
+ * instead of being retried. */
 static void test_submission_refused_by_the_store_is_rejected(void **state)
 {
     struct sim_cluster *cluster = *state;
     cluster->value_kb = 0.1;
-    uint64_t asked = sim_submit(cluster, 0, sim_job("run-1", 1, 1));
+    uint64_t request = sim_submit(cluster, 0, sim_job("run-1", 1, 1));
     sim_run(cluster, 2);
-    assert_int_equal(sim_status(cluster, asked), 422);
+    assert_int_equal(sim_status(cluster, request), 422);
 }
 
 static void test_oversized_submission_is_rejected(void **state)
@@ -110,9 +112,9 @@
     g_ptr_array_add(types, g_strdup("big"));
     g_ptr_array_add(types, NULL);
     submission->types = (char **)g_ptr_array_free(types, FALSE);
-    uint64_t asked = sim_submit(cluster, 0, submission);
+    uint64_t request = sim_submit(cluster, 0, submission);
     sim_run(cluster, 1);
-    assert_int_equal(sim_response(cluster, asked)->status, 422);
+    assert_int_equal(sim_response(cluster, request)->status, 422);
     sim_check_safety(cluster);
 }
 
--- a/tests/cluster/test_placement.c
+++ b/tests/cluster/test_placement.c
@@ -1,5 +1,6 @@
 /* Placement of arrays and services: zones, machine types, team limits and guarantees, and the records of
- * large arrays. */
+ * large arrays. Guards against tasks outside the zones, types and limits that apply to them, and against
+ * progress records that are lost when they outgrow their value. */
 #include "check.h"
 #include "sim_cluster.h"
 #include "model/submission.h"
@@ -30,7 +31,7 @@
     return 0;
 }
 
-/* Rule 6: a later task must join the zone of the running ones, even if only another zone has room. */
+/* Rule 6: a later task must start in the zone of the running ones, even if only another zone has room. */
 static void test_one_zone_array_stays_in_its_zone(void **state)
 {
     struct sim_cluster *cluster = *state;
@@ -88,22 +89,23 @@
     sim_check_safety(cluster);
 }
 
-static void give_guarantee(struct sim_cluster *cluster, guint team, double cpus)
+static void set_guarantee(struct sim_cluster *cluster, guint team, double cpus)
 {
     for (int i = 0; i < SIM_CONTROLLERS; i++)
         g_array_index(cluster->settings[i].teams, struct ow_team_settings, team).cpus = cpus;
 }
 
-/* Capacity that a team has borrowed returns to a team within its guarantee, and no more than that. */
-static void test_guarantee_is_reclaimed_by_preemption(void **state)
+/* Capacity that a team has borrowed is returned to a team within its guarantee by preemption, and no more
+ * than that. */
+static void test_preemption_returns_guaranteed_capacity(void **state)
 {
     struct sim_cluster *cluster = *state;
-    give_guarantee(cluster, 0, 4);
-    give_guarantee(cluster, 1, 8);
+    set_guarantee(cluster, 0, 4);
+    set_guarantee(cluster, 1, 8);
     sim_add_machine(cluster, "m-0", "big", "east", false);
     sim_run(cluster, 6);
     cluster->run_time_s = 300;
-    sim_start_job(cluster, sim_job("run-1", 16, 1)); /* team open, 12 CPUs beyond its guarantee */
+    sim_start_job(cluster, sim_job("run-1", 16, 1)); /* of team open, 12 CPUs above its guarantee */
     struct ow_submission *submission = sim_job("run-2", 8, 1);
     sim_set_team(submission, "tight");
     sim_submit(cluster, 0, submission);
@@ -139,17 +141,17 @@
     sim_check_safety(cluster);
 }
 
-static void run_growing_records(double kill_after_s)
+static void run_growing_records_with_a_crash(double crash_after_s)
 {
     struct sim_cluster *cluster = sim_with_one_controller_and_machines(4);
     char id[16];
     for (int i = 0; i < SIM_CONTROLLERS; i++) {
         cluster->settings[i].value_kb = 0.6;
-        cluster->settings[i].txn_ops = 1; /* so that a value and its overflow are written one by one */
+        cluster->settings[i].txn_ops = 1; /* a value and its overflow are written one by one */
     }
     cluster->value_kb = 0.6;
     cluster->txn_ops = 1;
-    sim_kill_controller(cluster, 0); /* settings are read at the start */
+    sim_kill_controller(cluster, 0); /* a controller reads its settings when it starts */
     sim_start_controller(cluster, 0);
     sim_run(cluster, 6);
     cluster->run_time_s = 20;
@@ -159,15 +161,15 @@
         sim_run(cluster, 0.5);
     }
     sim_run(cluster, 6);
-    /* Results arrive at different times, so that the ranges split. */
+    /* Results arrive at different times, so that the ranges of the progress records split. */
     for (guint i = 0; i < cluster->machines->len; i++) {
         const struct sim_machine *machine = sim_machine_at(cluster, i);
         for (guint k = 0; k < machine->tasks->len; k += 2)
             g_array_index(machine->tasks, struct sim_task, k).next_phase_at =
                 cluster->now + 1 + 0.3 * (k % 5);
     }
-    sim_run(cluster, kill_after_s);
-    /* The next leader knows every attempt: none is started twice, none is lost. */
+    sim_run(cluster, crash_after_s);
+    /* The next leader must know every attempt: none is started twice, and none is lost. */
     sim_kill_controller(cluster, 0);
     sim_start_controller(cluster, 0);
     for (int i = 0; i < 8; i++) {
@@ -178,17 +180,17 @@
     sim_finish(cluster);
 }
 
-/* Records that share a value move to another one before it grows too large, and none is lost whenever the
- * leader crashes. */
+/* Records that share a value move to another value before it exceeds its limit. None may be lost, whenever
+ * the leader crashes. */
 static void test_growing_records_move_to_another_value(void **state)
 {
     (void)state;
     for (int step = 0; step < 40; step++)
-        run_growing_records(0.1 * step);
+        run_growing_records_with_a_crash(0.1 * step);
 }
 
-/* Services are submitted one after the other, and several machines have their image: no machine gets all of
- * them. */
+/* Services are submitted one after the other while several machines have their image: no machine may get
+ * all of them. */
 static void test_services_spread_over_machines(void **state)
 {
     struct sim_cluster *cluster = *state;
@@ -201,26 +203,27 @@
         sim_submit(cluster, 0, sim_service(id, 1, 1));
         sim_run(cluster, 4);
     }
-    unsigned most = 0;
+    unsigned most_services = 0;
     for (guint i = 0; i < cluster->machines->len; i++) {
         const struct sim_machine *machine = sim_machine_at(cluster, i);
         unsigned services = 0;
         for (guint k = 0; k < machine->tasks->len; k++)
             services += strcmp(g_array_index(machine->tasks, struct sim_task, k).job, "run-9") != 0 ? 1 : 0;
-        most = MAX(most, services);
+        most_services = MAX(most_services, services);
     }
-    assert_int_equal(most, 3);
+    assert_int_equal(most_services, 3);
     sim_check_safety(cluster);
 }
 
-/* Machines that are up after a class had run on six of them and its last job ended `seconds` ago; `busy` says
- * that another job of it comes every ten seconds, and ends at once. */
-static unsigned machines_kept(double seconds, bool busy)
+/* Returns the number of machines that are still up `seconds` after the only job of a class, which ran on
+ * six of them, has ended. With `has_new_jobs`, another job of the class that ends at once is submitted
+ * every 10 s. */
+static unsigned count_machines_kept(double seconds, bool has_new_jobs)
 {
     struct sim_cluster *cluster = sim_with_one_controller();
     static char class_name[] = "class";
-    struct ow_slo start = {.kind = OW_SLO_WAIT, .class_name = class_name, .within_s = 5, .share = 1};
-    g_array_append_val(cluster->settings[0].slos, start);
+    struct ow_slo wait_slo = {.kind = OW_SLO_WAIT, .class_name = class_name, .within_s = 5, .share = 1};
+    g_array_append_val(cluster->settings[0].slos, wait_slo);
     sim_add_machines(cluster, 6);
     sim_run(cluster, 6);
     cluster->run_time_s = 20;
@@ -230,7 +233,7 @@
     for (double end = cluster->now + seconds; cluster->now < end;) {
         char id[16];
         g_snprintf(id, sizeof id, "run-%d", 100 + (int)cluster->now);
-        if (busy)
+        if (has_new_jobs)
             sim_submit(cluster, 0, sim_job(id, 1, 16));
         sim_run(cluster, 10);
     }
@@ -241,12 +244,12 @@
     return kept;
 }
 
-/* Headroom follows a peak that fades for minutes: a class of which no job comes any more needs none of it. */
-static void test_quiet_class_keeps_no_machines(void **state)
+/* Headroom follows a peak that decays for minutes: a class without new jobs must not keep machines for it. */
+static void test_class_without_new_jobs_keeps_no_machines(void **state)
 {
     (void)state;
-    assert_int_equal(machines_kept(160, false), 0);
-    assert_true(machines_kept(160, true) >= 3);
+    assert_int_equal(count_machines_kept(160, false), 0);
+    assert_true(count_machines_kept(160, true) >= 3);
 }
 
 int main(void)
@@ -258,7 +261,7 @@
                                         sim_teardown),
         cmocka_unit_test_setup_teardown(test_placement_respects_type_zone_and_spot, setup_one_controller,
                                         sim_teardown),
-        cmocka_unit_test_setup_teardown(test_guarantee_is_reclaimed_by_preemption, setup_one_controller,
+        cmocka_unit_test_setup_teardown(test_preemption_returns_guaranteed_capacity, setup_one_controller,
                                         sim_teardown),
         cmocka_unit_test_setup_teardown(test_team_limit_holds_for_arrays,
                                         setup_one_controller_and_one_machine, sim_teardown),
@@ -267,7 +270,7 @@
         cmocka_unit_test(test_growing_records_move_to_another_value),
         cmocka_unit_test_setup_teardown(test_services_spread_over_machines,
                                         setup_two_machines_and_no_provisionable, sim_teardown),
-        cmocka_unit_test(test_quiet_class_keeps_no_machines),
+        cmocka_unit_test(test_class_without_new_jobs_keeps_no_machines),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/cluster/test_service_preemption.c
+++ b/tests/cluster/test_service_preemption.c
@@ -1,4 +1,6 @@
-/* Services and preemption: of lower ranks, by more urgent work, in one zone, and within the spread limit. */
+/* Services and preemption: of lower ranks, by more urgent work, in one zone, and within the spread limit.
+ * Guards against services that wait behind less urgent work, and against preemption that frees capacity
+ * which the service may not use. */
 #include "check.h"
 #include "sim_cluster.h"
 #include "model/submission.h"
@@ -27,14 +29,14 @@
     return 0;
 }
 
-/* All machines are full of work of low rank: some of it is preempted at once. */
+/* All machines are full of low-rank work: some of it must be preempted at once. */
 static void test_service_preempts_lower_rank(void **state)
 {
     struct sim_cluster *cluster = *state;
     cluster->run_time_s = 200;
-    struct ow_submission *low = sim_job("run-9", 32, 1);
-    low->rank = OW_RANK_LOW;
-    sim_submit(cluster, 0, low);
+    struct ow_submission *low_job = sim_job("run-9", 32, 1);
+    low_job->rank = OW_RANK_LOW;
+    sim_submit(cluster, 0, low_job);
     sim_run(cluster, 8);
     assert_int_equal(sim_count_running(cluster, "run-9"), 32);
     struct ow_submission *service = sim_service("run-1", 3, 1);
@@ -44,14 +46,15 @@
     sim_check_safety(cluster);
 }
 
-/* A service never completes: its age must not count as waiting time. */
+/* A service never completes: the time since its submission must not count as waiting time, which would
+ * protect it from preemption. */
 static void test_old_service_is_preempted_by_more_urgent_work(void **state)
 {
     struct sim_cluster *cluster = *state;
     cluster->provisionable_machines = 0;
-    struct ow_submission *low = sim_service("run-1", 1, 16);
-    low->rank = OW_RANK_LOW;
-    sim_submit(cluster, 0, low);
+    struct ow_submission *low_job = sim_service("run-1", 1, 16);
+    low_job->rank = OW_RANK_LOW;
+    sim_submit(cluster, 0, low_job);
     sim_run(cluster, 230);
     struct sim_machine *machine = sim_machine(cluster, "m-0");
     machine->fails_tasks = true;
@@ -63,16 +66,16 @@
     sim_check_safety(cluster);
 }
 
-/* Replicas that must stay in one zone preempt work of lower rank too, all of it in that zone. */
+/* Replicas that must run in one zone preempt lower-rank work as well, and only in that zone. */
 static void test_preemption_frees_capacity_in_one_zone(void **state)
 {
     struct sim_cluster *cluster = *state;
     cluster->provisionable_machines = 0;
     cluster->run_time_s = 200;
     sim_add_machine(cluster, "w-0", "big", "west", false);
-    struct ow_submission *low = sim_job("run-9", 48, 1);
-    low->rank = OW_RANK_LOW;
-    sim_submit(cluster, 0, low);
+    struct ow_submission *low_job = sim_job("run-9", 48, 1);
+    low_job->rank = OW_RANK_LOW;
+    sim_submit(cluster, 0, low_job);
     sim_run(cluster, 8);
     struct ow_submission *service = sim_service("run-1", 2, 16);
     service->one_zone = true;
@@ -83,16 +86,16 @@
     sim_check_safety(cluster);
 }
 
-/* Only half of the replicas may run in one zone: no more than their share is preempted there. */
+/* At most half of the replicas may run in one zone: no more than that share may be preempted there. */
 static void test_preemption_respects_the_spread_limit(void **state)
 {
     struct sim_cluster *cluster = *state;
     cluster->provisionable_machines = 0;
     cluster->run_time_s = 200;
     sim_add_group(cluster, "w", 4, "west", false);
-    struct ow_submission *low = sim_job("run-9", 128, 1);
-    low->rank = OW_RANK_LOW;
-    sim_submit(cluster, 0, low);
+    struct ow_submission *low_job = sim_job("run-9", 128, 1);
+    low_job->rank = OW_RANK_LOW;
+    sim_submit(cluster, 0, low_job);
     sim_run(cluster, 8);
     struct ow_submission *service = sim_service("run-1", 4, 16);
     service->spread = true;
--- a/tests/cluster/test_services.c
+++ b/tests/cluster/test_services.c
@@ -1,5 +1,6 @@
-/* Services: replicas run on separate machines until their job is cancelled, and restart elsewhere when they
- * exit. */
+/* Services: replicas run on separate machines until their job is cancelled, and restart elsewhere when
+ * they exit. Guards against replicas that stay down after an exit, a dead machine or a leader change, and
+ * against machines that are deleted although they work. */
 #include "check.h"
 #include "sim_cluster.h"
 #include "model/submission.h"
@@ -44,14 +45,15 @@
     sim_run(cluster, 60);
     assert_int_equal(sim_count_running(cluster, "run-1"), 3);
     assert_int_equal(sim_job_state(cluster, "run-1"), OW_JOB_RUNNING);
-    uint64_t cancel = sim_cancel(cluster, 1, "run-1");
+    uint64_t cancel_request = sim_cancel(cluster, 1, "run-1");
     sim_run(cluster, 2);
-    assert_int_equal(sim_response(cluster, cancel)->state, OW_JOB_CANCELLED);
+    assert_int_equal(sim_response(cluster, cancel_request)->state, OW_JOB_CANCELLED);
     assert_int_equal(sim_count_running(cluster, "run-1"), 0);
     sim_check_safety(cluster);
 }
 
-/* A replica restarts however it exits, on a machine without the result of its last attempt. */
+/* A replica restarts whether it succeeds or fails, on a machine that does not hold the result of its last
+ * attempt. */
 static void test_exited_replica_restarts_on_another_machine(void **state)
 {
     (void)state;
@@ -59,17 +61,18 @@
         struct sim_cluster *cluster = sim_with_service(4, 3);
         struct sim_machine *machine = sim_find_machine_of_job(cluster, "run-1");
         machine->fails_tasks = cause == 1;
-        unsigned before = machine->launches;
+        unsigned launches_before = machine->launches;
         g_array_index(machine->tasks, struct sim_task, 0).next_phase_at = cluster->now;
         sim_run(cluster, 1);
         assert_true(sim_run_until(cluster, 6, sim_job_runs_three_tasks, "run-1"));
-        assert_int_equal(machine->launches, before);
+        assert_int_equal(machine->launches, launches_before);
         assert_int_equal(sim_job_state(cluster, "run-1"), OW_JOB_RUNNING);
         sim_finish(cluster);
     }
 }
 
-/* A single machine that stops its heartbeats is deleted for its replicas, long before its lease expires. */
+/* A single machine that stops sending heartbeats is deleted, so that its replicas restart long before its
+ * lease expires. */
 static void test_replicas_of_a_dead_machine_restart_before_its_lease_expires(void **state)
 {
     struct sim_cluster *cluster = *state;
@@ -80,8 +83,8 @@
     sim_check_safety(cluster);
 }
 
-/* Many machines that stop their heartbeats at once may be partitioned: their replicas keep running, and none
- * is deleted. */
+/* Many machines that stop sending heartbeats at once may be partitioned: their replicas keep running, and
+ * none of the machines may be deleted. */
 static void test_replicas_behind_a_partition_keep_running(void **state)
 {
     struct sim_cluster *cluster = *state;
@@ -104,28 +107,28 @@
     sim_add_machine(cluster, "w-0", "big", "west", false);
     sim_run(cluster, 4);
     struct ow_submission *service = sim_service("run-1", 4, 1);
-    struct ow_submission *large = sim_service("run-2", 9, 1);
+    struct ow_submission *oversized_service = sim_service("run-2", 9, 1);
     service->spread = true;
-    sim_set_team(large, "tight");
+    sim_set_team(oversized_service, "tight");
     uint64_t service_request = sim_submit(cluster, 0, service);
-    uint64_t large_request = sim_submit(cluster, 0, large);
+    uint64_t oversized_request = sim_submit(cluster, 0, oversized_service);
     sim_run(cluster, 8);
     assert_int_equal(sim_response(cluster, service_request)->status, 201);
-    assert_int_equal(sim_response(cluster, large_request)->status, 422);
+    assert_int_equal(sim_response(cluster, oversized_request)->status, 422);
     assert_int_equal(sim_count_running(cluster, "run-1"), 4);
     assert_int_equal(sim_count_running_on(sim_machine(cluster, "w-0"), "run-1"), 2);
     sim_check_safety(cluster);
 }
 
-/* Across leader changes replicas keep running, none twice. */
+/* Across leader changes the replicas keep running, and none is launched twice. */
 static void test_services_survive_leader_changes(void **state)
 {
     struct sim_cluster *cluster = *state;
     for (int i = 0; i < 4; i++) {
-        int old = sim_leader(cluster);
-        sim_kill_controller(cluster, old);
+        int old_leader = sim_leader(cluster);
+        sim_kill_controller(cluster, old_leader);
         sim_run(cluster, 8);
-        sim_start_controller(cluster, old);
+        sim_start_controller(cluster, old_leader);
         sim_run(cluster, 4);
         assert_int_equal(sim_count_running(cluster, "run-1"), 3);
     }
@@ -133,8 +136,8 @@
     sim_check_safety(cluster);
 }
 
-/* Only commands to the machines' own addresses are delayed; responses to heartbeats arrive. No machine is
- * deleted, and new replicas start by the responses. */
+/* Only direct commands are delayed; responses to heartbeats arrive. No machine may be deleted, and new
+ * replicas start by the responses. */
 static void test_delayed_direct_commands_delete_no_machine(void **state)
 {
     struct sim_cluster *cluster = *state;
@@ -153,7 +156,7 @@
     sim_check_safety(cluster);
 }
 
-/* Every task on the machine reaches the end of its phase now. */
+/* Makes every task on the machine reach the end of its phase now. */
 static void end_tasks(struct sim_cluster *cluster, struct sim_machine *machine)
 {
     for (guint i = 0; i < machine->tasks->len; i++)
@@ -161,7 +164,7 @@
 }
 
 /* On most machines every task fails for a while. A replica that keeps running shows that the service is
- * healthy: the failures of the others don't lengthen its back-off. */
+ * healthy: the failures of the others must not lengthen its back-off. */
 static void test_failures_of_a_healthy_service_do_not_accumulate(void **state)
 {
     (void)state;
@@ -182,12 +185,12 @@
     for (guint k = 1; k < REPLICAS; k++)
         sim_machine_at(cluster, k)->fails_tasks = false;
     sim_run(cluster, 25);
-    /* One machine may still be excluded for the service: the last on which it failed, for a minute. */
+    /* One machine may still be excluded for the service: the one on which it failed last, for a minute. */
     assert_in_range(sim_count_running(cluster, "run-1"), REPLICAS - 1, REPLICAS);
     sim_finish(cluster);
 }
 
-/* A faulty job fails on every machine; while it is paused, polls answer the reason. */
+/* A faulty job fails on every machine and is paused: polls must answer the reason meanwhile. */
 static void test_poll_of_a_paused_service_answers_the_reason(void **state)
 {
     struct sim_cluster *cluster = *state;
