--- a/tests/cluster/test_shard_jobs.c
+++ b/tests/cluster/test_shard_jobs.c
@@ -1,4 +1,6 @@
-/* A fleet divided into shards, on the simulated cluster: where jobs go, and what their users are told. */
+/* A fleet divided into shards: which shard a job goes to, and what users are answered. Guards against jobs
+ * that run in two shards, and against retries, polls and cancellations that are answered wrongly because
+ * another shard has the job. */
 #include "check.h"
 #include "sim_cluster.h"
 #include "model/submission.h"
@@ -28,18 +30,18 @@
     for (int i = 0; i < SIM_CONTROLLERS; i++) {
         uint64_t east = sim_poll(cluster, i, "run-1");
         uint64_t west = sim_poll(cluster, i, "run-2");
-        uint64_t nobody = sim_poll(cluster, i, "run-3");
+        uint64_t unknown_job = sim_poll(cluster, i, "run-3");
         sim_run(cluster, 2);
         assert_int_equal(sim_status(cluster, east), 200);
         assert_int_equal(sim_status(cluster, west), 200);
-        assert_int_equal(sim_status(cluster, nobody), 404);
+        assert_int_equal(sim_status(cluster, unknown_job), 404);
     }
     assert_string_equal(sim_find_machine_of_job(cluster, "run-1")->zone, "east");
     assert_string_equal(sim_find_machine_of_job(cluster, "run-2")->zone, "west");
     sim_check_safety(cluster);
 }
 
-/* The same id goes to different shards at the same moment: one of them gets it. */
+/* The same id is submitted to different shards at the same moment: only one of them may accept it. */
 static void test_job_submitted_twice_is_in_one_shard(void **state)
 {
     struct sim_cluster *cluster = *state;
@@ -56,16 +58,17 @@
     sim_check_safety(cluster);
 }
 
-/* Repeats are known by their id alone, also where they would now go to another shard or could not run. */
+/* Retries are recognized by their id alone, even if they would now go to another shard, could not run or
+ * are malformed. */
 static void test_retries_reach_the_shard_that_has_the_job(void **state)
 {
     struct sim_cluster *cluster = *state;
     cluster->run_time_s = 100;
     sim_submit_accepted(cluster, 0, sim_job_in_zone("run-1", "east", 1));
     for (int i = 0; i < SIM_CONTROLLERS; i++) {
-        struct ow_submission *impossible = sim_job("run-1", 1, 1e6);
+        struct ow_submission *unrunnable_job = sim_job("run-1", 1, 1e6);
         uint64_t other_zone = sim_submit(cluster, i, sim_job_in_zone("run-1", "west", 1));
-        uint64_t too_large = sim_submit(cluster, i, impossible);
+        uint64_t too_large = sim_submit(cluster, i, unrunnable_job);
         uint64_t malformed = sim_submit_malformed(cluster, i, "run-1");
         sim_run(cluster, 3);
         assert_int_equal(sim_status(cluster, other_zone), 200);
@@ -76,9 +79,9 @@
     sim_check_safety(cluster);
 }
 
-/* A controller that has not read of the job yet would refuse its retry for what it says: other shards are
- * asked first. */
-static void test_retry_of_a_job_not_read_yet_is_not_refused(void **state)
+/* A controller that has not read the record of the job yet would reject its retry for its contents: it
+ * must ask the other shards first. */
+static void test_retry_of_a_job_not_read_yet_is_not_rejected(void **state)
 {
     struct sim_cluster *cluster = *state;
     uint64_t accepted = sim_submit(cluster, 0, sim_job_in_zone("run-1", "east", 1));
@@ -92,7 +95,7 @@
     sim_check_safety(cluster);
 }
 
-static void test_impossible_jobs_are_refused(void **state)
+static void test_unrunnable_and_malformed_jobs_are_rejected(void **state)
 {
     struct sim_cluster *cluster = *state;
     uint64_t too_large = sim_submit(cluster, 0, sim_job("run-1", 1, 1e6));
@@ -108,19 +111,19 @@
     struct sim_cluster *cluster = *state;
     cluster->run_time_s = 100;
     sim_submit_accepted(cluster, 0, sim_job_in_zone("run-1", "west", 2));
-    int elsewhere = sim_shard_leader(cluster, EAST);
-    uint64_t request = sim_cancel(cluster, elsewhere, "run-1");
-    uint64_t nobody = sim_cancel(cluster, elsewhere, "run-9");
+    int other_shard_leader = sim_shard_leader(cluster, EAST);
+    uint64_t request = sim_cancel(cluster, other_shard_leader, "run-1");
+    uint64_t unknown_job = sim_cancel(cluster, other_shard_leader, "run-9");
     sim_run(cluster, 4);
     assert_int_equal(sim_status(cluster, request), 200);
     assert_int_equal(sim_response(cluster, request)->state, OW_JOB_CANCELLED);
-    assert_int_equal(sim_status(cluster, nobody), 404);
+    assert_int_equal(sim_status(cluster, unknown_job), 404);
     assert_int_equal(sim_count_running(cluster, "run-1"), 0);
     sim_check_safety(cluster);
 }
 
-/* Without a zone a job goes where less work waits. */
-static void test_new_jobs_go_where_less_waits(void **state)
+/* A job without a zone goes to the shard where less work waits. */
+static void test_job_without_a_zone_goes_to_the_shard_with_less_waiting_work(void **state)
 {
     struct sim_cluster *cluster = *state;
     cluster->run_time_s = 200;
@@ -134,7 +137,7 @@
     sim_check_safety(cluster);
 }
 
-/* The limit of a team is divided: both shards together stay within it. */
+/* A team's limit is divided among the shards: together they stay within it. */
 static void test_team_limit_holds_across_shards(void **state)
 {
     struct sim_cluster *cluster = *state;
@@ -145,13 +148,13 @@
         sim_submit_accepted(cluster, i, job);
     }
     sim_run(cluster, 10);
-    /* 8 CPUs at most, half of them in each shard. */
+    /* The limit is 8 CPUs, half of them in each shard. */
     assert_int_equal(sim_count_running(cluster, "run-1"), 4);
     assert_int_equal(sim_count_running(cluster, "run-2"), 4);
     sim_check_safety(cluster);
 }
 
-static bool shows_reason(struct sim_cluster *cluster, const char *id, const char *text)
+static bool any_poll_answers_reason(struct sim_cluster *cluster, const char *id, const char *expected_reason)
 {
     for (int i = 0; i < SIM_CONTROLLERS; i++) {
         if (cluster->controllers[i] == NULL || cluster->frozen[i])
@@ -159,7 +162,7 @@
         uint64_t request = sim_poll(cluster, i, id);
         sim_run(cluster, 0.3);
         const struct sim_response *response = sim_response(cluster, request);
-        if (response != NULL && response->reason != NULL && strstr(response->reason, text) != NULL)
+        if (response != NULL && response->reason != NULL && strstr(response->reason, expected_reason) != NULL)
             return true;
     }
     return false;
@@ -173,10 +176,10 @@
     sim_submit_accepted(cluster, 0, sim_job_in_zone("run-1", "east", 60));
     sim_submit_accepted(cluster, 0, sim_job_in_zone("run-2", "east", 60));
     sim_freeze_controller(cluster, sim_shard_leader(cluster, EAST));
-    bool told = false;
-    for (int i = 0; i < 20 && !told; i++)
-        told = shows_reason(cluster, "run-2", "handover of shard east");
-    assert_true(told);
+    bool was_answered = false;
+    for (int i = 0; i < 20 && !was_answered; i++)
+        was_answered = any_poll_answers_reason(cluster, "run-2", "handover of shard east");
+    assert_true(was_answered);
     sim_check_safety(cluster);
 }
 
@@ -189,14 +192,14 @@
                                         setup_two_shards_of_two_machines, sim_teardown),
         cmocka_unit_test_setup_teardown(test_retries_reach_the_shard_that_has_the_job,
                                         setup_two_shards_of_two_machines, sim_teardown),
-        cmocka_unit_test_setup_teardown(test_retry_of_a_job_not_read_yet_is_not_refused,
+        cmocka_unit_test_setup_teardown(test_retry_of_a_job_not_read_yet_is_not_rejected,
+                                        setup_two_shards_of_two_machines, sim_teardown),
+        cmocka_unit_test_setup_teardown(test_unrunnable_and_malformed_jobs_are_rejected,
                                         setup_two_shards_of_two_machines, sim_teardown),
-        cmocka_unit_test_setup_teardown(test_impossible_jobs_are_refused, setup_two_shards_of_two_machines,
-                                        sim_teardown),
         cmocka_unit_test_setup_teardown(test_cancellation_reaches_the_shard_that_has_the_job,
                                         setup_two_shards_of_two_machines, sim_teardown),
-        cmocka_unit_test_setup_teardown(test_new_jobs_go_where_less_waits, setup_two_shards_of_one_machine,
-                                        sim_teardown),
+        cmocka_unit_test_setup_teardown(test_job_without_a_zone_goes_to_the_shard_with_less_waiting_work,
+                                        setup_two_shards_of_one_machine, sim_teardown),
         cmocka_unit_test_setup_teardown(test_team_limit_holds_across_shards, setup_two_shards_of_two_machines,
                                         sim_teardown),
         cmocka_unit_test_setup_teardown(test_poll_during_a_handover_answers_the_reason,
--- a/tests/cluster/test_shard_settings.c
+++ b/tests/cluster/test_shard_settings.c
@@ -1,4 +1,6 @@
-/* What a shard has of the fleet, and controllers whose settings do not fit those of the others. */
+/* The machines, limits and budgets of each shard, and controllers whose settings differ from the stored
+ * map of shards. Guards against two leaders of one machine, and against shards that exceed a limit
+ * together. */
 #include "check.h"
 #include "sharding/shard_map.h"
 #include "sharding/shard_platform.h"
@@ -20,7 +22,7 @@
     return 0;
 }
 
-static void test_controller_with_other_settings_leads_nothing(void **state)
+static void test_controller_with_different_shard_settings_leads_no_shard(void **state)
 {
     struct sim_cluster *cluster = *state;
     sim_kill_controllers(cluster);
@@ -35,8 +37,9 @@
     sim_check_safety(cluster);
 }
 
-/* The records of a fleet in use would be lost from sight. */
-static void test_fleet_in_use_is_not_sharded(void **state)
+/* A fleet that is in use without shards must not be divided: its records are under keys that no shard
+ * reads. */
+static void test_fleet_in_use_without_shards_is_not_divided(void **state)
 {
     (void)state;
     struct sim_cluster *cluster = sim_with_controllers(SIM_CONTROLLERS, 1);
@@ -55,8 +58,8 @@
     sim_free(sharded);
 }
 
-/* A controller that does not know of shards must not lead the machines of a sharded fleet. */
-static void test_unsharded_controller_leads_nothing_of_a_sharded_fleet(void **state)
+/* A controller without shards in its settings must not lead the machines of a sharded fleet. */
+static void test_controller_without_shards_does_not_lead_a_sharded_fleet(void **state)
 {
     struct sim_cluster *cluster = *state;
     struct ow_sharding_settings *sharding = g_steal_pointer(&cluster->sharding);
@@ -91,8 +94,8 @@
     ow_sharding_settings_free(sharding);
 }
 
-/* Parts of limits and budgets never add up to more than the whole, and a part of nothing is no missing limit.
- */
+/* The parts of limits and budgets never add up to more than the whole. A part of size zero must not be
+ * taken for a missing limit. */
 static void test_limits_of_shards_never_exceed_the_whole(void **state)
 {
     struct sim_cluster *cluster = *state;
@@ -102,7 +105,7 @@
     double store_rps = 0;
     double write_rps = 0;
     double cloud_rps = 0;
-    double limit = 0;
+    double cpu_limit = 0;
     for (guint shard = 0; shard < SHARDS; shard++) {
         struct ow_settings *part = ow_shard_platform_new(cluster->sharding, shard, whole);
         const struct ow_team_settings *tight = &g_array_index(part->teams, struct ow_team_settings, 1);
@@ -111,22 +114,22 @@
         store_rps += part->store_rps;
         write_rps += part->store_write_rps;
         cloud_rps += part->cloud_rps;
-        limit += tight->cpus_max;
+        cpu_limit += tight->cpus_max;
         ow_shard_platform_free(part);
     }
     assert_true(store_rps <= whole->store_rps && write_rps <= whole->store_write_rps);
     assert_true(cloud_rps <= whole->cloud_rps);
-    assert_true(limit <= 8.001);
+    assert_true(cpu_limit <= 8.001);
     sim_check_safety(cluster);
 }
 
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test_setup_teardown(test_controller_with_other_settings_leads_nothing,
+        cmocka_unit_test_setup_teardown(test_controller_with_different_shard_settings_leads_no_shard,
                                         setup_two_shards_of_one_machine, sim_teardown),
-        cmocka_unit_test(test_fleet_in_use_is_not_sharded),
-        cmocka_unit_test_setup_teardown(test_unsharded_controller_leads_nothing_of_a_sharded_fleet,
+        cmocka_unit_test(test_fleet_in_use_without_shards_is_not_divided),
+        cmocka_unit_test_setup_teardown(test_controller_without_shards_does_not_lead_a_sharded_fleet,
                                         setup_two_shards_of_one_machine, sim_teardown),
         cmocka_unit_test(test_machines_belong_to_one_shard),
         cmocka_unit_test_setup_teardown(test_limits_of_shards_never_exceed_the_whole,
