--- a/tests/cluster/test_upgrade_limits.c
+++ b/tests/cluster/test_upgrade_limits.c
@@ -1,5 +1,6 @@
-/* Limits of the key-value store that fall during an upgrade: large values are split, once every controller
- * can read the new format. */
+/* Limits of the key-value store that fall during an upgrade: large values are split once every controller
+ * can read the new format. Guards against records that are lost in a split, that an old controller drops,
+ * or that block other writes because they are too large. */
 #include "check.h"
 #include "upgrade_setup.h"
 
@@ -20,7 +21,8 @@
     return 0;
 }
 
-/* Records in chunks that are too large are split in steps: none is lost whenever the leader crashes. */
+/* Records in chunks that are too large are split in several steps: none may be lost, whenever the leader
+ * crashes. */
 static void test_interrupted_record_split_loses_nothing(void **state)
 {
     (void)state;
@@ -48,25 +50,26 @@
     }
 }
 
-static size_t largest_progress(struct sim_cluster *cluster)
+static size_t largest_progress_value_bytes(struct sim_cluster *cluster)
 {
-    size_t largest = 0;
+    size_t largest_bytes = 0;
     for (int i = 0; i < 200; i++) {
         char *key = g_strdup_printf("%s%d", OW_KEY_PROGRESS, i);
         const char *text = sim_read_value(cluster, key);
-        largest = MAX(largest, text != NULL ? strlen(text) : 0);
+        largest_bytes = MAX(largest_bytes, text != NULL ? strlen(text) : 0);
         g_free(key);
     }
-    return largest;
+    return largest_bytes;
 }
 
-/* A new leader splits stored values above the announced limit, even if their records don't change. */
+/* A new leader splits stored values above the announced limit (0.6 kB, 614 bytes) even if their records do
+ * not change. */
 static void test_oversized_values_are_split_after_a_failover(void **state)
 {
     struct sim_cluster *cluster = *state;
     cluster->run_time_s = 200;
     sim_submit_interleaved(cluster, "run-1", 200);
-    assert_true(largest_progress(cluster) > 614);
+    assert_true(largest_progress_value_bytes(cluster) > 614);
     for (int i = 0; i < SIM_CONTROLLERS; i++)
         upgrade_controller(cluster, i, 0.3);
     assert_true(sim_run_until(cluster, 20, format_gate_is_open, NULL));
@@ -75,12 +78,12 @@
     sim_run(cluster, 6);
     sim_start_controller(cluster, leader);
     sim_run(cluster, 20);
-    assert_true(largest_progress(cluster) <= 614);
+    assert_true(largest_progress_value_bytes(cluster) <= 614);
     assert_int_equal(sim_count_running(cluster, "run-1"), 100);
     sim_check_safety(cluster);
 }
 
-/* While one controller knows only the first format, no leader writes what it would drop. */
+/* While one controller knows only the first format, no leader may write records that it would drop. */
 static void test_format_gate_stays_closed_beside_an_old_controller(void **state)
 {
     struct sim_cluster *cluster = *state;
@@ -91,7 +94,7 @@
     sim_submit(cluster, 0, sim_job("run-1", 100, 0.4));
     sim_run(cluster, 8);
     assert_null(sim_read_value(cluster, OW_KEY_FORMAT));
-    /* Nor while it is down: it would restart with the old version. */
+    /* The gate also stays closed while that controller is down: it would restart with the old version. */
     sim_kill_controller(cluster, 2);
     sim_run(cluster, 20);
     assert_null(sim_read_value(cluster, OW_KEY_FORMAT));
@@ -100,8 +103,8 @@
     sim_check_safety(cluster);
 }
 
-/* Limits fall before every controller is known to read smaller records: values that can't be split yet
- * wait, and all other writes go on. */
+/* The limits fall before every controller is known to read smaller records: values that can't be split yet
+ * wait, and must not delay other writes. */
 static void test_oversized_value_delays_no_other_write(void **state)
 {
     struct sim_cluster *cluster = *state;
