--- a/src/config/settings_file.c
+++ b/src/config/settings_file.c
@@ -27,7 +27,7 @@
 static const struct text_field text_fields[] = {
     {"host_name", offsetof(struct ow_settings, controller_name), ow_toml_read_text},
     {"area", offsetof(struct ow_settings, zone), ow_toml_read_text},
-    {"front", offsetof(struct ow_settings, front), ow_toml_read_endpoint},
+    {"front", offsetof(struct ow_settings, http_listen), ow_toml_read_endpoint},
     {"peer_listen", offsetof(struct ow_settings, peer_listen), ow_toml_read_endpoint},
     {"services.cloud", offsetof(struct ow_settings, cloud_endpoint), ow_toml_read_endpoint},
     {"services.state", offsetof(struct ow_settings, store_endpoint), ow_toml_read_endpoint},
@@ -132,7 +132,7 @@
 static void peer_clear(void *item)
 {
     struct ow_peer_settings *peer = item;
-    g_free(peer->node);
+    g_free(peer->controller_name);
     g_free(peer->zone);
     g_free(peer->endpoint);
 }
@@ -144,7 +144,7 @@
     g_array_set_clear_func(peers, peer_clear);
     for (size_t i = 0; i < ow_toml_doc_count(reader->doc, array); i++) {
         struct ow_peer_settings peer = {0};
-        peer.node = read_item_text(reader, array, i, "host_name");
+        peer.controller_name = read_item_text(reader, array, i, "host_name");
         peer.zone = read_item_text(reader, array, i, "area");
         peer.endpoint = read_item_endpoint(reader, array, i, "endpoint");
         g_array_append_val(peers, peer);
@@ -263,7 +263,7 @@
         return;
     g_free(settings->controller_name);
     g_free(settings->zone);
-    g_free(settings->front);
+    g_free(settings->http_listen);
     g_free(settings->peer_listen);
     g_free(settings->cloud_endpoint);
     g_free(settings->store_endpoint);
--- a/src/core/api/job_reply.c
+++ b/src/core/api/job_reply.c
@@ -15,8 +15,8 @@
     effect->status = status;
     g_strlcpy(effect->id, job->id, sizeof effect->id);
     effect->state = !is_over && job->running > 0 ? OW_JOB_RUNNING : job->state;
-    effect->done = is_over ? OW_UNCOUNTED : job->done;
-    effect->running = is_over ? OW_UNCOUNTED : job->running;
+    effect->done = is_over ? OW_TASK_COUNT_UNKNOWN : job->done;
+    effect->running = is_over ? OW_TASK_COUNT_UNKNOWN : job->running;
     effect->reason = g_strdup(job->reason);
     ow_core_emit(core, effect);
 }
--- a/src/core/api/team_usage.c
+++ b/src/core/api/team_usage.c
@@ -11,7 +11,8 @@
 static void add_job(struct ow_team_view *view, const struct ow_job *job)
 {
     const struct ow_submission *submission = job->spec->submission;
-    /* OW_UNCOUNTED is negative: until a leader has counted the tasks, all of them count as waiting. */
+    /* OW_TASK_COUNT_UNKNOWN is negative: until a leader has counted the tasks, all of them count as waiting.
+     */
     int done = MAX(job->done, 0);
     int running = MAX(job->running, 0);
     int waiting = MAX((int)submission->tasks - done - running, 0);
--- a/src/core/jobs/job.c
+++ b/src/core/jobs/job.c
@@ -77,7 +77,7 @@
     struct ow_job *job = g_new0(struct ow_job, 1);
     job->id = g_strdup(id);
     job->accepted_revision = mod_revision;
-    job->done = job->running = OW_UNCOUNTED;
+    job->done = job->running = OW_TASK_COUNT_UNKNOWN;
     g_hash_table_insert(jobs->by_id, job->id, job);
     return job;
 }
--- a/src/core/jobs/job.h
+++ b/src/core/jobs/job.h
@@ -56,8 +56,8 @@
     bool is_cancellation_acknowledged; /**< the leader has acknowledged the cancellation: users may be told */
     bool is_record_unread; /**< cancelled before its record has been read: nothing else is known of it */
     /* Shown to users; no decision depends on them. */
-    int done;     /**< tasks; OW_UNCOUNTED: not counted yet */
-    int running;  /**< tasks; OW_UNCOUNTED: not counted yet */
+    int done;     /**< tasks; OW_TASK_COUNT_UNKNOWN: not counted yet */
+    int running;  /**< tasks; OW_TASK_COUNT_UNKNOWN: not counted yet */
     char *reason; /**< owned; why it waits; NULL: it does not, or that is not known */
 };
 
--- a/src/core/machines/scale_out.c
+++ b/src/core/machines/scale_out.c
@@ -76,7 +76,7 @@
     for (char **name = answer->cloud.provisioned; *name != NULL; name++) {
         struct ow_machine *machine = ow_machines_find_or_add(leader, *name);
         ow_machine_describe(leader, machine, NULL, type, zone, call->spot);
-        if (machine->listed == OW_LISTED_NOT)
+        if (machine->listed == OW_LISTED_ABSENT)
             machine->listed = OW_LISTED_BOOTING;
         g_info("machine provisioned: machine=%s type=%s zone=%s kind=%s", *name, type, zone,
                call->spot ? "spot" : "ordinary");
--- a/src/core/machines/silent_machines.c
+++ b/src/core/machines/silent_machines.c
@@ -51,7 +51,7 @@
 
 static bool is_known_from_records_alone(const struct ow_leader *leader, const struct ow_machine *machine)
 {
-    return machine->liveness.last_message_at == 0 && machine->listed == OW_LISTED_NOT &&
+    return machine->liveness.last_message_at == 0 && machine->listed == OW_LISTED_ABSENT &&
            machine->load.attempts->len > 0 && silent_s(leader, machine) > UNLISTED_S;
 }
 
--- a/src/core/records/record_format.c
+++ b/src/core/records/record_format.c
@@ -44,7 +44,7 @@
     for (guint i = 0; i < core->settings->peers->len; i++) {
         const struct ow_peer_settings *peer =
             &g_array_index(core->settings->peers, struct ow_peer_settings, i);
-        if (ow_peer_status_format(core->peer_status, peer->node) < format)
+        if (ow_peer_status_format(core->peer_status, peer->controller_name) < format)
             return false;
     }
     return true;
--- a/src/io/daemon.c
+++ b/src/io/daemon.c
@@ -47,7 +47,7 @@
         if (strcmp(peer->endpoint, endpoint) != 0)
             continue;
         struct ow_peer_message *message = ow_peer_message_new(OW_PEER_LINK_LOST);
-        message->sender = g_strdup(peer->node);
+        message->sender = g_strdup(peer->controller_name);
         handle_peer_message(daemon, message);
     }
 }
@@ -58,7 +58,7 @@
     const GArray *peers = daemon->settings->peers;
     for (guint i = 0; i < peers->len; i++) {
         const struct ow_peer_settings *peer = &g_array_index(peers, struct ow_peer_settings, i);
-        if (strcmp(peer->node, name) == 0)
+        if (strcmp(peer->controller_name, name) == 0)
             return peer->endpoint;
     }
     return NULL;
@@ -148,7 +148,7 @@
 static struct ow_http_server *listen_to_requests(struct ow_daemon *daemon)
 {
     const struct ow_http_server_options options = {
-        .endpoint = daemon->settings->front,
+        .endpoint = daemon->settings->http_listen,
         .body_limit = BODY_LIMIT_BYTES,
         .max_connections = daemon->sockets_max - daemon->client_sockets_min,
         .idle_s = IDLE_S,
@@ -177,7 +177,7 @@
 static void set_listen_error(const struct ow_daemon *daemon, GError **error)
 {
     g_set_error(error, OW_DAEMON_ERROR, OW_DAEMON_ERROR_LISTEN, "cannot listen on %s",
-                daemon->server == NULL ? daemon->settings->front : daemon->settings->peer_listen);
+                daemon->server == NULL ? daemon->settings->http_listen : daemon->settings->peer_listen);
 }
 
 struct ow_daemon *ow_daemon_new(struct ow_loop *loop, const struct ow_settings *settings,
--- a/src/io/http_client.c
+++ b/src/io/http_client.c
@@ -134,7 +134,7 @@
 
 static void read_if_from(struct ow_client_connection *connection, const void *endpoint)
 {
-    if (ow_client_connection_awaits_answer(connection) && strcmp(connection->endpoint, endpoint) == 0)
+    if (ow_client_connection_awaits_response(connection) && strcmp(connection->endpoint, endpoint) == 0)
         ow_client_connection_read(connection);
 }
 
--- a/src/io/http_client_connection.c
+++ b/src/io/http_client_connection.c
@@ -79,8 +79,8 @@
     size_t size = 0;
     size_t used = 0;
     do {
-        enum ow_net_reading reading = ow_net_read(connection->watch.fd, buffer, sizeof buffer, &size);
-        if (reading == OW_NET_LATER)
+        enum ow_net_read_result reading = ow_net_read(connection->watch.fd, buffer, sizeof buffer, &size);
+        if (reading == OW_NET_WOULD_BLOCK)
             return;
         result = OW_HTTP_MALFORMED;
         if (reading == OW_NET_DATA && connection->state == OW_CLIENT_CONNECTION_BUSY)
@@ -166,7 +166,7 @@
     ow_loop_change(connection->loop, &connection->watch, EPOLLIN | EPOLLOUT);
 }
 
-bool ow_client_connection_awaits_answer(const struct ow_client_connection *connection)
+bool ow_client_connection_awaits_response(const struct ow_client_connection *connection)
 {
     return connection->state == OW_CLIENT_CONNECTION_BUSY && connection->out->len == 0;
 }
@@ -175,7 +175,7 @@
 {
     if (now < connection->deadline)
         return;
-    if (connection->is_overdue || !ow_client_connection_awaits_answer(connection)) {
+    if (connection->is_overdue || !ow_client_connection_awaits_response(connection)) {
         ow_client_connection_fail(connection);
         return;
     }
--- a/src/io/http_client_connection.h
+++ b/src/io/http_client_connection.h
@@ -96,6 +96,6 @@
 /** Ends a request that has timed out or a connection that has been idle for too long; this may call `end`. */
 void ow_client_connection_check_deadline(struct ow_client_connection *connection, double now);
 /** Whether a request has been sent on the connection, so that its response may be in the socket. */
-bool ow_client_connection_awaits_answer(const struct ow_client_connection *connection);
+bool ow_client_connection_awaits_response(const struct ow_client_connection *connection);
 
 #endif
--- a/src/io/http_connection.c
+++ b/src/io/http_connection.c
@@ -151,8 +151,8 @@
     char buffer[READ_BYTES];
     size_t size = 0;
     do {
-        enum ow_net_reading reading = ow_net_read(connection->watch.fd, buffer, sizeof buffer, &size);
-        if (reading == OW_NET_LATER)
+        enum ow_net_read_result reading = ow_net_read(connection->watch.fd, buffer, sizeof buffer, &size);
+        if (reading == OW_NET_WOULD_BLOCK)
             return;
         if (reading == OW_NET_CLOSED) {
             ow_http_connection_close(connection);
--- a/src/io/net.c
+++ b/src/io/net.c
@@ -118,7 +118,7 @@
     return true;
 }
 
-enum ow_net_reading ow_net_read(int fd, char *buffer, size_t size, size_t *taken)
+enum ow_net_read_result ow_net_read(int fd, char *buffer, size_t size, size_t *taken)
 {
     ssize_t count;
     *taken = 0;
@@ -126,7 +126,7 @@
         count = recv(fd, buffer, size, 0);
     while (count < 0 && errno == EINTR);
     if (count < 0 && (errno == EAGAIN || errno == EWOULDBLOCK))
-        return OW_NET_LATER;
+        return OW_NET_WOULD_BLOCK;
     if (count <= 0)
         return OW_NET_CLOSED;
     *taken = (size_t)count;
--- a/src/io/net.h
+++ b/src/io/net.h
@@ -38,10 +38,10 @@
 bool ow_net_flush(int fd, GString *out, size_t *sent);
 
 /** The result of reading from a socket. */
-enum ow_net_reading {
-    OW_NET_DATA,   /**< some bytes */
-    OW_NET_LATER,  /**< none so far */
-    OW_NET_CLOSED, /**< the other side has ended the connection, or it is broken */
+enum ow_net_read_result {
+    OW_NET_DATA,        /**< some bytes */
+    OW_NET_WOULD_BLOCK, /**< none so far */
+    OW_NET_CLOSED,      /**< the other side has ended the connection, or it is broken */
 };
 
 /** Reads up to `size` bytes.
@@ -49,7 +49,7 @@
  * @param buffer filled from its start
  * @param size bytes that the buffer holds
  * @param taken how many were read with OW_NET_DATA, 0 otherwise */
-enum ow_net_reading ow_net_read(int fd, char *buffer, size_t size, size_t *taken);
+enum ow_net_read_result ow_net_read(int fd, char *buffer, size_t size, size_t *taken);
 
 /** Whether the other side has closed the connection, as far as that is known here. Takes no bytes. */
 bool ow_net_has_hung_up(int fd);
--- a/src/io/peer_incoming.c
+++ b/src/io/peer_incoming.c
@@ -76,8 +76,8 @@
     size_t size = 0;
     (void)events;
     do {
-        enum ow_net_reading reading = ow_net_read(link->watch.fd, buffer, sizeof buffer, &size);
-        if (reading == OW_NET_LATER)
+        enum ow_net_read_result reading = ow_net_read(link->watch.fd, buffer, sizeof buffer, &size);
+        if (reading == OW_NET_WOULD_BLOCK)
             return;
         if (reading == OW_NET_CLOSED) {
             link->end(link->owner, link);
--- a/src/main.c
+++ b/src/main.c
@@ -34,7 +34,7 @@
 {
     g_autoptr(GError) error = NULL;
     if (configuration->sharding->is_enabled)
-        ow_net_set_source(configuration->settings->front);
+        ow_net_set_source(configuration->settings->http_listen);
     struct ow_loop *loop = ow_loop_new();
     struct ow_daemon *daemon =
         ow_daemon_new(loop, configuration->settings, &configuration->tuning, configuration->sharding, &error);
--- a/src/model/cloud.h
+++ b/src/model/cloud.h
@@ -30,7 +30,7 @@
 
 /** The state of an instance in the cloud's list. */
 enum ow_listed_state {
-    OW_LISTED_NOT, /**< it is not in the list, or no list has come yet */
+    OW_LISTED_ABSENT, /**< it is not in the list, or no list has come yet */
     OW_LISTED_BOOTING,
     OW_LISTED_RUNNING,
     OW_LISTED_FAILED,
--- a/src/model/effect.c
+++ b/src/model/effect.c
@@ -10,7 +10,7 @@
     struct ow_effect *effect = g_new0(struct ow_effect, 1);
     effect->kind = kind;
     effect->request = request;
-    effect->done = effect->running = OW_UNCOUNTED;
+    effect->done = effect->running = OW_TASK_COUNT_UNKNOWN;
     return effect;
 }
 
--- a/src/model/effect.h
+++ b/src/model/effect.h
@@ -46,8 +46,8 @@
     /* OW_EFFECT_JOB */
     char id[OW_ID_MAX + 1];
     enum ow_job_state state;
-    int done;     /**< tasks; OW_UNCOUNTED: left out */
-    int running;  /**< tasks; OW_UNCOUNTED: left out */
+    int done;     /**< tasks; OW_TASK_COUNT_UNKNOWN: left out */
+    int running;  /**< tasks; OW_TASK_COUNT_UNKNOWN: left out */
     char *reason; /**< why the job waits; NULL: none */
     /* OW_EFFECT_REFUSE */
     char *error;       /**< text of the error */
--- a/src/model/peer.h
+++ b/src/model/peer.h
@@ -36,8 +36,8 @@
 /** The progress of a job, as counted by its leader. */
 struct ow_peer_job {
     char id[OW_ID_MAX + 1];
-    int done;     /**< tasks; OW_UNCOUNTED: not counted */
-    int running;  /**< tasks; OW_UNCOUNTED: not counted */
+    int done;     /**< tasks; OW_TASK_COUNT_UNKNOWN: not counted */
+    int running;  /**< tasks; OW_TASK_COUNT_UNKNOWN: not counted */
     char *reason; /**< why it waits, owned; NULL or empty: none */
 };
 
--- a/src/model/settings.h
+++ b/src/model/settings.h
@@ -12,7 +12,7 @@
 
 /** Another controller. */
 struct ow_peer_settings {
-    char *node;     /**< its name */
+    char *controller_name;
     char *zone;     /**< where it runs */
     char *endpoint; /**< host:port where it takes messages of controllers */
 };
@@ -46,7 +46,7 @@
     /* this controller */
     char *controller_name;
     char *zone;
-    char *front;       /**< host:port where users and agents reach it */
+    char *http_listen; /**< host:port where users and agents reach it */
     char *peer_listen; /**< host:port where other controllers reach it */
     /* services and peers */
     char *cloud_endpoint; /**< host:port */
--- a/src/model/submission.h
+++ b/src/model/submission.h
@@ -62,6 +62,6 @@
 enum ow_job_state { OW_JOB_QUEUED, OW_JOB_RUNNING, OW_JOB_DONE, OW_JOB_CANCELLED };
 
 /** A count of a job's tasks that this controller does not know. */
-enum { OW_UNCOUNTED = -1 };
+enum { OW_TASK_COUNT_UNKNOWN = -1 };
 
 #endif
--- a/src/sharding/membership.c
+++ b/src/sharding/membership.c
@@ -33,7 +33,7 @@
     membership->sharding = sharding;
     membership->members = g_ptr_array_new_with_free_func(ow_member_free);
     for (guint i = 0; i < peers->len; i++) {
-        const char *name = g_array_index(peers, struct ow_peer_settings, i).node;
+        const char *name = g_array_index(peers, struct ow_peer_settings, i).controller_name;
         g_ptr_array_add(membership->members, ow_member_new(name, sharding->heartbeat_s));
     }
     membership->heartbeats = (struct ow_heartbeat_source){
--- a/src/wire/user_json.c
+++ b/src/wire/user_json.c
@@ -8,9 +8,9 @@
 char *wire_job_view_encode(const struct wire_job_view *view)
 {
     json_t *object = json_pack("{s:s,s:s}", W_ID, view->id, W_STATE, wire_job_states[view->state]);
-    if (view->done != OW_UNCOUNTED)
+    if (view->done != OW_TASK_COUNT_UNKNOWN)
         json_object_set_new(object, W_DONE_COUNT, json_integer(view->done));
-    if (view->running != OW_UNCOUNTED)
+    if (view->running != OW_TASK_COUNT_UNKNOWN)
         json_object_set_new(object, W_RUNNING_COUNT, json_integer(view->running));
     if (view->reason != NULL)
         json_object_set_new(object, W_REASON, json_string(view->reason));
--- a/src/wire/user_json.h
+++ b/src/wire/user_json.h
@@ -12,8 +12,8 @@
 struct wire_job_view {
     const char *id;
     enum ow_job_state state;
-    int done;           /**< tasks; OW_UNCOUNTED: left out */
-    int running;        /**< tasks; OW_UNCOUNTED: left out */
+    int done;           /**< tasks; OW_TASK_COUNT_UNKNOWN: left out */
+    int running;        /**< tasks; OW_TASK_COUNT_UNKNOWN: left out */
     const char *reason; /**< why it waits; NULL: left out */
 };
 
--- a/src/wire/words.c
+++ b/src/wire/words.c
@@ -48,11 +48,8 @@
 };
 
 const char *const wire_listed_states[] = {
-    [OW_LISTED_NOT] = "", /* never in a list */
-    [OW_LISTED_BOOTING] = "booting",
-    [OW_LISTED_RUNNING] = "running",
-    [OW_LISTED_FAILED] = "failed",
-    NULL,
+    [OW_LISTED_ABSENT] = "", /* never in a list */
+    [OW_LISTED_BOOTING] = "booting", [OW_LISTED_RUNNING] = "running", [OW_LISTED_FAILED] = "failed", NULL,
 };
 
 const char *const wire_job_states[] = {
--- a/tests/sim/sim_settings.c
+++ b/tests/sim/sim_settings.c
@@ -15,10 +15,11 @@
     static char endpoint[] = "10.0.0.1:1";
     settings->controller_name = names[controller];
     settings->zone = zones[0];
-    settings->front = settings->peer_listen = settings->cloud_endpoint = settings->store_endpoint = endpoint;
+    settings->http_listen = settings->peer_listen = settings->cloud_endpoint = settings->store_endpoint =
+        endpoint;
     settings->peers = g_array_new(FALSE, TRUE, sizeof(struct ow_peer_settings));
     for (int i = 0; i < SIM_CONTROLLERS; i++) {
-        struct ow_peer_settings peer = {.node = names[i], .endpoint = endpoint};
+        struct ow_peer_settings peer = {.controller_name = names[i], .endpoint = endpoint};
         if (i != controller)
             g_array_append_val(settings->peers, peer);
     }
--- a/tests/unit/test_candidacy.c
+++ b/tests/unit/test_candidacy.c
@@ -20,7 +20,7 @@
     bench->sharding = ow_sharding_settings_new();
     bench->peers = g_array_new(FALSE, TRUE, sizeof(struct ow_peer_settings));
     for (int i = 0; i < CONTROLLERS; i++) {
-        struct ow_peer_settings peer = {.node = names[i]};
+        struct ow_peer_settings peer = {.controller_name = names[i]};
         if (i != self)
             g_array_append_val(bench->peers, peer);
     }
--- a/tests/unit/test_membership.c
+++ b/tests/unit/test_membership.c
@@ -35,7 +35,7 @@
     bench->sharding->heartbeat_s = HEARTBEAT_S;
     bench->peers = g_array_new(FALSE, TRUE, sizeof(struct ow_peer_settings));
     for (guint i = 0; i < G_N_ELEMENTS(names); i++) {
-        struct ow_peer_settings peer = {.node = names[i]};
+        struct ow_peer_settings peer = {.controller_name = names[i]};
         g_array_append_val(bench->peers, peer);
     }
     bench->own_shards = ow_peer_shards_new();
