--- a/src/agent/agent.c
+++ b/src/agent/agent.c
@@ -142,7 +142,7 @@
 {
     const struct ow_http_server_options server_options = {
         .endpoint = options->listen,
-        .body_limit = BODY_LIMIT_BYTES,
+        .body_limit_bytes = BODY_LIMIT_BYTES,
         .max_connections = SERVER_CONNECTIONS,
         .idle_s = IDLE_S,
     };
--- a/src/io/daemon.c
+++ b/src/io/daemon.c
@@ -12,15 +12,15 @@
 
 /* Interval between sweeps of connections. */
 static const double SWEEP_S = 0.1;
-/* How long an incoming connection may be idle. */
+/* An incoming connection that has been idle for longer is closed. */
 static const double IDLE_S = 60;
 enum {
-    BODY_LIMIT_BYTES = 64 * 1024, /* of a request to us */
+    BODY_LIMIT_BYTES = 64 * 1024, /* of an incoming request */
     RESERVED_SOCKETS = 60,        /* for the key-value store, the cloud and other controllers */
     SOCKETS_MIN = 200,            /* lower bound, even if the settings allow fewer */
 };
-/* Each machine has a connection for its heartbeats, and these have priority. Outgoing connections, for
-   commands, get the sockets that are left, but at least this share. */
+/* Each machine has a connection for its heartbeats, and these take precedence. Outgoing connections, which
+   carry commands, get the remaining sockets, but at least this share. */
 static const double CLIENT_SHARE_MIN = 0.05;
 
 G_DEFINE_QUARK(ow_daemon_error, ow_daemon_error)
@@ -36,9 +36,8 @@
     ow_shard_manager_push(daemon->manager, event);
 }
 
-/* Tells the shard manager that no process listens at a controller's endpoint any more; `owner` is the daemon.
- */
-static void handle_link_loss(void *owner, const char *endpoint)
+/* Notifies the shard manager that a controller's endpoint refuses connections; `owner` is the daemon. */
+static void handle_link_lost(void *owner, const char *endpoint)
 {
     struct ow_daemon *daemon = owner;
     const GArray *peers = daemon->settings->peers;
@@ -52,7 +51,7 @@
     }
 }
 
-/* The endpoint of the controller of this name, or NULL. */
+/* Returns the endpoint of the controller with this name, or NULL if there is none. */
 static const char *find_peer_endpoint(const struct ow_daemon *daemon, const char *name)
 {
     const GArray *peers = daemon->settings->peers;
@@ -64,7 +63,7 @@
     return NULL;
 }
 
-/* Sends a message to its addressee, if that is a known controller, or to all controllers. */
+/* Sends a message to its addressee, or to all controllers if it has none. An unknown addressee is ignored. */
 static void send_to_peers(struct ow_daemon *daemon, struct ow_peer_message *message)
 {
     if (message->addressee == NULL) {
@@ -76,11 +75,10 @@
         ow_peer_links_send(daemon->peers, message, endpoint);
 }
 
-/* ---- the loop ---- */
+/* ---- event loop callbacks ---- */
 
-/* Handles a pause of the process. Bytes that still wait to be sent may be based on a lease that has expired
-   in the pause, and are dropped in that case. Runs before all other callbacks, because these would send the
-   bytes. `owner` is the daemon. */
+/* Handles a pause of the process. If a lease expired during the pause, unsent bytes may be based on it and
+   are dropped. Runs before all other callbacks, because these would send the bytes. `owner` is the daemon. */
 static void handle_wake(void *owner, double paused_s, double now)
 {
     struct ow_daemon *daemon = owner;
@@ -90,7 +88,7 @@
     ow_http_server_drop_unsent(daemon->server);
 }
 
-static void carry_out(struct ow_daemon *daemon, const struct ow_effect *effect)
+static void perform_effect(struct ow_daemon *daemon, const struct ow_effect *effect)
 {
     switch (effect->kind) {
     case OW_EFFECT_JOB:
@@ -126,41 +124,41 @@
 {
     struct ow_daemon *daemon = owner;
     sweep_if_due(daemon, now);
-    /* Under load the reply to a lease renewal must not wait behind thousands of heartbeats. */
+    /* Under load, the reply to a lease renewal must not queue behind thousands of heartbeats. */
     if (ow_loop_is_saturated(daemon->loop))
         ow_http_client_read_from(daemon->client, daemon->settings->store_endpoint);
     double time_of_day = (double)g_get_real_time() / G_USEC_PER_SEC;
     g_autoptr(GPtrArray) effects = ow_shard_manager_step(daemon->manager, now, time_of_day);
     for (guint i = 0; i < effects->len; i++)
-        carry_out(daemon, g_ptr_array_index(effects, i));
+        perform_effect(daemon, g_ptr_array_index(effects, i));
     return ow_shard_manager_idle_seconds(daemon->manager);
 }
 
 /* ---- creation and destruction ---- */
 
-/* Divides the permitted sockets between incoming and outgoing connections. */
-static void share_sockets(struct ow_daemon *daemon)
+/* Divides the configured sockets between incoming and outgoing connections. */
+static void divide_sockets(struct ow_daemon *daemon)
 {
     daemon->sockets_max = MAX(daemon->settings->sockets, SOCKETS_MIN) - RESERVED_SOCKETS;
     daemon->client_sockets_min = (unsigned)(CLIENT_SHARE_MIN * daemon->sockets_max);
 }
 
-static struct ow_http_server *listen_to_requests(struct ow_daemon *daemon)
+static struct ow_http_server *new_http_server(struct ow_daemon *daemon)
 {
     const struct ow_http_server_options options = {
         .endpoint = daemon->settings->http_listen,
-        .body_limit = BODY_LIMIT_BYTES,
+        .body_limit_bytes = BODY_LIMIT_BYTES,
         .max_connections = daemon->sockets_max - daemon->client_sockets_min,
         .idle_s = IDLE_S,
     };
     return ow_http_server_new(daemon->loop, &options, ow_incoming_handle, daemon);
 }
 
-static struct ow_peer_links *listen_to_peers(struct ow_daemon *daemon)
+static struct ow_peer_links *new_peer_links(struct ow_daemon *daemon)
 {
     const struct ow_peer_handlers handlers = {
-        .take = handle_peer_message,
-        .lost = handle_link_loss,
+        .message_received = handle_peer_message,
+        .link_lost = handle_link_lost,
         .owner = daemon,
     };
     return ow_peer_links_new(daemon->loop, daemon->settings->peer_listen, &handlers);
@@ -173,7 +171,7 @@
         ow_peer_links_add(daemon->peers, g_array_index(peers, struct ow_peer_settings, i).endpoint);
 }
 
-/* Names the first address that could not be listened on. */
+/* Sets the error for the first endpoint that could not be listened on. */
 static void set_listen_error(const struct ow_daemon *daemon, GError **error)
 {
     g_set_error(error, OW_DAEMON_ERROR, OW_DAEMON_ERROR_LISTEN, "cannot listen on %s",
@@ -187,12 +185,12 @@
     g_autoptr(ow_daemon) daemon = g_new0(struct ow_daemon, 1);
     daemon->loop = loop;
     daemon->settings = settings;
-    share_sockets(daemon);
+    divide_sockets(daemon);
     daemon->pending_requests = ow_pending_requests_new();
     daemon->manager = ow_shard_manager_new(settings, tuning, sharding, ow_rng_nonce());
     daemon->client = ow_http_client_new(loop, daemon->client_sockets_min, ow_outgoing_handle_reply, daemon);
-    daemon->server = listen_to_requests(daemon);
-    daemon->peers = listen_to_peers(daemon);
+    daemon->server = new_http_server(daemon);
+    daemon->peers = new_peer_links(daemon);
     ow_loop_set_wake_callback(loop, handle_wake, daemon);
     if (daemon->server == NULL || daemon->peers == NULL) {
         set_listen_error(daemon, error);
--- a/src/io/daemon.h
+++ b/src/io/daemon.h
@@ -1,6 +1,6 @@
 /** @file
- * The daemon: the I/O of a controller's process. It converts requests and replies to events for the shard
- * manager, and carries out the effects that this returns.
+ * The daemon: the I/O layer of a controller process. It converts requests and replies to events for the shard
+ * manager, and performs the effects that the shard manager returns.
  *
  * It owns the sockets and the shard manager and makes no decisions. Everything runs on the thread of the
  * event loop.
@@ -13,36 +13,37 @@
 
 #include <glib.h>
 
-/** The errors of the daemon. */
+/** Error domain of the daemon, for GError. */
 #define OW_DAEMON_ERROR (ow_daemon_error_quark())
-/** The domain of the daemon's errors. */
+/** Returns the quark of OW_DAEMON_ERROR. */
 GQuark ow_daemon_error_quark(void);
 
-/** The codes of OW_DAEMON_ERROR. */
+/** Error codes in the domain OW_DAEMON_ERROR. */
 enum ow_daemon_error {
-    OW_DAEMON_ERROR_LISTEN, /**< an address can't be listened on; the message says which */
+    OW_DAEMON_ERROR_LISTEN, /**< listening on an endpoint failed; the message names it */
 };
 
-/** The daemon. Owned by who creates it. */
+/** The daemon. The creator owns it and frees it with ow_daemon_free(). */
 struct ow_daemon;
 typedef struct ow_daemon ow_daemon; /**< for g_autoptr */
 
-/** A daemon that listens, and connects to the other controllers, as soon as the loop runs with
+/** Creates a daemon. It serves requests and connects to the other controllers once the loop runs with
  * ow_daemon_round.
- * @param loop must outlive the daemon, and may serve only one
+ * @param loop must outlive the daemon, and must not be shared with another daemon
  * @param settings,tuning,sharding must outlive the daemon
- * @param error set if it can't listen (OW_DAEMON_ERROR); may be NULL
- * @return NULL if it can't listen */
+ * @param error set on failure (OW_DAEMON_ERROR); may be NULL
+ * @return NULL if an endpoint can't be listened on */
 struct ow_daemon *ow_daemon_new(struct ow_loop *loop, const struct ow_settings *settings,
                                 const struct ow_tuning *tuning, const struct ow_sharding_settings *sharding,
                                 GError **error);
-/** Closes all sockets. The loop must not run any more. NULL is not allowed. */
+/** Closes all sockets and frees the daemon. The loop must not run afterwards. NULL is not allowed. */
 void ow_daemon_free(struct ow_daemon *daemon);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(ow_daemon, ow_daemon_free)
 
-/** The round of the event loop (ow_round_fn): one step of the shard manager, whose effects are carried out.
+/** One round of the event loop (ow_round_fn): runs one step of the shard manager and performs its effects.
  * @param owner the daemon
- * @param now the monotonic time in seconds */
+ * @param now monotonic time in seconds
+ * @return for how many seconds the loop may wait before the next round */
 double ow_daemon_round(void *owner, double now);
 
 #endif
--- a/src/io/daemon_state.h
+++ b/src/io/daemon_state.h
@@ -1,6 +1,5 @@
 /** @file
- * The state of the daemon, shared by the files that make it up: daemon.c, incoming.c and outgoing.c. Private
- * to them. */
+ * Internal state of the daemon, shared by daemon.c, incoming.c and outgoing.c only. */
 #ifndef OW_IO_DAEMON_STATE_H
 #define OW_IO_DAEMON_STATE_H
 
@@ -13,7 +12,7 @@
 
 #include <glib.h>
 
-/** Owns everything that it points to, but for the loop and the settings. */
+/** The daemon. It owns everything that it points to, except for the loop and the settings. */
 struct ow_daemon {
     struct ow_loop *loop;
     const struct ow_settings *settings;
@@ -21,11 +20,11 @@
     struct ow_http_server *server;
     struct ow_http_client *client;
     struct ow_peer_links *peers;
-    struct ow_pending_requests *pending_requests; /**< of the HTTP client */
-    unsigned sockets_max; /**< without the sockets reserved for the key-value store, the cloud and other
-                             controllers */
-    unsigned client_sockets_min; /**< of `sockets_max`: always available to outgoing requests */
-    double sweep_at;             /**< monotonic time: time of the next sweep of connections */
+    struct ow_pending_requests *pending_requests; /**< requests sent by `client` that have no reply yet */
+    unsigned sockets_max; /**< excludes the sockets reserved for the key-value store, the cloud and other
+ controllers */
+    unsigned client_sockets_min; /**< part of `sockets_max` that is always available to outgoing requests */
+    double sweep_at;             /**< monotonic time of the next sweep of connections */
 };
 
 #endif
--- a/src/io/http_client.c
+++ b/src/io/http_client.c
@@ -9,14 +9,14 @@
     struct ow_loop *loop;
     ow_http_reply_fn reply;
     void *owner;                      /* of `reply` */
-    GPtrArray *connections;           /* struct ow_client_connection in every state, owned */
-    struct ow_idle_connections *idle; /* those that are IDLE */
-    unsigned connections_max;         /* with more than these open, idle ones are closed */
+    GPtrArray *connections;           /* struct ow_client_connection in any state, owned */
+    struct ow_idle_connections *idle; /* the IDLE connections */
+    unsigned connections_max;         /* idle connections in excess of this are closed */
 };
 
 /* ---- connections ---- */
 
-/* The free function of the array of connections. */
+/* Free function of the connections array. */
 static void release_connection(gpointer item)
 {
     struct ow_client_connection *connection = item;
@@ -30,7 +30,7 @@
     g_ptr_array_remove_fast(client->connections, connection);
 }
 
-/* A request has ended, or a connection; `owner` is the client. */
+/* Handles the end of a request or connection; `owner` is the client. */
 static void handle_end(void *owner, struct ow_client_connection *connection,
                        const struct ow_client_outcome *outcome)
 {
@@ -55,8 +55,8 @@
     return longest;
 }
 
-/* Closes the connection that has been idle for longest to make room for a new one; false if there is still no
-   room. */
+/* Closes the connection that has been idle for longest if there is no room for another one. Returns whether
+   there is room. */
 static bool make_room(struct ow_http_client *client)
 {
     if (client->connections->len < client->connections_max)
@@ -76,7 +76,7 @@
 }
 
 /* Calls a function for every connection, in reverse order. The function may close this or other connections
-   (as a consequence of a reply): then some connections may be skipped or visited twice. */
+   (as a consequence of a reply); some connections may then be skipped or visited twice. */
 static void for_each_connection(struct ow_http_client *client,
                                 void (*visit)(struct ow_client_connection *connection, const void *argument),
                                 const void *argument)
@@ -125,7 +125,7 @@
     if (connection != NULL) {
         ow_idle_connections_remove(client->idle, endpoint, connection);
     } else {
-        /* A caller that did not check for room gets a connection in any case. */
+        /* A caller that has not checked for room gets a connection even beyond the maximum. */
         make_room(client);
         connection = open_connection(client, endpoint);
     }
@@ -165,7 +165,8 @@
     return ow_idle_connections_find(client->idle, endpoint) != NULL || make_room(client);
 }
 
-/* Connections to many machines must not use up the sockets that heartbeats need. */
+/* Closes excess idle connections, so that connections to many machines don't exhaust the sockets that
+   heartbeats need. */
 static void close_surplus(struct ow_http_client *client)
 {
     while (client->connections->len > client->connections_max) {
--- a/src/io/http_client_connection.c
+++ b/src/io/http_client_connection.c
@@ -6,17 +6,17 @@
 #include <string.h>
 #include <sys/epoll.h>
 
-/* How long an idle connection is kept. */
+/* Idle connections are closed after this time. */
 static const double IDLE_CLOSE_S = 20;
 enum {
     BODY_LIMIT_BYTES = 4 * 1024 * 1024,
     READ_BYTES = 16 * 1024,
-    REQUEST_BYTES = 256, /* of a typical one, to begin with */
+    REQUEST_BYTES = 256, /* initial buffer size, enough for a typical request */
 };
 
 /* ---- end of a request or connection ---- */
 
-/* Ends the connection, and its current request, if any, with a status of our own. */
+/* Ends the connection, and its current request, if any, with a status that the server did not send. */
 static void fail_with(struct ow_client_connection *connection, enum ow_http_status status)
 {
     struct ow_client_outcome outcome = {
@@ -33,7 +33,7 @@
     fail_with(connection, OW_HTTP_STATUS_NONE);
 }
 
-/* The response is complete. */
+/* Handles a complete response. */
 static void finish(struct ow_client_connection *connection)
 {
     struct ow_http_parser *parser = &connection->parser;
@@ -57,11 +57,11 @@
 
 /* ---- reading and writing ---- */
 
-/* Bytes have come, or the end of the connection (OW_HTTP_MALFORMED). */
+/* Handles the result of parsing; OW_HTTP_MALFORMED also stands for the end of the connection. */
 static void handle_parsed(struct ow_client_connection *connection, enum ow_http_result result,
                           bool is_all_used)
 {
-    /* Unsolicited bytes, on an idle connection or after a response, end the connection, too. */
+    /* Unsolicited bytes on an idle connection or after a response also end the connection. */
     if (result == OW_HTTP_DONE && is_all_used) {
         finish(connection);
     } else if (result == OW_HTTP_TOO_LARGE) {
@@ -79,17 +79,17 @@
     size_t size = 0;
     size_t used = 0;
     do {
-        enum ow_net_read_result reading = ow_net_read(connection->watch.fd, buffer, sizeof buffer, &size);
-        if (reading == OW_NET_WOULD_BLOCK)
+        enum ow_net_read_result read_result = ow_net_read(connection->watch.fd, buffer, sizeof buffer, &size);
+        if (read_result == OW_NET_WOULD_BLOCK)
             return;
         result = OW_HTTP_MALFORMED;
-        if (reading == OW_NET_DATA && connection->state == OW_CLIENT_CONNECTION_BUSY)
+        if (read_result == OW_NET_DATA && connection->state == OW_CLIENT_CONNECTION_BUSY)
             result = ow_http_parse(&connection->parser, buffer, size, &used);
     } while (result == OW_HTTP_MORE);
     handle_parsed(connection, result, used == size);
 }
 
-/* False when the connection has ended. */
+/* Sends as much as the socket accepts. Returns false if the connection has ended. */
 static bool flush(struct ow_client_connection *connection)
 {
     bool is_open = ow_net_connect_error(connection->watch.fd) == 0 &&
@@ -158,7 +158,7 @@
     connection->tag = request->tag;
     append_request(connection->out, connection->endpoint, request);
     if (connection->state == OW_CLIENT_CONNECTION_UNREACHABLE) {
-        connection->deadline = 0; /* the next check of the deadline tells the owner */
+        connection->deadline = 0; /* the next deadline check reports the failure */
         return;
     }
     connection->state = OW_CLIENT_CONNECTION_BUSY;
@@ -179,8 +179,8 @@
         ow_client_connection_fail(connection);
         return;
     }
-    /* This process may be late, not the response: what has arrived is read first, and the next check decides.
-     */
+    /* The delay may be in this process rather than in the server: received bytes are read first, and the
+       request fails at the next check. */
     connection->is_overdue = true;
     ow_client_connection_read(connection);
 }
--- a/src/io/http_connection.c
+++ b/src/io/http_connection.c
@@ -77,7 +77,7 @@
     g_string_append_len(connection->out, body, (gssize)size);
 }
 
-/* Sends what the socket takes; false when the connection is gone. */
+/* Sends as much as the socket accepts. Returns false if the connection has been closed. */
 static bool flush(struct ow_http_connection *connection)
 {
     if (!ow_net_flush(connection->watch.fd, connection->out, &connection->sent) ||
@@ -89,7 +89,8 @@
     return true;
 }
 
-/* Answers a malformed request with an error, and closes; false when the connection is gone. */
+/* Answers an invalid request with an error, after which the connection is closed. Returns false if it has
+   been closed already. */
 static bool refuse(struct ow_http_connection *connection, enum ow_http_status status, const char *body)
 {
     connection->state = OW_HTTP_CONNECTION_DRAINING;
@@ -99,9 +100,9 @@
 
 /* ---- reading ---- */
 
-/* Buffers bytes that arrive during a request; false when the connection is gone. Clients don't pipeline
-   requests, so one that sends too much is disconnected. */
-static bool keep_pending(struct ow_http_connection *connection, const char *data, size_t size)
+/* Buffers bytes that arrive while a request is handled. Returns false if the connection has been closed:
+   clients don't pipeline requests, so one that sends too much is disconnected. */
+static bool buffer_pending(struct ow_http_connection *connection, const char *data, size_t size)
 {
     if (connection->pending->len + size > connection->pending_limit_bytes) {
         ow_http_connection_close(connection);
@@ -111,12 +112,12 @@
     return true;
 }
 
-/* Hands over the request that the parser holds, with the bytes behind it kept; false when the connection is
- * gone. */
+/* Passes the parsed request to the handler and buffers the bytes after it. Returns false if the connection
+   has been closed. */
 static bool pass_to_handler(struct ow_http_connection *connection, const char *rest, size_t rest_size)
 {
-    /* A client that has closed the connection is not served: under load that would delay those that still
-       wait. */
+    /* Under load, requests of clients that have disconnected are dropped: serving them would delay the
+       clients that still wait. */
     if (ow_loop_is_saturated(connection->loop) && ow_net_has_hung_up(connection->watch.fd)) {
         ow_http_connection_close(connection);
         return false;
@@ -127,11 +128,11 @@
     return connection->handlers->request(connection->handlers->owner, connection);
 }
 
-/* Parses received bytes; false when the connection is gone. */
+/* Parses received bytes. Returns false if the connection has been closed. */
 static bool parse_bytes(struct ow_http_connection *connection, const char *data, size_t size)
 {
     if (connection->state != OW_HTTP_CONNECTION_READING)
-        return keep_pending(connection, data, size);
+        return buffer_pending(connection, data, size);
     size_t used = 0;
     switch (ow_http_parse(&connection->parser, data, size, &used)) {
     case OW_HTTP_MORE:
@@ -173,7 +174,7 @@
         read_bytes(connection);
 }
 
-/* ---- for the server ---- */
+/* ---- interface to the server ---- */
 
 struct ow_http_connection *ow_http_connection_new(struct ow_loop *loop, int fd,
                                                   const struct ow_http_connection_handlers *handlers,
--- a/src/io/http_lines.c
+++ b/src/io/http_lines.c
@@ -3,29 +3,28 @@
 #include <glib.h>
 #include <string.h>
 
-/* More digits than any size within the limits needs; longer numbers are rejected, because the value could
-   overflow. */
+/* Enough digits for any size within the limits. Longer numbers could overflow and are rejected. */
 enum { SIZE_DIGITS_MAX = 9 };
 enum { DECIMAL = 10, HEXADECIMAL = 16 };
 
 /* The version is "HTTP/1.0" or "HTTP/1.1". */
 static const char VERSION_PREFIX[] = "HTTP/1.";
 enum { MINOR_AT = sizeof VERSION_PREFIX - 1, VERSION_SIZE = MINOR_AT + 1 };
-/* A status line: the version, a space, three digits; then a space and a reason, or nothing. */
+/* A status line: version, space, three digits, then optionally a space and a reason phrase. */
 enum { STATUS_AT = VERSION_SIZE + 1, STATUS_DIGITS = 3, STATUS_END = STATUS_AT + STATUS_DIGITS };
 
 enum { ASCII_DELETE = 127 };
 
-/* A sender of version 1.0 closes the connection unless a header says otherwise. */
-static bool parse_version(const char *text, size_t size, bool *closes)
+/* An HTTP/1.0 sender closes the connection unless a Connection header says otherwise. */
+static bool parse_version(const char *text, size_t size, bool *is_closing)
 {
     if (size != VERSION_SIZE || memcmp(text, VERSION_PREFIX, MINOR_AT) != 0)
         return false;
-    *closes = text[MINOR_AT] == '0';
+    *is_closing = text[MINOR_AT] == '0';
     return text[MINOR_AT] == '0' || text[MINOR_AT] == '1';
 }
 
-/* Whether all characters are those of methods and of names of headers; empty is no token. */
+/* Whether the text is a token (RFC 9110), as methods and header names are: not empty, no separators. */
 static bool is_token(const char *text, size_t size)
 {
     for (size_t i = 0; i < size; i++) {
@@ -35,7 +34,7 @@
     return size > 0;
 }
 
-/* Whether this is a path, perhaps with a query, without blanks or control characters. */
+/* Whether the text is a path with an optional query, without spaces or control characters. */
 static bool is_target(const char *text, size_t size)
 {
     for (size_t i = 0; i < size; i++) {
@@ -60,12 +59,13 @@
     out->target_size = (size_t)(target_end - out->target);
     const char *version = target_end + 1;
     return is_token(out->method, out->method_size) && is_target(out->target, out->target_size) &&
-           parse_version(version, strlen(version), &out->closes);
+           parse_version(version, strlen(version), &out->is_closing);
 }
 
 bool ow_http_status_line_parse(const char *line, size_t size, struct ow_http_status_line *out)
 {
-    if (size < STATUS_END || !parse_version(line, VERSION_SIZE, &out->closes) || line[VERSION_SIZE] != ' ')
+    if (size < STATUS_END || !parse_version(line, VERSION_SIZE, &out->is_closing) ||
+        line[VERSION_SIZE] != ' ')
         return false;
     out->status = 0;
     for (int i = STATUS_AT; i < STATUS_END; i++) {
@@ -87,8 +87,8 @@
     return true;
 }
 
-/* Reads the digits of a size and the blanks after them. @return the position after these, or NULL when
-   malformed */
+/* Parses the digits of a size and the white space after them. Returns the position after these, or NULL if
+   malformed. */
 static const char *parse_digits(const char *text, int base, size_t *out)
 {
     size_t value = 0;
--- a/src/io/http_parse.c
+++ b/src/io/http_parse.c
@@ -5,11 +5,11 @@
 #include <string.h>
 
 enum { HEAD_LIMIT_BYTES = 16 * 1024, LINE_LIMIT_BYTES = 8 * 1024 };
-/* Larger buffers are freed before the next message. */
-enum { KEEP_BUFFER_BYTES = 16 * 1024 };
-/* Informational responses (1xx) precede the final one and are skipped; 101 does not occur, as no request asks
-   for another protocol. */
-enum { STATUS_SWITCHING_PROTOCOLS = 101, STATUS_FINAL_LEAST = 200 };
+/* Buffers that have grown larger are freed before the next message. */
+enum { BUFFER_KEPT_MAX_BYTES = 16 * 1024 };
+/* Informational responses (1xx) precede the final one and are skipped; 101 does not occur, because no request
+ * asks for another protocol. */
+enum { STATUS_SWITCHING_PROTOCOLS = 101, STATUS_FINAL_MIN = 200 };
 
 /* ---- creation and destruction ---- */
 
@@ -25,10 +25,10 @@
     ow_http_parser_reset(parser);
 }
 
-/* Otherwise one large body would keep its memory as long as the connection lives. */
-static void empty_buffer(GString **buffer)
+/* Empties a buffer. Frees a large one, so that its memory isn't held for the lifetime of the connection. */
+static void reset_buffer(GString **buffer)
 {
-    if ((*buffer)->allocated_len > KEEP_BUFFER_BYTES) {
+    if ((*buffer)->allocated_len > BUFFER_KEPT_MAX_BYTES) {
         g_string_free(*buffer, TRUE);
         *buffer = g_string_sized_new(0);
     }
@@ -38,11 +38,11 @@
 void ow_http_parser_reset(struct ow_http_parser *parser)
 {
     parser->phase = OW_HTTP_PHASE_START;
-    empty_buffer(&parser->line);
-    empty_buffer(&parser->target);
-    empty_buffer(&parser->body);
+    reset_buffer(&parser->line);
+    reset_buffer(&parser->target);
+    reset_buffer(&parser->body);
     parser->head_bytes = 0;
-    parser->body_left = 0;
+    parser->body_remaining = 0;
     parser->has_length = false;
     parser->is_chunked = false;
     parser->close = false;
@@ -59,7 +59,7 @@
 
 /* ---- lines ---- */
 
-static bool take_request_line(struct ow_http_parser *parser)
+static bool parse_request_line(struct ow_http_parser *parser)
 {
     struct ow_http_request_line line;
     if (!ow_http_request_line_parse(parser->line->str, &line) || line.method_size >= sizeof parser->method)
@@ -67,35 +67,36 @@
     memcpy(parser->method, line.method, line.method_size);
     parser->method[line.method_size] = '\0';
     g_string_append_len(parser->target, line.target, (gssize)line.target_size);
-    parser->close = line.closes;
+    parser->close = line.is_closing;
     return true;
 }
 
-static bool take_status_line(struct ow_http_parser *parser)
+static bool parse_status_line(struct ow_http_parser *parser)
 {
     struct ow_http_status_line line;
     if (!ow_http_status_line_parse(parser->line->str, parser->line->len, &line))
         return false;
     parser->status = line.status;
-    parser->close = line.closes;
+    parser->close = line.is_closing;
     return true;
 }
 
-/* Two lengths, or a length together with chunks, make the end of a message ambiguous (request smuggling). */
+/* Whether a header has already defined where the message ends. A second such header would make the end
+   ambiguous (request smuggling). */
 static bool has_framing(const struct ow_http_parser *parser)
 {
     return parser->has_length || parser->is_chunked;
 }
 
-static bool take_content_length(struct ow_http_parser *parser, const char *value)
+static bool parse_content_length(struct ow_http_parser *parser, const char *value)
 {
-    if (has_framing(parser) || !ow_http_length_parse(value, &parser->body_left))
+    if (has_framing(parser) || !ow_http_length_parse(value, &parser->body_remaining))
         return false;
     parser->has_length = true;
     return true;
 }
 
-static bool take_transfer_encoding(struct ow_http_parser *parser, const char *value)
+static bool parse_transfer_encoding(struct ow_http_parser *parser, const char *value)
 {
     if (has_framing(parser) || g_ascii_strcasecmp(value, "chunked") != 0)
         return false;
@@ -103,7 +104,7 @@
     return true;
 }
 
-static void take_connection_header(struct ow_http_parser *parser, const char *value)
+static void parse_connection_header(struct ow_http_parser *parser, const char *value)
 {
     if (g_ascii_strcasecmp(value, "close") == 0)
         parser->close = true;
@@ -111,18 +112,18 @@
         parser->close = false;
 }
 
-static bool take_header(struct ow_http_parser *parser)
+static bool parse_header(struct ow_http_parser *parser)
 {
     const char *name = NULL;
     const char *value = NULL;
     if (!ow_http_header_split(parser->line->str, &name, &value))
         return false;
     if (g_ascii_strcasecmp(name, "content-length") == 0)
-        return take_content_length(parser, value);
+        return parse_content_length(parser, value);
     if (g_ascii_strcasecmp(name, "transfer-encoding") == 0)
-        return take_transfer_encoding(parser, value);
+        return parse_transfer_encoding(parser, value);
     if (g_ascii_strcasecmp(name, "connection") == 0)
-        take_connection_header(parser, value);
+        parse_connection_header(parser, value);
     return true;
 }
 
@@ -130,7 +131,7 @@
 
 static enum ow_http_result end_head(struct ow_http_parser *parser)
 {
-    if (parser->side == OW_HTTP_RESPONSE && parser->status < STATUS_FINAL_LEAST) {
+    if (parser->side == OW_HTTP_RESPONSE && parser->status < STATUS_FINAL_MIN) {
         bool has_switched = parser->status == STATUS_SWITCHING_PROTOCOLS;
         parser->phase = OW_HTTP_PHASE_START;
         parser->status = 0;
@@ -140,42 +141,42 @@
         parser->phase = OW_HTTP_PHASE_CHUNK_SIZE;
         return OW_HTTP_MORE;
     }
-    if (parser->body_left > parser->body_limit_bytes)
+    if (parser->body_remaining > parser->body_limit_bytes)
         return OW_HTTP_TOO_LARGE;
     parser->phase = OW_HTTP_PHASE_BODY;
-    return parser->body_left == 0 ? OW_HTTP_DONE : OW_HTTP_MORE;
+    return parser->body_remaining == 0 ? OW_HTTP_DONE : OW_HTTP_MORE;
 }
 
 static enum ow_http_result begin_chunk(struct ow_http_parser *parser)
 {
-    if (!ow_http_chunk_size_parse(parser->line->str, &parser->body_left))
+    if (!ow_http_chunk_size_parse(parser->line->str, &parser->body_remaining))
         return OW_HTTP_MALFORMED;
-    if (parser->body_left + parser->body->len > parser->body_limit_bytes)
+    if (parser->body_remaining + parser->body->len > parser->body_limit_bytes)
         return OW_HTTP_TOO_LARGE;
-    parser->phase = parser->body_left == 0 ? OW_HTTP_PHASE_TRAILERS : OW_HTTP_PHASE_CHUNK_DATA;
+    parser->phase = parser->body_remaining == 0 ? OW_HTTP_PHASE_TRAILERS : OW_HTTP_PHASE_CHUNK_DATA;
     return OW_HTTP_MORE;
 }
 
-static enum ow_http_result take_first_line(struct ow_http_parser *parser)
+static enum ow_http_result parse_first_line(struct ow_http_parser *parser)
 {
     if (parser->line->len == 0)
-        return OW_HTTP_MORE; /* a stray empty line between messages */
+        return OW_HTTP_MORE; /* empty line between messages */
     parser->phase = OW_HTTP_PHASE_HEADERS;
-    bool is_valid = parser->side == OW_HTTP_REQUEST ? take_request_line(parser) : take_status_line(parser);
+    bool is_valid = parser->side == OW_HTTP_REQUEST ? parse_request_line(parser) : parse_status_line(parser);
     return is_valid ? OW_HTTP_MORE : OW_HTTP_MALFORMED;
 }
 
-/* A whole line has come, without its end. */
-static enum ow_http_result take_line(struct ow_http_parser *parser)
+/* Processes a complete line, without its line ending. */
+static enum ow_http_result process_line(struct ow_http_parser *parser)
 {
     bool is_empty = parser->line->len == 0;
     switch (parser->phase) {
     case OW_HTTP_PHASE_START:
-        return take_first_line(parser);
+        return parse_first_line(parser);
     case OW_HTTP_PHASE_HEADERS:
         if (is_empty)
             return end_head(parser);
-        return take_header(parser) ? OW_HTTP_MORE : OW_HTTP_MALFORMED;
+        return parse_header(parser) ? OW_HTTP_MORE : OW_HTTP_MALFORMED;
     case OW_HTTP_PHASE_CHUNK_SIZE:
         return begin_chunk(parser);
     case OW_HTTP_PHASE_CHUNK_END:
@@ -185,12 +186,12 @@
         return is_empty ? OW_HTTP_DONE : OW_HTTP_MORE;
     case OW_HTTP_PHASE_BODY:
     case OW_HTTP_PHASE_CHUNK_DATA:
-        break; /* these have no lines */
+        break; /* not line-based */
     }
     return OW_HTTP_MALFORMED;
 }
 
-/* Limits the memory for an endless head. Chunk lines count, too. */
+/* Bounds the memory for a line or head of unlimited length. Applies to the lines of chunks, too. */
 static bool exceeds_limits(const struct ow_http_parser *parser, size_t line_part)
 {
     bool is_in_head = parser->phase == OW_HTTP_PHASE_START || parser->phase == OW_HTTP_PHASE_HEADERS;
@@ -214,7 +215,7 @@
         g_string_truncate(parser->line, parser->line->len - 1);
     if (memchr(parser->line->str, '\0', parser->line->len) != NULL)
         return OW_HTTP_MALFORMED;
-    enum ow_http_result result = take_line(parser);
+    enum ow_http_result result = process_line(parser);
     g_string_truncate(parser->line, 0);
     return result;
 }
@@ -222,11 +223,11 @@
 static enum ow_http_result feed_body(struct ow_http_parser *parser, const char *data, size_t size,
                                      size_t *used)
 {
-    size_t part = MIN(size, parser->body_left);
+    size_t part = MIN(size, parser->body_remaining);
     g_string_append_len(parser->body, data, (gssize)part);
-    parser->body_left -= part;
+    parser->body_remaining -= part;
     *used = part;
-    if (parser->body_left > 0)
+    if (parser->body_remaining > 0)
         return OW_HTTP_MORE;
     if (parser->phase == OW_HTTP_PHASE_BODY)
         return OW_HTTP_DONE;
--- a/src/io/http_server.c
+++ b/src/io/http_server.c
@@ -5,9 +5,10 @@
 
 #include <sys/epoll.h>
 
-/* A connection that has received something this recently is not closed to make room for another. */
-static const double QUIET_S = 1;
-/* A request's id: the slot of its connection above, the serial number of the request below. */
+/* Minimum idle time of a connection that is closed to make room for another one. */
+static const double CLOSABLE_IDLE_S = 1;
+/* A request id has the slot of the connection in its upper half, and the serial number of the request in its
+   lower half. */
 enum { ID_SLOT_SHIFT = 32 };
 
 struct ow_http_server {
@@ -17,20 +18,21 @@
     void *owner; /* of `handler` */
     struct ow_http_connection_handlers connection_handlers;
     struct ow_watch listener;
-    GPtrArray *slots;     /* struct ow_http_connection, owned, or NULL where a slot is free */
-    unsigned count;       /* connections that are open */
-    uint32_t last_serial; /* given to a request */
+    GPtrArray *slots;     /* struct ow_http_connection, owned; NULL for a free slot */
+    unsigned count;       /* number of open connections */
+    uint32_t last_serial; /* serial number of the latest request */
 };
 
 /* ---- connections ---- */
 
-/* The connection in the slot, or NULL. */
+/* Returns the connection in the slot, or NULL if there is none. */
 static struct ow_http_connection *connection_at(const struct ow_http_server *server, uint32_t slot)
 {
     return slot < server->slots->len ? g_ptr_array_index(server->slots, slot) : NULL;
 }
 
-/* A connection has a whole request; `owner` is the server. False when the connection is gone after it. */
+/* Passes a complete request to the handler; `owner` is the server. Returns false if the connection has been
+   closed. */
 static bool handle_request(void *owner, struct ow_http_connection *connection)
 {
     struct ow_http_server *server = owner;
@@ -45,12 +47,12 @@
         .body_size = parser->body->len,
     };
     server->handler(server->owner, &request);
-    /* The handler may have answered at once and with that ended the connection. */
+    /* The handler may have answered during the call, which may have closed the connection. */
     return connection_at(server, slot) == connection;
 }
 
-/* A connection closes; `owner` is the server. */
-static void forget_connection(void *owner, struct ow_http_connection *connection)
+/* Frees the slot of a connection that is closed; `owner` is the server. */
+static void handle_closed(void *owner, struct ow_http_connection *connection)
 {
     struct ow_http_server *server = owner;
     g_ptr_array_index(server->slots, connection->slot) = NULL;
@@ -69,8 +71,8 @@
 
 static void open_connection(struct ow_http_server *server, int fd)
 {
-    struct ow_http_connection *connection =
-        ow_http_connection_new(server->loop, fd, &server->connection_handlers, server->options.body_limit);
+    struct ow_http_connection *connection = ow_http_connection_new(
+        server->loop, fd, &server->connection_handlers, server->options.body_limit_bytes);
     if (connection == NULL)
         return;
     connection->slot = find_free_slot(server);
@@ -78,20 +80,21 @@
     server->count++;
 }
 
-/* Makes room for a new connection by closing the one that has been quiet for longest. Workers send a
-   heartbeat every few seconds, so their connections are closed only if no other one is idle. */
-static bool drop_quietest(struct ow_http_server *server)
+/* Closes the connection that has been idle for longest, to make room for a new one. Returns false if all have
+   been active recently. Workers send a heartbeat every few seconds, so their connections are closed only if
+   no other one is idle. */
+static bool close_longest_idle(struct ow_http_server *server)
 {
-    struct ow_http_connection *quietest = NULL;
+    struct ow_http_connection *longest_idle = NULL;
     for (uint32_t slot = 0; slot < server->slots->len; slot++) {
         struct ow_http_connection *connection = connection_at(server, slot);
         if (connection != NULL && !ow_http_connection_is_handling(connection) &&
-            (quietest == NULL || connection->active_at < quietest->active_at))
-            quietest = connection;
+            (longest_idle == NULL || connection->active_at < longest_idle->active_at))
+            longest_idle = connection;
     }
-    if (quietest == NULL || ow_loop_now(server->loop) - quietest->active_at < QUIET_S)
+    if (longest_idle == NULL || ow_loop_now(server->loop) - longest_idle->active_at < CLOSABLE_IDLE_S)
         return false;
-    ow_http_connection_close(quietest);
+    ow_http_connection_close(longest_idle);
     return true;
 }
 
@@ -103,9 +106,9 @@
         int fd = ow_net_accept(server->listener.fd);
         if (fd < 0)
             return;
-        /* Past the maximum a connection is closed at once, so that the load balancer tries another
+        /* Connections beyond the maximum are closed immediately, so that the load balancer tries another
            controller. */
-        if (server->count >= server->options.max_connections && !drop_quietest(server))
+        if (server->count >= server->options.max_connections && !close_longest_idle(server))
             ow_net_refuse(fd);
         else
             open_connection(server, fd);
@@ -123,11 +126,11 @@
     struct ow_http_server *server = g_new0(struct ow_http_server, 1);
     server->loop = loop;
     server->options = *options;
-    server->options.endpoint = NULL; /* the caller's */
+    server->options.endpoint = NULL; /* owned by the caller, may be freed */
     server->handler = handler;
     server->owner = owner;
     server->connection_handlers = (struct ow_http_connection_handlers){
-        .request = handle_request, .closed = forget_connection, .owner = server};
+        .request = handle_request, .closed = handle_closed, .owner = server};
     server->listener = (struct ow_watch){.fd = fd, .ready = handle_listener_ready, .owner = server};
     server->slots = g_ptr_array_new();
     ow_loop_watch(loop, &server->listener, EPOLLIN);
@@ -173,7 +176,7 @@
     }
 }
 
-/* Whether the connection has been idle for too long; it is not while the handler has a request of it. */
+/* Whether the connection has been idle for too long. It isn't while a request is being handled. */
 static bool is_idle(const struct ow_http_server *server, const struct ow_http_connection *connection,
                     double now)
 {
--- a/src/io/idle_connections.h
+++ b/src/io/idle_connections.h
@@ -1,8 +1,8 @@
 /** @file
- * The idle connections of the HTTP client, by the endpoint that they lead to: thousands may be open.
+ * Index of the HTTP client's idle connections by endpoint. There may be thousands of them.
  *
- * The table points to connections that the client owns: a connection must be removed here before it is freed.
- * Endpoints without idle connections have no entry.
+ * The table doesn't own the connections: the client must remove a connection before freeing it. Endpoints
+ * without idle connections have no entry.
  */
 #ifndef OW_IO_IDLE_CONNECTIONS_H
 #define OW_IO_IDLE_CONNECTIONS_H
@@ -11,26 +11,27 @@
 
 struct ow_client_connection; /* of io/http_client_connection.h */
 
+/** The index. */
 struct ow_idle_connections;
 typedef struct ow_idle_connections ow_idle_connections; /**< for g_autoptr */
 
-/** An empty table, owned by the caller. */
+/** Creates an empty table; the caller frees it with ow_idle_connections_free(). */
 struct ow_idle_connections *ow_idle_connections_new(void);
-/** Frees the table, not the connections. */
+/** Frees the table, not the connections. NULL is not allowed. */
 void ow_idle_connections_free(struct ow_idle_connections *idle);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(ow_idle_connections, ow_idle_connections_free)
 
-/** The connection, which is not in the table, is idle from now on.
+/** Adds a connection that has become idle and is not in the table.
  * @param idle the table
  * @param endpoint copied
- * @param connection stays the client's */
+ * @param connection not owned by the table */
 void ow_idle_connections_add(struct ow_idle_connections *idle, const char *endpoint,
                              struct ow_client_connection *connection);
-/** The connection gets a request, or is closed; it need not be in the table. */
+/** Removes a connection that gets a request or is closed. Does nothing if it is not in the table. */
 void ow_idle_connections_remove(struct ow_idle_connections *idle, const char *endpoint,
                                 struct ow_client_connection *connection);
-/** @return an idle connection to the endpoint, the last one used of several, or NULL; it stays in the table
- */
+/** Finds an idle connection to the endpoint, and leaves it in the table.
+ * @return the one added last of several; NULL if there is none */
 struct ow_client_connection *ow_idle_connections_find(const struct ow_idle_connections *idle,
                                                       const char *endpoint);
 
--- a/src/io/incoming.c
+++ b/src/io/incoming.c
@@ -15,7 +15,7 @@
 
 /* ---- answering ---- */
 
-/* Answers with a body of JSON text, and takes ownership of it. */
+/* Answers with a JSON body, and takes ownership of it. */
 static void answer(struct ow_daemon *daemon, ow_request_id id, int status, char *body)
 {
     ow_http_server_answer(daemon->server, id, status, NULL, body, strlen(body));
@@ -30,7 +30,7 @@
 
 /* ---- routes ---- */
 
-static void take_heartbeat(struct ow_daemon *daemon, const struct ow_http_request *request, const char *job)
+static void handle_heartbeat(struct ow_daemon *daemon, const struct ow_http_request *request, const char *job)
 {
     (void)job;
     struct ow_heartbeat *heartbeat = wire_heartbeat_decode(request->body, request->body_size);
@@ -43,7 +43,8 @@
     ow_shard_manager_push(daemon->manager, event);
 }
 
-static void take_submission(struct ow_daemon *daemon, const struct ow_http_request *request, const char *job)
+static void handle_submission(struct ow_daemon *daemon, const struct ow_http_request *request,
+                              const char *job)
 {
     (void)job;
     g_autoptr(GError) error = NULL;
@@ -53,7 +54,7 @@
         answer_error(daemon, request, OW_HTTP_STATUS_BAD_REQUEST, error->message);
         return;
     }
-    /* If a job with this id has been accepted, this is a retry, however malformed: the core decides. */
+    /* A malformed submission with the id of an accepted job counts as a retry: the core decides. */
     struct ow_event *event = ow_event_new(OW_EVENT_SUBMIT, request->id);
     event->submission = submission;
     event->submission_error = g_steal_pointer(&error);
@@ -74,24 +75,25 @@
     ow_shard_manager_push(daemon->manager, event);
 }
 
-static void take_poll(struct ow_daemon *daemon, const struct ow_http_request *request, const char *job)
+static void handle_poll(struct ow_daemon *daemon, const struct ow_http_request *request, const char *job)
 {
     push_job_event(daemon, request, job, OW_EVENT_POLL, OW_HTTP_STATUS_NOT_FOUND);
 }
 
-static void take_cancellation(struct ow_daemon *daemon, const struct ow_http_request *request,
-                              const char *job)
+static void handle_cancellation(struct ow_daemon *daemon, const struct ow_http_request *request,
+                                const char *job)
 {
     push_job_event(daemon, request, job, OW_EVENT_CANCEL, OW_HTTP_STATUS_BAD_REQUEST);
 }
 
-static void take_teams_query(struct ow_daemon *daemon, const struct ow_http_request *request, const char *job)
+static void handle_teams_query(struct ow_daemon *daemon, const struct ow_http_request *request,
+                               const char *job)
 {
     (void)job;
     ow_shard_manager_push(daemon->manager, ow_event_new(OW_EVENT_TEAMS, request->id));
 }
 
-/* For the load balancer: whether users should be sent here. */
+/* Health check of the load balancer: whether to route users to this controller. */
 static void answer_health(struct ow_daemon *daemon, const struct ow_http_request *request, const char *job)
 {
     (void)job;
@@ -99,7 +101,8 @@
     answer(daemon, request->id, is_ready ? OW_HTTP_STATUS_OK : OW_HTTP_STATUS_UNAVAILABLE, g_strdup("{}"));
 }
 
-/* Answers operators with the text of `describe` if the fleet is divided into shards. */
+/* Answers operators with the report that `describe` returns, or an error if the fleet is not divided into
+   shards. */
 static void answer_operators(struct ow_daemon *daemon, const struct ow_http_request *request,
                              char *(*describe)(const struct ow_shard_manager *manager))
 {
@@ -122,28 +125,28 @@
     answer_operators(daemon, request, ow_operator_report_shards);
 }
 
-/* The routes: every path has one method. JOB matches one segment of up to OW_ID_MAX bytes. */
+/* A route; each path supports one method. JOB matches one path segment of up to OW_ID_MAX bytes. */
 struct route {
     const char *method;
     const char *path;
-    /* Handles the request; `job` is the segment that matched JOB, or empty. */
-    void (*take)(struct ow_daemon *daemon, const struct ow_http_request *request, const char *job);
+    /* Handles a request; `job` is the segment that matched JOB, or empty. */
+    void (*handle)(struct ow_daemon *daemon, const struct ow_http_request *request, const char *job);
 };
 
 #define JOB "*"
 
 static const struct route routes[] = {
-    {"POST", W_PATH_HEARTBEAT, take_heartbeat},
-    {"POST", W_PATH_JOBS, take_submission},
-    {"GET", W_PATH_JOBS "/" JOB, take_poll},
-    {"POST", W_PATH_JOBS "/" JOB "/" W_PATH_CANCEL, take_cancellation},
-    {"GET", W_PATH_TEAMS, take_teams_query},
+    {"POST", W_PATH_HEARTBEAT, handle_heartbeat},
+    {"POST", W_PATH_JOBS, handle_submission},
+    {"GET", W_PATH_JOBS "/" JOB, handle_poll},
+    {"POST", W_PATH_JOBS "/" JOB "/" W_PATH_CANCEL, handle_cancellation},
+    {"GET", W_PATH_TEAMS, handle_teams_query},
     {"GET", W_PATH_HEALTH, answer_health},
     {"GET", W_PATH_CONTROLLERS, answer_controllers},
     {"GET", W_PATH_SHARDS, answer_shards},
 };
 
-/* Whether the path is that of the route; `job` (OW_ID_MAX + 1 bytes) is then filled in. */
+/* Whether the path matches the route; if so, sets `job` (OW_ID_MAX + 1 bytes). */
 static bool path_matches(const struct route *route, const char *path, char *job)
 {
     size_t prefix_size = strcspn(route->path, JOB);
@@ -172,7 +175,7 @@
         if (!path_matches(&routes[i], path, job))
             continue;
         if (strcmp(request->method, routes[i].method) == 0)
-            routes[i].take(daemon, request, job);
+            routes[i].handle(daemon, request, job);
         else
             answer_error(daemon, request, OW_HTTP_STATUS_METHOD_NOT_ALLOWED, "method not allowed");
         return;
--- a/src/io/incoming.h
+++ b/src/io/incoming.h
@@ -1,6 +1,6 @@
 /** @file
- * Incoming HTTP requests of users, operators and workers: converts them to events for the shard manager, or
- * answers them directly, and sends the answers. Part of the daemon.
+ * Incoming HTTP requests of users, operators and workers: converts them to events for the shard manager or
+ * answers them directly, and sends the answers that the core gives later. Part of the daemon.
  */
 #ifndef OW_IO_INCOMING_H
 #define OW_IO_INCOMING_H
@@ -10,11 +10,11 @@
 
 struct ow_daemon;
 
-/** The handler of the HTTP server (ow_http_handler): finds the route of a request and calls its handler.
+/** The handler of the HTTP server (ow_http_handler): routes a request to its handler.
  * @param owner the daemon
  * @param request valid during the call only */
 void ow_incoming_handle(void *owner, const struct ow_http_request *request);
-/** Sends the answer that the effect describes. Effects of other kinds are ignored. */
+/** Sends the answer that the effect describes. Effects that are not answers are ignored. */
 void ow_incoming_answer(struct ow_daemon *daemon, const struct ow_effect *effect);
 
 #endif
--- a/src/io/log.c
+++ b/src/io/log.c
@@ -5,7 +5,7 @@
 #include <string.h>
 #include <unistd.h>
 
-/* The levels that are shown. Global, because GLib has one log writer per process, which can be set only once.
+/* Levels that are written. Global, because GLib has one log writer per process, which can be set only once.
  */
 static GLogLevelFlags shown_levels =
     G_LOG_LEVEL_ERROR | G_LOG_LEVEL_CRITICAL | G_LOG_LEVEL_WARNING | G_LOG_LEVEL_MESSAGE;
@@ -20,12 +20,12 @@
 static void write_line(GLogLevelFlags level, const char *message)
 {
     g_autofree char *line = g_strdup_printf("%s %s\n", level_word(level), message);
-    /* Errors of writing the log are ignored: they must not stop the service. */
+    /* Write errors are ignored: a failing log must not stop the service. */
     ssize_t written = write(STDERR_FILENO, line, strlen(line));
     (void)written;
 }
 
-/* The writer of GLib's log (GLogWriterFunc). */
+/* Writes the MESSAGE field of a log entry (GLogWriterFunc). */
 static GLogWriterOutput write_fields(GLogLevelFlags level, const GLogField *fields, gsize count,
                                      gpointer owner)
 {
--- a/src/io/loop.c
+++ b/src/io/loop.c
@@ -5,18 +5,18 @@
 #include <time.h>
 #include <unistd.h>
 
-/* Events taken from the system at a time. */
+/* Maximum number of events in a batch. */
 enum { BATCH_EVENTS = 64 };
 
 static const double MS_PER_S = 1000.0, S_PER_NS = 1e-9;
 
 struct ow_loop {
     int epoll_fd;
-    double now;     /* the monotonic time of the current batch */
-    double pause_s; /* how long the last round allowed to wait */
+    double now;     /* monotonic time of the current batch */
+    double pause_s; /* waiting time that the last round returned */
     ow_wake_fn wake;
     void *wake_owner;
-    int ready_count;   /* events of the current batch; 0 between batches */
+    int ready_count;   /* number of events in the current batch; 0 between batches */
     bool is_saturated; /* the last batch was full */
     struct epoll_event ready[BATCH_EVENTS];
 };
@@ -74,9 +74,9 @@
     epoll_ctl(loop->epoll_fd, EPOLL_CTL_MOD, watch->fd, &event);
 }
 
-/* A callback may close another watch whose event has been fetched already: its callback must not run, as its
-   owner may have been freed. */
-static void drop_fetched_events(struct ow_loop *loop, const struct ow_watch *watch)
+/* Discards the events of a watch that is closed by the callback of another one: its own callback must not
+   run, because its owner may have been freed. */
+static void discard_fetched_events(struct ow_loop *loop, const struct ow_watch *watch)
 {
     for (int i = 0; i < loop->ready_count; i++) {
         if (loop->ready[i].data.ptr == watch)
@@ -89,7 +89,7 @@
     if (watch->fd == OW_LOOP_NO_DESCRIPTOR)
         return;
     epoll_ctl(loop->epoll_fd, EPOLL_CTL_DEL, watch->fd, NULL);
-    drop_fetched_events(loop, watch);
+    discard_fetched_events(loop, watch);
     close(watch->fd);
     watch->fd = OW_LOOP_NO_DESCRIPTOR;
 }
@@ -99,14 +99,14 @@
     return loop->is_saturated;
 }
 
-/* Waits for a batch of events, as long as the last round allowed, rounded up to a millisecond. */
+/* Waits for a batch of events, for at most the time that the last round returned, rounded up to 1 ms. */
 static void fetch_events(struct ow_loop *loop)
 {
     int pause_ms = (int)(loop->pause_s * MS_PER_S) + 1;
     double before = loop->now;
     int count = epoll_wait(loop->epoll_fd, loop->ready, BATCH_EVENTS, pause_ms);
     loop->now = monotonic_now();
-    /* Lateness is counted from the last batch: the process may have been paused at any point since. */
+    /* Lateness is measured from the last batch: the process may have been paused at any point since. */
     if (loop->wake != NULL)
         loop->wake(loop->wake_owner, loop->now - before - loop->pause_s, loop->now);
     loop->ready_count = MAX(count, 0);
--- a/src/io/loop.h
+++ b/src/io/loop.h
@@ -1,14 +1,15 @@
 /** @file
- * The event loop: epoll on one thread, a callback for each ready descriptor, and one round after each batch.
+ * The event loop: epoll on one thread, with a callback for each ready descriptor and one round after each
+ * batch of events.
  *
  * Invariants:
- *  - All callbacks run on the thread that runs the loop, one after the other; none is called from inside
+ *  - All callbacks run sequentially on the thread that runs the loop; none is called from inside
  *    ow_loop_watch, ow_loop_change or ow_loop_close.
- *  - A ready callback and a round may close any watch, also the current one: its events that were already
- *    fetched are dropped.
- *  - Descriptors: what ow_net_listen, ow_net_connect and ow_net_accept return belongs to the caller until it
- *    is set in a watch; from then on it belongs to the watch, and ow_loop_close, the one place that closes
- *    descriptors of watches, closes it. The memory of a watch stays its caller's.
+ *  - A ready callback or a round may close any watch, including the current one: events of it that have been
+ *    fetched already are discarded.
+ *  - A descriptor returned by ow_net_listen, ow_net_connect or ow_net_accept belongs to the caller until it
+ * is set in a watch. Then it belongs to the watch, and only ow_loop_close closes it. The memory of a watch
+ *    belongs to the caller.
  */
 #ifndef OW_IO_LOOP_H
 #define OW_IO_LOOP_H
@@ -17,69 +18,71 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** The loop. Its creator frees it, after everything that has watches in it. */
+/** The loop. The creator frees it, after the owners of all its watches. */
 struct ow_loop;
 typedef struct ow_loop ow_loop; /**< for g_autoptr */
 
-/** A descriptor is ready.
- * @param owner that of the watch; it lives as long as the watch
+/** Called when a descriptor is ready.
+ * @param owner of the watch
  * @param events the epoll events that are ready */
 typedef void (*ow_ready_fn)(void *owner, uint32_t events);
 
 /** Called once after every batch of ready descriptors.
- * @param owner what was handed to ow_loop_run or ow_loop_once; it must outlive that call
- * @param now the monotonic time of the batch, in seconds
+ * @param owner as passed to ow_loop_run or ow_loop_once
+ * @param now monotonic time of the batch, in seconds
  * @return for how many seconds the loop may wait for descriptors before the next round */
 typedef double (*ow_round_fn)(void *owner, double now);
 
 /** Called when the loop has finished waiting, before the callbacks of the batch.
  *
- * Known fault: the events of the batch are fetched by then, but not counted yet. So ow_loop_close does not
- * drop those of a watch that this function closes, and its owner, freed by then, is called with them.
- * @param owner what was handed to ow_loop_set_wake_callback; it must live as long as the loop runs
- * @param late_s seconds since the last batch beyond the waiting time that the last round allowed; negative if
- * the loop woke up earlier
- * @param now the monotonic time of the batch, in seconds */
+ * Known fault: the events of the batch have been fetched by then, but are not counted yet. If this function
+ * closes a watch, ow_loop_close therefore does not discard its events, and its owner is called with them
+ * after it has been freed.
+ * @param owner as passed to ow_loop_set_wake_callback; must live as long as the loop runs
+ * @param late_s seconds since the last batch in excess of the waiting time that the last round returned;
+ * negative if the loop woke up earlier
+ * @param now monotonic time of the batch, in seconds */
 typedef void (*ow_wake_fn)(void *owner, double late_s, double now);
 
-/** @return a new loop, or NULL if the system has no epoll descriptor to give */
+/** Creates a loop. @return NULL if no epoll descriptor can be created */
 struct ow_loop *ow_loop_new(void);
 /** Frees the loop, not the watches. NULL is allowed. */
 void ow_loop_free(struct ow_loop *loop);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(ow_loop, ow_loop_free)
 
-/** Sets the function that is called whenever the loop has finished waiting; `owner` is passed to it. */
+/** Sets the function that is called whenever the loop has finished waiting. NULL removes it. */
 void ow_loop_set_wake_callback(struct ow_loop *loop, ow_wake_fn wake, void *owner);
-/** The monotonic time of the current batch, in seconds. */
+/** Returns the monotonic time of the current batch, in seconds. */
 double ow_loop_now(const struct ow_loop *loop);
 
+/** The descriptor of a watch that has none. */
 enum { OW_LOOP_NO_DESCRIPTOR = -1 };
 
-/** A descriptor in the loop. The memory is the caller's and must live until ow_loop_close. */
+/** A descriptor in the loop. The caller owns the memory, which must live until ow_loop_close. */
 struct ow_watch {
     int fd;            /**< owned by the watch; OW_LOOP_NO_DESCRIPTOR: none */
-    uint32_t events;   /**< the epoll events that are watched for; kept by the loop */
+    uint32_t events;   /**< the epoll events to watch for; written by the loop */
     ow_ready_fn ready; /**< called when the descriptor is ready */
-    void *owner;       /**< handed to `ready`; must live until ow_loop_close */
+    void *owner;       /**< passed to `ready`; must live until ow_loop_close */
 };
 
 /** Begins to watch the descriptor.
  * @param loop the loop
- * @param watch filled in by the caller but for `events`; it must live until ow_loop_close
+ * @param watch initialized by the caller, except for `events`
  * @param events the epoll events to watch for
- * @return false if the system refuses; the watch must be closed all the same */
+ * @return false on failure; the watch must be closed in any case */
 bool ow_loop_watch(struct ow_loop *loop, struct ow_watch *watch, uint32_t events);
-/** Watches for these epoll events from now on, in place of the earlier ones. */
+/** Replaces the epoll events that are watched for. */
 void ow_loop_change(struct ow_loop *loop, struct ow_watch *watch, uint32_t events);
-/** Ends the watch, drops its events in the rest of the current batch and closes its descriptor, which is
- * OW_LOOP_NO_DESCRIPTOR afterwards. Without a descriptor nothing happens. */
+/** Ends the watch, discards its events in the current batch and closes its descriptor, which is then
+ * OW_LOOP_NO_DESCRIPTOR. Does nothing if the watch has no descriptor. */
 void ow_loop_close(struct ow_loop *loop, struct ow_watch *watch);
 
-/** Whether more descriptors may be ready than the current batch holds: they are handled in later batches. */
+/** Whether the current batch is full. More descriptors may then be ready, to be handled in later batches. */
 bool ow_loop_is_saturated(const struct ow_loop *loop);
-/** Repeats ow_loop_once and never returns. */
+/** Runs the loop; never returns. */
 void ow_loop_run(struct ow_loop *loop, ow_round_fn round, void *owner);
-/** One batch of ready descriptors and one round. Tests and the command line client drive the loop with it. */
+/** Handles one batch of ready descriptors and one round. For tests and the command line client. */
 void ow_loop_once(struct ow_loop *loop, ow_round_fn round, void *owner);
 
 #endif
--- a/src/io/net.c
+++ b/src/io/net.c
@@ -8,11 +8,11 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-/* Connections that may wait to be accepted. */
+/* Maximum number of connections that wait to be accepted. */
 enum { LISTEN_BACKLOG = 4096 };
 enum { NO_DESCRIPTOR = -1 };
 
-/* Source address of outgoing connections; family AF_UNSPEC (0): chosen by the system. */
+/* Source address of outgoing connections. With AF_UNSPEC (0), the system chooses it. */
 static struct sockaddr_in source;
 
 static void enable_option(int fd, int level, int option)
@@ -21,8 +21,8 @@
     setsockopt(fd, level, option, &one, sizeof one);
 }
 
-/* A socket for the endpoint, whose address is stored; NO_DESCRIPTOR: it is no endpoint, or there is no socket
- * to be had. */
+/* Creates a socket for the endpoint, and sets `address` to its address. Returns NO_DESCRIPTOR if the endpoint
+   is invalid or no socket can be created. */
 static int new_socket(const char *endpoint, struct sockaddr_in *address)
 {
     if (!ow_endpoint_parse(endpoint, address))
@@ -54,16 +54,16 @@
     source.sin_port = 0;
 }
 
-/* If bind fails the system chooses the address: the connection works all the same. */
+/* If bind fails, the system chooses the source address, and the connection still works. */
 static void bind_to_source(int fd)
 {
     if (source.sin_family == AF_UNSPEC)
         return;
-    /* Delays the choice of the port to connect(): the number of ports then limits the connections to each
-       destination, not all of them. */
+    /* Defers the choice of the port to connect(): the number of ports then limits the connections to each
+       destination instead of all connections. */
     enable_option(fd, IPPROTO_IP, IP_BIND_ADDRESS_NO_PORT);
     if (bind(fd, (struct sockaddr *)&source, sizeof source) != 0)
-        g_debug("connection does not begin at the listening address: reason=\"bind failed\"");
+        g_debug("outgoing connection not bound to the listening address: reason=\"bind failed\"");
 }
 
 int ow_net_connect(const char *endpoint)
--- a/src/io/outgoing.c
+++ b/src/io/outgoing.c
@@ -9,11 +9,11 @@
 #include "wire/words.h"
 #include "wire/worker_json.h"
 
-/* How long each may take to respond. */
+/* Response timeouts. */
 static const double STORE_TIMEOUT_S = 1.5;
 static const double CLOUD_TIMEOUT_S = 8;
 static const double WORKER_TIMEOUT_S = 3;
-/* The timeout of a watch is its requested duration, plus an allowance for clock drift and a margin. */
+/* The timeout of a watch also includes its requested duration, an allowance for clock drift and a margin. */
 static const double WATCH_DRIFT = 1.01;
 static const double WATCH_MARGIN_S = 2;
 
@@ -27,12 +27,12 @@
 struct pending_request {
     enum destination destination;
     int operation;     /* enum ow_store_op, the operation of a struct ow_cloud_request, or NO_OPERATION */
-    uint64_t core_tag; /* the core's name for it */
+    uint64_t core_tag; /* identifies the request in the core */
 };
 
 struct ow_pending_requests {
     GHashTable *by_tag; /* uint64_t -> struct pending_request, both owned */
-    uint64_t last_tag;  /* the last one given to the HTTP client */
+    uint64_t last_tag;  /* the last one passed to the HTTP client */
 };
 
 struct ow_pending_requests *ow_pending_requests_new(void)
@@ -48,7 +48,7 @@
     g_free(pending);
 }
 
-/* Adds a copy. @return the tag under which the HTTP client is to send the request */
+/* Adds a copy of the request. Returns the tag to pass to the HTTP client. */
 static uint64_t add_pending(struct ow_pending_requests *pending, const struct pending_request *request)
 {
     uint64_t tag = ++pending->last_tag;
@@ -79,7 +79,7 @@
 {
     struct ow_event *event = ow_event_new(OW_EVENT_DIRECT_REPLY, pending->core_tag);
     event->status = status;
-    /* A worker that refuses the commands also sends its state. */
+    /* A worker that rejects the commands also sends its status. */
     if (status == OW_HTTP_STATUS_OK || status == OW_HTTP_STATUS_CONFLICT)
         event->heartbeat = wire_heartbeat_decode(body, size);
     return event;
@@ -143,20 +143,21 @@
                         CLOUD_TIMEOUT_S, tag);
 }
 
-/* Without a free socket the commands are sent with the reply to the machine's next heartbeat. */
-static void give_up_direct(struct ow_daemon *daemon, const struct ow_effect *effect)
+/* Reports that there is no free socket: the commands are then sent with the reply to the machine's next
+   heartbeat. */
+static void report_unsent(struct ow_daemon *daemon, const struct ow_effect *effect)
 {
     struct ow_event *event = ow_event_new(OW_EVENT_DIRECT_REPLY, effect->request);
     event->status = OW_STATUS_UNSENT;
     ow_shard_manager_push(daemon->manager, event);
 }
 
-static void send_direct(struct ow_daemon *daemon, const struct ow_effect *effect)
+static void send_direct_commands(struct ow_daemon *daemon, const struct ow_effect *effect)
 {
     const char *endpoint = effect->addr;
     ow_outgoing_limit_sockets(daemon);
     if (!ow_http_client_has_room(daemon->client, endpoint)) {
-        give_up_direct(daemon, effect);
+        report_unsent(daemon, effect);
         return;
     }
     const struct pending_request pending = {
@@ -174,7 +175,7 @@
 {
     switch (effect->kind) {
     case OW_EFFECT_DIRECT_COMMANDS:
-        send_direct(daemon, effect);
+        send_direct_commands(daemon, effect);
         break;
     case OW_EFFECT_STORE:
         send_store(daemon, effect->store);
--- a/src/io/outgoing.h
+++ b/src/io/outgoing.h
@@ -1,9 +1,9 @@
 /** @file
- * Requests to the key-value store, the cloud and workers, and the events that their replies become. Part of
+ * Outgoing requests to the key-value store, the cloud and workers; converts their replies to events. Part of
  * the daemon.
  *
  * Invariant: every request passed to the HTTP client is in the table of pending requests until its reply
- * comes, and each leads to exactly one event.
+ * arrives, and leads to exactly one event.
  */
 #ifndef OW_IO_OUTGOING_H
 #define OW_IO_OUTGOING_H
@@ -15,25 +15,25 @@
 
 struct ow_daemon;
 
-/** The requests that wait for their replies, by the tag that the HTTP client knows them by. */
+/** The requests that wait for their replies, by the tag that was passed to the HTTP client. */
 struct ow_pending_requests;
 
-/** An empty table, owned by the caller. */
+/** Creates an empty table; the caller frees it with ow_pending_requests_free(). */
 struct ow_pending_requests *ow_pending_requests_new(void);
-/** Frees the table. */
+/** Frees the table with its entries. NULL is not allowed. */
 void ow_pending_requests_free(struct ow_pending_requests *pending);
 
-/** Sends the request of an effect to the key-value store, the cloud or a worker. Effects that are no such
- * request are ignored. Without a free socket, a command for a worker ends at once with OW_STATUS_UNSENT. */
+/** Sends the request of an effect to the key-value store, the cloud or a worker. Other effects are ignored.
+ * Without a free socket, direct commands fail immediately with OW_STATUS_UNSENT. */
 void ow_outgoing_send(struct ow_daemon *daemon, const struct ow_effect *effect);
 /** The reply function of the HTTP client (ow_http_reply_fn): converts a reply to an event.
  * @param owner the daemon
- * @param tag that the request was sent with
+ * @param tag of the request
  * @param status of the response, or OW_HTTP_STATUS_NONE
  * @param body valid during the call only
- * @param size bytes of `body` */
+ * @param size of `body`, in bytes */
 void ow_outgoing_handle_reply(void *owner, uint64_t tag, int status, const char *body, size_t size);
-/** Adapts the HTTP client's maximum of connections to the sockets that incoming connections leave free. */
+/** Limits the connections of the HTTP client to the sockets that incoming connections leave free. */
 void ow_outgoing_limit_sockets(struct ow_daemon *daemon);
 
 #endif
--- a/src/io/peer_incoming.c
+++ b/src/io/peer_incoming.c
@@ -9,9 +9,9 @@
 
 enum {
     READ_BYTES = 16 * 1024,
-    LENGTH_BYTES = 4, /* before each frame, in network order */
+    LENGTH_BYTES = 4, /* length prefix of each frame, in network byte order */
 };
-/* After this long without bytes a link counts as dead. */
+/* A link counts as dead after this time without received bytes. */
 static const double SILENT_S = 15;
 
 struct ow_peer_incoming {
@@ -20,24 +20,24 @@
     ow_peer_incoming_end_fn end;
     void *owner; /* of `end` */
     struct ow_watch watch;
-    GString *received; /* bytes of frames that are not complete */
-    double received_at;
+    GString *received;  /* bytes of incomplete frames */
+    double received_at; /* monotonic time of the last bytes */
 };
 
-/* What the bytes received so far hold. */
+/* Result of parsing the received bytes. */
 enum frame_result {
     FRAME_COMPLETE,
     FRAME_INCOMPLETE,
-    FRAME_INVALID, /* not a valid frame */
+    FRAME_INVALID, /* too long, or not a message */
 };
 
-/* Passes on the message of the frame that begins at *at, and moves *at past it. */
-static enum frame_result take_frame(const struct ow_peer_incoming *link, size_t *at)
+/* Passes the message of the frame at *offset to the owner, and advances *offset past the frame. */
+static enum frame_result process_frame(const struct ow_peer_incoming *link, size_t *offset)
 {
-    size_t available = link->received->len - *at;
+    size_t available = link->received->len - *offset;
     if (available < LENGTH_BYTES)
         return FRAME_INCOMPLETE;
-    const char *frame = link->received->str + *at;
+    const char *frame = link->received->str + *offset;
     uint32_t length;
     memcpy(&length, frame, LENGTH_BYTES);
     length = ntohl(length);
@@ -48,24 +48,24 @@
     struct ow_peer_message *message = NULL;
     if (!wire_peer_decode(frame + LENGTH_BYTES, length, &message))
         return FRAME_INVALID;
-    /* NULL: a kind of message that only newer versions know. */
+    /* NULL if the kind is unknown to this version. */
     if (message != NULL)
-        link->handlers->take(link->handlers->owner, message);
-    *at += LENGTH_BYTES + length;
+        link->handlers->message_received(link->handlers->owner, message);
+    *offset += LENGTH_BYTES + length;
     return FRAME_COMPLETE;
 }
 
-/* Passes on the messages of all complete frames; false if the bytes are not a valid frame. */
-static bool take_frames(struct ow_peer_incoming *link)
+/* Passes the messages of all complete frames to the owner. Returns false if a frame is invalid. */
+static bool process_frames(struct ow_peer_incoming *link)
 {
-    size_t at = 0;
+    size_t offset = 0;
     enum frame_result result;
     do
-        result = take_frame(link, &at);
+        result = process_frame(link, &offset);
     while (result == FRAME_COMPLETE);
     if (result == FRAME_INVALID)
         return false;
-    g_string_erase(link->received, 0, (gssize)at);
+    g_string_erase(link->received, 0, (gssize)offset);
     return true;
 }
 
@@ -85,8 +85,8 @@
         }
         g_string_append_len(link->received, buffer, (gssize)size);
         link->received_at = ow_loop_now(link->loop);
-        if (!take_frames(link)) {
-            g_info("peer link cut: reason=\"not a message\"");
+        if (!process_frames(link)) {
+            g_info("peer link closed: reason=\"invalid frame\"");
             link->end(link->owner, link);
             return;
         }
--- a/src/io/peer_link.c
+++ b/src/io/peer_link.c
@@ -9,8 +9,8 @@
 #include <sys/epoll.h>
 
 enum {
-    INCOMING_MIN = 32,     /* minimum of permitted incoming links, however few controllers there are */
-    INCOMING_PER_PEER = 4, /* permitted incoming links per controller: old ones may still be closing */
+    INCOMING_MIN = 32,     /* minimum limit of incoming links, independent of the number of controllers */
+    INCOMING_PER_PEER = 4, /* limit per controller; more than 1, because old links may still be closing */
 };
 
 struct ow_peer_links {
@@ -31,8 +31,8 @@
     ow_peer_incoming_free(link);
 }
 
-/* An incoming link has ended. */
-static void drop_incoming(void *owner, struct ow_peer_incoming *link)
+/* Frees an incoming link that has ended. */
+static void handle_incoming_end(void *owner, struct ow_peer_incoming *link)
 {
     struct ow_peer_links *links = owner;
     g_ptr_array_remove_fast(links->incoming, link);
@@ -50,7 +50,7 @@
         ow_net_refuse(fd);
     else
         g_ptr_array_add(links->incoming,
-                        ow_peer_incoming_new(links->loop, fd, &links->handlers, drop_incoming, links));
+                        ow_peer_incoming_new(links->loop, fd, &links->handlers, handle_incoming_end, links));
 }
 
 struct ow_peer_links *ow_peer_links_new(struct ow_loop *loop, const char *listen_endpoint,
@@ -106,6 +106,6 @@
     for (guint i = links->incoming->len; i > 0; i--) {
         struct ow_peer_incoming *link = g_ptr_array_index(links->incoming, i - 1);
         if (ow_peer_incoming_is_silent(link, now))
-            drop_incoming(links, link);
+            handle_incoming_end(links, link);
     }
 }
--- a/src/io/peer_outgoing.c
+++ b/src/io/peer_outgoing.c
@@ -6,11 +6,11 @@
 #include <sys/epoll.h>
 #include <sys/socket.h>
 
-/* A link with more unsent bytes drops messages. */
+/* Messages are dropped when the unsent bytes of a link would exceed this. */
 enum { BACKLOG_MAX_BYTES = 1024 * 1024 };
-/* When a link that could not be opened is tried again. */
+/* Delay before a failed connection attempt is repeated. */
 static const double RETRY_S = 1;
-/* How long a link may make no progress, in connecting or in sending. */
+/* A link that makes no progress for longer, in connecting or sending, is closed. */
 static const double STALL_S = 5;
 
 enum link_state { LINK_CLOSED, LINK_CONNECTING, LINK_ESTABLISHED };
@@ -21,17 +21,17 @@
     char *endpoint;
     enum link_state state;
     struct ow_watch watch;
-    GString *out;            /* frames to be sent */
+    GString *out;            /* frames to send */
     size_t sent;             /* bytes of `out` that are sent */
-    bool has_been_reachable; /* it has been established since `lost` was last called */
-    double retry_at;         /* CLOSED: when it is opened again */
-    double progressed_at;    /* when it began to connect or last sent something */
+    bool has_been_reachable; /* established at some time since `link_lost` was last called */
+    double retry_at;         /* CLOSED: when to reopen the link */
+    double progressed_at;    /* when it began to connect or last sent bytes */
 };
 
 static void close_link(struct ow_peer_outgoing *link)
 {
     ow_loop_close(link->loop, &link->watch);
-    /* A lost link is reopened at once: a refused connection is the hint that the process has ended. */
+    /* A lost link is reopened immediately: if that is refused, the process has probably ended. */
     double retry_s = link->state == LINK_ESTABLISHED ? 0 : RETRY_S;
     link->retry_at = ow_loop_now(link->loop) + retry_s;
     link->state = LINK_CLOSED;
@@ -51,17 +51,17 @@
     ow_loop_change(link->loop, &link->watch, EPOLLIN | (link->out->len > 0 ? EPOLLOUT : 0));
 }
 
-/* The attempt to connect has failed for this errno. */
+/* Handles a failed connection attempt; `error` is its errno. */
 static void handle_connect_error(struct ow_peer_outgoing *link, int error)
 {
     close_link(link);
     if (error != ECONNREFUSED || !link->has_been_reachable)
         return;
     link->has_been_reachable = false;
-    link->handlers->lost(link->handlers->owner, link->endpoint);
+    link->handlers->link_lost(link->handlers->owner, link->endpoint);
 }
 
-/* The other side never sends on this link: readable means closed. */
+/* Whether the other controller has closed the link: as it never sends on it, a readable link is closed. */
 static bool is_closed_by_peer(const struct ow_peer_outgoing *link, uint32_t events)
 {
     char byte;
@@ -128,7 +128,7 @@
     if (link->state != LINK_ESTABLISHED)
         return;
     if (link->out->len + frame->len > BACKLOG_MAX_BYTES) {
-        g_info("peer takes messages too slowly, message dropped: endpoint=%s bytes=%zu", link->endpoint,
+        g_info("message dropped, peer link backlog is full: endpoint=%s bytes=%zu", link->endpoint,
                frame->len);
         return;
     }
--- a/src/io/peer_outgoing.h
+++ b/src/io/peer_outgoing.h
@@ -1,5 +1,5 @@
 /** @file
- * The outgoing link to one other controller, opened again whenever it is lost. Private to io/peer_link.
+ * The outgoing link to one other controller, reopened whenever it is lost. Private to io/peer_link.
  *
  * States:
  *
@@ -10,30 +10,31 @@
  *                                                                CLOSED (tried again with the next sweep)
  *
  * Invariants: bytes wait to be sent only while ESTABLISHED; there is a descriptor unless CLOSED. Messages to
- * a controller that is away are dropped, not kept: it will get newer ones. */
+ * a controller that is not connected are dropped, because newer ones will supersede them. */
 #ifndef OW_IO_PEER_OUTGOING_H
 #define OW_IO_PEER_OUTGOING_H
 
 #include "io/loop.h"
 #include "io/peer_handlers.h"
 
+/** An outgoing link. */
 struct ow_peer_outgoing;
 
-/** Begins to connect.
+/** Creates a link and begins to connect.
  * @param loop must outlive the link
  * @param endpoint copied
- * @param handlers whose `lost` is called when connections are refused after the link was lost; must outlive
+ * @param handlers `link_lost` is called when a connection is refused after the link was lost; must outlive
  * the link */
 struct ow_peer_outgoing *ow_peer_outgoing_new(struct ow_loop *loop, const char *endpoint,
                                               const struct ow_peer_handlers *handlers);
 /** Closes and frees the link. */
 void ow_peer_outgoing_free(struct ow_peer_outgoing *link);
-/** Where the link leads, ADDRESS:PORT. */
+/** Returns the endpoint of the other controller, ADDRESS:PORT; owned by the link. */
 const char *ow_peer_outgoing_endpoint(const struct ow_peer_outgoing *link);
-/** Queues a frame and sends what the socket accepts. The frame is dropped unless the link is established and
- * its backlog is small enough. */
+/** Queues a frame and sends as much as the socket accepts. The frame is dropped if the link is not
+ * established or its backlog is full. */
 void ow_peer_outgoing_send(struct ow_peer_outgoing *link, const GString *frame);
-/** Closes the link if it makes no progress, and opens it if it is closed and its time has come. */
+/** Closes the link if it makes no progress, and reopens a closed link once its retry delay has passed. */
 void ow_peer_outgoing_sweep(struct ow_peer_outgoing *link, double now);
 
 #endif
--- a/src/io/rng.c
+++ b/src/io/rng.c
@@ -4,7 +4,7 @@
 #include <sys/random.h>
 #include <time.h>
 
-enum { BITS_OF_HALF = 32 };
+enum { HALF_BITS = 32 };
 
 static guint32 low_half(uint64_t number)
 {
@@ -13,7 +13,7 @@
 
 static guint32 high_half(uint64_t number)
 {
-    return (guint32)(number >> BITS_OF_HALF);
+    return (guint32)(number >> HALF_BITS);
 }
 
 uint64_t ow_rng_nonce(void)
@@ -22,16 +22,16 @@
     if (getrandom(&entropy, sizeof entropy, 0) != (ssize_t)sizeof entropy)
         entropy = 0;
     struct timespec time_of_day;
-    struct timespec steady;
+    struct timespec monotonic;
     clock_gettime(CLOCK_REALTIME, &time_of_day);
-    clock_gettime(CLOCK_MONOTONIC, &steady);
-    /* Both clocks too: a machine just started may hand out the same random bytes again. */
+    clock_gettime(CLOCK_MONOTONIC, &monotonic);
+    /* Both clocks are included: the random bytes may repeat on a machine that has just been started. */
     const guint32 seed[] = {
         low_half(entropy),           high_half(entropy),
         (guint32)time_of_day.tv_sec, (guint32)time_of_day.tv_nsec,
-        (guint32)steady.tv_sec,      (guint32)steady.tv_nsec,
+        (guint32)monotonic.tv_sec,   (guint32)monotonic.tv_nsec,
     };
     g_autoptr(GRand) rand = g_rand_new_with_seed_array(seed, G_N_ELEMENTS(seed));
     uint64_t high = g_rand_int(rand);
-    return (high << BITS_OF_HALF) | g_rand_int(rand);
+    return (high << HALF_BITS) | g_rand_int(rand);
 }
--- a/src/io/rng.h
+++ b/src/io/rng.h
@@ -1,11 +1,12 @@
 /** @file
- * Random numbers that tell processes apart. */
+ * Random numbers that identify a process. */
 #ifndef OW_IO_RNG_H
 #define OW_IO_RNG_H
 
 #include <stdint.h>
 
-/** A number that no other process has, not even one that starts at the same moment on another machine. */
+/** Returns a random number that differs from that of any other process, even of one that starts at the same
+ * time on another machine. */
 uint64_t ow_rng_nonce(void);
 
 #endif
--- a/src/util/rate_limiter.c
+++ b/src/util/rate_limiter.c
@@ -2,11 +2,11 @@
 
 #include <glib.h>
 
-static const double LEAST_DEPTH = 1.0;
+static const double MIN_DEPTH = 1.0;
 
 void ow_rate_limiter_init(struct ow_rate_limiter *limiter, double rate, double depth, double now)
 {
-    double bounded_depth = MAX(depth, LEAST_DEPTH);
+    double bounded_depth = MAX(depth, MIN_DEPTH);
     *limiter = (struct ow_rate_limiter){
         .rate = rate,
         .depth = bounded_depth,
