--- a/src/wire/cloud_json.c
+++ b/src/wire/cloud_json.c
@@ -4,7 +4,7 @@
 #include "wire/json.h"
 #include "wire/words.h"
 
-/* Machines that one page of a list has at most. */
+/* Maximum number of machines in one page of a list. */
 enum { LIST_PAGE_MACHINES = 500 };
 
 /* ---- machine types ---- */
@@ -133,7 +133,7 @@
     return true;
 }
 
-/* One page of the list of machines; NULL when malformed. */
+/* Reads one page of the list of machines; returns NULL if it is malformed. */
 static GArray *listed_machines_from_json(const json_t *object)
 {
     const json_t *list = json_object_get(object, W_MACHINES);
--- a/src/wire/cloud_json.h
+++ b/src/wire/cloud_json.h
@@ -1,5 +1,6 @@
 /** @file
- * Requests to the cloud and its replies, and the stored form of the machine types.
+ * Encodes requests to the cloud API, decodes its replies, and converts machine types to and from their stored
+ * form.
  */
 #ifndef OW_WIRE_CLOUD_JSON_H
 #define OW_WIRE_CLOUD_JSON_H
@@ -11,26 +12,27 @@
 #include <jansson.h>
 #include <stddef.h>
 
-/** The HTTP form of a request. @return the caller clears it */
+/** Encodes a request as HTTP. @return to be cleared by the caller */
 struct wire_http_request wire_cloud_request_encode(const struct ow_cloud_request *request);
 
 /**
- * Reads a reply. The lists of a status other than 200, or of a body that can't be read, stay NULL. An entry
- * of a list that can't be read is left out.
+ * Decodes a reply. With a status other than 200 or an invalid body, its lists stay NULL. Invalid entries of a
+ * list are skipped.
  * @param op of the request
  * @param status HTTP status; OW_HTTP_STATUS_NONE: no response
- * @param body `size` bytes
- * @param reply an empty reply, filled in except for its tag; the caller clears it
+ * @param body `size` bytes; not NULL if the status is 200
+ * @param reply an empty reply; all members but the tag are set; cleared by the caller
  */
 void wire_cloud_reply_decode(enum ow_cloud_op op, int status, const char *body, size_t size,
                              struct ow_cloud_reply *reply);
 
-/** The stored form of the machine types. @param types struct ow_machine_type @return owned (g_free) */
+/** Encodes machine types as they are stored. @param types struct ow_machine_type @return owned (g_free) */
 char *wire_machine_types_encode(const GArray *types);
 
 /**
- * Reads machine types, from the cloud or as stored; OW_MAX_TYPES at most, the rest is left out.
- * @return struct ow_machine_type, owned by the caller; NULL when malformed
+ * Decodes machine types, from a reply of the cloud or as stored. Types beyond OW_MAX_TYPES and invalid ones
+ * are skipped.
+ * @return struct ow_machine_type, owned by the caller; NULL if malformed
  */
 GArray *wire_machine_types_from_json(const json_t *object);
 
--- a/src/wire/peer.x
+++ b/src/wire/peer.x
@@ -1,8 +1,8 @@
-/* The messages between controllers. A lost message costs time only, but one kind is needed for more: a user hears
- * "cancelled" only after the leader has said that it has acknowledged the cancellation (core/api/cancellation_ack.c).
+/* Messages between controllers. A lost message only costs time, with one exception: a cancellation is confirmed to the
+ * user only after the leader has acknowledged it (core/api/cancellation_ack.c).
  *
- * Every message travels in an envelope. Kinds that are not known are skipped, and of a body whatever comes behind
- * the known fields: so later versions add kinds, and fields at the end of a body. */
+ * Every message is wrapped in an envelope. Receivers skip unknown kinds, and bytes after the known fields of a body, so
+ * later versions can add kinds, and fields at the end of a body. */
 
 const PEER_NAME_MAX = 64;
 const PEER_REASON_MAX = 160;
@@ -14,8 +14,8 @@
     string sender<PEER_NAME_MAX>;
     unsigned hyper fencing_token; /* the highest fencing token known; the sender's own if it leads */
     bool leads;
-    bool store_ok;                /* the key-value store answered the sender lately */
-    bool receives_heartbeats;     /* agents came to the sender lately */
+    bool store_ok;                /* the key-value store answered the sender recently */
+    bool receives_heartbeats;     /* the sender received heartbeats of agents recently */
 };
 
 struct peer_job {
@@ -30,12 +30,12 @@
     peer_job jobs<PEER_JOBS_MAX>;
 };
 
-/* "This job's record has just changed": the leader reads at once instead of at its next watch. */
+/* A job's record has just changed: the leader reads it immediately instead of waiting for its watch. */
 struct peer_job_changed {
     unsigned hyper revision;
 };
 
-/* Where machines listen, so that the next leader reaches them before the cloud's list does. */
+/* The address of a machine, by which the next leader can reach it before it has received the cloud's list. */
 struct peer_machine {
     string name<PEER_NAME_MAX>;
     string addr<PEER_NAME_MAX>;
@@ -49,8 +49,8 @@
     peer_machine machines<PEER_MACHINES_MAX>;
 };
 
-/* A list of machines that is too long for one message comes in parts, one right after the other. None is of use
- * alone: earlier versions would take it for the whole list, so it has a kind that they skip. */
+/* One part of a list of machines that is too long for one message; the parts are sent consecutively. A part has a kind
+ * that earlier versions skip, because they would take it for the complete list. */
 const PEER_PART_MACHINES_MAX = 1000;
 const PEER_PARTS_MAX = 1000;
 
@@ -61,21 +61,21 @@
     peer_machine machines<PEER_PART_MACHINES_MAX>;
 };
 
-/* "This job's cancellation is committed": whoever leads acknowledges it, and need not read it anywhere. */
+/* A job's cancellation is committed: the leader acknowledges it without having to read the record. */
 struct peer_cancellation {
     string job<PEER_NAME_MAX>;
-    unsigned hyper revision;      /* of the record that says so */
-    unsigned hyper fencing_token; /* of the leader at the time of that record */
+    unsigned hyper revision;      /* of the record of the cancellation */
+    unsigned hyper fencing_token; /* of the leader when the cancellation was recorded */
 };
 
-/* "The leader has acknowledged the cancellation": it has queued the stops, and nothing of the job can start. */
+/* The leader has acknowledged the cancellation: it has queued the stop commands, and no task of the job can start. */
 struct peer_cancellation_ack {
     string job<PEER_NAME_MAX>;
     unsigned hyper revision;
-    unsigned hyper fencing_token; /* of the leader that says so */
+    unsigned hyper fencing_token; /* of the leader that sends the message */
 };
 
-/* Controllers that share a fleet of several shards tell each other that they are alive, and what they lead. */
+/* In a fleet of several shards, controllers announce that they are alive and which shards they lead. */
 const PEER_SHARDS_MAX = 32;
 
 struct peer_led_shard {
@@ -89,7 +89,7 @@
     string sender<PEER_NAME_MAX>;
     unsigned hyper incarnation;  /* of the sender's process */
     unsigned hyper sequence;
-    unsigned hyper digest;       /* of the settings by which shards are shared */
+    unsigned hyper digest;       /* of the sharding settings */
     peer_led_shard shards<PEER_SHARDS_MAX>;
 };
 
@@ -103,7 +103,8 @@
     unsigned hyper number;
 };
 
-/* A message between the controllers of one shard. The default shard's go without, as earlier versions send them. */
+/* Wraps a message between the controllers of one shard. Messages of the default shard are not wrapped, for
+ * compatibility with earlier versions. */
 struct peer_shard_message {
     string shard<PEER_NAME_MAX>;
     unsigned int kind;
--- a/src/wire/peer_body.c
+++ b/src/wire/peer_body.c
@@ -28,10 +28,10 @@
     }
 }
 
-/* ---- from a message to the forms of rpcgen ---- */
+/* ---- from a message to the types of rpcgen ---- */
 
-/* Each of these three allocates a list whose entries borrow the texts of the message; it is freed with
- * g_free. */
+/* Each of the next three functions allocates a list, to be freed with g_free, whose entries borrow the
+   strings of the message. */
 
 static peer_job *fill_jobs(const GArray *jobs)
 {
@@ -168,7 +168,7 @@
     return NULL;
 }
 
-/* ---- from the forms of rpcgen to a message ---- */
+/* ---- from the types of rpcgen to a message ---- */
 
 static void read_hello(const peer_hello *hello, struct ow_peer_message *message)
 {
@@ -215,7 +215,7 @@
 {
     message->fencing_token = part->fencing_token;
     message->machine_list.part_index = part->part;
-    /* A list of more parts than there may be is none: its parts are dropped one by one. */
+    /* A list with too many parts is invalid; part_count 0 makes the receiver drop each of its parts. */
     message->machine_list.part_count = part->part_count <= PEER_PARTS_MAX ? part->part_count : 0;
     read_machines(part->machines.machines_val, part->machines.machines_len, message);
 }
--- a/src/wire/peer_xdr.c
+++ b/src/wire/peer_xdr.c
@@ -8,7 +8,7 @@
 
 /* ---- encoding ---- */
 
-/* Encodes a value; NULL if it does not fit into a message. The bytes are the caller's. */
+/* Encodes a value. Returns bytes owned by the caller, or NULL if they exceed WIRE_PEER_MAX. */
 static GByteArray *encode_value(xdrproc_t coder, void *value)
 {
     g_autoptr(GByteArray) bytes = g_byte_array_sized_new(WIRE_PEER_MAX);
@@ -31,7 +31,7 @@
     return encoded;
 }
 
-/* Encodes a body together with the shard that it belongs to. */
+/* Wraps an encoded body with the name of its shard. */
 static GByteArray *encode_shard_message(const struct ow_peer_message *message, const GByteArray *body)
 {
     peer_shard_message wrapped = {
@@ -81,8 +81,8 @@
 
 /* ---- decoding ---- */
 
-/* Decodes a value, which the caller frees with xdr_free() in any case. What follows the known fields is a
-   later version's and is left alone. */
+/* Decodes a value, which the caller must free with xdr_free() even on failure. Bytes after the known fields
+   come from a later version and are ignored. */
 static bool decode_value(xdrproc_t coder, const char *data, size_t size, void *value)
 {
     XDR xdr;
@@ -92,7 +92,7 @@
     return is_valid;
 }
 
-/* Decodes a body of this kind: true and NULL where the kind is unknown. */
+/* Decodes a body of this kind. If the kind is unknown, returns true and leaves *message NULL. */
 static bool decode_body(unsigned kind, const char *data, size_t size, struct ow_peer_message **message)
 {
     xdrproc_t coder = wire_peer_body_coder(kind);
--- a/src/wire/peer_xdr.h
+++ b/src/wire/peer_xdr.h
@@ -1,8 +1,9 @@
 /** @file
- * Messages between controllers, as XDR records (wire/peer.x) behind a length of four bytes.
+ * Encodes and decodes messages between controllers: XDR records (wire/peer.x), each prefixed by its length in
+ * four bytes.
  *
- * Versions understand each other: a kind that is not known is skipped, and so is what follows the known
- * fields of a body. The bytes of a known kind never change.
+ * Versions are compatible in both directions: unknown kinds are skipped, and so are bytes after the known
+ * fields of a body. The encoding of a known kind never changes.
  */
 #ifndef OW_WIRE_PEER_XDR_H
 #define OW_WIRE_PEER_XDR_H
@@ -13,21 +14,21 @@
 #include <stdbool.h>
 #include <stddef.h>
 
-/** The most bytes of a message, without its length. */
+/** Maximum size of an encoded message in bytes, without the length prefix. */
 enum { WIRE_PEER_MAX = 262144 };
 
 /**
- * Appends a message with its length to what is to be sent.
- * @param message not changed; not const because the coders of rpcgen read and write
- * @return false if the message is too large, or of a kind that is never sent; nothing is appended then
+ * Appends an encoded message and its length prefix to the bytes to send.
+ * @param message not modified; not const because the coders of rpcgen both read and write
+ * @return false if the message is too large or its kind is never sent; nothing is appended then
  */
 bool wire_peer_encode(struct ow_peer_message *message, GString *out);
 
 /**
- * Reads a message without its length.
+ * Decodes a message without the length prefix.
  * @param data `size` bytes
- * @param message set to the message, owned by the caller; to NULL if its kind is unknown, and on failure
- * @return false if the data is not a message
+ * @param message set to the message, owned by the caller; NULL on failure or if its kind is unknown
+ * @return false if the data is not a valid message
  */
 bool wire_peer_decode(const char *data, size_t size, struct ow_peer_message **message);
 
--- a/src/wire/progress_json.c
+++ b/src/wire/progress_json.c
@@ -6,14 +6,14 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Names of fields are short: values have a size limit. */
+/* Field names are short, because the size of values is limited. */
 #define F_LAST_ATTEMPT "a"
 #define F_DONE "d" /* "from-to,task,..." */
 #define F_LIVE "l" /* "<machine> <incarnation>" -> "from-to@attempt,..." */
 
 /* ---- writing a record ---- */
 
-/* Appends "from", or "from-to", behind a comma unless it is the first. */
+/* Appends "from" or "from-to", preceded by a comma unless it is the first range. */
 static void append_range(GString *text, uint32_t from, uint32_t to)
 {
     if (text->len > 0)
@@ -23,7 +23,7 @@
         g_string_append_printf(text, "-%u", to);
 }
 
-static char *done_text(const GArray *done)
+static char *done_to_text(const GArray *done)
 {
     GString *text = g_string_new(NULL);
     for (guint i = 0; i < done->len;) {
@@ -41,8 +41,8 @@
     return a->incarnation == b->incarnation && strcmp(a->machine, b->machine) == 0;
 }
 
-/* How many entries from `begin` on are one range: the same attempt number of consecutive tasks on the same
-   incarnation of a machine. */
+/* Returns how many entries from `begin` on form one range: consecutive tasks with the same attempt number on
+   the same incarnation of a machine. */
 static guint range_length(const GArray *live, guint begin)
 {
     const struct ow_attempt_record *first = &g_array_index(live, struct ow_attempt_record, begin);
@@ -56,14 +56,14 @@
     return length;
 }
 
-/* The text of the entries from *i on that are on the same incarnation of a machine; *i moves behind them. */
-static char *attempts_text(const GArray *live, guint *i)
+/* Encodes the entries from *i on that are on the same incarnation of a machine, and advances *i past them. */
+static char *attempts_to_text(const GArray *live, guint *i)
 {
     GString *text = g_string_new(NULL);
-    const struct ow_attempt_record *head = &g_array_index(live, struct ow_attempt_record, *i);
+    const struct ow_attempt_record *first_of_group = &g_array_index(live, struct ow_attempt_record, *i);
     while (*i < live->len) {
         const struct ow_attempt_record *first = &g_array_index(live, struct ow_attempt_record, *i);
-        if (!is_same_incarnation(first, head))
+        if (!is_same_incarnation(first, first_of_group))
             break;
         guint length = range_length(live, *i);
         append_range(text, first->task, first->task + length - 1);
@@ -77,20 +77,21 @@
 {
     json_t *object = json_object();
     for (guint i = 0; i < live->len;) {
-        const struct ow_attempt_record *head = &g_array_index(live, struct ow_attempt_record, i);
-        g_autofree char *key = g_strdup_printf("%s %" PRIu64, head->machine, head->incarnation);
-        g_autofree char *attempts = attempts_text(live, &i);
-        /* Entries of one incarnation need not stand together: what is there stays in front. */
-        const char *before = json_string_value(json_object_get(object, key));
-        g_autofree char *all = before != NULL ? g_strconcat(before, ",", attempts, NULL) : NULL;
-        json_object_set_new(object, key, json_string(all != NULL ? all : attempts));
+        const struct ow_attempt_record *first_of_group = &g_array_index(live, struct ow_attempt_record, i);
+        g_autofree char *key =
+            g_strdup_printf("%s %" PRIu64, first_of_group->machine, first_of_group->incarnation);
+        g_autofree char *attempts = attempts_to_text(live, &i);
+        /* Entries of one incarnation need not be adjacent: later ones are appended to the existing text. */
+        const char *existing = json_string_value(json_object_get(object, key));
+        g_autofree char *joined = existing != NULL ? g_strconcat(existing, ",", attempts, NULL) : NULL;
+        json_object_set_new(object, key, json_string(joined != NULL ? joined : attempts));
     }
     return object;
 }
 
 char *wire_progress_record_encode(const struct ow_progress_record *record)
 {
-    g_autofree char *done = done_text(record->done);
+    g_autofree char *done = done_to_text(record->done);
     return wire_json_print_and_unref(json_pack("{s:I,s:s,s:o}", F_LAST_ATTEMPT,
                                                (json_int_t)record->last_attempt, F_DONE, done, F_LIVE,
                                                live_to_json(record->attempts)));
@@ -98,7 +99,7 @@
 
 /* ---- reading a record ---- */
 
-/* Reads "from" or "from-to", and moves *text behind it. */
+/* Parses "from" or "from-to", and advances *text past it. */
 static bool read_range(const char **text, uint32_t *from, uint32_t *to)
 {
     char *end = NULL;
@@ -131,7 +132,7 @@
     return true;
 }
 
-/* Reads the attempts on one incarnation of a machine. @param machine borrowed by the entries */
+/* Parses the attempts on one incarnation of a machine. The entries borrow `machine`. */
 static bool read_attempts(const char *machine, uint64_t incarnation, const char *text, GArray *live)
 {
     while (*text != '\0') {
@@ -155,8 +156,8 @@
     return true;
 }
 
-/* Reads one member of the live attempts; false if it can't be read in full. */
-static bool read_live_member(const char *key, const json_t *attempts, struct ow_progress_record *record)
+/* Reads the attempts on one incarnation, named by the key. Returns false if any part is invalid. */
+static bool read_live_attempts(const char *key, const json_t *attempts, struct ow_progress_record *record)
 {
     const char *space = strchr(key, ' ');
     if (space == NULL || !json_is_string(attempts))
@@ -178,12 +179,12 @@
     wire_json_get_string(value, F_DONE, &done);
     bool is_complete =
         wire_json_get_count(value, F_LAST_ATTEMPT, &record->last_attempt) && read_done(done, record->done);
-    /* What can be read counts even if something else can't: an attempt that may exist must be remembered. */
+    /* Valid parts are kept even if others are invalid: an attempt that may exist must not be lost. */
     const char *key;
     json_t *attempts;
     json_object_foreach(json_object_get(value, F_LIVE), key, attempts)
     {
-        is_complete = read_live_member(key, attempts, record) && is_complete;
+        is_complete = read_live_attempts(key, attempts, record) && is_complete;
     }
     return is_complete;
 }
@@ -200,7 +201,7 @@
 void wire_progress_value_add(GString *text, const char *job, uint32_t chunk, uint32_t tasks,
                              const char *record)
 {
-    /* Ids of jobs need no escaping: they are checked on submission. */
+    /* Job ids need no escaping: they are validated on submission. */
     g_string_append_printf(text, "%c\"%s/%u", text->len == 0 ? '{' : ',', job, chunk);
     if (tasks != OW_CHUNK_MAX_TASKS)
         g_string_append_printf(text, ".%u", tasks);
@@ -212,7 +213,7 @@
     g_string_append(text, text->len == 0 ? "{}" : "}");
 }
 
-/* Reads "<chunk>" or "<chunk>.<tasks>". */
+/* Parses "<chunk>" or "<chunk>.<tasks>". */
 static bool read_chunk(const char *text, guint64 *chunk, guint64 *tasks)
 {
     g_auto(GStrv) parts = g_strsplit(text, ".", 2);
--- a/src/wire/records_json.c
+++ b/src/wire/records_json.c
@@ -3,7 +3,7 @@
 #include "wire/json.h"
 #include "wire/submission_json.h"
 
-/* Names of fields are short: values have a size limit. */
+/* Field names are short, because the size of values is limited. */
 #define F_STATE "e"
 #define F_SUBMISSION "s"
 #define F_ACCEPTED_AT "t"
--- a/src/wire/sharding_json.c
+++ b/src/wire/sharding_json.c
@@ -3,7 +3,7 @@
 #include "model/peer.h"
 #include "wire/json.h"
 
-/* Field names of the stored map, and of what operators are told. */
+/* Field names of the stored map and of the answers to operators. */
 #define F_FORMAT "v"
 #define F_VALUES "values"
 #define F_CONTROLLERS "controllers"
@@ -25,10 +25,10 @@
 #define F_AGREEMENT "agreement"
 #define F_DROPPED "dropped"
 
-/* The only format of the stored map so far: a controller that finds another one leads nothing. */
+/* The only format of the stored map so far. A controller that finds another one leads no shard. */
 enum { MAP_FORMAT = 1 };
 
-/* What operators are told while nothing differs from the stored map. */
+/* Answered to operators as long as there is no difference from the stored map. */
 #define AGREED "agreed"
 
 /* ---- the stored map ---- */
--- a/src/wire/sharding_json.h
+++ b/src/wire/sharding_json.h
@@ -1,6 +1,7 @@
 /**
  * @file
- * JSON of a divided fleet: the stored shard map, and what operators are told of controllers and shards.
+ * JSON for a fleet that is divided into shards: the stored shard map, and the answers to operators about
+ * controllers and shards.
  */
 #ifndef OW_WIRE_SHARDING_JSON_H
 #define OW_WIRE_SHARDING_JSON_H
@@ -10,14 +11,14 @@
 #include <glib.h>
 #include <jansson.h>
 
-/** The record of a shard map, from name -> value, both texts (g_free). */
+/** Encodes a shard map. @param values name -> value, both strings @return owned by the caller (g_free) */
 char *wire_shard_map_encode(GHashTable *values);
-/** Reads a record: name -> value, both owned by the table, to be unreferenced by the caller; NULL: it is of
- * another format or can't be read. */
+/** Decodes a shard map. @return name -> value, both owned by the table, which the caller unreferences; NULL
+ * if the map is invalid or has another format */
 GHashTable *wire_shard_map_from_json(const json_t *value);
-/** The answer to the operators' question about controllers (g_free). */
+/** Encodes the answer about controllers. @return owned by the caller (g_free) */
 char *wire_controllers_encode(const struct ow_controllers_view *view);
-/** The answer to the operators' question about shards, a list of struct ow_shard_view (g_free). */
+/** Encodes the answer about shards. @param views struct ow_shard_view @return owned by the caller (g_free) */
 char *wire_shards_encode(const GArray *views);
 
 #endif
--- a/src/wire/store_json.c
+++ b/src/wire/store_json.c
@@ -6,7 +6,7 @@
 
 #include <inttypes.h>
 
-/* Keys that one page of a list has at most. */
+/* Maximum number of keys in one page of a list. */
 enum { LIST_PAGE_KEYS = 500 };
 
 static const double MS_PER_S = 1000.0;
@@ -103,12 +103,12 @@
 
 static void clear_item(void *item)
 {
-    struct ow_store_item *cleared = item;
-    g_free(cleared->key);
-    json_decref(cleared->value);
+    struct ow_store_item *store_item = item;
+    g_free(store_item->key);
+    json_decref(store_item->value);
 }
 
-/* Appends a key with its value; false: it can't be read. */
+/* Appends a key with its value. Returns false if the entry is invalid. */
 static bool add_item(GArray *items, const json_t *object, const char *key_field)
 {
     const char *key = NULL;
@@ -141,7 +141,8 @@
     return true;
 }
 
-/* Reads a list that is complete only with the revision that it shows; false: something can't be read. */
+/* Reads a list. Returns false if any entry is invalid, or if the object lacks the revision that the list
+ * shows. */
 static bool read_list(const json_t *object, const char *field,
                       bool (*add_entry)(GArray *items, const json_t *entry), GArray *items)
 {
@@ -154,7 +155,7 @@
     return true;
 }
 
-/* Reads the body of a reply with status 200; false: it can't be read. */
+/* Reads the body of a reply with status 200. Returns false if it is invalid. */
 static bool read_success(enum ow_store_op op, const json_t *object, struct ow_store_reply *reply)
 {
     wire_json_get_count(object, W_REVISION, &reply->revision);
@@ -189,7 +190,7 @@
     reply->status = status;
     reply->items = g_array_new(FALSE, FALSE, sizeof(struct ow_store_item));
     g_array_set_clear_func(reply->items, clear_item);
-    /* A renewed lease is told by the status alone. */
+    /* The status alone confirms the renewal of a lease. */
     bool needs_body = status == OW_HTTP_STATUS_OK && op != OW_STORE_KEEP_ALIVE;
     if (needs_body && (object == NULL || !read_success(op, object, reply)))
         reply->status = OW_HTTP_STATUS_NONE;
--- a/src/wire/submission_json.c
+++ b/src/wire/submission_json.c
@@ -6,12 +6,12 @@
 
 #include <string.h>
 
-/* Larger amounts than any machine has; they keep sums finite. */
+/* Far more than any machine has; the bound keeps sums finite. */
 static const double AMOUNT_MAX = 1e9;
 
 enum { TYPE_NAMES_MAX = 32, ID_DIGITS_MAX = 18 };
 
-/* The one field of a job's description that a submission has not. */
+/* The only field of a job's description that is not part of a submission. */
 #define F_COMMAND "command"
 
 G_DEFINE_QUARK(wire_submission_error, wire_submission_error)
@@ -27,12 +27,12 @@
 
 /* ---- types of fields ---- */
 
-/* How the value of a field is read into a member of struct ow_submission, and written from it. A reader that
-   fails may leave the member set: the submission is freed then. */
+/* Reads the value of a field into a member of struct ow_submission, and writes it from there. A read function
+   that fails may leave the member set: the submission is freed then. */
 struct field_type {
     bool (*read)(const json_t *object, const char *field, void *member);
     json_t *(*write)(const void *member); /* a new reference */
-    const char *error;                    /* what a user is told behind the name of the field */
+    const char *error;                    /* error text for the user, after the name of the field */
 };
 
 static bool read_id(const json_t *object, const char *field, void *member)
@@ -70,7 +70,8 @@
     return text != NULL ? json_string(text) : json_null();
 }
 
-/* The index of the field's word in a table; -1: it is missing or not in it. */
+/* Returns the index of the field's value in a table of words; -1 if the field is missing or its value
+ * unknown. */
 static int read_word(const json_t *object, const char *field, const char *const *words)
 {
     const char *word = NULL;
@@ -180,7 +181,7 @@
 
 /* ---- the fields of a submission ---- */
 
-/* In the order in which they are stored and checked: a user hears of the first that is wrong. */
+/* In the order in which they are stored and checked: the error names the first invalid field. */
 static const struct submission_field {
     const char *name;
     const struct field_type *type;
@@ -235,7 +236,7 @@
 
 /* ---- submissions and descriptions from users ---- */
 
-/* A service has no duration to estimate; whatever ends has one. */
+/* The estimated duration must be 0 for a service, which never ends by itself, and positive otherwise. */
 static bool estimate_fits_kind(const struct ow_submission *submission, GError **error)
 {
     bool is_service = submission->kind == OW_KIND_SERVICE;
@@ -246,7 +247,8 @@
     return false;
 }
 
-/* Reads what a user has written; NULL and an error if a field is wrong or fields don't fit each other. */
+/* Reads a submission from a user. Returns NULL and sets the error if a field is invalid or inconsistent with
+   another one. */
 static struct ow_submission *read_from_user(const json_t *object, GError **error)
 {
     g_autoptr(ow_submission) submission = wire_submission_from_json(object, error);
--- a/src/wire/submission_json.h
+++ b/src/wire/submission_json.h
@@ -1,5 +1,6 @@
 /** @file
- * A job as its user submits it: the body of a submission, its stored form, and its description on a machine.
+ * A job as submitted by its user: the body of a submission, its stored form, and its description on a
+ * machine.
  */
 #ifndef OW_WIRE_SUBMISSION_JSON_H
 #define OW_WIRE_SUBMISSION_JSON_H
@@ -11,54 +12,56 @@
 #include <stdbool.h>
 #include <stddef.h>
 
-/** Domain of the errors of a submission; their messages are told to its user. */
+/** Error domain of submissions, for GError. The messages are shown to the user. */
 #define WIRE_SUBMISSION_ERROR (wire_submission_error_quark())
-/** The quark behind WIRE_SUBMISSION_ERROR. */
+/** Returns the quark of WIRE_SUBMISSION_ERROR. */
 GQuark wire_submission_error_quark(void);
 
-/** Why a submission can't be read. */
+/** Error codes in the domain WIRE_SUBMISSION_ERROR. */
 enum wire_submission_error {
     WIRE_SUBMISSION_ERROR_NOT_AN_OBJECT, /**< the text is not one JSON object */
-    WIRE_SUBMISSION_ERROR_FIELD,         /**< a field is missing or wrong; the message begins with its name */
-    WIRE_SUBMISSION_ERROR_ESTIMATE,      /**< the estimated duration does not fit the kind of the job */
+    WIRE_SUBMISSION_ERROR_FIELD,    /**< a field is missing or invalid; the message begins with its name */
+    WIRE_SUBMISSION_ERROR_ESTIMATE, /**< the estimated duration does not fit the kind of the job */
 };
 
 /**
- * Reads a submission from a user.
+ * Decodes a submission from a user.
  * @param text `size` bytes
- * @param id OW_ID_MAX + 1 bytes: set to the job's id if that much can be read, else to an empty string
- * @param error set on failure: WIRE_SUBMISSION_ERROR, of the first field that is wrong; may be NULL
+ * @param id OW_ID_MAX + 1 bytes: set to the job's id if it is valid, even on failure; otherwise to an empty
+ * string
+ * @param error set on failure (WIRE_SUBMISSION_ERROR, for the first invalid field); may be NULL
  * @return owned by the caller; NULL on failure
  */
 struct ow_submission *wire_submission_decode(const char *text, size_t size, char *id, GError **error);
 
 /**
- * Reads a submission from its stored form. Whether the estimated duration fits the kind is not checked: what
- * is stored was accepted, perhaps by a version with other rules, and must stay readable.
- * @param error set on failure: WIRE_SUBMISSION_ERROR_FIELD; may be NULL
+ * Reads a submission from its stored form. Does not check whether the estimated duration fits the kind: a
+ * stored submission has been accepted, possibly by a version with other rules, and must stay readable.
+ * @param error set on failure (WIRE_SUBMISSION_ERROR_FIELD); may be NULL
  * @return owned by the caller; NULL on failure
  */
 struct ow_submission *wire_submission_from_json(const json_t *object, GError **error);
 
-/** The stored form of a submission. @return a new reference */
+/** Converts a submission to its stored form. @return a new reference */
 json_t *wire_submission_to_json(const struct ow_submission *submission);
 
-/** Whether this is the form of a job's id. @param id may be NULL, which is none */
+/** Whether the text is a well-formed job id. @param id may be NULL, which is not */
 bool wire_job_id_is_valid(const char *id);
 
-/** A job as its user uploads it for the machines: its submission and the command that each task runs. */
+/** The description of a job that its user uploads for the machines: the submission and the command of each
+ * task. */
 struct wire_job_description {
     struct ow_submission *submission;
-    char **command; /**< at least one word, ended by NULL */
+    char **command; /**< command line, NULL-terminated; not empty */
 };
 
-/** Reads a job's description. @param text `size` bytes @return owned by the caller; NULL when malformed */
+/** Decodes a job's description. @param text `size` bytes @return owned by the caller; NULL if malformed */
 struct wire_job_description *wire_job_description_decode(const char *text, size_t size);
 
-/** Frees a description with all that it holds. @param description may be NULL */
+/** Frees a description and its members. @param description may be NULL */
 void wire_job_description_free(struct wire_job_description *description);
 
-/** Lets GLib free it: g_autoptr(wire_job_description), or g_auto(wire_job_description). */
+/** Enables g_autoptr(wire_job_description). */
 typedef struct wire_job_description wire_job_description;
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(wire_job_description, wire_job_description_free)
 
--- a/src/wire/user_json.h
+++ b/src/wire/user_json.h
@@ -1,5 +1,6 @@
 /** @file
- * Bodies of answers to users and operators. All texts are owned by the caller (g_free).
+ * Encodes the bodies of answers to users and operators. All returned strings are owned by the caller
+ * (g_free).
  */
 #ifndef OW_WIRE_USER_JSON_H
 #define OW_WIRE_USER_JSON_H
@@ -8,22 +9,22 @@
 
 #include <glib.h>
 
-/** What a user is told of a job. It borrows its texts. */
+/** The state of a job as shown to its user. It borrows its strings. */
 struct wire_job_view {
     const char *id;
     enum ow_job_state state;
-    int done;           /**< tasks; OW_TASK_COUNT_UNKNOWN: left out */
-    int running;        /**< tasks; OW_TASK_COUNT_UNKNOWN: left out */
-    const char *reason; /**< why it waits; NULL: left out */
+    int done;           /**< tasks; omitted if OW_TASK_COUNT_UNKNOWN */
+    int running;        /**< tasks; omitted if OW_TASK_COUNT_UNKNOWN */
+    const char *reason; /**< why it waits; omitted if NULL */
 };
 
-/** The answer with the state of a job. */
+/** Encodes the state of a job. */
 char *wire_job_view_encode(const struct wire_job_view *view);
 
-/** The answer with what teams use and wait for. @param teams struct ow_team_view */
+/** Encodes the resources that teams use and wait for. @param teams struct ow_team_view */
 char *wire_teams_encode(const GArray *teams);
 
-/** The answer with an error. @param message not NULL */
+/** Encodes an error. @param message not NULL */
 char *wire_error_encode(const char *message);
 
 #endif
--- a/src/wire/worker_json.c
+++ b/src/wire/worker_json.c
@@ -16,7 +16,7 @@
     return json_string(name);
 }
 
-/* `job` has room for OW_ID_MAX + 1 bytes. */
+/* Reads the name of a task. `job` must have room for OW_ID_MAX + 1 bytes. */
 static bool task_name_from_json(const json_t *object, char *job, uint32_t *task)
 {
     const char *name = NULL;
@@ -64,7 +64,7 @@
     wire_json_get_string(object, W_CAUSE, &cause_word);
     wire_json_get_bool(object, W_CHECKPOINT_SAVED, &status->saved);
     int cause = wire_word_index(wire_causes, cause_word);
-    /* A cause that is not known still says that the attempt is over. */
+    /* An unknown cause still shows that the attempt has ended. */
     status->cause = cause < 0 ? OW_CAUSE_ERROR : (enum ow_exit_cause)cause;
     return true;
 }
@@ -104,7 +104,7 @@
     return wire_json_print_and_unref(object);
 }
 
-/* Copies a text that must be there. */
+/* Copies the string of a required field. */
 static bool copy_string(const json_t *object, const char *field, char **out)
 {
     const char *text = NULL;
