--- a/src/model/cloud.h
+++ b/src/model/cloud.h
@@ -1,5 +1,5 @@
 /** @file
- * Machine types, the list of instances, and the requests to the cloud with their replies. Plain data.
+ * Machine types, the list of instances, and requests to the cloud API with their replies. Plain data.
  */
 #ifndef OW_MODEL_CLOUD_H
 #define OW_MODEL_CLOUD_H
@@ -13,30 +13,30 @@
 /** Maximum number of machine types: the core stores sets of types as bits of a 64-bit number. */
 enum { OW_MAX_TYPES = 64 };
 
-/** A machine type that the cloud offers. It owns its name and zones. */
+/** A machine type that the cloud offers. It owns its name and its zones. */
 struct ow_machine_type {
     char *name;
     struct ow_resources size; /**< of one machine */
-    double cache_gb;          /**< room for images */
-    double fetch_gb_per_s;    /**< rate at which a machine fetches images, all of them together */
-    double price;             /**< per machine and hour, ordinary */
-    double spot_price;        /**< the same as a spot instance */
-    double boot_s;            /**< from provisioning to the first heartbeat, typically */
-    char **zones;             /**< where it is offered, ended by NULL; NULL: not specified */
+    double cache_gb;          /**< size of the image cache */
+    double fetch_gb_per_s;    /**< total rate at which a machine fetches images */
+    double price;             /**< of an ordinary instance, per hour */
+    double spot_price;        /**< of a spot instance, per hour */
+    double boot_s;            /**< typical time from provisioning to the first heartbeat */
+    char **zones;             /**< where it is offered, NULL-terminated; NULL if unspecified */
 };
 
-/** Frees what a struct ow_machine_type holds, not the struct: the clear function of arrays of them. */
+/** Frees the members of a struct ow_machine_type, not the struct itself. A GDestroyNotify for arrays. */
 void ow_machine_type_clear(void *type);
 
 /** The state of an instance in the cloud's list. */
 enum ow_listed_state {
-    OW_LISTED_ABSENT, /**< it is not in the list, or no list has come yet */
+    OW_LISTED_ABSENT, /**< it is not in the list, or no list has been received */
     OW_LISTED_BOOTING,
     OW_LISTED_RUNNING,
     OW_LISTED_FAILED,
 };
 
-/** An instance in the cloud's list. It owns its texts; none is NULL. */
+/** An instance in the cloud's list. It owns its strings; none is NULL. */
 struct ow_listed_machine {
     char *name;
     char *addr; /**< host:port of its agent; empty while unknown */
@@ -44,50 +44,49 @@
     char *zone;
     bool spot;
     enum ow_listed_state state;
-    double age_s; /**< since it was provisioned */
+    double age_s; /**< time since it was provisioned */
 };
 
-/** Frees what a struct ow_listed_machine holds, not the struct: the clear function of arrays of them. */
+/** Frees the members of a struct ow_listed_machine, not the struct itself. A GDestroyNotify for arrays. */
 void ow_listed_machine_clear(void *machine);
 
 /** The operations of the cloud API. */
 enum ow_cloud_op { OW_CLOUD_TYPES, OW_CLOUD_LIST, OW_CLOUD_PROVISION, OW_CLOUD_TERMINATE };
 
-/** A request to the cloud. It owns its texts and lists; those of other operations are NULL or 0. */
+/** A request to the cloud. It owns its strings and lists. Fields of other operations are NULL or 0. */
 struct ow_cloud_request {
     enum ow_cloud_op op;
-    uint64_t tag; /**< comes back in the reply */
+    uint64_t tag; /**< returned in the reply */
     /* OW_CLOUD_LIST */
-    char *after; /**< begin after the machine of this name; NULL or empty: at the first */
+    char *after; /**< list machines after this name; NULL or empty: from the first */
     /* OW_CLOUD_PROVISION */
-    char *name; /**< name of the request, by which the cloud recognizes a retry */
+    char *name; /**< id of the request, by which the cloud recognizes a retry */
     char *type;
     char *zone;
     bool spot;
-    unsigned count; /**< machines wanted */
+    unsigned count; /**< number of machines to provision */
     /* OW_CLOUD_TERMINATE */
     GPtrArray *machines; /**< names, char * */
 };
 
-/** Frees a request with all that it holds. @param request may be NULL */
+/** Frees a request and its members. @param request may be NULL */
 void ow_cloud_request_free(struct ow_cloud_request *request);
 
-/** Lets GLib free it: g_autoptr(ow_cloud_request), or g_auto(ow_cloud_request). */
+/** Enables g_autoptr(ow_cloud_request). */
 typedef struct ow_cloud_request ow_cloud_request;
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(ow_cloud_request, ow_cloud_request_free)
 
-/** The cloud's reply. It owns its lists; those of other operations, and those that can't be read, are NULL.
- */
+/** A reply of the cloud. It owns its lists; those of other operations and malformed ones are NULL. */
 struct ow_cloud_reply {
     uint64_t tag;       /**< of the request */
-    int status;         /**< HTTP status; 0: no response, so the request may have been carried out */
+    int status;         /**< HTTP status; 0: no response, the request may have been carried out */
     GArray *types;      /**< OW_CLOUD_TYPES: struct ow_machine_type */
     GArray *listed;     /**< OW_CLOUD_LIST: struct ow_listed_machine */
     bool has_more;      /**< OW_CLOUD_LIST: there is another page */
-    char **provisioned; /**< OW_CLOUD_PROVISION: names of the new machines, ended by NULL */
+    char **provisioned; /**< OW_CLOUD_PROVISION: names of the new machines, NULL-terminated */
 };
 
-/** Frees what a reply holds, not the struct. */
+/** Frees the members of a reply, not the struct itself. */
 void ow_cloud_reply_clear(struct ow_cloud_reply *reply);
 
 #endif
--- a/src/model/effect.c
+++ b/src/model/effect.c
@@ -2,7 +2,7 @@
 
 #include "model/http_status.h"
 
-/* Retry-After of temporary refusals, in seconds. */
+/* Retry-After header of temporary refusals. */
 enum { RETRY_AFTER_S = 1 };
 
 struct ow_effect *ow_effect_new(enum ow_effect_kind kind, uint64_t request)
--- a/src/model/settings.c
+++ b/src/model/settings.c
@@ -1,6 +1,6 @@
 #include "model/settings.h"
 
-/* The starting values of the design; model/settings.h has the meaning and the range of each. */
+/* Default values; model/settings.h documents their meanings and ranges. */
 static const double DEFAULT_WINDOW_S = 5;
 static const double DEFAULT_HOLD_LIFE_S = 10;
 static const double DEFAULT_WAITING_LIMIT_S = 120;
--- a/src/model/settings.h
+++ b/src/model/settings.h
@@ -1,9 +1,10 @@
 /** @file
- * The platform's settings and the operators' tuning parameters, after validation. Plain data, shared by all
+ * The validated settings of the platform and tuning parameters of the operators. Plain data, shared by all
  * modules.
  *
- * src/config reads and validates them, owns their strings and lists, and never changes them afterwards; all
- * others borrow them. A controller that leads one of several shards has a copy with its share of the amounts.
+ * src/config reads and validates them, owns their strings and lists, and never changes them afterwards; other
+ * modules borrow them. A controller that leads one of several shards uses a copy with the shard's share of
+ * the amounts.
  */
 #ifndef OW_MODEL_SETTINGS_H
 #define OW_MODEL_SETTINGS_H
@@ -13,11 +14,11 @@
 /** Another controller. */
 struct ow_peer_settings {
     char *controller_name;
-    char *zone;     /**< where it runs */
-    char *endpoint; /**< host:port where it takes messages of controllers */
+    char *zone;     /**< zone that it runs in */
+    char *endpoint; /**< host:port where it receives messages of controllers */
 };
 
-/** A team and its quotas; 0 means no guarantee or no limit. */
+/** A team and its quotas. A guarantee or limit of 0 means none. */
 struct ow_team_settings {
     char *name;
     double cpus;     /**< guaranteed CPUs */
@@ -26,19 +27,19 @@
     double gpus_max; /**< limit of GPUs */
 };
 
-/** What a service-level objective measures. */
+/** The measure of a service-level objective. */
 enum ow_slo_kind {
     OW_SLO_WAIT,     /**< jobs start soon after their submission */
     OW_SLO_FINISHED, /**< jobs are done by their deadline */
-    OW_SLO_OTHER,    /**< a kind that this version does not know */
+    OW_SLO_OTHER,    /**< a kind that is unknown to this version */
 };
 
 /** A service-level objective. */
 struct ow_slo {
     enum ow_slo_kind kind;
     char *class_name; /**< the class of jobs that it applies to; NULL: unspecified */
-    double within_s;  /**< OW_SLO_WAIT: how soon they start */
-    double share;     /**< of the jobs, 0 to 1 */
+    double within_s;  /**< OW_SLO_WAIT: maximum time from submission to start */
+    double share;     /**< target share of the jobs, 0 to 1 */
 };
 
 /** The settings of the platform. */
@@ -46,33 +47,33 @@
     /* this controller */
     char *controller_name;
     char *zone;
-    char *http_listen; /**< host:port where users and agents reach it */
-    char *peer_listen; /**< host:port where other controllers reach it */
+    char *http_listen; /**< host:port to listen on for users and agents */
+    char *peer_listen; /**< host:port to listen on for other controllers */
     /* services and peers */
     char *cloud_endpoint; /**< host:port */
     char *store_endpoint; /**< host:port of the key-value store */
     GArray *peers;        /**< struct ow_peer_settings */
     GArray *teams;        /**< struct ow_team_settings */
     GArray *slos;         /**< struct ow_slo */
-    char **zones;         /**< where machines may be provisioned, ended by NULL */
+    char **zones;         /**< zones where machines may be provisioned, NULL-terminated */
     /* agents */
     double heartbeat_interval_s;
-    double lease_s;     /**< of an agent: it stops its tasks this long after the last answered heartbeat */
-    double gang_wait_s; /**< the longest that a gang's task waits for the others on its machine */
-    double gang_peer_s; /**< the longest until a gang's tasks notice that one of them is gone */
-    double cancel_s;    /**< by when after a cancellation every task of the job must be gone */
-    /* bounds of the key-value store */
-    double store_rps;       /**< requests a second */
-    double store_write_rps; /**< mutations a second */
-    double value_kb;        /**< size of a value */
-    unsigned txn_ops;       /**< operations of a transaction */
-    /* announced bounds, which take effect at some later time without notice; default: the same as above */
+    double lease_s;     /**< an agent stops its tasks this long after the last answered heartbeat */
+    double gang_wait_s; /**< maximum time that a gang's task waits on its machine for the others */
+    double gang_peer_s; /**< maximum time until the tasks of a gang detect that one of them is gone */
+    double cancel_s;    /**< maximum time from a cancellation until every task of the job has ended */
+    /* limits of the key-value store */
+    double store_rps;       /**< requests per second */
+    double store_write_rps; /**< mutations per second */
+    double value_kb;        /**< maximum size of a value */
+    unsigned txn_ops;       /**< maximum number of operations in a transaction */
+    /* announced future limits, which may take effect at any time; by default the same as the current ones */
     double next_write_rps;
     double next_value_kb;
     unsigned next_txn_ops;
     /* the cloud */
-    double cloud_rps;  /**< requests a second */
-    double list_lag_s; /**< by how much its list of machines may lag behind */
+    double cloud_rps;  /**< requests per second */
+    double list_lag_s; /**< maximum delay of its list of machines */
     /* resource limits of this process */
     double core_share; /**< CPU cores */
     double memory_mb;
@@ -80,25 +81,25 @@
 };
 
 /**
- * Tuning parameters: starting values of the design, which operators may change. config/operators_file.c has
- * the ranges, ow_tuning_default() the defaults. */
+ * Tuning parameters, which operators may change. config/operators_file.c checks the ranges;
+ * ow_tuning_default() returns the defaults. */
 struct ow_tuning {
-    /** How long a gang collects holds at most (D_c of docs/design/paper.md). Seconds, 0 to 5; 5. */
+    /** Maximum time that a gang collects holds (D_c in docs/design/paper.md). Seconds, 0 to 5; default 5. */
     double window_s;
-    /** How long a hold lasts that is not renewed. Seconds, 0.5 to 600; 10. */
+    /** Time until a hold that is not renewed expires. Seconds, 0.5 to 600; default 10. */
     double hold_life_s;
     /** A gang that still lacks machines after this time drops its holds, but keeps its place in the queue.
-     * Seconds, 1 to 86400; 120. */
+     * Seconds, 1 to 86400; default 120. */
     double waiting_limit_s;
-    /** How many candidates are held for each member of a gang at most. 1 to 100; 3. */
+    /** Maximum number of candidates held for each member of a gang. 1 to 100; default 3. */
     unsigned candidates;
-    /** The lease of the leader's key in the key-value store. A shorter lease replaces a failed leader sooner,
-     * but also deposes a slow one sooner. Seconds, 1 to 60; 4. With shards there are further bounds
-     * (sharding/sharding_settings_check.h). */
+    /** The lease of the leader's key in the key-value store. A shorter lease replaces a failed leader
+     * sooner, but also deposes a slow one sooner. Seconds, 1 to 60; default 4. With shards, further limits
+     * apply (sharding/sharding_settings_check.h). */
     double leader_lease_s;
 };
 
-/** The default values. */
+/** Returns the default tuning parameters. */
 struct ow_tuning ow_tuning_default(void);
 
 #endif
--- a/src/model/store.h
+++ b/src/model/store.h
@@ -1,8 +1,8 @@
 /** @file
  * Requests to the key-value store and its replies, as plain data.
  *
- * The store gives every change a revision. A key remembers the revision of its last change (`mod_revision`),
- * and a transaction compares against it: all of its mutations are carried out in one step, or none of them.
+ * Every change gets a revision. The store keeps the revision of the last change of each key (`mod_revision`),
+ * and a transaction compares against it: its mutations are applied atomically, or not at all.
  * wire/store_json.h converts requests to HTTP and responses to replies.
  */
 #ifndef OW_MODEL_STORE_H
@@ -15,17 +15,17 @@
 
 struct json_t;
 
-/** What a request asks for. */
+/** The operation of a request. */
 enum ow_store_op {
     OW_STORE_GET,         /**< one key */
     OW_STORE_LIST,        /**< a page of the keys with a prefix */
-    OW_STORE_TXN,         /**< mutations that are carried out if all comparisons hold */
-    OW_STORE_WATCH,       /**< changes of keys with a prefix, held open until there are some */
+    OW_STORE_TXN,         /**< mutations that are applied if all comparisons hold */
+    OW_STORE_WATCH,       /**< changes of keys with a prefix; a long poll until there are some */
     OW_STORE_GRANT_LEASE, /**< a new lease */
     OW_STORE_KEEP_ALIVE,  /**< renewal of a lease */
 };
 
-/** Holds if the key's last change has this revision. */
+/** A comparison, which holds if the last change of the key has this revision. */
 struct ow_store_comparison {
     char *key;             /**< owned */
     uint64_t mod_revision; /**< 0: the key must not exist */
@@ -38,31 +38,32 @@
     uint64_t lease; /**< the key is deleted when this lease expires; 0: never */
 };
 
-/** A request; which fields count depends on `op`. */
+/** A request; `op` determines which fields are used. */
 struct ow_store_request {
     uint64_t tag; /**< identifies the request; the reply has the same tag */
     enum ow_store_op op;
-    char *key;               /**< owned; get: the key; list and watch: the prefix; else NULL */
-    char *start_after_key;   /**< owned; list: only keys beyond this one; NULL: from the first */
+    char *key;               /**< owned; get: the key; list and watch: the prefix; otherwise NULL */
+    char *start_after_key;   /**< owned; list: only keys after this one; NULL: from the first */
     uint64_t since_revision; /**< watch: only changes after this revision */
     uint64_t lease;          /**< keep-alive: the lease to renew */
-    double duration_s;       /**< watch: how long it may stay open; grant: the lease's time to live */
-    GArray *comparisons;     /**< transaction: struct ow_store_comparison, owned; else NULL */
-    GArray *mutations;       /**< transaction: struct ow_store_mutation, owned; else NULL */
+    double duration_s;       /**< watch: maximum time that it stays open; grant: the lease's time to live */
+    GArray *comparisons;     /**< transaction: struct ow_store_comparison, owned; otherwise NULL */
+    GArray *mutations;       /**< transaction: struct ow_store_mutation, owned; otherwise NULL */
 };
 
-/** A new request. `key` is copied and may be NULL. */
+/** Creates a request; the caller frees it with ow_store_request_free(). `key` is copied and may be NULL. */
 struct ow_store_request *ow_store_request_new(enum ow_store_op op, const char *key);
-/** Frees the request with all that it owns; NULL is allowed. */
+/** Frees a request and its members. NULL is allowed. */
 void ow_store_request_free(struct ow_store_request *request);
-/** Lets GLib free it: g_autoptr(ow_store_request), or g_auto(ow_store_request). */
+/** Enables g_autoptr(ow_store_request). */
 typedef struct ow_store_request ow_store_request;
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(ow_store_request, ow_store_request_free)
 /** Adds a comparison to a transaction. `key` is copied; `mod_revision` 0: the key must not exist. */
 void ow_store_request_compare(struct ow_store_request *request, const char *key, uint64_t mod_revision);
-/** Adds a mutation to a transaction. `key` is copied; takes ownership of `value`, NULL deletes the key. */
+/** Adds a mutation to a transaction. `key` is copied. Takes ownership of `value`; NULL deletes the key.
+ * `lease` 0: the key does not expire. */
 void ow_store_request_put(struct ow_store_request *request, const char *key, char *value, uint64_t lease);
-/** The size in bytes of the largest value that a transaction writes; 0 if it only deletes. */
+/** Returns the size in bytes of the largest value that a transaction writes; 0 if it only deletes. */
 size_t ow_store_request_largest_value(const struct ow_store_request *request);
 
 /** A key with its value, or a change of a key. */
@@ -75,20 +76,20 @@
 /** A reply. */
 struct ow_store_reply {
     uint64_t tag; /**< of the request */
-    /** enum ow_http_status, or another one. NONE: no response: the request may have been carried out, or may
-     * be later. BAD_REQUEST: a transaction or a value in it is too large. CONFLICT: a comparison did not hold
-     * and nothing was changed. */
+    /** HTTP status, of enum ow_http_status or another one. NONE: no response; the request may have been
+     * carried out, or may be later. BAD_REQUEST: the transaction or a value in it is too large. CONFLICT: a
+     * comparison did not hold, and nothing was changed. */
     int status;
-    uint64_t revision;  /**< of the store at the reply; of a transaction: the revision that it made */
+    uint64_t revision;  /**< current revision of the store; transaction: the revision that it created */
     uint64_t lease;     /**< grant: the new lease */
-    bool has_more;      /**< list: there are further pages */
-    GArray *items;      /**< get, list and watch: struct ow_store_item, owned; else NULL or empty */
+    bool has_more;      /**< list: there are more pages */
+    GArray *items;      /**< get, list and watch: struct ow_store_item, owned; otherwise NULL or empty */
     char **failed_keys; /**< conflict: keys whose comparison did not hold, owned; NULL: unknown */
 };
 
-/** Whether the reply names `key` among those whose comparison did not hold. */
+/** Whether the reply lists `key` among those whose comparison did not hold. */
 bool ow_store_reply_failed_on(const struct ow_store_reply *reply, const char *key);
-/** Frees what the reply owns, not the reply itself. */
+/** Frees the members of a reply, not the struct itself. */
 void ow_store_reply_clear(struct ow_store_reply *reply);
 
 #endif
--- a/src/util/interner.c
+++ b/src/util/interner.c
@@ -3,8 +3,8 @@
 #include <glib.h>
 
 struct ow_interner {
-    GHashTable *indices; /* text -> its index */
-    GPtrArray *texts;    /* by index; owns the strings, which are also the keys of `indices` */
+    GHashTable *indices; /* string -> its index */
+    GPtrArray *texts;    /* by index; owns the strings, including the keys of `indices` */
 };
 
 struct ow_interner *ow_interner_new(void)
