--- a/src/io/daemon.c
+++ b/src/io/daemon.c
@@ -17,7 +17,7 @@
 enum {
     BODY_LIMIT_BYTES = 64 * 1024, /* of an incoming request */
     RESERVED_SOCKETS = 60,        /* for the key-value store, the cloud and other controllers */
-    SOCKETS_MIN = 200,            /* lower bound, even if the settings allow fewer */
+    SOCKETS_MIN = 200,            /* lower bound, even if the settings specify fewer */
 };
 /* Each machine has a connection for its heartbeats, and these take precedence. Outgoing connections, which
    carry commands, get the remaining sockets, but at least this share. */
--- a/src/io/net.c
+++ b/src/io/net.c
@@ -118,10 +118,10 @@
     return true;
 }
 
-enum ow_net_read_result ow_net_read(int fd, char *buffer, size_t size, size_t *taken)
+enum ow_net_read_result ow_net_read(int fd, char *buffer, size_t size, size_t *bytes_read)
 {
     ssize_t count;
-    *taken = 0;
+    *bytes_read = 0;
     do
         count = recv(fd, buffer, size, 0);
     while (count < 0 && errno == EINTR);
@@ -129,7 +129,7 @@
         return OW_NET_WOULD_BLOCK;
     if (count <= 0)
         return OW_NET_CLOSED;
-    *taken = (size_t)count;
+    *bytes_read = (size_t)count;
     return OW_NET_DATA;
 }
 
--- a/src/io/net.h
+++ b/src/io/net.h
@@ -49,8 +49,8 @@
  * @param fd the socket
  * @param buffer filled from its start
  * @param size bytes that the buffer holds
- * @param taken set to the number of bytes read with OW_NET_DATA, to 0 otherwise */
-enum ow_net_read_result ow_net_read(int fd, char *buffer, size_t size, size_t *taken);
+ * @param bytes_read set to the number of bytes read with OW_NET_DATA, to 0 otherwise */
+enum ow_net_read_result ow_net_read(int fd, char *buffer, size_t size, size_t *bytes_read);
 
 /** Whether the peer is known to have closed the connection. Consumes no bytes. */
 bool ow_net_has_hung_up(int fd);
--- a/src/wire/peer.x
+++ b/src/wire/peer.x
@@ -49,8 +49,8 @@
     peer_machine machines<PEER_MACHINES_MAX>;
 };
 
-/* One part of a list of machines that is too long for one message; the parts are sent consecutively. A part has a kind
- * that earlier versions skip, because they would take it for the complete list. */
+/* One part of a list of machines that is too long for one message; the parts are sent consecutively. A single
+ * part is of no use: earlier versions would take it for the complete list, so it has a kind that they skip. */
 const PEER_PART_MACHINES_MAX = 1000;
 const PEER_PARTS_MAX = 1000;
 
--- a/src/wire/store_json.c
+++ b/src/wire/store_json.c
@@ -15,7 +15,8 @@
 
 static json_t *comparison_to_json(const struct ow_store_comparison *comparison)
 {
-    return json_pack("{s:s,s:I}", W_KEY, comparison->key, W_VERSION, (json_int_t)comparison->mod_revision);
+    return json_pack("{s:s,s:I}", W_KEY, comparison->key, W_MOD_REVISION,
+                     (json_int_t)comparison->mod_revision);
 }
 
 static json_t *mutation_to_json(const struct ow_store_mutation *mutation)
@@ -59,7 +60,8 @@
 static char *watch_path(const struct ow_store_request *request)
 {
     return g_strdup_printf("%s?%s=%s&%s=%" PRIu64 "&%s=%d", W_PATH_WATCH, W_PREFIX, request->key, W_AFTER,
-                           request->since_revision, W_WATCH_MS, (int)(request->duration_s * MS_PER_S));
+                           request->since_revision, W_WATCH_DURATION_MS,
+                           (int)(request->duration_s * MS_PER_S));
 }
 
 static char *grant_lease_body(const struct ow_store_request *request)
@@ -103,9 +105,9 @@
 
 static void clear_item(void *item)
 {
-    struct ow_store_item *store_item = item;
-    g_free(store_item->key);
-    json_decref(store_item->value);
+    struct ow_store_item *cleared = item;
+    g_free(cleared->key);
+    json_decref(cleared->value);
 }
 
 /* Appends a key with its value. Returns false if the entry is invalid. */
@@ -114,7 +116,7 @@
     const char *key = NULL;
     struct ow_store_item item = {0};
     if (!wire_json_get_string(object, key_field, &key) ||
-        !wire_json_get_count(object, W_VERSION, &item.mod_revision))
+        !wire_json_get_count(object, W_MOD_REVISION, &item.mod_revision))
         return false;
     item.key = g_strdup(key);
     item.value = json_incref(json_object_get(object, W_VALUE));
@@ -135,7 +137,7 @@
     struct ow_store_item item = {0};
     if (!wire_json_get_string(object, W_DELETE, &deleted_key))
         return false;
-    wire_json_get_count(object, W_VERSION, &item.mod_revision);
+    wire_json_get_count(object, W_MOD_REVISION, &item.mod_revision);
     item.key = g_strdup(deleted_key);
     g_array_append_val(items, item);
     return true;
--- a/src/wire/submission_json.c
+++ b/src/wire/submission_json.c
@@ -80,7 +80,7 @@
 
 static bool read_kind(const json_t *object, const char *field, void *member)
 {
-    int index = read_word(object, field, wire_kinds);
+    int index = read_word(object, field, wire_job_kinds);
     if (index < 0)
         return false;
     *(enum ow_job_kind *)member = (enum ow_job_kind)index;
@@ -89,12 +89,12 @@
 
 static json_t *write_kind(const void *member)
 {
-    return json_string(wire_kinds[*(const enum ow_job_kind *)member]);
+    return json_string(wire_job_kinds[*(const enum ow_job_kind *)member]);
 }
 
 static bool read_rank(const json_t *object, const char *field, void *member)
 {
-    int index = read_word(object, field, wire_ranks);
+    int index = read_word(object, field, wire_job_ranks);
     if (index < 0)
         return false;
     *(enum ow_rank *)member = (enum ow_rank)index;
@@ -103,7 +103,7 @@
 
 static json_t *write_rank(const void *member)
 {
-    return json_string(wire_ranks[*(const enum ow_rank *)member]);
+    return json_string(wire_job_ranks[*(const enum ow_rank *)member]);
 }
 
 static bool read_task_count(const json_t *object, const char *field, void *member)
--- a/src/wire/words.c
+++ b/src/wire/words.c
@@ -7,14 +7,14 @@
 #include <stddef.h>
 #include <string.h>
 
-const char *const wire_kinds[] = {
+const char *const wire_job_kinds[] = {
     [OW_KIND_ARRAY] = "batch",
     [OW_KIND_GANG] = "ensemble",
     [OW_KIND_SERVICE] = "standing",
     NULL,
 };
 
-const char *const wire_ranks[] = {
+const char *const wire_job_ranks[] = {
     [OW_RANK_CRITICAL] = "critical",
     [OW_RANK_URGENT] = "urgent",
     [OW_RANK_STANDARD] = "standard",
@@ -22,12 +22,12 @@
     NULL,
 };
 
-const char *const wire_phases[] = {
+const char *const wire_task_phases[] = {
     [OW_PHASE_FETCHING] = "fetching",      [OW_PHASE_WAITING] = "waiting", [OW_PHASE_RUNNING] = "running",
     [OW_PHASE_CHECKPOINTING] = "flushing", [OW_PHASE_EXITED] = "exited",   NULL,
 };
 
-const char *const wire_causes[] = {
+const char *const wire_exit_causes[] = {
     [OW_CAUSE_NONE] = "", /* the field is absent */
     [OW_CAUSE_DONE] = "done",
     [OW_CAUSE_STOPPED] = "halted",
--- a/src/wire/words.h
+++ b/src/wire/words.h
@@ -99,21 +99,21 @@
 
 /* ---- fields of the key-value store ---- */
 
-#define W_REVISION "tide"      /* revision of the store */
-#define W_VERSION "mark"       /* revision of a key's last change */
-#define W_LEASE "tether"       /* lease */
-#define W_KEY "k"              /* key */
-#define W_VALUE "value"        /* value */
-#define W_PREFIX "under"       /* prefix of keys */
-#define W_ITEMS "pairs"        /* keys and values of a list */
-#define W_COMPARISONS "if"     /* comparisons of a transaction */
-#define W_MUTATIONS "apply"    /* mutations of a transaction */
-#define W_PUT "write"          /* put */
-#define W_DELETE "drop"        /* delete */
-#define W_TTL_MS "ttl_ms"      /* time to live of a lease */
-#define W_WATCH_MS "hold_ms"   /* maximum duration of a watch */
-#define W_EVENTS "log"         /* changes in the reply to a watch */
-#define W_FAILED_KEYS "failed" /* keys whose comparison failed */
+#define W_REVISION "tide"             /* revision of the store */
+#define W_MOD_REVISION "mark"         /* revision of a key's last change */
+#define W_LEASE "tether"              /* lease */
+#define W_KEY "k"                     /* key */
+#define W_VALUE "value"               /* value */
+#define W_PREFIX "under"              /* prefix of keys */
+#define W_ITEMS "pairs"               /* keys and values of a list */
+#define W_COMPARISONS "if"            /* comparisons of a transaction */
+#define W_MUTATIONS "apply"           /* mutations of a transaction */
+#define W_PUT "write"                 /* put */
+#define W_DELETE "drop"               /* delete */
+#define W_TTL_MS "ttl_ms"             /* time to live of a lease */
+#define W_WATCH_DURATION_MS "hold_ms" /* maximum duration of a watch */
+#define W_EVENTS "log"                /* changes in the reply to a watch */
+#define W_FAILED_KEYS "failed"        /* keys whose comparison failed */
 
 /* ---- fields of answers to users that are not in the protocol ---- */
 
@@ -129,10 +129,10 @@
 
 /** @name Words for enum values, indexed by the enum and NULL-terminated. */
 /** @{ */
-extern const char *const wire_kinds[];           /**< enum ow_job_kind */
-extern const char *const wire_ranks[];           /**< enum ow_rank */
-extern const char *const wire_phases[];          /**< enum ow_task_phase */
-extern const char *const wire_causes[];          /**< enum ow_exit_cause */
+extern const char *const wire_job_kinds[];       /**< enum ow_job_kind */
+extern const char *const wire_job_ranks[];       /**< enum ow_rank */
+extern const char *const wire_task_phases[];     /**< enum ow_task_phase */
+extern const char *const wire_exit_causes[];     /**< enum ow_exit_cause */
 extern const char *const wire_worker_commands[]; /**< enum ow_worker_command_kind */
 extern const char *const wire_listed_states[];   /**< enum ow_listed_state */
 extern const char *const wire_job_states[];      /**< enum ow_job_state */
--- a/src/wire/worker_json.c
+++ b/src/wire/worker_json.c
@@ -39,10 +39,11 @@
 
 static json_t *task_status_to_json(const struct ow_task_status *status)
 {
-    json_t *object = json_pack("{s:o,s:I,s:s}", W_TASK, task_name_to_json(status->job, status->task),
-                               W_ATTEMPT, (json_int_t)status->attempt, W_STATE, wire_phases[status->phase]);
+    json_t *object =
+        json_pack("{s:o,s:I,s:s}", W_TASK, task_name_to_json(status->job, status->task), W_ATTEMPT,
+                  (json_int_t)status->attempt, W_STATE, wire_task_phases[status->phase]);
     if (status->phase == OW_PHASE_EXITED)
-        json_object_set_new(object, W_CAUSE, json_string(wire_causes[status->cause]));
+        json_object_set_new(object, W_CAUSE, json_string(wire_exit_causes[status->cause]));
     if (status->saved)
         json_object_set_new(object, W_CHECKPOINT_SAVED, json_true());
     return object;
@@ -51,19 +52,19 @@
 static bool task_status_from_json(const json_t *object, struct ow_task_status *status)
 {
     const char *phase_word = NULL;
-    const char *cause_word = wire_causes[OW_CAUSE_NONE];
+    const char *cause_word = wire_exit_causes[OW_CAUSE_NONE];
     memset(status, 0, sizeof *status);
     if (!task_name_from_json(object, status->job, &status->task) ||
         !wire_json_get_count(object, W_ATTEMPT, &status->attempt) ||
         !wire_json_get_string(object, W_STATE, &phase_word))
         return false;
-    int phase = wire_word_index(wire_phases, phase_word);
+    int phase = wire_word_index(wire_task_phases, phase_word);
     if (phase < 0)
         return false;
     status->phase = (enum ow_task_phase)phase;
     wire_json_get_string(object, W_CAUSE, &cause_word);
     wire_json_get_bool(object, W_CHECKPOINT_SAVED, &status->saved);
-    int cause = wire_word_index(wire_causes, cause_word);
+    int cause = wire_word_index(wire_exit_causes, cause_word);
     /* An unknown cause still shows that the attempt has ended. */
     status->cause = cause < 0 ? OW_CAUSE_ERROR : (enum ow_exit_cause)cause;
     return true;
