--- a/src/model/http_status.h
+++ b/src/model/http_status.h
@@ -1,6 +1,7 @@
 /** @file
- * Names for the HTTP status codes that are sent or interpreted. Replies of the key-value store and the cloud,
- * and answers to users and workers, store them in fields `int status`. */
+ * Names for the HTTP status codes that are sent or interpreted, shared by the core, the shard manager and the
+ * daemon. Replies of the key-value store and the cloud, and answers to users and workers, store them in
+ * fields `int status`. */
 #ifndef OW_MODEL_HTTP_STATUS_H
 #define OW_MODEL_HTTP_STATUS_H
 
--- a/src/model/worker.h
+++ b/src/model/worker.h
@@ -53,7 +53,7 @@
     char *zone;
     bool spot;
     uint64_t incarnation;    /**< of the agent; increases whenever its lease expires */
-    uint64_t sequence;       /**< increases with every message of an incarnation */
+    uint64_t sequence;       /**< increases with every message of an incarnation; the highest is the newest */
     uint64_t fencing_token;  /**< the highest that the agent has received; 0: none */
     double reclaim_notice_s; /**< time until the cloud reclaims the machine; negative: no notice */
     GArray *tasks;           /**< struct ow_task_status: every attempt on the machine */
@@ -79,8 +79,7 @@
     char job[OW_ID_MAX + 1];
     uint32_t task; /**< task number in the job, from 0 */
     uint64_t attempt;
-    double
-        grace_s; /**< OW_WORKER_STOP: time to save a checkpoint; if too short, the task exits immediately */
+    double grace_s; /**< OW_WORKER_STOP: time to save a checkpoint; if too short, the task exits at once */
 };
 
 #endif
--- a/src/util/interner.h
+++ b/src/util/interner.h
@@ -1,6 +1,5 @@
 /** @file
- * Interner: maps strings to dense indices from 0, so that the core compares numbers and uses
- * them as array indices.
+ * Interner: maps strings to dense indices from 0, by which the core compares names and indexes arrays.
  *
  * Indices are assigned in the order in which strings are first interned, are never reused, and stay valid as
  * long as the interner exists. There is one interner for each kind of name (classes, teams, images, zones,
