--- a/src/io/daemon_state.h
+++ b/src/io/daemon_state.h
@@ -22,7 +22,7 @@
     struct ow_peer_links *peers;
     struct ow_pending_requests *pending_requests; /**< requests sent by `client` that have no reply yet */
     unsigned sockets_max; /**< excludes the sockets reserved for the key-value store, the cloud and other
- controllers */
+                             controllers */
     unsigned client_sockets_min; /**< part of `sockets_max` that is always available to outgoing requests */
     double sweep_at;             /**< monotonic time of the next sweep of connections */
 };
--- a/src/model/peer.h
+++ b/src/model/peer.h
@@ -23,7 +23,7 @@
     OW_PEER_HEARTBEAT = 9,
     OW_PEER_PROBE,
     OW_PEER_LINK_LOST = 1000, /**< never sent: created when a link is lost, because the controller's process
- has probably ended */
+                                 has probably ended */
 };
 
 /** OW_PEER_HELLO: the status of the sender, sent once a second. */
