--- a/src/wire/store_json.c
+++ b/src/wire/store_json.c
@@ -6,7 +6,7 @@
 
 #include <inttypes.h>
 
-/* Keys that one page of a list has at most. */
+/* Maximum number of keys in one page of a list. */
 enum { LIST_PAGE_KEYS = 500 };
 
 static const double MS_PER_S = 1000.0;
@@ -15,7 +15,8 @@
 
 static json_t *comparison_to_json(const struct ow_store_comparison *comparison)
 {
-    return json_pack("{s:s,s:I}", W_KEY, comparison->key, W_VERSION, (json_int_t)comparison->mod_revision);
+    return json_pack("{s:s,s:I}", W_KEY, comparison->key, W_MOD_REVISION,
+                     (json_int_t)comparison->mod_revision);
 }
 
 static json_t *mutation_to_json(const struct ow_store_mutation *mutation)
@@ -59,7 +60,8 @@
 static char *watch_path(const struct ow_store_request *request)
 {
     return g_strdup_printf("%s?%s=%s&%s=%" PRIu64 "&%s=%d", W_PATH_WATCH, W_PREFIX, request->key, W_AFTER,
-                           request->since_revision, W_WATCH_MS, (int)(request->duration_s * MS_PER_S));
+                           request->since_revision, W_WATCH_DURATION_MS,
+                           (int)(request->duration_s * MS_PER_S));
 }
 
 static char *grant_lease_body(const struct ow_store_request *request)
@@ -108,13 +110,13 @@
     json_decref(cleared->value);
 }
 
-/* Appends a key with its value; false: it can't be read. */
+/* Appends a key with its value. Returns false if the entry is invalid. */
 static bool add_item(GArray *items, const json_t *object, const char *key_field)
 {
     const char *key = NULL;
     struct ow_store_item item = {0};
     if (!wire_json_get_string(object, key_field, &key) ||
-        !wire_json_get_count(object, W_VERSION, &item.mod_revision))
+        !wire_json_get_count(object, W_MOD_REVISION, &item.mod_revision))
         return false;
     item.key = g_strdup(key);
     item.value = json_incref(json_object_get(object, W_VALUE));
@@ -135,13 +137,14 @@
     struct ow_store_item item = {0};
     if (!wire_json_get_string(object, W_DELETE, &deleted_key))
         return false;
-    wire_json_get_count(object, W_VERSION, &item.mod_revision);
+    wire_json_get_count(object, W_MOD_REVISION, &item.mod_revision);
     item.key = g_strdup(deleted_key);
     g_array_append_val(items, item);
     return true;
 }
 
-/* Reads a list that is complete only with the revision that it shows; false: something can't be read. */
+/* Reads a list. Returns false if any entry is invalid, or if the object lacks the revision that the list
+ * shows. */
 static bool read_list(const json_t *object, const char *field,
                       bool (*add_entry)(GArray *items, const json_t *entry), GArray *items)
 {
@@ -154,7 +157,7 @@
     return true;
 }
 
-/* Reads the body of a reply with status 200; false: it can't be read. */
+/* Reads the body of a reply with status 200. Returns false if it is invalid. */
 static bool read_success(enum ow_store_op op, const json_t *object, struct ow_store_reply *reply)
 {
     wire_json_get_count(object, W_REVISION, &reply->revision);
@@ -189,7 +192,7 @@
     reply->status = status;
     reply->items = g_array_new(FALSE, FALSE, sizeof(struct ow_store_item));
     g_array_set_clear_func(reply->items, clear_item);
-    /* A renewed lease is told by the status alone. */
+    /* The status alone confirms the renewal of a lease. */
     bool needs_body = status == OW_HTTP_STATUS_OK && op != OW_STORE_KEEP_ALIVE;
     if (needs_body && (object == NULL || !read_success(op, object, reply)))
         reply->status = OW_HTTP_STATUS_NONE;
