--- a/src/agent/history.c
+++ b/src/agent/history.c
@@ -92,14 +92,13 @@
     append_attempt(history, "exited", attempt, "cause", (uint64_t)cause);
 }
 
-void agent_history_record_task_begins(const struct agent_history *history,
-                                      const struct agent_attempt *attempt)
+void agent_history_record_task_start(const struct agent_history *history, const struct agent_attempt *attempt)
 {
     append_attempt(history, "task-begins", attempt, "end", AGENT_END_NONE);
 }
 
-void agent_history_record_task_ended(const struct agent_history *history, const struct agent_attempt *attempt,
-                                     enum agent_task_end end)
+void agent_history_record_task_end(const struct agent_history *history, const struct agent_attempt *attempt,
+                                   enum agent_task_end end)
 {
     append_attempt(history, "task-ended", attempt, "end", (uint64_t)end);
 }
--- a/src/agent/history.h
+++ b/src/agent/history.h
@@ -57,10 +57,10 @@
 void agent_history_record_exit(const struct agent_history *history, const struct agent_attempt *attempt,
                                enum ow_exit_cause cause);
 /** The supervisor is about to start the task's process. */
-void agent_history_record_task_begins(const struct agent_history *history,
-                                      const struct agent_attempt *attempt);
+void agent_history_record_task_start(const struct agent_history *history,
+                                     const struct agent_attempt *attempt);
 /** The supervisor has seen the end of the task's process. */
-void agent_history_record_task_ended(const struct agent_history *history, const struct agent_attempt *attempt,
-                                     enum agent_task_end end);
+void agent_history_record_task_end(const struct agent_history *history, const struct agent_attempt *attempt,
+                                   enum agent_task_end end);
 
 #endif
--- a/src/agent/supervisor.c
+++ b/src/agent/supervisor.c
@@ -18,7 +18,7 @@
         mmap(NULL, sizeof *page, PROT_READ | PROT_WRITE, MAP_SHARED | MAP_ANONYMOUS, -1, 0);
     if (page == MAP_FAILED)
         return NULL;
-    atomic_store(&page->stop_until, 0);
+    atomic_store(&page->stop_deadline, 0);
     atomic_store(&page->end, AGENT_END_NONE);
     return page;
 }
@@ -45,9 +45,9 @@
 void agent_supervisor_stop(struct agent_supervisor *supervisor, double grace_s)
 {
     double until = agent_clock_now() + grace_s;
-    double earlier = atomic_load(&supervisor->page->stop_until);
+    double earlier = atomic_load(&supervisor->page->stop_deadline);
     if (earlier <= 0 || until < earlier)
-        atomic_store(&supervisor->page->stop_until, until);
+        atomic_store(&supervisor->page->stop_deadline, until);
 }
 
 enum agent_task_end agent_supervisor_poll(struct agent_supervisor *supervisor, int *status)
--- a/src/agent/supervisor_process.c
+++ b/src/agent/supervisor_process.c
@@ -69,7 +69,7 @@
     setenv("OSPREYWELL_JOB", command->attempt.job, 1);
     set_number("OSPREYWELL_TASK", command->attempt.task);
     set_number("OSPREYWELL_ATTEMPT", command->attempt.attempt);
-    execvp(command->words[0], command->words);
+    execvp(command->argv[0], command->argv);
     _exit(STATUS_NOT_BEGUN);
 }
 
@@ -85,12 +85,12 @@
 /* Why the task must be killed now; AGENT_END_NONE: it need not. */
 static enum agent_task_end reason_to_kill(const struct watch *watch)
 {
-    double stop_until = atomic_load(&watch->page->stop_until);
+    double stop_deadline = atomic_load(&watch->page->stop_deadline);
     if (agent_lease_is_expired(watch->command->lease))
         return AGENT_END_LEASE;
     if (getppid() != watch->agent)
         return AGENT_END_NO_AGENT;
-    if (stop_until > 0 && agent_clock_now() >= stop_until)
+    if (stop_deadline > 0 && agent_clock_now() >= stop_deadline)
         return AGENT_END_KILLED;
     return AGENT_END_NONE;
 }
@@ -98,7 +98,7 @@
 /* Passes a stop of the agent's on to the task, once. */
 static void ask_to_end(struct watch *watch)
 {
-    if (watch->is_told || atomic_load(&watch->page->stop_until) <= 0)
+    if (watch->is_told || atomic_load(&watch->page->stop_deadline) <= 0)
         return;
     watch->is_told = true;
     kill_task(watch, SIGTERM);
@@ -133,7 +133,7 @@
         return AGENT_END_STOPPED;
     if (WIFSIGNALED(*status))
         return AGENT_END_SIGNAL;
-    return WEXITSTATUS(*status) == STATUS_NOT_BEGUN ? AGENT_END_NOT_BEGUN : AGENT_END_EXIT;
+    return WEXITSTATUS(*status) == STATUS_NOT_BEGUN ? AGENT_END_NOT_STARTED : AGENT_END_EXIT;
 }
 
 int agent_supervisor_process_run(const struct agent_task_command *command, struct agent_supervisor_page *page,
@@ -144,12 +144,12 @@
     pid_t self = getpid();
     close_other_descriptors(command);
     /* Recorded before the task can run: the record may only be too early. */
-    agent_history_record_task_begins(command->history, &command->attempt);
+    agent_history_record_task_start(command->history, &command->attempt);
     watch.task = fork();
     if (watch.task == 0)
         become_task(command, self);
-    enum agent_task_end end = watch.task > 0 ? watch_task(&watch, &status) : AGENT_END_NOT_BEGUN;
-    agent_history_record_task_ended(command->history, &command->attempt, end);
+    enum agent_task_end end = watch.task > 0 ? watch_task(&watch, &status) : AGENT_END_NOT_STARTED;
+    agent_history_record_task_end(command->history, &command->attempt, end);
     atomic_store(&page->status, WIFEXITED(status) ? WEXITSTATUS(status) : STATUS_SIGNAL);
     atomic_store(&page->end, (int)end);
     return EXIT_SUCCESS;
--- a/src/agent/supervisor_process.h
+++ b/src/agent/supervisor_process.h
@@ -21,7 +21,7 @@
 /** What a task is run with. Nothing is owned. */
 struct agent_task_command {
     struct agent_attempt attempt;
-    char **words; /**< the program and its arguments, ended by NULL */
+    char **argv; /**< the program and its arguments, ended by NULL */
     const struct agent_lease *lease;
     const struct agent_history *history;
     int lock_fd; /**< the incarnation's lock, which the supervisor holds while it lives */
@@ -29,10 +29,10 @@
 
 /** Shared by the agent and the supervisor. */
 struct agent_supervisor_page {
-    _Atomic double stop_until; /**< written by the agent: by then (agent_clock_now()) the task must be gone;
-                                  0: it need not */
-    _Atomic int end;           /**< written by the supervisor, last of all: enum agent_task_end */
-    _Atomic int status;        /**< written by the supervisor: the exit status; -1 after a signal */
+    _Atomic double stop_deadline; /**< written by the agent: by then (agent_clock_now()) the task must be
+                                  gone; 0: it need not */
+    _Atomic int end;              /**< written by the supervisor, last of all: enum agent_task_end */
+    _Atomic int status;           /**< written by the supervisor: the exit status; -1 after a signal */
 };
 
 /** Runs the task until it is gone; the exit status of the supervisor's process, which is to end with it.
--- a/src/agent/task.c
+++ b/src/agent/task.c
@@ -47,7 +47,7 @@
 {
     struct agent_task_command command = {
         .attempt = attempt_of(task),
-        .words = description->command,
+        .argv = description->command,
         .lease = context->lease,
         .history = context->history,
         .lock_fd = context->incarnation->lock_fd,
@@ -75,13 +75,13 @@
     task->may_checkpoint = task->may_checkpoint && grace_s >= needed_s && grace_s > 0;
     if (task->may_checkpoint)
         task->status.phase = OW_PHASE_CHECKPOINTING;
-    task->is_told_to_stop = true;
+    task->is_stop_requested = true;
     agent_supervisor_stop(task->supervisor, task->may_checkpoint ? grace_s : 0);
 }
 
 static enum ow_exit_cause exit_cause(const struct agent_task *task, enum agent_task_end end, int status)
 {
-    if (task->is_told_to_stop && (end == AGENT_END_STOPPED || end == AGENT_END_KILLED))
+    if (task->is_stop_requested && (end == AGENT_END_STOPPED || end == AGENT_END_KILLED))
         return OW_CAUSE_STOPPED;
     if (end != AGENT_END_EXIT)
         return OW_CAUSE_ERROR;
--- a/src/agent/task.h
+++ b/src/agent/task.h
@@ -33,7 +33,7 @@
     struct ow_task_status status;             /**< what heartbeats say of it */
     struct agent_supervisor *supervisor;      /**< owned; NULL: it has ended, or never began */
     struct wire_job_description *description; /**< owned; at least while there is a supervisor */
-    bool is_told_to_stop;
+    bool is_stop_requested;
     bool may_checkpoint; /**< its job saves checkpoints, and no stop was too short for one */
 };
 
--- a/src/client/client.c
+++ b/src/client/client.c
@@ -55,14 +55,14 @@
 };
 
 /* The command that these words are, or NULL. */
-static const struct command *find_command(char *const *words)
+static const struct command *find_command(char *const *arguments)
 {
-    const char *argument = words[1];
-    bool has_one_argument = argument != NULL && words[2] == NULL;
+    const char *argument = arguments[1];
+    bool has_one_argument = argument != NULL && arguments[2] == NULL;
     for (size_t i = 0; i < G_N_ELEMENTS(commands); i++) {
         const struct command *command = &commands[i];
         bool fits = command->argument == ARGUMENT_NONE ? argument == NULL : has_one_argument;
-        if (fits && strcmp(words[0], command->name) == 0)
+        if (fits && strcmp(arguments[0], command->name) == 0)
             return command;
     }
     return NULL;
@@ -125,16 +125,17 @@
     return print_answer(command, status, body);
 }
 
-enum ow_client_status ow_client_run(const char *server, char *const *words)
+enum ow_client_status ow_client_run(const char *server, char *const *arguments)
 {
     if (!ow_endpoint_is_valid(server)) {
         fprintf(stderr, "ospreywell: --server ADDRESS:PORT or OSPREYWELL_SERVER is needed\n");
         return OW_CLIENT_USAGE;
     }
-    const struct command *command = find_command(words);
+    const struct command *command = find_command(arguments);
     if (command == NULL) {
-        fprintf(stderr, "ospreywell: %s: not a command, or wrong words behind it; see --help\n", words[0]);
+        fprintf(stderr, "ospreywell: %s: not a command, or wrong words behind it; see --help\n",
+                arguments[0]);
         return OW_CLIENT_USAGE;
     }
-    return run_command(server, command, words[1]);
+    return run_command(server, command, arguments[1]);
 }
--- a/src/client/client.h
+++ b/src/client/client.h
@@ -16,6 +16,6 @@
 /** Carries out a command, prints its answer to standard output, or what went wrong to standard error.
  * @param server the controller to talk to, ADDRESS:PORT; NULL and what is no endpoint give OW_CLIENT_USAGE
  * @param words the command and its argument, ended by NULL; at least one word */
-enum ow_client_status ow_client_run(const char *server, char *const *words);
+enum ow_client_status ow_client_run(const char *server, char *const *arguments);
 
 #endif
--- a/src/config/command_line.c
+++ b/src/config/command_line.c
@@ -20,7 +20,7 @@
 {
     if (is_version)
         return OW_ACTION_VERSION;
-    if (command_line->words != NULL)
+    if (command_line->client_args != NULL)
         return OW_ACTION_CLIENT;
     return is_check ? OW_ACTION_CHECK : OW_ACTION_SERVE;
 }
@@ -38,7 +38,7 @@
         {"server", 0, 0, G_OPTION_ARG_STRING, &out->server,
          "The controller to talk to (or OSPREYWELL_SERVER)", "ADDRESS:PORT"},
         {"version", 0, 0, G_OPTION_ARG_NONE, &is_version, "Tell the version and end", NULL},
-        {G_OPTION_REMAINING, 0, 0, G_OPTION_ARG_STRING_ARRAY, &out->words, NULL, "[COMMAND]"},
+        {G_OPTION_REMAINING, 0, 0, G_OPTION_ARG_STRING_ARRAY, &out->client_args, NULL, "[COMMAND]"},
         {0},
     };
     if (!ow_option_parser_run(argc, argv, summary, entries, error))
@@ -60,5 +60,5 @@
     g_free(command_line->config);
     g_free(command_line->operators);
     g_free(command_line->server);
-    g_strfreev(command_line->words);
+    g_strfreev(command_line->client_args);
 }
--- a/src/config/command_line.h
+++ b/src/config/command_line.h
@@ -19,10 +19,10 @@
 /** A command line, read. Strings are owned. */
 struct ow_command_line {
     enum ow_action action;
-    char *config;    /**< path of the platform's settings; NULL: none (not with SERVE and CHECK) */
-    char *operators; /**< path of the operators' settings; NULL: the default values */
-    char *server;    /**< ADDRESS:PORT of the controller that a client talks to; NULL: none is given */
-    char **words;    /**< the client's command, ended by NULL; NULL: there is none */
+    char *config;       /**< path of the platform's settings; NULL: none (not with SERVE and CHECK) */
+    char *operators;    /**< path of the operators' settings; NULL: the default values */
+    char *server;       /**< ADDRESS:PORT of the controller that a client talks to; NULL: none is given */
+    char **client_args; /**< the client's command, ended by NULL; NULL: there is none */
 };
 
 /**
--- a/src/config/number_field.c
+++ b/src/config/number_field.c
@@ -17,7 +17,7 @@
 
 bool ow_number_field_is_in_range(const struct ow_number_field *field, double value)
 {
-    return value >= field->least && value <= field->most;
+    return value >= field->min && value <= field->max;
 }
 
 void ow_number_field_store(const struct ow_number_field *field, void *base, double value)
--- a/src/config/number_field.h
+++ b/src/config/number_field.h
@@ -18,8 +18,8 @@
     const char *name; /**< the path of a TOML field, the name of an XML attribute */
     size_t offset;    /**< of the member, from the beginning of its struct */
     enum ow_number_type type;
-    double least; /**< the smallest value that is accepted, in the field's unit */
-    double most;  /**< the largest */
+    double min; /**< the smallest value that is accepted, in the field's unit */
+    double max; /**< the largest */
 };
 
 /** Reads the whole text as a finite number into *value; false, with *value unspecified, if it is none. */
--- a/src/config/operators_file.c
+++ b/src/config/operators_file.c
@@ -58,9 +58,8 @@
 static void fail_out_of_range(struct reader *reader, const struct ow_number_field *field)
 {
     const char *kind = field->type == OW_NUMBER_UNSIGNED ? "a whole number" : "a number";
-    fail_with(reader,
-              g_error_new(OW_CONFIG_ERROR, OW_CONFIG_ERROR_OUT_OF_RANGE, "%s: must be %s from %g to %g",
-                          field->name, kind, field->least, field->most));
+    fail_with(reader, g_error_new(OW_CONFIG_ERROR, OW_CONFIG_ERROR_OUT_OF_RANGE,
+                                  "%s: must be %s from %g to %g", field->name, kind, field->min, field->max));
 }
 
 static void read_number(struct reader *reader, const struct ow_number_field *field, const char *text)
@@ -113,7 +112,7 @@
         fail(reader, OW_CONFIG_ERROR_SYNTAX, name, "the root must be ospreywell");
     if (is_root)
         return;
-    if (ow_sharding_file_is_own_element(name))
+    if (ow_sharding_file_handles_element(name))
         read_sharding(reader, name, attributes);
     else
         read_tuning(reader, name, attributes);
--- a/src/config/settings_file.c
+++ b/src/config/settings_file.c
@@ -33,17 +33,17 @@
     {"services.state", offsetof(struct ow_settings, store_endpoint), ow_toml_read_endpoint},
 };
 
-#define SECONDS(path, member, least)                                                                         \
+#define SECONDS(path, member, min)                                                                           \
     {                                                                                                        \
-        path, offsetof(struct ow_settings, member), OW_NUMBER_DOUBLE, least, HOUR_S                          \
+        path, offsetof(struct ow_settings, member), OW_NUMBER_DOUBLE, min, HOUR_S                            \
     }
-#define DOUBLE(path, member, least, most)                                                                    \
+#define DOUBLE(path, member, min, max)                                                                       \
     {                                                                                                        \
-        path, offsetof(struct ow_settings, member), OW_NUMBER_DOUBLE, least, most                            \
+        path, offsetof(struct ow_settings, member), OW_NUMBER_DOUBLE, min, max                               \
     }
-#define UNSIGNED(path, member, least, most)                                                                  \
+#define UNSIGNED(path, member, min, max)                                                                     \
     {                                                                                                        \
-        path, offsetof(struct ow_settings, member), OW_NUMBER_UNSIGNED, least, most                          \
+        path, offsetof(struct ow_settings, member), OW_NUMBER_UNSIGNED, min, max                             \
     }
 
 static const struct ow_number_field number_fields[] = {
@@ -85,7 +85,7 @@
 static void read_number(struct ow_toml_reader *reader, const struct ow_number_field *field,
                         struct ow_settings *settings)
 {
-    double value = ow_toml_read_number(reader, field->name, field->least, field->most);
+    double value = ow_toml_read_number(reader, field->name, field->min, field->max);
     if (reader->error == NULL)
         ow_number_field_store(field, settings, value);
 }
--- a/src/config/sharding_file.c
+++ b/src/config/sharding_file.c
@@ -36,7 +36,7 @@
     double *share;                  /* where the attribute `share` goes, which is then required; or NULL */
 };
 
-bool ow_sharding_file_is_own_element(const char *element)
+bool ow_sharding_file_handles_element(const char *element)
 {
     static const char *const elements[] = {"control", "shard", "allotment", "route", NULL};
     return g_strv_contains(elements, element);
@@ -58,7 +58,7 @@
         return fail(error, OW_CONFIG_ERROR_MALFORMED_VALUE, field->name, "is not a number");
     if (!ow_number_field_is_in_range(field, value)) {
         g_set_error(error, OW_CONFIG_ERROR, OW_CONFIG_ERROR_OUT_OF_RANGE,
-                    "%s: must be a number from %g to %g", field->name, field->least, field->most);
+                    "%s: must be a number from %g to %g", field->name, field->min, field->max);
         return false;
     }
     if (field->type == OW_NUMBER_UNSIGNED && !ow_number_is_whole(value))
--- a/src/config/sharding_file.h
+++ b/src/config/sharding_file.h
@@ -14,11 +14,11 @@
 #include <stdbool.h>
 
 /** Whether the element is `<control>` or one that belongs inside it. */
-bool ow_sharding_file_is_own_element(const char *element);
+bool ow_sharding_file_handles_element(const char *element);
 /**
  * Adds what the element says to the settings.
  *
- * @param element     one for which ow_sharding_file_is_own_element() is true
+ * @param element     one for which ow_sharding_file_handles_element() is true
  * @param attributes  name and value in turn, ended by NULL
  * @param line        of the element in the file, for messages about inconsistent settings
  * @param error       in the domain OW_CONFIG_ERROR, without the line
--- a/src/config/toml_reader.c
+++ b/src/config/toml_reader.c
@@ -38,12 +38,12 @@
     return value;
 }
 
-double ow_toml_read_number(struct ow_toml_reader *reader, const char *path, double least, double most)
+double ow_toml_read_number(struct ow_toml_reader *reader, const char *path, double min, double max)
 {
     double value = 0;
     if (!ow_toml_doc_number(reader->doc, path, &value))
         fail_missing(reader, path, "is not a number");
-    else if (!isfinite(value) || value < least || value > most)
+    else if (!isfinite(value) || value < min || value > max)
         ow_toml_reader_fail(reader, OW_CONFIG_ERROR_OUT_OF_RANGE, path, "is out of range");
     return value;
 }
--- a/src/config/toml_reader.h
+++ b/src/config/toml_reader.h
@@ -25,7 +25,7 @@
 /** The same, which must be ADDRESS:PORT. */
 char *ow_toml_read_endpoint(struct ow_toml_reader *reader, const char *path);
 /** The number at the path, which must be finite and from `least` to `most`; unspecified after an error. */
-double ow_toml_read_number(struct ow_toml_reader *reader, const char *path, double least, double most);
+double ow_toml_read_number(struct ow_toml_reader *reader, const char *path, double min, double max);
 /** The path of a field of an array's item, "array[index].field" (g_free). */
 char *ow_toml_path(const char *array, size_t index, const char *field);
 
--- a/src/main.c
+++ b/src/main.c
@@ -90,7 +90,7 @@
         printf("ospreywell %s\n", OW_VERSION);
         return STATUS_DONE;
     case OW_ACTION_CLIENT:
-        return ow_client_run(command_line->server, command_line->words);
+        return ow_client_run(command_line->server, command_line->client_args);
     case OW_ACTION_SERVE:
     case OW_ACTION_CHECK:
         break;
