--- a/src/agent/agent.c
+++ b/src/agent/agent.c
@@ -14,23 +14,23 @@
 #include <stdio.h>
 #include <string.h>
 
-/* How often the lease, the tasks and idle connections are looked at. */
+/* Interval at which the lease, the tasks and idle connections are checked. */
 static const double ROUND_S = 0.05;
-/* A controller's connection that sends nothing for this time is closed. */
+/* A connection from a controller is closed after this long without data. */
 static const double IDLE_S = 60;
-/* A controller that is named gets the heartbeat after a random part of this time: not from all agents at
- * once. */
+/* Upper bound of the random delay before the heartbeat after a redirect: it keeps all agents from sending to
+ * the same controller at once. */
 static const double REDIRECT_DELAY_S_MAX = 0.5;
 
 enum { BODY_LIMIT_BYTES = 256 * 1024, SERVER_CONNECTIONS = 32, CLIENT_CONNECTIONS = 4 };
 
-/* Requests of the client need no names: one heartbeat is in flight at a time. */
+/* All heartbeats share one tag, since at most one is in flight. */
 enum { HEARTBEAT_TAG = 1 };
 
 struct agent {
     struct agent_machine machine;
     struct agent_heartbeat_schedule schedule;
-    struct agent_sent_heartbeat sent_heartbeat; /* the last one */
+    struct agent_sent_heartbeat sent_heartbeat; /* the most recent one */
     struct ow_loop *loop;
     struct ow_http_server *server; /* direct commands */
     struct ow_http_client *client; /* heartbeats */
@@ -93,7 +93,8 @@
                         HEARTBEAT_TAG);
 }
 
-/* An answer without a fencing token is of a controller that leads nothing: it renews no lease. */
+/* A controller that is not a leader answers without a fencing token; such an answer does not renew the
+ * lease. */
 static void handle_accepted(struct agent *agent, const char *body, size_t size, double now)
 {
     g_autoptr(wire_command_batch) commands = wire_worker_commands_decode(body, size);
@@ -151,7 +152,7 @@
     agent->client = ow_http_client_new(agent->loop, CLIENT_CONNECTIONS, handle_reply, agent);
     agent->server = ow_http_server_new(agent->loop, &server_options, handle_request, agent);
     if (agent->server == NULL)
-        fprintf(stderr, "ospreywell-agent: cannot listen on %s\n", options->listen);
+        fprintf(stderr, "ospreywell-agent: can't listen on %s\n", options->listen);
     return agent->server != NULL;
 }
 
--- a/src/agent/attempt.h
+++ b/src/agent/attempt.h
@@ -1,6 +1,6 @@
 /**
  * @file
- * Which attempt of which task: the identity of everything that runs on a machine. Plain data.
+ * The identity of an attempt of a task: job, task number and attempt number. Plain data.
  */
 #ifndef OW_AGENT_ATTEMPT_H
 #define OW_AGENT_ATTEMPT_H
@@ -9,9 +9,9 @@
 
 /** One attempt to run one task of a job. */
 struct agent_attempt {
-    const char *job;  /**< the job's id; not owned */
-    uint32_t task;    /**< its number in the job, from 0 */
-    uint64_t attempt; /**< grows with every launch of the task */
+    const char *job;  /**< id of the job; not owned */
+    uint32_t task;    /**< number of the task in the job, from 0 */
+    uint64_t attempt; /**< increases with every launch of the task */
 };
 
 #endif
--- a/src/agent/heartbeat_schedule.c
+++ b/src/agent/heartbeat_schedule.c
@@ -2,13 +2,13 @@
 
 #include <string.h>
 
-/* Heartbeats are at least this far apart, however often something changes. */
-static const double GAP_S = 0.5;
-/* How far a heartbeat may be from the interval, as a share of it. */
+/* Minimum time between heartbeats, even if the state changes more often. */
+static const double MIN_INTERVAL_S = 0.5;
+/* Maximum deviation from the heartbeat interval, as a fraction of it. */
 static const double JITTER_SHARE = 0.25;
-/* A controller that did not take a heartbeat is followed by the next one after this time. */
-static const double NEXT_CONTROLLER_S = 1;
-/* A higher fencing token counts as a change at most once in this share of the lease. */
+/* Delay before a heartbeat is sent to the next controller after a failure. */
+static const double NEXT_CONTROLLER_DELAY_S = 1;
+/* Minimum time between two heartbeats triggered by a higher fencing token, as a fraction of the lease. */
 static const double FENCING_TOKEN_CHANGE_SHARE = 0.5;
 
 void agent_heartbeat_schedule_init(struct agent_heartbeat_schedule *schedule,
@@ -16,7 +16,7 @@
 {
     *schedule = (struct agent_heartbeat_schedule){.options = options,
                                                   .due_at = now,
-                                                  .sent_at = now - GAP_S,
+                                                  .sent_at = now - MIN_INTERVAL_S,
                                                   .fencing_token_change_at = now - options->lease_s};
 }
 
@@ -27,8 +27,8 @@
 
 void agent_heartbeat_schedule_record_fencing_token(struct agent_heartbeat_schedule *schedule, double now)
 {
-    double least_s = FENCING_TOKEN_CHANGE_SHARE * schedule->options->lease_s;
-    if (now - schedule->fencing_token_change_at < least_s)
+    double min_interval_s = FENCING_TOKEN_CHANGE_SHARE * schedule->options->lease_s;
+    if (now - schedule->fencing_token_change_at < min_interval_s)
         return;
     schedule->fencing_token_change_at = now;
     schedule->is_changed = true;
@@ -38,7 +38,7 @@
 {
     if (schedule->is_in_flight)
         return false;
-    return now >= schedule->due_at || (schedule->is_changed && now >= schedule->sent_at + GAP_S);
+    return now >= schedule->due_at || (schedule->is_changed && now >= schedule->sent_at + MIN_INTERVAL_S);
 }
 
 void agent_heartbeat_schedule_record_sent(struct agent_heartbeat_schedule *schedule, double now,
@@ -55,16 +55,16 @@
     schedule->is_in_flight = false;
 }
 
-/* The next controller gets a heartbeat after a second, whatever may change before. */
-static void turn_to_next(struct agent_heartbeat_schedule *schedule, double now)
+/* The next heartbeat is sent after NEXT_CONTROLLER_DELAY_S, even if the state changes before. */
+static void switch_to_next_controller(struct agent_heartbeat_schedule *schedule, double now)
 {
     bool is_last = schedule->controller + 1 >= schedule->options->controllers->len;
     schedule->controller = is_last ? 0 : schedule->controller + 1;
-    schedule->sent_at = now + NEXT_CONTROLLER_S - GAP_S;
-    schedule->due_at = now + NEXT_CONTROLLER_S;
+    schedule->sent_at = now + NEXT_CONTROLLER_DELAY_S - MIN_INTERVAL_S;
+    schedule->due_at = now + NEXT_CONTROLLER_DELAY_S;
 }
 
-/* The index of another controller than the one of now by its name, which may be NULL; -1: there is none. */
+/* Index of the controller of this name, which may be NULL; -1 if there is none or it is the current one. */
 static int find_other_controller(const struct agent_heartbeat_schedule *schedule, const char *name)
 {
     const GArray *controllers = schedule->options->controllers;
@@ -81,7 +81,7 @@
     int other = find_other_controller(schedule, name);
     schedule->is_in_flight = false;
     if (other < 0) {
-        turn_to_next(schedule, now);
+        switch_to_next_controller(schedule, now);
         return;
     }
     schedule->controller = (guint)other;
@@ -91,7 +91,7 @@
 void agent_heartbeat_schedule_record_failure(struct agent_heartbeat_schedule *schedule, double now)
 {
     schedule->is_in_flight = false;
-    turn_to_next(schedule, now);
+    switch_to_next_controller(schedule, now);
 }
 
 const struct agent_controller *
--- a/src/agent/history.c
+++ b/src/agent/history.c
@@ -6,7 +6,7 @@
 #include <time.h>
 #include <unistd.h>
 
-/* A line with its end, and the mode of a new file. */
+/* Maximum size of a line with its terminator, and the mode of a new file. */
 enum { LINE_BYTES = 512, FILE_MODE = 0644 };
 
 bool agent_history_open(struct agent_history *history, const char *path, const char *machine)
@@ -16,8 +16,8 @@
     return path == NULL || history->fd >= 0;
 }
 
-/* Appends an event; `members` are further members of its object, each beginning with a comma. A line that
- * would be longer than LINE_BYTES is left out. */
+/* Appends an event; `members` holds additional members of the JSON object, each preceded by a comma. An event
+ * whose line would exceed LINE_BYTES is dropped. */
 static void append(const struct agent_history *history, const char *event, const char *members)
 {
     char line[LINE_BYTES];
@@ -29,12 +29,12 @@
                         (long long)now.tv_sec, now.tv_nsec, history->machine, event, members);
     if (size < 0 || size >= LINE_BYTES)
         return;
-    /* One write a line: lines of several processes don't mix. */
+    /* A single write per line, so that lines of several processes don't interleave. */
     if (write(history->fd, line, (size_t)size) != size)
-        fprintf(stderr, "ospreywell-agent: the history can't be written\n");
+        fprintf(stderr, "ospreywell-agent: can't write to the history file\n");
 }
 
-/* Appends an event about the agent itself, with a number. */
+/* Appends an event about the agent itself, with one numeric member. */
 static void append_number(const struct agent_history *history, const char *event, const char *key,
                           uint64_t value)
 {
@@ -70,7 +70,7 @@
     append(history, "orders", members);
 }
 
-/* Appends an event about an attempt, with a number of its own. */
+/* Appends an event about an attempt, with one additional numeric member. */
 static void append_attempt(const struct agent_history *history, const char *event,
                            const struct agent_attempt *attempt, const char *key, uint64_t value)
 {
--- a/src/agent/incarnation.c
+++ b/src/agent/incarnation.c
@@ -12,12 +12,13 @@
 
 enum { DIRECTORY_MODE = 0755, FILE_MODE = 0644, STATUS_FAILED = 1 };
 
-/* Names in the state directory; those of the file with the numbers are older than the word incarnation. */
+/* File names in the state directory; "session" is an older term for an incarnation, kept for existing
+ * files. */
 static const char LOCK_NAME[] = "lock";
 static const char NUMBERS_NAME[] = "session";
 static const char NEW_NUMBERS_NAME[] = "session.new";
 
-/* Sets the error to "failure path: cause", the cause being that of errno, and returns false. */
+/* Sets the error to "failure path: cause", with the cause taken from errno, and returns false. */
 static bool fail_with_errno(GError **error, const char *failure, const char *path)
 {
     int number = errno;
@@ -51,7 +52,8 @@
     return fclose(file) == 0 && is_written;
 }
 
-/* Written beside and renamed, so that a crash leaves the old numbers or the new ones. errno if it fails. */
+/* Writes to a temporary file and renames it, so that a crash leaves either the old numbers or the new ones.
+ * Sets errno on failure. */
 static bool store(const struct agent_incarnation *incarnation)
 {
     g_autofree char *path = path_in_directory(incarnation, NUMBERS_NAME);
@@ -66,12 +68,12 @@
 {
     if (store(incarnation))
         return;
-    fprintf(stderr, "ospreywell-agent: the session can't be stored in %s: %s\n", incarnation->directory,
+    fprintf(stderr, "ospreywell-agent: can't store the incarnation in %s: %s\n", incarnation->directory,
             strerror(errno));
     exit(STATUS_FAILED);
 }
 
-/* Without a file this is the first incarnation of the machine; a file that can't be read is an error. */
+/* A missing file means the first incarnation of the machine; a file that can't be read is an error. */
 static bool load(struct agent_incarnation *incarnation, GError **error)
 {
     g_autofree char *path = path_in_directory(incarnation, NUMBERS_NAME);
@@ -83,13 +85,14 @@
     else
         is_loaded = !g_file_test(path, G_FILE_TEST_EXISTS);
     if (!is_loaded)
-        g_set_error(error, G_FILE_ERROR, G_FILE_ERROR_INVAL, "%s: can't be read", path);
+        g_set_error(error, G_FILE_ERROR, G_FILE_ERROR_INVAL, "%s: can't be read as two numbers", path);
     return is_loaded;
 }
 
-/* ---- the life of an incarnation ---- */
+/* ---- lifecycle ---- */
 
-/* The supervisors of an earlier process hold the lock until their tasks have ended. */
+/* Blocks while supervisors of an earlier agent process hold the lock, which they do until their tasks have
+ * ended. */
 static bool take_lock(struct agent_incarnation *incarnation, GError **error)
 {
     g_autofree char *path = path_in_directory(incarnation, LOCK_NAME);
@@ -103,7 +106,7 @@
 {
     *incarnation = (struct agent_incarnation){.directory = g_strdup(directory), .lock_fd = -1};
     if (g_mkdir_with_parents(directory, DIRECTORY_MODE) != 0)
-        return fail_with_errno(error, "can't make", directory);
+        return fail_with_errno(error, "can't create", directory);
     if (!take_lock(incarnation, error) || !load(incarnation, error))
         return false;
     agent_incarnation_begin_next(incarnation);
--- a/src/agent/incarnation.h
+++ b/src/agent/incarnation.h
@@ -1,14 +1,15 @@
 /**
  * @file
- * What must outlive the agent's process: the number of its incarnation, and the highest fencing token that it
- * has seen.
+ * The persistent state of the agent: the number of its incarnation, and the highest fencing token that it has
+ * seen.
  *
  * Invariants:
- * - An incarnation ends with the agent's process, and when its lease expires. The next one begins only when
- * no task of the last one is left: the supervisors of tasks hold a lock that a new process waits for.
- * - Both numbers only grow, also across a crash: they are on the disk before anything is done with them.
+ * - An incarnation ends with the agent's process, or when its lease expires. The next one starts only after
+ * all tasks of the previous one have ended: the supervisors of tasks hold a lock that a new process waits
+ * for.
+ * - Both numbers never decrease, even across a crash: they are synced to disk before they are used.
  *
- * In the state directory are `lock` and `session`, the two numbers as text in one line.
+ * The state directory holds `lock` and `session`; the latter has the two numbers as text on one line.
  */
 #ifndef OW_AGENT_INCARNATION_H
 #define OW_AGENT_INCARNATION_H
@@ -17,28 +18,30 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** The stored numbers; owned by the agent, and changed by the functions below alone. */
+/** The stored numbers; owned by the agent, and modified only by the functions below. */
 struct agent_incarnation {
     char *directory;        /**< owned */
-    int lock_fd;            /**< held by the agent and by the supervisor of every task; -1: not yet */
+    int lock_fd;            /**< held by the agent and by the supervisor of every task; -1: not held */
     uint64_t number;        /**< of the incarnation, from 1 */
     uint64_t fencing_token; /**< the highest one seen; 0: none yet */
 };
 
 /**
- * Waits, without a bound, until all tasks of an earlier process have ended, and begins the next incarnation.
+ * Waits, without a timeout, until all tasks of an earlier process have ended, and starts the next
+ * incarnation.
  *
- * @param error  G_FILE_ERROR; the message names the path. A file that can't be understood is an error too,
- *               G_FILE_ERROR_INVAL: a machine must not begin at 1 again.
- * @return false on an error; the incarnation is to be closed either way
+ * @param error  G_FILE_ERROR; the message names the path. A file that can't be parsed is also an error,
+ *               G_FILE_ERROR_INVAL, because a machine must not restart its numbers at 1.
+ * @return false on an error; the caller must close the incarnation in either case
  */
 bool agent_incarnation_open(struct agent_incarnation *incarnation, const char *directory, GError **error);
-/** Gives the lock up and frees what the incarnation holds. */
+/** Releases the lock and frees the members of the incarnation. */
 void agent_incarnation_close(struct agent_incarnation *incarnation);
-/** Begins the next incarnation, which is stored when this returns. If that fails, the process ends after a
- * message on standard error, for after a restart it could not keep its promise. */
+/** Starts the next incarnation, and stores its number before returning. If that fails, the process exits with
+ * an error on standard error: after a restart it could use the same number again. */
 void agent_incarnation_begin_next(struct agent_incarnation *incarnation);
-/** Remembers a higher fencing token; it is stored, or the process ends, in the same way. */
+/** Stores a higher fencing token before returning. If that fails, the process exits with an error on standard
+ * error. */
 void agent_incarnation_set_fencing_token(struct agent_incarnation *incarnation, uint64_t fencing_token);
 
 #endif
--- a/src/agent/lease.c
+++ b/src/agent/lease.c
@@ -6,7 +6,7 @@
 
 static const double SECONDS_PER_NANOSECOND = 1e-9;
 
-/* What the agent and the supervisors share. */
+/* Memory shared by the agent and the supervisors. */
 struct page {
     _Atomic double expires_at;
 };
--- a/src/agent/machine.c
+++ b/src/agent/machine.c
@@ -83,7 +83,7 @@
     agent_heartbeat_schedule_record_fencing_token(machine->schedule, now);
 }
 
-/* Carries out commands that are accepted. */
+/* Carries out a batch of commands that was accepted. */
 static void apply(struct agent_machine *machine, const struct wire_command_batch *commands, double now)
 {
     observe_fencing_token(machine, commands->fencing_token, now);
@@ -107,7 +107,7 @@
 void agent_machine_apply_answer(struct agent_machine *machine, const struct wire_command_batch *commands,
                                 const struct agent_sent_heartbeat *heartbeat, double now)
 {
-    /* The client's own timeout stands still while the machine is suspended; this clock does not. */
+    /* The HTTP client's timeout does not advance while the machine is suspended; agent_clock_now() does. */
     bool is_in_time = agent_clock_now() - heartbeat->sent_at <= AGENT_HEARTBEAT_TIMEOUT_S;
     bool is_accepted = is_in_time && commands->fencing_token >= machine->incarnation.fencing_token &&
                        heartbeat->incarnation == machine->incarnation.number;
--- a/src/agent/main.c
+++ b/src/agent/main.c
@@ -1,4 +1,4 @@
-/* The agent's program: it runs the tasks of one machine. */
+/* Entry point of the agent, which runs the tasks of one machine. */
 #include "agent/agent.h"
 #include "io/log.h"
 
--- a/src/agent/supervisor.c
+++ b/src/agent/supervisor.c
@@ -9,7 +9,7 @@
 struct agent_supervisor {
     pid_t pid; /* of the supervisor's process */
     bool is_reaped;
-    struct agent_supervisor_page *page; /* shared with that process */
+    struct agent_supervisor_page *page; /* shared with the supervisor's process */
 };
 
 static struct agent_supervisor_page *page_new(void)
@@ -44,10 +44,10 @@
 
 void agent_supervisor_stop(struct agent_supervisor *supervisor, double grace_s)
 {
-    double until = agent_clock_now() + grace_s;
-    double earlier = atomic_load(&supervisor->page->stop_deadline);
-    if (earlier <= 0 || until < earlier)
-        atomic_store(&supervisor->page->stop_deadline, until);
+    double deadline = agent_clock_now() + grace_s;
+    double previous_deadline = atomic_load(&supervisor->page->stop_deadline);
+    if (previous_deadline <= 0 || deadline < previous_deadline)
+        atomic_store(&supervisor->page->stop_deadline, deadline);
 }
 
 enum agent_task_end agent_supervisor_poll(struct agent_supervisor *supervisor, int *status)
@@ -57,7 +57,7 @@
     supervisor->is_reaped = true;
     int end = atomic_load(&supervisor->page->end);
     *status = atomic_load(&supervisor->page->status);
-    /* A supervisor that was killed took its task with it. */
+    /* A supervisor that was killed has recorded no end; its task was killed by the parent-death signal. */
     return end != AGENT_END_NONE ? (enum agent_task_end)end : AGENT_END_SIGNAL;
 }
 
--- a/src/agent/supervisor_process.c
+++ b/src/agent/supervisor_process.c
@@ -13,28 +13,28 @@
 #include <sys/wait.h>
 #include <unistd.h>
 
-/* How often the lease, the agent and the stop are looked at. */
-enum { LOOK_MS = 50 };
-/* The exit status of a task whose command can't be run, as a shell's. */
-enum { STATUS_NOT_BEGUN = 127 };
-/* The exit status that the agent is told after a signal. */
+/* Interval at which the lease, the agent and stop requests are checked. */
+enum { POLL_INTERVAL_MS = 50 };
+/* Exit status of a task whose command can't be executed, as in a shell. */
+enum { STATUS_NOT_STARTED = 127 };
+/* Exit status that is reported to the agent after a signal. */
 enum { STATUS_SIGNAL = -1 };
-/* The digits of a number of 64 bits, and its end. */
+/* Enough for the decimal digits of a 64-bit number and a terminator. */
 enum { NUMBER_BYTES = 24 };
 
-/* The state of the supervisor's process. */
+/* State of the supervisor process. */
 struct watch {
     const struct agent_task_command *command;
     struct agent_supervisor_page *page;
     pid_t agent;
     pid_t task;
-    bool is_told; /* the task has been asked to end */
+    bool is_term_sent; /* SIGTERM has been sent to the task */
 };
 
-/* ---- the beginning ---- */
+/* ---- startup ---- */
 
-/* Closes every descriptor but the standard ones, the lock and the history: the agent's listener must be free
- * for the next agent. */
+/* Closes every descriptor except the standard ones, the lock and the history. An inherited listening socket
+ * would keep the next agent from binding its address. */
 static void close_other_descriptors(const struct agent_task_command *command)
 {
     const int kept[] = {MIN(command->lock_fd, command->history->fd),
@@ -57,32 +57,33 @@
     setenv(name, text, 1);
 }
 
-/* Becomes the task; does not return. */
-static void become_task(const struct agent_task_command *command, pid_t supervisor)
+/* Executes the task's command in this process; does not return. */
+static void exec_task(const struct agent_task_command *command, pid_t supervisor)
 {
-    /* A process group of its own, so that all that the task starts can be killed with it. */
+    /* A separate process group, so that processes started by the task can be killed with it. */
     setsid();
     prctl(PR_SET_PDEATHSIG, SIGKILL);
-    /* The supervisor may have died before the signal was asked for. */
+    /* The supervisor may have died before the parent-death signal was set. */
     if (getppid() != supervisor)
-        _exit(STATUS_NOT_BEGUN);
+        _exit(STATUS_NOT_STARTED);
     setenv("OSPREYWELL_JOB", command->attempt.job, 1);
     set_number("OSPREYWELL_TASK", command->attempt.task);
     set_number("OSPREYWELL_ATTEMPT", command->attempt.attempt);
     execvp(command->argv[0], command->argv);
-    _exit(STATUS_NOT_BEGUN);
+    _exit(STATUS_NOT_STARTED);
 }
 
-/* ---- the watch ---- */
+/* ---- supervision ---- */
 
 static void kill_task(const struct watch *watch, int signal)
 {
-    /* The task leads a process group of its own; until it has got there it is one process. */
+    /* Until the task has called setsid(), its process group does not exist and only the process can be
+     * signalled. */
     if (kill(-watch->task, signal) != 0)
         kill(watch->task, signal);
 }
 
-/* Why the task must be killed now; AGENT_END_NONE: it need not. */
+/* The reason why the task must be killed now; AGENT_END_NONE if there is none. */
 static enum agent_task_end reason_to_kill(const struct watch *watch)
 {
     double stop_deadline = atomic_load(&watch->page->stop_deadline);
@@ -95,31 +96,31 @@
     return AGENT_END_NONE;
 }
 
-/* Passes a stop of the agent's on to the task, once. */
-static void ask_to_end(struct watch *watch)
+/* Sends SIGTERM to the task, once, if the agent has requested a stop. */
+static void forward_stop(struct watch *watch)
 {
-    if (watch->is_told || atomic_load(&watch->page->stop_deadline) <= 0)
+    if (watch->is_term_sent || atomic_load(&watch->page->stop_deadline) <= 0)
         return;
-    watch->is_told = true;
+    watch->is_term_sent = true;
     kill_task(watch, SIGTERM);
 }
 
-/* Waits for the end of the task. Why it was killed, or AGENT_END_NONE if it ended by itself; *status is as
- * waitpid gives it. */
+/* Waits until the task has ended. Returns why it was killed, or AGENT_END_NONE if it exited by itself;
+ * *status is that of waitpid(). */
 static enum agent_task_end wait_for_task(struct watch *watch, int *status)
 {
     int task_fd = (int)syscall(SYS_pidfd_open, watch->task, 0);
     enum agent_task_end reason = AGENT_END_NONE;
     while (waitpid(watch->task, status, WNOHANG) == 0) {
         struct pollfd ready = {.fd = task_fd, .events = POLLIN};
-        ask_to_end(watch);
+        forward_stop(watch);
         if (reason == AGENT_END_NONE)
             reason = reason_to_kill(watch);
         if (reason != AGENT_END_NONE)
             kill_task(watch, SIGKILL);
-        poll(&ready, 1, LOOK_MS);
+        poll(&ready, 1, POLL_INTERVAL_MS);
     }
-    /* Whatever the task has started and left behind goes with it. */
+    /* Kills processes of the task's group that are still running. */
     kill(-watch->task, SIGKILL);
     return reason;
 }
@@ -129,11 +130,11 @@
     enum agent_task_end reason = wait_for_task(watch, status);
     if (reason != AGENT_END_NONE)
         return reason;
-    if (watch->is_told)
+    if (watch->is_term_sent)
         return AGENT_END_STOPPED;
     if (WIFSIGNALED(*status))
         return AGENT_END_SIGNAL;
-    return WEXITSTATUS(*status) == STATUS_NOT_BEGUN ? AGENT_END_NOT_STARTED : AGENT_END_EXIT;
+    return WEXITSTATUS(*status) == STATUS_NOT_STARTED ? AGENT_END_NOT_STARTED : AGENT_END_EXIT;
 }
 
 int agent_supervisor_process_run(const struct agent_task_command *command, struct agent_supervisor_page *page,
@@ -143,11 +144,11 @@
     int status = 0;
     pid_t self = getpid();
     close_other_descriptors(command);
-    /* Recorded before the task can run: the record may only be too early. */
+    /* Recorded before the fork, so that the recorded time is never later than the actual start. */
     agent_history_record_task_start(command->history, &command->attempt);
     watch.task = fork();
     if (watch.task == 0)
-        become_task(command, self);
+        exec_task(command, self);
     enum agent_task_end end = watch.task > 0 ? watch_task(&watch, &status) : AGENT_END_NOT_STARTED;
     agent_history_record_task_end(command->history, &command->attempt, end);
     atomic_store(&page->status, WIFEXITED(status) ? WEXITSTATUS(status) : STATUS_SIGNAL);
--- a/src/agent/task.c
+++ b/src/agent/task.c
@@ -2,8 +2,8 @@
 
 #include <string.h>
 
-/* Exit statuses of tasks: complete, and a gang's task that says that another one is gone (EX_TEMPFAIL). */
-enum { STATUS_DONE = 0, STATUS_PEERS = 75 };
+/* Exit statuses of tasks: success, and EX_TEMPFAIL from a task of a gang that has lost one of its peers. */
+enum { STATUS_DONE = 0, STATUS_PEERS_LOST = 75 };
 
 struct agent_task *agent_task_new(const struct ow_worker_command *command)
 {
@@ -33,8 +33,9 @@
         .job = task->status.job, .task = task->status.task, .attempt = task->status.attempt};
 }
 
-/* Ends the attempt: it is told in heartbeats until a controller clears it. */
-static void end(struct agent_task *task, const struct agent_task_context *context, enum ow_exit_cause cause)
+/* Marks the attempt as exited; heartbeats report it until a controller clears it. */
+static void mark_exited(struct agent_task *task, const struct agent_task_context *context,
+                        enum ow_exit_cause cause)
 {
     struct agent_attempt attempt = attempt_of(task);
     task->status.phase = OW_PHASE_EXITED;
@@ -58,13 +59,13 @@
     task->description = description;
     task->supervisor = agent_supervisor_start(&command);
     if (task->supervisor == NULL)
-        end(task, context, OW_CAUSE_ERROR);
+        mark_exited(task, context, OW_CAUSE_ERROR);
 }
 
 void agent_task_refuse(struct agent_task *task, const struct agent_task_context *context,
                        enum ow_exit_cause cause)
 {
-    end(task, context, cause);
+    mark_exited(task, context, cause);
 }
 
 void agent_task_stop(struct agent_task *task, double grace_s)
@@ -87,7 +88,7 @@
         return OW_CAUSE_ERROR;
     if (status == STATUS_DONE)
         return OW_CAUSE_DONE;
-    return status == STATUS_PEERS ? OW_CAUSE_PEERS : OW_CAUSE_ERROR;
+    return status == STATUS_PEERS_LOST ? OW_CAUSE_PEERS : OW_CAUSE_ERROR;
 }
 
 bool agent_task_poll(struct agent_task *task, const struct agent_task_context *context)
@@ -95,11 +96,11 @@
     int status = 0;
     if (task->supervisor == NULL)
         return false;
-    enum agent_task_end how = agent_supervisor_poll(task->supervisor, &status);
-    if (how == AGENT_END_NONE)
+    enum agent_task_end task_end = agent_supervisor_poll(task->supervisor, &status);
+    if (task_end == AGENT_END_NONE)
         return false;
-    task->status.saved = how == AGENT_END_STOPPED && task->may_checkpoint && status == STATUS_DONE;
-    end(task, context, exit_cause(task, how, status));
+    task->status.saved = task_end == AGENT_END_STOPPED && task->may_checkpoint && status == STATUS_DONE;
+    mark_exited(task, context, exit_cause(task, task_end, status));
     agent_supervisor_free(g_steal_pointer(&task->supervisor));
     wire_job_description_free(g_steal_pointer(&task->description));
     return true;
--- a/src/agent/task_end.h
+++ b/src/agent/task_end.h
@@ -1,20 +1,20 @@
 /**
  * @file
- * How the process of a task has ended, as its supervisor tells the agent and the history.
+ * How the process of a task has ended, as its supervisor reports it to the agent and the history.
  */
 #ifndef OW_AGENT_TASK_END_H
 #define OW_AGENT_TASK_END_H
 
-/** The ends of a task's process. The numbers are recorded in histories: new ones are added at the end. */
+/** How a task's process has ended. The numbers are recorded in histories: add new values at the end. */
 enum agent_task_end {
-    AGENT_END_NONE,        /**< it has not ended */
-    AGENT_END_EXIT,        /**< by itself: see its exit status */
-    AGENT_END_SIGNAL,      /**< by a signal that the supervisor has not sent */
-    AGENT_END_STOPPED,     /**< told to, and gone by itself in time: see its exit status */
-    AGENT_END_KILLED,      /**< told to, and killed at the end of its grace */
-    AGENT_END_LEASE,       /**< killed: the lease has expired */
-    AGENT_END_NO_AGENT,    /**< killed: the agent is gone */
-    AGENT_END_NOT_STARTED, /**< its command could not be run */
+    AGENT_END_NONE,        /**< the process has not ended */
+    AGENT_END_EXIT,        /**< exited by itself: see its exit status */
+    AGENT_END_SIGNAL,      /**< terminated by a signal that the supervisor did not send */
+    AGENT_END_STOPPED,     /**< exited within the grace period of a stop: see its exit status */
+    AGENT_END_KILLED,      /**< killed at the end of the grace period of a stop */
+    AGENT_END_LEASE,       /**< killed because the lease expired */
+    AGENT_END_NO_AGENT,    /**< killed because the agent exited */
+    AGENT_END_NOT_STARTED, /**< the command could not be executed */
 };
 
 #endif
--- a/src/agent/tasks.c
+++ b/src/agent/tasks.c
@@ -8,7 +8,7 @@
 struct agent_tasks {
     const struct agent_options *options;
     struct agent_task_context context;
-    GPtrArray *list; /* struct agent_task, owned; in the order of the launches */
+    GPtrArray *list; /* struct agent_task, owned; in launch order */
 };
 
 static void free_item(void *item)
@@ -62,7 +62,7 @@
     return false;
 }
 
-/* Whether what running tasks leave is enough. */
+/* Whether the resources not used by running tasks suffice. */
 static bool has_room(const struct agent_tasks *tasks, const struct ow_resources *need)
 {
     struct ow_resources left = tasks->options->size;
@@ -74,7 +74,7 @@
     return need->cpus <= left.cpus && need->gpus <= left.gpus && need->memory_gb <= left.memory_gb;
 }
 
-/* What the job's user has uploaded; NULL if it is not there or malformed. */
+/* Reads the job description that the user has uploaded; NULL if it is missing or malformed. */
 static struct wire_job_description *read_description(const struct agent_tasks *tasks, const char *job)
 {
     g_autofree char *name = g_strconcat(job, ".json", NULL);
@@ -86,7 +86,7 @@
     return wire_job_description_decode(text, size);
 }
 
-/* Why the launch is refused; OW_CAUSE_NONE: it is not. */
+/* Why the launch must be refused; OW_CAUSE_NONE if it is accepted. */
 static enum ow_exit_cause refusal_cause(const struct agent_tasks *tasks,
                                         const struct ow_worker_command *command,
                                         const struct wire_job_description *description)
@@ -159,7 +159,7 @@
 
 void agent_tasks_kill_all(struct agent_tasks *tasks)
 {
-    /* Every task is told first and only then waited for: together they are gone in the time of one. */
+    /* Requests every stop before waiting for any task, so that the tasks end concurrently. */
     for (guint i = 0; i < tasks->list->len; i++) {
         const struct agent_task *task = task_at(tasks, i);
         if (task->supervisor != NULL)
--- a/tests/unit/test_agent_options.c
+++ b/tests/unit/test_agent_options.c
@@ -48,21 +48,22 @@
     enum ow_config_error code;
     const char *message;
 } faults[] = {
-    {"--zone a ", "", OW_CONFIG_ERROR_MISSING_FIELD, "--machine, --type and --zone are needed"},
+    {"--zone a ", "", OW_CONFIG_ERROR_MISSING_FIELD, "--machine, --type and --zone are required"},
     {"--listen 127.0.0.1:1", "--listen x", OW_CONFIG_ERROR_MALFORMED_VALUE,
      "--listen and --advertise must be ADDRESS:PORT"},
-    {"--jobs /tmp/j ", "", OW_CONFIG_ERROR_MISSING_FIELD, "--state and --jobs are needed"},
+    {"--jobs /tmp/j ", "", OW_CONFIG_ERROR_MISSING_FIELD, "--state and --jobs are required"},
     {"--zone a", "--zone a --lease 3", OW_CONFIG_ERROR_INCONSISTENT,
-     "--lease must be longer than --report, and that longer than 0"},
+     "--lease must be longer than --report, and --report must be above 0"},
     {"--zone a", "--zone a --report 0", OW_CONFIG_ERROR_INCONSISTENT,
-     "--lease must be longer than --report, and that longer than 0"},
-    {"--cpus 4", "--cpus 0", OW_CONFIG_ERROR_OUT_OF_RANGE, "--cpus and --memory must be above 0"},
+     "--lease must be longer than --report, and --report must be above 0"},
+    {"--cpus 4", "--cpus 0", OW_CONFIG_ERROR_OUT_OF_RANGE,
+     "--cpus and --memory must be above 0, --gpus must not be negative"},
     {" --controller one=127.0.0.1:2 --controller two=127.0.0.1:3", "", OW_CONFIG_ERROR_MISSING_FIELD,
-     "--controller is needed"},
+     "--controller is required"},
     {"two=127.0.0.1:3", "=127.0.0.1:3", OW_CONFIG_ERROR_MALFORMED_VALUE,
-     "=127.0.0.1:3: is not NAME=ADDRESS:PORT"},
+     "=127.0.0.1:3: must be NAME=ADDRESS:PORT"},
     {"two=127.0.0.1:3", "two=nowhere", OW_CONFIG_ERROR_MALFORMED_VALUE,
-     "two=nowhere: is not NAME=ADDRESS:PORT"},
+     "two=nowhere: must be NAME=ADDRESS:PORT"},
 };
 
 static void test_errors_are_named(void **state)
