--- a/src/agent/supervisor_process.h
+++ b/src/agent/supervisor_process.h
@@ -30,8 +30,7 @@
 
 /** Memory shared by the agent and the supervisor. */
 struct agent_supervisor_page {
-    _Atomic double stop_deadline; /**< written by the agent: when to kill the task, by agent_clock_now();
- 0: no stop requested */
+    _Atomic double stop_deadline; /**< written by the agent: kill time by agent_clock_now(); 0: no stop */
     _Atomic int end;              /**< written by the supervisor, after `status`: enum agent_task_end */
     _Atomic int status;           /**< written by the supervisor: exit status; -1 after a signal */
 };
--- a/src/client/client.c
+++ b/src/client/client.c
@@ -12,11 +12,11 @@
 #include <stdio.h>
 #include <string.h>
 
-/* What the word behind a command is. */
+/* The kind of a command's argument. */
 enum argument {
     ARGUMENT_NONE,
-    ARGUMENT_JOB_ID,   /* the path has it behind its first part */
-    ARGUMENT_JOB_FILE, /* its text is the body; "-" is standard input */
+    ARGUMENT_JOB_ID,   /* inserted into the path */
+    ARGUMENT_JOB_FILE, /* path of a file whose text is the body; "-" is standard input */
 };
 
 struct command {
@@ -24,9 +24,9 @@
     enum argument argument;
     const char *method;
     const char *path;
-    const char *path_end; /* behind the id of a job; else NULL */
-    const char *body;     /* if no file is; or NULL */
-    /* Prints the answer to a command that was carried out. */
+    const char *path_suffix; /* appended after the id of a job; NULL for other commands */
+    const char *body;        /* of a command without a file; NULL: none */
+    /* Prints the answer to a successful command. */
     void (*print)(const json_t *answer);
 };
 
@@ -40,13 +40,13 @@
      .argument = ARGUMENT_JOB_ID,
      .method = "GET",
      .path = W_PATH_JOBS "/",
-     .path_end = "",
+     .path_suffix = "",
      .print = ow_print_job},
     {.name = "cancel",
      .argument = ARGUMENT_JOB_ID,
      .method = "POST",
      .path = W_PATH_JOBS "/",
-     .path_end = "/" W_PATH_CANCEL,
+     .path_suffix = "/" W_PATH_CANCEL,
      .body = "{}",
      .print = ow_print_job},
     {.name = "teams", .method = "GET", .path = W_PATH_TEAMS, .print = ow_print_teams},
@@ -54,7 +54,7 @@
     {.name = "shards", .method = "GET", .path = W_PATH_SHARDS, .print = ow_print_shards},
 };
 
-/* The command that these words are, or NULL. */
+/* The command that the arguments name, if they have the right number; else NULL. */
 static const struct command *find_command(char *const *arguments)
 {
     const char *argument = arguments[1];
@@ -68,7 +68,7 @@
     return NULL;
 }
 
-/* The text of the file (g_free), or NULL after a message. */
+/* Returns the text of the file (g_free), or NULL after printing an error. */
 static char *read_job(const char *file)
 {
     g_autoptr(GError) error = NULL;
@@ -78,7 +78,7 @@
     return text;
 }
 
-/* The error of an answer, which may be NULL where there was nothing readable. */
+/* Prints the error of an answer; `answer` is NULL if the body is no JSON object. */
 static void print_error(int status, const json_t *answer)
 {
     const char *message = "no readable answer";
@@ -102,13 +102,14 @@
     return is_done ? OW_CLIENT_DONE : OW_CLIENT_FAILED;
 }
 
-/* Carries out a command with its argument, if it has one. */
+/* Carries out a command; `argument` is NULL if the command takes none. */
 static enum ow_client_status run_command(const char *server, const struct command *command,
                                          const char *argument)
 {
     bool has_job_id = command->argument == ARGUMENT_JOB_ID;
-    /* The list ends with the first NULL: without the id of a job the path is its first part. */
-    g_autofree char *path = g_strconcat(command->path, has_job_id ? argument : NULL, command->path_end, NULL);
+    /* g_strconcat() stops at the first NULL: without the id of a job the path is command->path. */
+    g_autofree char *path =
+        g_strconcat(command->path, has_job_id ? argument : NULL, command->path_suffix, NULL);
     g_autofree char *text = NULL;
     if (command->argument == ARGUMENT_JOB_FILE) {
         text = read_job(argument);
@@ -128,12 +129,12 @@
 enum ow_client_status ow_client_run(const char *server, char *const *arguments)
 {
     if (!ow_endpoint_is_valid(server)) {
-        fprintf(stderr, "ospreywell: --server ADDRESS:PORT or OSPREYWELL_SERVER is needed\n");
+        fprintf(stderr, "ospreywell: --server ADDRESS:PORT or OSPREYWELL_SERVER is required\n");
         return OW_CLIENT_USAGE;
     }
     const struct command *command = find_command(arguments);
     if (command == NULL) {
-        fprintf(stderr, "ospreywell: %s: not a command, or wrong words behind it; see --help\n",
+        fprintf(stderr, "ospreywell: %s: unknown command, or wrong number of arguments; see --help\n",
                 arguments[0]);
         return OW_CLIENT_USAGE;
     }
--- a/src/client/exchange.c
+++ b/src/client/exchange.c
@@ -5,21 +5,21 @@
 
 #include <stdbool.h>
 
-/* How long a controller may take to respond; how often it is looked whether it has. */
+/* Timeout of a request, and the interval at which it is checked. */
 static const double TIMEOUT_S = 5;
 static const double SWEEP_S = 0.1;
 
-enum { CONNECTIONS_MAX = 1, ONLY_TAG = 1 };
+enum { CONNECTIONS_MAX = 1, REQUEST_TAG = 1 };
 
-/* The response, once it has come. */
+/* The response, filled in when it arrives or the request fails. */
 struct response {
     bool has_ended;
     int status;
-    GString *body; /* the caller's */
+    GString *body; /* owned by the caller */
 };
 
 /* The reply function of the HTTP client; `owner` is the response. */
-static void take_reply(void *owner, uint64_t tag, int status, const char *body, size_t size)
+static void handle_reply(void *owner, uint64_t tag, int status, const char *body, size_t size)
 {
     struct response *response = owner;
     (void)tag;
@@ -28,7 +28,7 @@
     g_string_append_len(response->body, body, (gssize)size);
 }
 
-/* The round of the loop; `owner` is the HTTP client. */
+/* The loop's round function; `owner` is the HTTP client. */
 static double sweep(void *owner, double now)
 {
     ow_http_client_sweep(owner, now);
@@ -39,8 +39,9 @@
 {
     struct response response = {.body = body};
     g_autoptr(ow_loop) loop = ow_loop_new();
-    g_autoptr(ow_http_client) client = ow_http_client_new(loop, CONNECTIONS_MAX, take_reply, &response);
-    ow_http_client_send(client, server, request->method, request->path, request->body, TIMEOUT_S, ONLY_TAG);
+    g_autoptr(ow_http_client) client = ow_http_client_new(loop, CONNECTIONS_MAX, handle_reply, &response);
+    ow_http_client_send(client, server, request->method, request->path, request->body, TIMEOUT_S,
+                        REQUEST_TAG);
     while (!response.has_ended)
         ow_loop_once(loop, sweep, client);
     return response.status;
--- a/src/client/print.c
+++ b/src/client/print.c
@@ -6,10 +6,10 @@
 #include <glib.h>
 #include <stdio.h>
 
-/* The text of a field, or `otherwise`. It stays the object's. */
-static const char *text_of(const json_t *object, const char *field, const char *otherwise)
+/* The string in a field, owned by the object, or `default_text` if there is none. */
+static const char *text_of(const json_t *object, const char *field, const char *default_text)
 {
-    const char *text = otherwise;
+    const char *text = default_text;
     wire_json_get_string(object, field, &text);
     return text;
 }
@@ -59,7 +59,7 @@
     printf("\n");
 }
 
-/* Prints each item of the array in this field. */
+/* Prints each item of the array in the field. */
 static void print_items(const json_t *answer, const char *field, void (*print_item)(const json_t *item))
 {
     size_t i;
--- a/src/config/command_line.c
+++ b/src/config/command_line.c
@@ -3,18 +3,19 @@
 #include "config/config_error.h"
 #include "config/option_parser.h"
 
-/* What --help says first. */
-static const char summary[] = "Serves as a controller of the cluster scheduler:\n"
-                              "  ospreywell --config FILE [--operators FILE]\n"
-                              "or talks to one:\n"
-                              "  ospreywell submit FILE   hands in a job (JSON; - for standard input)\n"
-                              "  ospreywell show ID       tells a job's state, and why it waits\n"
-                              "  ospreywell cancel ID     cancels a job\n"
-                              "  ospreywell teams         tells what each team runs and waits for\n"
-                              "  ospreywell controllers   tells which controllers are alive or suspected\n"
-                              "  ospreywell shards        tells who leads each shard, since when and why";
+/* Summary at the top of the --help output. */
+static const char summary[] =
+    "Runs a controller of the cluster scheduler:\n"
+    "  ospreywell --config FILE [--operators FILE]\n"
+    "or sends a command to one:\n"
+    "  ospreywell submit FILE   submits a job (JSON; - for standard input)\n"
+    "  ospreywell show ID       shows the state of a job, and why it waits\n"
+    "  ospreywell cancel ID     cancels a job\n"
+    "  ospreywell teams         shows the running and waiting tasks of each team\n"
+    "  ospreywell controllers   shows which controllers are alive or suspected\n"
+    "  ospreywell shards        shows the leader of each shard, and recent handovers";
 
-/* A client command wins over a settings file, and --version over both. */
+/* --version takes precedence over a client command, and a client command over a settings file. */
 static enum ow_action choose_action(const struct ow_command_line *command_line, bool is_version,
                                     bool is_check)
 {
@@ -31,13 +32,13 @@
     gboolean is_version = FALSE;
     *out = (struct ow_command_line){0};
     const GOptionEntry entries[] = {
-        {"config", 0, 0, G_OPTION_ARG_FILENAME, &out->config, "The platform's settings (TOML)", "FILE"},
-        {"operators", 0, 0, G_OPTION_ARG_FILENAME, &out->operators, "The operators' own settings (XML)",
+        {"config", 0, 0, G_OPTION_ARG_FILENAME, &out->config, "Settings file of the platform (TOML)", "FILE"},
+        {"operators", 0, 0, G_OPTION_ARG_FILENAME, &out->operators, "Settings file of the operators (XML)",
          "FILE"},
-        {"check", 0, 0, G_OPTION_ARG_NONE, &is_check, "Check the settings and end", NULL},
+        {"check", 0, 0, G_OPTION_ARG_NONE, &is_check, "Check the settings and exit", NULL},
         {"server", 0, 0, G_OPTION_ARG_STRING, &out->server,
-         "The controller to talk to (or OSPREYWELL_SERVER)", "ADDRESS:PORT"},
-        {"version", 0, 0, G_OPTION_ARG_NONE, &is_version, "Tell the version and end", NULL},
+         "Endpoint of the controller (default: OSPREYWELL_SERVER)", "ADDRESS:PORT"},
+        {"version", 0, 0, G_OPTION_ARG_NONE, &is_version, "Print the version and exit", NULL},
         {G_OPTION_REMAINING, 0, 0, G_OPTION_ARG_STRING_ARRAY, &out->client_args, NULL, "[COMMAND]"},
         {0},
     };
@@ -49,7 +50,7 @@
     bool needs_config = out->action == OW_ACTION_SERVE || out->action == OW_ACTION_CHECK;
     if (needs_config && out->config == NULL) {
         g_set_error_literal(error, OW_CONFIG_ERROR, OW_CONFIG_ERROR_MISSING_FIELD,
-                            "--config or a command is needed; see --help");
+                            "--config or a command is required; see --help");
         return false;
     }
     return true;
--- a/src/config/config_error.h
+++ b/src/config/config_error.h
@@ -1,9 +1,8 @@
 /**
  * @file
- * The causes for which a process can't be configured, by its settings files or its command line: their error
- * domain.
+ * The GError domain of errors in settings files and command lines.
  *
- * The message of such an error is shown to operators as it is; the code tells causes apart.
+ * Messages are shown to operators unchanged; codes distinguish the causes.
  */
 #ifndef OW_CONFIG_CONFIG_ERROR_H
 #define OW_CONFIG_CONFIG_ERROR_H
@@ -12,21 +11,21 @@
 
 G_BEGIN_DECLS
 
-/** Why a file or a command line can't be used. */
+/** Why a settings file or a command line is rejected. */
 enum ow_config_error {
     OW_CONFIG_ERROR_UNREADABLE,      /**< the file can't be opened or read */
-    OW_CONFIG_ERROR_SYNTAX,          /**< it is no TOML or XML, or its root is another one */
-    OW_CONFIG_ERROR_MISSING_FIELD,   /**< a field, attribute or option that is needed is missing or empty */
-    OW_CONFIG_ERROR_MALFORMED_VALUE, /**< a value of another kind: a string for a number, no address */
-    OW_CONFIG_ERROR_OUT_OF_RANGE,    /**< a value or a length outside its range */
-    OW_CONFIG_ERROR_UNKNOWN_NAME,    /**< an attribute that does not exist */
-    OW_CONFIG_ERROR_INCONSISTENT,    /**< values that are right alone and contradict each other */
+    OW_CONFIG_ERROR_SYNTAX,          /**< not valid TOML or XML, or a wrong root element */
+    OW_CONFIG_ERROR_MISSING_FIELD,   /**< a required field, attribute or option is missing or empty */
+    OW_CONFIG_ERROR_MALFORMED_VALUE, /**< a value of the wrong type or format */
+    OW_CONFIG_ERROR_OUT_OF_RANGE,    /**< a value or a length is out of range */
+    OW_CONFIG_ERROR_UNKNOWN_NAME,    /**< an unknown attribute */
+    OW_CONFIG_ERROR_INCONSISTENT,    /**< values that are valid individually contradict each other */
 };
 
-/** The domain of the codes of `enum ow_config_error`. */
+/** The GError domain whose codes are `enum ow_config_error`. */
 #define OW_CONFIG_ERROR (ow_config_error_quark())
 
-/** What OW_CONFIG_ERROR stands for. */
+/** The quark behind OW_CONFIG_ERROR. */
 GQuark ow_config_error_quark(void);
 
 G_END_DECLS
--- a/src/config/operators_file.c
+++ b/src/config/operators_file.c
@@ -10,7 +10,7 @@
 
 G_DEFINE_AUTO_CLEANUP_FREE_FUNC(XML_Parser, XML_ParserFree, NULL)
 
-/* A tuning parameter: the element that it is an attribute of, and the attribute. */
+/* A tuning parameter: an element and its attribute. */
 struct tuning_field {
     const char *element;
     struct ow_number_field number;
@@ -25,13 +25,13 @@
     {"election", {"lease_s", offsetof(struct ow_tuning, leader_lease_s), OW_NUMBER_DOUBLE, 1, 60}},
 };
 
-/* The state of reading one file; it stops at the first error. */
+/* The state of reading one file; reading stops at the first error. */
 struct reader {
     XML_Parser parser;
     struct ow_tuning *tuning;
     struct ow_sharding_settings *sharding;
-    unsigned depth; /* of the element at hand; the root's is 0 */
-    GError *error;  /* NULL: none so far */
+    unsigned depth; /* number of open elements */
+    GError *error;  /* the first one; NULL: none so far */
 };
 
 static unsigned long current_line(const struct reader *reader)
@@ -39,7 +39,8 @@
     return (unsigned long)XML_GetCurrentLineNumber(reader->parser);
 }
 
-/* Ends the reading with the error, which it takes over. The parser may still deliver a callback or two. */
+/* Stops the parser with the error, of which it takes ownership. Expat may still invoke some callbacks after
+ * XML_StopParser(), so only the first error is kept. */
 static void fail_with(struct reader *reader, GError *error)
 {
     g_prefix_error(&error, "line %lu: ", current_line(reader));
@@ -74,7 +75,7 @@
         ow_number_field_store(field, reader->tuning, value);
 }
 
-/* The tuning parameter of this name, or NULL. */
+/* The tuning parameter of this element and attribute, or NULL. */
 static const struct ow_number_field *find_field(const char *element, const char *attribute)
 {
     for (size_t i = 0; i < G_N_ELEMENTS(tuning_fields); i++) {
@@ -85,7 +86,7 @@
     return NULL;
 }
 
-/* Reads the attributes of an element outside <control>: name and value in turn, ended by NULL. */
+/* Reads the attributes of an element outside <control>: alternating names and values, NULL-terminated. */
 static void read_tuning(struct reader *reader, const char *element, const char **attributes)
 {
     for (; *attributes != NULL && reader->error == NULL; attributes += 2) {
@@ -109,7 +110,7 @@
     struct reader *reader = owner;
     bool is_root = reader->depth++ == 0;
     if (is_root && strcmp(name, "ospreywell") != 0)
-        fail(reader, OW_CONFIG_ERROR_SYNTAX, name, "the root must be ospreywell");
+        fail(reader, OW_CONFIG_ERROR_SYNTAX, name, "the root element must be ospreywell");
     if (is_root)
         return;
     if (ow_sharding_file_handles_element(name))
@@ -125,17 +126,17 @@
     reader->depth--;
 }
 
-/* No entities: a file of settings needs none, and they can grow without end. */
+/* Rejects document types, and with them entities, whose expansion may be unbounded. */
 static void XMLCALL on_doctype(void *owner, const XML_Char *name, const XML_Char *system, const XML_Char *id,
                                int has_internal_subset)
 {
     (void)system;
     (void)id;
     (void)has_internal_subset;
-    fail(owner, OW_CONFIG_ERROR_SYNTAX, name, "a document type is not accepted");
+    fail(owner, OW_CONFIG_ERROR_SYNTAX, name, "document type declarations are not allowed");
 }
 
-/* Parses the text; NULL, or the first error, which the caller frees. */
+/* Parses the text; returns the first error, owned by the caller, or NULL. */
 static GError *parse(struct reader *reader, const char *text, gsize size)
 {
     XML_SetUserData(reader->parser, reader);
@@ -151,20 +152,20 @@
                        GError **error)
 {
     g_autofree char *text = NULL;
-    g_autoptr(GError) unreadable = NULL;
+    g_autoptr(GError) read_error = NULL;
     gsize size = 0;
-    if (!g_file_get_contents(path, &text, &size, &unreadable)) {
-        g_set_error_literal(error, OW_CONFIG_ERROR, OW_CONFIG_ERROR_UNREADABLE, unreadable->message);
+    if (!g_file_get_contents(path, &text, &size, &read_error)) {
+        g_set_error_literal(error, OW_CONFIG_ERROR, OW_CONFIG_ERROR_UNREADABLE, read_error->message);
         return false;
     }
     g_auto(XML_Parser) parser = XML_ParserCreate(NULL);
-    struct ow_tuning changed = *tuning;
-    struct reader reader = {.parser = parser, .tuning = &changed, .sharding = sharding};
+    struct ow_tuning new_tuning = *tuning;
+    struct reader reader = {.parser = parser, .tuning = &new_tuning, .sharding = sharding};
     GError *cause = parse(&reader, text, size);
     if (cause != NULL) {
         g_propagate_error(error, cause);
         return false;
     }
-    *tuning = changed;
+    *tuning = new_tuning;
     return true;
 }
--- a/src/config/operators_file.h
+++ b/src/config/operators_file.h
@@ -1,9 +1,9 @@
 /**
  * @file
- * Reads the operators' own settings: an XML file whose values replace the default ones.
+ * Reads the operators' settings: an optional XML file whose values override the defaults.
  *
- * Elements and attributes that are not known are ignored with a warning, except inside `<control>`, where
- * they are errors (see sharding_file.h). The file is optional.
+ * Unknown elements and attributes are ignored with a warning, except inside `<control>`, where unknown
+ * attributes are errors (see sharding_file.h).
  */
 #ifndef OW_CONFIG_OPERATORS_FILE_H
 #define OW_CONFIG_OPERATORS_FILE_H
@@ -15,11 +15,11 @@
 #include <stdbool.h>
 
 /**
- * Replaces the values that the file names. What it says of shards is read but not yet compared with the
- * platform's settings: see sharding_settings_check.h.
+ * Overrides the values that the file sets. The sharding settings are not yet checked against the platform's
+ * settings: see sharding_settings_check.h.
  *
- * @param tuning    left as it is on an error
- * @param sharding  may be changed in part on an error
+ * @param tuning    unchanged on an error
+ * @param sharding  may be partly changed on an error
  * @param error     in the domain OW_CONFIG_ERROR; the message names the line and the attribute
  * @return false on an error
  */
--- a/src/config/option_parser.h
+++ b/src/config/option_parser.h
@@ -1,6 +1,6 @@
 /**
  * @file
- * Parses the options of a program, with --help: the common part of the command lines of controller and agent.
+ * Parses command line options and --help, for both the controller and the agent.
  */
 #ifndef OW_CONFIG_OPTION_PARSER_H
 #define OW_CONFIG_OPTION_PARSER_H
@@ -9,14 +9,13 @@
 #include <stdbool.h>
 
 /**
- * Reads the arguments into the places that the entries name. What --help asks for is printed, and the process
- * ends.
+ * Parses the arguments into the variables of the entries. --help prints the usage and exits the process.
  *
  * @param argc,argv  the arguments of main(); argv is reordered
- * @param summary    what --help says before the options
- * @param entries    the options, ended by an empty entry
+ * @param summary    text that --help prints before the options
+ * @param entries    the options, terminated by an empty entry
  * @param error      in the domain G_OPTION_ERROR
- * @return false on an error; what was read before it is still the caller's to free
+ * @return false on an error; the caller must still free values parsed before it
  */
 bool ow_option_parser_run(int argc, char **argv, const char *summary, const GOptionEntry *entries,
                           GError **error);
--- a/src/config/settings_file.c
+++ b/src/config/settings_file.c
@@ -5,7 +5,7 @@
 
 #include <stddef.h>
 
-/* Bounds that only catch slips of the pen: an hour, and more than any platform, team or controller has. */
+/* Upper bounds that only catch typing errors: an hour, and more than any platform, team or controller has. */
 #define HOUR_S 3600
 #define RATE_RPS_MAX 1e6
 #define VALUE_KB_MAX 1e6
@@ -17,7 +17,7 @@
 
 /* ---- single fields ---- */
 
-/* A string: how it is read, and the member that owns it. */
+/* A string: its path, the member that owns it, and the function that reads it. */
 struct text_field {
     const char *path;
     size_t offset;
@@ -63,7 +63,7 @@
     UNSIGNED("params.quota.sockets", sockets, 16, SOCKETS_MAX),
 };
 
-/* Limits of the key-value store that will apply later. */
+/* Announced future limits of the key-value store. */
 static const struct ow_number_field next_limit_fields[] = {
     DOUBLE("params.state.next.write_rps", next_write_rps, 1, RATE_RPS_MAX),
     DOUBLE("params.state.next.value_kb", next_value_kb, 1, VALUE_KB_MAX),
@@ -96,7 +96,7 @@
         read_number(reader, &number_fields[i], settings);
 }
 
-/* Where the file says nothing of the coming limits, those of now stay. */
+/* Future limits default to the current ones. */
 static void read_next_limits(struct ow_toml_reader *reader, struct ow_settings *settings)
 {
     settings->next_write_rps = settings->store_write_rps;
@@ -188,7 +188,7 @@
     return g_strcmp0(word, "finished") == 0 ? OW_SLO_FINISHED : OW_SLO_OTHER;
 }
 
-/* Reads one SLO; false if it lacks its class or time, or is of a kind that is not known. */
+/* Reads an SLO; false if its class or time is missing, or its kind unknown. */
 static bool read_slo(const struct ow_toml_doc *doc, const char *array, size_t index, struct ow_slo *slo)
 {
     g_autofree char *kind = ow_toml_path(array, index, "kind");
@@ -202,7 +202,7 @@
            slo->kind != OW_SLO_OTHER;
 }
 
-/* SLOs guide decisions and bind nothing, so one that is not understood is ignored and is no error. */
+/* SLOs only guide decisions and are not binding, so an invalid one is ignored rather than an error. */
 static GArray *read_slos(const struct ow_toml_doc *doc)
 {
     static const char array[] = "params.objectives";
--- a/src/config/settings_file.h
+++ b/src/config/settings_file.h
@@ -2,8 +2,8 @@
  * @file
  * Reads and checks the platform's settings file (TOML).
  *
- * The names in the file are the platform's; here they are mapped to those of struct ow_settings. Fields that
- * are not known are ignored: the platform may add some.
+ * Maps the platform's field names to the members of struct ow_settings. Unknown fields are ignored, because
+ * the platform may add some.
  */
 #ifndef OW_CONFIG_SETTINGS_FILE_H
 #define OW_CONFIG_SETTINGS_FILE_H
@@ -12,17 +12,17 @@
 
 #include <glib.h>
 
-/** The settings, as g_autoptr() names them. */
+/** Typedef for g_autoptr(ow_settings). */
 typedef struct ow_settings ow_settings;
 
 /**
- * Reads the file.
+ * Reads and checks the file.
  *
- * @param error  in the domain OW_CONFIG_ERROR; the message names the first field that is wrong
+ * @param error  in the domain OW_CONFIG_ERROR; the message names the first invalid field
  * @return NULL on an error; otherwise to be freed by ow_settings_free()
  */
 struct ow_settings *ow_settings_load(const char *path, GError **error);
-/** Frees the settings and all that they hold; NULL is allowed. */
+/** Frees the settings and everything that they own; NULL is allowed. */
 void ow_settings_free(struct ow_settings *settings);
 
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(ow_settings, ow_settings_free)
--- a/src/config/sharding_file.c
+++ b/src/config/sharding_file.c
@@ -16,12 +16,12 @@
     {"candidacy_step_s", offsetof(struct ow_sharding_settings, candidacy_step_s), OW_NUMBER_DOUBLE, 0, 60},
 };
 
-/* The attribute `share` of a shard or an allotment, stored in a double. */
+/* The attribute `share` of a shard or an allotment; its base is the double itself. */
 static const struct ow_number_field share_field = {"share", 0, OW_NUMBER_DOUBLE, 0, 1};
 
 enum presence { OPTIONAL, REQUIRED };
 
-/* A textual attribute: it is read into `text` or, split at blanks, into `words`; the other is NULL. */
+/* A text attribute: it is stored in `text` or, split at whitespace, in `words`; the other one is NULL. */
 struct text_field {
     const char *attribute;
     char **text;
@@ -32,8 +32,8 @@
 /* The attributes of one kind of element. */
 struct element_fields {
     const char *element;
-    const struct text_field *texts; /* ended by an empty one */
-    double *share;                  /* where the attribute `share` goes, which is then required; or NULL */
+    const struct text_field *texts; /* terminated by an empty one */
+    double *share; /* destination of the attribute `share`, which is then required; NULL: no such attribute */
 };
 
 bool ow_sharding_file_handles_element(const char *element)
@@ -44,7 +44,7 @@
 
 /* ---- values ---- */
 
-/* Sets the error and returns false, so that a reader can end with it. */
+/* Sets the error and returns false, so that callers can return the result. */
 static bool fail(GError **error, enum ow_config_error code, const char *name, const char *reason)
 {
     g_set_error(error, OW_CONFIG_ERROR, (gint)code, "%s: %s", name, reason);
@@ -67,7 +67,7 @@
     return true;
 }
 
-/* The words of the text (g_strfreev); NULL if there are none. */
+/* Splits the text at whitespace (g_strfreev); NULL if there are no words. */
 static char **split_words(const char *text)
 {
     g_auto(GStrv) parts = g_strsplit_set(text, " \t\r\n", -1);
@@ -102,8 +102,8 @@
 
 static bool fail_unknown(GError **error, const char *attribute, const char *element)
 {
-    g_set_error(error, OW_CONFIG_ERROR, OW_CONFIG_ERROR_UNKNOWN_NAME, "%s: is not known in %s", attribute,
-                element);
+    g_set_error(error, OW_CONFIG_ERROR, OW_CONFIG_ERROR_UNKNOWN_NAME, "%s: unknown attribute of %s",
+                attribute, element);
     return false;
 }
 
@@ -115,7 +115,7 @@
     return NULL;
 }
 
-/* Whether the attribute is given; if not, sets the error. */
+/* Sets the error and returns false if the attribute is missing. */
 static bool require(const char *element, const char **attributes, const char *name, GError **error)
 {
     for (; *attributes != NULL; attributes += 2)
@@ -168,7 +168,7 @@
                          GError **error)
 {
     if (sharding->is_enabled)
-        return fail(error, OW_CONFIG_ERROR_INCONSISTENT, "control", "is there twice");
+        return fail(error, OW_CONFIG_ERROR_INCONSISTENT, "control", "appears more than once");
     sharding->is_enabled = true;
     sharding->line = line;
     for (; *attributes != NULL; attributes += 2) {
@@ -181,14 +181,15 @@
     return true;
 }
 
-/* The name becomes a part of keys in the key-value store, where a slash separates and blanks are refused. */
+/* The name is part of keys in the key-value store, which uses slashes as separators and rejects whitespace.
+ */
 static bool check_shard_name(const char *name, GError **error)
 {
     for (const char *at = name; *at != '\0'; at++) {
         if (g_ascii_isalnum(*at) || *at == '-' || *at == '_')
             continue;
         g_set_error(error, OW_CONFIG_ERROR, OW_CONFIG_ERROR_MALFORMED_VALUE,
-                    "shard: name \"%s\" has other characters than letters, digits, - and _", name);
+                    "shard: name \"%s\" has characters other than letters, digits, - and _", name);
         return false;
     }
     return true;
@@ -241,7 +242,7 @@
     if (strcmp(element, "control") == 0)
         return read_control(sharding, attributes, line, error);
     if (!sharding->is_enabled)
-        return fail(error, OW_CONFIG_ERROR_INCONSISTENT, element, "belongs inside control");
+        return fail(error, OW_CONFIG_ERROR_INCONSISTENT, element, "must be inside control");
     if (strcmp(element, "shard") == 0)
         return read_shard(sharding, attributes, line, error);
     if (strcmp(element, "allotment") == 0)
--- a/src/config/toml_doc.cpp
+++ b/src/config/toml_doc.cpp
@@ -11,7 +11,7 @@
     toml::table table;
 };
 
-/* The library gives a line to every error of syntax, and none where the file could not be opened. */
+/* toml++ sets a line in every syntax error, and line 0 if the file could not be opened. */
 static void set_error(GError **error, const toml::parse_error &cause)
 {
     const std::string text(cause.description());
--- a/src/config/toml_reader.c
+++ b/src/config/toml_reader.c
@@ -11,7 +11,7 @@
         reader->error = g_error_new(OW_CONFIG_ERROR, (gint)code, "%s: %s", path, reason);
 }
 
-/* There is no value of the right kind at the path: `reason` says so unless there is none at all. */
+/* Records that the path has no value, or a value of the wrong kind, which `reason` describes. */
 static void fail_missing(struct ow_toml_reader *reader, const char *path, const char *reason)
 {
     if (ow_toml_doc_kind(reader->doc, path) == OW_TOML_NONE)
@@ -34,7 +34,7 @@
 {
     char *value = ow_toml_read_text(reader, path);
     if (!ow_endpoint_is_valid(value))
-        ow_toml_reader_fail(reader, OW_CONFIG_ERROR_MALFORMED_VALUE, path, "is not an address with a port");
+        ow_toml_reader_fail(reader, OW_CONFIG_ERROR_MALFORMED_VALUE, path, "is not ADDRESS:PORT");
     return value;
 }
 
--- a/src/main.c
+++ b/src/main.c
@@ -1,4 +1,4 @@
-/* The controller's program: it serves, checks its settings, or sends a client's command. */
+/* Entry point of the controller and of the command line client. */
 #include "client/client.h"
 #include "config/command_line.h"
 #include "config/operators_file.h"
@@ -15,21 +15,21 @@
 /* Exit statuses. */
 enum { STATUS_DONE = 0, STATUS_FAILED = 1, STATUS_USAGE = 2 };
 
-/* Everything that the settings files say. */
+/* The contents of the settings files. */
 struct configuration {
     struct ow_settings *settings;
     struct ow_tuning tuning;
     struct ow_sharding_settings *sharding;
 };
 
-/* Says on standard error what is wrong with the file. */
+/* Prints an error in a file to standard error; returns the exit status. */
 static int print_file_error(const char *path, const char *message)
 {
     fprintf(stderr, "ospreywell: %s: %s\n", path, message);
     return STATUS_FAILED;
 }
 
-/* Serves as a controller; returns only if it can't begin. */
+/* Runs a controller; returns only if startup fails. */
 static int serve(const struct ow_command_line *command_line, const struct configuration *configuration)
 {
     g_autoptr(GError) error = NULL;
@@ -55,7 +55,8 @@
     return print_file_error(path, error->message);
 }
 
-/* Reads the operators' settings if there are any, and serves unless only a check is wanted. */
+/* Reads the operators' settings, if a file is given, and runs the controller unless only a check is
+ * requested. */
 static int run_configuration(const struct ow_command_line *command_line, struct configuration *configuration)
 {
     int status = STATUS_DONE;
@@ -69,7 +70,7 @@
     return STATUS_DONE;
 }
 
-/* Reads the platform's settings, and goes on with them. */
+/* Reads the platform's settings and continues with run_configuration(). */
 static int load_and_run(const struct ow_command_line *command_line)
 {
     g_autoptr(GError) error = NULL;
--- a/tests/unit/test_settings.c
+++ b/tests/unit/test_settings.c
@@ -74,7 +74,7 @@
 static const struct change faults[] = {
     {"host_name = \"n-0\"", "", "host_name: is missing", OW_CONFIG_ERROR_MISSING_FIELD},
     {"host_name = \"n-0\"", "host_name = 4", "host_name: is not a string", OW_CONFIG_ERROR_MALFORMED_VALUE},
-    {"front = \"10.0.0.1:8080\"", "front = \"nowhere\"", "front: is not an address",
+    {"front = \"10.0.0.1:8080\"", "front = \"nowhere\"", "front: is not ADDRESS:PORT",
      OW_CONFIG_ERROR_MALFORMED_VALUE},
     {"endpoint = \"10.0.0.2:8081\"", "", "others[0].endpoint: is missing", OW_CONFIG_ERROR_MISSING_FIELD},
     {"lease_s = 20.0", "", "params.workers.lease_s: is missing", OW_CONFIG_ERROR_MISSING_FIELD},
@@ -133,9 +133,9 @@
      "line 3: candidates: must be a whole number", OW_CONFIG_ERROR_OUT_OF_RANGE},
     {"<ospreywell><election lease_s='soon'/></ospreywell>", NULL, "line 1: lease_s: is not a number",
      OW_CONFIG_ERROR_MALFORMED_VALUE},
-    {"<other/>", NULL, "line 1: other: the root must be ospreywell", OW_CONFIG_ERROR_SYNTAX},
+    {"<other/>", NULL, "line 1: other: the root element must be ospreywell", OW_CONFIG_ERROR_SYNTAX},
     {"<ospreywell>", NULL, "line 1: no element found", OW_CONFIG_ERROR_SYNTAX},
-    {"<!DOCTYPE x [<!ENTITY a 'b'>]><ospreywell/>", NULL, "a document type is not accepted",
+    {"<!DOCTYPE x [<!ENTITY a 'b'>]><ospreywell/>", NULL, "document type declarations are not allowed",
      OW_CONFIG_ERROR_SYNTAX},
 };
 
--- a/tests/unit/test_sharding_settings.c
+++ b/tests/unit/test_sharding_settings.c
@@ -155,15 +155,15 @@
     {"<control relays='1.5'>\n" NORTH SOUTH "</control>", "line 2: relays: must be a whole number"},
     {"<control suspicion_phi='0'>\n" NORTH SOUTH "</control>",
      "line 2: suspicion_phi: must be a number from 1 to 100"},
-    {"<control colour='red'>\n" NORTH SOUTH "</control>", "line 2: colour: is not known in control"},
+    {"<control colour='red'>\n" NORTH SOUTH "</control>", "line 2: colour: unknown attribute of control"},
     {"<control>\n<shard name='north' share='1'/></control>", "line 3: shard: zones is missing"},
     {"<control>\n<shard name='north' zones='a'/></control>", "line 3: shard: share is missing"},
     {"<control>\n<shard name='no/rth' zones='a' share='1'/></control>",
-     "line 3: shard: name \"no/rth\" has other characters than letters, digits, - and _"},
+     "line 3: shard: name \"no/rth\" has characters other than letters, digits, - and _"},
     {"<control>\n<shard name='north' zones='a' share='2'/></control>",
      "line 3: share: must be a number from 0 to 1"},
-    {"<shard name='north' zones='a' share='1'/>", "line 2: shard: belongs inside control"},
-    {"<control>" NORTH SOUTH "</control>\n<control/>", "line 5: control: is there twice"},
+    {"<shard name='north' zones='a' share='1'/>", "line 2: shard: must be inside control"},
+    {"<control>" NORTH SOUTH "</control>\n<control/>", "line 5: control: appears more than once"},
 };
 
 static void test_errors_are_named_with_their_line(void **state)
