--- a/src/agent/history.c
+++ b/src/agent/history.c
@@ -31,7 +31,7 @@
         return;
     /* A single write per line, so that lines of several processes don't interleave. */
     if (write(history->fd, line, (size_t)size) != size)
-        fprintf(stderr, "ospreywell-agent: can't write to the history file\n");
+        fprintf(stderr, "ospreywell-agent: can't append to history file\n");
 }
 
 /* Appends an event about the agent itself, with one numeric member. */
