--- a/tests/loopback/checker.py
+++ b/tests/loopback/checker.py
@@ -1,8 +1,8 @@
-"""Checks the history of a run: what the agents and the supervisors of tasks recorded on the machines, when
-leaders' keys changed in the state service, and what users were told. Nothing is taken from the controllers'
-own claims.
+"""Checks the history of a run for violations of the scheduler's guarantees.
 
-The history has two lists of events: the run's own (`events`) and that of the machines (`machines`)."""
+The history consists of the events of the run (`events`: changes of leaders' keys in the state service, and
+answers to users) and those of the machines (`machines`: recorded by agents and supervisors of tasks). The
+controllers' own claims are not used."""
 
 import glob
 import os
@@ -12,33 +12,33 @@
 
 from events import Event, read_events, time_of
 
-# A stop takes a supervisor's look at its orders, and an order's way; records may be early or late.
-SLACK_S = 0.3
-# The cause of a task that ended well, in the records of ends (enum ow_cause).
+# Allows for the supervisor's polling interval, the delivery of a command, and inexact record times.
+TOLERANCE_S = 0.3
+# Cause of a successful task in "exited" events (enum ow_exit_cause).
 CAUSE_DONE = 1
 
 
 def load(directory: str) -> tuple[list[Event], list[Event]]:
-    """The events of a run and of its machines, each in order of time."""
+    """The events of a run and of its machines, each sorted by time."""
     paths = glob.glob(os.path.join(directory, "history", "*.jsonl"))
     machines = [event for path in paths for event in read_events(path)]
     machines.sort(key=time_of)
     return read_events(os.path.join(directory, "events.jsonl")), machines
 
 
-def named(events: Iterable[Event], *names: str) -> list[Event]:
-    """The events of these names."""
+def events_named(events: Iterable[Event], *names: str) -> list[Event]:
+    """The events with one of these names."""
     return [event for event in events if event["event"] in names]
 
 
 def terms(events: list[Event]) -> list[Event]:
-    """The begins of leaders' terms, by the state service."""
-    return [event for event in named(events, "leader") if event["leader"]]
+    """The starts of leaders' terms, according to the state service."""
+    return [event for event in events_named(events, "leader") if event["leader"]]
 
 
-def accepted_orders(machines: list[Event]) -> list[Event]:
-    """The orders that machines obeyed."""
-    return [event for event in named(machines, "orders") if event["accepted"]]
+def accepted_commands(machines: list[Event]) -> list[Event]:
+    """The batches of commands that machines accepted."""
+    return [event for event in events_named(machines, "orders") if event["accepted"]]
 
 
 def job_of(event: Event) -> str:
@@ -47,35 +47,35 @@
 
 
 def check_tokens(events: list[Event], machines: list[Event]) -> Iterator[str]:
-    """At every instant a machine has one owner: the tokens that it obeys never become lower, and each of them
-    was given to one controller by the state service. An answer with token 0 and without commands makes nobody
-    an owner: a leader sends one until it has read the job table, and an agent without a token accepts it."""
+    """A machine has one owner at any time: the tokens that it accepts never decrease, and each was issued to
+    one controller by the state service. An answer with token 0 and without commands makes nobody an owner: a
+    leader sends it until it has read the job table, and an agent that has seen no token accepts it."""
     issued = {term["token"] for term in terms(events)}
     seen: dict[str, int] = defaultdict(int)
-    for event in accepted_orders(machines):
+    for event in accepted_commands(machines):
         machine, token = event["machine"], event["token"]
         if token == seen[machine] == 0 and event["commands"] == 0:
             continue
         if token < seen[machine]:
-            yield f"two owners: {machine} obeyed token {token} after {seen[machine]}"
+            yield f"two owners: {machine} accepted token {token} after {seen[machine]}"
         if token not in issued:
-            yield f"two owners: {machine} obeyed token {token}, which nobody was given"
+            yield f"two owners: {machine} accepted token {token}, which was never issued"
         seen[machine] = max(seen[machine], token)
 
 
 def check_shards(events: list[Event], machines: list[Event]) -> Iterator[str]:
-    """The tokens that a machine obeys are all of one shard."""
+    """All tokens that a machine accepts belong to one shard."""
     shard_of = {term["token"]: term["shard"] for term in terms(events)}
     shards: dict[str, str] = {}
-    for event in accepted_orders(machines):
+    for event in accepted_commands(machines):
         if event["token"] in shard_of:
             shard = shard_of[event["token"]]
             if shards.setdefault(event["machine"], shard) != shard:
-                yield f"two shards: {event['machine']} obeyed {shards[event['machine']]} and {shard}"
+                yield f"two shards: {event['machine']} accepted {shards[event['machine']]} and {shard}"
 
 
 def check_attempts(machines: list[Event]) -> Iterator[str]:
-    """No task runs twice at one time."""
+    """No task runs more than once at a time."""
     running: dict[str, str] = {}
     for event in machines:
         if event["event"] == "task-begins":
@@ -87,29 +87,30 @@
 
 
 def check_cancellations(events: list[Event], machines: list[Event], cancel_s: float) -> Iterator[str]:
-    """Nothing of a job starts after its user was told that it is cancelled, and nothing runs on for long."""
-    told = {e["job"]: e["t"] for e in named(events, "confirmed") if e["stance"] == "aborted"}
+    """After a cancellation is confirmed, no task of the job starts, and its running tasks end in time."""
+    confirmations = {e["job"]: e["t"] for e in events_named(events, "confirmed") if e["stance"] == "aborted"}
     running: dict[tuple[str, str, int], Event] = {}
-    for event in named(machines, "task-begins", "task-ended"):
-        told_at = told.get(job_of(event))
+    for event in events_named(machines, "task-begins", "task-ended"):
+        confirmed_at = confirmations.get(job_of(event))
         key = (event["machine"], event["task"], event["attempt"])
         if event["event"] == "task-begins":
             running[key] = event
-            if told_at is not None and event["t"] > told_at + SLACK_S:
+            if confirmed_at is not None and event["t"] > confirmed_at + TOLERANCE_S:
                 yield f"started after its cancellation: {event['task']} on {event['machine']}"
         else:
             running.pop(key, None)
-            if told_at is not None and event["t"] > told_at + cancel_s:
+            if confirmed_at is not None and event["t"] > confirmed_at + cancel_s:
                 yield f"outlived its cancellation: {event['task']} on {event['machine']}"
     for event in running.values():
-        if job_of(event) in told:
+        if job_of(event) in confirmations:
             yield f"outlived its cancellation: {event['task']} on {event['machine']} never ended"
 
 
 def check_jobs(events: list[Event], machines: list[Event]) -> Iterator[str]:
-    """Every accepted job is over at the end, never forgotten, and done only if all its tasks were."""
-    results = {e["task"] for e in named(machines, "exited") if e["cause"] == CAUSE_DONE}
-    over = {e["job"]: e["stance"] for e in named(events, "over", "confirmed")}
+    """Every accepted job is over at the end, was never unknown to a controller, and is done only if all its
+    tasks succeeded."""
+    results = {e["task"] for e in events_named(machines, "exited") if e["cause"] == CAUSE_DONE}
+    over = {e["job"]: e["stance"] for e in events_named(events, "over", "confirmed")}
     for event in events:
         if event["event"] == "forgotten":
             yield f"forgotten: {event['job']}"
@@ -125,27 +126,27 @@
 
 
 def ended_terms(events: list[Event]) -> Iterator[tuple[str, int, float]]:
-    """(controller, token, time at which its term ended), as the state service has it."""
+    """Yields controller, token and end time of each ended term, according to the state service."""
     for term in terms(events):
-        changes = [e["t"] for e in named(events, "leader") if e["shard"] == term["shard"]]
+        changes = [e["t"] for e in events_named(events, "leader") if e["shard"] == term["shard"]]
         later = [time for time in changes if time > term["t"]]
         if later:
             yield term["leader"], term["token"], min(later)
 
 
 def check_stale_orders(events: list[Event], machines: list[Event]) -> Iterator[str]:
-    """A controller that stood still while its term ended sends nothing under its token afterwards."""
+    """A controller whose term ended while it was frozen sends nothing under the old token after its thaw."""
     ended = list(ended_terms(events))
-    for thaw in named(events, "thawed"):
+    for thaw in events_named(events, "thawed"):
         stale = {token for leader, token, end in ended if leader == thaw["controller"] and end < thaw["t"]}
-        for event in named(machines, "orders"):
+        for event in events_named(machines, "orders"):
             if event["t"] > thaw["t"] and event["token"] in stale:
-                order = f"{event['machine']} got token {event['token']}"
-                yield f"stale order: {order} after its controller stood still"
+                command = f"{event['machine']} received token {event['token']}"
+                yield f"stale order: {command} after its controller was thawed"
 
 
 def check(directory: str, cancel_s: float) -> list[str]:
-    """Every violation, in words."""
+    """All violations, each as a message that starts with its kind."""
     events, machines = load(directory)
     return [
         *check_tokens(events, machines),
@@ -158,26 +159,27 @@
 
 
 def first_after(events: Iterable[Event], time: float) -> Optional[Event]:
-    """The first of the events that is later than a time."""
+    """The first event later than a time, or None."""
     return next((event for event in events if event["t"] > time), None)
 
 
 def end_of_fault(events: list[Event], fault: Event, default: float) -> float:
-    """The time at which a fault was over; the default if it never was."""
-    end = first_after(named(events, "fault-over"), fault["t"])
+    """The time at which a fault ended; the default if it did not end."""
+    end = first_after(events_named(events, "fault-over"), fault["t"])
     return float(end["t"]) if end is not None else default
 
 
 def handovers(directory: str) -> list[dict[str, Any]]:
-    """For each fault of a leader: shard, time until the next token, and until the first launch under it."""
+    """For each shard that lost its leader by a fault: seconds until the next token, and until the first
+    launch under it."""
     events, machines = load(directory)
-    launches = named(machines, "launched")
+    launches = events_named(machines, "launched")
     measured = []
-    for fault in (event for event in named(events, "fault") if event.get("shards")):
+    for fault in (event for event in events_named(events, "fault") if event.get("shards")):
         end = end_of_fault(events, fault, fault["t"])
         for shard in fault["shards"]:
             successor = first_after((term for term in terms(events) if term["shard"] == shard), fault["t"])
-            # A later term is another fault's: this one took nobody's lease.
+            # A term that starts after the fault ended has another cause: this fault cost no leader its lease.
             if successor is None or successor["t"] > end:
                 continue
             launch = next((e for e in launches if e["token"] == successor["token"]), None)
--- a/tests/loopback/cloud.py
+++ b/tests/loopback/cloud.py
@@ -1,4 +1,4 @@
-"""The simulated cloud: rents and returns machines, which are agents on loopback addresses."""
+"""A simulated cloud that rents out machines, each of them an agent process on a loopback address."""
 
 import time
 from typing import Any
@@ -15,7 +15,7 @@
 
 
 def describe_machine(machine: Machine) -> Body:
-    """A machine as the cloud lists it."""
+    """The description of a machine in the cloud's list."""
     return {
         "ref": machine.name,
         "addr": f"{machine.address}:{AGENT_PORT}",
@@ -28,37 +28,37 @@
 
 
 class Cloud:
-    """Machines, rentals and the service that controllers ask for them."""
+    """The machines, the rentals, and the HTTP service for controllers."""
 
     def __init__(self, network: Network, prefix: str, zones: list[str], agent_options: AgentOptions) -> None:
         self.network = network
-        self.prefix = prefix  # of the machines' addresses
+        self.prefix = prefix  # of the addresses of machines
         self.zones = zones
         self.agent_options = agent_options
         self.machines: dict[str, Machine] = {}
-        self.rentals: dict[str, list[str]] = {}  # name of the request -> machines
+        self.rentals: dict[str, list[str]] = {}  # id of the request -> names of machines
         self.capacity = 0
         self.refuses_deletions = False
-        self.created = 0  # machines so far: no name is used again
+        self.created_count = 0  # number of machines created so far; names are not reused
         self.http = HttpService(self.handle)
 
     async def start(self, address: str, port: int) -> None:
-        """Begins to serve."""
+        """Starts the HTTP service."""
         await self.http.start(address, port)
 
     async def add(self, machine_type: str, zone: str) -> Machine:
-        """Makes a machine and starts its agent."""
-        self.created += 1
-        subnet, host = divmod(self.created, MACHINES_PER_SUBNET)
+        """Creates a machine and starts its agent."""
+        self.created_count += 1
+        subnet, host = divmod(self.created_count, MACHINES_PER_SUBNET)
         address = f"{self.prefix}.{FIRST_SUBNET + subnet}.{1 + host}"
-        machine = Machine(f"n-{self.created:06}", address, machine_type, zone)
+        machine = Machine(f"n-{self.created_count:06}", address, machine_type, zone)
         self.machines[machine.name] = machine
         await self.network.relay(machine.address, AGENT_PORT, AGENT_PORT + 1)
         machine.start_agent(self.agent_options)
         return machine
 
     async def remove(self, name: str) -> None:
-        """Kills the agent of a machine, and forgets the machine once its tasks have ended."""
+        """Kills the agent of a machine, and removes the machine after its tasks have ended."""
         machine = self.machines.get(name)
         if machine is None:
             return
@@ -68,7 +68,7 @@
         self.machines.pop(name, None)
 
     async def handle(self, _client: str, _method: str, path: str, query: Query, body: Any) -> Body:
-        """Serves a request."""
+        """Handles a request."""
         if path == "/machine_types":
             return self.list_types()
         if path == "/rentals/delete":
@@ -80,12 +80,12 @@
         raise HttpError(404)
 
     def list_types(self) -> Body:
-        """Serves the request for the types of machines."""
+        """Handles a request for the machine types."""
         common = {"cache_gb": 100, "pull_gb_per_s": 1.0, "boot_s": 1, "ranges": self.zones}
         return {"breeds": [{"name": name, **common, **size} for name, size in MACHINE_TYPES.items()]}
 
     async def delete(self, body: Body) -> Body:
-        """Serves the return of machines."""
+        """Handles the deletion of machines."""
         if self.refuses_deletions:
             raise HttpError(503)
         for name in body["perches"]:
@@ -93,7 +93,7 @@
         return {}
 
     async def rent(self, body: Body) -> Body:
-        """Serves a rental; a request that is repeated under its name gets the same machines."""
+        """Handles a rental; it is idempotent: a repeated request id returns the same machines."""
         if body["bid"] not in self.rentals:
             count = min(body["number"], self.capacity)
             if count == 0:
@@ -104,7 +104,7 @@
         return {"perches": self.rentals[body["bid"]]}
 
     def list_machines(self, query: Query) -> Body:
-        """Serves the request for a page of the machines."""
+        """Handles a request for a page of the list of machines."""
         names = [name for name in sorted(self.machines) if name > query.get("since", "")]
         limit = int(query.get("most", PAGE_MAX))
         page = [describe_machine(self.machines[name]) for name in names[:limit]]
--- a/tests/loopback/cluster.py
+++ b/tests/loopback/cluster.py
@@ -1,5 +1,5 @@
-"""A whole cluster on one machine: real controllers and agents, simulated state service and cloud, and links
-that can be cut. Everything that happens to it is recorded as an event with the steady clock's time."""
+"""A cluster on one machine: real controllers and agents, a simulated state service and cloud, and links that
+can be cut. What happens to it is recorded as events with monotonic timestamps."""
 
 import os
 import shutil
@@ -29,33 +29,33 @@
 RESERVATION_PORT = 7000
 FIRST_NETWORK, NETWORKS = 20, 200
 LEADER_KEY = "coordinator"
-WHOLE_FLEET = "default"  # the shard's name in a fleet without shards
+DEFAULT_SHARD = "default"  # name of the only shard if no shards are configured
 
 
 class Programs(NamedTuple):
-    """The paths of the programs."""
+    """Paths of the executables."""
 
     controller: str
     agent: str
 
 
 def reserve_network() -> tuple[str, socket.socket]:
-    """The first two numbers of a loopback network that no other run uses, and the socket that reserves it."""
+    """Reserves a loopback /16 network that no other run uses; returns its prefix and the reserving socket."""
     for offset in range(NETWORKS):
         number = FIRST_NETWORK + (os.getpid() + offset) % NETWORKS
-        holder = socket.socket()
+        reservation = socket.socket()
         try:
-            holder.bind((f"127.{number}.0.1", RESERVATION_PORT))
-            return f"127.{number}", holder
+            reservation.bind((f"127.{number}.0.1", RESERVATION_PORT))
+            return f"127.{number}", reservation
         except OSError:
-            holder.close()
+            reservation.close()
     raise RuntimeError("no loopback network is free")
 
 
 def shard_of_leader_key(key: str) -> Optional[str]:
-    """The shard whose leader is recorded under a key of the state service; None: it is no such key."""
+    """The shard whose leader is stored under a key of the state service; None if it is not a leader key."""
     if key == LEADER_KEY:
-        return WHOLE_FLEET
+        return DEFAULT_SHARD
     return key.split("/")[1] if key.endswith("/" + LEADER_KEY) else None
 
 
@@ -72,7 +72,7 @@
 
 
 class Cluster:
-    """The parts of a cluster, and its events."""
+    """The components of a cluster, and its events."""
 
     def __init__(self, directory: str, programs: Programs, controllers: int, settings: Settings) -> None:
         self.directory = directory
@@ -92,13 +92,13 @@
         self.events: list[Event] = []
 
     def record(self, event: str, **members: Any) -> None:
-        """Adds an event that happens now."""
+        """Records an event with the current time."""
         self.events.append({"t": time.monotonic(), "event": event, **members})
 
-    # ---- start and end ----
+    # ---- start and stop ----
 
     async def start(self, machines: Iterable[tuple[str, str]]) -> None:
-        """Starts everything in an empty directory. `machines`: type and zone of each."""
+        """Clears the directory and starts all components. `machines`: type and zone of each machine."""
         shutil.rmtree(self.directory, ignore_errors=True)
         for name in ("jobs", "history", "logs"):
             os.makedirs(os.path.join(self.directory, name))
@@ -121,7 +121,7 @@
             file.write(operators_settings(self.settings))
 
     async def stop(self) -> None:
-        """Ends every process and writes the events."""
+        """Stops all components and writes the events."""
         self.network.heal()
         for controller in self.controllers:
             if controller.is_running():
@@ -138,7 +138,7 @@
     # ---- controllers ----
 
     def start_controller(self, controller: Controller) -> None:
-        """Starts a controller that doesn't run."""
+        """Starts a controller, which must not be running."""
         controller.start(self.controller_program)
         self.record("started", controller=controller.name)
 
@@ -148,12 +148,12 @@
         self.record("killed", controller=controller.name)
 
     def freeze(self, controller: Controller) -> None:
-        """Lets a controller stand still."""
+        """Suspends the process of a controller."""
         controller.freeze()
         self.record("frozen", controller=controller.name)
 
     def thaw(self, controller: Controller) -> None:
-        """Lets a frozen controller go on."""
+        """Resumes a frozen controller."""
         controller.thaw()
         self.record("thawed", controller=controller.name)
 
@@ -163,7 +163,7 @@
         return [c.address for c in controllers] + machines
 
     def leaders(self) -> dict[str, tuple[str, int]]:
-        """For each shard the name of its leader and the token, by the state service."""
+        """The leader and its token for each shard, according to the state service."""
         found = {}
         for key, item in self.state.store.items.items():
             shard = shard_of_leader_key(key)
@@ -173,7 +173,7 @@
         return found
 
     def controller(self, name: str) -> Controller:
-        """The controller of that name."""
+        """The controller with this name."""
         return next(c for c in self.controllers if c.name == name)
 
     # ---- users ----
@@ -181,6 +181,6 @@
     async def request(
         self, controller: Controller, method: str, path: str, body: Optional[Any] = None, timeout: float = 5
     ) -> tuple[int, Any]:
-        """A user's request: status and body of the response, or NO_ANSWER."""
+        """Sends a user's request to a controller; returns status and body of the response, or NO_ANSWER."""
         address, port = controller.address, FRONT_PORT + 1
         return await http_messages.request(address, port, method, path, body, timeout)
--- a/tests/loopback/controller.py
+++ b/tests/loopback/controller.py
@@ -1,4 +1,4 @@
-"""A controller of a loopback cluster: a real process, and the files it reads and writes."""
+"""A controller of a loopback cluster: a real process with its settings files and log."""
 
 import os
 import signal
@@ -7,7 +7,7 @@
 
 
 class Controller:
-    """A controller's address, and its process while it has one."""
+    """The identity and files of a controller, and its process while it runs."""
 
     def __init__(self, name: str, address: str, zone: str, directory: str) -> None:
         self.name = name
@@ -21,25 +21,25 @@
         self.running: Optional[subprocess.Popen[bytes]] = None
 
     def is_running(self) -> bool:
-        """Whether it has a process, frozen or not."""
+        """Whether the process exists, even if it is frozen."""
         return self.running is not None
 
     @property
     def process(self) -> "subprocess.Popen[bytes]":
-        """Its process, which it must have."""
+        """The process; raises RuntimeError if the controller is not running."""
         if self.running is None:
-            raise RuntimeError(f"{self.name} does not run")
+            raise RuntimeError(f"{self.name} is not running")
         return self.running
 
     def start(self, program: str) -> None:
-        """Starts the program; its messages are appended to the log."""
+        """Starts the program; its standard error is appended to the log file."""
         command = [program, "--config", self.settings_file, "--operators", self.operators_file]
         environment = dict(os.environ, LOG_LEVEL="info")
         self.log = open(self.log_file, "ab")
         self.running = subprocess.Popen(command, stdin=subprocess.DEVNULL, stderr=self.log, env=environment)
 
     def kill(self) -> None:
-        """Kills the process and waits for its end."""
+        """Kills the process and waits until it has exited."""
         self.process.kill()
         self.process.wait()
         self.running = None
@@ -48,11 +48,11 @@
             self.log.close()
 
     def freeze(self) -> None:
-        """Stops the process until it is thawed."""
+        """Suspends the process until thaw()."""
         self.process.send_signal(signal.SIGSTOP)
         self.is_frozen = True
 
     def thaw(self) -> None:
-        """Lets a frozen process go on."""
+        """Resumes a frozen process."""
         self.process.send_signal(signal.SIGCONT)
         self.is_frozen = False
--- a/tests/loopback/events.py
+++ b/tests/loopback/events.py
@@ -1,4 +1,4 @@
-"""Events of a run: dictionaries with a steady clock's time `t` and a name `event`; in files, one a line."""
+"""Events of a run: dictionaries with a monotonic time `t` and a name `event`, stored as JSON Lines."""
 
 import json
 from collections.abc import Iterable
@@ -13,13 +13,13 @@
 
 
 def read_events(path: str) -> list[Event]:
-    """The events of a file, in its order."""
+    """Reads the events of a file, in file order."""
     with open(path, encoding="utf-8") as file:
         return [json.loads(line) for line in file if line.strip()]
 
 
 def write_events(path: str, events: Iterable[Event]) -> None:
-    """Writes the events in order of time."""
+    """Writes the events sorted by time."""
     with open(path, "w", encoding="utf-8") as file:
         for event in sorted(events, key=time_of):
             file.write(json.dumps(event) + "\n")
--- a/tests/loopback/faults.py
+++ b/tests/loopback/faults.py
@@ -1,4 +1,5 @@
-"""Faults of controllers: each method of FaultInjector begins one and returns what ends it."""
+"""Faults of controllers. Each method of FaultInjector that KINDS names starts a fault and returns a function
+that ends it."""
 
 import asyncio
 import random
@@ -14,7 +15,7 @@
 
 
 class FaultInjector:
-    """Lets the controllers of a cluster fail."""
+    """Injects faults into the controllers of a cluster."""
 
     KINDS = [
         "freeze",
@@ -32,8 +33,8 @@
         self.cluster = cluster
         self.random = generator
 
-    async def inject(self, kind: str, shortest_s: float, longest_s: float) -> None:
-        """Lets a controller that leads something fail for a while."""
+    async def inject(self, kind: str, min_s: float, max_s: float) -> None:
+        """Injects a fault into a random running leader, for a random time between the bounds."""
         leaders = self.cluster.leaders()
         names = sorted({name for name, _ in leaders.values()})
         running = [c for c in map(self.cluster.controller, names) if c.is_running()]
@@ -43,33 +44,33 @@
         shards = [shard for shard, (name, _) in leaders.items() if name == target.name]
         self.cluster.record("fault", kind=kind, controller=target.name, shards=shards)
         end: EndOfFault = getattr(self, kind)(target)
-        await asyncio.sleep(self.random.uniform(shortest_s, longest_s))
+        await asyncio.sleep(self.random.uniform(min_s, max_s))
         end()
         self.cluster.record("fault-over", kind=kind, controller=target.name)
 
     def others(self, target: Controller) -> list[Controller]:
-        """The controllers but the target."""
+        """All controllers except the target."""
         return [c for c in self.cluster.controllers if c is not target]
 
     def set_state_access(
         self, controller: Controller, refused: bool = False, silent: bool = False, delay: float = 0.0
     ) -> None:
-        """How the state service treats a controller; by default it serves it."""
+        """Sets how the state service treats requests of a controller; by default they are served."""
         self.cluster.state.http.rules.set(controller.address, refused, silent, delay)
 
     def reconnect(self, *controllers: Controller) -> None:
-        """Ends all cuts between controllers, and those of these controllers from the state service."""
+        """Heals all network cuts, and restores these controllers' access to the state service."""
         self.cluster.network.heal()
         for controller in controllers:
             self.set_state_access(controller)
 
     def freeze(self, target: Controller) -> EndOfFault:
-        """The target stands still."""
+        """Suspends the target's process."""
         self.cluster.freeze(target)
         return lambda: self.cluster.thaw(target)
 
     def freeze_cut(self, target: Controller) -> EndOfFault:
-        """The target stands still, and goes on cut off: nobody can tell it that it was replaced."""
+        """Suspends the target and resumes it partitioned, so that it can't learn that it was replaced."""
         others = self.cluster.addresses(self.others(target))
         self.cluster.freeze(target)
 
@@ -82,12 +83,12 @@
         return end
 
     def kill(self, target: Controller) -> EndOfFault:
-        """The target's process ends, and a new one is started."""
+        """Kills the target's process; a new one is started at the end of the fault."""
         self.cluster.kill_controller(target)
         return lambda: self.cluster.start_controller(target)
 
     def cut_state(self, target: Controller) -> EndOfFault:
-        """The state service doesn't answer the target."""
+        """The state service does not answer the target's requests."""
         self.set_state_access(target, silent=True)
         return lambda: self.set_state_access(target)
 
@@ -97,24 +98,24 @@
         return lambda: self.set_state_access(target)
 
     def slow_state(self, target: Controller) -> EndOfFault:
-        """The state service answers the target late."""
+        """The state service delays its answers to the target."""
         self.set_state_access(target, delay=self.random.uniform(*STATE_DELAYS_S))
         return lambda: self.set_state_access(target)
 
     def isolate(self, target: Controller) -> EndOfFault:
-        """No message passes between the target and anybody, the state service included."""
+        """Partitions the target from all controllers, agents and the state service."""
         rest = self.cluster.addresses(self.others(target), self.cluster.settings.zones)
         self.cluster.network.partition([target.address], rest)
         self.set_state_access(target, silent=True)
         return lambda: self.reconnect(target)
 
     def cut_one_way(self, target: Controller) -> EndOfFault:
-        """What the target sends to the other controllers is lost; it hears them."""
+        """Cuts the links from the target to the other controllers, but not the reverse links."""
         self.cluster.network.cut([target.address], self.cluster.addresses(self.others(target)))
         return self.cluster.network.heal
 
     def split(self, target: Controller) -> EndOfFault:
-        """Two halves with controllers and zones; the half without the target loses the state service."""
+        """Partitions controllers and zones in halves; the half without the target loses the state service."""
         others, zones = self.others(target), self.cluster.settings.zones
         lost = others[: len(others) // 2 + 1]
         kept = [c for c in self.cluster.controllers if c not in lost]
--- a/tests/loopback/http_messages.py
+++ b/tests/loopback/http_messages.py
@@ -8,7 +8,7 @@
 
 
 async def read_body(reader: asyncio.StreamReader) -> bytes:
-    """Reads the headers of a message, and the body that Content-Length tells of."""
+    """Reads the headers of a message and, by Content-Length, its body."""
     length = 0
     while (header := await reader.readline()) not in (b"\r\n", b""):
         name, _, value = header.decode().partition(":")
@@ -18,12 +18,12 @@
 
 
 def encode_message(first_line: str, body: bytes) -> bytes:
-    """A message of that request line or status line."""
+    """Encodes a message with this request line or status line."""
     return f"{first_line}\r\nContent-Length: {len(body)}\r\n\r\n".encode() + body
 
 
 async def exchange(address: str, port: int, method: str, path: str, body: Any) -> tuple[int, Any]:
-    """Sends a request over a connection of its own; status and body of the response."""
+    """Sends a request over a new connection; returns status and body of the response."""
     reader, writer = await asyncio.open_connection(address, port)
     try:
         text = json.dumps(body).encode() if body is not None else b""
@@ -37,7 +37,7 @@
 async def request(
     address: str, port: int, method: str, path: str, body: Optional[Any] = None, timeout: float = 5
 ) -> tuple[int, Any]:
-    """Status and body of the response; NO_ANSWER if there is none in time."""
+    """Sends a request; returns status and body of the response, or NO_ANSWER and None on a failure."""
     try:
         return await asyncio.wait_for(exchange(address, port, method, path, body), timeout)
     except (OSError, asyncio.TimeoutError, asyncio.IncompleteReadError, ValueError):
--- a/tests/loopback/http_service.py
+++ b/tests/loopback/http_service.py
@@ -1,4 +1,4 @@
-"""A small HTTP/1.1 server over asyncio for the simulated services: JSON bodies, persistent connections."""
+"""A minimal asyncio HTTP/1.1 server for the simulated services: JSON bodies, persistent connections."""
 
 import asyncio
 import json
@@ -25,7 +25,7 @@
 
 
 class AccessRules:
-    """Whether the requests of a client, by its address, are served, refused, delayed or left unanswered."""
+    """Per client address: whether requests are served, refused, delayed or left unanswered."""
 
     def __init__(self) -> None:
         self.refused: set[str] = set()
@@ -42,11 +42,11 @@
             self.delays.pop(client, None)
 
     def blocks(self, client: str) -> bool:
-        """Whether the client gets no service at present."""
+        """Whether the client's requests are currently refused or left unanswered."""
         return client in self.refused or client in self.silent
 
     async def admit(self, client: str) -> None:
-        """Returns once the request may be served; raises HttpError for a refusal."""
+        """Waits until a request of the client may be served; raises HttpError if it is refused."""
         while client in self.silent:
             await asyncio.sleep(POLL_S)
         if client in self.delays:
@@ -56,7 +56,8 @@
 
 
 class HttpService:
-    """Serves `handler(client, method, path, query, body)`, a coroutine that returns the body of a 200."""
+    """Serves requests with `handler(client, method, path, query, body)`, a coroutine that returns the body of
+    a response with status 200, or raises HttpError."""
 
     def __init__(self, handler: Handler) -> None:
         self.handler = handler
@@ -65,11 +66,11 @@
         self.server: Optional[asyncio.AbstractServer] = None
 
     async def start(self, address: str, port: int) -> None:
-        """Begins to listen."""
+        """Starts to listen."""
         self.server = await asyncio.start_server(self.serve, address, port, backlog=LISTEN_BACKLOG)
 
     def stop(self) -> None:
-        """Ends to listen."""
+        """Stops listening."""
         if self.server is not None:
             self.server.close()
 
@@ -87,7 +88,7 @@
     async def serve_request(
         self, client: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> bool:
-        """Serves one request; false: the client has closed the connection."""
+        """Serves one request; returns False if the client has closed the connection."""
         line = await reader.readline()
         if not line:
             return False
@@ -98,7 +99,7 @@
         return True
 
     async def respond(self, client: str, method: str, target: str, body: bytes) -> tuple[int, Any]:
-        """Status and body of the response to a request."""
+        """Handles a request; returns status and body of the response."""
         self.request_counts[client] = self.request_counts.get(client, 0) + 1
         parts = urlsplit(target)
         query = {name: values[0] for name, values in parse_qs(parts.query).items()}
--- a/tests/loopback/machine.py
+++ b/tests/loopback/machine.py
@@ -1,4 +1,4 @@
-"""A machine of a loopback cluster: an agent, a real process on a loopback address of its own."""
+"""A machine of a loopback cluster: a real agent process on its own loopback address."""
 
 import asyncio
 import fcntl
@@ -17,7 +17,7 @@
 
 
 class AgentOptions(NamedTuple):
-    """What all agents of a cluster have in common."""
+    """Options shared by all agents of a cluster."""
 
     program: str
     directory: str  # of the run
@@ -39,7 +39,7 @@
         self.lock_file = ""
 
     def start_agent(self, options: AgentOptions) -> None:
-        """Starts the agent with a state directory of its own."""
+        """Starts the agent with its own state directory."""
         state_directory = os.path.join(options.directory, "agents", self.name)
         os.makedirs(state_directory, exist_ok=True)
         self.lock_file = os.path.join(state_directory, "lock")
@@ -71,7 +71,7 @@
         return command
 
     def kill_agent(self) -> None:
-        """Kills the agent; its tasks and their supervisors go on."""
+        """Kills the agent process; the supervisors then end their tasks."""
         if self.agent is None:
             return
         self.agent.send_signal(signal.SIGCONT)
@@ -79,7 +79,7 @@
         self.agent.wait()
 
     async def wait_until_tasks_end(self) -> None:
-        """The supervisors of an agent's tasks hold its lock until the tasks have ended."""
+        """Waits until the agent's lock is free: the supervisors hold it until their tasks have ended."""
         with open(self.lock_file, "a", encoding="utf-8") as lock:
             while True:
                 try:
--- a/tests/loopback/measure.py
+++ b/tests/loopback/measure.py
@@ -1,4 +1,4 @@
-"""Figures over several loopback runs, by kind of fault: time to suspicion, next token and first launch.
+"""Statistics over several loopback runs, by kind of fault: time to suspicion, next token and first launch.
 
     python3 tests/loopback/measure.py DIRECTORY...
 """
@@ -12,13 +12,13 @@
 import checker
 from events import Event
 
-# A controller that was just in a fault may still be suspected for it.
-AFTERMATH_S = 5
+# After a fault ends, suspicions of its target are still attributed to it for this time.
+SUSPICION_RECOVERY_S = 5
 CANCEL_S = 16
 
 
 def format_spread(values: Iterable[Optional[float]]) -> str:
-    """Median, 90th percentile, worst and count of the values that were measured."""
+    """Median, 90th percentile, maximum and count of the values that are not None."""
     known = sorted(value for value in values if value is not None)
     if not known:
         return "-"
@@ -27,31 +27,35 @@
 
 
 def suspicions(events: list[Event]) -> list[Event]:
-    """The times at which a controller began to suspect another one."""
-    return [view for view in checker.named(events, "view") if view["state"] == "suspected"]
+    """The events at which a controller starts to suspect another one."""
+    return [view for view in checker.events_named(events, "view") if view["state"] == "suspected"]
 
 
 def suspected_after(events: list[Event], fault: Event) -> Optional[float]:
-    """Seconds from the fault to the first other controller that suspects its target; None: nobody did."""
+    """Seconds from the fault until another controller suspects its target; None if none does in time."""
     end = checker.end_of_fault(events, fault, float("inf"))
     of_target = (view for view in suspicions(events) if view["of"] == fault["controller"])
     return next((view["t"] - fault["t"] for view in of_target if fault["t"] < view["t"] < end), None)
 
 
 def false_suspicions(events: list[Event]) -> tuple[int, float]:
-    """The number of suspicions in no fault at all, and the seconds of the run without a fault."""
-    faults = [(f["t"], checker.end_of_fault(events, f, f["t"])) for f in checker.named(events, "fault")]
+    """The number of suspicions outside all faults, and the duration of the run without faults in seconds."""
+    faults = [
+        (f["t"], checker.end_of_fault(events, f, f["t"])) for f in checker.events_named(events, "fault")
+    ]
     found = [
         view
         for view in suspicions(events)
-        if not any(begin <= view["t"] <= end + AFTERMATH_S for begin, end in faults)
+        if not any(begin <= view["t"] <= end + SUSPICION_RECOVERY_S for begin, end in faults)
     ]
-    quiet_s = events[-1]["t"] - events[0]["t"] - sum(end - begin + AFTERMATH_S for begin, end in faults)
-    return len(found), quiet_s
+    fault_free_s = (
+        events[-1]["t"] - events[0]["t"] - sum(end - begin + SUSPICION_RECOVERY_S for begin, end in faults)
+    )
+    return len(found), fault_free_s
 
 
-class Figures:
-    """What was measured over all runs."""
+class RunStatistics:
+    """Statistics over all runs."""
 
     def __init__(self) -> None:
         self.handovers: dict[str, list[dict[str, Any]]] = defaultdict(list)  # by kind of fault
@@ -59,26 +63,26 @@
         self.faults = 0
         self.violations = 0
         self.false_suspicions = 0
-        self.quiet_s = 0.0
+        self.fault_free_s = 0.0
 
     def add(self, directory: str) -> None:
-        """Adds the figures of a run."""
+        """Adds the measurements of a run."""
         events, _ = checker.load(directory)
         self.violations += len(checker.check(directory, CANCEL_S))
-        for fault in checker.named(events, "fault"):
+        for fault in checker.events_named(events, "fault"):
             self.faults += 1
             self.suspected_s[fault["kind"]].append(suspected_after(events, fault))
         for handover in checker.handovers(directory):
             self.handovers[handover["kind"]].append(handover)
         count, seconds = false_suspicions(events)
         self.false_suspicions += count
-        self.quiet_s += seconds
+        self.fault_free_s += seconds
 
     def print(self) -> None:
-        """Prints a line for each kind of fault, and one for all."""
+        """Prints a summary line, and a line for each kind of fault and for all kinds."""
         print(
             f"{self.faults} faults, {self.violations} violations; "
-            f"{self.false_suspicions} suspicions in {self.quiet_s:.0f} s without a fault"
+            f"{self.false_suspicions} suspicions in {self.fault_free_s:.0f} s without a fault"
         )
         print(
             "kind: suspected after; next token after; first launch under it after "
@@ -91,18 +95,18 @@
 
 
 def print_line(kind: str, suspected_s: list[Optional[float]], handovers: list[dict[str, Any]]) -> None:
-    """Prints the figures of a kind of fault."""
+    """Prints the statistics of a kind of fault."""
     next_token = format_spread(h["condemned_s"] for h in handovers)
     first_launch = format_spread(h["first_launch_s"] for h in handovers)
     print(f"{kind}: {format_spread(suspected_s)}; {next_token}; {first_launch}")
 
 
 def main() -> None:
-    """Prints the figures of the runs that the command line names."""
-    figures = Figures()
+    """Prints the statistics of the runs in the directories on the command line."""
+    run_statistics = RunStatistics()
     for directory in sys.argv[1:]:
-        figures.add(directory)
-    figures.print()
+        run_statistics.add(directory)
+    run_statistics.print()
 
 
 if __name__ == "__main__":
--- a/tests/loopback/network.py
+++ b/tests/loopback/network.py
@@ -1,7 +1,7 @@
 """Loopback links that can be cut in one direction or both.
 
-Every process listens behind a relay of its own, which knows by the source address who connects. What is sent
-over a cut link is held back, and delivered after the cut.
+Each listening process is reached through its own relay, which identifies clients by source address. Data sent
+over a cut link is held back and delivered after the link is healed.
 """
 
 import asyncio
@@ -23,50 +23,50 @@
         self.relays: list[asyncio.AbstractServer] = []
 
     def cut(self, sources: Iterable[str], destinations: Iterable[str]) -> None:
-        """Cuts the links from the sources to the destinations, in this direction only."""
+        """Cuts the links from the sources to the destinations, but not the reverse links."""
         receivers = list(destinations)
         self.cuts |= {(source, destination) for source in sources for destination in receivers}
 
-    def partition(self, one: list[str], other: list[str]) -> None:
+    def partition(self, first: list[str], second: list[str]) -> None:
         """Cuts both directions between two groups of addresses."""
-        self.cut(one, other)
-        self.cut(other, one)
+        self.cut(first, second)
+        self.cut(second, first)
 
     def heal(self) -> None:
-        """Ends every cut."""
+        """Restores all links."""
         self.cuts.clear()
 
     async def relay(self, address: str, public_port: int, real_port: int) -> None:
-        """Listens at the public port for a process that listens at the real one of the same address."""
+        """Relays connections from the public port of an address to the real port of its process."""
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             client = writer.get_extra_info("peername")[0]
             await self.wait_until_open((client, address))
             try:
-                onward_reader, onward_writer = await asyncio.open_connection(address, real_port)
+                upstream_reader, upstream_writer = await asyncio.open_connection(address, real_port)
             except OSError:
                 writer.transport.abort()
                 return
             await asyncio.gather(
-                self.forward((client, address), reader, onward_writer),
-                self.forward((address, client), onward_reader, writer),
+                self.forward((client, address), reader, upstream_writer),
+                self.forward((address, client), upstream_reader, writer),
             )
 
         server = await asyncio.start_server(serve, address, public_port, backlog=LISTEN_BACKLOG)
         self.relays.append(server)
 
     def stop(self) -> None:
-        """Ends to listen at every relay."""
+        """Closes the listening sockets of all relays."""
         for server in self.relays:
             server.close()
 
     async def wait_until_open(self, link: Link) -> None:
-        """Returns once the link isn't cut."""
+        """Waits until the link is not cut."""
         while link in self.cuts:
             await asyncio.sleep(POLL_S)
 
     async def forward(self, link: Link, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Copies what is sent over the link until its end."""
+        """Copies data sent over the link until end of file."""
         try:
             while data := await reader.read(CHUNK_BYTES):
                 await self.wait_until_open(link)
--- a/tests/loopback/overhead.py
+++ b/tests/loopback/overhead.py
@@ -1,4 +1,4 @@
-"""What idle controllers and agents cost, for several heartbeats: processor, memory, bytes to each other.
+"""Measures CPU, memory and peer traffic of idle controllers and agents, for several heartbeat intervals.
 
     python3 tests/loopback/overhead.py --directory DIR --controller P --agent P --controllers 5 --seconds 30
 """
@@ -14,21 +14,21 @@
 from settings import PEER_PORT, Settings
 
 SHARDS = '<shard name="north" zones="a" share="0.5"/><shard name="south" zones="b" share="0.5"/>'
-RELAYED_MAX = 10
+MAX_RELAYED_CONTROLLERS = 10
 SETTLE_S = 15
 HEARTBEATS_S = (0.5, 1.9)
 TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 
 
-def processor_s(pid: int) -> float:
-    """Processor time that a process has used."""
+def cpu_s(pid: int) -> float:
+    """CPU time of a process in seconds."""
     with open(f"/proc/{pid}/stat", encoding="utf-8") as file:
         fields = file.read().rsplit(")", 1)[1].split()
     return (int(fields[11]) + int(fields[12])) / TICKS_PER_S
 
 
 def memory_mb(pid: int) -> float:
-    """Resident memory of a process."""
+    """Resident memory of a process in MB."""
     with open(f"/proc/{pid}/status", encoding="utf-8") as file:
         return next(int(line.split()[1]) / 1024 for line in file if line.startswith("VmRSS"))
 
@@ -40,7 +40,7 @@
 
 
 class Cost(NamedTuple):
-    """What a process costs: share of a core, and resident memory."""
+    """Resource usage of a process: fraction of a core, and resident memory."""
 
     core_share: float
     memory_mb: float
@@ -50,34 +50,34 @@
 
 
 class Meter:
-    """Measures the mean cost of processes, from its making on."""
+    """Measures the mean resource usage of processes since the meter was created."""
 
     def __init__(self, pids: list[int]) -> None:
-        self.begin = time.monotonic()
-        self.used_s = {pid: processor_s(pid) for pid in pids}
+        self.started_at = time.monotonic()
+        self.used_s = {pid: cpu_s(pid) for pid in pids}
 
     def mean_cost(self) -> Cost:
-        """The cost of a process since the begin."""
-        seconds = time.monotonic() - self.begin
-        core_share = mean((processor_s(pid) - used_s) / seconds for pid, used_s in self.used_s.items())
+        """The mean usage per process since the meter was created."""
+        seconds = time.monotonic() - self.started_at
+        core_share = mean((cpu_s(pid) - used_s) / seconds for pid, used_s in self.used_s.items())
         return Cost(core_share, mean(map(memory_mb, self.used_s)))
 
 
 def peer_bytes(cluster: Cluster) -> int:
-    """The bytes that controllers have sent to each other over relays."""
+    """The number of bytes that controllers have sent to each other through relays."""
     addresses = {c.address for c in cluster.controllers}
     sent = cluster.network.bytes_sent
     return sum(count for link, count in sent.items() if addresses.issuperset(link))
 
 
 async def measure(options: argparse.Namespace, heartbeat_s: float) -> None:
-    """Measures an idle cluster and prints the figures."""
-    # The relays can't carry the links of many controllers in time.
-    peer_port = PEER_PORT + 1 if options.controllers > RELAYED_MAX else PEER_PORT
+    """Measures an idle cluster and prints the results."""
+    # With many controllers the relays would add too much delay.
+    peer_port = PEER_PORT + 1 if options.controllers > MAX_RELAYED_CONTROLLERS else PEER_PORT
     settings = Settings(["a", "b"], SHARDS, peer_port=peer_port, heartbeat_s=heartbeat_s)
     programs = Programs(options.controller, options.agent)
     cluster = Cluster(options.directory, programs, options.controllers, settings)
-    # Idle machines would be returned, and there would be no agent to measure.
+    # Otherwise idle machines would be returned, and there would be no agents to measure.
     cluster.cloud.refuses_deletions = True
     await cluster.start([("m8", settings.zone_of(i)) for i in range(options.agents)])
     await asyncio.sleep(SETTLE_S)
@@ -95,7 +95,7 @@
 
 
 def main() -> None:
-    """Measures with each heartbeat."""
+    """Measures with each heartbeat interval."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--directory", required=True)
     parser.add_argument("--controller", required=True)
--- a/tests/loopback/report.py
+++ b/tests/loopback/report.py
@@ -1,4 +1,4 @@
-"""An HTML page with plots of a loopback run: leaders of shards, owners of machines, suspicion, handovers.
+"""Writes an HTML report with plots of a loopback run: shard leaders, machine owners, suspicions, handovers.
 
     python3 tests/loopback/report.py DIRECTORY     writes DIRECTORY/report.html; needs gnuplot
 """
@@ -13,7 +13,7 @@
 import checker
 from events import Event
 
-HEAD = """set terminal svg size 1000,{height} dynamic font 'sans,11'
+GNUPLOT_HEADER = """set terminal svg size 1000,{height} dynamic font 'sans,11'
 set output '{output}'
 set key outside right
 """
@@ -22,14 +22,14 @@
 set label '{kind}' at {at},graph 1.02 rotate by 45 font ',8' noenhanced
 """
 LEADERS_HEIGHT, DISTRIBUTION_HEIGHT, HEIGHT, OWNER_HEIGHT, SUSPICION_HEIGHT = 420, 320, 200, 12, 14
-# gnuplot's colours of the states, and the number of colours that tell terms apart.
+# gnuplot colours of the states, and the number of colours used to distinguish terms.
 STATE_COLOURS = {"alive": 2, "probed": 4, "relayed": 3, "suspected": 7, "unheard": 8}
 TERM_COLOURS = 8
 TABLE_TITLES = "<tr><th>fault<th>shard<th>next token, s<th>its first launch, s"
 
 
 def write_rows(directory: str, name: str, rows: Iterable[Iterable[Any]]) -> str:
-    """Writes a table for gnuplot and returns its path."""
+    """Writes a data file for gnuplot and returns its path."""
     path = os.path.join(directory, name + ".dat")
     with open(path, "w", encoding="utf-8") as file:
         for row in rows:
@@ -38,9 +38,9 @@
 
 
 def plot(directory: str, name: str, height: int, commands: str) -> str:
-    """Runs gnuplot and returns the picture's SVG text."""
+    """Runs gnuplot and returns the plot as SVG text."""
     output = os.path.join(directory, name + ".svg")
-    script = HEAD.format(height=height, output=output) + commands
+    script = GNUPLOT_HEADER.format(height=height, output=output) + commands
     subprocess.run(["gnuplot"], input=script.encode(), check=True)
     with open(output, encoding="utf-8") as file:
         text = file.read()
@@ -54,20 +54,20 @@
         self.directory = directory
         self.events, self.machines = checker.load(directory)
         self.handovers = checker.handovers(directory)
-        self.begin = self.events[0]["t"]
+        self.start = self.events[0]["t"]
         self.end = max(self.events[-1]["t"], self.machines[-1]["t"])
 
     def seconds(self, event: Event) -> float:
-        """The time of an event since the begin of the run."""
-        return float(event["t"] - self.begin)
+        """Seconds from the start of the run to the event."""
+        return float(event["t"] - self.start)
 
     def fault_marks(self) -> str:
         """A line and a label for each fault."""
-        faults = checker.named(self.events, "fault")
+        faults = checker.events_named(self.events, "fault")
         return "".join(FAULT_MARK.format(at=self.seconds(fault), kind=fault["kind"]) for fault in faults)
 
     def plot_rows(self, name: str, height: int, labels: list[str], rows: list[Any], style: str) -> str:
-        """A plot of rows over time; a row's second value is the number of its label on the other axis."""
+        """Plots rows over time; the second value of a row is the index of its label on the y axis."""
         data = write_rows(self.directory, name, rows)
         tics = ", ".join(f"'{label}' {i}" for i, label in enumerate(labels))
         axis = f"set ytics ({tics})\nset yrange [-1:{len(labels)}]\n"
@@ -79,8 +79,8 @@
         )
 
     def plot_leaders(self) -> str:
-        """The terms of leaders: a line for each shard and controller."""
-        changes = [e for e in checker.named(self.events, "leader") if e["shard"] != "default"]
+        """Plots the terms of leaders, with a line for each shard and controller."""
+        changes = [e for e in checker.events_named(self.events, "leader") if e["shard"] != "default"]
         shards = sorted({e["shard"] for e in changes})
         leaders = sorted({e["leader"] for e in changes if e["leader"]})
         lines = [(shard, leader) for shard in shards for leader in leaders]
@@ -96,9 +96,9 @@
         return self.plot_rows("leaders", LEADERS_HEIGHT, labels, rows, style)
 
     def plot_owners(self) -> str:
-        """The token that each machine obeys; its place in the order of all tokens tells terms apart."""
+        """Plots the tokens that each machine accepts, coloured by their index among all tokens."""
         tokens = sorted({term["token"] for term in checker.terms(self.events)})
-        orders = [e for e in checker.accepted_orders(self.machines) if e["token"] in tokens]
+        orders = [e for e in checker.accepted_commands(self.machines) if e["token"] in tokens]
         names = sorted({e["machine"] for e in orders})
         rows = [
             (self.seconds(e), names.index(e["machine"]), tokens.index(e["token"]) % TERM_COLOURS + 1)
@@ -108,8 +108,8 @@
         return self.plot_rows("owners", HEIGHT + OWNER_HEIGHT * len(names), names, rows, style)
 
     def plot_suspicion(self) -> str:
-        """Which controllers suspect which, as they said so."""
-        views = [e for e in checker.named(self.events, "view") if e["of"].startswith("controller-")]
+        """Plots the state of each controller as reported by the others."""
+        views = [e for e in checker.events_named(self.events, "view") if e["of"].startswith("controller-")]
         pairs = sorted({(e["of"], e["by"]) for e in views})
         rows = [(self.seconds(e), pairs.index((e["of"], e["by"])), STATE_COLOURS[e["state"]]) for e in views]
         labels = [f"{of} by {by}" for of, by in pairs]
@@ -117,7 +117,7 @@
         return self.plot_rows("suspicion", HEIGHT + SUSPICION_HEIGHT * len(pairs), labels, rows, style)
 
     def plot_distribution(self) -> str:
-        """The shares of handovers that were made within some time."""
+        """Plots the cumulative distribution of handover times."""
         parts = []
         for field, title in (("condemned_s", "next token committed"), ("first_launch_s", "its first launch")):
             values = sorted(h[field] for h in self.handovers if h[field] is not None)
@@ -132,7 +132,7 @@
         return plot(self.directory, "distribution", DISTRIBUTION_HEIGHT, commands)
 
     def table(self) -> str:
-        """A row for each handover."""
+        """An HTML table with a row for each handover."""
         rows = ""
         for handover in self.handovers:
             launch_s = handover["first_launch_s"]
@@ -144,9 +144,9 @@
     def write(self) -> str:
         """Writes the page and returns its path."""
         sections = [
-            ("Leaders of the shards, by the state service", self.plot_leaders()),
-            ("Tokens that the machines obey, by the agents", self.plot_owners()),
-            ("Suspicion, by the controllers", self.plot_suspicion()),
+            ("Leaders of the shards, according to the state service", self.plot_leaders()),
+            ("Tokens that the machines accept, according to the agents", self.plot_owners()),
+            ("Suspicion, according to the controllers", self.plot_suspicion()),
             ("Time to handover", self.plot_distribution() + self.table()),
         ]
         body = "".join(f"<h2>{html.escape(title)}</h2>{content}" for title, content in sections)
@@ -158,7 +158,7 @@
 
 
 def main() -> None:
-    """Writes the report of the run that the command line names."""
+    """Writes the report of the run in the directory on the command line."""
     print(Report(sys.argv[1]).write())
 
 
--- a/tests/loopback/run.py
+++ b/tests/loopback/run.py
@@ -1,4 +1,4 @@
-"""A seeded run of a loopback cluster under faults of its controllers, and the check of its history.
+"""Runs a loopback cluster with seeded random jobs and controller faults, and checks its history.
 
     python3 tests/loopback/run.py --directory DIR --controller PROGRAM --agent PROGRAM
 """
@@ -22,19 +22,19 @@
     '<shard name="west" zones="c" share="0.3"/>',
 ]
 ZONES = ["a", "b", "c"]
-SETTLE_S, FINISH_S = 40, 150
+ELECTION_TIMEOUT_S, FINISH_TIMEOUT_S = 40, 150
 POLL_S = 0.1
 VIEW_TIMEOUT_S = 0.5
 
-# The shares of the kinds of jobs, added up; the rest are long arrays that are cancelled.
-ARRAYS_UP_TO, GANGS_UP_TO = 0.6, 0.85
+# Cumulative shares of the kinds of jobs; the remaining jobs are long arrays that are cancelled.
+ARRAY_SHARE, ARRAY_OR_GANG_SHARE = 0.6, 0.85
 TASK_S = (0.3, 4)
 LONG_TASK_S = 60
 CANCEL_AFTER_S = (1, 8)
 
 
 class Run:
-    """A cluster, its users and its faults."""
+    """A cluster with its users and its fault injector."""
 
     def __init__(self, options: argparse.Namespace) -> None:
         self.options = options
@@ -48,24 +48,24 @@
         self.machines = [("m8", zones[i % len(zones)]) for i in range(options.agents)]
 
     async def submit_jobs(self) -> None:
-        """Submits random jobs for ever."""
+        """Submits random jobs until it is cancelled."""
         while True:
             choice = self.random.random()
             seconds = self.random.uniform(*TASK_S)
             cancel_after_s = None
-            if choice < ARRAYS_UP_TO:
+            if choice < ARRAY_SHARE:
                 job = self.users.make_job("batch", self.random.randint(1, 4), seconds)
-            elif choice < GANGS_UP_TO:
+            elif choice < ARRAY_OR_GANG_SHARE:
                 tasks = self.random.randint(2, 3)
                 job = self.users.make_job("ensemble", tasks, seconds, same_place=True, rank="urgent")
             else:
                 job = self.users.make_job("batch", 2, LONG_TASK_S)
                 cancel_after_s = self.random.uniform(*CANCEL_AFTER_S)
-            self.users.begin(job, cancel_after_s)
+            self.users.start_job(job, cancel_after_s)
             await asyncio.sleep(self.random.expovariate(self.options.jobs_per_s))
 
     async def record_views(self) -> None:
-        """Records what every controller says of the others and of the shards, for the report alone."""
+        """Records each controller's view of the others and of the shards; used only by the reports."""
         known: dict[tuple[str, str], str] = {}
         while True:
             for controller in self.cluster.controllers:
@@ -89,22 +89,22 @@
             await asyncio.sleep(POLL_S)
 
     async def wait_for_leaders(self) -> None:
-        """Returns once each shard has a leader, or after SETTLE_S."""
+        """Waits until each shard has a leader, at most ELECTION_TIMEOUT_S."""
         wanted = max(self.options.shards, 1)
-        deadline = time.monotonic() + SETTLE_S
+        deadline = time.monotonic() + ELECTION_TIMEOUT_S
         while len(self.cluster.leaders()) < wanted and time.monotonic() < deadline:
             await asyncio.sleep(POLL_S)
 
     async def inject_faults(self) -> None:
-        """Lets the kinds of faults follow each other."""
+        """Injects the faults one after the other, cycling through their kinds."""
         kinds = self.options.kinds or FaultInjector.KINDS
         for i in range(self.options.faults):
             await self.faults.inject(kinds[i % len(kinds)], *self.options.fault_s)
             await self.wait_for_leaders()
             await asyncio.sleep(self.options.rest_s)
 
-    async def play(self) -> list[str]:
-        """The whole run; the ids of jobs that aren't over at its end."""
+    async def execute(self) -> list[str]:
+        """Executes the run; returns the ids of jobs that are not over at its end."""
         await self.cluster.start(self.machines)
         await self.wait_for_leaders()
         submission = asyncio.create_task(self.submit_jobs())
@@ -112,7 +112,7 @@
         await asyncio.sleep(self.options.quiet_s)
         await self.inject_faults()
         submission.cancel()
-        unfinished = await self.users.finish(FINISH_S)
+        unfinished = await self.users.finish(FINISH_TIMEOUT_S)
         if views is not None:
             views.cancel()
         await self.cluster.stop()
@@ -120,7 +120,7 @@
 
 
 def parse_options() -> argparse.Namespace:
-    """The options of the command line."""
+    """Parses the command line."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--directory", required=True)
     parser.add_argument("--controller", required=True)
@@ -128,7 +128,9 @@
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--controllers", type=int, default=3)
     parser.add_argument("--agents", type=int, default=6)
-    parser.add_argument("--shards", type=int, default=2, help="0: a fleet without shards")
+    parser.add_argument(
+        "--shards", type=int, default=2, help="number of shards; 0: the fleet is not divided into shards"
+    )
     parser.add_argument("--faults", type=int, default=3)
     parser.add_argument("--kinds", nargs="*")
     parser.add_argument("--fault-s", type=float, nargs=2, default=(6, 12))
@@ -138,16 +140,16 @@
     parser.add_argument(
         "--expect-stale-orders",
         action="store_true",
-        help="succeed only if the checker finds these, and nothing else",
+        help="succeed only if the checker finds stale orders and no other violations",
     )
     return parser.parse_args()
 
 
 def main() -> None:
-    """Plays the run, checks its history and prints a summary."""
+    """Executes the run, checks its history and prints a summary."""
     options = parse_options()
     run = Run(options)
-    unfinished = asyncio.run(run.play())
+    unfinished = asyncio.run(run.execute())
     violations = checker.check(options.directory, run.cluster.settings.workers["cancel_s"])
     summary = {
         "seed": options.seed,
--- a/tests/loopback/settings.py
+++ b/tests/loopback/settings.py
@@ -1,4 +1,4 @@
-"""The settings of a loopback cluster, and the settings files of its controllers."""
+"""Settings of a loopback cluster, and generation of its controllers' settings files."""
 
 import json
 from dataclasses import dataclass, field
@@ -12,12 +12,12 @@
 
 @dataclass
 class Settings:
-    """What all controllers of a cluster have in common."""
+    """Settings shared by all controllers of a cluster."""
 
     zones: list[str]
-    shards: Optional[str] = None  # the elements in <control>
-    prefix: str = ""  # the first two numbers of all addresses
-    peer_port: int = PEER_PORT  # one higher: controllers reach each other without a relay
+    shards: Optional[str] = None  # XML elements inside <control>
+    prefix: str = ""  # the first two octets of all addresses
+    peer_port: int = PEER_PORT  # PEER_PORT + 1 bypasses the relays
     leader_lease_s: float = 2.0
     heartbeat_s: float = 0.25
     workers: dict[str, float] = field(
@@ -43,12 +43,12 @@
         return f"{self.prefix}.1.{number + 1}"
 
     def zone_of(self, number: int) -> str:
-        """The zone of a controller: they take turns."""
+        """The zone of a controller or machine, assigned round-robin."""
         return self.zones[number % len(self.zones)]
 
 
 def peer_section(controller: Controller, settings: Settings) -> str:
-    """A controller as the others' settings name it."""
+    """The section for a controller in its peers' settings."""
     return f"""
 [[others]]
 host_name = "{controller.name}"
--- a/tests/loopback/state_service.py
+++ b/tests/loopback/state_service.py
@@ -1,4 +1,4 @@
-"""The simulated state service: keys with versions, transactions, leases, watches (see PROTOCOL)."""
+"""A simulated state service: versioned keys, transactions, leases and watches (see PROTOCOL)."""
 
 import asyncio
 import time
@@ -16,7 +16,7 @@
 
 
 def describe_change(change: LoggedChange) -> Body:
-    """A change as a watch tells of it."""
+    """A change as reported by a watch."""
     if change.value is None:
         return {"drop": change.key, "mark": change.revision}
     return {"write": change.key, "value": change.value, "mark": change.revision}
@@ -31,12 +31,12 @@
         self.http = HttpService(self.handle)
 
     async def start(self, address: str, port: int) -> None:
-        """Begins to serve, and to end leases that run out."""
+        """Starts the HTTP service and the expiry of leases."""
         await self.http.start(address, port)
         asyncio.get_running_loop().create_task(self.expire_leases())
 
     async def expire_leases(self) -> None:
-        """Ends each lease when it has run out."""
+        """Ends leases as they expire."""
         while True:
             for lease in self.store.expired_leases():
                 await self.end_lease(lease)
@@ -49,14 +49,14 @@
             await self.apply(deletions)
 
     async def apply(self, changes: list[Change]) -> int:
-        """Carries out the changes, wakes the watches, and returns the revision of the changes."""
+        """Applies the changes, wakes the watches, and returns the new revision."""
         revision = self.store.apply(changes)
         async with self.changed:
             self.changed.notify_all()
         return revision
 
     async def handle(self, client: str, method: str, path: str, query: Query, body: Any) -> Body:
-        """Serves a request."""
+        """Handles a request."""
         if path == "/txn":
             return await self.commit(body)
         if path == "/keys":
@@ -72,26 +72,26 @@
         raise HttpError(404)
 
     def describe(self, key: str) -> Body:
-        """A key with what it holds."""
+        """A key with its value, version and lease."""
         item = self.store.items[key]
         tether = {"tether": item.lease} if item.lease else {}
         return {"k": key, "value": item.value, "mark": item.version, **tether}
 
     def get_key(self, key: str) -> Body:
-        """Serves the request for a key."""
+        """Handles a request for a key."""
         if key not in self.store.items:
             raise HttpError(404, {"tide": self.store.revision})
         return self.describe(key)
 
     def list_keys(self, query: Query) -> Body:
-        """Serves the request for a page of the keys of a prefix."""
+        """Handles a request for a page of the keys with a prefix."""
         limit = min(int(query.get("most", PAGE_MAX)), PAGE_MAX)
         keys = self.store.keys(query.get("under", ""), query.get("since", ""))
         pairs = [self.describe(key) for key in keys[:limit]]
         return {"pairs": pairs, "has_next": len(keys) > limit, "tide": self.store.revision}
 
     async def commit(self, body: Body) -> Body:
-        """Serves a transaction: all its changes are carried out if all its conditions hold, else none."""
+        """Handles a transaction: applies all changes if all conditions hold, otherwise none."""
         failed = [c["k"] for c in body.get("if", []) if self.store.version(c["k"]) != c["mark"]]
         changes = []
         for change in body.get("apply", []):
@@ -104,7 +104,7 @@
         return {"tide": await self.apply(changes) if changes else self.store.revision}
 
     async def handle_lease(self, method: str, lease: int) -> Body:
-        """Serves the end (DELETE) or the renewal of a lease."""
+        """Handles the end (DELETE) or renewal of a lease."""
         if lease not in self.store.leases:
             raise HttpError(404)
         if method == "DELETE":
@@ -114,11 +114,12 @@
         return {}
 
     async def watch(self, client: str, query: Query) -> Body:
-        """Serves a watch: the changes since a revision once there are any, else none after some time."""
+        """Handles a watch (long poll): the changes since a revision, or an empty list after the timeout."""
         prefix, since = query["under"], int(query["since"])
         deadline = time.monotonic() + int(query.get("hold_ms", 0)) / 1000
         while True:
-            # A watch hangs while its client is refused or cut off: it must not deny changes.
+            # While the client is blocked, its watch must hang: an empty answer would mean that nothing
+            # has changed.
             while self.http.rules.blocks(client):
                 await asyncio.sleep(POLL_S)
             found = self.store.changes_since(prefix, since)
--- a/tests/loopback/state_store.py
+++ b/tests/loopback/state_store.py
@@ -1,11 +1,11 @@
-"""The data of the simulated state service: keys with versions, leases, and a log of changes for watches."""
+"""The data of the simulated state service: versioned keys, leases, and a change log for watches."""
 
 import time
 from typing import Any, NamedTuple, Optional
 
 
 class Item(NamedTuple):
-    """What a key holds; lease 0: it isn't bound to a lease."""
+    """The value, version and lease of a key; lease 0: not bound to a lease."""
 
     value: Any
     version: int
@@ -13,7 +13,7 @@
 
 
 class Change(NamedTuple):
-    """A write of a key, or its deletion (value None)."""
+    """A write to a key, or its deletion (value None)."""
 
     key: str
     value: Optional[Any]
@@ -21,7 +21,7 @@
 
 
 class LoggedChange(NamedTuple):
-    """A change that was carried out, and when."""
+    """An applied change, with its time and revision."""
 
     time: float
     revision: int
@@ -30,14 +30,14 @@
 
 
 class Lease(NamedTuple):
-    """A lease that ends at a time of the steady clock unless it is renewed for its lifetime."""
+    """A lease: the monotonic time at which it expires, and the duration of a renewal."""
 
     end: float
     ttl_s: float
 
 
 class StateStore:
-    """Keys, leases and the log. The version of a key is the revision that wrote it last."""
+    """Keys, leases and the change log. The version of a key is the revision of its last write."""
 
     def __init__(self) -> None:
         self.items: dict[str, Item] = {}
@@ -47,11 +47,11 @@
         self.log: list[LoggedChange] = []
 
     def version(self, key: str) -> int:
-        """The version of a key; 0: there is no such key."""
+        """The version of a key; 0 if it does not exist."""
         return self.items[key].version if key in self.items else 0
 
     def apply(self, changes: list[Change]) -> int:
-        """Carries out the changes under one revision, and returns it."""
+        """Applies the changes atomically under a new revision, and returns it."""
         self.revision += 1
         for change in changes:
             if change.value is None:
@@ -62,11 +62,11 @@
         return self.revision
 
     def keys(self, prefix: str, after: str) -> list[str]:
-        """The keys of a prefix that follow a given one, sorted."""
+        """The sorted keys with a prefix that are greater than `after`."""
         return sorted(key for key in self.items if key.startswith(prefix) and key > after)
 
     def changes_since(self, prefix: str, revision: int) -> list[LoggedChange]:
-        """The changes of keys of a prefix that are newer than a revision, in order."""
+        """The changes after a revision to keys with a prefix, in order."""
         found = []
         for change in reversed(self.log):
             if change.revision <= revision:
@@ -76,22 +76,22 @@
         return found[::-1]
 
     def grant_lease(self, ttl_s: float) -> int:
-        """Makes a lease and returns its number."""
+        """Creates a lease and returns its number."""
         self.last_lease += 1
         self.leases[self.last_lease] = Lease(time.monotonic() + ttl_s, ttl_s)
         return self.last_lease
 
     def renew_lease(self, number: int) -> None:
-        """Lets a lease last its lifetime from now on."""
+        """Renews a lease for its duration from now."""
         ttl_s = self.leases[number].ttl_s
         self.leases[number] = Lease(time.monotonic() + ttl_s, ttl_s)
 
     def expired_leases(self) -> list[int]:
-        """The leases that have run out and weren't ended yet."""
+        """The leases that have expired but have not been ended yet."""
         now = time.monotonic()
         return [number for number, lease in self.leases.items() if lease.end < now]
 
     def end_lease(self, number: int) -> list[Change]:
-        """Ends a lease; the deletions of its keys, to be applied."""
+        """Removes a lease; returns the deletions of its keys, which the caller must apply."""
         self.leases.pop(number, None)
         return [Change(key, None) for key, item in self.items.items() if item.lease == number]
--- a/tests/loopback/test_checker.py
+++ b/tests/loopback/test_checker.py
@@ -1,4 +1,4 @@
-"""The checker of histories finds a planted violation of each kind, and nothing in a history without one."""
+"""Tests that the checker finds an injected violation of each kind, and none in a valid history."""
 
 import os
 import tempfile
@@ -25,18 +25,18 @@
 def orders(
     at: float, machine: str, token: int, accepted: bool = True, via: str = "direct", commands: int = 0
 ) -> Event:
-    """A machine gets orders."""
+    """A machine receives a batch of commands."""
     event = {"t": at, "machine": machine, "event": "orders", "token": token, "accepted": accepted}
     return {**event, "via": via, "commands": commands}
 
 
 def task(at: float, machine: str, event: str, name: str, attempt: int = 1, **members: Any) -> Event:
-    """Something happens to an attempt of a task."""
+    """An event of an attempt of a task."""
     return {"t": at, "machine": machine, "event": event, "task": name, "attempt": attempt, **members}
 
 
-def sound_history() -> list[Event]:
-    """Events of the machines without a violation."""
+def valid_history() -> list[Event]:
+    """Events of machines without a violation."""
     return [
         orders(4, "m-1", 5),
         orders(4, "m-2", 6),
@@ -50,10 +50,10 @@
 
 
 class CheckerTest(unittest.TestCase):
-    """One test for each kind of violation, and some without any."""
+    """Tests of each kind of violation, and of histories without violations."""
 
     def check(self, machines: list[Event], events: Optional[list[Event]] = None) -> list[str]:
-        """The violations that the checker finds; by default in the events of LEADERS and USERS."""
+        """Runs the checker on a history; returns the violations. `events` defaults to LEADERS + USERS."""
         with tempfile.TemporaryDirectory() as directory:
             os.makedirs(os.path.join(directory, "history"))
             write_events(os.path.join(directory, "history", "all.jsonl"), machines)
@@ -62,70 +62,76 @@
             )
             return checker.check(directory, CANCEL_S)
 
-    def assert_found(self, word: str, machines: list[Event], events: Optional[list[Event]] = None) -> None:
-        """There are violations, and all of them are of the kind that the word names."""
+    def assert_violations(
+        self, kind: str, machines: list[Event], events: Optional[list[Event]] = None
+    ) -> None:
+        """Asserts that there are violations, and that all of them start with `kind`."""
         found = self.check(machines, events)
-        self.assertEqual([text for text in found if text.startswith(word)], found)
+        self.assertEqual([text for text in found if text.startswith(kind)], found)
         self.assertNotEqual(found, [])
 
-    def test_sound_history(self) -> None:
-        self.assertEqual(self.check(sound_history()), [])
+    def test_valid_history(self) -> None:
+        self.assertEqual(self.check(valid_history()), [])
 
-    def test_lower_token_is_obeyed(self) -> None:
-        self.assert_found("two owners", sound_history() + [orders(21.5, "m-1", 5, via="answer")])
+    def test_lower_token_is_accepted(self) -> None:
+        self.assert_violations("two owners", valid_history() + [orders(21.5, "m-1", 5, via="answer")])
 
-    def test_token_that_nobody_was_given(self) -> None:
-        self.assert_found("two owners", sound_history() + [orders(22, "m-1", 11)])
+    def test_accepted_token_was_never_issued(self) -> None:
+        self.assert_violations("two owners", valid_history() + [orders(22, "m-1", 11)])
 
     def test_answer_without_token_and_commands_before_the_first_token_is_no_violation(self) -> None:
-        self.assertEqual(self.check(sound_history() + [orders(3, "m-1", 0, via="answer")]), [])
+        self.assertEqual(self.check(valid_history() + [orders(3, "m-1", 0, via="answer")]), [])
 
-    def test_commands_without_token_are_obeyed(self) -> None:
-        self.assert_found("two owners", sound_history() + [orders(3, "m-1", 0, via="answer", commands=1)])
+    def test_commands_without_token_are_accepted(self) -> None:
+        self.assert_violations(
+            "two owners", valid_history() + [orders(3, "m-1", 0, via="answer", commands=1)]
+        )
 
-    def test_answer_without_token_is_obeyed_after_a_token(self) -> None:
-        self.assert_found("two owners", sound_history() + [orders(10, "m-1", 0, via="answer")])
+    def test_answer_without_token_is_accepted_after_a_token(self) -> None:
+        self.assert_violations("two owners", valid_history() + [orders(10, "m-1", 0, via="answer")])
 
-    def test_machine_obeys_two_shards(self) -> None:
-        self.assert_found("two shards", sound_history() + [orders(6, "m-2", 9)])
+    def test_machine_accepts_commands_of_two_shards(self) -> None:
+        self.assert_violations("two shards", valid_history() + [orders(6, "m-2", 9)])
 
     def test_task_runs_on_two_machines(self) -> None:
         extra = [task(6, "m-2", "task-begins", "run-1/0", 2), task(6.5, "m-2", "task-ended", "run-1/0", 2)]
-        self.assert_found("ran twice", sound_history() + extra)
+        self.assert_violations("ran twice", valid_history() + extra)
 
     def test_task_runs_twice_on_one_machine(self) -> None:
         extra = [task(6, "m-1", "task-begins", "run-1/0", 2), task(6.5, "m-1", "task-ended", "run-1/0", 2)]
-        self.assert_found("ran twice", sound_history() + extra)
+        self.assert_violations("ran twice", valid_history() + extra)
 
     def test_start_after_a_confirmed_cancellation(self) -> None:
         extra = [task(9, "m-1", "task-begins", "run-2/0", 2), task(9.5, "m-1", "task-ended", "run-2/0", 2)]
-        self.assert_found("started after its cancellation", sound_history() + extra)
+        self.assert_violations("started after its cancellation", valid_history() + extra)
 
     def test_task_outlives_its_cancellation(self) -> None:
-        machines = [event for event in sound_history() if event["t"] != 8.2]
-        self.assert_found("outlived its cancellation", machines)
-        self.assert_found("outlived its cancellation", machines + [task(19, "m-2", "task-ended", "run-2/0")])
+        machines = [event for event in valid_history() if event["t"] != 8.2]
+        self.assert_violations("outlived its cancellation", machines)
+        self.assert_violations(
+            "outlived its cancellation", machines + [task(19, "m-2", "task-ended", "run-2/0")]
+        )
 
     def test_job_is_lost(self) -> None:
         events = [event for event in LEADERS + USERS if event["event"] != "over"]
-        self.assert_found("lost", sound_history(), events)
+        self.assert_violations("lost", valid_history(), events)
 
     def test_job_is_forgotten(self) -> None:
         events = LEADERS + USERS + [{"t": 4, "event": "forgotten", "job": "run-1"}]
-        self.assert_found("forgotten", sound_history(), events)
+        self.assert_violations("forgotten", valid_history(), events)
 
     def test_job_is_called_done_without_its_results(self) -> None:
-        machines = [event for event in sound_history() if event["event"] != "exited"]
-        self.assert_found("not done", machines)
+        machines = [event for event in valid_history() if event["event"] != "exited"]
+        self.assert_violations("not done", machines)
 
-    def test_order_of_a_controller_that_stood_still(self) -> None:
+    def test_command_of_a_thawed_controller(self) -> None:
         events = LEADERS + USERS + [{"t": 25, "event": "thawed", "controller": "controller-0"}]
         late = [orders(25.2, "m-1", 5, accepted=False, via="answer")]
-        self.assert_found("stale order", sound_history() + late, events)
+        self.assert_violations("stale order", valid_history() + late, events)
 
-    def test_order_sent_before_it_stood_still_is_no_violation(self) -> None:
+    def test_command_received_before_the_thaw_is_no_violation(self) -> None:
         events = LEADERS + USERS + [{"t": 25, "event": "thawed", "controller": "controller-0"}]
-        self.assertEqual(self.check(sound_history() + [orders(21.5, "m-1", 5, accepted=False)], events), [])
+        self.assertEqual(self.check(valid_history() + [orders(21.5, "m-1", 5, accepted=False)], events), [])
 
 
 if __name__ == "__main__":
--- a/tests/loopback/users.py
+++ b/tests/loopback/users.py
@@ -1,5 +1,5 @@
-"""Users of a loopback cluster: they submit jobs to any controller, repeat what was not answered, poll until
-their job is over, and cancel some."""
+"""Users of a loopback cluster: they submit jobs to random controllers, retry unanswered requests, poll until
+their jobs are over, and cancel some of them."""
 
 import asyncio
 import json
@@ -12,26 +12,26 @@
 REQUEST_TIMEOUT_S = 2
 RETRY_S = 0.5
 POLL_S = 0.5
-SHORTEST_TASK_S = 0.1
-OVER = ("done", "aborted")
+MIN_TASK_S = 0.1
+FINAL_STATES = ("done", "aborted")
 
 Job = dict[str, Any]
 
 
 class Users:
-    """The jobs of a run, and what the users were told of them."""
+    """The jobs of a run, and their states as reported to the users."""
 
     def __init__(self, cluster: Cluster, generator: random.Random) -> None:
         self.cluster = cluster
         self.random = generator
         self.last_number = 0
-        self.states: dict[str, str] = {}  # the last known one of each job
+        self.states: dict[str, str] = {}  # last known state of each job
         self.reasons: set[str] = set()
         self.waits_without_reason = 0
-        self.background: list["asyncio.Task[None]"] = []
+        self.running_jobs: list["asyncio.Task[None]"] = []
 
     def make_job(self, shape: str, tasks: int, seconds: float, **members: Any) -> Job:
-        """A job whose tasks sleep for so long."""
+        """Creates a job whose tasks sleep for `seconds`, and stores its description."""
         self.last_number += 1
         job = {
             "ref": f"run-{self.last_number:06}",
@@ -50,7 +50,7 @@
             "same_place": False,
             "scatter": False,
             "windfall": False,
-            "flight_s": 0.0 if shape == "standing" else max(seconds, SHORTEST_TASK_S),
+            "flight_s": 0.0 if shape == "standing" else max(seconds, MIN_TASK_S),
             "molt_s": 0.0,
             "preen_s": 0.0,
             "dusk_s": None,
@@ -62,24 +62,24 @@
         return job
 
     async def request(self, method: str, path: str, body: Optional[Any] = None) -> tuple[int, Any]:
-        """Asks any controller."""
+        """Sends a request to a random controller."""
         controller = self.random.choice(self.cluster.controllers)
         return await self.cluster.request(controller, method, path, body, timeout=REQUEST_TIMEOUT_S)
 
     async def submit(self, job: Job) -> None:
-        """Returns once the job is accepted."""
+        """Submits the job, retrying until it is accepted."""
         while True:
             status, answer = await self.request("POST", "/v2/runs", job)
             if status in (200, 201):
                 break
             if status in (400, 422):
-                raise RuntimeError(f"{job['ref']} is refused: {answer}")
+                raise RuntimeError(f"{job['ref']} was rejected: {answer}")
             await asyncio.sleep(RETRY_S)
         self.states[job["ref"]] = "queued"
         self.cluster.record("accepted", job=job["ref"], tasks=job["talons"], kind=job["shape"])
 
     async def cancel(self, job: Job) -> None:
-        """Returns once the cancellation is confirmed."""
+        """Cancels the job, retrying until the cancellation is confirmed."""
         while True:
             status, answer = await self.request("POST", f"/v2/runs/{job['ref']}/withdraw", {})
             if status == 200:
@@ -89,21 +89,21 @@
         self.cluster.record("confirmed", job=job["ref"], stance=answer["stance"])
 
     async def wait_until_over(self, job: Job) -> None:
-        """Returns once the job is done or cancelled."""
+        """Polls until the job is done or cancelled."""
         while True:
             status, answer = await self.request("GET", f"/v2/runs/{job['ref']}")
             if status == 404:
                 self.cluster.record("forgotten", job=job["ref"])
             if status == 200:
-                self.note_reason(answer)
-                if answer["stance"] in OVER:
+                self.record_reason(answer)
+                if answer["stance"] in FINAL_STATES:
                     break
             await asyncio.sleep(POLL_S)
         self.states[job["ref"]] = answer["stance"]
         self.cluster.record("over", job=job["ref"], stance=answer["stance"])
 
-    def note_reason(self, answer: Job) -> None:
-        """Counts the answers that don't say why a job waits."""
+    def record_reason(self, answer: Job) -> None:
+        """Records why a job waits, and counts answers without a reason."""
         if answer["stance"] != "queued":
             return
         if "reason" in answer:
@@ -112,7 +112,7 @@
             self.waits_without_reason += 1
 
     async def run(self, job: Job, cancel_after_s: Optional[float] = None) -> None:
-        """Submits the job, and cancels it after some time or waits until it is over."""
+        """Submits the job, then cancels it after a delay or waits until it is over."""
         await self.submit(job)
         if cancel_after_s is not None:
             await asyncio.sleep(cancel_after_s)
@@ -120,13 +120,13 @@
         else:
             await self.wait_until_over(job)
 
-    def begin(self, job: Job, cancel_after_s: Optional[float] = None) -> None:
+    def start_job(self, job: Job, cancel_after_s: Optional[float] = None) -> None:
         """Runs the job in the background."""
-        self.background.append(asyncio.get_running_loop().create_task(self.run(job, cancel_after_s)))
+        self.running_jobs.append(asyncio.get_running_loop().create_task(self.run(job, cancel_after_s)))
 
     async def finish(self, timeout_s: float) -> list[str]:
-        """Waits until every job is over; the ids of those that are not."""
-        _, pending = await asyncio.wait(self.background, timeout=timeout_s)
+        """Waits until all jobs are over or the timeout expires; returns the ids of unfinished jobs."""
+        _, pending = await asyncio.wait(self.running_jobs, timeout=timeout_s)
         for task in pending:
             task.cancel()
-        return [job for job, state in self.states.items() if state not in OVER]
+        return [job for job, state in self.states.items() if state not in FINAL_STATES]
