--- a/src/config/command_line.c
+++ b/src/config/command_line.c
@@ -3,7 +3,7 @@
 #include "config/config_error.h"
 #include "config/option_parser.h"
 
-/* What --help says first. */
+/* Summary at the top of the --help output. */
 static const char summary[] = "Serves as a controller of the cluster scheduler:\n"
                               "  ospreywell --config FILE [--operators FILE]\n"
                               "or talks to one:\n"
@@ -14,13 +14,13 @@
                               "  ospreywell controllers   tells which controllers are alive or suspected\n"
                               "  ospreywell shards        tells who leads each shard, since when and why";
 
-/* A client command wins over a settings file, and --version over both. */
+/* --version takes precedence over a client command, and a client command over a settings file. */
 static enum ow_action choose_action(const struct ow_command_line *command_line, bool is_version,
                                     bool is_check)
 {
     if (is_version)
         return OW_ACTION_VERSION;
-    if (command_line->words != NULL)
+    if (command_line->client_args != NULL)
         return OW_ACTION_CLIENT;
     return is_check ? OW_ACTION_CHECK : OW_ACTION_SERVE;
 }
@@ -31,14 +31,14 @@
     gboolean is_version = FALSE;
     *out = (struct ow_command_line){0};
     const GOptionEntry entries[] = {
-        {"config", 0, 0, G_OPTION_ARG_FILENAME, &out->config, "The platform's settings (TOML)", "FILE"},
-        {"operators", 0, 0, G_OPTION_ARG_FILENAME, &out->operators, "The operators' own settings (XML)",
+        {"config", 0, 0, G_OPTION_ARG_FILENAME, &out->config, "Settings file of the platform (TOML)", "FILE"},
+        {"operators", 0, 0, G_OPTION_ARG_FILENAME, &out->operators, "Settings file of the operators (XML)",
          "FILE"},
-        {"check", 0, 0, G_OPTION_ARG_NONE, &is_check, "Check the settings and end", NULL},
+        {"check", 0, 0, G_OPTION_ARG_NONE, &is_check, "Check the settings and exit", NULL},
         {"server", 0, 0, G_OPTION_ARG_STRING, &out->server,
-         "The controller to talk to (or OSPREYWELL_SERVER)", "ADDRESS:PORT"},
-        {"version", 0, 0, G_OPTION_ARG_NONE, &is_version, "Tell the version and end", NULL},
-        {G_OPTION_REMAINING, 0, 0, G_OPTION_ARG_STRING_ARRAY, &out->words, NULL, "[COMMAND]"},
+         "Endpoint of the controller (default: OSPREYWELL_SERVER)", "ADDRESS:PORT"},
+        {"version", 0, 0, G_OPTION_ARG_NONE, &is_version, "Print the version and exit", NULL},
+        {G_OPTION_REMAINING, 0, 0, G_OPTION_ARG_STRING_ARRAY, &out->client_args, NULL, "[COMMAND]"},
         {0},
     };
     if (!ow_option_parser_run(argc, argv, summary, entries, error))
@@ -49,7 +49,7 @@
     bool needs_config = out->action == OW_ACTION_SERVE || out->action == OW_ACTION_CHECK;
     if (needs_config && out->config == NULL) {
         g_set_error_literal(error, OW_CONFIG_ERROR, OW_CONFIG_ERROR_MISSING_FIELD,
-                            "--config or a command is needed; see --help");
+                            "--config or a command is required; see --help");
         return false;
     }
     return true;
@@ -60,5 +60,5 @@
     g_free(command_line->config);
     g_free(command_line->operators);
     g_free(command_line->server);
-    g_strfreev(command_line->words);
+    g_strfreev(command_line->client_args);
 }
