--- a/tests/unit/agent_setup.c
+++ b/tests/unit/agent_setup.c
@@ -25,12 +25,12 @@
     return options;
 }
 
-char *agent_setup_directory(void)
+char *agent_setup_create_directory(void)
 {
     return g_dir_make_tmp("ospreywell-agent-XXXXXX", NULL);
 }
 
-void agent_setup_remove(char *directory)
+void agent_setup_remove_directory(char *directory)
 {
     static const char *const names[] = {"session", "lock", "run-1.json", "history"};
     for (guint i = 0; i < G_N_ELEMENTS(names); i++) {
--- a/tests/unit/agent_setup.h
+++ b/tests/unit/agent_setup.h
@@ -1,14 +1,15 @@
-/** @file What the tests of the agent share: options of a machine, and a directory for its state. */
+/** @file Setup shared by the tests of the agent: options of a machine, and a directory for its state. */
 #ifndef OW_TESTS_AGENT_SETUP_H
 #define OW_TESTS_AGENT_SETUP_H
 
 #include "agent/options.h"
 
-/** A machine of 4 CPUs with three controllers; the caller owns the list of these. */
+/** The options of a machine with 4 CPUs and three controllers. The caller frees the array of controllers; the
+ * strings are static. */
 struct agent_options agent_setup_options(void);
-/** A new directory; the caller ends it with agent_setup_remove(). */
-char *agent_setup_directory(void);
-/** Removes the directory with the files that an agent leaves in it, and frees its name. */
-void agent_setup_remove(char *directory);
+/** Creates a temporary directory and returns its path, to be passed to agent_setup_remove_directory(). */
+char *agent_setup_create_directory(void);
+/** Removes the directory with the files that agents and their tests write to it, and frees `directory`. */
+void agent_setup_remove_directory(char *directory);
 
 #endif
--- a/tests/unit/test_agent_options.c
+++ b/tests/unit/test_agent_options.c
@@ -1,29 +1,29 @@
-/* The agent's command line: what is read, and what is refused with its cause. */
+/* The agent's command line: valid options are parsed, invalid ones are rejected with an error. */
 #include "agent/options.h"
 #include "check.h"
 #include "config/config_error.h"
 
 #include <string.h>
 
-/* A good command line, of which each test replaces a part. */
-static const char good[] =
+/* A complete, valid command line; each test replaces a part of it. */
+static const char valid_command_line[] =
     "ospreywell-agent --machine m-1 --type m8 --zone a --cpus 4 --memory 16 --listen 127.0.0.1:1 "
     "--state /tmp/s --jobs /tmp/j --controller one=127.0.0.1:2 --controller two=127.0.0.1:3";
 
-/* Parses the good command line with `from` replaced by `to`. */
+/* Parses the valid command line with `from` replaced by `to`. */
 static bool parse(const char *from, const char *to, struct agent_options *options, GError **error)
 {
-    g_auto(GStrv) parts = g_strsplit(good, from, 2);
+    g_auto(GStrv) parts = g_strsplit(valid_command_line, from, 2);
     assert_int_equal(g_strv_length(parts), 2);
     g_autofree char *text = g_strjoinv(to, parts);
     g_auto(GStrv) words = g_strsplit(text, " ", -1);
     guint count = g_strv_length(words);
-    /* The parser takes words out of its list: they stay owned by `words`. */
+    /* The parser removes entries from its array; the strings stay owned by `words`. */
     g_autofree char **arguments = g_memdup2(words, ((gsize)count + 1) * sizeof *words);
     return agent_options_parse((int)count, arguments, options, error);
 }
 
-static void test_complete_options_are_read(void **state)
+static void test_complete_options_are_parsed(void **state)
 {
     (void)state;
     struct agent_options options;
@@ -47,7 +47,7 @@
     const char *to;
     enum ow_config_error code;
     const char *message;
-} faults[] = {
+} invalid_options[] = {
     {"--zone a ", "", OW_CONFIG_ERROR_MISSING_FIELD, "--machine, --type and --zone are needed"},
     {"--listen 127.0.0.1:1", "--listen x", OW_CONFIG_ERROR_MALFORMED_VALUE,
      "--listen and --advertise must be ADDRESS:PORT"},
@@ -65,22 +65,22 @@
      "two=nowhere: is not NAME=ADDRESS:PORT"},
 };
 
-static void test_errors_are_named(void **state)
+static void test_invalid_options_are_rejected_with_their_error(void **state)
 {
     (void)state;
-    for (size_t i = 0; i < G_N_ELEMENTS(faults); i++) {
+    for (size_t i = 0; i < G_N_ELEMENTS(invalid_options); i++) {
         struct agent_options options;
         GError *error = NULL;
-        assert_false(parse(faults[i].from, faults[i].to, &options, &error));
+        assert_false(parse(invalid_options[i].from, invalid_options[i].to, &options, &error));
         assert_non_null(error);
-        assert_string_equal(error->message, faults[i].message);
-        assert_true(g_error_matches(error, OW_CONFIG_ERROR, (gint)faults[i].code));
+        assert_string_equal(error->message, invalid_options[i].message);
+        assert_true(g_error_matches(error, OW_CONFIG_ERROR, (gint)invalid_options[i].code));
         g_error_free(error);
         agent_options_clear(&options);
     }
 }
 
-static void test_unknown_option_is_an_error_of_the_parser(void **state)
+static void test_unknown_option_is_rejected_by_the_parser(void **state)
 {
     (void)state;
     struct agent_options options;
@@ -94,9 +94,9 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_complete_options_are_read),
-        cmocka_unit_test(test_errors_are_named),
-        cmocka_unit_test(test_unknown_option_is_an_error_of_the_parser),
+        cmocka_unit_test(test_complete_options_are_parsed),
+        cmocka_unit_test(test_invalid_options_are_rejected_with_their_error),
+        cmocka_unit_test(test_unknown_option_is_rejected_by_the_parser),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/unit/test_command_line.c
+++ b/tests/unit/test_command_line.c
@@ -1,4 +1,4 @@
-/* The program's command line. */
+/* The command line of ospreywell: exit status, output and error text. */
 #include "check.h"
 
 #include <glib.h>
@@ -6,14 +6,14 @@
 
 static int run_program(const char *arguments, char **out, char **err)
 {
-    char *line = g_strdup_printf("%s %s", g_getenv("OSPREYWELL"), arguments);
+    char *command_line = g_strdup_printf("%s %s", g_getenv("OSPREYWELL"), arguments);
     int status = -1;
-    assert_true(g_spawn_command_line_sync(line, out, err, &status, NULL));
-    g_free(line);
+    assert_true(g_spawn_command_line_sync(command_line, out, err, &status, NULL));
+    g_free(command_line);
     return status;
 }
 
-static void test_command_line_answers_each_form_and_error(void **state)
+static void test_command_line_prints_its_output_or_names_the_error(void **state)
 {
     (void)state;
     char *out = NULL;
@@ -42,7 +42,7 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_command_line_answers_each_form_and_error),
+        cmocka_unit_test(test_command_line_prints_its_output_or_names_the_error),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
