--- a/tests/unit/test_http.c
+++ b/tests/unit/test_http.c
@@ -1,5 +1,4 @@
-/* The HTTP parser: a table of valid and invalid messages, each fed whole and byte by byte, and random input.
- */
+/* The HTTP parser: valid and invalid messages, each fed at once and byte by byte, and random input. */
 #include "check.h"
 #include "io/http_parse.h"
 
@@ -53,10 +52,10 @@
 static enum ow_http_result feed(struct ow_http_parser *parser, const char *text, size_t size, size_t step)
 {
     enum ow_http_result result = OW_HTTP_MORE;
-    for (size_t at = 0; at < size && result == OW_HTTP_MORE; at += step) {
+    for (size_t offset = 0; offset < size && result == OW_HTTP_MORE; offset += step) {
         size_t used = 0;
-        result = ow_http_parse(parser, text + at, MIN(step, size - at), &used);
-        assert_true(used <= MIN(step, size - at));
+        result = ow_http_parse(parser, text + offset, MIN(step, size - offset), &used);
+        assert_true(used <= MIN(step, size - offset));
     }
     return result;
 }
@@ -110,27 +109,27 @@
     ow_http_parser_clear(&parser);
 }
 
-/* Pieces of valid messages in random order: any result is accepted, but the parser must stay within its
- * buffers. */
+/* Fragments of valid messages in random order: any result is accepted, but the body must stay within its
+ * limit and no byte may be read beyond the input. */
 static void test_random_input_stays_within_buffers(void **state)
 {
     (void)state;
-    static const char *pieces[] = {"GET ",      "/x",
-                                   " HTTP/1.1", "\r\n",
-                                   "\n",        "Content-Length: ",
-                                   "9",         ": ",
-                                   "chunked",   "a",
-                                   "\r\n\r\n",  "Transfer-Encoding: ",
-                                   "\xff\x80",  "0",
-                                   ";",         "POST / HTTP/1.1\r\n"};
+    static const char *fragments[] = {"GET ",      "/x",
+                                      " HTTP/1.1", "\r\n",
+                                      "\n",        "Content-Length: ",
+                                      "9",         ": ",
+                                      "chunked",   "a",
+                                      "\r\n\r\n",  "Transfer-Encoding: ",
+                                      "\xff\x80",  "0",
+                                      ";",         "POST / HTTP/1.1\r\n"};
     GRand *rand = g_rand_new_with_seed(7);
     for (int round = 0; round < 3000; round++) {
         struct ow_http_parser parser;
         enum ow_http_result result = OW_HTTP_MORE;
         ow_http_parser_init(&parser, round % 2 == 0 ? OW_HTTP_REQUEST : OW_HTTP_RESPONSE, 100);
         for (int i = 0; i < 60 && result == OW_HTTP_MORE; i++) {
-            const char *piece = pieces[g_rand_int_range(rand, 0, G_N_ELEMENTS(pieces))];
-            result = feed(&parser, piece, strlen(piece), 1);
+            const char *fragment = fragments[g_rand_int_range(rand, 0, G_N_ELEMENTS(fragments))];
+            result = feed(&parser, fragment, strlen(fragment), 1);
             assert_true(parser.body->len <= 100);
         }
         ow_http_parser_clear(&parser);
--- a/tests/unit/test_lease_guard.c
+++ b/tests/unit/test_lease_guard.c
@@ -1,5 +1,4 @@
-/* What a leader may send by its own clock, and what is taken out of its effects when its lease does not cover
- * them. */
+/* Whether a leader holds its lease by its own clock, and which effects are removed when it does not. */
 #include "check.h"
 #include "model/cloud.h"
 #include "model/effect.h"
@@ -11,76 +10,77 @@
 #include <glib.h>
 
 static const double LEASE_S = 4;
-enum { OK = 200, REFUSED = 503, NO_LEASE = 404, SILENCE = 0 };
+enum { STATUS_OK = 200, STATUS_UNAVAILABLE = 503, STATUS_NOT_FOUND = 404, STATUS_NO_RESPONSE = 0 };
 
-/* A lease renewed at `now`. */
-static struct ow_lease_guard guard_at(double now)
+/* The guard of a lease that was obtained by a request sent at `now`. */
+static struct ow_lease_guard guard_renewed_at(double now)
 {
     struct ow_lease_guard guard;
     ow_lease_guard_init(&guard, LEASE_S);
     ow_lease_guard_note_request(&guard, 1, now);
-    ow_lease_guard_note_reply(&guard, 1, OK);
+    ow_lease_guard_note_reply(&guard, 1, STATUS_OK);
     return guard;
 }
 
-static void test_lease_counts_from_when_it_was_asked_for(void **state)
+static void test_lease_counts_from_request_send_time(void **state)
 {
     (void)state;
-    struct ow_lease_guard guard = guard_at(10);
+    struct ow_lease_guard guard = guard_renewed_at(10);
     assert_int_equal(ow_lease_guard_state(&guard, 10 + LEASE_S - 0.3), OW_LEASE_HELD);
     assert_int_not_equal(ow_lease_guard_state(&guard, 10 + LEASE_S - 0.05), OW_LEASE_HELD);
-    /* The answer to a renewal comes 3 s late: that time of the lease is gone. */
+    /* A reply that arrives 3 s late does not extend the lease: it counts from the renewal sent at 11 s. */
     ow_lease_guard_note_request(&guard, 2, 11);
-    ow_lease_guard_note_reply(&guard, 2, OK);
+    ow_lease_guard_note_reply(&guard, 2, STATUS_OK);
     assert_int_equal(ow_lease_guard_state(&guard, 14.5), OW_LEASE_HELD);
     assert_int_not_equal(ow_lease_guard_state(&guard, 15), OW_LEASE_HELD);
 }
 
-static void test_only_the_answer_to_a_renewal_renews(void **state)
+static void test_only_a_reply_to_the_renewal_renews_the_lease(void **state)
 {
     (void)state;
-    struct ow_lease_guard guard = guard_at(10);
+    struct ow_lease_guard guard = guard_renewed_at(10);
     ow_lease_guard_note_request(&guard, 2, 12);
-    ow_lease_guard_note_reply(&guard, 77, OK);
-    ow_lease_guard_note_reply(&guard, 2, SILENCE);
+    ow_lease_guard_note_reply(&guard, 77, STATUS_OK);
+    ow_lease_guard_note_reply(&guard, 2, STATUS_NO_RESPONSE);
     assert_int_not_equal(ow_lease_guard_state(&guard, 15), OW_LEASE_HELD);
 }
 
-/* In an outage workers go on being kept alive, and nothing is started. */
-static void test_outage_expires_the_lease_without_a_pause(void **state)
+/* In an outage of the store the lease expires but is not unproven: replies still keep workers' leases alive,
+ * and no task is launched. */
+static void test_store_outage_without_a_pause_expires_the_lease(void **state)
 {
     (void)state;
-    struct ow_lease_guard guard = guard_at(10);
+    struct ow_lease_guard guard = guard_renewed_at(10);
     ow_lease_guard_note_request(&guard, 2, 11);
-    ow_lease_guard_note_reply(&guard, 2, REFUSED);
+    ow_lease_guard_note_reply(&guard, 2, STATUS_UNAVAILABLE);
     assert_int_equal(ow_lease_guard_state(&guard, 30), OW_LEASE_EXPIRED);
 }
 
-/* After a pause nothing leaves until the key-value store has answered a request sent since; an answer that
-   has lain in the socket all the while proves nothing. */
-static void test_pause_makes_the_lease_unproven_until_renewed(void **state)
+/* After a pause nothing may leave until the key-value store has answered a request sent since. A reply that
+ * was waiting in the socket during the pause does not prove the lease. */
+static void test_long_pause_makes_the_lease_unproven_until_answered(void **state)
 {
     (void)state;
-    struct ow_lease_guard guard = guard_at(10);
+    struct ow_lease_guard guard = guard_renewed_at(10);
     ow_lease_guard_note_request(&guard, 2, 11);
     ow_lease_guard_note_pause(&guard, 40);
     assert_int_equal(ow_lease_guard_state(&guard, 40), OW_LEASE_UNPROVEN);
-    ow_lease_guard_note_reply(&guard, 2, OK);
+    ow_lease_guard_note_reply(&guard, 2, STATUS_OK);
     assert_int_equal(ow_lease_guard_state(&guard, 40), OW_LEASE_UNPROVEN);
     ow_lease_guard_note_request(&guard, 3, 40.1);
     assert_int_equal(ow_lease_guard_state(&guard, 40.2), OW_LEASE_UNPROVEN);
-    ow_lease_guard_note_reply(&guard, 3, NO_LEASE);
+    ow_lease_guard_note_reply(&guard, 3, STATUS_NOT_FOUND);
     assert_int_equal(ow_lease_guard_state(&guard, 40.3), OW_LEASE_EXPIRED);
     ow_lease_guard_note_request(&guard, 4, 41);
-    ow_lease_guard_note_reply(&guard, 4, OK);
+    ow_lease_guard_note_reply(&guard, 4, STATUS_OK);
     assert_int_equal(ow_lease_guard_state(&guard, 41.1), OW_LEASE_HELD);
 }
 
-/* A pause that the lease outlives changes nothing. */
-static void test_short_pause_changes_nothing(void **state)
+/* A pause that ends before the lease expires leaves it held. */
+static void test_short_pause_keeps_the_lease_held(void **state)
 {
     (void)state;
-    struct ow_lease_guard guard = guard_at(10);
+    struct ow_lease_guard guard = guard_renewed_at(10);
     ow_lease_guard_note_pause(&guard, 11);
     assert_int_equal(ow_lease_guard_state(&guard, 11), OW_LEASE_HELD);
 }
@@ -111,9 +111,9 @@
     static const enum ow_effect_kind kinds[] = {OW_EFFECT_WORKER_COMMANDS, OW_EFFECT_DIRECT_COMMANDS};
     for (guint i = 0; i < G_N_ELEMENTS(kinds); i++) {
         struct ow_effect *effect = new_effect(kinds[i]);
-        struct ow_event *refusal = NULL;
-        assert_true(ow_effect_guard_apply(effect, OW_LEASE_EXPIRED, &refusal));
-        assert_null(refusal);
+        struct ow_event *reply = NULL;
+        assert_true(ow_effect_guard_apply(effect, OW_LEASE_EXPIRED, &reply));
+        assert_null(reply);
         assert_int_equal(effect->kind, kinds[i]);
         assert_int_equal(effect->commands->len, 2);
         assert_int_equal(g_array_index(effect->commands, struct ow_worker_command, 0).kind, OW_WORKER_STOP);
@@ -121,39 +121,39 @@
     }
 }
 
-static void test_unproven_lease_lets_no_command_out(void **state)
+static void test_unproven_lease_blocks_all_commands(void **state)
 {
     (void)state;
-    struct ow_event *refusal = NULL;
-    struct ow_effect *heartbeat_answer = new_effect(OW_EFFECT_WORKER_COMMANDS);
-    assert_true(ow_effect_guard_apply(heartbeat_answer, OW_LEASE_UNPROVEN, &refusal));
-    assert_int_equal(heartbeat_answer->kind, OW_EFFECT_REFUSE);
-    assert_int_equal(heartbeat_answer->status, REFUSED);
-    ow_effect_free(heartbeat_answer);
-    struct ow_effect *direct = new_effect(OW_EFFECT_DIRECT_COMMANDS);
-    assert_true(ow_effect_guard_apply(direct, OW_LEASE_UNPROVEN, &refusal));
-    assert_int_equal(refusal->kind, OW_EVENT_DIRECT_REPLY);
-    assert_int_equal(refusal->request, 5);
-    assert_int_equal(refusal->status, OW_STATUS_UNSENT);
-    ow_event_free(refusal);
-    ow_effect_free(direct);
+    struct ow_event *reply = NULL;
+    struct ow_effect *worker_reply = new_effect(OW_EFFECT_WORKER_COMMANDS);
+    assert_true(ow_effect_guard_apply(worker_reply, OW_LEASE_UNPROVEN, &reply));
+    assert_int_equal(worker_reply->kind, OW_EFFECT_REFUSE);
+    assert_int_equal(worker_reply->status, STATUS_UNAVAILABLE);
+    ow_effect_free(worker_reply);
+    struct ow_effect *direct_commands = new_effect(OW_EFFECT_DIRECT_COMMANDS);
+    assert_true(ow_effect_guard_apply(direct_commands, OW_LEASE_UNPROVEN, &reply));
+    assert_int_equal(reply->kind, OW_EVENT_DIRECT_REPLY);
+    assert_int_equal(reply->request, 5);
+    assert_int_equal(reply->status, OW_STATUS_UNSENT);
+    ow_event_free(reply);
+    ow_effect_free(direct_commands);
 }
 
-/* Renting and returning wait for the lease; reading does no harm. */
-static void test_without_a_lease_no_machine_is_provisioned_or_terminated(void **state)
+/* Provisioning and terminating machines need a valid lease; read requests to the cloud do not. */
+static void test_expired_lease_blocks_provisioning_and_termination(void **state)
 {
     (void)state;
     for (int op = OW_CLOUD_TYPES; op <= OW_CLOUD_TERMINATE; op++) {
         struct ow_effect *effect = new_effect(OW_EFFECT_CLOUD);
-        struct ow_event *refusal = NULL;
-        bool reads = op == OW_CLOUD_TYPES || op == OW_CLOUD_LIST;
+        struct ow_event *reply = NULL;
+        bool is_read = op == OW_CLOUD_TYPES || op == OW_CLOUD_LIST;
         effect->cloud->op = op;
-        assert_int_equal(ow_effect_guard_apply(effect, OW_LEASE_EXPIRED, &refusal), !reads);
-        assert_int_equal(refusal != NULL, !reads);
-        if (refusal != NULL) {
-            assert_int_equal(refusal->cloud.status, REFUSED);
-            assert_int_equal(refusal->request, 6);
-            ow_event_free(refusal);
+        assert_int_equal(ow_effect_guard_apply(effect, OW_LEASE_EXPIRED, &reply), !is_read);
+        assert_int_equal(reply != NULL, !is_read);
+        if (reply != NULL) {
+            assert_int_equal(reply->cloud.status, STATUS_UNAVAILABLE);
+            assert_int_equal(reply->request, 6);
+            ow_event_free(reply);
         }
         ow_effect_free(effect);
     }
@@ -162,14 +162,14 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_lease_counts_from_when_it_was_asked_for),
-        cmocka_unit_test(test_only_the_answer_to_a_renewal_renews),
-        cmocka_unit_test(test_outage_expires_the_lease_without_a_pause),
-        cmocka_unit_test(test_pause_makes_the_lease_unproven_until_renewed),
-        cmocka_unit_test(test_short_pause_changes_nothing),
+        cmocka_unit_test(test_lease_counts_from_request_send_time),
+        cmocka_unit_test(test_only_a_reply_to_the_renewal_renews_the_lease),
+        cmocka_unit_test(test_store_outage_without_a_pause_expires_the_lease),
+        cmocka_unit_test(test_long_pause_makes_the_lease_unproven_until_answered),
+        cmocka_unit_test(test_short_pause_keeps_the_lease_held),
         cmocka_unit_test(test_expired_lease_removes_launches_from_commands),
-        cmocka_unit_test(test_unproven_lease_lets_no_command_out),
-        cmocka_unit_test(test_without_a_lease_no_machine_is_provisioned_or_terminated),
+        cmocka_unit_test(test_unproven_lease_blocks_all_commands),
+        cmocka_unit_test(test_expired_lease_blocks_provisioning_and_termination),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/unit/test_membership.c
+++ b/tests/unit/test_membership.c
@@ -1,4 +1,4 @@
-/* Failure detection between controllers: heartbeats, probes through others, and suspicion. */
+/* Failure detection between controllers: heartbeats, indirect probes and suspicion. */
 #include "check.h"
 #include "model/peer.h"
 #include "sharding/membership.h"
@@ -6,54 +6,55 @@
 #include <string.h>
 
 static const double HEARTBEAT_S = 0.5;
-/* Digest and process number of this controller. */
-enum { DIGEST = 7, SELF_NUMBER = 99 };
+/* Settings digest and incarnation of the controller under test. */
+enum { SETTINGS_DIGEST = 7, SELF_INCARNATION = 99 };
 
-/* A controller "self" with three peers, and what it has sent. */
-struct bench {
+/* A controller "self" with three peers, and the messages that it has sent. */
+struct fixture {
     struct ow_sharding_settings *sharding;
     GArray *peers, *own_shards;
     struct ow_membership *membership;
     GPtrArray *sent; /* struct ow_peer_message, owned */
     double now;
     uint64_t sequence;
-    bool silent[3]; /* peers that send no heartbeat */
+    bool is_silent[3]; /* peers that send no heartbeat */
 };
 
-static char *const names[] = {"one", "two", "three"};
+static char *const peer_names[] = {"one", "two", "three"};
 
 static void free_message(void *message)
 {
     ow_peer_message_free(message);
 }
 
-static int setup_bench(void **state)
+static int setup_fixture(void **state)
 {
-    struct bench *bench = g_new0(struct bench, 1);
-    bench->sharding = ow_sharding_settings_new();
-    bench->now = 100;
-    bench->sharding->heartbeat_s = HEARTBEAT_S;
-    bench->peers = g_array_new(FALSE, TRUE, sizeof(struct ow_peer_settings));
-    for (guint i = 0; i < G_N_ELEMENTS(names); i++) {
-        struct ow_peer_settings peer = {.node = names[i]};
-        g_array_append_val(bench->peers, peer);
+    struct fixture *fixture = g_new0(struct fixture, 1);
+    fixture->sharding = ow_sharding_settings_new();
+    fixture->now = 100;
+    fixture->sharding->heartbeat_s = HEARTBEAT_S;
+    fixture->peers = g_array_new(FALSE, TRUE, sizeof(struct ow_peer_settings));
+    for (guint i = 0; i < G_N_ELEMENTS(peer_names); i++) {
+        struct ow_peer_settings peer = {.node = peer_names[i]};
+        g_array_append_val(fixture->peers, peer);
     }
-    bench->own_shards = ow_peer_shards_new();
-    bench->sent = g_ptr_array_new_with_free_func(free_message);
-    bench->membership = ow_membership_new(bench->sharding, "self", bench->peers, SELF_NUMBER, DIGEST);
-    *state = bench;
+    fixture->own_shards = ow_peer_shards_new();
+    fixture->sent = g_ptr_array_new_with_free_func(free_message);
+    fixture->membership =
+        ow_membership_new(fixture->sharding, "self", fixture->peers, SELF_INCARNATION, SETTINGS_DIGEST);
+    *state = fixture;
     return 0;
 }
 
-static int teardown_bench(void **state)
+static int teardown_fixture(void **state)
 {
-    struct bench *bench = *state;
-    ow_membership_free(bench->membership);
-    g_ptr_array_free(bench->sent, TRUE);
-    g_array_free(bench->own_shards, TRUE);
-    g_array_free(bench->peers, TRUE);
-    ow_sharding_settings_free(bench->sharding);
-    g_free(bench);
+    struct fixture *fixture = *state;
+    ow_membership_free(fixture->membership);
+    g_ptr_array_free(fixture->sent, TRUE);
+    g_array_free(fixture->own_shards, TRUE);
+    g_array_free(fixture->peers, TRUE);
+    ow_sharding_settings_free(fixture->sharding);
+    g_free(fixture);
     return 0;
 }
 
@@ -63,46 +64,46 @@
     message->sender = g_strdup(sender);
     message->heartbeat.incarnation = incarnation;
     message->heartbeat.sequence = sequence;
-    message->heartbeat.digest = DIGEST;
+    message->heartbeat.digest = SETTINGS_DIGEST;
     return message;
 }
 
-/* Takes over the message. */
-static void receive(struct bench *bench, struct ow_peer_message *message)
+/* Receives the message and frees it. */
+static void receive(struct fixture *fixture, struct ow_peer_message *message)
 {
-    ow_membership_receive(bench->membership, bench->now, message, bench->sent);
+    ow_membership_receive(fixture->membership, fixture->now, message, fixture->sent);
     ow_peer_message_free(message);
 }
 
-static void tick(struct bench *bench)
+static void tick(struct fixture *fixture)
 {
-    ow_membership_tick(bench->membership, bench->now, bench->own_shards, bench->sent);
+    ow_membership_tick(fixture->membership, fixture->now, fixture->own_shards, fixture->sent);
 }
 
-/* Lets time pass with the heartbeats of all that are not silent. */
-static void run(struct bench *bench, double seconds)
+/* Advances time, with a heartbeat of every peer that is not silent in each interval. */
+static void run_for(struct fixture *fixture, double seconds)
 {
-    for (double end = bench->now + seconds; bench->now < end;) {
-        bench->now += HEARTBEAT_S;
-        bench->sequence++;
-        for (guint i = 0; i < G_N_ELEMENTS(names); i++)
-            if (!bench->silent[i])
-                receive(bench, heartbeat(names[i], i + 1, bench->sequence));
-        tick(bench);
+    for (double end = fixture->now + seconds; fixture->now < end;) {
+        fixture->now += HEARTBEAT_S;
+        fixture->sequence++;
+        for (guint i = 0; i < G_N_ELEMENTS(peer_names); i++)
+            if (!fixture->is_silent[i])
+                receive(fixture, heartbeat(peer_names[i], i + 1, fixture->sequence));
+        tick(fixture);
     }
 }
 
-static enum ow_member_state state_of(const struct bench *bench, const char *name)
+static enum ow_member_state state_of(const struct fixture *fixture, const char *name)
 {
-    return ow_membership_find(bench->membership, name)->state;
+    return ow_membership_find(fixture->membership, name)->state;
 }
 
-/* The messages of this step that were sent. */
-static unsigned count_sent(const struct bench *bench, enum ow_probe_step step, const char *target)
+/* Number of probe messages of this step and target that were sent. */
+static unsigned count_sent(const struct fixture *fixture, enum ow_probe_step step, const char *target)
 {
     unsigned count = 0;
-    for (guint i = 0; i < bench->sent->len; i++) {
-        const struct ow_peer_message *message = g_ptr_array_index(bench->sent, i);
+    for (guint i = 0; i < fixture->sent->len; i++) {
+        const struct ow_peer_message *message = g_ptr_array_index(fixture->sent, i);
         if (message->kind == OW_PEER_PROBE && message->probe.step == step &&
             strcmp(message->probe.target, target) == 0)
             count++;
@@ -125,113 +126,113 @@
 
 static void test_silent_controller_is_probed_and_then_suspected(void **state)
 {
-    struct bench *bench = *state;
-    assert_int_equal(state_of(bench, "one"), OW_MEMBER_UNKNOWN);
-    run(bench, 30);
-    for (guint i = 0; i < G_N_ELEMENTS(names); i++)
-        assert_int_equal(state_of(bench, names[i]), OW_MEMBER_ALIVE);
-    bench->silent[0] = true;
-    run(bench, 2);
-    assert_int_equal(state_of(bench, "one"), OW_MEMBER_PROBING);
-    /* The two others are asked; nobody answers for them here. */
-    assert_int_equal(count_sent(bench, OW_PROBE_REQUEST, "one"), 2);
-    run(bench, bench->sharding->probe_timeout_s + 1);
-    assert_int_equal(state_of(bench, "one"), OW_MEMBER_SUSPECTED);
-    assert_int_equal(state_of(bench, "two"), OW_MEMBER_ALIVE);
-    bench->silent[0] = false;
-    run(bench, 1);
-    assert_int_equal(state_of(bench, "one"), OW_MEMBER_ALIVE);
-    assert_int_equal(ow_membership_find(bench->membership, "one")->suspicions, 1);
-}
-
-/* Only our link to it is broken: it is not suspected. */
-static void test_controller_that_others_reach_is_not_suspected(void **state)
-{
-    struct bench *bench = *state;
-    run(bench, 30);
-    bench->silent[0] = true;
+    struct fixture *fixture = *state;
+    assert_int_equal(state_of(fixture, "one"), OW_MEMBER_UNKNOWN);
+    run_for(fixture, 30);
+    for (guint i = 0; i < G_N_ELEMENTS(peer_names); i++)
+        assert_int_equal(state_of(fixture, peer_names[i]), OW_MEMBER_ALIVE);
+    fixture->is_silent[0] = true;
+    run_for(fixture, 2);
+    assert_int_equal(state_of(fixture, "one"), OW_MEMBER_PROBING);
+    /* Both other peers are asked to probe it; the test sends no replies. */
+    assert_int_equal(count_sent(fixture, OW_PROBE_REQUEST, "one"), 2);
+    run_for(fixture, fixture->sharding->probe_timeout_s + 1);
+    assert_int_equal(state_of(fixture, "one"), OW_MEMBER_SUSPECTED);
+    assert_int_equal(state_of(fixture, "two"), OW_MEMBER_ALIVE);
+    fixture->is_silent[0] = false;
+    run_for(fixture, 1);
+    assert_int_equal(state_of(fixture, "one"), OW_MEMBER_ALIVE);
+    assert_int_equal(ow_membership_find(fixture->membership, "one")->suspicions, 1);
+}
+
+/* A controller whose direct link alone has failed is still reached through relays. */
+static void test_controller_reached_by_relay_is_not_suspected(void **state)
+{
+    struct fixture *fixture = *state;
+    run_for(fixture, 30);
+    fixture->is_silent[0] = true;
     for (int i = 0; i < 60; i++) {
-        run(bench, HEARTBEAT_S);
-        uint64_t number = ow_membership_find(bench->membership, "one")->probe_number;
-        receive(bench, probe(OW_PROBE_RELAYED, "two", "self", "two", "one", number));
-        assert_int_not_equal(state_of(bench, "one"), OW_MEMBER_SUSPECTED);
+        run_for(fixture, HEARTBEAT_S);
+        uint64_t number = ow_membership_find(fixture->membership, "one")->probe_number;
+        receive(fixture, probe(OW_PROBE_RELAYED, "two", "self", "two", "one", number));
+        assert_int_not_equal(state_of(fixture, "one"), OW_MEMBER_SUSPECTED);
     }
-    assert_true(ow_member_is_live(ow_membership_find(bench->membership, "one")));
-    /* An answer to an earlier probe proves nothing of now. */
-    run(bench, 10);
-    assert_int_equal(state_of(bench, "one"), OW_MEMBER_SUSPECTED);
-    uint64_t old = ow_membership_find(bench->membership, "one")->probe_number - 1;
-    receive(bench, probe(OW_PROBE_RELAYED, "two", "self", "two", "one", old));
-    assert_int_equal(state_of(bench, "one"), OW_MEMBER_SUSPECTED);
+    assert_true(ow_member_is_live(ow_membership_find(fixture->membership, "one")));
+    /* A reply to an earlier probe does not clear the suspicion. */
+    run_for(fixture, 10);
+    assert_int_equal(state_of(fixture, "one"), OW_MEMBER_SUSPECTED);
+    uint64_t old_number = ow_membership_find(fixture->membership, "one")->probe_number - 1;
+    receive(fixture, probe(OW_PROBE_RELAYED, "two", "self", "two", "one", old_number));
+    assert_int_equal(state_of(fixture, "one"), OW_MEMBER_SUSPECTED);
 }
 
 static void test_probe_requests_are_relayed(void **state)
 {
-    struct bench *bench = *state;
-    run(bench, 5);
-    receive(bench, probe(OW_PROBE_REQUEST, "one", "one", "self", "two", 4));
-    assert_int_equal(count_sent(bench, OW_PROBE_PING, "two"), 1);
-    const struct ow_peer_message *ping = g_ptr_array_index(bench->sent, bench->sent->len - 1);
+    struct fixture *fixture = *state;
+    run_for(fixture, 5);
+    receive(fixture, probe(OW_PROBE_REQUEST, "one", "one", "self", "two", 4));
+    assert_int_equal(count_sent(fixture, OW_PROBE_PING, "two"), 1);
+    const struct ow_peer_message *ping = g_ptr_array_index(fixture->sent, fixture->sent->len - 1);
     assert_string_equal(ping->addressee, "two");
-    receive(bench, probe(OW_PROBE_ACK, "two", "one", "self", "two", 4));
-    const struct ow_peer_message *relayed = g_ptr_array_index(bench->sent, bench->sent->len - 1);
+    receive(fixture, probe(OW_PROBE_ACK, "two", "one", "self", "two", 4));
+    const struct ow_peer_message *relayed = g_ptr_array_index(fixture->sent, fixture->sent->len - 1);
     assert_int_equal(relayed->probe.step, OW_PROBE_RELAYED);
     assert_string_equal(relayed->addressee, "one");
-    receive(bench, probe(OW_PROBE_PING, "three", "one", "three", "self", 4));
-    const struct ow_peer_message *ack = g_ptr_array_index(bench->sent, bench->sent->len - 1);
+    receive(fixture, probe(OW_PROBE_PING, "three", "one", "three", "self", 4));
+    const struct ow_peer_message *ack = g_ptr_array_index(fixture->sent, fixture->sent->len - 1);
     assert_int_equal(ack->probe.step, OW_PROBE_ACK);
     assert_string_equal(ack->addressee, "three");
 }
 
-/* After a pause of its own a process has received nothing: it must not suspect the others for that. */
-static void test_own_pause_suspects_no_controller(void **state)
+/* A process that was paused has received no heartbeats; it must not suspect the others because of that. */
+static void test_own_pause_causes_no_suspicion(void **state)
 {
-    struct bench *bench = *state;
-    run(bench, 30);
-    bench->now += 60;
-    tick(bench);
-    for (guint i = 0; i < G_N_ELEMENTS(names); i++)
-        assert_int_equal(state_of(bench, names[i]), OW_MEMBER_ALIVE);
-    run(bench, 3);
-    for (guint i = 0; i < G_N_ELEMENTS(names); i++) {
-        assert_int_equal(state_of(bench, names[i]), OW_MEMBER_ALIVE);
-        assert_int_equal(ow_membership_find(bench->membership, names[i])->suspicions, 0);
+    struct fixture *fixture = *state;
+    run_for(fixture, 30);
+    fixture->now += 60;
+    tick(fixture);
+    for (guint i = 0; i < G_N_ELEMENTS(peer_names); i++)
+        assert_int_equal(state_of(fixture, peer_names[i]), OW_MEMBER_ALIVE);
+    run_for(fixture, 3);
+    for (guint i = 0; i < G_N_ELEMENTS(peer_names); i++) {
+        assert_int_equal(state_of(fixture, peer_names[i]), OW_MEMBER_ALIVE);
+        assert_int_equal(ow_membership_find(fixture->membership, peer_names[i])->suspicions, 0);
     }
 }
 
 static void test_invalid_and_stale_messages_are_dropped(void **state)
 {
-    struct bench *bench = *state;
-    run(bench, 5);
-    unsigned before = ow_membership_dropped_count(bench->membership);
-    uint64_t last = bench->sequence;
-    receive(bench, heartbeat("stranger", 1, 1));
-    receive(bench, heartbeat(NULL, 1, 1));
-    receive(bench, heartbeat("one", 1, last));     /* a duplicate */
-    receive(bench, heartbeat("one", 1, last - 3)); /* older */
-    receive(bench, heartbeat("one", 0, last + 5)); /* of no process */
-    receive(bench, probe(OW_PROBE_STEPS, "one", "one", "self", "two", 4));
-    receive(bench, probe(OW_PROBE_PING, "one", "one", "two", "three", 4));
-    assert_int_equal(ow_membership_dropped_count(bench->membership), before + 7);
-    /* After a restart the earlier process counts no more, however late its messages come. */
-    receive(bench, heartbeat("one", 55, 1));
-    assert_int_equal(ow_membership_dropped_count(bench->membership), before + 7);
-    receive(bench, heartbeat("one", 1, last + 9));
-    assert_int_equal(ow_membership_dropped_count(bench->membership), before + 8);
-    assert_true(ow_membership_find(bench->membership, "one")->incarnation == 55);
+    struct fixture *fixture = *state;
+    run_for(fixture, 5);
+    unsigned dropped_before = ow_membership_dropped_count(fixture->membership);
+    uint64_t last_sequence = fixture->sequence;
+    receive(fixture, heartbeat("stranger", 1, 1));
+    receive(fixture, heartbeat(NULL, 1, 1));
+    receive(fixture, heartbeat("one", 1, last_sequence));     /* a duplicate */
+    receive(fixture, heartbeat("one", 1, last_sequence - 3)); /* older */
+    receive(fixture, heartbeat("one", 0, last_sequence + 5)); /* no incarnation */
+    receive(fixture, probe(OW_PROBE_STEPS, "one", "one", "self", "two", 4));
+    receive(fixture, probe(OW_PROBE_PING, "one", "one", "two", "three", 4));
+    assert_int_equal(ow_membership_dropped_count(fixture->membership), dropped_before + 7);
+    /* After a restart of the peer, late messages of its earlier incarnation are dropped. */
+    receive(fixture, heartbeat("one", 55, 1));
+    assert_int_equal(ow_membership_dropped_count(fixture->membership), dropped_before + 7);
+    receive(fixture, heartbeat("one", 1, last_sequence + 9));
+    assert_int_equal(ow_membership_dropped_count(fixture->membership), dropped_before + 8);
+    assert_true(ow_membership_find(fixture->membership, "one")->incarnation == 55);
 }
 
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test_setup_teardown(test_silent_controller_is_probed_and_then_suspected, setup_bench,
-                                        teardown_bench),
-        cmocka_unit_test_setup_teardown(test_controller_that_others_reach_is_not_suspected, setup_bench,
-                                        teardown_bench),
-        cmocka_unit_test_setup_teardown(test_probe_requests_are_relayed, setup_bench, teardown_bench),
-        cmocka_unit_test_setup_teardown(test_own_pause_suspects_no_controller, setup_bench, teardown_bench),
-        cmocka_unit_test_setup_teardown(test_invalid_and_stale_messages_are_dropped, setup_bench,
-                                        teardown_bench),
+        cmocka_unit_test_setup_teardown(test_silent_controller_is_probed_and_then_suspected, setup_fixture,
+                                        teardown_fixture),
+        cmocka_unit_test_setup_teardown(test_controller_reached_by_relay_is_not_suspected, setup_fixture,
+                                        teardown_fixture),
+        cmocka_unit_test_setup_teardown(test_probe_requests_are_relayed, setup_fixture, teardown_fixture),
+        cmocka_unit_test_setup_teardown(test_own_pause_causes_no_suspicion, setup_fixture, teardown_fixture),
+        cmocka_unit_test_setup_teardown(test_invalid_and_stale_messages_are_dropped, setup_fixture,
+                                        teardown_fixture),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/unit/test_peer_wire.c
+++ b/tests/unit/test_peer_wire.c
@@ -1,17 +1,17 @@
-/* Messages between controllers: each is complete on the other side, and those of later versions are read. */
+/* Encoding of messages between controllers, and decoding of messages of later versions. */
 #include "check.h"
 #include "model/peer.h"
 #include "wire/peer_xdr.h"
 
-static struct ow_peer_message *through_xdr(struct ow_peer_message *message)
+static struct ow_peer_message *encode_and_decode(struct ow_peer_message *message)
 {
     GString *frame = g_string_new(NULL);
     assert_true(wire_peer_encode(message, frame));
-    struct ow_peer_message *again = NULL;
-    assert_true(wire_peer_decode(frame->str + 4, frame->len - 4, &again));
+    struct ow_peer_message *decoded = NULL;
+    assert_true(wire_peer_decode(frame->str + 4, frame->len - 4, &decoded));
     g_string_free(frame, TRUE);
     ow_peer_message_free(message);
-    return again;
+    return decoded;
 }
 
 static void test_summary_survives_encoding(void **state)
@@ -21,14 +21,14 @@
     struct ow_peer_job job = {.id = "run-1", .done = 2, .running = 3, .reason = g_strdup("because")};
     message->fencing_token = UINT64_C(1) << 40;
     g_array_append_val(message->summary.jobs, job);
-    message = through_xdr(message);
+    message = encode_and_decode(message);
     assert_non_null(message);
     assert_true(message->fencing_token == UINT64_C(1) << 40 && message->summary.jobs->len == 1);
     assert_string_equal(g_array_index(message->summary.jobs, struct ow_peer_job, 0).reason, "because");
     ow_peer_message_free(message);
 }
 
-static void test_cancellation_message_is_complete(void **state)
+static void test_cancellation_messages_survive_encoding(void **state)
 {
     (void)state;
     for (enum ow_peer_kind kind = OW_PEER_CANCELLATION; kind <= OW_PEER_CANCELLATION_ACK; kind++) {
@@ -36,7 +36,7 @@
         g_strlcpy(message->cancellation.job, "run-000412", sizeof message->cancellation.job);
         message->cancellation.revision = UINT64_C(1) << 41;
         message->fencing_token = 77;
-        message = through_xdr(message);
+        message = encode_and_decode(message);
         assert_non_null(message);
         assert_int_equal(message->kind, kind);
         assert_int_equal(message->version, 2);
@@ -46,17 +46,17 @@
     }
 }
 
-/* A later version's messages: a kind that we don't know is left out, and so is what stands behind the fields
-   of one that we do. */
-static void test_unknown_parts_of_later_versions_are_skipped(void **state)
+/* Messages of a later version: an unknown kind is skipped, and so are the bytes after the known fields of a
+ * known kind. */
+static void test_unknown_kinds_and_fields_of_later_versions_are_skipped(void **state)
 {
     (void)state;
-    static const char unknown[] = "\0\0\0\2\0\0\0\143\0\0\0\4abcd";
-    static const char longer[] = "\0\0\0\2\0\0\0\3\0\0\0\14\0\0\0\0\0\0\0\11more";
+    static const char unknown_kind[] = "\0\0\0\2\0\0\0\143\0\0\0\4abcd";
+    static const char with_extra_bytes[] = "\0\0\0\2\0\0\0\3\0\0\0\14\0\0\0\0\0\0\0\11more";
     struct ow_peer_message *message = NULL;
-    assert_true(wire_peer_decode(unknown, sizeof unknown - 1, &message));
+    assert_true(wire_peer_decode(unknown_kind, sizeof unknown_kind - 1, &message));
     assert_null(message);
-    assert_true(wire_peer_decode(longer, sizeof longer - 1, &message));
+    assert_true(wire_peer_decode(with_extra_bytes, sizeof with_extra_bytes - 1, &message));
     assert_non_null(message);
     assert_int_equal(message->kind, OW_PEER_JOB_CHANGED);
     assert_int_equal(message->job_change.revision, 9);
@@ -67,7 +67,7 @@
     assert_null(message);
 }
 
-static void test_random_peer_messages_do_no_harm(void **state)
+static void test_random_peer_messages_are_decoded_or_rejected(void **state)
 {
     (void)state;
     GRand *rand = g_rand_new_with_seed(3);
@@ -81,9 +81,9 @@
                     message == NULL);
         ow_peer_message_free(message);
     }
-    struct ow_peer_message *none = NULL;
-    assert_false(wire_peer_decode("\0\0\0\11", 4, &none));
-    assert_null(none);
+    struct ow_peer_message *decoded = NULL;
+    assert_false(wire_peer_decode("\0\0\0\11", 4, &decoded));
+    assert_null(decoded);
     g_rand_free(rand);
 }
 
@@ -91,9 +91,9 @@
 {
     const struct CMUnitTest tests[] = {
         cmocka_unit_test(test_summary_survives_encoding),
-        cmocka_unit_test(test_cancellation_message_is_complete),
-        cmocka_unit_test(test_unknown_parts_of_later_versions_are_skipped),
-        cmocka_unit_test(test_random_peer_messages_do_no_harm),
+        cmocka_unit_test(test_cancellation_messages_survive_encoding),
+        cmocka_unit_test(test_unknown_kinds_and_fields_of_later_versions_are_skipped),
+        cmocka_unit_test(test_random_peer_messages_are_decoded_or_rejected),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
