--- a/tests/unit/test_records.c
+++ b/tests/unit/test_records.c
@@ -1,4 +1,5 @@
-/* Records in the key-value store: they survive encoding and decoding, and stay small. */
+/* Records in the key-value store: encoding, decoding, size and order of revisions; interned names and the
+ * rate limiter. */
 #include "check.h"
 #include "core/jobs/job.h"
 #include "core/records/store_limits.h"
@@ -12,14 +13,14 @@
 
 #include <string.h>
 
-/* Bytes: a chunk of tasks must stay well below the size limit of a value. */
-enum { VALUE_LIMIT = 8 * 1024 };
+/* An encoded chunk of tasks must stay below this size, so that it fits a value of the store. */
+enum { VALUE_LIMIT_BYTES = 8 * 1024 };
 
-static void add_attempt(GArray *live, uint32_t task, uint64_t attempt, const char *machine,
+static void add_attempt(GArray *attempts, uint32_t task, uint64_t attempt, const char *machine,
                         uint64_t incarnation)
 {
     struct ow_attempt_record record = {task, attempt, machine, incarnation};
-    g_array_append_val(live, record);
+    g_array_append_val(attempts, record);
 }
 
 static void test_progress_record_survives_encoding(void **state)
@@ -39,21 +40,23 @@
         text,
         "{\"a\":9,\"d\":\"0-5,15-39\",\"l\":{\"n-1 1\":\"6-7@9,8@4\",\"n-1 2\":\"9@9\",\"n-2 1\":\"10@9\"}}");
     json_t *value = wire_json_parse_object(text, strlen(text));
-    struct ow_progress_record again;
-    assert_true(wire_progress_record_decode(value, &again));
-    assert_true(again.last_attempt == 9 && again.done->len == record.done->len && again.attempts->len == 5);
+    struct ow_progress_record decoded;
+    assert_true(wire_progress_record_decode(value, &decoded));
+    assert_true(decoded.last_attempt == 9 && decoded.done->len == record.done->len &&
+                decoded.attempts->len == 5);
     for (guint i = 0; i < 5; i++) {
-        const struct ow_attempt_record *written =
+        const struct ow_attempt_record *expected =
             &g_array_index(record.attempts, struct ow_attempt_record, i);
-        const struct ow_attempt_record *read = &g_array_index(again.attempts, struct ow_attempt_record, i);
-        assert_true(written->task == read->task && written->attempt == read->attempt &&
-                    written->incarnation == read->incarnation);
-        assert_string_equal(written->machine, read->machine);
+        const struct ow_attempt_record *actual =
+            &g_array_index(decoded.attempts, struct ow_attempt_record, i);
+        assert_true(expected->task == actual->task && expected->attempt == actual->attempt &&
+                    expected->incarnation == actual->incarnation);
+        assert_string_equal(expected->machine, actual->machine);
     }
     json_decref(value);
     g_free(text);
     wire_progress_record_clear(&record);
-    wire_progress_record_clear(&again);
+    wire_progress_record_clear(&decoded);
 }
 
 static void test_largest_chunk_fits_a_value(void **state)
@@ -68,7 +71,7 @@
         add_attempt(record.attempts, task, 1000 + task % 7, g_intern_string(name), 1);
     }
     char *text = wire_progress_record_encode(&record);
-    assert_true(strlen(text) < VALUE_LIMIT);
+    assert_true(strlen(text) < VALUE_LIMIT_BYTES);
     g_free(text);
     wire_progress_record_clear(&record);
 }
@@ -77,15 +80,15 @@
 {
     (void)state;
     struct ow_job_record done = {.state = OW_JOB_DONE};
-    struct ow_job_record back;
+    struct ow_job_record decoded;
     char *text = wire_job_record_encode(&done);
     json_t *value = wire_json_parse_object(text, strlen(text));
-    assert_true(wire_job_record_decode(value, &back));
-    assert_true(back.state == OW_JOB_DONE && back.submission == NULL);
+    assert_true(wire_job_record_decode(value, &decoded));
+    assert_true(decoded.state == OW_JOB_DONE && decoded.submission == NULL);
     json_decref(value);
     g_free(text);
     value = wire_json_parse_object("{\"e\":1}", 7);
-    assert_false(wire_job_record_decode(value, &back));
+    assert_false(wire_job_record_decode(value, &decoded));
     json_decref(value);
 }
 
@@ -98,7 +101,7 @@
     assert_non_null(ow_jobs_apply(jobs, "run-1", 5, OW_JOB_QUEUED, sim_job("run-1", 1, 1), 0, 0));
     assert_int_equal(ow_jobs_open(jobs)->len, 1);
     assert_non_null(ow_jobs_apply(jobs, "run-1", 9, OW_JOB_DONE, NULL, 0, 0));
-    /* A list page that was read earlier arrives late: a job that has ended must stay ended. */
+    /* A list page with an older revision arrives late: the job must stay ended. */
     assert_null(ow_jobs_apply(jobs, "run-1", 5, OW_JOB_QUEUED, sim_job("run-1", 1, 1), 0, 0));
     assert_int_equal(ow_jobs_find(jobs, "run-1")->state, OW_JOB_DONE);
     assert_int_equal(ow_jobs_open(jobs)->len, 0);
@@ -122,7 +125,7 @@
     ow_interner_free(names);
 }
 
-static void test_rate_limiter_grants_its_rate_and_burst(void **state)
+static void test_rate_limiter_allows_its_rate_and_burst(void **state)
 {
     (void)state;
     struct ow_rate_limiter limiter;
@@ -145,7 +148,7 @@
         cmocka_unit_test(test_job_record_survives_encoding),
         cmocka_unit_test(test_older_record_is_ignored),
         cmocka_unit_test(test_interned_names_keep_their_index),
-        cmocka_unit_test(test_rate_limiter_grants_its_rate_and_burst),
+        cmocka_unit_test(test_rate_limiter_allows_its_rate_and_burst),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/unit/test_settings.c
+++ b/tests/unit/test_settings.c
@@ -1,4 +1,4 @@
-/* Settings and the operators' file: each error names the faulty entry. */
+/* The settings file and the operators' file: values, defaults, and errors that name the invalid entry. */
 #include "check.h"
 #include "config/config_error.h"
 #include "config/operators_file.h"
@@ -8,7 +8,7 @@
 #include <string.h>
 #include <unistd.h>
 
-static const char good[] =
+static const char valid_settings[] =
     "host_name = \"n-0\"\narea = \"a\"\nfront = \"10.0.0.1:8080\"\n"
     "peer_listen = \"10.0.0.1:8081\"\nnew_field = 3\n"
     "[[others]]\nhost_name = \"n-1\"\narea = \"b\"\nendpoint = \"10.0.0.2:8081\"\n"
@@ -45,33 +45,33 @@
 {
     (void)state;
     GError *error = NULL;
-    struct ow_settings *settings = load(good, &error);
+    struct ow_settings *settings = load(valid_settings, &error);
     assert_null(error);
     assert_non_null(settings);
     assert_string_equal(settings->controller_name, "n-0");
     assert_int_equal(settings->peers->len, 1);
-    assert_int_equal(settings->slos->len, 1); /* the unknown one is ignored */
+    assert_int_equal(settings->slos->len, 1); /* the objective of an unknown kind is ignored */
     assert_true(g_array_index(settings->teams, struct ow_team_settings, 0).cpus_max == 4);
     assert_int_equal(settings->txn_ops, 8);
     ow_settings_free(settings);
 }
 
-struct change {
-    const char *from, *to, *named;
+struct invalid_case {
+    const char *from, *to, *expected_text;
     enum ow_config_error code;
 };
 
-/* Whether the error is the expected one; frees it. */
-static void expect_error(GError *error, const struct change *change)
+/* Fails the test unless the error has the expected code and names the entry; frees the error. */
+static void expect_error(GError *error, const struct invalid_case *invalid_case)
 {
-    if (!g_error_matches(error, OW_CONFIG_ERROR, (gint)change->code) ||
-        strstr(error->message, change->named) == NULL)
-        fail_msg("expected \"%s\" (%d), got \"%s\" (%d)", change->named, (int)change->code, error->message,
-                 error->code);
+    if (!g_error_matches(error, OW_CONFIG_ERROR, (gint)invalid_case->code) ||
+        strstr(error->message, invalid_case->expected_text) == NULL)
+        fail_msg("expected \"%s\" (%d), got \"%s\" (%d)", invalid_case->expected_text,
+                 (int)invalid_case->code, error->message, error->code);
     g_error_free(error);
 }
 
-static const struct change faults[] = {
+static const struct invalid_case invalid_settings[] = {
     {"host_name = \"n-0\"", "", "host_name: is missing", OW_CONFIG_ERROR_MISSING_FIELD},
     {"host_name = \"n-0\"", "host_name = 4", "host_name: is not a string", OW_CONFIG_ERROR_MALFORMED_VALUE},
     {"front = \"10.0.0.1:8080\"", "front = \"nowhere\"", "front: is not an address",
@@ -90,15 +90,15 @@
     {"[services]", "[services", "(line", OW_CONFIG_ERROR_SYNTAX},
 };
 
-static void test_errors_are_named(void **state)
+static void test_invalid_settings_are_rejected_with_the_entry_name(void **state)
 {
     (void)state;
-    for (size_t i = 0; i < G_N_ELEMENTS(faults); i++) {
-        char **parts = g_strsplit(good, faults[i].from, 2);
-        char *text = g_strjoinv(faults[i].to, parts);
+    for (size_t i = 0; i < G_N_ELEMENTS(invalid_settings); i++) {
+        char **parts = g_strsplit(valid_settings, invalid_settings[i].from, 2);
+        char *text = g_strjoinv(invalid_settings[i].to, parts);
         GError *error = NULL;
         assert_null(load(text, &error));
-        expect_error(error, &faults[i]);
+        expect_error(error, &invalid_settings[i]);
         g_free(text);
         g_strfreev(parts);
     }
@@ -115,7 +115,7 @@
     return ok;
 }
 
-static void test_tuning_file_overrides_defaults(void **state)
+static void test_operators_file_overrides_defaults(void **state)
 {
     (void)state;
     GError *error = NULL;
@@ -126,7 +126,7 @@
     assert_true(tuning.window_s == 2.5 && tuning.candidates == 4 && tuning.hold_life_s == 10);
 }
 
-static const struct change operator_faults[] = {
+static const struct invalid_case invalid_operators_files[] = {
     {"<ospreywell>\n<reservation window_s='9'/></ospreywell>", NULL,
      "line 2: window_s: must be a number from 0 to 5", OW_CONFIG_ERROR_OUT_OF_RANGE},
     {"<ospreywell>\n\n<reservation candidates='1.5'/></ospreywell>", NULL,
@@ -139,21 +139,21 @@
      OW_CONFIG_ERROR_SYNTAX},
 };
 
-static void test_errors_in_a_tuning_file_are_named(void **state)
+static void test_invalid_operators_file_is_rejected_with_line_and_name(void **state)
 {
     (void)state;
-    for (size_t i = 0; i < G_N_ELEMENTS(operator_faults); i++) {
+    for (size_t i = 0; i < G_N_ELEMENTS(invalid_operators_files); i++) {
         GError *error = NULL;
         struct ow_tuning tuning = ow_tuning_default();
         struct ow_tuning before = tuning;
-        assert_false(load_operators(operator_faults[i].from, &tuning, &error));
-        expect_error(error, &operator_faults[i]);
-        /* A file with an error changes nothing. */
+        assert_false(load_operators(invalid_operators_files[i].from, &tuning, &error));
+        expect_error(error, &invalid_operators_files[i]);
+        /* A file with an error leaves the tuning parameters unchanged. */
         assert_memory_equal(&tuning, &before, sizeof tuning);
     }
 }
 
-static void test_tuning_sample_equals_the_defaults(void **state)
+static void test_sample_operators_file_equals_the_defaults(void **state)
 {
     (void)state;
     GError *error = NULL;
@@ -175,10 +175,10 @@
 {
     const struct CMUnitTest tests[] = {
         cmocka_unit_test(test_complete_settings_are_loaded),
-        cmocka_unit_test(test_errors_are_named),
-        cmocka_unit_test(test_tuning_file_overrides_defaults),
-        cmocka_unit_test(test_errors_in_a_tuning_file_are_named),
-        cmocka_unit_test(test_tuning_sample_equals_the_defaults),
+        cmocka_unit_test(test_invalid_settings_are_rejected_with_the_entry_name),
+        cmocka_unit_test(test_operators_file_overrides_defaults),
+        cmocka_unit_test(test_invalid_operators_file_is_rejected_with_line_and_name),
+        cmocka_unit_test(test_sample_operators_file_equals_the_defaults),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/unit/test_sharding_settings.c
+++ b/tests/unit/test_sharding_settings.c
@@ -1,4 +1,4 @@
-/* The <control> element: what is read, and what is refused with its line and name. */
+/* The <control> element: valid settings are parsed, invalid ones are rejected with their line and name. */
 #include "check.h"
 #include "config/operators_file.h"
 #include "sharding/sharding_settings_check.h"
@@ -8,11 +8,11 @@
 #include <string.h>
 #include <unistd.h>
 
-/* Reads the text as an operators' file; NULL or what is wrong (g_free). */
+/* Loads the text as an operators' file. Returns NULL, or the error message, to be freed with g_free(). */
 static char *load(const char *text, struct ow_tuning *tuning, struct ow_sharding_settings *sharding)
 {
     char *path = NULL;
-    char *fault = NULL;
+    char *message = NULL;
     GError *error = NULL;
     int fd = g_file_open_tmp("ospreywell-XXXXXX", &path, NULL);
     assert_true(fd >= 0);
@@ -21,20 +21,20 @@
     bool ok = ow_operators_load(path, tuning, sharding, &error);
     assert_int_equal(ok, error == NULL);
     if (error != NULL)
-        fault = g_strdup(error->message);
+        message = g_strdup(error->message);
     g_clear_error(&error);
     g_unlink(path);
     g_free(path);
-    return fault;
+    return message;
 }
 
-/* A platform of two zones and two teams. */
+/* Settings of a platform with two zones and two teams. */
 struct platform {
     struct ow_settings settings;
     struct ow_tuning tuning;
 };
 
-static void open_platform(struct platform *platform)
+static void platform_init(struct platform *platform)
 {
     static char *zones[] = {"a", "b", NULL};
     static char vision[] = "vision";
@@ -48,49 +48,49 @@
     g_array_append_vals(platform->settings.teams, teams, G_N_ELEMENTS(teams));
 }
 
-static void close_platform(struct platform *platform)
+static void platform_clear(struct platform *platform)
 {
     g_array_free(platform->settings.teams, TRUE);
 }
 
-/* The first fault of the text, as read or as checked. */
-static char *find_fault(const char *text)
+/* Loads and checks the text. Returns NULL, or the first error message, to be freed with g_free(). */
+static char *load_and_check(const char *text)
 {
     struct platform platform;
     struct ow_sharding_settings *sharding = ow_sharding_settings_new();
-    open_platform(&platform);
-    char *fault = load(text, &platform.tuning, sharding);
-    if (fault == NULL) {
+    platform_init(&platform);
+    char *message = load(text, &platform.tuning, sharding);
+    if (message == NULL) {
         g_autoptr(GError) error = NULL;
         bool is_consistent =
             ow_sharding_settings_check(sharding, &platform.settings, &platform.tuning, &error);
         assert_int_equal(is_consistent, error == NULL);
         if (error != NULL) {
             assert_true(error->domain == OW_SHARDING_SETTINGS_ERROR);
-            fault = g_strdup(error->message);
+            message = g_strdup(error->message);
         }
     }
     ow_sharding_settings_free(sharding);
-    close_platform(&platform);
-    return fault;
+    platform_clear(&platform);
+    return message;
 }
 
-#define HEAD "<ospreywell>\n"
-#define TAIL "</ospreywell>"
+#define ROOT_BEGIN "<ospreywell>\n"
+#define ROOT_END "</ospreywell>"
 #define NORTH "<shard name='north' zones='a' share='0.5'/>\n"
 #define SOUTH "<shard name='south' zones='b' share='0.5'/>\n"
 
-static void test_values_are_read(void **state)
+static void test_control_element_is_parsed(void **state)
 {
     (void)state;
     struct ow_sharding_settings *sharding = ow_sharding_settings_new();
     struct ow_tuning tuning = ow_tuning_default();
-    char *fault = load(HEAD "<control heartbeat_s='0.25' suspicion_phi='5' relays='2'>\n" NORTH
-                            "<shard name='gpu' zones='a  b' types='g4 g8' share='0.25'/>\n"
-                            "<allotment team='vision' shard='gpu' share='0'/>\n"
-                            "<route class='train' zone='a' shards='gpu north'/></control>" TAIL,
-                       &tuning, sharding);
-    assert_null(fault);
+    char *message = load(ROOT_BEGIN "<control heartbeat_s='0.25' suspicion_phi='5' relays='2'>\n" NORTH
+                                    "<shard name='gpu' zones='a  b' types='g4 g8' share='0.25'/>\n"
+                                    "<allotment team='vision' shard='gpu' share='0'/>\n"
+                                    "<route class='train' zone='a' shards='gpu north'/></control>" ROOT_END,
+                         &tuning, sharding);
+    assert_null(message);
     assert_true(sharding->is_enabled);
     assert_true(sharding->heartbeat_s == 0.25 && sharding->suspicion_phi == 5 && sharding->relays == 2);
     assert_int_equal(sharding->shards->len, 2);
@@ -109,14 +109,15 @@
 static void test_consistent_settings_are_accepted(void **state)
 {
     (void)state;
-    assert_null(find_fault(HEAD TAIL));
-    assert_null(find_fault(HEAD "<control>" NORTH SOUTH "</control>" TAIL));
-    assert_null(find_fault(HEAD "<control><shard name='default' zones='a b' share='1'/></control>" TAIL));
+    assert_null(load_and_check(ROOT_BEGIN ROOT_END));
+    assert_null(load_and_check(ROOT_BEGIN "<control>" NORTH SOUTH "</control>" ROOT_END));
+    assert_null(load_and_check(ROOT_BEGIN
+                               "<control><shard name='default' zones='a b' share='1'/></control>" ROOT_END));
 }
 
 static const struct {
-    const char *text, *fault;
-} faults[] = {
+    const char *text, *message;
+} invalid_settings[] = {
     {"<control></control>", "line 2: control: has no shard"},
     {"<control>\n" NORTH "</control>",
      "line 2: control: no shard takes the types of zone b that no shard names"},
@@ -166,33 +167,33 @@
     {"<control>" NORTH SOUTH "</control>\n<control/>", "line 5: control: is there twice"},
 };
 
-static void test_errors_are_named_with_their_line(void **state)
+static void test_invalid_settings_are_rejected_with_line_and_name(void **state)
 {
     (void)state;
-    for (size_t i = 0; i < G_N_ELEMENTS(faults); i++) {
-        char *text = g_strconcat(HEAD, faults[i].text, TAIL, NULL);
-        char *fault = find_fault(text);
-        if (g_strcmp0(fault, faults[i].fault) != 0)
-            fail_msg("expected \"%s\", got \"%s\"", faults[i].fault, fault);
-        g_free(fault);
+    for (size_t i = 0; i < G_N_ELEMENTS(invalid_settings); i++) {
+        char *text = g_strconcat(ROOT_BEGIN, invalid_settings[i].text, ROOT_END, NULL);
+        char *message = load_and_check(text);
+        if (g_strcmp0(message, invalid_settings[i].message) != 0)
+            fail_msg("expected \"%s\", got \"%s\"", invalid_settings[i].message, message);
+        g_free(message);
         g_free(text);
     }
 }
 
-static void test_too_many_shards_are_refused(void **state)
+static void test_too_many_shards_are_rejected(void **state)
 {
     (void)state;
-    GString *text = g_string_new(HEAD "<control>\n<shard name='rest' zones='a b' share='0'/>");
+    GString *text = g_string_new(ROOT_BEGIN "<control>\n<shard name='rest' zones='a b' share='0'/>");
     for (int i = 0; i < OW_SHARDS_MAX; i++)
         g_string_append_printf(text, "<shard name='s%d' zones='a' types='t%d' share='0'/>", i, i);
-    g_string_append(text, "</control>" TAIL);
-    char *fault = find_fault(text->str);
-    assert_string_equal(fault, "line 2: control: has 33 shards, and at most 32 are possible");
-    g_free(fault);
+    g_string_append(text, "</control>" ROOT_END);
+    char *message = load_and_check(text->str);
+    assert_string_equal(message, "line 2: control: has 33 shards, and at most 32 are possible");
+    g_free(message);
     g_string_free(text, TRUE);
 }
 
-static void test_sample_settings_are_accepted(void **state)
+static void test_sample_control_file_is_loaded_with_default_values(void **state)
 {
     (void)state;
     struct ow_sharding_settings *sharding = ow_sharding_settings_new();
@@ -212,11 +213,11 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_values_are_read),
+        cmocka_unit_test(test_control_element_is_parsed),
         cmocka_unit_test(test_consistent_settings_are_accepted),
-        cmocka_unit_test(test_errors_are_named_with_their_line),
-        cmocka_unit_test(test_too_many_shards_are_refused),
-        cmocka_unit_test(test_sample_settings_are_accepted),
+        cmocka_unit_test(test_invalid_settings_are_rejected_with_line_and_name),
+        cmocka_unit_test(test_too_many_shards_are_rejected),
+        cmocka_unit_test(test_sample_control_file_is_loaded_with_default_values),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/unit/test_sharding_wire.c
+++ b/tests/unit/test_sharding_wire.c
@@ -1,4 +1,4 @@
-/* Messages between the controllers of a sharded fleet, its stored map, and what operators are told of it. */
+/* Wire formats of a sharded fleet: messages between controllers, stored shard map, answers to operators. */
 #include "check.h"
 #include "model/operator_view.h"
 #include "model/peer.h"
@@ -8,20 +8,20 @@
 
 #include <string.h>
 
-/* Behind the length of a frame. */
-enum { LENGTH_BYTES = 4 };
+/* The length field at the start of a frame. */
+enum { FRAME_LENGTH_BYTES = 4 };
 
-/* Takes over the message. */
-static struct ow_peer_message *through_xdr(struct ow_peer_message *message)
+/* Encodes and frees the message, and returns the decoded copy, owned by the caller. */
+static struct ow_peer_message *encode_and_decode(struct ow_peer_message *message)
 {
     GString *frame = g_string_new(NULL);
-    struct ow_peer_message *again = NULL;
+    struct ow_peer_message *decoded = NULL;
     assert_true(wire_peer_encode(message, frame));
-    assert_true(wire_peer_decode(frame->str + LENGTH_BYTES, frame->len - LENGTH_BYTES, &again));
-    assert_non_null(again);
+    assert_true(wire_peer_decode(frame->str + FRAME_LENGTH_BYTES, frame->len - FRAME_LENGTH_BYTES, &decoded));
+    assert_non_null(decoded);
     g_string_free(frame, TRUE);
     ow_peer_message_free(message);
-    return again;
+    return decoded;
 }
 
 static struct ow_peer_message *new_heartbeat(unsigned shards)
@@ -41,7 +41,7 @@
 static void test_peer_heartbeat_survives_encoding(void **state)
 {
     (void)state;
-    struct ow_peer_message *message = through_xdr(new_heartbeat(2));
+    struct ow_peer_message *message = encode_and_decode(new_heartbeat(2));
     assert_int_equal(message->kind, OW_PEER_HEARTBEAT);
     assert_string_equal(message->sender, "controller-1");
     assert_true(message->heartbeat.incarnation == UINT64_C(1) << 50 && message->heartbeat.sequence == 17 &&
@@ -54,7 +54,7 @@
     ow_peer_message_free(message);
 }
 
-static void test_heartbeat_of_too_many_shards_is_not_sent(void **state)
+static void test_heartbeat_with_too_many_shards_is_rejected_by_the_encoder(void **state)
 {
     (void)state;
     struct ow_peer_message *message = new_heartbeat(33);
@@ -76,7 +76,7 @@
     message->probe.target = g_strdup("d");
     message->probe.number = 7;
     message->addressee = g_strdup("c");
-    message = through_xdr(message);
+    message = encode_and_decode(message);
     assert_int_equal(message->probe.step, OW_PROBE_ACK);
     assert_string_equal(message->probe.origin, "b");
     assert_string_equal(message->probe.relay, "c");
@@ -92,15 +92,16 @@
     struct ow_peer_message *message = ow_peer_message_new(OW_PEER_JOB_CHANGED);
     message->job_change.revision = 44;
     message->shard = g_strdup("south");
-    message = through_xdr(message);
+    message = encode_and_decode(message);
     assert_int_equal(message->kind, OW_PEER_JOB_CHANGED);
     assert_int_equal(message->job_change.revision, 44);
     assert_string_equal(message->shard, "south");
     ow_peer_message_free(message);
 }
 
-/* Without a shard the bytes are those of earlier versions: the kind stands at its place in the envelope. */
-static void test_message_without_a_shard_is_unchanged(void **state)
+/* A message without a shard is encoded as in earlier versions, with the kind at the same offset in the
+ * envelope. */
+static void test_message_without_a_shard_is_encoded_as_in_earlier_versions(void **state)
 {
     (void)state;
     static const unsigned char expected[] = {0, 0, 0, 20, 0, 0, 0, 2, 0, 0, 0, 3,
@@ -115,31 +116,32 @@
     ow_peer_message_free(message);
 }
 
-/* Whatever comes in place of a message is refused or read, without harm. */
-static void test_damaged_messages_do_no_harm(void **state)
+/* Truncated messages with random bytes are either rejected or decoded; the decoder must not read beyond the
+ * input or leave a message behind on failure. */
+static void test_corrupted_messages_are_decoded_or_rejected(void **state)
 {
     (void)state;
     GRand *rand = g_rand_new_with_seed(7);
     for (int round = 0; round < 3000; round++) {
         struct ow_peer_message *message = new_heartbeat(3);
-        struct ow_peer_message *read = NULL;
+        struct ow_peer_message *decoded = NULL;
         GString *frame = g_string_new(NULL);
         message->shard = round % 2 == 0 ? g_strdup("north") : NULL;
         assert_true(wire_peer_encode(message, frame));
-        gsize size = frame->len - LENGTH_BYTES;
+        gsize size = frame->len - FRAME_LENGTH_BYTES;
         for (int i = 0; i < 3; i++)
-            frame->str[LENGTH_BYTES + g_rand_int_range(rand, 0, (gint32)size)] = (char)g_rand_int(rand);
+            frame->str[FRAME_LENGTH_BYTES + g_rand_int_range(rand, 0, (gint32)size)] = (char)g_rand_int(rand);
         size = (gsize)g_rand_int_range(rand, 0, (gint32)size + 1);
-        bool ok = wire_peer_decode(frame->str + LENGTH_BYTES, size, &read);
-        assert_true(ok || read == NULL);
-        ow_peer_message_free(read);
+        bool ok = wire_peer_decode(frame->str + FRAME_LENGTH_BYTES, size, &decoded);
+        assert_true(ok || decoded == NULL);
+        ow_peer_message_free(decoded);
         g_string_free(frame, TRUE);
         ow_peer_message_free(message);
     }
     g_rand_free(rand);
 }
 
-static void test_stored_shard_map_is_read_or_refused(void **state)
+static void test_stored_shard_map_is_decoded_or_rejected(void **state)
 {
     (void)state;
     GHashTable *values = g_hash_table_new(g_str_hash, g_str_equal);
@@ -147,24 +149,24 @@
     g_hash_table_insert(values, "election lease_s", "4");
     char *text = wire_shard_map_encode(values);
     json_t *object = wire_json_parse_object(text, strlen(text));
-    GHashTable *read = wire_shard_map_from_json(object);
-    assert_int_equal(g_hash_table_size(read), 2);
-    assert_string_equal(g_hash_table_lookup(read, "shards"), "north south");
-    g_hash_table_destroy(read);
+    GHashTable *decoded = wire_shard_map_from_json(object);
+    assert_int_equal(g_hash_table_size(decoded), 2);
+    assert_string_equal(g_hash_table_lookup(decoded, "shards"), "north south");
+    g_hash_table_destroy(decoded);
     json_decref(object);
     g_free(text);
     g_hash_table_destroy(values);
-    static const char *const unreadable[] = {"{}", "{\"v\":2,\"values\":{}}", "{\"v\":1,\"values\":[]}",
-                                             "{\"v\":1,\"values\":{\"a\":1}}"};
-    for (guint i = 0; i < G_N_ELEMENTS(unreadable); i++) {
-        object = wire_json_parse_object(unreadable[i], strlen(unreadable[i]));
+    static const char *const invalid_maps[] = {"{}", "{\"v\":2,\"values\":{}}", "{\"v\":1,\"values\":[]}",
+                                               "{\"v\":1,\"values\":{\"a\":1}}"};
+    for (guint i = 0; i < G_N_ELEMENTS(invalid_maps); i++) {
+        object = wire_json_parse_object(invalid_maps[i], strlen(invalid_maps[i]));
         assert_null(wire_shard_map_from_json(object));
         json_decref(object);
     }
 }
 
-/* Operators' tools read these texts: not a byte may change. */
-static void test_controllers_are_listed_for_operators_byte_for_byte(void **state)
+/* Tools of operators parse these answers, so they must not change by a byte. */
+static void test_controllers_view_is_encoded_byte_for_byte(void **state)
 {
     (void)state;
     GArray *led_shards = ow_peer_shards_new();
@@ -190,7 +192,7 @@
     g_array_free(led_shards, TRUE);
 }
 
-static void test_shards_are_listed_for_operators_byte_for_byte(void **state)
+static void test_shards_view_is_encoded_byte_for_byte(void **state)
 {
     (void)state;
     struct ow_failover_step_view step = {"lease gone", 2.5, "its key is gone"};
@@ -218,14 +220,14 @@
 {
     const struct CMUnitTest tests[] = {
         cmocka_unit_test(test_peer_heartbeat_survives_encoding),
-        cmocka_unit_test(test_heartbeat_of_too_many_shards_is_not_sent),
+        cmocka_unit_test(test_heartbeat_with_too_many_shards_is_rejected_by_the_encoder),
         cmocka_unit_test(test_probe_survives_encoding),
         cmocka_unit_test(test_message_of_a_shard_keeps_its_shard),
-        cmocka_unit_test(test_message_without_a_shard_is_unchanged),
-        cmocka_unit_test(test_damaged_messages_do_no_harm),
-        cmocka_unit_test(test_stored_shard_map_is_read_or_refused),
-        cmocka_unit_test(test_controllers_are_listed_for_operators_byte_for_byte),
-        cmocka_unit_test(test_shards_are_listed_for_operators_byte_for_byte),
+        cmocka_unit_test(test_message_without_a_shard_is_encoded_as_in_earlier_versions),
+        cmocka_unit_test(test_corrupted_messages_are_decoded_or_rejected),
+        cmocka_unit_test(test_stored_shard_map_is_decoded_or_rejected),
+        cmocka_unit_test(test_controllers_view_is_encoded_byte_for_byte),
+        cmocka_unit_test(test_shards_view_is_encoded_byte_for_byte),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/unit/test_submission_wire.c
+++ b/tests/unit/test_submission_wire.c
@@ -1,5 +1,4 @@
-/* Submissions of users: valid ones are parsed completely, invalid ones are rejected, and the field is named.
- */
+/* Submissions of users: valid ones are parsed, invalid ones are rejected and the field is named. */
 #include "check.h"
 #include "model/submission.h"
 #include "wire/submission_json.h"
@@ -25,26 +24,26 @@
     return submission;
 }
 
-static void test_job_survives_its_stored_form(void **state)
+static void test_submission_survives_encoding(void **state)
 {
     (void)state;
     g_autoptr(GError) error = NULL;
     struct ow_submission *submission = parse_job(JOB);
     assert_non_null(submission);
     json_t *stored = wire_submission_to_json(submission);
-    struct ow_submission *again = wire_submission_from_json(stored, &error);
-    assert_non_null(again);
+    struct ow_submission *decoded = wire_submission_from_json(stored, &error);
+    assert_non_null(decoded);
     assert_null(error);
-    assert_true(ow_submission_is_gang(again) && again->tasks == 16 && again->rank == OW_RANK_URGENT &&
-                again->zone == NULL);
-    assert_true(again->need.gpus == 1 && again->one_zone && again->spot && again->deadline_s == 900);
-    assert_string_equal(again->types[0], "g8");
+    assert_true(ow_submission_is_gang(decoded) && decoded->tasks == 16 && decoded->rank == OW_RANK_URGENT &&
+                decoded->zone == NULL);
+    assert_true(decoded->need.gpus == 1 && decoded->one_zone && decoded->spot && decoded->deadline_s == 900);
+    assert_string_equal(decoded->types[0], "g8");
     json_decref(stored);
-    ow_submission_free(again);
+    ow_submission_free(decoded);
     ow_submission_free(submission);
 }
 
-/* A deadline that is null or left out is none; 0 is accepted, as one that can't be met. */
+/* A deadline that is null or absent means no deadline; 0 is accepted, as a deadline that cannot be met. */
 static void test_deadline_is_optional(void **state)
 {
     (void)state;
@@ -61,7 +60,7 @@
     }
 }
 
-static void test_wrong_deadline_is_named(void **state)
+static void test_invalid_deadline_is_named_in_the_error(void **state)
 {
     (void)state;
     static const char *const values[] = {"-0.5", "true", "\"soon\"", "1e10"};
@@ -77,15 +76,15 @@
     }
 }
 
-/* A change of JOB, and the error that a user hears then. */
-struct wrong_field {
+/* A change to JOB that makes one field invalid, and the error that the user receives. */
+struct invalid_field {
     const char *from;
     const char *to;
     const char *error;
     enum wire_submission_error code;
 };
 
-static const struct wrong_field wrong_fields[] = {
+static const struct invalid_field invalid_fields[] = {
     {"{", "[{", "not a JSON object", WIRE_SUBMISSION_ERROR_NOT_AN_OBJECT},
     {"\"run-000412\"", "412", "ref: not the id of a job", WIRE_SUBMISSION_ERROR_FIELD},
     {"\"train\"", "\"\"", "flock: missing or not a name", WIRE_SUBMISSION_ERROR_FIELD},
@@ -114,31 +113,31 @@
     {"\"dusk_s\":900.0", "\"dusk_s\":-1", "dusk_s: out of range", WIRE_SUBMISSION_ERROR_FIELD},
     {"\"flight_s\":240.0", "\"flight_s\":0", "flight_s: must be above 0", WIRE_SUBMISSION_ERROR_ESTIMATE},
     {"\"ensemble\"", "\"standing\"", "flight_s: must be 0 for a service", WIRE_SUBMISSION_ERROR_ESTIMATE},
-    /* Of two wrong fields the first in the order of the protocol is named. */
+    /* Of two invalid fields the first one in the order of the protocol is named. */
     {"\"urgent\",\"talons\":16", "\"soon\",\"talons\":0", "rank: missing or unknown",
      WIRE_SUBMISSION_ERROR_FIELD},
 };
 
-static void test_each_wrong_field_is_named(void **state)
+static void test_each_invalid_field_is_named_in_the_error(void **state)
 {
     (void)state;
-    for (size_t i = 0; i < G_N_ELEMENTS(wrong_fields); i++) {
-        g_auto(GStrv) parts = g_strsplit(JOB, wrong_fields[i].from, 2);
-        g_autofree char *text = g_strjoinv(wrong_fields[i].to, parts);
+    for (size_t i = 0; i < G_N_ELEMENTS(invalid_fields); i++) {
+        g_auto(GStrv) parts = g_strsplit(JOB, invalid_fields[i].from, 2);
+        g_autofree char *text = g_strjoinv(invalid_fields[i].to, parts);
         g_autoptr(GError) error = NULL;
         char id[OW_ID_MAX + 1];
         assert_string_not_equal(text, JOB);
         assert_null(wire_submission_decode(text, strlen(text), id, &error));
-        assert_string_equal(error->message, wrong_fields[i].error);
-        assert_true(g_error_matches(error, WIRE_SUBMISSION_ERROR, (int)wrong_fields[i].code));
+        assert_string_equal(error->message, invalid_fields[i].error);
+        assert_true(g_error_matches(error, WIRE_SUBMISSION_ERROR, (int)invalid_fields[i].code));
     }
 }
 
-struct change {
+struct replacement {
     const char *from, *to;
 };
 
-static const struct change bad_jobs[] = {
+static const struct replacement invalid_submissions[] = {
     {"\"run-000412\"", "\"job-000412\""},
     {"\"run-000412\"", "\"run-\""},
     {"\"run-000412\"", "\"run-1/2\""},
@@ -163,7 +162,7 @@
     {"\"preen_s\":4.0,", ""},
     {"\"flight_s\":240.0", "\"flight_s\":0"},
     {"\"flight_s\":240.0,", ""},
-    {"\"ensemble\"", "\"standing\""}, /* a service has no run time */
+    {"\"ensemble\"", "\"standing\""}, /* a service must not have a run time */
     {"\"molt_s\":30.0,", ""},
     {"\"dusk_s\":900.0", "\"dusk_s\":-1"},
     {"\"dusk_s\":900.0", "\"dusk_s\":\"900\""},
@@ -179,13 +178,13 @@
     {"\"later_field\":{}}", "\"later_field\":{}"},
 };
 
-static void test_invalid_submissions_are_refused(void **state)
+static void test_invalid_submissions_are_rejected(void **state)
 {
     (void)state;
-    for (size_t i = 0; i < G_N_ELEMENTS(bad_jobs); i++) {
-        char **parts = g_strsplit(JOB, bad_jobs[i].from, 2);
+    for (size_t i = 0; i < G_N_ELEMENTS(invalid_submissions); i++) {
+        char **parts = g_strsplit(JOB, invalid_submissions[i].from, 2);
         assert_int_equal(g_strv_length(parts), 2);
-        char *text = g_strjoinv(bad_jobs[i].to, parts);
+        char *text = g_strjoinv(invalid_submissions[i].to, parts);
         if (parse_job(text) != NULL)
             fail_msg("accepted: %s", text);
         g_free(text);
@@ -198,11 +197,11 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_job_survives_its_stored_form),
+        cmocka_unit_test(test_submission_survives_encoding),
         cmocka_unit_test(test_deadline_is_optional),
-        cmocka_unit_test(test_wrong_deadline_is_named),
-        cmocka_unit_test(test_each_wrong_field_is_named),
-        cmocka_unit_test(test_invalid_submissions_are_refused),
+        cmocka_unit_test(test_invalid_deadline_is_named_in_the_error),
+        cmocka_unit_test(test_each_invalid_field_is_named_in_the_error),
+        cmocka_unit_test(test_invalid_submissions_are_rejected),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/unit/test_worker_cloud_wire.c
+++ b/tests/unit/test_worker_cloud_wire.c
@@ -1,4 +1,4 @@
-/* Messages of workers and of the cloud: valid ones are parsed completely, invalid ones are rejected. */
+/* Messages to and from workers and the cloud: valid ones are parsed completely, invalid ones are rejected. */
 #include "check.h"
 #include "model/cloud.h"
 #include "model/http_status.h"
@@ -25,7 +25,7 @@
     assert_true(task->task == 0 && task->phase == OW_PHASE_EXITED && task->cause == OW_CAUSE_STOPPED &&
                 task->saved);
     ow_heartbeat_free(parsed);
-    /* A task that can't be parsed must not look like one that has ended. */
+    /* One malformed task invalidates the whole heartbeat: if it were left out, it would look ended. */
     char **parts = g_strsplit(heartbeat, "run-000398/0", 2);
     char *text = g_strjoinv("run-000398", parts);
     assert_null(wire_heartbeat_decode(text, strlen(text)));
@@ -48,7 +48,7 @@
     g_array_free(commands, TRUE);
 }
 
-static void test_cloud_lists_are_parsed_or_dropped(void **state)
+static void test_cloud_lists_are_parsed_or_rejected(void **state)
 {
     (void)state;
     const char list[] =
@@ -71,7 +71,7 @@
     const struct CMUnitTest tests[] = {
         cmocka_unit_test(test_heartbeat_is_parsed_completely_or_not_at_all),
         cmocka_unit_test(test_direct_commands_are_encoded_byte_for_byte),
-        cmocka_unit_test(test_cloud_lists_are_parsed_or_dropped),
+        cmocka_unit_test(test_cloud_lists_are_parsed_or_rejected),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
