--- a/tests/unit/test_http.c
+++ b/tests/unit/test_http.c
@@ -109,8 +109,8 @@
     ow_http_parser_clear(&parser);
 }
 
-/* Fragments of valid messages in random order: any result is accepted, but the body must stay within its
- * limit and no byte may be read beyond the input. */
+/* Fragments of valid messages in random order: any result is accepted, but the parser must stay within its
+ * buffers and the body within its limit. */
 static void test_random_input_stays_within_buffers(void **state)
 {
     (void)state;
