--- a/tests/unit/test_records.c
+++ b/tests/unit/test_records.c
@@ -13,7 +13,7 @@
 
 #include <string.h>
 
-/* An encoded chunk of tasks must stay below this size, so that it fits a value of the store. */
+/* Bound for an encoded chunk of tasks, which must stay well below the size limit of a value. */
 enum { VALUE_LIMIT_BYTES = 8 * 1024 };
 
 static void add_attempt(GArray *attempts, uint32_t task, uint64_t attempt, const char *machine,
--- a/tests/unit/test_sharding_wire.c
+++ b/tests/unit/test_sharding_wire.c
@@ -116,8 +116,7 @@
     ow_peer_message_free(message);
 }
 
-/* Truncated messages with random bytes are either decoded or rejected; a rejected one must leave no result.
- */
+/* Truncated messages with random bytes are decoded or rejected; a rejected one must leave no result. */
 static void test_corrupted_messages_are_decoded_or_rejected(void **state)
 {
     (void)state;
