--- a/tests/cluster/test_chaos.c
+++ b/tests/cluster/test_chaos.c
@@ -1,13 +1,13 @@
 /* Random overlapping failures from fixed seeds: no safety rule may break, and in the end every job completes.
  */
-#include "chaos_day.h"
+#include "chaos_scenario.h"
 #include "check.h"
 
 static void test_safety_rules_hold_through_random_failures(void **state)
 {
     (void)state;
     for (guint32 seed = 1; seed <= 30; seed++)
-        chaos_day_play(seed, false, NULL);
+        chaos_scenario_run(seed, false, NULL);
 }
 
 /* The same with two shards, and with controllers that stand still. */
@@ -15,7 +15,7 @@
 {
     (void)state;
     for (guint32 seed = 1; seed <= 30; seed++)
-        chaos_day_play(seed, true, NULL);
+        chaos_scenario_run(seed, true, NULL);
 }
 
 int main(void)
--- a/tests/digest/decision_digest.c
+++ b/tests/digest/decision_digest.c
@@ -5,9 +5,9 @@
  * Prints a line "<fleet> <seed> <SHA-256> <number of effects>" for each day; with --dump, the lines of the
  * effects before it, which are what the digest is of.
  */
-#include "chaos_day.h"
+#include "chaos_scenario.h"
 #include "effect_line.h"
-#include "workload_day.h"
+#include "workload_scenario.h"
 
 #include <stdio.h>
 #include <stdlib.h>
@@ -17,21 +17,21 @@
 enum { FIRST_SEED = 1, LAST_SEED = 32 };
 
 /* A kind of days. */
-struct fleet {
+struct scenario_type {
     const char *name;
-    void (*play)(guint32 seed, bool sharded, const struct sim_observer *observer);
+    void (*run)(guint32 seed, bool sharded, const struct sim_observer *observer);
     bool sharded;
 };
 
-static const struct fleet FLEETS[] = {
-    {"plain", chaos_day_play, false},
-    {"sharded", chaos_day_play, true},
-    {"workload", workload_day_play, false},
-    {"workload-sharded", workload_day_play, true},
+static const struct scenario_type SCENARIO_TYPES[] = {
+    {"plain", chaos_scenario_run, false},
+    {"sharded", chaos_scenario_run, true},
+    {"workload", workload_scenario_run, false},
+    {"workload-sharded", workload_scenario_run, true},
 };
 
 /* What has been seen of a day so far. */
-struct day_digest {
+struct scenario_digest {
     GChecksum *checksum;
     unsigned effects;
     bool dump;
@@ -40,7 +40,7 @@
 static void add_effect(void *data, const struct sim_cluster *cluster, int controller,
                        const struct ow_effect *effect)
 {
-    struct day_digest *digest = data;
+    struct scenario_digest *digest = data;
     GString *line = g_string_new(NULL);
     g_string_printf(line, "%.2f %s ", cluster->now, cluster->settings[controller].controller_name);
     effect_line_append(line, effect);
@@ -52,38 +52,39 @@
     g_string_free(line, TRUE);
 }
 
-static void print_day(const struct fleet *fleet, guint32 seed, bool dump)
+static void print_digest(const struct scenario_type *scenario_type, guint32 seed, bool dump)
 {
-    struct day_digest digest = {.checksum = g_checksum_new(G_CHECKSUM_SHA256), .dump = dump};
+    struct scenario_digest digest = {.checksum = g_checksum_new(G_CHECKSUM_SHA256), .dump = dump};
     struct sim_observer observer = {add_effect, &digest};
-    fleet->play(seed, fleet->sharded, &observer);
-    printf("%s %u %s %u\n", fleet->name, seed, g_checksum_get_string(digest.checksum), digest.effects);
+    scenario_type->run(seed, scenario_type->sharded, &observer);
+    printf("%s %u %s %u\n", scenario_type->name, seed, g_checksum_get_string(digest.checksum),
+           digest.effects);
     g_checksum_free(digest.checksum);
 }
 
 /* False if the day failed. */
-static bool print_day_apart(const struct fleet *fleet, guint32 seed, bool dump)
+static bool print_digest_in_child(const struct scenario_type *scenario_type, guint32 seed, bool dump)
 {
     fflush(stdout);
     pid_t process = fork();
     if (process == 0) {
-        print_day(fleet, seed, dump);
+        print_digest(scenario_type, seed, dump);
         exit(EXIT_SUCCESS);
     }
     int status = 0;
-    bool played = process > 0 && waitpid(process, &status, 0) == process && WIFEXITED(status) &&
+    bool passed = process > 0 && waitpid(process, &status, 0) == process && WIFEXITED(status) &&
                   WEXITSTATUS(status) == EXIT_SUCCESS;
-    if (!played)
-        fprintf(stderr, "decision_digest: the %s day of seed %u failed\n", fleet->name, seed);
-    return played;
+    if (!passed)
+        fprintf(stderr, "decision_digest: the %s day of seed %u failed\n", scenario_type->name, seed);
+    return passed;
 }
 
-static bool print_days(const struct fleet *fleet, guint32 first, guint32 last, bool dump)
+static bool print_digests(const struct scenario_type *scenario_type, guint32 first, guint32 last, bool dump)
 {
-    bool played = true;
+    bool passed = true;
     for (guint32 seed = first; seed <= last; seed++)
-        played = print_day_apart(fleet, seed, dump) && played;
-    return played;
+        passed = print_digest_in_child(scenario_type, seed, dump) && passed;
+    return passed;
 }
 
 static bool parse_seed(const char *text, guint32 *seed)
@@ -112,8 +113,8 @@
             return EXIT_FAILURE;
         }
     }
-    bool played = true;
-    for (size_t i = 0; i < G_N_ELEMENTS(FLEETS); i++)
-        played = print_days(&FLEETS[i], first, last, dump) && played;
-    return played ? EXIT_SUCCESS : EXIT_FAILURE;
+    bool passed = true;
+    for (size_t i = 0; i < G_N_ELEMENTS(SCENARIO_TYPES); i++)
+        passed = print_digests(&SCENARIO_TYPES[i], first, last, dump) && passed;
+    return passed ? EXIT_SUCCESS : EXIT_FAILURE;
 }
--- a/tests/sim/chaos_failures.c
+++ b/tests/sim/chaos_failures.c
@@ -21,7 +21,7 @@
     g_rand_free(failures->rand);
 }
 
-static struct sim_machine *any_machine(struct chaos_failures *failures)
+static struct sim_machine *random_machine(struct chaos_failures *failures)
 {
     return g_ptr_array_index(
         failures->cluster->machines,
@@ -43,9 +43,9 @@
     }
 }
 
-static void disturb_machine(struct chaos_failures *failures)
+static void toggle_machine_failure(struct chaos_failures *failures)
 {
-    struct sim_machine *machine = any_machine(failures);
+    struct sim_machine *machine = random_machine(failures);
     switch (g_rand_int_range(failures->rand, 0, 9)) {
     case 0:
         machine->partitioned = !machine->partitioned;
@@ -89,7 +89,7 @@
         sim_freeze_controller(failures->cluster, controller);
 }
 
-static void disturb_controller(struct chaos_failures *failures)
+static void toggle_controller_failure(struct chaos_failures *failures)
 {
     int controller = g_rand_int_range(failures->rand, 0, SIM_CONTROLLERS);
     int other = (controller + 1) % SIM_CONTROLLERS;
@@ -107,7 +107,7 @@
         sim_start_controller(failures->cluster, controller);
 }
 
-static void disturb_service(struct chaos_failures *failures)
+static void toggle_service_failure(struct chaos_failures *failures)
 {
     switch (g_rand_int_range(failures->rand, 0, 10)) {
     case 0:
@@ -144,7 +144,7 @@
     }
 }
 
-void chaos_failures_disturb(struct chaos_failures *failures)
+void chaos_failures_inject(struct chaos_failures *failures)
 {
     bool sharded = failures->cluster->sharding != NULL;
     if (sharded && g_rand_int_range(failures->rand, 0, 4) == 0) {
@@ -153,11 +153,11 @@
     }
     int kind = g_rand_int_range(failures->rand, 0, 10);
     if (kind < 4)
-        disturb_machine(failures);
+        toggle_machine_failure(failures);
     else if (kind < 7)
-        disturb_controller(failures);
+        toggle_controller_failure(failures);
     else
-        disturb_service(failures);
+        toggle_service_failure(failures);
 }
 
 void chaos_failures_end(struct chaos_failures *failures)
--- a/tests/sim/chaos_failures.h
+++ b/tests/sim/chaos_failures.h
@@ -21,7 +21,7 @@
 /** Frees what chaos_failures_init() has allocated, but not the cluster. */
 void chaos_failures_clear(struct chaos_failures *failures);
 /** Brings one failure about, or ends one. */
-void chaos_failures_disturb(struct chaos_failures *failures);
+void chaos_failures_inject(struct chaos_failures *failures);
 /** Ends all failures, and starts all controllers. Deleted machines stay deleted. */
 void chaos_failures_end(struct chaos_failures *failures);
 
--- a/tests/sim/chaos_day.c
+++ b/tests/sim/chaos_scenario.c
@@ -1,5 +1,5 @@
 /* Random overlapping failures of a simulated cluster, from a fixed seed. */
-#include "chaos_day.h"
+#include "chaos_scenario.h"
 #include "chaos_failures.h"
 
 #include "check.h"
@@ -8,7 +8,7 @@
 enum { MACHINES = 6, JOBS = 14 };
 
 /* The state of one day. */
-struct chaos_day {
+struct chaos_scenario {
     struct chaos_failures failures;
     bool cancelled[JOBS];
 };
@@ -19,9 +19,9 @@
 }
 
 /* Users retry until their submission is accepted. */
-static void submit_until_accepted(struct chaos_day *day, int i)
+static void submit_until_accepted(struct chaos_scenario *scenario, int i)
 {
-    struct sim_cluster *cluster = day->failures.cluster;
+    struct sim_cluster *cluster = scenario->failures.cluster;
     char id[16];
     job_id(id, sizeof id, i);
     for (int attempt = 0; attempt < 200; attempt++) {
@@ -34,50 +34,50 @@
         const struct sim_response *response = sim_response(cluster, request);
         if (response != NULL && (response->status == 200 || response->status == 201))
             return;
-        if (g_rand_int_range(day->failures.rand, 0, 4) == 0)
-            chaos_failures_disturb(&day->failures);
+        if (g_rand_int_range(scenario->failures.rand, 0, 4) == 0)
+            chaos_failures_inject(&scenario->failures);
         if (attempt > 60)
-            chaos_failures_end(&day->failures);
+            chaos_failures_end(&scenario->failures);
     }
     fail_msg("%s was never accepted", id);
 }
 
-static void cancel_some(struct chaos_day *day)
+static void cancel_random_job(struct chaos_scenario *scenario)
 {
-    int i = g_rand_int_range(day->failures.rand, 0, JOBS);
+    int i = g_rand_int_range(scenario->failures.rand, 0, JOBS);
     char id[16];
     job_id(id, sizeof id, i);
-    day->cancelled[i] = true;
-    sim_cancel(day->failures.cluster, g_rand_int_range(day->failures.rand, 0, SIM_CONTROLLERS), id);
+    scenario->cancelled[i] = true;
+    sim_cancel(scenario->failures.cluster, g_rand_int_range(scenario->failures.rand, 0, SIM_CONTROLLERS), id);
 }
 
 /* Once the failures are over, every poll is answered. */
-static void poll_all(struct chaos_day *day)
+static void check_all_known(struct chaos_scenario *scenario)
 {
     for (int i = 0; i < JOBS; i++) {
         char id[16];
         job_id(id, sizeof id, i);
-        if (sim_job_state(day->failures.cluster, id) < 0)
+        if (sim_job_state(scenario->failures.cluster, id) < 0)
             fail_msg("no controller knows %s", id);
     }
 }
 
 /* Once the failures are over, no job waits for 90 s while a machine has room for it. */
-static void watch_waiting(struct chaos_day *day, guint32 seed, int seconds)
+static void check_no_job_starves(struct chaos_scenario *scenario, guint32 seed, int seconds)
 {
-    int waited[JOBS] = {0};
+    int waiting_s[JOBS] = {0};
     for (int s = 0; s < seconds; s++) {
-        sim_run(day->failures.cluster, 1);
+        sim_run(scenario->failures.cluster, 1);
         for (int i = 0; i < JOBS; i++) {
             char id[16];
             job_id(id, sizeof id, i);
             const struct sim_requirements *requirements =
-                g_hash_table_lookup(day->failures.cluster->requirements, id);
-            bool waits = !day->cancelled[i] && !sim_job_is_done(day->failures.cluster, id) &&
-                         sim_count_running(day->failures.cluster, id) == 0 &&
-                         sim_has_room_for(day->failures.cluster, requirements);
-            waited[i] = waits ? waited[i] + 1 : 0;
-            if (waited[i] >= 90)
+                g_hash_table_lookup(scenario->failures.cluster->requirements, id);
+            bool waits = !scenario->cancelled[i] && !sim_job_is_done(scenario->failures.cluster, id) &&
+                         sim_count_running(scenario->failures.cluster, id) == 0 &&
+                         sim_has_room_for(scenario->failures.cluster, requirements);
+            waiting_s[i] = waits ? waiting_s[i] + 1 : 0;
+            if (waiting_s[i] >= 90)
                 fail_msg("seed %u: %s waits although a machine has room", seed, id);
         }
     }
@@ -92,7 +92,7 @@
     }
 }
 
-static struct sim_cluster *start_sim(guint32 seed, bool sharded, const struct sim_observer *observer)
+static struct sim_cluster *start_cluster(guint32 seed, bool sharded, const struct sim_observer *observer)
 {
     struct sim_cluster *cluster = sim_new();
     if (observer != NULL)
@@ -109,47 +109,47 @@
     return cluster;
 }
 
-static void play_failures(struct chaos_day *day)
+static void inject_failures(struct chaos_scenario *scenario)
 {
-    struct sim_cluster *cluster = day->failures.cluster;
+    struct sim_cluster *cluster = scenario->failures.cluster;
     for (int i = 0; i < JOBS; i++) {
-        submit_until_accepted(day, i);
-        sim_run(cluster, g_rand_double_range(day->failures.rand, 0, 3));
-        chaos_failures_disturb(&day->failures);
+        submit_until_accepted(scenario, i);
+        sim_run(cluster, g_rand_double_range(scenario->failures.rand, 0, 3));
+        chaos_failures_inject(&scenario->failures);
     }
     for (int i = 0; i < 15; i++) {
-        sim_run(cluster, g_rand_double_range(day->failures.rand, 0, 6));
-        chaos_failures_disturb(&day->failures);
+        sim_run(cluster, g_rand_double_range(scenario->failures.rand, 0, 6));
+        chaos_failures_inject(&scenario->failures);
         if (i % 5 == 0)
-            cancel_some(day);
+            cancel_random_job(scenario);
     }
 }
 
 /* Every job has completed or was cancelled, and no safety rule was broken. */
-static void check_end(struct chaos_day *day, guint32 seed)
+static void check_end(struct chaos_scenario *scenario, guint32 seed)
 {
-    struct sim_cluster *cluster = day->failures.cluster;
+    struct sim_cluster *cluster = scenario->failures.cluster;
     for (int i = 0; i < JOBS; i++) {
         char id[16];
         job_id(id, sizeof id, i);
         int state = sim_job_state(cluster, id);
-        if (state != OW_JOB_DONE && !(state == OW_JOB_CANCELLED && day->cancelled[i]))
+        if (state != OW_JOB_DONE && !(state == OW_JOB_CANCELLED && scenario->cancelled[i]))
             fail_msg("seed %u: %s ends as %d", seed, id, state);
     }
     if (cluster->violations->len > 0 || cluster->oversized_txns > 0)
         fail_msg("seed %u: %s", seed, cluster->violations->str);
 }
 
-void chaos_day_play(guint32 seed, bool sharded, const struct sim_observer *observer)
+void chaos_scenario_run(guint32 seed, bool sharded, const struct sim_observer *observer)
 {
-    struct chaos_day day = {0};
-    chaos_failures_init(&day.failures, start_sim(seed, sharded, observer), seed);
-    play_failures(&day);
-    chaos_failures_end(&day.failures);
-    sim_run(day.failures.cluster, 25);
-    poll_all(&day);
-    watch_waiting(&day, seed, 175);
-    check_end(&day, seed);
-    chaos_failures_clear(&day.failures);
-    sim_free(day.failures.cluster);
+    struct chaos_scenario scenario = {0};
+    chaos_failures_init(&scenario.failures, start_cluster(seed, sharded, observer), seed);
+    inject_failures(&scenario);
+    chaos_failures_end(&scenario.failures);
+    sim_run(scenario.failures.cluster, 25);
+    check_all_known(&scenario);
+    check_no_job_starves(&scenario, seed, 175);
+    check_end(&scenario, seed);
+    chaos_failures_clear(&scenario.failures);
+    sim_free(scenario.failures.cluster);
 }
--- a/tests/sim/failure_setup.c
+++ b/tests/sim/failure_setup.c
@@ -27,8 +27,8 @@
         return;
     if (canceller->request != 0 && sim_status(cluster, canceller->request) == 200)
         canceller->answered_at = cluster->now;
-    else if (cluster->now >= canceller->asked_at + 1) {
-        canceller->asked_at = cluster->now;
+    else if (cluster->now >= canceller->requested_at + 1) {
+        canceller->requested_at = cluster->now;
         canceller->request = sim_cancel(cluster, canceller->controller, canceller->id);
     }
 }
--- a/tests/sim/failure_setup.h
+++ b/tests/sim/failure_setup.h
@@ -10,11 +10,11 @@
 
 /** A user who retries a cancellation every second until it is confirmed. */
 struct canceller {
-    const char *id;     /**< of the job */
-    int controller;     /**< that it asks */
-    uint64_t request;   /**< the last one; 0: none yet */
-    double asked_at;    /**< its time */
-    double answered_at; /**< the time of the confirmation; 0: there is none yet */
+    const char *id;      /**< of the job */
+    int controller;      /**< that it asks */
+    uint64_t request;    /**< the last one; 0: none yet */
+    double requested_at; /**< its time */
+    double answered_at;  /**< the time of the confirmation; 0: there is none yet */
 };
 
 /** A cluster with all controllers and these machines, on which tasks run for 300 s. */
--- a/tests/sim/sim_checks.c
+++ b/tests/sim/sim_checks.c
@@ -1,6 +1,6 @@
 /* The checks of the safety rules on the simulated machines: each breach is recorded as a violation. They look
  * at what is really on the machines, never at what a controller believes. */
-#include "sim_parts.h"
+#include "sim_internal.h"
 #include "model/submission.h"
 #include "model/worker.h"
 
@@ -26,10 +26,10 @@
 /* No task of a job may start once its user was answered that the job has ended. */
 void sim_check_not_ended(struct sim_cluster *cluster, const char *job)
 {
-    const struct sim_announcement *announcement = g_hash_table_lookup(cluster->announcements, job);
-    if (announcement != NULL)
+    const struct sim_final_state *final = g_hash_table_lookup(cluster->final_states, job);
+    if (final != NULL)
         g_string_append_printf(cluster->violations, "%s was told %s and is started; ", job,
-                               announcement->state == OW_JOB_DONE ? "done" : "cancelled");
+                               final->state == OW_JOB_DONE ? "done" : "cancelled");
 }
 
 const struct sim_requirements *sim_requirements_of(struct sim_cluster *cluster, const char *job)
@@ -39,16 +39,16 @@
 
 /* Calls `take` for every task that has not exited. */
 static void for_each_task(struct sim_cluster *cluster,
-                          void (*take)(struct sim_cluster *cluster, const struct sim_machine *machine,
-                                       const struct sim_task *task, void *sum),
-                          void *sum)
+                          void (*visit)(struct sim_cluster *cluster, const struct sim_machine *machine,
+                                        const struct sim_task *task, void *context),
+                          void *context)
 {
     for (guint i = 0; i < cluster->machines->len; i++) {
         const struct sim_machine *machine = sim_machine_at(cluster, i);
         for (guint k = 0; !machine->deleted && k < machine->tasks->len; k++) {
             const struct sim_task *task = &g_array_index(machine->tasks, struct sim_task, k);
             if (task->phase != OW_PHASE_EXITED)
-                take(cluster, machine, task, sum);
+                visit(cluster, machine, task, context);
         }
     }
 }
@@ -59,10 +59,10 @@
 };
 
 static void add_team_usage(struct sim_cluster *cluster, const struct sim_machine *machine,
-                           const struct sim_task *task, void *sum)
+                           const struct sim_task *task, void *context)
 {
     const struct sim_requirements *requirements = sim_requirements_of(cluster, task->job);
-    struct team_usage *usage = sum;
+    struct team_usage *usage = context;
     (void)machine;
     if (requirements != NULL && strcmp(requirements->team, usage->team) == 0)
         usage->cpus += requirements->cpus;
@@ -91,10 +91,10 @@
     uint32_t in_zone, elsewhere;
 };
 
-static void add_zone(struct sim_cluster *cluster, const struct sim_machine *machine,
-                     const struct sim_task *task, void *sum)
+static void count_zone(struct sim_cluster *cluster, const struct sim_machine *machine,
+                       const struct sim_task *task, void *context)
 {
-    struct zone_counts *counts = sum;
+    struct zone_counts *counts = context;
     (void)cluster;
     if (strcmp(task->job, counts->job) != 0)
         return;
@@ -111,7 +111,7 @@
     if (requirements == NULL)
         return;
     if (requirements->one_zone || requirements->spread)
-        for_each_task(cluster, add_zone, &counts);
+        for_each_task(cluster, count_zone, &counts);
     if ((requirements->zone[0] != '\0' && strcmp(requirements->zone, machine->zone) != 0) ||
         (machine->spot && !requirements->spot) || (requirements->one_zone && counts.elsewhere > 0) ||
         (requirements->spread && counts.in_zone > (requirements->tasks + 1) / 2))
@@ -122,10 +122,9 @@
 {
     for (guint i = 0; i < machine->tasks->len; i++) {
         const struct sim_task *task = &g_array_index(machine->tasks, struct sim_task, i);
-        const struct sim_announcement *announcement = g_hash_table_lookup(cluster->announcements, task->job);
-        if (task->phase != OW_PHASE_EXITED && announcement != NULL &&
-            announcement->state == OW_JOB_CANCELLED &&
-            cluster->now > announcement->at + cluster->settings[0].cancel_s)
+        const struct sim_final_state *final = g_hash_table_lookup(cluster->final_states, task->job);
+        if (task->phase != OW_PHASE_EXITED && final != NULL && final->state == OW_JOB_CANCELLED &&
+            cluster->now > final->at + cluster->settings[0].cancel_s)
             g_string_append_printf(cluster->violations, "%s/%u is on %s long after it was cancelled; ",
                                    task->job, task->task, machine->name);
     }
--- a/tests/sim/sim_cloud.c
+++ b/tests/sim/sim_cloud.c
@@ -1,7 +1,7 @@
 /* The simulated cloud: types, lists, provisioning and termination of machines. Tests may take it down
  * (`cloud_down`) and bound what can be provisioned (`provisionable_machines`); sim_delete_machine() reclaims
  * a machine. */
-#include "sim_parts.h"
+#include "sim_internal.h"
 #include "model/cloud.h"
 #include "model/event.h"
 
@@ -35,12 +35,12 @@
 {
     GArray *list = g_array_new(FALSE, TRUE, sizeof(struct ow_listed_machine));
     g_array_set_clear_func(list, ow_listed_machine_clear);
-    bool begun = after == NULL;
+    bool started = after == NULL;
     *more = false;
     for (guint i = 0; i < cluster->machines->len && !*more; i++) {
         const struct sim_machine *machine = sim_machine_at(cluster, i);
-        if (!begun) {
-            begun = strcmp(machine->name, after) == 0;
+        if (!started) {
+            started = strcmp(machine->name, after) == 0;
             continue;
         }
         *more = list->len == PAGE_MACHINES;
--- a/tests/sim/sim_cluster.c
+++ b/tests/sim/sim_cluster.c
@@ -1,6 +1,6 @@
 /* The simulated cluster: its clock, the delivery of events to controllers, and the execution of their
  * effects. */
-#include "sim_parts.h"
+#include "sim_internal.h"
 
 #include "check.h"
 
@@ -66,10 +66,10 @@
     g_ptr_array_add(cluster->deliveries, delivery);
 }
 
-static void carry_out(struct sim_cluster *cluster, int controller, struct ow_effect *effect)
+static void carry_out_effect(struct sim_cluster *cluster, int controller, struct ow_effect *effect)
 {
-    if (cluster->observer.see != NULL)
-        cluster->observer.see(cluster->observer.data, cluster, controller, effect);
+    if (cluster->observer.on_effect != NULL)
+        cluster->observer.on_effect(cluster->observer.data, cluster, controller, effect);
     switch (effect->kind) {
     case OW_EFFECT_JOB:
     case OW_EFFECT_REFUSE:
@@ -95,7 +95,7 @@
     }
 }
 
-static void deliver_due(struct sim_cluster *cluster)
+static void deliver_due_events(struct sim_cluster *cluster)
 {
     guint kept = 0;
     for (guint i = 0; i < cluster->deliveries->len; i++) {
@@ -119,14 +119,14 @@
     cluster->now += STEP_S;
     sim_store_step(cluster);
     sim_workers_step(cluster);
-    deliver_due(cluster);
+    deliver_due_events(cluster);
     for (int i = 0; i < SIM_CONTROLLERS; i++) {
         if (cluster->controllers[i] == NULL || cluster->frozen[i])
             continue;
         GPtrArray *effects =
             ow_shard_manager_step(cluster->controllers[i], cluster->now, cluster->now + TIME_OF_DAY);
         for (guint k = 0; k < effects->len; k++)
-            carry_out(cluster, i, g_ptr_array_index(effects, k));
+            carry_out_effect(cluster, i, g_ptr_array_index(effects, k));
         g_ptr_array_free(effects, TRUE);
     }
 }
--- a/tests/sim/sim_cluster.h
+++ b/tests/sim/sim_cluster.h
@@ -30,8 +30,8 @@
 
 /** Is told of every effect of a controller, before it is carried out. */
 struct sim_observer {
-    void (*see)(void *data, const struct sim_cluster *cluster, int controller,
-                const struct ow_effect *effect);
+    void (*on_effect)(void *data, const struct sim_cluster *cluster, int controller,
+                      const struct ow_effect *effect);
     void *data;
 };
 
@@ -104,9 +104,9 @@
     unsigned direct_commands_sent;    /**< requests with direct commands */
 
     /* Users. */
-    GHashTable *responses;     /**< request -> struct sim_response */
-    GHashTable *requirements;  /**< job -> struct sim_requirements */
-    GHashTable *announcements; /**< job -> struct sim_announcement */
+    GHashTable *responses;    /**< request -> struct sim_response */
+    GHashTable *requirements; /**< job -> struct sim_requirements */
+    GHashTable *final_states; /**< job -> struct sim_final_state */
     uint64_t last_request;
 };
 
--- a/tests/sim/sim_controllers.c
+++ b/tests/sim/sim_controllers.c
@@ -1,5 +1,5 @@
 /* The simulated controllers as processes: start, crash, a process that stands still, and who leads. */
-#include "sim_parts.h"
+#include "sim_internal.h"
 
 void sim_start_controller(struct sim_cluster *cluster, int controller)
 {
--- a/tests/sim/sim_controllers.h
+++ b/tests/sim/sim_controllers.h
@@ -21,7 +21,7 @@
 /** Kills every controller that is up. */
 void sim_kill_controllers(struct sim_cluster *cluster);
 /** Tells one controller that its link to another is broken. */
-void sim_break_peer_link(struct sim_cluster *cluster, int controller, int lost);
+void sim_break_peer_link(struct sim_cluster *cluster, int controller, int other);
 /** The controller's process stands still; what is sent to it waits. */
 void sim_freeze_controller(struct sim_cluster *cluster, int controller);
 /** A frozen process goes on, and is told how long it stood still. */
--- a/tests/sim/sim_parts.h
+++ b/tests/sim/sim_internal.h
@@ -1,6 +1,6 @@
 /** @file What the files of the simulated cluster share, and tests do not use. */
-#ifndef OW_TESTS_SIM_PARTS_H
-#define OW_TESTS_SIM_PARTS_H
+#ifndef OW_TESTS_SIM_INTERNAL_H
+#define OW_TESTS_SIM_INTERNAL_H
 
 #include "sim_cluster.h"
 #include "model/cloud.h"
--- a/tests/sim/sim_jobs.c
+++ b/tests/sim/sim_jobs.c
@@ -1,5 +1,5 @@
 /* Jobs that are brought to the state in which many tests need them. */
-#include "sim_parts.h"
+#include "sim_internal.h"
 
 #include "check.h"
 
--- a/tests/sim/sim_peers.c
+++ b/tests/sim/sim_peers.c
@@ -1,7 +1,7 @@
 /* The simulated links between controllers: each message is encoded and decoded as for the wire. Tests may
  * partition all links (`peers_partitioned`), isolate one controller (`isolated_controller`), let a controller
  * send and read as the earlier version does (`runs_old_version`), or break one link. */
-#include "sim_parts.h"
+#include "sim_internal.h"
 
 #include "check.h"
 #include "model/peer.h"
@@ -34,10 +34,10 @@
     g_string_free(frame, TRUE);
 }
 
-void sim_break_peer_link(struct sim_cluster *cluster, int controller, int lost)
+void sim_break_peer_link(struct sim_cluster *cluster, int controller, int other)
 {
     struct ow_event *event = ow_event_new(OW_EVENT_PEER, 0);
     event->peer = ow_peer_message_new(OW_PEER_LINK_LOST);
-    event->peer->sender = g_strdup(cluster->settings[lost].controller_name);
+    event->peer->sender = g_strdup(cluster->settings[other].controller_name);
     sim_deliver(cluster, controller, cluster->process_nonce[controller], 0.01, event);
 }
--- a/tests/sim/sim_queries.c
+++ b/tests/sim/sim_queries.c
@@ -1,5 +1,5 @@
 /* What tests ask about the tasks on the simulated machines. */
-#include "sim_parts.h"
+#include "sim_internal.h"
 
 #include "model/records.h"
 #include "model/worker.h"
@@ -28,10 +28,10 @@
 
 unsigned sim_count_launches(const struct sim_cluster *cluster)
 {
-    unsigned starts = 0;
+    unsigned total = 0;
     for (guint i = 0; i < cluster->machines->len; i++)
-        starts += sim_machine_at(cluster, i)->launches;
-    return starts;
+        total += sim_machine_at(cluster, i)->launches;
+    return total;
 }
 
 bool sim_job_is_running(struct sim_cluster *cluster, const void *job)
@@ -70,8 +70,8 @@
 
 bool sim_job_runs_on_another(struct sim_cluster *cluster, const void *machine)
 {
-    const struct sim_machine *m = sim_find_machine_of_job(cluster, "run-1");
-    return m != NULL && m != machine;
+    const struct sim_machine *found = sim_find_machine_of_job(cluster, "run-1");
+    return found != NULL && found != machine;
 }
 
 unsigned sim_count_running_in_zone(struct sim_cluster *cluster, const char *job, const char *zone)
--- a/tests/sim/sim_settings.c
+++ b/tests/sim/sim_settings.c
@@ -1,5 +1,5 @@
 /* The settings that all tests start from, of each controller. */
-#include "sim_parts.h"
+#include "sim_internal.h"
 
 /* NOLINTNEXTLINE(readability-non-const-parameter): settings have names that may be changed */
 static void add_team(GArray *teams, char *name, double cpus_max, double gpus_max)
--- a/tests/sim/sim_setup.c
+++ b/tests/sim/sim_setup.c
@@ -1,5 +1,5 @@
 /* Simulated clusters in the initial states that several tests share. */
-#include "sim_parts.h"
+#include "sim_internal.h"
 
 #include "check.h"
 
--- a/tests/sim/sim_store.c
+++ b/tests/sim/sim_store.c
@@ -3,7 +3,7 @@
  * (`store_latency_s`), delay transactions (`delay_txns`, `delay_next_txns`, `keep_txns_delayed`), lose their
  * responses (`lose_txn_responses`), and silence or overflow watches (`silent_watches`, `watch_changes_max`).
  */
-#include "sim_store_parts.h"
+#include "sim_store_internal.h"
 #include "model/effect.h"
 #include "model/event.h"
 
@@ -53,7 +53,7 @@
     g_array_free(cluster->changes, TRUE);
 }
 
-static double answer_time(const struct sim_cluster *cluster, int controller)
+static double response_latency_s(const struct sim_cluster *cluster, int controller)
 {
     return 0.01 + (cluster->store_latency_controller < 0 || controller == cluster->store_latency_controller
                        ? cluster->store_latency_s
@@ -68,11 +68,11 @@
     event->store.revision = cluster->revision;
     if (reply.items == NULL)
         event->store.items = sim_store_items_new();
-    sim_deliver(cluster, controller, nonce, answer_time(cluster, controller), event);
+    sim_deliver(cluster, controller, nonce, response_latency_s(cluster, controller), event);
 }
 
-static void do_txn(struct sim_cluster *cluster, int controller, uint64_t nonce,
-                   const struct ow_store_request *request)
+static void handle_txn(struct sim_cluster *cluster, int controller, uint64_t nonce,
+                       const struct ow_store_request *request)
 {
     char **failed = NULL;
     int status = sim_apply_txn(cluster, request, &failed);
@@ -90,14 +90,14 @@
     }
 }
 
-static gint by_key(gconstpointer a, gconstpointer b)
+static gint compare_keys(gconstpointer a, gconstpointer b)
 {
     return strcmp(*(const char *const *)a, *(const char *const *)b);
 }
 
 /* A page of the list: so many items, and so many bytes. */
-static void do_list(struct sim_cluster *cluster, int controller, uint64_t nonce,
-                    const struct ow_store_request *request)
+static void handle_list(struct sim_cluster *cluster, int controller, uint64_t nonce,
+                        const struct ow_store_request *request)
 {
     GPtrArray *keys = g_ptr_array_new();
     GArray *items = sim_store_items_new();
@@ -109,7 +109,7 @@
         if (g_str_has_prefix(key, request->key) &&
             (request->start_after_key == NULL || strcmp(key, request->start_after_key) > 0))
             g_ptr_array_add(keys, key);
-    g_ptr_array_sort(keys, by_key);
+    g_ptr_array_sort(keys, compare_keys);
     while (items->len < keys->len && items->len < PAGE_ITEMS && bytes < PAGE_BYTES) {
         const struct sim_value *value =
             g_hash_table_lookup(cluster->keys, g_ptr_array_index(keys, items->len));
@@ -123,30 +123,30 @@
     g_ptr_array_free(keys, TRUE);
 }
 
-static void do_lease(struct sim_cluster *cluster, int controller, uint64_t nonce,
-                     const struct ow_store_request *request)
+static void handle_lease(struct sim_cluster *cluster, int controller, uint64_t nonce,
+                         const struct ow_store_request *request)
 {
     uint64_t *id = g_new(uint64_t, 1);
-    double *until = g_new(double, 1);
+    double *expires_at = g_new(double, 1);
     *id = ++cluster->last_lease;
-    *until = cluster->now + request->duration_s;
-    g_hash_table_replace(cluster->leases, id, until);
+    *expires_at = cluster->now + request->duration_s;
+    g_hash_table_replace(cluster->leases, id, expires_at);
     sim_store_respond(cluster, controller, nonce,
                       (struct ow_store_reply){.tag = request->tag, .status = 200, .lease = *id});
 }
 
-static void do_renew(struct sim_cluster *cluster, int controller, uint64_t nonce,
-                     const struct ow_store_request *request)
+static void handle_renew(struct sim_cluster *cluster, int controller, uint64_t nonce,
+                         const struct ow_store_request *request)
 {
-    double *until = g_hash_table_lookup(cluster->leases, &request->lease);
-    if (until != NULL)
-        *until = cluster->now + cluster->tuning.leader_lease_s;
+    double *expires_at = g_hash_table_lookup(cluster->leases, &request->lease);
+    if (expires_at != NULL)
+        *expires_at = cluster->now + cluster->tuning.leader_lease_s;
     sim_store_respond(cluster, controller, nonce,
-                      (struct ow_store_reply){.tag = request->tag, .status = until != NULL ? 200 : 404});
+                      (struct ow_store_reply){.tag = request->tag, .status = expires_at != NULL ? 200 : 404});
 }
 
-static void do_get(struct sim_cluster *cluster, int controller, uint64_t nonce,
-                   const struct ow_store_request *request)
+static void handle_get(struct sim_cluster *cluster, int controller, uint64_t nonce,
+                       const struct ow_store_request *request)
 {
     const struct sim_value *value = g_hash_table_lookup(cluster->keys, request->key);
     GArray *items = sim_store_items_new();
@@ -177,14 +177,14 @@
 }
 
 /* The request of an isolated controller times out. */
-static void time_out(struct sim_cluster *cluster, int controller, uint64_t tag)
+static void time_out_request(struct sim_cluster *cluster, int controller, uint64_t tag)
 {
     struct ow_event *event = ow_event_new(OW_EVENT_STORE, tag);
     event->store = (struct ow_store_reply){.tag = tag, .items = sim_store_items_new()};
     sim_deliver(cluster, controller, cluster->process_nonce[controller], STORE_TIMEOUT_S, event);
 }
 
-static void handle_reachable(struct sim_cluster *cluster, int controller, struct ow_effect *effect)
+static void handle_request(struct sim_cluster *cluster, int controller, struct ow_effect *effect)
 {
     const struct ow_store_request *request = effect->store;
     uint64_t nonce = cluster->process_nonce[controller];
@@ -193,22 +193,22 @@
         if (is_delayed(cluster, controller))
             delay_txn(cluster, controller, g_steal_pointer(&effect->store));
         else
-            do_txn(cluster, controller, nonce, request);
+            handle_txn(cluster, controller, nonce, request);
         return;
     case OW_STORE_LIST:
-        do_list(cluster, controller, nonce, request);
+        handle_list(cluster, controller, nonce, request);
         return;
     case OW_STORE_WATCH:
         sim_store_watch(cluster, controller, nonce, request);
         return;
     case OW_STORE_GRANT_LEASE:
-        do_lease(cluster, controller, nonce, request);
+        handle_lease(cluster, controller, nonce, request);
         return;
     case OW_STORE_KEEP_ALIVE:
-        do_renew(cluster, controller, nonce, request);
+        handle_renew(cluster, controller, nonce, request);
         return;
     case OW_STORE_GET:
-        do_get(cluster, controller, nonce, request);
+        handle_get(cluster, controller, nonce, request);
         return;
     }
 }
@@ -219,12 +219,12 @@
     cluster->store_requests++;
     cluster->store_mutations += request->mutations != NULL ? request->mutations->len : 0;
     if (controller == cluster->isolated_controller)
-        time_out(cluster, controller, request->tag);
+        time_out_request(cluster, controller, request->tag);
     else if (cluster->store_down || controller == cluster->controller_without_store)
         sim_store_respond(cluster, controller, cluster->process_nonce[controller],
                           (struct ow_store_reply){.tag = request->tag, .status = 503});
     else
-        handle_reachable(cluster, controller, effect);
+        handle_request(cluster, controller, effect);
 }
 
 static void release_delayed_txns(struct sim_cluster *cluster)
@@ -240,7 +240,7 @@
         if (cluster->delay_txns || cluster->keep_txns_delayed)
             continue;
         if (delayed->nonce != 0) {
-            do_txn(cluster, delayed->controller, delayed->nonce, delayed->request);
+            handle_txn(cluster, delayed->controller, delayed->nonce, delayed->request);
         } else {
             char **failed = NULL;
             sim_apply_txn(cluster, delayed->request, &failed);
--- a/tests/sim/sim_store_parts.h
+++ b/tests/sim/sim_store_internal.h
@@ -1,8 +1,8 @@
 /** @file What the files of the simulated key-value store share. */
-#ifndef OW_TESTS_SIM_STORE_PARTS_H
-#define OW_TESTS_SIM_STORE_PARTS_H
+#ifndef OW_TESTS_SIM_STORE_INTERNAL_H
+#define OW_TESTS_SIM_STORE_INTERNAL_H
 
-#include "sim_parts.h"
+#include "sim_internal.h"
 
 /** The value of a key. */
 struct sim_value {
--- a/tests/sim/sim_store_leases.c
+++ b/tests/sim/sim_store_leases.c
@@ -1,6 +1,6 @@
 /* The leases of the simulated key-value store: their expiry removes their keys. Leases do not expire in an
  * outage (`store_down`). */
-#include "sim_store_parts.h"
+#include "sim_store_internal.h"
 
 static void end_lease(struct sim_cluster *cluster, uint64_t lease)
 {
@@ -21,10 +21,10 @@
 {
     GHashTableIter iter;
     void *id;
-    void *until;
+    void *expires_at;
     g_hash_table_iter_init(&iter, cluster->leases);
-    while (!cluster->store_down && g_hash_table_iter_next(&iter, &id, &until)) {
-        if (*(double *)until >= cluster->now)
+    while (!cluster->store_down && g_hash_table_iter_next(&iter, &id, &expires_at)) {
+        if (*(double *)expires_at >= cluster->now)
             continue;
         uint64_t lease = *(uint64_t *)id;
         g_hash_table_iter_remove(&iter);
@@ -36,8 +36,8 @@
 {
     GHashTableIter iter;
     void *id;
-    void *until;
+    void *expires_at;
     g_hash_table_iter_init(&iter, cluster->leases);
-    while (cluster->store_down && g_hash_table_iter_next(&iter, &id, &until))
-        *(double *)until = cluster->now + cluster->tuning.leader_lease_s;
+    while (cluster->store_down && g_hash_table_iter_next(&iter, &id, &expires_at))
+        *(double *)expires_at = cluster->now + cluster->tuning.leader_lease_s;
 }
--- a/tests/sim/sim_store_queries.c
+++ b/tests/sim/sim_store_queries.c
@@ -1,5 +1,5 @@
 /* What tests read from the simulated key-value store. */
-#include "sim_store_parts.h"
+#include "sim_store_internal.h"
 
 #include "model/records.h"
 #include "wire/json.h"
--- a/tests/sim/sim_store_values.c
+++ b/tests/sim/sim_store_values.c
@@ -1,7 +1,7 @@
 /* The simulated key-value store's values, changes and transactions. Tests may lower the limits of a value's
  * size
  * (`value_kb`) and of a transaction's mutations (`txn_ops`). */
-#include "sim_store_parts.h"
+#include "sim_store_internal.h"
 
 #include "model/records.h"
 #include "wire/json.h"
@@ -27,12 +27,12 @@
     return value != NULL ? value->version : 0;
 }
 
-static bool lease_alive(struct sim_cluster *cluster, uint64_t lease)
+static bool lease_is_alive(struct sim_cluster *cluster, uint64_t lease)
 {
     return lease == 0 || g_hash_table_contains(cluster->leases, &lease);
 }
 
-static void put(struct sim_cluster *cluster, const struct ow_store_mutation *change)
+static void apply_mutation(struct sim_cluster *cluster, const struct ow_store_mutation *change)
 {
     sim_append_change(cluster, change->key, change->value);
     if (change->value == NULL) {
@@ -47,10 +47,10 @@
 /* Records in finer chunks, which a controller of the first format would drop when it rewrites the value. */
 static void check_format(struct sim_cluster *cluster, const struct ow_store_mutation *change)
 {
-    bool old = false;
+    bool any_old_version = false;
     for (int i = 0; i < SIM_CONTROLLERS; i++)
-        old = old || cluster->runs_old_version[i];
-    if (!old || change->value == NULL || !g_str_has_prefix(change->key, OW_KEY_PROGRESS))
+        any_old_version = any_old_version || cluster->runs_old_version[i];
+    if (!any_old_version || change->value == NULL || !g_str_has_prefix(change->key, OW_KEY_PROGRESS))
         return;
     json_t *record_value = json_loads(change->value, 0, NULL);
     const char *name;
@@ -67,7 +67,7 @@
 int sim_apply_txn(struct sim_cluster *cluster, const struct ow_store_request *request, char ***failed)
 {
     GPtrArray *failed_keys = g_ptr_array_new();
-    bool large =
+    bool oversized =
         request->mutations->len > cluster->txn_ops || request->comparisons->len > 4 * cluster->txn_ops;
     for (guint i = 0; i < request->comparisons->len; i++) {
         const struct ow_store_comparison *comparison =
@@ -78,23 +78,24 @@
     for (guint i = 0; i < request->mutations->len; i++) {
         const struct ow_store_mutation *change =
             &g_array_index(request->mutations, struct ow_store_mutation, i);
-        large = large || (change->value != NULL && (double)strlen(change->value) > 1024 * cluster->value_kb);
+        oversized =
+            oversized || (change->value != NULL && (double)strlen(change->value) > 1024 * cluster->value_kb);
         check_format(cluster, change);
     }
-    cluster->oversized_txns += large ? 1 : 0;
-    bool ok = failed_keys->len == 0;
+    cluster->oversized_txns += oversized ? 1 : 0;
+    bool conditions_hold = failed_keys->len == 0;
     g_ptr_array_add(failed_keys, NULL);
     *failed = (char **)g_ptr_array_free(failed_keys, FALSE);
-    if (large)
+    if (oversized)
         return 400;
-    for (guint i = 0; ok && i < request->mutations->len; i++)
-        if (!lease_alive(cluster, g_array_index(request->mutations, struct ow_store_mutation, i).lease))
+    for (guint i = 0; conditions_hold && i < request->mutations->len; i++)
+        if (!lease_is_alive(cluster, g_array_index(request->mutations, struct ow_store_mutation, i).lease))
             return 400;
-    if (!ok)
+    if (!conditions_hold)
         return 409;
     cluster->revision++;
     for (guint i = 0; i < request->mutations->len; i++)
-        put(cluster, &g_array_index(request->mutations, struct ow_store_mutation, i));
+        apply_mutation(cluster, &g_array_index(request->mutations, struct ow_store_mutation, i));
     return 200;
 }
 
--- a/tests/sim/sim_store_watches.c
+++ b/tests/sim/sim_store_watches.c
@@ -1,6 +1,6 @@
 /* The watches of the simulated key-value store. Tests may silence them (`silent_watches`) and bound the
  * changes that one response can have (`watch_changes_max`). */
-#include "sim_store_parts.h"
+#include "sim_store_internal.h"
 
 #include "model/effect.h"
 
@@ -9,7 +9,7 @@
     int controller;
     uint64_t nonce, tag, since;
     char *prefix;
-    double until;
+    double deadline;
 };
 
 static void free_watch(struct watch *watch)
@@ -63,7 +63,7 @@
             watch->controller == cluster->controller_without_store)
             continue;
         GArray *items = sim_changes_since(cluster, watch->prefix, watch->since);
-        if ((items->len == 0 || cluster->silent_watches) && cluster->now < watch->until) {
+        if ((items->len == 0 || cluster->silent_watches) && cluster->now < watch->deadline) {
             g_array_free(items, TRUE);
             continue;
         }
--- a/tests/sim/sim_users.c
+++ b/tests/sim/sim_users.c
@@ -1,6 +1,6 @@
 /* The simulated users: their requests, the responses to them, and the check that a final state never changes.
  */
-#include "sim_parts.h"
+#include "sim_internal.h"
 
 #include "check.h"
 #include "model/effect.h"
@@ -19,26 +19,26 @@
 {
     cluster->responses = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, response_free);
     cluster->requirements = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-    cluster->announcements = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+    cluster->final_states = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 }
 
 void sim_users_clear(struct sim_cluster *cluster)
 {
     g_hash_table_destroy(cluster->responses);
     g_hash_table_destroy(cluster->requirements);
-    g_hash_table_destroy(cluster->announcements);
+    g_hash_table_destroy(cluster->final_states);
 }
 
-static void check_announcement(struct sim_cluster *cluster, const char *id, enum ow_job_state state)
+static void check_final_state(struct sim_cluster *cluster, const char *id, enum ow_job_state state)
 {
-    const struct sim_announcement *before = g_hash_table_lookup(cluster->announcements, id);
+    const struct sim_final_state *before = g_hash_table_lookup(cluster->final_states, id);
     if (before != NULL && before->state != state)
         g_string_append_printf(cluster->violations, "%s went back from %d to %d; ", id, before->state, state);
     if (before != NULL || (state != OW_JOB_DONE && state != OW_JOB_CANCELLED))
         return;
-    struct sim_announcement *announcement = g_new0(struct sim_announcement, 1);
-    *announcement = (struct sim_announcement){state, cluster->now};
-    g_hash_table_replace(cluster->announcements, g_strdup(id), announcement);
+    struct sim_final_state *final = g_new0(struct sim_final_state, 1);
+    *final = (struct sim_final_state){state, cluster->now};
+    g_hash_table_replace(cluster->final_states, g_strdup(id), final);
 }
 
 void sim_users_handle_response(struct sim_cluster *cluster, const struct ow_effect *effect)
@@ -50,7 +50,7 @@
         (struct sim_response){effect->request, effect->status, effect->state, effect->retry_after_s,
                               g_strdup(effect->kind == OW_EFFECT_REFUSE ? effect->error : effect->reason)};
     if (effect->kind == OW_EFFECT_JOB)
-        check_announcement(cluster, effect->id, effect->state);
+        check_final_state(cluster, effect->id, effect->state);
     g_hash_table_replace(cluster->responses, key, response);
 }
 
--- a/tests/sim/sim_users.h
+++ b/tests/sim/sim_users.h
@@ -28,7 +28,7 @@
 };
 
 /** The final state of a job as its user was first answered. */
-struct sim_announcement {
+struct sim_final_state {
     enum ow_job_state state;
     double at;
 };
--- a/tests/sim/sim_workers.c
+++ b/tests/sim/sim_workers.c
@@ -2,7 +2,7 @@
  * lease expires. Tests set the failures of struct sim_machine, delay direct commands
  * (`delay_direct_commands`), let controllers run out of sockets (`no_sockets`), and set the run time of tasks
  * (`run_time_s`). */
-#include "sim_parts.h"
+#include "sim_internal.h"
 #include "model/effect.h"
 #include "model/event.h"
 #include "model/worker.h"
@@ -197,9 +197,10 @@
     machine->awaits_response = false;
     machine->next_heartbeat_at = cluster->now + cluster->settings[0].heartbeat_interval_s;
     if (effect->kind == OW_EFFECT_REDIRECT) {
-        int named = effect->redirect_to != NULL ? atoi(effect->redirect_to + strlen("node-")) : controller;
-        machine->controller = named != controller ? named : (controller + 1) % SIM_CONTROLLERS;
-        machine->next_heartbeat_at = cluster->now + (named != controller ? 0.1 : 1);
+        int redirected =
+            effect->redirect_to != NULL ? atoi(effect->redirect_to + strlen("node-")) : controller;
+        machine->controller = redirected != controller ? redirected : (controller + 1) % SIM_CONTROLLERS;
+        machine->next_heartbeat_at = cluster->now + (redirected != controller ? 0.1 : 1);
         return;
     }
     if (effect->fencing_token < machine->fencing_token)
--- a/tests/sim/workload_jobs.c
+++ b/tests/sim/workload_jobs.c
@@ -45,7 +45,7 @@
     sim_set_team(submission, one_in(rand, 40) ? "unknown" : team);
 }
 
-static void set_places(struct ow_submission *submission, GRand *rand)
+static void set_placement(struct ow_submission *submission, GRand *rand)
 {
     submission->one_zone = one_in(rand, 4);
     submission->spread = one_in(rand, 4);
@@ -56,7 +56,7 @@
 }
 
 /* Some deadlines can't be met from the start. */
-static void set_times(struct ow_submission *submission, GRand *rand)
+static void set_durations(struct ow_submission *submission, GRand *rand)
 {
     submission->estimate_s = g_rand_double_range(rand, 2, 40);
     if (one_in(rand, 2)) {
@@ -75,7 +75,7 @@
     if (one_in(rand, 4))
         submission->need = (struct ow_resources){1, 1, 1};
     set_class(submission, one_in(rand, 3) ? reporting_class : batch_class);
-    set_times(submission, rand);
+    set_durations(submission, rand);
     return submission;
 }
 
@@ -88,7 +88,7 @@
     if (one_in(rand, 3))
         submission->need = (struct ow_resources){2, one_in(rand, 2) ? 2 : 1, 1};
     set_class(submission, one_in(rand, 4) ? batch_class : training_class);
-    set_times(submission, rand);
+    set_durations(submission, rand);
     return submission;
 }
 
@@ -102,19 +102,19 @@
     return submission;
 }
 
-struct ow_submission *workload_job_new(guint32 day_seed, int job)
+struct ow_submission *workload_job_new(guint32 scenario_seed, int job)
 {
     static struct ow_submission *(*const kinds[])(const char *, GRand *) = {
         random_array, random_array, random_array, random_gang, random_gang, random_service};
     char id[16];
     workload_job_id(id, sizeof id, job);
-    GRand *rand = g_rand_new_with_seed(day_seed * JOB_SEEDS + (guint32)job);
+    GRand *rand = g_rand_new_with_seed(scenario_seed * JOB_SEEDS + (guint32)job);
     struct ow_submission *submission = kinds[g_rand_int_range(rand, 0, G_N_ELEMENTS(kinds))](id, rand);
     submission->rank = (enum ow_rank)g_rand_int_range(rand, OW_RANK_CRITICAL, OW_RANK_LOW + 1);
     submission->spot = !one_in(rand, 3);
     set_image(submission, rand);
     set_random_team(submission, rand);
-    set_places(submission, rand);
+    set_placement(submission, rand);
     g_rand_free(rand);
     return submission;
 }
--- a/tests/sim/workload_jobs.h
+++ b/tests/sim/workload_jobs.h
@@ -15,7 +15,7 @@
 /** Writes the id of the job of this number. */
 void workload_job_id(char *id, size_t size, int job);
 /** The submission of the job of this number, which the caller owns. */
-struct ow_submission *workload_job_new(guint32 day_seed, int job);
+struct ow_submission *workload_job_new(guint32 scenario_seed, int job);
 /** Adds the teams with guarantees and the SLOs of the classes to a controller's settings. */
 void workload_set_teams_and_slos(struct ow_settings *settings);
 
