--- a/tests/sim/chaos_failures.c
+++ b/tests/sim/chaos_failures.c
@@ -1,4 +1,4 @@
-/* Random overlapping failures of machines, controllers, store, cloud and links. */
+/* Random overlapping failures of machines, controllers, the key-value store, the cloud and links. */
 #include "chaos_failures.h"
 
 #include "model/worker.h"
@@ -79,7 +79,7 @@
     }
 }
 
-/* Its process stands still, for shorter or longer than its lease, or goes on. */
+/* Pauses a controller's process, for shorter or longer than its lease, or resumes it. */
 static void freeze_or_thaw(struct chaos_failures *failures)
 {
     int controller = g_rand_int_range(failures->rand, 0, SIM_CONTROLLERS);
@@ -93,7 +93,7 @@
 {
     int controller = g_rand_int_range(failures->rand, 0, SIM_CONTROLLERS);
     int other = (controller + 1) % SIM_CONTROLLERS;
-    /* Links break with and without their process. */
+    /* Links break with and without a crash of the process. */
     if (g_rand_boolean(failures->rand) && failures->cluster->controllers[other] != NULL)
         sim_break_peer_link(failures->cluster, other, controller);
     if (g_rand_int_range(failures->rand, 0, 4) == 0)
@@ -102,7 +102,7 @@
         sim_kill_controller(failures->cluster, controller);
     else
         sim_start_controller(failures->cluster, controller);
-    /* Some restart at once. */
+    /* One in three restarts at once. */
     if (failures->cluster->controllers[controller] == NULL && g_rand_int_range(failures->rand, 0, 3) == 0)
         sim_start_controller(failures->cluster, controller);
 }
--- a/tests/sim/chaos_scenario.c
+++ b/tests/sim/chaos_scenario.c
@@ -7,7 +7,7 @@
 
 enum { MACHINES = 6, JOBS = 14 };
 
-/* The state of one day. */
+/* The state of one run. */
 struct chaos_scenario {
     struct chaos_failures failures;
     bool cancelled[JOBS];
@@ -18,7 +18,7 @@
     g_snprintf(id, size, "run-%d", i + 1);
 }
 
-/* Users retry until their submission is accepted. */
+/* Submits the job repeatedly until it is accepted; failures end after 60 attempts, so that it can be. */
 static void submit_until_accepted(struct chaos_scenario *scenario, int i)
 {
     struct sim_cluster *cluster = scenario->failures.cluster;
@@ -39,7 +39,7 @@
         if (attempt > 60)
             chaos_failures_end(&scenario->failures);
     }
-    fail_msg("%s was never accepted", id);
+    fail_msg("job %s was not accepted in 200 attempts", id);
 }
 
 static void cancel_random_job(struct chaos_scenario *scenario)
@@ -51,18 +51,18 @@
     sim_cancel(scenario->failures.cluster, g_rand_int_range(scenario->failures.rand, 0, SIM_CONTROLLERS), id);
 }
 
-/* Once the failures are over, every poll is answered. */
+/* After the failures have ended, every poll is answered with a state. */
 static void check_all_known(struct chaos_scenario *scenario)
 {
     for (int i = 0; i < JOBS; i++) {
         char id[16];
         job_id(id, sizeof id, i);
         if (sim_job_state(scenario->failures.cluster, id) < 0)
-            fail_msg("no controller knows %s", id);
+            fail_msg("job %s is unknown to the controllers, or no poll of it was answered", id);
     }
 }
 
-/* Once the failures are over, no job waits for 90 s while a machine has room for it. */
+/* After the failures have ended, no job waits for 90 s while a machine has room for it. */
 static void check_no_job_starves(struct chaos_scenario *scenario, guint32 seed, int seconds)
 {
     int waiting_s[JOBS] = {0};
@@ -78,7 +78,7 @@
                          sim_has_room_for(scenario->failures.cluster, requirements);
             waiting_s[i] = waits ? waiting_s[i] + 1 : 0;
             if (waiting_s[i] >= 90)
-                fail_msg("seed %u: %s waits although a machine has room", seed, id);
+                fail_msg("seed %u: job %s has waited for 90 s although a machine has room for it", seed, id);
         }
     }
 }
@@ -100,7 +100,7 @@
     cluster->provisionable_machines = 40;
     if (sharded)
         sim_enable_sharding(cluster);
-    /* With every other seed the records need many values. */
+    /* With even seeds, small values make the records span many of them. */
     for (int i = 0; i < SIM_CONTROLLERS && seed % 2 == 0; i++)
         cluster->settings[i].value_kb = cluster->value_kb = 0.5;
     sim_start_controllers(cluster);
@@ -109,7 +109,7 @@
     return cluster;
 }
 
-static void inject_failures(struct chaos_scenario *scenario)
+static void submit_jobs_and_inject_failures(struct chaos_scenario *scenario)
 {
     struct sim_cluster *cluster = scenario->failures.cluster;
     for (int i = 0; i < JOBS; i++) {
@@ -125,7 +125,7 @@
     }
 }
 
-/* Every job has completed or was cancelled, and no safety rule was broken. */
+/* Every job is done, or cancelled at a user's request, and no safety rule was broken. */
 static void check_end(struct chaos_scenario *scenario, guint32 seed)
 {
     struct sim_cluster *cluster = scenario->failures.cluster;
@@ -134,7 +134,7 @@
         job_id(id, sizeof id, i);
         int state = sim_job_state(cluster, id);
         if (state != OW_JOB_DONE && !(state == OW_JOB_CANCELLED && scenario->cancelled[i]))
-            fail_msg("seed %u: %s ends as %d", seed, id, state);
+            fail_msg("seed %u: job %s ended in state %d", seed, id, state);
     }
     if (cluster->violations->len > 0 || cluster->oversized_txns > 0)
         fail_msg("seed %u: %s", seed, cluster->violations->str);
@@ -144,7 +144,7 @@
 {
     struct chaos_scenario scenario = {0};
     chaos_failures_init(&scenario.failures, start_cluster(seed, sharded, observer), seed);
-    inject_failures(&scenario);
+    submit_jobs_and_inject_failures(&scenario);
     chaos_failures_end(&scenario.failures);
     sim_run(scenario.failures.cluster, 25);
     check_all_known(&scenario);
--- a/tests/sim/failure_setup.c
+++ b/tests/sim/failure_setup.c
@@ -1,4 +1,4 @@
-/* Set-up for the tests of overlapping failures. */
+/* Setup for the tests of overlapping failures. */
 #include "failure_setup.h"
 
 #include "check.h"
--- a/tests/sim/sim_checks.c
+++ b/tests/sim/sim_checks.c
@@ -1,12 +1,12 @@
-/* The checks of the safety rules on the simulated machines: each breach is recorded as a violation. They look
- * at what is really on the machines, never at what a controller believes. */
+/* Checks of the safety rules on the simulated machines. They examine the actual tasks on the machines, never
+ * the state of a controller; each breach is recorded as a violation. */
 #include "sim_internal.h"
 #include "model/submission.h"
 #include "model/worker.h"
 
 #include <string.h>
 
-/* A task may only be on the machine where it was started last. */
+/* A task may only be on the machine of its last launch. */
 void sim_check_runs_once(struct sim_cluster *cluster, struct sim_machine *here,
                          const struct ow_worker_command *command)
 {
@@ -17,19 +17,19 @@
         const struct sim_task *task = &g_array_index(machine->tasks, struct sim_task, k);
         if (task->phase != OW_PHASE_EXITED && task->task == command->task &&
             strcmp(task->job, command->job) == 0)
-            g_string_append_printf(cluster->violations, "%s runs twice, on %s and %s; ", name, machine->name,
-                                   here->name);
+            g_string_append_printf(cluster->violations, "task %s runs twice, on %s and %s; ", name,
+                                   machine->name, here->name);
     }
     g_hash_table_replace(cluster->last_machine_of_task, name, here);
 }
 
-/* No task of a job may start once its user was answered that the job has ended. */
+/* No task of a job may start after a user was answered that the job has ended. */
 void sim_check_not_ended(struct sim_cluster *cluster, const char *job)
 {
     const struct sim_final_state *final = g_hash_table_lookup(cluster->final_states, job);
     if (final != NULL)
-        g_string_append_printf(cluster->violations, "%s was told %s and is started; ", job,
-                               final->state == OW_JOB_DONE ? "done" : "cancelled");
+        g_string_append_printf(cluster->violations, "job %s was answered as %s, and a task of it starts; ",
+                               job, final->state == OW_JOB_DONE ? "done" : "cancelled");
 }
 
 const struct sim_requirements *sim_requirements_of(struct sim_cluster *cluster, const char *job)
@@ -68,7 +68,7 @@
         usage->cpus += requirements->cpus;
 }
 
-/* Checks the team's limit against the tasks that are really on machines. */
+/* Compares the team's limit with the tasks that are actually on machines. */
 void sim_check_team_limit(struct sim_cluster *cluster, const char *job)
 {
     const struct sim_requirements *requirements = sim_requirements_of(cluster, job);
@@ -80,7 +80,8 @@
             continue;
         for_each_task(cluster, add_team_usage, &usage);
         if (usage.cpus > team->cpus_max + 1e-6)
-            g_string_append_printf(cluster->violations, "team %s uses %g of %g with %s; ", usage.team,
+            g_string_append_printf(cluster->violations,
+                                   "team %s uses %g CPUs of its limit of %g with job %s; ", usage.team,
                                    usage.cpus, team->cpus_max, job);
     }
 }
@@ -115,7 +116,7 @@
     if ((requirements->zone[0] != '\0' && strcmp(requirements->zone, machine->zone) != 0) ||
         (machine->spot && !requirements->spot) || (requirements->one_zone && counts.elsewhere > 0) ||
         (requirements->spread && counts.in_zone > (requirements->tasks + 1) / 2))
-        g_string_append_printf(cluster->violations, "%s is at a wrong place on %s; ", job, machine->name);
+        g_string_append_printf(cluster->violations, "job %s may not run on machine %s; ", job, machine->name);
 }
 
 void sim_check_cancellations(struct sim_cluster *cluster, const struct sim_machine *machine)
@@ -125,7 +126,8 @@
         const struct sim_final_state *final = g_hash_table_lookup(cluster->final_states, task->job);
         if (task->phase != OW_PHASE_EXITED && final != NULL && final->state == OW_JOB_CANCELLED &&
             cluster->now > final->at + cluster->settings[0].cancel_s)
-            g_string_append_printf(cluster->violations, "%s/%u is on %s long after it was cancelled; ",
+            g_string_append_printf(cluster->violations,
+                                   "task %s/%u still runs on %s after the cancellation time limit; ",
                                    task->job, task->task, machine->name);
     }
 }
--- a/tests/sim/sim_cloud.c
+++ b/tests/sim/sim_cloud.c
@@ -1,6 +1,6 @@
-/* The simulated cloud: types, lists, provisioning and termination of machines. Tests may take it down
- * (`cloud_down`) and bound what can be provisioned (`provisionable_machines`); sim_delete_machine() reclaims
- * a machine. */
+/* The simulated cloud: machine types, and the listing, provisioning and termination of machines. Tests may
+ * take it down (`cloud_down`) and limit the machines that can be provisioned (`provisionable_machines`);
+ * sim_delete_machine() reclaims a machine. */
 #include "sim_internal.h"
 #include "model/cloud.h"
 #include "model/event.h"
@@ -30,7 +30,8 @@
     return types;
 }
 
-/* A page of the list, in the order of creation. */
+/* One page of the list of machines, in the order of creation, after the machine of this name (NULL: the first
+ * page). */
 static GArray *list_machines(struct sim_cluster *cluster, const char *after, bool *more)
 {
     GArray *list = g_array_new(FALSE, TRUE, sizeof(struct ow_listed_machine));
--- a/tests/sim/sim_cluster.c
+++ b/tests/sim/sim_cluster.c
@@ -9,10 +9,10 @@
 
 static const double STEP_S = 0.05, TIME_OF_DAY = 1.7e9;
 
-/* An event for a controller, and the time of its delivery. */
+/* An event in flight to a controller. */
 struct delivery {
     int controller;
-    uint64_t nonce; /* identifies the process it is for; 0: any */
+    uint64_t nonce; /* the process that it is for; 0: any */
     double at;
     struct ow_event *event;
 };
--- a/tests/sim/sim_cluster.h
+++ b/tests/sim/sim_cluster.h
@@ -1,14 +1,15 @@
 /**
  * @file
  * A simulated cluster for tests of the core: a clock, a key-value store, a cloud, users and workers around
- * real controllers, sharded or not. All of it advances in sim_run() alone and depends on nothing outside, so
- * that each run of a test is the same.
+ * real controllers, sharded or not. Time advances only in sim_run(), and nothing outside the process is used,
+ * so that every run of a test is deterministic.
  *
- * The workers and users check the safety rules of docs/design/safety.md from outside (sim_checks.c); a breach
- * is recorded as a violation, which sim_check_safety() turns into a failure of the test.
+ * The workers and users check the safety rules of docs/design/safety.md independently of the controllers
+ * (sim_checks.c); a breach is recorded as a violation, which sim_check_safety() turns into a failure of the
+ * test.
  *
- * Tests include this header alone. They bring failures about by the fields of struct sim_cluster and struct
- * sim_machine, or by the functions of sim_controllers.h and sim_machines.h.
+ * Tests include only this header. They inject failures through the fields of struct sim_cluster and struct
+ * sim_machine, or through the functions of sim_controllers.h and sim_machines.h.
  */
 #ifndef OW_TESTS_SIM_CLUSTER_H
 #define OW_TESTS_SIM_CLUSTER_H
@@ -28,19 +29,19 @@
 /** The number of controllers, named node-0, node-1 and so on. */
 enum { SIM_CONTROLLERS = 3 };
 
-/** Is told of every effect of a controller, before it is carried out. */
+/** A callback that gets every effect of a controller before it is carried out. */
 struct sim_observer {
     void (*on_effect)(void *data, const struct sim_cluster *cluster, int controller,
                       const struct ow_effect *effect);
     void *data;
 };
 
-/** The cluster. A controller's number of -1 means none. Tests may set every field that is said to be a
- * failure or a limit, the settings of controllers that are down, and `run_time_s`. */
+/** The cluster. A controller number of -1 means none. Tests may set every field marked as a failure or a
+ * limit, the settings of controllers that are down, and `run_time_s`. */
 struct sim_cluster {
     double now;
-    struct sim_observer observer; /**< `see` is NULL: there is none */
-    GString *violations;          /**< every violation of a safety rule, as text */
+    struct sim_observer observer; /**< no observer if `on_effect` is NULL */
+    GString *violations;          /**< descriptions of all violations of safety rules; empty: none */
 
     /* Controllers, and the messages between them and to them. */
     struct ow_settings settings[SIM_CONTROLLERS];
@@ -48,22 +49,22 @@
     struct ow_sharding_settings *sharding;                 /**< NULL: the fleet is not sharded */
     struct ow_shard_manager *controllers[SIM_CONTROLLERS]; /**< NULL: down */
     uint64_t process_nonce[SIM_CONTROLLERS];               /**< identifies each controller's process */
-    uint64_t nonce;                                        /**< the last one given to a process */
-    bool frozen[SIM_CONTROLLERS]; /**< the process stands still; what is sent to it waits */
+    uint64_t nonce;                                        /**< the last nonce assigned to a process */
+    bool frozen[SIM_CONTROLLERS]; /**< the process is paused; events for it stay queued */
     double frozen_at[SIM_CONTROLLERS];
-    bool runs_old_version[SIM_CONTROLLERS]; /**< failure: it sends the first format, and does not recognize
-                                             * newer ones */
+    bool runs_old_version[SIM_CONTROLLERS]; /**< failure: sends the first format, and does not
+                                             * recognize newer ones */
     bool peers_partitioned;                 /**< failure: no message passes between controllers */
     int isolated_controller;                /**< failure: reaches neither the store nor other controllers */
     int controller_without_workers;         /**< failure: no message passes between it and the workers */
-    GPtrArray *deliveries;                  /**< events to be delivered to controllers */
+    GPtrArray *deliveries;                  /**< struct delivery: events in flight to controllers */
 
     /* The key-value store: its contents. */
     GHashTable *keys;    /**< key -> struct sim_value */
-    GArray *changes;     /**< struct sim_change: all since the start */
+    GArray *changes;     /**< struct sim_change: every change since the start */
     GHashTable *leases;  /**< id -> double *: expires at */
     GPtrArray *watches;  /**< open watches */
-    uint64_t revision;   /**< of the last change */
+    uint64_t revision;   /**< the revision of the last change */
     uint64_t last_lease; /**< the id granted last */
 
     /* The key-value store: its failures and limits, and the load on it. */
@@ -71,37 +72,37 @@
     int controller_without_store; /**< failure: the store answers this controller 503 */
     double store_latency_s;       /**< failure: additional latency of each response */
     int store_latency_controller; /**< the only controller with that latency; -1: all */
-    bool silent_watches;          /**< failure: open watches answer nothing before they time out */
-    guint watch_changes_max;      /**< limit: a watch with more changes is answered 413; 0: none is */
+    bool silent_watches;          /**< failure: open watches get no response before they time out */
+    guint watch_changes_max;      /**< limit: a watch with more changes is answered 413; 0: no limit */
     bool delay_txns;              /**< failure: transactions are delayed while it is set */
-    bool keep_txns_delayed;       /**< failure: delayed transactions stay delayed */
-    unsigned delay_next_txns;     /**< failure: as many of the next transactions of the following
-                                   * controller are delayed */
-    int delay_next_controller;    /**< whose transactions that are */
+    bool keep_txns_delayed;       /**< failure: transactions that are already delayed stay so */
+    unsigned delay_next_txns;     /**< failure: the number of next transactions of
+                                   * `delay_next_controller` that are delayed */
+    int delay_next_controller;    /**< the controller that `delay_next_txns` applies to */
     bool lose_txn_responses;      /**< failure: transactions are applied, and their responses are lost */
-    GPtrArray *delayed_txns;      /**< on their way to the store */
-    double value_kb;              /**< limit: the size of a value */
-    unsigned txn_ops;             /**< limit: the mutations of a transaction */
+    GPtrArray *delayed_txns;      /**< struct delayed_txn: in flight to the store */
+    double value_kb;              /**< limit: the size of a value, in KiB */
+    unsigned txn_ops;             /**< limit: the number of mutations of a transaction */
     unsigned oversized_txns;      /**< transactions refused for exceeding the limits */
-    unsigned txn_count;           /**< transactions carried out or refused */
+    unsigned txn_count;           /**< transactions applied or refused */
     unsigned store_requests;      /**< requests of all kinds */
-    unsigned store_mutations;     /**< in all transactions */
+    unsigned store_mutations;     /**< mutations in all transactions */
 
     /* The cloud. */
     bool cloud_down;                 /**< failure: answers every request 503 */
-    unsigned provisionable_machines; /**< limit: machines that can still be provisioned */
-    unsigned provisioned_machines;   /**< so far */
+    unsigned provisionable_machines; /**< limit: the number of machines that can still be provisioned */
+    unsigned provisioned_machines;   /**< number of machines provisioned so far */
     unsigned cloud_requests;         /**< requests of all kinds */
 
     /* Machines and their workers. */
     GPtrArray *machines;              /**< struct sim_machine, in the order of creation */
-    GHashTable *machines_by_name;     /**< and by address */
+    GHashTable *machines_by_name;     /**< struct sim_machine by name and by address */
     GHashTable *last_machine_of_task; /**< "<job>/<task>" -> struct sim_machine of its last launch */
-    double run_time_s;                /**< the run time of tasks that are not of a service */
+    double run_time_s;                /**< the run time of tasks of arrays and gangs */
     bool delay_direct_commands;       /**< failure: direct commands are delayed while it is set */
     bool no_sockets;                  /**< failure: controllers have no free sockets for direct commands */
-    GArray *delayed_commands;         /**< direct commands on their way to workers */
-    unsigned direct_commands_sent;    /**< requests with direct commands */
+    GArray *delayed_commands;         /**< struct delayed_command: in flight to workers */
+    unsigned direct_commands_sent;    /**< number of requests with direct commands */
 
     /* Users. */
     GHashTable *responses;    /**< request -> struct sim_response */
@@ -116,13 +117,14 @@
 void sim_free(struct sim_cluster *cluster);
 /** Fails the test if a safety rule was violated or a transaction was too large. */
 void sim_check_safety(const struct sim_cluster *cluster);
-/** The same, and frees the cluster: the end of a part of a test that has several clusters. */
+/** Calls sim_check_safety() and frees the cluster; for tests that create several clusters. */
 void sim_finish(struct sim_cluster *cluster);
-/** Teardown of cmocka for tests whose setup made one cluster: frees it, also after a failure. */
+/** A cmocka teardown function for tests whose setup creates one cluster: frees it, also after a failed test.
+ */
 int sim_teardown(void **state);
-/** Runs the cluster for this time. */
+/** Advances the simulation by this time. */
 void sim_run(struct sim_cluster *cluster, double seconds);
-/** Runs until the predicate holds of `what`; false if it does not within the time. */
+/** Runs until the predicate holds for `what`; returns false if it does not hold within this time. */
 bool sim_run_until(struct sim_cluster *cluster, double seconds,
                    bool (*holds)(struct sim_cluster *cluster, const void *what), const void *what);
 
--- a/tests/sim/sim_controllers.c
+++ b/tests/sim/sim_controllers.c
@@ -1,4 +1,4 @@
-/* The simulated controllers as processes: start, crash, a process that stands still, and who leads. */
+/* The processes of the simulated controllers: start, crash, pause, and which one leads. */
 #include "sim_internal.h"
 
 void sim_start_controller(struct sim_cluster *cluster, int controller)
--- a/tests/sim/sim_controllers.h
+++ b/tests/sim/sim_controllers.h
@@ -1,8 +1,8 @@
 /**
  * @file
- * The controllers of the simulated cluster: real shard managers, without the daemon around them. A test
- * kills, restarts and freezes them and breaks their links; the fields of struct sim_cluster under
- * "controllers" do the rest. A controller is given by its number from 0 to SIM_CONTROLLERS - 1.
+ * The controllers of the simulated cluster: real shard managers, without the daemon around them. Tests kill,
+ * restart and freeze them and break their links here; the fields of struct sim_cluster under "Controllers"
+ * inject the other failures. A controller is identified by its number from 0 to SIM_CONTROLLERS - 1.
  */
 #ifndef OW_TESTS_SIM_CONTROLLERS_H
 #define OW_TESTS_SIM_CONTROLLERS_H
@@ -12,21 +12,21 @@
 
 struct sim_cluster;
 
-/** Starts a controller that is down, as a new process. */
+/** Starts a controller that is down, as a new process with a new nonce. */
 void sim_start_controller(struct sim_cluster *cluster, int controller);
 /** Starts every controller that is down. */
 void sim_start_controllers(struct sim_cluster *cluster);
-/** Kills a controller that is up; what is on its way to it is lost. */
+/** Kills a controller that is up; events in flight to its process are lost. */
 void sim_kill_controller(struct sim_cluster *cluster, int controller);
 /** Kills every controller that is up. */
 void sim_kill_controllers(struct sim_cluster *cluster);
-/** Tells one controller that its link to another is broken. */
+/** Notifies one controller that its link to another is lost. */
 void sim_break_peer_link(struct sim_cluster *cluster, int controller, int other);
-/** The controller's process stands still; what is sent to it waits. */
+/** Pauses the controller's process; events for it stay queued. */
 void sim_freeze_controller(struct sim_cluster *cluster, int controller);
-/** A frozen process goes on, and is told how long it stood still. */
+/** Resumes a frozen process and passes it the length of the pause; no effect if it is not frozen. */
 void sim_thaw_controller(struct sim_cluster *cluster, int controller);
-/** The highest fencing token under which the controller, which must be up, leads; 0: it does not. */
+/** The highest fencing token under which the controller, which must be up, leads; 0 if it does not lead. */
 uint64_t sim_fencing_token(const struct sim_cluster *cluster, int controller);
 /** The controller that leads the shard of this index with the highest fencing token, or -1. */
 int sim_shard_leader(const struct sim_cluster *cluster, guint shard);
--- a/tests/sim/sim_internal.h
+++ b/tests/sim/sim_internal.h
@@ -1,4 +1,4 @@
-/** @file What the files of the simulated cluster share, and tests do not use. */
+/** @file Functions shared by the files of the simulated cluster, not for use by tests. */
 #ifndef OW_TESTS_SIM_INTERNAL_H
 #define OW_TESTS_SIM_INTERNAL_H
 
@@ -11,7 +11,8 @@
 /* sim_cluster.c */
 
 /** Delivers the event, which it takes ownership of, to a process of the controller after this time.
- * @param nonce of the process; it is dropped if another one runs then. 0: any. */
+ * @param nonce identifies the process; the event is dropped if another process runs by then. 0: any process.
+ */
 void sim_deliver(struct sim_cluster *cluster, int controller, uint64_t nonce, double after_s,
                  struct ow_event *event);
 
@@ -21,48 +22,48 @@
 void sim_settings_init(struct ow_settings *settings, int controller);
 /** Frees what sim_settings_init() has allocated. */
 void sim_settings_clear(struct ow_settings *settings);
-/** Delivers a message to the peers that it is for. */
+/** Delivers a message to its addressee, or to all peers if it has none. */
 void sim_deliver_peer_message(struct sim_cluster *cluster, int from, struct ow_peer_message *message);
 
 /* sim_users.c */
 
 /** Creates the tables of requests and responses. */
 void sim_users_init(struct sim_cluster *cluster);
-/** Frees them. */
+/** Frees the tables of requests and responses. */
 void sim_users_clear(struct sim_cluster *cluster);
 /** Records the response to a user's request. */
 void sim_users_handle_response(struct sim_cluster *cluster, const struct ow_effect *effect);
 
-/* sim_checks.c: each records a violation if its rule is broken. */
+/* sim_checks.c: each check records a violation if its rule is broken. */
 
-/** What the job requires, or NULL if it was never submitted. */
+/** The requirements of the job, owned by the cluster; NULL if it was never submitted. */
 const struct sim_requirements *sim_requirements_of(struct sim_cluster *cluster, const char *job);
-/** The task that is launched here runs on no other machine. */
+/** Checks that the task launched on machine `here` runs on no other machine. */
 void sim_check_runs_once(struct sim_cluster *cluster, struct sim_machine *here,
                          const struct ow_worker_command *command);
-/** No user was answered that the job, of which a task starts, has ended. */
+/** Checks, when a task of the job starts, that no user was answered a final state of the job. */
 void sim_check_not_ended(struct sim_cluster *cluster, const char *job);
-/** The tasks of the job's team do not exceed its limit. */
+/** Checks that the tasks of the job's team that have not exited are within the team's limit. */
 void sim_check_team_limit(struct sim_cluster *cluster, const char *job);
-/** The job may have a task on this machine. */
+/** Checks that the job's placement constraints allow a task on this machine. */
 void sim_check_placement(struct sim_cluster *cluster, const struct sim_machine *machine, const char *job);
-/** No task runs on the machine long after its cancellation was answered. */
+/** Checks that no task runs on the machine more than `cancel_s` after its cancellation was confirmed. */
 void sim_check_cancellations(struct sim_cluster *cluster, const struct sim_machine *machine);
 
 /* sim_store.c */
 
 /** Creates the empty store. */
 void sim_store_init(struct sim_cluster *cluster);
-/** Frees the store. */
+/** Frees the store with its contents and delayed transactions. */
 void sim_store_clear(struct sim_cluster *cluster);
-/** Carries out a request, or delays it; may take the request out of the effect. */
+/** Executes a request, or delays it; may take ownership of the request out of the effect. */
 void sim_store_handle_request(struct sim_cluster *cluster, int controller, struct ow_effect *effect);
 /** Expires leases, releases delayed transactions and answers watches. */
 void sim_store_step(struct sim_cluster *cluster);
 
 /* sim_machines.c */
 
-/** The next heartbeat of the machine, which the caller owns. */
+/** Creates the next heartbeat of the machine and increments its sequence number. The caller owns it. */
 struct ow_heartbeat *sim_heartbeat_new(struct sim_machine *machine);
 
 /* sim_workers.c */
@@ -73,15 +74,15 @@
 void sim_workers_clear(struct sim_cluster *cluster);
 /** Advances the tasks of all workers and sends the heartbeats that are due. */
 void sim_workers_step(struct sim_cluster *cluster);
-/** Carries out direct commands, or delays them; may take the commands out of the effect. */
+/** Executes direct commands, or delays them; may take ownership of the commands out of the effect. */
 void sim_workers_handle_direct_commands(struct sim_cluster *cluster, int controller,
                                         struct ow_effect *effect);
-/** Takes the response to a heartbeat. */
+/** Handles the response to a heartbeat; ignored if the worker no longer waits for it. */
 void sim_workers_handle_response(struct sim_cluster *cluster, int controller, const struct ow_effect *effect);
 
 /* sim_cloud.c */
 
-/** Carries out a request to the cloud. */
+/** Executes a request to the cloud and delivers the response. */
 void sim_cloud_handle_request(struct sim_cluster *cluster, int controller,
                               const struct ow_cloud_request *request);
 
--- a/tests/sim/sim_jobs.c
+++ b/tests/sim/sim_jobs.c
@@ -1,4 +1,4 @@
-/* Jobs that are brought to the state in which many tests need them. */
+/* Helpers that submit jobs and run the cluster until they are in a state that many tests start from. */
 #include "sim_internal.h"
 
 #include "check.h"
--- a/tests/sim/sim_machines.c
+++ b/tests/sim/sim_machines.c
@@ -1,5 +1,5 @@
 /* The simulated machines: their creation and deletion, and the heartbeats that they send. Tests may send
- * copies of heartbeats late or twice, and set the reclaim notice (`reclaim_notice_s`). */
+ * copies of heartbeats late or twice, and set a reclaim notice (`reclaim_notice_s`). */
 #include "sim_internal.h"
 #include "model/event.h"
 #include "model/worker.h"
--- a/tests/sim/sim_machines.h
+++ b/tests/sim/sim_machines.h
@@ -1,8 +1,9 @@
 /**
  * @file
  * The simulated machines and their workers. A worker fetches, runs and ends tasks, sends heartbeats, ends its
- * tasks when its lease expires, and obeys the highest fencing token. Tests set the fields under "failures" of
- * struct sim_machine. The cluster owns its machines; none is freed before the cluster, also when deleted.
+ * tasks when its lease expires, and obeys the highest fencing token. Tests inject failures through the fields
+ * of struct sim_machine under "Failures". The cluster owns its machines; a deleted machine is freed only with
+ * the cluster.
  */
 #ifndef OW_TESTS_SIM_MACHINES_H
 #define OW_TESTS_SIM_MACHINES_H
@@ -15,7 +16,7 @@
 
 struct sim_cluster;
 
-/** An attempt of a task on a machine. */
+/** An attempt of a task on a machine, running or exited. */
 struct sim_task {
     char job[OW_ID_MAX + 1];
     uint32_t task;
@@ -26,45 +27,45 @@
     double next_phase_at; /**< the time of its next change of phase */
 };
 
-/** A machine and its worker. */
+/** A machine and the state of its worker. */
 struct sim_machine {
     char name[32];
     char addr[32];
     char type[16];
     char zone[16];
     bool spot;
-    bool deleted; /**< no longer in the cloud, and without tasks */
+    bool deleted; /**< no longer listed by the cloud, and without tasks */
 
     /* Failures, for tests to set. */
     bool partitioned;              /**< no message passes in either direction */
     bool hung;                     /**< its worker makes no progress at all */
     bool fails_tasks;              /**< every task fails on it */
-    bool unresponsive;             /**< its heartbeats arrive; responses and commands do not reach it */
-    bool heartbeats_lost;          /**< its heartbeats reach no controller; commands reach it */
+    bool unresponsive;             /**< its heartbeats arrive, but no response or command reaches it */
+    bool heartbeats_lost;          /**< its heartbeats reach no controller, but commands reach it */
     int only_reachable_controller; /**< partitioned from every other controller; -1: from none */
-    double reclaim_notice_s;       /**< the time until the cloud takes it back, as in heartbeats; -1: none */
+    double reclaim_notice_s; /**< the time until the cloud reclaims it, as in heartbeats; -1: no notice */
 
     double booted_at; /**< the end of its boot */
     uint64_t incarnation;
-    uint64_t sequence; /**< of its last heartbeat */
+    uint64_t sequence; /**< the sequence number of its last heartbeat */
     uint64_t fencing_token;
     double next_heartbeat_at;
     double lease_renewed_at;
     double heartbeat_sent_at;
-    bool awaits_response;     /**< to its last heartbeat */
-    int controller;           /**< the one that its heartbeats go to */
+    bool awaits_response;     /**< no response to its last heartbeat has arrived yet */
+    int controller;           /**< the controller that it sends heartbeats to */
     GArray *tasks;            /**< struct sim_task */
-    unsigned launches;        /**< carried out by its worker */
-    unsigned cleared_results; /**< that its worker was told to clear */
+    unsigned launches;        /**< number of launch commands that its worker has executed */
+    unsigned cleared_results; /**< number of results that its worker has cleared */
 };
 
 /** Adds a machine that has booted. The type is "big" (16 CPUs) or "gpu" (8 CPUs, 2 GPUs). */
 struct sim_machine *sim_add_machine(struct sim_cluster *cluster, const char *name, const char *type,
                                     const char *zone, bool spot);
-/** Adds as many large machines in one zone, named "<prefix>-0", "<prefix>-1" and so on. */
+/** Adds this number of machines of type "big" in one zone, named "<prefix>-0", "<prefix>-1" and so on. */
 void sim_add_group(struct sim_cluster *cluster, const char *prefix, int machines, const char *zone,
                    bool spot);
-/** Adds a group of the prefix "m" in the zone "east", without spot machines. */
+/** Adds this number of on-demand machines "m-0", "m-1" and so on in the zone "east". */
 void sim_add_machines(struct sim_cluster *cluster, int machines);
 /** The machine of this name or address, or NULL. */
 struct sim_machine *sim_machine(struct sim_cluster *cluster, const char *name);
@@ -75,12 +76,12 @@
 /** Restarts the worker without tasks: its incarnation and sequence numbers start again. */
 void sim_restart_worker(struct sim_cluster *cluster, struct sim_machine *machine);
 
-/** Sends a controller a heartbeat without tasks, of this sequence number and fencing token. */
+/** Sends a controller a heartbeat without tasks, with this sequence number and fencing token. */
 void sim_send_empty_heartbeat(struct sim_cluster *cluster, int controller, const struct sim_machine *machine,
                               uint64_t sequence, uint64_t fencing_token);
 /** A duplicate of the machine's last heartbeat, with its tasks as they are now. The caller owns it. */
 struct ow_heartbeat *sim_copy_last_heartbeat(const struct sim_machine *machine);
-/** Sends a controller the heartbeat, and takes ownership of it. */
+/** Sends a controller the heartbeat, which it takes ownership of. */
 void sim_send_heartbeat(struct sim_cluster *cluster, int controller, struct ow_heartbeat *heartbeat);
 
 #endif
--- a/tests/sim/sim_peers.c
+++ b/tests/sim/sim_peers.c
@@ -1,6 +1,6 @@
 /* The simulated links between controllers: each message is encoded and decoded as for the wire. Tests may
  * partition all links (`peers_partitioned`), isolate one controller (`isolated_controller`), let a controller
- * send and read as the earlier version does (`runs_old_version`), or break one link. */
+ * send and read messages as the earlier version does (`runs_old_version`), or break one link. */
 #include "sim_internal.h"
 
 #include "check.h"
@@ -24,7 +24,7 @@
         struct ow_event *event = ow_event_new(OW_EVENT_PEER, 0);
         assert_true(wire_peer_decode(frame->str + 4, frame->len - 4, &event->peer));
         assert_non_null(event->peer);
-        /* An earlier version sends its format, and does not know of other versions. */
+        /* The earlier version sends the first format, and does not read the version of others. */
         if (cluster->runs_old_version[from])
             event->peer->version = OW_FORMAT_FIRST;
         if (cluster->runs_old_version[i])
--- a/tests/sim/sim_queries.c
+++ b/tests/sim/sim_queries.c
@@ -1,4 +1,4 @@
-/* What tests ask about the tasks on the simulated machines. */
+/* Queries about the tasks on the simulated machines. */
 #include "sim_internal.h"
 
 #include "model/records.h"
@@ -89,7 +89,7 @@
     return sim_count_running(cluster, job) == 3;
 }
 
-/* CPUs of a machine that its tasks leave free. */
+/* The CPUs of a machine that are not used by its tasks. */
 static double free_cpus(struct sim_cluster *cluster, const struct sim_machine *machine)
 {
     double cpus = strcmp(machine->type, "big") == 0 ? 16 : 8;
--- a/tests/sim/sim_queries.h
+++ b/tests/sim/sim_queries.h
@@ -1,7 +1,7 @@
 /**
  * @file
- * What tests ask the simulated cluster: the tasks that are really on its machines, and the records that are
- * really in its key-value store. The predicates are for sim_run_until().
+ * Queries of the actual state of the simulated cluster: the tasks on its machines, and the records in its
+ * key-value store, independently of what controllers believe. The predicates are for sim_run_until().
  */
 #ifndef OW_TESTS_SIM_QUERIES_H
 #define OW_TESTS_SIM_QUERIES_H
@@ -12,22 +12,22 @@
 struct sim_machine;
 struct sim_requirements;
 
-/** The launches that the workers of all machines have carried out. */
+/** The number of launches executed by the workers of all machines. */
 unsigned sim_count_launches(const struct sim_cluster *cluster);
-/** The attempts of a job that have not exited on this machine. */
+/** The number of attempts of a job on this machine that have not exited. */
 unsigned sim_count_running_on(const struct sim_machine *machine, const char *job);
-/** The attempts of the job that have not exited on any machine. */
+/** The number of attempts of the job on all machines that have not exited. */
 unsigned sim_count_running(struct sim_cluster *cluster, const char *job);
-/** The same in one zone. */
+/** The number of attempts of the job in one zone that have not exited. */
 unsigned sim_count_running_in_zone(struct sim_cluster *cluster, const char *job, const char *zone);
 /** The first machine that runs a task of the job, or NULL. */
 struct sim_machine *sim_find_machine_of_job(struct sim_cluster *cluster, const char *job);
-/** Whether a machine that has been up for 10 s has room for the whole job. */
+/** Whether a machine that has been up for more than 10 s has room for all tasks of the job. */
 bool sim_has_room_for(struct sim_cluster *cluster, const struct sim_requirements *requirements);
 
 /** Predicate: whether the job of this id is recorded as done. */
 bool sim_job_is_done(struct sim_cluster *cluster, const void *job);
-/** Predicate: whether a task of the job of this id runs. */
+/** Predicate: whether a task of the job with this id runs. */
 bool sim_job_is_running(struct sim_cluster *cluster, const void *job);
 /** Predicate: whether no task of the job of this id runs. */
 bool sim_job_is_not_running(struct sim_cluster *cluster, const void *job);
--- a/tests/sim/sim_settings.c
+++ b/tests/sim/sim_settings.c
@@ -1,7 +1,7 @@
-/* The settings that all tests start from, of each controller. */
+/* The settings of each controller that all tests start from. */
 #include "sim_internal.h"
 
-/* NOLINTNEXTLINE(readability-non-const-parameter): settings have names that may be changed */
+/* NOLINTNEXTLINE(readability-non-const-parameter): the name fields of settings are not const */
 static void add_team(GArray *teams, char *name, double cpus_max, double gpus_max)
 {
     struct ow_team_settings team = {name, 0, cpus_max, 0, gpus_max};
@@ -38,7 +38,7 @@
     settings->store_write_rps = 100;
     settings->value_kb = 8;
     settings->txn_ops = 8;
-    settings->next_write_rps = settings->next_value_kb = 1e6; /* no change is announced */
+    settings->next_write_rps = settings->next_value_kb = 1e6; /* no lower limits are announced */
     settings->next_txn_ops = 1000;
     settings->cloud_rps = 5;
     settings->list_lag_s = 5;
--- a/tests/sim/sim_setup.c
+++ b/tests/sim/sim_setup.c
@@ -1,4 +1,4 @@
-/* Simulated clusters in the initial states that several tests share. */
+/* Simulated clusters in initial states shared by several tests. */
 #include "sim_internal.h"
 
 #include "check.h"
--- a/tests/sim/sim_store.c
+++ b/tests/sim/sim_store.c
@@ -1,17 +1,17 @@
-/* The simulated key-value store: its requests and responses, and delayed transactions. Tests may take
- * it down for all (`store_down`) or for one controller (`controller_without_store`), make it slow
- * (`store_latency_s`), delay transactions (`delay_txns`, `delay_next_txns`, `keep_txns_delayed`), lose their
- * responses (`lose_txn_responses`), and silence or overflow watches (`silent_watches`, `watch_changes_max`).
- */
+/* The simulated key-value store: its requests and responses, and delayed transactions. Tests may take it down
+ * for all controllers (`store_down`) or for one (`controller_without_store`), add latency
+ * (`store_latency_s`), delay transactions (`delay_txns`, `delay_next_txns`, `keep_txns_delayed`), drop their
+ * responses (`lose_txn_responses`), withhold the responses of watches (`silent_watches`), and limit their
+ * size (`watch_changes_max`). */
 #include "sim_store_internal.h"
 #include "model/effect.h"
 #include "model/event.h"
 
 #include <string.h>
 
-/* After this time a controller gives a request up. */
+/* The time after which a controller abandons a request. */
 static const double STORE_TIMEOUT_S = 1.5;
-/* Bounds of a page of a list. */
+/* Limits of one page of a list. */
 enum { PAGE_ITEMS = 1000, PAGE_BYTES = 500 * 1024 };
 
 struct delayed_txn {
@@ -95,7 +95,7 @@
     return strcmp(*(const char *const *)a, *(const char *const *)b);
 }
 
-/* A page of the list: so many items, and so many bytes. */
+/* Answers one page of the list, limited in items and bytes. */
 static void handle_list(struct sim_cluster *cluster, int controller, uint64_t nonce,
                         const struct ow_store_request *request)
 {
@@ -157,7 +157,7 @@
         (struct ow_store_reply){.tag = request->tag, .status = value != NULL ? 200 : 404, .items = items});
 }
 
-/* Whether the transaction is to be delayed; counts it if only some of them are. */
+/* Whether the controller's next transaction is to be delayed; decrements `delay_next_txns` if it applies. */
 static bool is_delayed(struct sim_cluster *cluster, int controller)
 {
     bool is_next = cluster->delay_next_txns > 0 && controller == cluster->delay_next_controller;
@@ -165,7 +165,7 @@
     return is_next || cluster->delay_txns;
 }
 
-/* Takes ownership of the request. */
+/* Keeps the transaction until it is released; takes ownership of the request. */
 static void delay_txn(struct sim_cluster *cluster, int controller, struct ow_store_request *request)
 {
     struct delayed_txn *delayed = g_new0(struct delayed_txn, 1);
@@ -176,7 +176,7 @@
     g_ptr_array_add(cluster->delayed_txns, delayed);
 }
 
-/* The request of an isolated controller times out. */
+/* Lets the request of an isolated controller time out. */
 static void time_out_request(struct sim_cluster *cluster, int controller, uint64_t tag)
 {
     struct ow_event *event = ow_event_new(OW_EVENT_STORE, tag);
@@ -231,7 +231,7 @@
 {
     for (guint i = cluster->delayed_txns->len; i > 0; i--) {
         struct delayed_txn *delayed = g_ptr_array_index(cluster->delayed_txns, i - 1);
-        /* The controller's request has timed out; the transaction stays in flight. */
+        /* The controller's request has timed out, but the transaction may still be applied later. */
         if (delayed->nonce != 0 && cluster->now > delayed->deadline) {
             sim_store_respond(cluster, delayed->controller, delayed->nonce,
                               (struct ow_store_reply){.tag = delayed->request->tag, .status = 0});
--- a/tests/sim/sim_store_internal.h
+++ b/tests/sim/sim_store_internal.h
@@ -1,17 +1,17 @@
-/** @file What the files of the simulated key-value store share. */
+/** @file Types and functions shared by the files of the simulated key-value store. */
 #ifndef OW_TESTS_SIM_STORE_INTERNAL_H
 #define OW_TESTS_SIM_STORE_INTERNAL_H
 
 #include "sim_internal.h"
 
-/** The value of a key. */
+/** The value of a key, with its version and lease. */
 struct sim_value {
     char *text;
     uint64_t version; /**< the revision of its last change */
     uint64_t lease;   /**< 0: none */
 };
 
-/** A change of a key. */
+/** An entry of the change history: a put or a deletion of a key. */
 struct sim_change {
     char *key;
     char *text; /**< NULL: deleted */
@@ -24,7 +24,8 @@
 void sim_append_change(struct sim_cluster *cluster, const char *key, const char *text);
 /** Applies the transaction if it holds.
  * @param failed the keys of failed comparisons, to be freed with g_strfreev().
- * @return its status: 200 if it was applied. */
+ * @return the HTTP status: 200 if it was applied, 409 if a comparison failed, 400 if it was too large or its
+ * lease does not exist. */
 int sim_apply_txn(struct sim_cluster *cluster, const struct ow_store_request *request, char ***failed);
 /** An empty array of struct ow_store_item, which the caller owns. */
 GArray *sim_store_items_new(void);
@@ -35,14 +36,15 @@
 
 /* sim_store_leases.c */
 
-/** Removes the keys of leases that have expired, unless the store is down. */
+/** Deletes expired leases and their keys, unless the store is down. */
 void sim_expire_leases(struct sim_cluster *cluster);
-/** While the store is down, no lease gets shorter: after the outage each has its full time again. */
+/** Renews every lease for its full duration while the store is down, so that none expires during or right
+ * after an outage. */
 void sim_extend_leases(struct sim_cluster *cluster);
 
 /* sim_store.c */
 
-/** Answers a request at the current revision; takes ownership of the items (NULL: none) and the failed keys.
+/** Sends a response at the current revision; takes ownership of its items (NULL: none) and failed keys.
  */
 void sim_store_respond(struct sim_cluster *cluster, int controller, uint64_t nonce,
                        struct ow_store_reply reply);
--- a/tests/sim/sim_store_leases.c
+++ b/tests/sim/sim_store_leases.c
@@ -1,5 +1,5 @@
-/* The leases of the simulated key-value store: their expiry removes their keys. Leases do not expire in an
- * outage (`store_down`). */
+/* The leases of the simulated key-value store. The keys of an expired lease are deleted. Leases do not expire
+ * during an outage (`store_down`). */
 #include "sim_store_internal.h"
 
 static void end_lease(struct sim_cluster *cluster, uint64_t lease)
--- a/tests/sim/sim_store_queries.c
+++ b/tests/sim/sim_store_queries.c
@@ -1,4 +1,4 @@
-/* What tests read from the simulated key-value store. */
+/* Reads of the contents of the simulated key-value store by tests. */
 #include "sim_store_internal.h"
 
 #include "model/records.h"
--- a/tests/sim/sim_store_values.c
+++ b/tests/sim/sim_store_values.c
@@ -1,6 +1,5 @@
-/* The simulated key-value store's values, changes and transactions. Tests may lower the limits of a value's
- * size
- * (`value_kb`) and of a transaction's mutations (`txn_ops`). */
+/* The values, changes and transactions of the simulated key-value store. Tests may lower the limits on the
+ * size of a value (`value_kb`) and on the number of mutations of a transaction (`txn_ops`). */
 #include "sim_store_internal.h"
 
 #include "model/records.h"
@@ -32,38 +31,42 @@
     return lease == 0 || g_hash_table_contains(cluster->leases, &lease);
 }
 
-static void apply_mutation(struct sim_cluster *cluster, const struct ow_store_mutation *change)
+static void apply_mutation(struct sim_cluster *cluster, const struct ow_store_mutation *mutation)
 {
-    sim_append_change(cluster, change->key, change->value);
-    if (change->value == NULL) {
-        g_hash_table_remove(cluster->keys, change->key);
+    sim_append_change(cluster, mutation->key, mutation->value);
+    if (mutation->value == NULL) {
+        g_hash_table_remove(cluster->keys, mutation->key);
         return;
     }
     struct sim_value *value = g_new0(struct sim_value, 1);
-    *value = (struct sim_value){g_strdup(change->value), cluster->revision, change->lease};
-    g_hash_table_replace(cluster->keys, g_strdup(change->key), value);
+    *value = (struct sim_value){g_strdup(mutation->value), cluster->revision, mutation->lease};
+    g_hash_table_replace(cluster->keys, g_strdup(mutation->key), value);
 }
 
-/* Records in finer chunks, which a controller of the first format would drop when it rewrites the value. */
-static void check_format(struct sim_cluster *cluster, const struct ow_store_mutation *change)
+/* While a controller of the earlier version runs, no record may be written in smaller chunks than the first
+ * format has: that controller would drop it when it rewrites the value. */
+static void check_format(struct sim_cluster *cluster, const struct ow_store_mutation *mutation)
 {
     bool any_old_version = false;
     for (int i = 0; i < SIM_CONTROLLERS; i++)
         any_old_version = any_old_version || cluster->runs_old_version[i];
-    if (!any_old_version || change->value == NULL || !g_str_has_prefix(change->key, OW_KEY_PROGRESS))
+    if (!any_old_version || mutation->value == NULL || !g_str_has_prefix(mutation->key, OW_KEY_PROGRESS))
         return;
-    json_t *record_value = json_loads(change->value, 0, NULL);
+    json_t *record_value = json_loads(mutation->value, 0, NULL);
     const char *name;
     json_t *record;
     json_object_foreach(record_value, name, record)
     {
         if (strchr(name, '.') != NULL)
-            g_string_append_printf(cluster->violations, "%s is written beside an old controller; ", name);
+            g_string_append_printf(
+                cluster->violations,
+                "record %s is written in the new format while a controller of the earlier version runs; ",
+                name);
     }
     json_decref(record_value);
 }
 
-/* The status of the transaction, carried out if it is 200. */
+/* Returns the HTTP status of the transaction, which is applied only if that is 200. */
 int sim_apply_txn(struct sim_cluster *cluster, const struct ow_store_request *request, char ***failed)
 {
     GPtrArray *failed_keys = g_ptr_array_new();
@@ -76,11 +79,11 @@
             g_ptr_array_add(failed_keys, g_strdup(comparison->key));
     }
     for (guint i = 0; i < request->mutations->len; i++) {
-        const struct ow_store_mutation *change =
+        const struct ow_store_mutation *mutation =
             &g_array_index(request->mutations, struct ow_store_mutation, i);
-        oversized =
-            oversized || (change->value != NULL && (double)strlen(change->value) > 1024 * cluster->value_kb);
-        check_format(cluster, change);
+        oversized = oversized ||
+                    (mutation->value != NULL && (double)strlen(mutation->value) > 1024 * cluster->value_kb);
+        check_format(cluster, mutation);
     }
     cluster->oversized_txns += oversized ? 1 : 0;
     bool conditions_hold = failed_keys->len == 0;
--- a/tests/sim/sim_store_watches.c
+++ b/tests/sim/sim_store_watches.c
@@ -1,10 +1,10 @@
-/* The watches of the simulated key-value store. Tests may silence them (`silent_watches`) and bound the
- * changes that one response can have (`watch_changes_max`). */
+/* The watches of the simulated key-value store. Tests may withhold their responses (`silent_watches`)
+ * and limit the number of changes in one response (`watch_changes_max`). */
 #include "sim_store_internal.h"
 
 #include "model/effect.h"
 
-/* An open watch. */
+/* A watch that has no response yet. */
 struct watch {
     int controller;
     uint64_t nonce, tag, since;
@@ -25,7 +25,8 @@
     g_ptr_array_free(cluster->watches, TRUE);
 }
 
-/* Answers a watch, taking over the changes: with too many of them the client takes in none. */
+/* Answers a watch and takes ownership of the changes. If there are too many, the response is 413 without any,
+ * as the client rejects a response that is too large. */
 static void answer_changes(struct sim_cluster *cluster, int controller, uint64_t nonce, uint64_t tag,
                            GArray *items)
 {
--- a/tests/sim/sim_users.c
+++ b/tests/sim/sim_users.c
@@ -1,5 +1,4 @@
-/* The simulated users: their requests, the responses to them, and the check that a final state never changes.
- */
+/* The simulated users: their requests and the responses, and the check that a final state never changes. */
 #include "sim_internal.h"
 
 #include "check.h"
@@ -33,7 +32,8 @@
 {
     const struct sim_final_state *before = g_hash_table_lookup(cluster->final_states, id);
     if (before != NULL && before->state != state)
-        g_string_append_printf(cluster->violations, "%s went back from %d to %d; ", id, before->state, state);
+        g_string_append_printf(cluster->violations, "job %s changed its final state from %d to %d; ", id,
+                               before->state, state);
     if (before != NULL || (state != OW_JOB_DONE && state != OW_JOB_CANCELLED))
         return;
     struct sim_final_state *final = g_new0(struct sim_final_state, 1);
--- a/tests/sim/sim_users.h
+++ b/tests/sim/sim_users.h
@@ -1,8 +1,7 @@
 /**
  * @file
  * The simulated users: their requests to controllers, and the responses. Each request returns its number; the
- * response arrives while the cluster runs. Users check that a final state which they were answered does not
- * change. They bring no failures about.
+ * response arrives while the cluster runs. Users check that a final state, once reported, does not change.
  */
 #ifndef OW_TESTS_SIM_USERS_H
 #define OW_TESTS_SIM_USERS_H
@@ -15,7 +14,7 @@
 struct sim_cluster;
 struct sim_machine;
 
-/** What a submission requires, for the checks on the machines. */
+/** The requirements of a submission, for the checks of the safety rules. */
 struct sim_requirements {
     char team[16];
     char zone[16]; /**< "": any */
@@ -27,13 +26,13 @@
     bool service;
 };
 
-/** The final state of a job as its user was first answered. */
+/** The first final state of a job that a user was answered. */
 struct sim_final_state {
     enum ow_job_state state;
     double at;
 };
 
-/** A response to a user's request. */
+/** The last response to a user's request. */
 struct sim_response {
     uint64_t request;
     int status;
@@ -42,9 +41,9 @@
     char *reason; /**< why the job waits, or why the request is refused; may be NULL */
 };
 
-/** Submits a job; takes ownership of the submission. */
+/** Submits a job; takes ownership of the submission and returns the number of the request. */
 uint64_t sim_submit(struct sim_cluster *cluster, int controller, struct ow_submission *submission);
-/** Sends a submission of which only the id can be parsed. */
+/** Sends a submission that could not be parsed, except for its id. */
 uint64_t sim_submit_malformed(struct sim_cluster *cluster, int controller, const char *id);
 uint64_t sim_poll(struct sim_cluster *cluster, int controller, const char *id);
 uint64_t sim_cancel(struct sim_cluster *cluster, int controller, const char *id);
@@ -52,21 +51,21 @@
 const struct sim_response *sim_response(struct sim_cluster *cluster, uint64_t request);
 /** The HTTP status of the response; 0: there is none yet. */
 int sim_status(struct sim_cluster *cluster, uint64_t request);
-/** Polls every second until a controller answers the job's state, and returns that; -404: there is no such
- * job; -1: no answer in 30 s. */
+/** Polls each second, at one controller after the other, until one answers; returns the job's state, -404 if
+ * there is no such job, or -1 after 30 s without an answer. */
 int sim_job_state(struct sim_cluster *cluster, const char *id);
 
-/** Submits the job, which it takes ownership of, and fails unless it is accepted within 3 s. */
+/** Submits the job, which it takes ownership of, and fails the test unless it is accepted within 3 s. */
 void sim_submit_accepted(struct sim_cluster *cluster, int controller, struct ow_submission *job);
 /** Submits the job, which it takes ownership of, to the first controller and waits until one of its tasks
  * runs; returns its machine. */
 struct sim_machine *sim_start_job(struct sim_cluster *cluster, struct ow_submission *job);
-/** The same; returns once the job has run for 3 s. */
+/** As sim_start_job(), but returns 3 s after the first task has started. */
 struct sim_machine *sim_start_and_settle_job(struct sim_cluster *cluster, struct ow_submission *job);
 /** Starts the job "run-1" of one task that runs for 100 s; returns its machine. */
 struct sim_machine *sim_start_long_job(struct sim_cluster *cluster);
-/** Submits an array of which every other task on each machine ends soon, so that the ranges of its progress
- * records can't merge. */
+/** Submits an array job and lets every other task on each machine end, so that the ranges of its progress
+ * records cannot be merged. */
 void sim_submit_interleaved(struct sim_cluster *cluster, const char *id, uint32_t tasks);
 
 #endif
--- a/tests/sim/sim_workers.c
+++ b/tests/sim/sim_workers.c
@@ -1,4 +1,4 @@
-/* The simulated workers: they carry out commands, run tasks, send heartbeats, and end their tasks when their
+/* The simulated workers: they execute commands, run tasks, send heartbeats, and end their tasks when their
  * lease expires. Tests set the failures of struct sim_machine, delay direct commands
  * (`delay_direct_commands`), let controllers run out of sockets (`no_sockets`), and set the run time of tasks
  * (`run_time_s`). */
@@ -12,14 +12,14 @@
 #include <string.h>
 
 static const double FETCH_S = 0.5;
-/* Of a message between a controller and a worker. */
+/* The latency of a message between a controller and a worker. */
 static const double LATENCY_S = 0.01;
-/* A change is told in a heartbeat after this time at the latest. */
+/* A heartbeat that reports a change is sent within this time. */
 static const double CHANGE_HEARTBEAT_S = 0.5;
-/* A worker waits as long for a response, and then before it tries another controller. */
+/* The time that a worker waits for a response, and then before it tries another controller. */
 static const double RESPONSE_TIMEOUT_S = 4;
 static const double RETRY_S = 1;
-/* A controller waits as long for the response to direct commands. */
+/* The time that a controller waits for the response to direct commands. */
 static const double DIRECT_TIMEOUT_S = 3;
 
 struct delayed_command {
@@ -62,7 +62,7 @@
     return NULL;
 }
 
-/* Whether no message passes between the two, in either direction. */
+/* Whether no message passes between the machine and the controller, in either direction. */
 static bool is_partitioned(const struct sim_cluster *cluster, const struct sim_machine *machine,
                            int controller)
 {
@@ -100,8 +100,7 @@
     }
 }
 
-static void carry_out_commands(struct sim_cluster *cluster, struct sim_machine *machine,
-                               const GArray *commands)
+static void execute_commands(struct sim_cluster *cluster, struct sim_machine *machine, const GArray *commands)
 {
     for (guint i = 0; i < commands->len; i++) {
         const struct ow_worker_command *command = &g_array_index(commands, struct ow_worker_command, i);
@@ -118,7 +117,8 @@
     }
 }
 
-/* A partition delays packets; they arrive once it heals. Takes the commands out of the effect. */
+/* Keeps the commands until a partition heals, since it delays packets and does not drop them. Takes ownership
+ * of the commands out of the effect. */
 static void delay_commands(struct sim_cluster *cluster, const struct sim_machine *machine,
                            struct ow_effect *effect)
 {
@@ -129,8 +129,8 @@
     g_array_append_val(cluster->delayed_commands, delayed);
 }
 
-/* Obeys commands of the highest fencing token so far to its incarnation; returns the status of the response.
- */
+/* Executes commands for the current incarnation whose fencing token is not lower than the highest seen so
+ * far; returns the HTTP status of the response. */
 static int obey_direct_commands(struct sim_cluster *cluster, struct sim_machine *machine,
                                 const struct ow_effect *effect)
 {
@@ -140,7 +140,7 @@
         machine->next_heartbeat_at = MIN(machine->next_heartbeat_at, cluster->now + CHANGE_HEARTBEAT_S);
     }
     if (ok)
-        carry_out_commands(cluster, machine, effect->commands);
+        execute_commands(cluster, machine, effect->commands);
     return ok ? 200 : 409;
 }
 
@@ -177,14 +177,14 @@
         if (!machine->deleted && delayed->fencing_token >= machine->fencing_token &&
             delayed->incarnation == machine->incarnation) {
             machine->fencing_token = delayed->fencing_token;
-            carry_out_commands(cluster, machine, delayed->commands);
+            execute_commands(cluster, machine, delayed->commands);
         }
         g_array_free(delayed->commands, TRUE);
         g_array_remove_index(cluster->delayed_commands, i - 1);
     }
 }
 
-/* Takes the response to a heartbeat: requests of workers carry their machine's index above 2^32. */
+/* The upper 32 bits of a request number identify the worker's machine (see send_heartbeat()). */
 void sim_workers_handle_response(struct sim_cluster *cluster, int controller, const struct ow_effect *effect)
 {
     guint index = (guint)(effect->request >> 32) - 1;
@@ -210,7 +210,7 @@
     machine->fencing_token = effect->fencing_token;
     machine->lease_renewed_at = machine->heartbeat_sent_at;
     guint before = machine->tasks->len;
-    carry_out_commands(cluster, machine, effect->commands);
+    execute_commands(cluster, machine, effect->commands);
     if (machine->tasks->len != before)
         machine->next_heartbeat_at = cluster->now + CHANGE_HEARTBEAT_S;
 }
@@ -234,7 +234,7 @@
     machine->next_heartbeat_at = MIN(machine->next_heartbeat_at, cluster->now + CHANGE_HEARTBEAT_S);
 }
 
-/* A worker whose lease has expired ends its tasks, and begins a new incarnation. */
+/* A worker whose lease has expired ends its tasks and starts a new incarnation. */
 static void expire_lease(struct sim_cluster *cluster, struct sim_machine *machine)
 {
     if (cluster->now - machine->lease_renewed_at <= cluster->settings[0].lease_s)
@@ -251,7 +251,8 @@
     machine->next_heartbeat_at = cluster->now + RETRY_S;
 }
 
-/* The index of the machine stands above 2^32 in the number of the request, to find it by the response. */
+/* The upper 32 bits of the request number are the machine's index plus one, by which the response finds its
+ * machine; the lower 32 are the sequence number. */
 static void send_heartbeat(struct sim_cluster *cluster, struct sim_machine *machine, guint index)
 {
     struct ow_heartbeat *heartbeat = sim_heartbeat_new(machine);
--- a/tests/sim/upgrade_setup.c
+++ b/tests/sim/upgrade_setup.c
@@ -1,4 +1,4 @@
-/* Set-up for the tests of upgrades. */
+/* Setup for the tests of upgrades. */
 #include "upgrade_setup.h"
 
 #include "model/records.h"
@@ -10,7 +10,7 @@
         cluster->runs_old_version[i] = old;
 }
 
-/* Announces lower limits, which only the new version can read. */
+/* Announces lower limits in the settings of the upgraded controllers; the earlier version can't read them. */
 static void announce(struct sim_cluster *cluster, double value_kb, unsigned txn_ops)
 {
     for (int i = 0; i < SIM_CONTROLLERS; i++) {
--- a/tests/sim/workload_jobs.c
+++ b/tests/sim/workload_jobs.c
@@ -1,15 +1,15 @@
-/* The random mix of jobs of a workload day, its teams and its SLOs. */
+/* The random mix of jobs of the workload scenario, its teams and its SLOs. */
 #include "workload_jobs.h"
 
 #include "sim_submissions.h"
 
-/* Seeds of jobs for each seed of a day. */
+/* The number of job seeds for each seed of a scenario. */
 enum { JOB_SEEDS = 1000 };
 
 /* The classes of jobs; each but the first has an SLO. */
 static char batch_class[] = "batch", training_class[] = "training", serving_class[] = "serving",
             reporting_class[] = "report";
-/* Teams with guarantees, beside those of every simulated cluster. */
+/* Teams with guarantees, in addition to those of every simulated cluster. */
 static char vision_team[] = "vision", speech_team[] = "speech";
 
 static bool one_in(GRand *rand, int count)
@@ -28,7 +28,7 @@
     submission->class_name = g_strdup(class_name);
 }
 
-/* Some images are shared by classes, some are slow to fetch. */
+/* Jobs of all classes share a few images, of which the larger ones are slow to fetch. */
 static void set_image(struct ow_submission *submission, GRand *rand)
 {
     static const double sizes_gb[] = {0.5, 2, 8, 30};
@@ -55,7 +55,7 @@
         submission->types = g_strsplit(submission->need.gpus > 0 ? "gpu" : "big", " ", 0);
 }
 
-/* Some deadlines can't be met from the start. */
+/* Includes deadlines that are shorter than the estimate and can't be met. */
 static void set_durations(struct ow_submission *submission, GRand *rand)
 {
     submission->estimate_s = g_rand_double_range(rand, 2, 40);
@@ -79,7 +79,7 @@
     return submission;
 }
 
-/* Many are small, and pass the large ones. */
+/* Two thirds are small gangs, which can start before large ones that wait. */
 static struct ow_submission *random_gang(const char *id, GRand *rand)
 {
     bool large = one_in(rand, 3);
--- a/tests/sim/workload_scenario.c
+++ b/tests/sim/workload_scenario.c
@@ -1,27 +1,28 @@
-/* A random mix of work for a simulated cluster, with a few failures, from a fixed seed. */
+/* A random mix of jobs on a simulated cluster, with a few failures, from a fixed seed. */
 #include "workload_scenario.h"
 #include "workload_jobs.h"
 
 #include "check.h"
 
 enum {
-    LOAD_ROUNDS = 60,            /* of submissions and failures */
-    RECOVERY_S = 100,            /* without either: replicas are separated, and idle machines terminated */
-    PROVISIONABLE_MACHINES = 12, /* beyond those of the start */
-    JOBS_PER_ROUND_MAX = 2,      /* new jobs */
-    RESPONSE_TIMEOUT_S = 20,     /* every request is answered within it once the failures are over */
+    LOAD_ROUNDS = 60, /* rounds of user requests and failures */
+    RECOVERY_S =
+        100, /* the time after these rounds, in which replicas are separated and idle machines terminated */
+    PROVISIONABLE_MACHINES = 12, /* in addition to the initial machines */
+    JOBS_PER_ROUND_MAX = 2,      /* the most new jobs in a round */
+    RESPONSE_TIMEOUT_S = 20,     /* the time within which every request is answered after the failures */
 };
 
-/* The state of one day. */
+/* The state of one run. */
 struct workload_scenario {
     struct sim_cluster *cluster;
     GRand *rand;
     guint32 seed;
-    int jobs;                      /* submitted so far; numbered from 0 */
+    int jobs;                      /* the number of jobs submitted so far; numbered from 0 */
     GArray *submissions;           /* uint64_t: the request of each job's first submission */
-    double store_outage_ends_at;   /* the end of an outage of the key-value store */
-    double cloud_outage_ends_at;   /* the end of an outage of the cloud */
-    double controllers_restart_at; /* when controllers that are down restart */
+    double store_outage_ends_at;   /* valid while the key-value store is down */
+    double cloud_outage_ends_at;   /* valid while the cloud is down */
+    double controllers_restart_at; /* the time at which controllers that are down restart */
 };
 
 static bool one_in(GRand *rand, int count)
@@ -41,7 +42,7 @@
         (guint)g_rand_int_range(scenario->rand, 0, (gint32)scenario->cluster->machines->len));
 }
 
-/* ---- users ---- */
+/* ---- User requests ---- */
 
 static void submit_new_jobs(struct workload_scenario *scenario)
 {
@@ -60,7 +61,7 @@
         ow_shard_manager_push(controller, ow_event_new(OW_EVENT_TEAMS, ++scenario->cluster->last_request));
 }
 
-/* Requests about the jobs that were submitted. */
+/* Polls, and now and then resubmits or cancels, a job that was submitted before. */
 static void send_requests_for_known_jobs(struct workload_scenario *scenario)
 {
     if (scenario->jobs == 0)
@@ -87,7 +88,7 @@
         scenario->cluster->run_time_s = g_rand_double_range(scenario->rand, 2, 40);
 }
 
-/* ---- failures ---- */
+/* ---- Failures ---- */
 
 static void kill_leader(struct workload_scenario *scenario)
 {
@@ -98,7 +99,7 @@
     scenario->controllers_restart_at = scenario->cluster->now + g_rand_double_range(scenario->rand, 0, 15);
 }
 
-/* The cloud will take a spot machine back. */
+/* The cloud announces that it will reclaim a spot machine. */
 static void give_reclaim_notice(struct workload_scenario *scenario)
 {
     struct sim_machine *machine = random_machine(scenario);
@@ -174,9 +175,9 @@
     sim_start_controllers(scenario->cluster);
 }
 
-/* ---- the course of the day ---- */
+/* ---- Course of the scenario ---- */
 
-/* Machines are taken back when their notice has run out. */
+/* Reclaims the machines whose notice has run out. */
 static void expire_reclaim_notices(struct sim_cluster *cluster, double seconds)
 {
     for (guint i = 0; i < cluster->machines->len; i++) {
@@ -238,7 +239,7 @@
     return sim_status(scenario->cluster, g_array_index(scenario->submissions, uint64_t, job)) == 201;
 }
 
-/* Every job that was accepted is known, and no safety rule was broken. */
+/* A poll of every accepted job is answered with its state, and no safety rule was broken. */
 static void check_end(struct workload_scenario *scenario)
 {
     struct sim_cluster *cluster = scenario->cluster;
@@ -254,7 +255,8 @@
     for (int job = 0; job < scenario->jobs; job++) {
         int status = sim_status(cluster, g_array_index(polls, uint64_t, job));
         if (was_accepted(scenario, job) && status != 200)
-            fail_msg("seed %u: run-%d was accepted; a poll is answered %d", scenario->seed, job, status);
+            fail_msg("seed %u: job run-%d was accepted, but a poll of it was answered with status %d",
+                     scenario->seed, job, status);
     }
     g_array_free(polls, TRUE);
     if (cluster->violations->len > 0 || cluster->oversized_txns > 0)
--- a/tests/support/check.h
+++ b/tests/support/check.h
@@ -1,4 +1,4 @@
-/** @file What every test file includes for cmocka, in the order that it wants. */
+/** @file Includes cmocka with the headers that it requires before it, in the required order. */
 #ifndef OW_TESTS_CHECK_H
 #define OW_TESTS_CHECK_H
 
