--- a/tests/sockets/test_pause.c
+++ b/tests/sockets/test_pause.c
@@ -1,12 +1,13 @@
-/* A process that goes on after it stood still: the loop tells, and what waited to be sent is dropped. */
+/* A process that resumes after a pause: the loop reports the pause, and unsent data is dropped. */
 #include "check.h"
 #include "socket_fixture.h"
 
-/* More than a socket takes at once; how long a process stands still. */
+/* More than a socket buffer holds. */
 enum { LARGE_BYTES = 64 * 1024 * 1024 };
 static const double PAUSE_S = 0.3;
 
-/* What waits to be sent when a process goes on after a pause is dropped on either side. */
+/* When a process resumes after a pause, the server and the client drop the data that they have not sent yet.
+ */
 static void test_unsent_bytes_are_dropped(void **state)
 {
     struct socket_fixture *fixture = *state;
@@ -25,9 +26,9 @@
 
 static void record_pause(void *owner, double pause_s, double now)
 {
-    double *longest_s = owner;
+    double *recorded_s = owner;
     (void)now;
-    *longest_s = pause_s;
+    *recorded_s = pause_s;
 }
 
 static void test_wake_callback_reports_the_length_of_a_pause(void **state)
--- a/tests/sockets/test_sockets.c
+++ b/tests/sockets/test_sockets.c
@@ -1,4 +1,4 @@
-/* The loop, the HTTP server and client, over loopback. */
+/* The event loop with the HTTP server and client, over loopback. */
 #include "check.h"
 #include "io/net.h"
 #include "socket_fixture.h"
@@ -34,7 +34,7 @@
     ow_http_client_send(fixture->client, socket_endpoint, "GET", "/", NULL, 0.1, 7);
     socket_fixture_run_until_responses(fixture, 1);
     assert_int_equal(fixture->status, 0);
-    /* The response is ready after the client has gone: it must be dropped. */
+    /* The server answers after the client has closed the connection: the response must be dropped. */
     for (int i = 0; i < 5; i++)
         ow_loop_once(fixture->loop, socket_fixture_sweep, fixture);
     ow_http_server_answer(fixture->server, fixture->last_request, 200, NULL, "late", 4);
@@ -43,8 +43,8 @@
     assert_int_equal(fixture->status, 0);
 }
 
-/* A loop that is behind finds the answer in the socket after the deadline: it is no time-out, and sent again
-   the request would only add to the load. */
+/* A loop that runs late may find a response in the socket after the request's deadline. It must take the
+ * response: a time-out would make the caller retry, which only adds to the load. */
 static void test_response_that_has_arrived_does_not_time_out(void **state)
 {
     struct socket_fixture *fixture = *state;
@@ -68,7 +68,7 @@
     assert_int_equal(fixture->status, 200);
 }
 
-/* Whoever asked must know that asking again would bring the same. */
+/* The caller must see that a retry would give the same response. */
 static void test_oversized_response_reports_status_413(void **state)
 {
     struct socket_fixture *fixture = *state;
@@ -82,7 +82,8 @@
     g_free(body);
 }
 
-/* Sends raw bytes to the server; returns its response up to the end of the connection or a pause. */
+/* Sends raw bytes to the server; returns what it receives until the connection is closed or 50 iterations
+ * have passed. */
 static void exchange_bytes(struct socket_fixture *fixture, const char *bytes, char *response, size_t size)
 {
     int fd = ow_net_connect(socket_endpoint);
@@ -129,8 +130,8 @@
         close(fds[i]);
 }
 
-/* Where connections run out the one that is quiet for longest makes room: a worker's that sends heartbeats is
- * never it. */
+/* When connections run out, the one that has been idle for longest is closed, so that a worker that sends
+ * heartbeats keeps its connection. */
 static void test_longest_idle_connection_is_evicted_for_a_new_one(void **state)
 {
     static const char request[] = "POST /echo HTTP/1.1\r\nContent-Length: 2\r\n\r\nhi";
@@ -154,8 +155,8 @@
         close(fds[i]);
 }
 
-/* Commands to many machines at once leave the sockets to heartbeats: past the bound there is no room, and the
-   connection that has been idle for longest makes some. */
+/* Commands to many machines at once must leave sockets to heartbeats: at the limit there is no room for
+ * another connection until one is idle, and the one that has been idle for longest is then closed. */
 static void test_client_has_no_room_beyond_its_connection_limit(void **state)
 {
     struct socket_fixture *fixture = *state;
