--- a/tests/digest/decision_digest.c
+++ b/tests/digest/decision_digest.c
@@ -1,9 +1,9 @@
-/* A digest of every effect of every controller on seeded days of a simulated cluster: two builds with equal
- * digests took the same decisions. Each day is played in a process of its own, so that none depends on those
- * before it.
+/* Digests of every effect of every controller in seeded scenarios of a simulated cluster: two builds with
+ * equal digests made the same decisions. Each scenario runs in a process of its own, so that none depends on
+ * those before it.
  *
- * Prints a line "<fleet> <seed> <SHA-256> <number of effects>" for each day; with --dump, the lines of the
- * effects before it, which are what the digest is of.
+ * Prints a line "<scenario> <seed> <SHA-256> <number of effects>" for each scenario and seed; with --dump,
+ * the hashed lines, one per effect, are printed before it.
  */
 #include "chaos_scenario.h"
 #include "effect_line.h"
@@ -16,7 +16,7 @@
 
 enum { FIRST_SEED = 1, LAST_SEED = 32 };
 
-/* A kind of days. */
+/* A scenario with its variant. */
 struct scenario_type {
     const char *name;
     void (*run)(guint32 seed, bool sharded, const struct sim_observer *observer);
@@ -30,7 +30,7 @@
     {"workload-sharded", workload_scenario_run, true},
 };
 
-/* What has been seen of a day so far. */
+/* The digest of the effects of one scenario so far. */
 struct scenario_digest {
     GChecksum *checksum;
     unsigned effects;
@@ -62,7 +62,7 @@
     g_checksum_free(digest.checksum);
 }
 
-/* False if the day failed. */
+/* Runs the scenario in a child process; false if it failed. */
 static bool print_digest_in_child(const struct scenario_type *scenario_type, guint32 seed, bool dump)
 {
     fflush(stdout);
@@ -75,7 +75,7 @@
     bool passed = process > 0 && waitpid(process, &status, 0) == process && WIFEXITED(status) &&
                   WEXITSTATUS(status) == EXIT_SUCCESS;
     if (!passed)
-        fprintf(stderr, "decision_digest: the %s day of seed %u failed\n", scenario_type->name, seed);
+        fprintf(stderr, "decision_digest: the %s scenario with seed %u failed\n", scenario_type->name, seed);
     return passed;
 }
 
@@ -90,7 +90,7 @@
 static bool parse_seed(const char *text, guint32 *seed)
 {
     guint64 number = 0;
-    /* One less than the largest, so that a loop over seeds ends. */
+    /* The largest value is excluded, as a loop up to it would not end. */
     if (!g_ascii_string_to_unsigned(text, 10, 0, G_MAXUINT32 - 1, &number, NULL))
         return false;
     *seed = (guint32)number;
--- a/tests/digest/effect_line.c
+++ b/tests/digest/effect_line.c
@@ -1,4 +1,4 @@
-/* The effects of controllers as text, encoded as for the wire. */
+/* Effects of controllers as text, with bodies encoded as on the wire. */
 #include "effect_line.h"
 
 #include "model/cloud.h"
@@ -10,7 +10,7 @@
 #include "wire/user_json.h"
 #include "wire/worker_json.h"
 
-/* Appends a body, and frees it; NULL: there is none. */
+/* Appends a body, which may be NULL, and frees it. */
 static void append_body(GString *line, char *body)
 {
     if (body != NULL)
