--- a/tests/model/handover.pml
+++ b/tests/model/handover.pml
@@ -1,103 +1,108 @@
-/* A model of one shard's handover: the key in the state service with its lease, two controllers, two machines and one
- * task, over a network that loses, repeats and delays. A controller that freezes is one that takes no step while others
- * do, so every interleaving contains freezes of every length. Suspicion does not occur: nothing rests on it.
+/* A model of the handover of one shard: the leader's key in the key-value store with its lease, two controllers, two
+ * machines and one task, over a network that loses, duplicates and delays messages. A frozen controller is one that
+ * takes no step while others do, so the interleavings contain pauses of every length. Failure suspicion is not
+ * modelled, since safety does not depend on it.
  *
- * Each fence can be taken out with a macro, and the model then fails:
- *   NO_TOKEN_CHECK       a machine obeys any token
- *   NO_KEY_CONDITION     a write does not require that its writer still holds the key
- *   NO_VERSION_CONDITION a write does not require the version of the record that its writer has read
- *   NO_RECORD_FIRST      a launch may leave before its record is written
- *   NO_MACHINE_FENCE     a report under an older token proves that a machine has nothing
- *   NO_LEASE_CHECK       a launch leaves without a look at the lease
- *   NO_LEASE_GONE        the key is taken while its holder's lease lasts
+ * Each fence can be disabled with a macro, and the model then fails:
+ *   NO_TOKEN_CHECK       a machine accepts commands with any token
+ *   NO_KEY_CONDITION     a write is applied although its writer no longer holds the key
+ *   NO_VERSION_CONDITION a write is applied although the record has changed since its writer read it
+ *   NO_RECORD_FIRST      a launch may be sent before its record is written
+ *   NO_MACHINE_FENCE     a heartbeat under an older token counts as proof that an attempt is gone
+ *   NO_LEASE_CHECK       a launch is sent without a check of the leader's lease
+ *   NO_LEASE_GONE        the key can be taken while its holder's lease is valid
  */
 
-#ifndef EXPIRIES
-#define EXPIRIES 2 /* leases that end before their holder does */
+#ifndef KEY_EXPIRIES
+#define KEY_EXPIRIES 2 /* number of leader leases that expire while their holder runs */
 #endif
-#ifndef SESSIONS
-#define SESSIONS 1 /* times that each machine's own lease runs out */
+#ifndef MACHINE_EXPIRIES
+#define MACHINE_EXPIRIES 1 /* number of expiries of each machine's own lease */
 #endif
 #ifndef VERSIONS
-#define VERSIONS 3 /* times that the record is written: a place, its end, another place */
+#define VERSIONS 3 /* number of writes of the record: a placement, its end, another placement */
 #endif
 #define CONTROLLERS 2
 #define MACHINES 2
-#define NOBODY 0
-#define NOWHERE 0
+#define NO_HOLDER 0
+#define NO_MACHINE 0
 
-/* The state service. */
+/* The key-value store. */
 byte last_token = 0;
-byte holder = NOBODY;       /* controller + 1 */
+byte holder = NO_HOLDER; /* controller + 1 */
 byte held_token = 0;
 bool lease[CONTROLLERS];
-byte record_machine = NOWHERE; /* machine + 1: where an attempt may exist */
-byte record_session = 0;
+byte record_machine = NO_MACHINE; /* machine + 1: the machine that may have an attempt */
+byte record_incarnation = 0;
 byte record_version = 0;
-byte expiries = 0;
+byte key_expiries = 0;
 
-/* A write that is on its way: first those whose writer waits for the answer, then one that the first controller has given
- * up on, which is carried out late or never. */
-typedef Write { bool pending; byte token; byte version; byte machine; byte session; }
+/* Writes in flight: one for each controller that waits for the response, and one that the first controller has timed
+ * out, which is applied late or never. */
+typedef Write { bool pending; byte token; byte version; byte machine; byte incarnation; }
 Write writes[3];
-#define LATE CONTROLLERS
+#define LATE_WRITE CONTROLLERS
 
-/* The machines. What they last reported may be as old as it likes. */
-byte seen[MACHINES];
-byte session[MACHINES];
+/* The machines. Their last heartbeats (reported_*) may be arbitrarily old. */
+byte highest_token[MACHINES];
+byte incarnation[MACHINES];
 bool runs[MACHINES];
-byte resets[MACHINES];
-byte told_token[MACHINES];
-byte told_session[MACHINES];
-bool told_runs[MACHINES];
+byte machine_expiries[MACHINES];
+byte reported_token[MACHINES];
+byte reported_incarnation[MACHINES];
+bool reported_runs[MACHINES];
 
 mtype = { FENCE, LAUNCH };
-chan orders[MACHINES] = [1] of { mtype, byte, byte }; /* token, session */
+chan commands[MACHINES] = [1] of { mtype, byte, byte }; /* token, incarnation */
 
 /* The controllers. */
-typedef View { bool leads; bool loaded; byte token; byte machine; byte session; byte version; bool launched; bool ended; }
-View view[CONTROLLERS];
+typedef View {
+    bool leads; bool loaded; byte token; byte machine; byte incarnation; byte version; bool launched; bool ended;
+}
+View views[CONTROLLERS];
 
-#define TWO_RUN (runs[0] && runs[1])
+#define BOTH_RUN (runs[0] && runs[1])
 
-inline send(to, order, with_token, to_session)
+inline send_command(to, command, with_token, to_incarnation)
 {
-    /* A full channel stands for loss. */
+    /* With a full channel the command is lost. */
     if
-    :: nfull(orders[to]) -> orders[to]!order, with_token, to_session
-    :: full(orders[to]) -> skip
+    :: nfull(commands[to]) -> commands[to]!command, with_token, to_incarnation
+    :: full(commands[to]) -> skip
     fi
 }
 
-/* What a controller that does not lead may have known is of no importance: one state for all of it. */
-inline forget(who)
+/* Resets what a controller has read and done: it is irrelevant once it does not lead, and one state for all of it
+ * keeps the search small. */
+inline reset_view(who)
 {
-    view[who].loaded = false;
-    view[who].token = 0;
-    view[who].machine = NOWHERE;
-    view[who].session = 0;
-    view[who].version = 0;
-    view[who].launched = false;
-    view[who].ended = false
+    views[who].loaded = false;
+    views[who].token = 0;
+    views[who].machine = NO_MACHINE;
+    views[who].incarnation = 0;
+    views[who].version = 0;
+    views[who].launched = false;
+    views[who].ended = false
 }
 
-inline clear(which)
+inline clear_write(which)
 {
     writes[which].pending = false;
     writes[which].token = 0;
     writes[which].version = 0;
-    writes[which].machine = NOWHERE;
-    writes[which].session = 0
+    writes[which].machine = NO_MACHINE;
+    writes[which].incarnation = 0
 }
 
-/* Whether what machine m has told proves that the recorded attempt is gone. */
+/* Whether the last heartbeat of machine m proves that the recorded attempt is gone. */
 #ifdef NO_MACHINE_FENCE
-#define TOLD_UNDER_MY_TOKEN(c, m) (true)
+#define REPORTED_UNDER_OWN_TOKEN(c, m) (true)
 #else
-#define TOLD_UNDER_MY_TOKEN(c, m) (told_token[m] == view[c].token)
+#define REPORTED_UNDER_OWN_TOKEN(c, m) (reported_token[m] == views[c].token)
 #endif
-#define GONE(c, m) (TOLD_UNDER_MY_TOKEN(c, m) && !told_runs[m] && \
-    (told_session[m] > view[c].session || (told_session[m] == view[c].session && !view[c].launched)))
+#define GONE(c, m) (REPORTED_UNDER_OWN_TOKEN(c, m) && !reported_runs[m] && \
+    (reported_incarnation[m] > views[c].incarnation || \
+     (reported_incarnation[m] == views[c].incarnation && !views[c].launched)))
 
 #ifdef NO_LEASE_CHECK
 #define MAY_LAUNCH(c) (true)
@@ -108,7 +113,7 @@
 #ifdef NO_LEASE_GONE
 #define KEY_IS_FREE(c) (holder != c + 1)
 #else
-#define KEY_IS_FREE(c) (holder == NOBODY)
+#define KEY_IS_FREE(c) (holder == NO_HOLDER)
 #endif
 
 #ifdef NO_KEY_CONDITION
@@ -118,15 +123,15 @@
 #endif
 
 #ifdef NO_VERSION_CONDITION
-#define VERSION_IS_KNOWN(c) (true)
+#define VERSION_IS_CURRENT(c) (true)
 #else
-#define VERSION_IS_KNOWN(c) (writes[c].version == record_version)
+#define VERSION_IS_CURRENT(c) (writes[c].version == record_version)
 #endif
 
 #ifdef NO_TOKEN_CHECK
-#define TOKEN_IS_NEW(m, t) (true)
+#define TOKEN_IS_ACCEPTED(m, t) (true)
 #else
-#define TOKEN_IS_NEW(m, t) (t >= seen[m])
+#define TOKEN_IS_ACCEPTED(m, t) (t >= highest_token[m])
 #endif
 
 proctype Controller(byte c)
@@ -134,85 +139,88 @@
     byte m;
 end:
     do
-    /* It obtains a lease and takes the key, in one transaction that requires the key as it was read. */
-    :: atomic { !view[c].leads && KEY_IS_FREE(c) && last_token <= EXPIRIES + 1 ->
-           assert(holder == NOBODY);
+    /* Obtains a lease and takes the key, in one transaction that requires the key to be unchanged since it was read. */
+    :: atomic { !views[c].leads && KEY_IS_FREE(c) && last_token <= KEY_EXPIRIES + 1 ->
+           assert(holder == NO_HOLDER);
            last_token++;
            holder = c + 1;
            held_token = last_token;
            lease[c] = true;
-           view[c].leads = true;
-           view[c].loaded = false;
-           view[c].token = last_token }
-    /* It reads the records. Within its term it remembers what it has launched, and what it has found to be gone. */
-    :: atomic { view[c].leads && !view[c].loaded ->
-           view[c].launched = view[c].launched && view[c].version == record_version;
-           view[c].ended = view[c].ended && view[c].version == record_version;
-           view[c].machine = record_machine;
-           view[c].session = record_session;
-           view[c].version = record_version;
-           view[c].loaded = true }
-    /* It learns that it leads no more. */
-    :: atomic { view[c].leads && holder != c + 1 -> view[c].leads = false; forget(c) }
-    /* It shows a machine its token. */
-    :: atomic { view[c].leads && view[c].loaded && told_token[0] != view[c].token -> send(0, FENCE, view[c].token, 0) }
-    :: atomic { view[c].leads && view[c].loaded && told_token[1] != view[c].token -> send(1, FENCE, view[c].token, 0) }
-    /* It places the task on a machine whose report it has under its token, or takes back an attempt that is gone. */
-    :: atomic { view[c].leads && view[c].loaded && !writes[c].pending && view[c].machine == NOWHERE &&
+           views[c].leads = true;
+           views[c].loaded = false;
+           views[c].token = last_token }
+    /* Reads the record. Within its term it remembers whether it has launched the attempt or found it gone. */
+    :: atomic { views[c].leads && !views[c].loaded ->
+           views[c].launched = views[c].launched && views[c].version == record_version;
+           views[c].ended = views[c].ended && views[c].version == record_version;
+           views[c].machine = record_machine;
+           views[c].incarnation = record_incarnation;
+           views[c].version = record_version;
+           views[c].loaded = true }
+    /* Learns that it no longer leads. */
+    :: atomic { views[c].leads && holder != c + 1 -> views[c].leads = false; reset_view(c) }
+    /* Sends a machine its token. */
+    :: atomic { views[c].leads && views[c].loaded && reported_token[0] != views[c].token ->
+           send_command(0, FENCE, views[c].token, 0) }
+    :: atomic { views[c].leads && views[c].loaded && reported_token[1] != views[c].token ->
+           send_command(1, FENCE, views[c].token, 0) }
+    /* Places the task on a machine that has sent a heartbeat under its token, or removes an attempt that is gone. */
+    :: atomic { views[c].leads && views[c].loaded && !writes[c].pending && views[c].machine == NO_MACHINE &&
            record_version < VERSIONS ->
            if
            :: m = 0
            :: m = 1
            fi;
            if
-           :: told_token[m] == view[c].token ->
+           :: reported_token[m] == views[c].token ->
                   writes[c].pending = true;
-                  writes[c].token = view[c].token;
-                  writes[c].version = view[c].version;
+                  writes[c].token = views[c].token;
+                  writes[c].version = views[c].version;
                   writes[c].machine = m + 1;
-                  writes[c].session = told_session[m]
+                  writes[c].incarnation = reported_incarnation[m]
 #ifdef NO_RECORD_FIRST
-                  ; send(m, LAUNCH, view[c].token, told_session[m])
+                  ; send_command(m, LAUNCH, views[c].token, reported_incarnation[m])
 #endif
            :: else -> skip
            fi }
-    :: atomic { view[c].leads && view[c].loaded && !writes[c].pending && view[c].machine != NOWHERE ->
-           m = view[c].machine - 1;
+    :: atomic { views[c].leads && views[c].loaded && !writes[c].pending && views[c].machine != NO_MACHINE ->
+           m = views[c].machine - 1;
            if
            :: GONE(c, m) ->
-                  view[c].ended = true;
+                  views[c].ended = true;
                   writes[c].pending = true;
-                  writes[c].token = view[c].token;
-                  writes[c].version = view[c].version;
-                  writes[c].machine = NOWHERE;
-                  writes[c].session = 0
+                  writes[c].token = views[c].token;
+                  writes[c].version = views[c].version;
+                  writes[c].machine = NO_MACHINE;
+                  writes[c].incarnation = 0
            :: else -> skip
            fi }
-    /* No answer comes: it reads again what the record says, while the write may still be carried out. */
-    :: atomic { c == 0 && view[c].leads && writes[c].pending && !writes[LATE].pending ->
-           writes[LATE].pending = true;
-           writes[LATE].token = writes[c].token;
-           writes[LATE].version = writes[c].version;
-           writes[LATE].machine = writes[c].machine;
-           writes[LATE].session = writes[c].session;
-           clear(c);
-           view[c].loaded = false }
-    /* It launches what is recorded, once the machine has seen its token; it may do so again. */
-    :: atomic { view[c].leads && view[c].loaded && !writes[c].pending && view[c].machine != NOWHERE && !view[c].ended &&
-           MAY_LAUNCH(c) ->
-           m = view[c].machine - 1;
+    /* The write times out: the controller reads the record again, while the write may still be applied. */
+    :: atomic { c == 0 && views[c].leads && writes[c].pending && !writes[LATE_WRITE].pending ->
+           writes[LATE_WRITE].pending = true;
+           writes[LATE_WRITE].token = writes[c].token;
+           writes[LATE_WRITE].version = writes[c].version;
+           writes[LATE_WRITE].machine = writes[c].machine;
+           writes[LATE_WRITE].incarnation = writes[c].incarnation;
+           clear_write(c);
+           views[c].loaded = false }
+    /* Launches the recorded attempt once the machine has reported its token; may repeat the launch. */
+    :: atomic { views[c].leads && views[c].loaded && !writes[c].pending && views[c].machine != NO_MACHINE &&
+           !views[c].ended && MAY_LAUNCH(c) ->
+           m = views[c].machine - 1;
            if
-           :: told_token[m] == view[c].token && told_session[m] == view[c].session && !told_runs[m] ->
+           :: reported_token[m] == views[c].token && reported_incarnation[m] == views[c].incarnation &&
+              !reported_runs[m] ->
                   assert(lease[c]);
-                  view[c].launched = true;
-                  send(m, LAUNCH, view[c].token, view[c].session)
+                  views[c].launched = true;
+                  send_command(m, LAUNCH, views[c].token, views[c].incarnation)
            :: else -> skip
            fi }
     od
 }
 
-/* Carries out writes in any order and at any time, and ends leases whose holder may still be there. */
-proctype StateService()
+/* Applies writes in any order and at any time, and expires leases whose holder may still run. */
+proctype KeyValueStore()
 {
     byte w, c;
 end:
@@ -220,39 +228,39 @@
     :: atomic { writes[0].pending -> w = 0; goto carry_out }
     :: atomic { writes[1].pending -> w = 1; goto carry_out }
     :: atomic { writes[2].pending -> w = 2; goto carry_out }
-    :: atomic { expiries < EXPIRIES && holder != NOBODY ->
-           expiries++;
+    :: atomic { key_expiries < KEY_EXPIRIES && holder != NO_HOLDER ->
+           key_expiries++;
            lease[holder - 1] = false;
-           holder = NOBODY;
+           holder = NO_HOLDER;
            held_token = 0 }
     od;
 carry_out:
     atomic {
         c = w % CONTROLLERS;
         if
-        :: KEY_IS_HELD(w) && VERSION_IS_KNOWN(w) ->
+        :: KEY_IS_HELD(w) && VERSION_IS_CURRENT(w) ->
                assert(writes[w].token == held_token);
                record_machine = writes[w].machine;
-               record_session = writes[w].session;
+               record_incarnation = writes[w].incarnation;
                record_version++;
-               /* Its writer hears of it, if it still waits for that. */
+               /* The writer gets the response if it still waits for it. */
                if
-               :: w < CONTROLLERS && view[c].leads && view[c].loaded && view[c].token == writes[w].token ->
-                      view[c].machine = record_machine;
-                      view[c].session = record_session;
-                      view[c].version = record_version;
-                      view[c].launched = false;
-                      view[c].ended = false
+               :: w < CONTROLLERS && views[c].leads && views[c].loaded && views[c].token == writes[w].token ->
+                      views[c].machine = record_machine;
+                      views[c].incarnation = record_incarnation;
+                      views[c].version = record_version;
+                      views[c].launched = false;
+                      views[c].ended = false
                :: else -> skip
                fi
         :: else ->
-               /* Refused: its writer, if it waits, reads the record again. */
+               /* The write is refused: the writer, if it still waits, reads the record again. */
                if
-               :: w < CONTROLLERS -> view[c].loaded = false
+               :: w < CONTROLLERS -> views[c].loaded = false
                :: else -> skip
                fi
         fi;
-        clear(w);
+        clear_write(w);
         w = 0;
         c = 0;
         goto end
@@ -264,33 +272,34 @@
     byte t, s;
 end:
     do
-    :: atomic { orders[m]?FENCE(t, s) ->
+    :: atomic { commands[m]?FENCE(t, s) ->
            if
-           :: TOKEN_IS_NEW(m, t) -> assert(t >= seen[m]); seen[m] = t
-           :: !TOKEN_IS_NEW(m, t) -> skip
+           :: TOKEN_IS_ACCEPTED(m, t) -> assert(t >= highest_token[m]); highest_token[m] = t
+           :: !TOKEN_IS_ACCEPTED(m, t) -> skip
            fi }
-    :: atomic { orders[m]?LAUNCH(t, s) ->
+    :: atomic { commands[m]?LAUNCH(t, s) ->
            if
-           :: TOKEN_IS_NEW(m, t) && s == session[m] ->
-                  assert(t >= seen[m]);
-                  seen[m] = t;
+           :: TOKEN_IS_ACCEPTED(m, t) && s == incarnation[m] ->
+                  assert(t >= highest_token[m]);
+                  highest_token[m] = t;
                   runs[m] = true;
-                  assert(!TWO_RUN)
+                  assert(!BOTH_RUN)
            :: else -> skip
            fi }
-    :: atomic { told_token[m] != seen[m] || told_session[m] != session[m] || told_runs[m] != runs[m] ->
-           told_token[m] = seen[m];
-           told_session[m] = session[m];
-           told_runs[m] = runs[m] }
-    /* Nobody has answered it for the life of its lease: it kills what it runs. */
-    :: atomic { resets[m] < SESSIONS -> resets[m]++; session[m]++; runs[m] = false }
+    :: atomic { reported_token[m] != highest_token[m] || reported_incarnation[m] != incarnation[m] ||
+           reported_runs[m] != runs[m] ->
+           reported_token[m] = highest_token[m];
+           reported_incarnation[m] = incarnation[m];
+           reported_runs[m] = runs[m] }
+    /* Its lease has expired without a response to a heartbeat: it kills its task and starts a new incarnation. */
+    :: atomic { machine_expiries[m] < MACHINE_EXPIRIES -> machine_expiries[m]++; incarnation[m]++; runs[m] = false }
     od
 }
 
 init
 {
     atomic {
-        run StateService();
+        run KeyValueStore();
         run Controller(0);
         run Controller(1);
         run Machine(0);
@@ -299,6 +308,6 @@
 }
 
 #ifdef LIVENESS
-/* A shard that nobody leads is led again. */
-ltl led_again { [] ((holder == NOBODY) -> <> (holder != NOBODY)) }
+/* A shard without a leader gets one eventually. */
+ltl leader_elected_again { [] ((holder == NO_HOLDER) -> <> (holder != NO_HOLDER)) }
 #endif
