--- a/tests/sim/chaos_failures.c
+++ b/tests/sim/chaos_failures.c
@@ -1,4 +1,4 @@
-/* Random overlapping failures of machines, controllers, store, cloud and links. */
+/* Random overlapping failures of machines, controllers, the key-value store, the cloud and links. */
 #include "chaos_failures.h"
 
 #include "model/worker.h"
@@ -21,7 +21,7 @@
     g_rand_free(failures->rand);
 }
 
-static struct sim_machine *any_machine(struct chaos_failures *failures)
+static struct sim_machine *random_machine(struct chaos_failures *failures)
 {
     return g_ptr_array_index(
         failures->cluster->machines,
@@ -43,9 +43,9 @@
     }
 }
 
-static void disturb_machine(struct chaos_failures *failures)
+static void toggle_machine_failure(struct chaos_failures *failures)
 {
-    struct sim_machine *machine = any_machine(failures);
+    struct sim_machine *machine = random_machine(failures);
     switch (g_rand_int_range(failures->rand, 0, 9)) {
     case 0:
         machine->partitioned = !machine->partitioned;
@@ -79,7 +79,7 @@
     }
 }
 
-/* Its process stands still, for shorter or longer than its lease, or goes on. */
+/* Pauses a controller's process, for shorter or longer than its lease, or resumes it. */
 static void freeze_or_thaw(struct chaos_failures *failures)
 {
     int controller = g_rand_int_range(failures->rand, 0, SIM_CONTROLLERS);
@@ -89,11 +89,11 @@
         sim_freeze_controller(failures->cluster, controller);
 }
 
-static void disturb_controller(struct chaos_failures *failures)
+static void toggle_controller_failure(struct chaos_failures *failures)
 {
     int controller = g_rand_int_range(failures->rand, 0, SIM_CONTROLLERS);
     int other = (controller + 1) % SIM_CONTROLLERS;
-    /* Links break with and without their process. */
+    /* Links break with and without a crash of the process. */
     if (g_rand_boolean(failures->rand) && failures->cluster->controllers[other] != NULL)
         sim_break_peer_link(failures->cluster, other, controller);
     if (g_rand_int_range(failures->rand, 0, 4) == 0)
@@ -102,12 +102,12 @@
         sim_kill_controller(failures->cluster, controller);
     else
         sim_start_controller(failures->cluster, controller);
-    /* Some restart at once. */
+    /* One in three restarts at once. */
     if (failures->cluster->controllers[controller] == NULL && g_rand_int_range(failures->rand, 0, 3) == 0)
         sim_start_controller(failures->cluster, controller);
 }
 
-static void disturb_service(struct chaos_failures *failures)
+static void toggle_service_failure(struct chaos_failures *failures)
 {
     switch (g_rand_int_range(failures->rand, 0, 10)) {
     case 0:
@@ -144,7 +144,7 @@
     }
 }
 
-void chaos_failures_disturb(struct chaos_failures *failures)
+void chaos_failures_inject(struct chaos_failures *failures)
 {
     bool sharded = failures->cluster->sharding != NULL;
     if (sharded && g_rand_int_range(failures->rand, 0, 4) == 0) {
@@ -153,11 +153,11 @@
     }
     int kind = g_rand_int_range(failures->rand, 0, 10);
     if (kind < 4)
-        disturb_machine(failures);
+        toggle_machine_failure(failures);
     else if (kind < 7)
-        disturb_controller(failures);
+        toggle_controller_failure(failures);
     else
-        disturb_service(failures);
+        toggle_service_failure(failures);
 }
 
 void chaos_failures_end(struct chaos_failures *failures)
--- a/tests/sim/sim_jobs.c
+++ b/tests/sim/sim_jobs.c
@@ -1,5 +1,5 @@
-/* Jobs that are brought to the state in which many tests need them. */
-#include "sim_parts.h"
+/* Helpers that submit jobs and run the cluster until they are in a state that many tests start from. */
+#include "sim_internal.h"
 
 #include "check.h"
 
--- a/tests/sim/sim_setup.c
+++ b/tests/sim/sim_setup.c
@@ -1,5 +1,5 @@
-/* Simulated clusters in the initial states that several tests share. */
-#include "sim_parts.h"
+/* Simulated clusters in initial states shared by several tests. */
+#include "sim_internal.h"
 
 #include "check.h"
 
--- a/tests/sim/workload_jobs.c
+++ b/tests/sim/workload_jobs.c
@@ -1,15 +1,15 @@
-/* The random mix of jobs of a workload day, its teams and its SLOs. */
+/* The random mix of jobs of the workload scenario, its teams and its SLOs. */
 #include "workload_jobs.h"
 
 #include "sim_submissions.h"
 
-/* Seeds of jobs for each seed of a day. */
+/* The number of job seeds for each seed of a scenario. */
 enum { JOB_SEEDS = 1000 };
 
 /* The classes of jobs; each but the first has an SLO. */
 static char batch_class[] = "batch", training_class[] = "training", serving_class[] = "serving",
             reporting_class[] = "report";
-/* Teams with guarantees, beside those of every simulated cluster. */
+/* Teams with guarantees, in addition to those of every simulated cluster. */
 static char vision_team[] = "vision", speech_team[] = "speech";
 
 static bool one_in(GRand *rand, int count)
@@ -28,7 +28,7 @@
     submission->class_name = g_strdup(class_name);
 }
 
-/* Some images are shared by classes, some are slow to fetch. */
+/* Jobs of all classes share a few images, of which the larger ones are slow to fetch. */
 static void set_image(struct ow_submission *submission, GRand *rand)
 {
     static const double sizes_gb[] = {0.5, 2, 8, 30};
@@ -45,7 +45,7 @@
     sim_set_team(submission, one_in(rand, 40) ? "unknown" : team);
 }
 
-static void set_places(struct ow_submission *submission, GRand *rand)
+static void set_placement(struct ow_submission *submission, GRand *rand)
 {
     submission->one_zone = one_in(rand, 4);
     submission->spread = one_in(rand, 4);
@@ -55,8 +55,8 @@
         submission->types = g_strsplit(submission->need.gpus > 0 ? "gpu" : "big", " ", 0);
 }
 
-/* Some deadlines can't be met from the start. */
-static void set_times(struct ow_submission *submission, GRand *rand)
+/* Includes deadlines that are shorter than the estimate and can't be met. */
+static void set_durations(struct ow_submission *submission, GRand *rand)
 {
     submission->estimate_s = g_rand_double_range(rand, 2, 40);
     if (one_in(rand, 2)) {
@@ -75,11 +75,11 @@
     if (one_in(rand, 4))
         submission->need = (struct ow_resources){1, 1, 1};
     set_class(submission, one_in(rand, 3) ? reporting_class : batch_class);
-    set_times(submission, rand);
+    set_durations(submission, rand);
     return submission;
 }
 
-/* Many are small, and pass the large ones. */
+/* Two thirds are small gangs, which can start before large ones that wait. */
 static struct ow_submission *random_gang(const char *id, GRand *rand)
 {
     bool large = one_in(rand, 3);
@@ -88,7 +88,7 @@
     if (one_in(rand, 3))
         submission->need = (struct ow_resources){2, one_in(rand, 2) ? 2 : 1, 1};
     set_class(submission, one_in(rand, 4) ? batch_class : training_class);
-    set_times(submission, rand);
+    set_durations(submission, rand);
     return submission;
 }
 
@@ -102,19 +102,19 @@
     return submission;
 }
 
-struct ow_submission *workload_job_new(guint32 day_seed, int job)
+struct ow_submission *workload_job_new(guint32 scenario_seed, int job)
 {
     static struct ow_submission *(*const kinds[])(const char *, GRand *) = {
         random_array, random_array, random_array, random_gang, random_gang, random_service};
     char id[16];
     workload_job_id(id, sizeof id, job);
-    GRand *rand = g_rand_new_with_seed(day_seed * JOB_SEEDS + (guint32)job);
+    GRand *rand = g_rand_new_with_seed(scenario_seed * JOB_SEEDS + (guint32)job);
     struct ow_submission *submission = kinds[g_rand_int_range(rand, 0, G_N_ELEMENTS(kinds))](id, rand);
     submission->rank = (enum ow_rank)g_rand_int_range(rand, OW_RANK_CRITICAL, OW_RANK_LOW + 1);
     submission->spot = !one_in(rand, 3);
     set_image(submission, rand);
     set_random_team(submission, rand);
-    set_places(submission, rand);
+    set_placement(submission, rand);
     g_rand_free(rand);
     return submission;
 }
