--- a/src/core/scheduling/gang_hold_priority.c
+++ b/src/core/scheduling/gang_hold_priority.c
@@ -50,7 +50,7 @@
     double slo_s = ow_class_next_start_slo_s(leader->core, spec->class_index, age_s);
     if (leader->cycle.gang_has_hold_priority || slo_s == INFINITY || age_s < PRIORITY_SHARE_OF_SLO * slo_s)
         return false;
-    double left_s = slo_s - age_s - ow_image_slowest_fetch_seconds(leader, spec);
+    double left_s = slo_s - age_s - ow_image_slowest_fetch_s(leader, spec);
     leader->cycle.gang_has_hold_priority = is_backlog_short(leader, execution, left_s);
     return leader->cycle.gang_has_hold_priority;
 }
--- a/src/core/scheduling/gpu_reserve.c
+++ b/src/core/scheduling/gpu_reserve.c
@@ -47,7 +47,7 @@
     if (gpus <= 0 || ow_job_is_over(execution->job))
         return 0;
     double slack_s = MAX(ow_deadline_slack_s(leader, execution), 1);
-    double fetch_s = FETCH_SHARE * ow_image_slowest_fetch_seconds(leader, spec);
+    double fetch_s = FETCH_SHARE * ow_image_slowest_fetch_s(leader, spec);
     double task_s = ow_class_run_time_s(leader->core, spec) + fetch_s;
     return gpus * MIN(1, task_s / slack_s);
 }
--- a/src/core/scheduling/image_demand.c
+++ b/src/core/scheduling/image_demand.c
@@ -16,7 +16,7 @@
            ow_placement_slots_on_empty(type, &spec->submission->need) > 0;
 }
 
-double ow_image_slowest_fetch_seconds(const struct ow_leader *leader, const struct ow_job_spec *spec)
+double ow_image_slowest_fetch_s(const struct ow_leader *leader, const struct ow_job_spec *spec)
 {
     double slowest_s = 0;
     for (int i = 0; i < OW_MAX_TYPES; i++) {
--- a/src/core/scheduling/image_demand.h
+++ b/src/core/scheduling/image_demand.h
@@ -30,6 +30,6 @@
 const struct ow_image_demand *ow_image_demand_of(struct ow_leader *leader, int image);
 /** Seconds that a fetch of the job's image takes on the slowest machine type that fits the job; 0 if none
  * is known. */
-double ow_image_slowest_fetch_seconds(const struct ow_leader *leader, const struct ow_job_spec *spec);
+double ow_image_slowest_fetch_s(const struct ow_leader *leader, const struct ow_job_spec *spec);
 
 #endif
--- a/src/core/scheduling/promotion.c
+++ b/src/core/scheduling/promotion.c
@@ -21,7 +21,7 @@
 {
     const struct ow_job_spec *spec = execution->job->spec;
     double limit_s = ow_submission_is_gang(spec->submission) ? GANG_PROMOTION_AGE_S : PROMOTION_AGE_S;
-    double latest_s = START_TARGET_S - ow_image_slowest_fetch_seconds(leader, spec);
+    double latest_s = START_TARGET_S - ow_image_slowest_fetch_s(leader, spec);
     return CLAMP(latest_s, MIN_PROMOTION_AGE_S, limit_s);
 }
 
