--- a/src/core/machines/cancellation_enforcement.c
+++ b/src/core/machines/cancellation_enforcement.c
@@ -8,7 +8,7 @@
 
 /* A stop is repeated by a direct command if the task has not ended after this time. */
 static const double STOP_RETRY_S = 1;
-/* Share of `cancel_s` after which the machine is terminated: the cloud needs the rest to delete it. */
+/* Share of `cancel_s` after which the machine is terminated: the remainder is for the cloud to delete it. */
 static const double TERMINATION_SHARE = 0.5;
 
 void ow_cancellation_enforce(struct ow_leader *leader, struct ow_machine *machine)
--- a/src/core/machines/command_queue.c
+++ b/src/core/machines/command_queue.c
@@ -5,12 +5,12 @@
 
 /* A worker that learns this leader's fencing token from an answer sends a heartbeat at once; it is sent a
    direct command only if no heartbeat arrives within this time. */
-static const double FENCE_BY_HEARTBEAT_S = 1;
+static const double DIRECT_FENCING_DELAY_S = 1;
 /* CPU time of a direct command with its answer, in core seconds. */
 static const double DIRECT_COMMAND_CPU_S = 100e-6;
 /* Share of this process's CPU time for the direct commands to all machines: at a failover every worker also
    sends a heartbeat, and the leader's lease has to be renewed. */
-static const double ADD_ALL_CPU_SHARE = 0.5;
+static const double DIRECT_COMMANDS_CPU_SHARE = 0.5;
 
 struct ow_command_queue {
     GPtrArray *machines; /* struct ow_machine, not owned, each once */
@@ -57,13 +57,14 @@
 {
     if (!machine->direct.is_queued)
         machine->direct.not_before =
-            MAX(machine->direct.not_before, leader->core->now + FENCE_BY_HEARTBEAT_S);
+            MAX(machine->direct.not_before, leader->core->now + DIRECT_FENCING_DELAY_S);
     ow_command_queue_add(leader, machine);
 }
 
 void ow_command_queue_add_all(struct ow_leader *leader)
 {
-    double interval_s = DIRECT_COMMAND_CPU_S / (ADD_ALL_CPU_SHARE * leader->core->settings->core_share);
+    double interval_s =
+        DIRECT_COMMAND_CPU_S / (DIRECT_COMMANDS_CPU_SHARE * leader->core->settings->core_share);
     for (guint i = 0; i < leader->machines->len; i++) {
         struct ow_machine *machine = g_ptr_array_index(leader->machines, i);
         machine->direct.not_before = leader->core->now + i * interval_s;
--- a/src/core/machines/direct_commands.c
+++ b/src/core/machines/direct_commands.c
@@ -12,13 +12,15 @@
 #include "model/http_status.h"
 #include "model/worker.h"
 
-/* Limit of probes in flight: PROBES_PER_CORE for each core of this process, but at least PROBES_MIN. */
-enum { PROBES_MIN = 64, PROBES_PER_CORE = 1000 };
+/* Limit of probes (calls to machines that are not known to answer) in flight: PROBES_PER_CORE for each core
+   of this process, but at least PROBE_LIMIT_MIN. */
+enum { PROBE_LIMIT_MIN = 64, PROBES_PER_CORE = 1000 };
 /* Pause before the next call to a machine after an unanswered call. */
 static const double UNANSWERED_PAUSE_S = 3;
-/* The same after the worker refused the commands because of their fencing token or incarnation. */
+/* Pause before the next call after the worker refused the commands because of their fencing token or
+   incarnation. */
 static const double REFUSED_PAUSE_S = 0.5;
-/* The same after a call that could not be sent. */
+/* Pause before the next attempt after a call that could not be sent. */
 static const double UNSENT_PAUSE_S = 0.5;
 
 /* A call in flight. */
@@ -38,16 +40,16 @@
 /* ---- pacing ---- */
 
 /* Whether the machine is not known to answer: no message yet, or unanswered commands. */
-static bool is_unheard(const struct ow_machine *machine)
+static bool needs_probe(const struct ow_machine *machine)
 {
     return machine->liveness.last_message_at == 0 || machine->liveness.unanswered_since > 0;
 }
 
 /* Limit of probes in flight. Answers that this process can't handle in time count as missing, so their probes
-   are sent again: without a limit, thousands of probes would be repeated for ever. */
+   are sent again: without a limit, thousands of probes would be repeated indefinitely. */
 static unsigned probe_limit(const struct ow_leader *leader)
 {
-    return MAX(PROBES_MIN, (unsigned)(PROBES_PER_CORE * leader->core->settings->core_share));
+    return MAX(PROBE_LIMIT_MIN, (unsigned)(PROBES_PER_CORE * leader->core->settings->core_share));
 }
 
 static bool is_call_possible(const struct ow_leader *leader, const struct ow_machine *machine)
@@ -55,14 +57,14 @@
     if (machine->direct.is_in_flight || machine->addr == NULL ||
         leader->core->now < machine->direct.not_before)
         return false;
-    return !is_unheard(machine) || leader->probes < probe_limit(leader);
+    return !needs_probe(machine) || leader->probes < probe_limit(leader);
 }
 
 /* Whether a call is still of use: not if a heartbeat has meanwhile shown this leader's fencing token and no
    command is due. */
 static bool is_call_needed(const struct ow_leader *leader, const struct ow_machine *machine)
 {
-    return !machine->liveness.is_fenced || is_unheard(machine) ||
+    return !machine->liveness.is_fenced || needs_probe(machine) ||
            !ow_machine_heard_recently(leader, machine) || ow_worker_commands_are_due(machine);
 }
 
@@ -131,7 +133,7 @@
     struct direct_call *call = g_new0(struct direct_call, 1);
     call->machine = g_strdup(machine->name);
     call->sent_at = leader->core->now;
-    call->is_probe = is_unheard(machine);
+    call->is_probe = needs_probe(machine);
     leader->probes += call->is_probe ? 1 : 0;
     machine->direct.is_in_flight = true;
     effect->commands = ow_worker_commands_for(machine, machine->direct.launches);
--- a/src/core/machines/direct_commands.h
+++ b/src/core/machines/direct_commands.h
@@ -8,7 +8,7 @@
 struct ow_leader;
 
 /** Calls every machine in the command queue that can be called now, and removes from the queue the machines
- * that were called or need no call any more. */
+ * that were called or no longer need a call. */
 void ow_direct_commands_send(struct ow_leader *leader);
 
 #endif
--- a/src/core/machines/fleet.c
+++ b/src/core/machines/fleet.c
@@ -11,7 +11,7 @@
 
 #include <math.h>
 
-/* Interval between reads of the list, and the delay before a retry after a failure. */
+/* Interval between reads of the cloud's list, and the delay before a retry after a failure. */
 static const double LIST_INTERVAL_S = 10;
 static const double LIST_RETRY_S = 2;
 /* Delay before the retry of a deletion that was refused or not answered. */
@@ -56,13 +56,13 @@
 
 /* ---- deletion ---- */
 
-/* Safety rule 2, proof by an acknowledged deletion: nothing runs on the machine any more. */
+/* Safety rule 2, proof by an acknowledged deletion: nothing runs on the machine after it. */
 static void apply_deletion(struct ow_leader *leader, struct ow_machine *machine)
 {
     g_info("machine terminated: machine=%s", machine->name);
     g_hash_table_add(leader->fleet->terminated, g_strdup(machine->name));
     ow_instance_offers_remove_refusal(leader, machine); /* its capacity is free again */
-    ow_machines_remove(leader, machine, "its instance is deleted");
+    ow_machines_remove(leader, machine, "the instance is deleted");
 }
 
 /* A refused deletion had no effect, so the machine stays usable. An unanswered one may still take effect, so
--- a/src/core/machines/headroom.h
+++ b/src/core/machines/headroom.h
@@ -10,7 +10,7 @@
 struct ow_leader;
 struct ow_machine;
 
-/** Plans machines to provision for such classes.
+/** Plans machines to provision for classes whose SLOs leave no time to boot a machine.
  * @param plan struct ow_expected_machine: the planned machines are appended
  * @param limit maximum number to append; reduced by the number appended */
 void ow_headroom_plan(struct ow_leader *leader, GArray *plan, unsigned *limit);
--- a/src/core/machines/heartbeat_intake.c
+++ b/src/core/machines/heartbeat_intake.c
@@ -20,7 +20,7 @@
     return heartbeat->sequence > machine->liveness.sequence;
 }
 
-/* All older incarnations are over, and the launches addressed to them can't take effect any more. */
+/* All older incarnations are over, and the launches addressed to them can no longer take effect. */
 static void begin_incarnation(struct ow_machine *machine, uint64_t incarnation)
 {
     machine->liveness.incarnation = incarnation;
--- a/src/core/machines/lease_expiry.c
+++ b/src/core/machines/lease_expiry.c
@@ -35,5 +35,5 @@
     machine->liveness.expired_incarnation = machine->liveness.incarnation;
     while (machine->load.attempts->len > 0)
         ow_attempt_end(leader, g_ptr_array_index(machine->load.attempts, 0), OW_CAUSE_NONE,
-                       "its machine's lease has expired");
+                       "the lease of the worker has expired");
 }
--- a/src/core/machines/machine.h
+++ b/src/core/machines/machine.h
@@ -41,13 +41,13 @@
     double first_message_at;      /**< arrival of the first message (heartbeat or answer) */
     double last_message_at;       /**< arrival of the newest message (heartbeat or answer) */
     double last_heartbeat_at;     /**< arrival of the newest heartbeat; answers to commands renew no lease */
-    double unanswered_since;      /**< commands have been unanswered since then; 0: it answers */
+    double unanswered_since;      /**< when the first unanswered command was sent; 0: it answers */
     uint64_t incarnation;         /**< of the newest message */
     uint64_t sequence;            /**< of the newest message */
     uint64_t expired_incarnation; /**< all incarnations up to and including this one are proven over */
     bool is_fenced;   /**< has seen this leader's fencing token, so it rejects older leaders' commands */
     double fenced_at; /**< when is_fenced was set */
-    uint32_t heartbeat_generation; /**< of the leader at the newest heartbeat: reconciliation.c */
+    uint32_t heartbeat_generation; /**< the leader's counter at the newest heartbeat: reconciliation.c */
 };
 
 /** Attempts on the machine and their use of resources: attempt_table.c, attempt_end.c, reconciliation.c and
@@ -55,7 +55,7 @@
 struct ow_machine_load {
     GPtrArray *attempts;                               /**< struct ow_attempt that may run there, not owned */
     struct ow_resources used;                          /**< by `attempts` */
-    struct ow_resources used_by_rank[OW_RANK_LOW + 1]; /**< the same, by rank of the job */
+    struct ow_resources used_by_rank[OW_RANK_LOW + 1]; /**< by `attempts` of each rank */
     struct ow_resources stopping;                      /**< the part of `used` that is being stopped */
     struct ow_resources unknown_tasks_use;             /**< by tasks in the heartbeat that no record names */
     GArray *images;                                    /**< struct ow_image_copy */
@@ -84,9 +84,9 @@
 /** Scratch state of the scheduling cycle: schedule.c, gpu_reserve.c, gang_start.c, array_preemption.c and
  * replica_move.c. */
 struct ow_machine_cycle {
-    bool are_gpus_reserved;   /**< its GPUs are reserved for waiting work: no other work is placed */
+    bool are_gpus_reserved;   /**< its GPUs, and the CPUs that they need, are reserved for GPU jobs */
     struct ow_resources held; /**< reserved: not available to later jobs in the queue */
-    struct ow_resources held_for_gangs; /**< the same, but available to a gang that can start at once */
+    struct ow_resources held_for_gangs; /**< reserved, but available to a gang that can start at once */
 };
 
 /** One machine, from registration until its deletion is proven. */
--- a/src/core/machines/machine_faults.c
+++ b/src/core/machines/machine_faults.c
@@ -18,7 +18,7 @@
 enum { JOB_PAUSE_MIN_S = 5, JOB_PAUSE_MAX_S = 60, JOB_PAUSE_DOUBLINGS_MAX = 4, FAILURES_PER_DOUBLING = 4 };
 /* Exponential back-off of a machine: each quarantine is twice as long as the last. */
 enum { QUARANTINE_MIN_S = 30, QUARANTINE_MAX_S = 240, QUARANTINE_DOUBLINGS_MAX = 3 };
-/* Failures are counted up to this number. */
+/* The failure count of a job saturates at this number. */
 enum { FAILURES_MAX = 1000 };
 
 /* The job is at fault: the machines on which it failed are available to other jobs at once. */
@@ -53,8 +53,8 @@
     return false;
 }
 
-/* Pauses the job. Evidence: its tasks failed on MACHINES_TO_BLAME_JOB machines, which are unlikely to be all
-   faulty at the same time. */
+/* Pauses the job. Evidence: its tasks failed on MACHINES_TO_BLAME_JOB machines, which are unlikely to be
+   faulty all at once. */
 static void pause_job(struct ow_leader *leader, struct ow_execution *execution)
 {
     double now = leader->core->now;
--- a/src/core/machines/machine_health.c
+++ b/src/core/machines/machine_health.c
@@ -27,7 +27,7 @@
 static void terminate_if_quarantined(struct ow_leader *leader, struct ow_machine *machine)
 {
     if (leader->core->now < machine->faults.quarantine_until && machine->load.attempts->len == 0)
-        ow_fleet_terminate(leader, machine, "it is in quarantine and empty");
+        ow_fleet_terminate(leader, machine, "the machine is in quarantine and empty");
 }
 
 void ow_machine_health_tick(struct ow_leader *leader)
--- a/src/core/machines/machine_images.c
+++ b/src/core/machines/machine_images.c
@@ -35,13 +35,13 @@
 static void evict_unused_images(const struct ow_leader *leader, struct ow_machine *machine)
 {
     const struct ow_machine_type *type = ow_machine_type_of(leader, machine);
-    double limit = type != NULL ? type->cache_gb : 0;
+    double limit_gb = type != NULL ? type->cache_gb : 0;
     for (;;) {
-        double sum = 0;
+        double sum_gb = 0;
         guint oldest = machine->load.images->len;
         for (guint i = 0; i < machine->load.images->len; i++) {
             const struct ow_image_copy *copy = &g_array_index(machine->load.images, struct ow_image_copy, i);
-            sum += copy->gb;
+            sum_gb += copy->gb;
             if (is_image_in_use(machine, copy->image))
                 continue;
             if (oldest == machine->load.images->len ||
@@ -49,7 +49,7 @@
                     g_array_index(machine->load.images, struct ow_image_copy, oldest).last_used_at)
                 oldest = i;
         }
-        if (sum <= limit || oldest == machine->load.images->len)
+        if (sum_gb <= limit_gb || oldest == machine->load.images->len)
             return;
         g_array_remove_index_fast(machine->load.images, oldest);
     }
--- a/src/core/machines/reconciliation.c
+++ b/src/core/machines/reconciliation.c
@@ -147,7 +147,7 @@
                " machine=%s cause=%s checkpoint=%s",
                task_status->job, task_status->task, task_status->attempt, machine->name,
                ow_exit_cause_name(task_status->cause), task_status->saved ? "saved" : "none");
-    ow_attempt_end(leader, attempt, task_status->cause, "its worker lists it as exited");
+    ow_attempt_end(leader, attempt, task_status->cause, "the worker lists the attempt as exited");
     clear_ended(machine, job, task_status, commands);
 }
 
@@ -169,14 +169,14 @@
 
 /* ---- recorded attempts that are missing from the worker's list ---- */
 
-/* Safety rule 2, proof by a newer heartbeat that lacks the attempt. An older leader's launch can't be
-   executed any more, since the worker has seen this leader's fencing token: the attempt is gone. A launch of
+/* Safety rule 2, proof by a newer heartbeat that lacks the attempt. An older leader's launch can no
+   longer be executed, since the worker has seen this leader's fencing token: the attempt is gone. A launch of
    this leader may still be in flight: nothing is proven, and it is sent again until the worker lists it. */
 static void apply_absence(struct ow_leader *leader, struct ow_attempt *attempt)
 {
     if (attempt->state == OW_ATTEMPT_INHERITED) {
         ow_attempt_end(leader, attempt, OW_CAUSE_NONE,
-                       "its worker does not list it under the new fencing token");
+                       "the worker does not list the attempt under the new fencing token");
     } else if (attempt->state == OW_ATTEMPT_REPORTED) {
         attempt->job->execution->running -= is_seen_running(attempt) ? 1 : 0;
         attempt->state = OW_ATTEMPT_SENT;
@@ -211,11 +211,12 @@
 void ow_reconcile_older_incarnations(struct ow_leader *leader, struct ow_machine *machine)
 {
     for (guint i = machine->load.attempts->len; i > 0; i--) {
+        /* Ending one attempt may end others of its gang and remove them from the array. */
         if (i > machine->load.attempts->len)
             continue;
         struct ow_attempt *attempt = g_ptr_array_index(machine->load.attempts, i - 1);
         if (attempt->incarnation < machine->liveness.incarnation)
-            ow_attempt_end(leader, attempt, OW_CAUSE_NONE, "its worker has begun a new incarnation");
+            ow_attempt_end(leader, attempt, OW_CAUSE_NONE, "the worker has begun a new incarnation");
     }
 }
 
--- a/src/core/machines/scale_in.c
+++ b/src/core/machines/scale_in.c
@@ -7,7 +7,8 @@
 
 /* How long an ordinary machine is kept if it is the only idle one of its kind. */
 static const double IDLE_TIMEOUT_S = 25;
-/* No machine is terminated earlier: the cloud charges for a minute at least, so that saves little. */
+/* No idle machine younger than this is terminated: the cloud charges for at least a minute, so an earlier
+   termination would save little. */
 static const double MIN_LIFETIME_S = 30;
 /* A spot machine is kept idle this many times longer than an ordinary one. */
 static const double SPOT_TIMEOUT_FACTOR = 2;
@@ -34,8 +35,8 @@
 }
 
 /* How long a machine of this kind is kept idle. The more machines of a kind are idle, the less likely each is
-   to be needed soon; in a large fleet their share counts instead of their number, or a short lull would empty
-   it. A spot machine costs little to keep. */
+   to be needed soon; in a large fleet their share counts instead of their number, so that a short period of
+   low load does not terminate most of it. A spot machine costs little to keep. */
 static double idle_limit_s(const struct ow_leader *leader, const GPtrArray *unneeded,
                            const struct ow_machine *kind)
 {
@@ -64,6 +65,6 @@
             limit_s = idle_limit_s(leader, unneeded, machine);
         last = machine;
         if (is_due(leader, machine, limit_s))
-            ow_fleet_terminate(leader, machine, "it is idle");
+            ow_fleet_terminate(leader, machine, "the machine is idle");
     }
 }
--- a/src/core/machines/scale_out.c
+++ b/src/core/machines/scale_out.c
@@ -29,8 +29,8 @@
 static const double SCALING_INTERVAL_S = 1;
 /* A new leader provisions after this delay if every running machine has seen its fencing token. */
 static const double PROVISION_DELAY_S = 1;
-/* The same if some have not. */
-static const double PROVISION_DELAY_UNHEARD_S = 4;
+/* The delay if some running machines have not seen it. */
+static const double PROVISION_DELAY_UNFENCED_S = 4;
 
 /* A provision call in flight. */
 struct provision_call {
@@ -202,7 +202,8 @@
     }
 }
 
-static bool have_all_sent_heartbeats(const struct ow_leader *leader)
+/* Whether the cloud's list has been read and every running machine has seen this leader's fencing token. */
+static bool is_fleet_fenced(const struct ow_leader *leader)
 {
     for (guint i = 0; i < leader->machines->len; i++) {
         const struct ow_machine *machine = g_ptr_array_index(leader->machines, i);
@@ -214,9 +215,9 @@
 
 static void provision_for_waiting_jobs(struct ow_leader *leader)
 {
-    double delay_s = have_all_sent_heartbeats(leader) ? PROVISION_DELAY_S : PROVISION_DELAY_UNHEARD_S;
-    /* One round at a time: a plan needs the results of the one before. And none before the machines that are
-       up have had time to send heartbeats. */
+    double delay_s = is_fleet_fenced(leader) ? PROVISION_DELAY_S : PROVISION_DELAY_UNFENCED_S;
+    /* A round needs the results of the previous one, and the first round is delayed until the machines that
+       are up have had time to send heartbeats. */
     if (leader->scale_out->calls_in_flight > 0 || leader->core->now - leader->ready_at < delay_s)
         return;
     ow_instance_offers_remove_expired(leader);
--- a/src/core/machines/silent_machines.c
+++ b/src/core/machines/silent_machines.c
@@ -67,14 +67,15 @@
 void ow_silent_machine_terminate(struct ow_leader *leader, struct ow_machine *machine)
 {
     if (machine->listed == OW_LISTED_FAILED)
-        ow_fleet_terminate(leader, machine, "the cloud reports it failed");
+        ow_fleet_terminate(leader, machine, "the cloud reports the machine as failed");
     else if (is_reclaimed(leader, machine))
-        ow_fleet_terminate(leader, machine, "its reclaim time has passed and it is silent");
+        ow_fleet_terminate(leader, machine, "the machine is silent after its reclaim time");
     else if (is_known_only_from_records(leader, machine))
-        ow_fleet_terminate(leader, machine,
-                           "it is in records, but sends no messages and is not in the cloud's list");
+        ow_fleet_terminate(
+            leader, machine,
+            "records name the machine, but it sends no messages and is not in the cloud's list");
     else if (is_boot_overdue(leader, machine))
-        ow_fleet_terminate(leader, machine, "it has not booted in time");
+        ow_fleet_terminate(leader, machine, "the machine has not booted in time");
     else if (is_silent_for_leases(leader, machine))
         ow_fleet_terminate(leader, machine, "no heartbeat for several leases");
 }
@@ -117,5 +118,5 @@
     double min_ready_s = MIN_READY_HEARTBEATS * leader->core->settings->heartbeat_interval_s;
     if (ow_silent_machine_has_replicas(leader, machine) && machine->liveness.unanswered_since > 0 &&
         leader->core->now - leader->ready_at > min_ready_s)
-        ow_fleet_terminate(leader, machine, "it is silent and has replicas of services");
+        ow_fleet_terminate(leader, machine, "the machine is silent and has replicas of services");
 }
--- a/src/core/machines/spot_risk.c
+++ b/src/core/machines/spot_risk.c
@@ -7,7 +7,7 @@
 
 /* Time constant of the exponential decay of observations. */
 static const double DECAY_S = 180;
-/* Prior added to the observations: this many notices in this many machine seconds. */
+/* Prior added to the observations: PRIOR_RECLAIM_NOTICES notices in PRIOR_MACHINE_S machine seconds. */
 static const double PRIOR_RECLAIM_NOTICES = 1;
 static const double PRIOR_MACHINE_S = 1800;
 
--- a/src/core/machines/unresponsive_machines.c
+++ b/src/core/machines/unresponsive_machines.c
@@ -10,7 +10,7 @@
 /* A machine counts as unresponsive in ow_unresponsive_machines_are_few() after this time. */
 static const double COUNTED_UNRESPONSIVE_S = 5;
 /* A machine with tasks is terminated when it has been unresponsive for the lease plus this margin. */
-static const double LIMIT_MARGIN_S = 5;
+static const double LEASE_MARGIN_S = 5;
 /* A machine without tasks is terminated when it has been unresponsive for this many leases. */
 static const double EMPTY_LIMIT_LEASES = 3;
 /* Unresponsive machines count as failures of single machines up to the greater of this number and the fleet's
@@ -43,18 +43,18 @@
            unresponsive <= leader->machines->len / ISOLATED_FLEET_DIVISOR;
 }
 
-/* Heartbeats alone don't prove that a machine is healthy. After the lease its tasks have ended, unless an
-   older leader still renews it; in that case only termination ends them. */
+/* Heartbeats alone don't prove that a machine is healthy. Its tasks have ended with the lease, unless an
+   older leader still renews that; in that case only termination ends them. */
 void ow_unresponsive_machine_terminate(struct ow_leader *leader, struct ow_machine *machine)
 {
     double unresponsive = unresponsive_s(leader, machine);
     double lease_s = leader->core->settings->lease_s;
     double limit_s =
-        machine->load.attempts->len > 0 ? lease_s + LIMIT_MARGIN_S : EMPTY_LIMIT_LEASES * lease_s;
+        machine->load.attempts->len > 0 ? lease_s + LEASE_MARGIN_S : EMPTY_LIMIT_LEASES * lease_s;
     if (unresponsive > limit_s)
         ow_fleet_terminate(leader, machine,
-                           "it does not answer commands, and the state of its tasks is unknown");
+                           "the machine does not answer commands, and the state of its tasks is unknown");
     else if (machine->liveness.is_fenced && unresponsive > UNRESPONSIVE_S &&
              ow_machine_heard_recently(leader, machine))
-        ow_fleet_terminate(leader, machine, "it sends heartbeats but does not answer commands");
+        ow_fleet_terminate(leader, machine, "the machine sends heartbeats but does not answer commands");
 }
--- a/src/core/machines/unresponsive_machines.h
+++ b/src/core/machines/unresponsive_machines.h
@@ -14,8 +14,7 @@
  * machines rather than of this controller or its network. */
 bool ow_unresponsive_machines_are_few(const struct ow_leader *leader);
 /** Terminates the machine if it has been unresponsive for longer than its limit, which depends on whether it
- * has tasks and sends heartbeats. To be called only while
- * ow_unresponsive_machines_are_few(). */
+ * has tasks and sends heartbeats. To be called only while ow_unresponsive_machines_are_few(). */
 void ow_unresponsive_machine_terminate(struct ow_leader *leader, struct ow_machine *machine);
 
 #endif
