--- a/src/core/scheduling/array_preemption.h
+++ b/src/core/scheduling/array_preemption.h
@@ -2,7 +2,7 @@
  * Preemption for arrays and services: stops less urgent work for pending tasks that fit nowhere.
  *
  * Input: an execution with pending tasks, after all that fit have been started. Result: attempts to be
- * stopped, and the capacity that they free held for the rest of the cycle; in later cycles the job's place
+ * stopped, and the capacity that they free held until the end of the cycle; in later cycles the job's place
  * in the queue keeps it. Invariants: nothing is stopped for arrays with zone rules, and replicas stay
  * apart.
  */
--- a/src/core/scheduling/array_start.c
+++ b/src/core/scheduling/array_start.c
@@ -22,7 +22,8 @@
 static const double SHORT_FETCH_S = 10;
 /* One wait counts as clearly longer than another if it takes at least this many times as long. */
 static const double LONGER_WAIT_FACTOR = 2;
-/* Result if the machine has no image that other work of the class waits for. */
+/* Result of longest_wait_for_local_images_s() if no other work of the class waits for an image of the
+   machine. */
 static const double NO_WAITING_WORK_S = -1;
 
 /* State of starting an array's tasks in one scheduling cycle. */
--- a/src/core/scheduling/bind.c
+++ b/src/core/scheduling/bind.c
@@ -30,7 +30,7 @@
     chunk->last_attempt = MAX(chunk->last_attempt, number);
     struct ow_attempt *attempt =
         ow_attempt_new(leader, execution, task, number, machine, machine->liveness.incarnation);
-    /* Replicas stay preemptible because they never end: only work that completes some day may be exempt. */
+    /* Replicas stay preemptible because they never end: only work that completes may be exempt. */
     attempt->not_preemptible = ow_promotion_is_promoted(execution) && !ow_execution_is_service(execution);
     ow_machine_image_note_use(leader, machine, execution->job->spec, false);
     ow_recorder_queue_urgent(leader, execution, task);
--- a/src/core/scheduling/classes.h
+++ b/src/core/scheduling/classes.h
@@ -57,7 +57,7 @@
 void ow_class_observe_run_time(struct ow_core *core, const struct ow_job_spec *spec, double ran_s);
 /** Updates the peak of the class with the number of tasks that run or wait now; returns the new peak. */
 double ow_class_update_peak(struct ow_core *core, int class_index, double tasks);
-/** Whether no job of the class has arrived for so long that further ones are hardly to be expected soon.
+/** Whether no job of the class has arrived for so long that none is expected soon.
  * Never true of services, whose replicas need capacity as long as they live, nor while the store is
  * unavailable. */
 bool ow_class_is_quiet(struct ow_core *core, int class_index);
--- a/src/core/scheduling/deadline.c
+++ b/src/core/scheduling/deadline.c
@@ -7,10 +7,10 @@
 
 #include <math.h>
 
-/* Estimates are often wrong. A start counts as in time if the deadline leaves room for this many times the
-   expected run time, ... */
+/* A start counts as in time if the deadline leaves room for this many times the expected run time, because
+   estimates are often wrong. */
 static const double PESSIMISTIC_RUN_FACTOR = 1.25;
-/* ... and a deadline is given up only when less than this many times the expected run time is left. */
+/* A deadline counts as missed only when less than this many times the expected run time is left. */
 static const double OPTIMISTIC_RUN_FACTOR = 0.8;
 
 bool ow_deadline_is_set(const struct ow_execution *execution)
--- a/src/core/scheduling/gang_start.c
+++ b/src/core/scheduling/gang_start.c
@@ -12,7 +12,7 @@
 #include "core/scheduling/reservation.h"
 #include "model/resources.h"
 
-/* Shortest interval between two decisions on preemption for the same gang. */
+/* Shortest interval between two decisions on preemption for a gang. */
 static const double PREEMPTION_INTERVAL_S = 0.5;
 /* Time after which a suspended gang holds capacity again, as a share of the waiting limit. */
 static const double RESUME_SHARE_OF_LIMIT = 0.25;
@@ -152,7 +152,7 @@
 {
     struct ow_reservation *reservation = ow_reservation_find_or_add(leader, execution);
     ow_reservation_drop_expired_holds(leader, reservation);
-    /* Rule 4: nothing of a gang starts while an earlier attempt may still exist. */
+    /* Safety rule 4: nothing of a gang starts while an earlier attempt may still exist. */
     if (execution->attempts->len > 0)
         return;
     if (ow_team_count_admitted(leader, execution->job->spec, execution->count) < execution->count)
@@ -177,7 +177,7 @@
 
 /* By default a later gang that can start at once may take capacity from one that is short: as in
    docs/design/paper.md, a candidate in conflict is taken if there is no other. Otherwise a large gang would
-   leave a zone idle while it waits for the rest of its capacity. */
+   leave a zone idle while it waits for its remaining capacity. */
 void ow_gang_start_subtract_holds(struct ow_leader *leader, const struct ow_execution *execution)
 {
     if (execution->reservation == NULL)
--- a/src/core/scheduling/job_lifecycle.c
+++ b/src/core/scheduling/job_lifecycle.c
@@ -10,7 +10,7 @@
 static void close_done_job(struct ow_leader *leader, struct ow_execution *execution)
 {
     struct ow_job *job = execution->job;
-    ow_execution_stop(leader, execution, 0, "its job is done");
+    ow_execution_stop(leader, execution, 0, "the job is done");
     /* Attempts that may still be on a machine count as usage until they are proven gone. */
     if (execution->attempts->len > 0)
         return;
@@ -27,7 +27,7 @@
         return;
     }
     if (job->state == OW_JOB_CANCELLED)
-        ow_execution_stop(leader, execution, 0, "its job is cancelled");
+        ow_execution_stop(leader, execution, 0, "the job is cancelled");
     if (execution->attempts->len > 0)
         return;
     if (job->state == OW_JOB_CANCELLED || execution->done == execution->count)
--- a/src/core/scheduling/job_lifecycle.h
+++ b/src/core/scheduling/job_lifecycle.h
@@ -1,8 +1,8 @@
 /** @file
  * Job lifecycle: an execution for each open job, and the end of jobs that are over.
  *
- * Input: the open jobs in whatever state. Result: executions created, stopped or dropped, and final records
- * queued. Invariant: a job ends only when no attempt of it can exist any more.
+ * Input: the open jobs, whatever their state. Result: executions created, stopped or dropped, and final
+ * records queued. Invariant: a job ends only when no attempt of it can still exist.
  */
 #ifndef OW_CORE_SCHEDULING_JOB_LIFECYCLE_H
 #define OW_CORE_SCHEDULING_JOB_LIFECYCLE_H
--- a/src/core/scheduling/placement.h
+++ b/src/core/scheduling/placement.h
@@ -32,7 +32,7 @@
  * and the GPU reserve leave. 0 while the machine's type is unknown. */
 uint32_t ow_placement_slots(const struct ow_leader *leader, const struct ow_job_spec *spec,
                             const struct ow_machine *machine);
-/** The same as ow_placement_slots(), but as if attempts used `used` of the machine. */
+/** Like ow_placement_slots(), but as if attempts used `used` of the machine. */
 uint32_t ow_placement_slots_with_usage(const struct ow_leader *leader, const struct ow_job_spec *spec,
                                        const struct ow_machine *machine, const struct ow_resources *used);
 /** How many more tasks the job's zone rules admit in the zone, given the attempts that may exist. The job's
--- a/src/core/scheduling/placement_score.c
+++ b/src/core/scheduling/placement_score.c
@@ -11,9 +11,10 @@
 #include "model/cloud.h"
 #include "model/submission.h"
 
-/* How long a job without need of GPUs had better wait than take a machine with GPUs. */
+/* Added to the score of a machine with GPUs for a job that needs none: a wait of up to this long for a
+   machine without GPUs is preferred. */
 static const double GPU_WASTE_S = 20;
-/* The same for a machine that a more urgent gang is likely to need as a whole. */
+/* Added to the score of a machine that a more urgent gang is likely to need as a whole. */
 static const double GANG_DEMAND_S = 15;
 /* Estimates are rough: a machine counts as slow only beyond this ratio of observed to expected run time. */
 static const double SLOWNESS_TOLERANCE = 1.7;
@@ -27,7 +28,7 @@
 }
 
 /* Applies only to jobs more urgent than rank low and every GPU job: less urgent ones get only what GPU jobs
-   leave over, which is no loss to anybody. */
+   leave unused, so nothing is wasted. */
 static double gpu_waste_s(const struct ow_leader *leader, const struct ow_submission *submission,
                           const struct ow_machine_type *type)
 {
@@ -72,8 +73,8 @@
         return 0;
     double run_time_s = ow_class_run_time_s(leader->core, execution->job->spec);
     double age_s = leader->core->now - execution->accepted_at;
-    bool has_time_for_another = age_s + run_time_s <= ow_deadline_latest_start_s(leader, execution);
-    double loss_s = run_time_s + (has_time_for_another ? 0 : DEADLINE_MISSED_BY_RECLAIM_S);
+    bool has_time_for_rerun = age_s + run_time_s <= ow_deadline_latest_start_s(leader, execution);
+    double loss_s = run_time_s + (has_time_for_rerun ? 0 : DEADLINE_MISSED_BY_RECLAIM_S);
     return ow_spot_risk_within(leader, run_time_s) * loss_s;
 }
 
--- a/src/core/scheduling/promotion.c
+++ b/src/core/scheduling/promotion.c
@@ -9,9 +9,9 @@
 static const double PROMOTION_AGE_S = 120;
 /* Gangs are promoted later: capacity held exclusively for a gang idles until the gang has all of it. */
 static const double GANG_PROMOTION_AGE_S = 150;
-/* Target for the start of every job, its image fetched: jobs with large images are promoted earlier, ... */
+/* Target for the start of every job, its image fetched: jobs with large images are promoted earlier. */
 static const double START_TARGET_S = 220;
-/* ... but not before this age. */
+/* No job is promoted before this age, however large its image. */
 static const double MIN_PROMOTION_AGE_S = 40;
 /* A job that is not complete after this time is promoted as well. */
 static const double AGED_AFTER_S = 220;
@@ -25,8 +25,8 @@
     return CLAMP(latest_s, MIN_PROMOTION_AGE_S, limit_s);
 }
 
-/* A service never completes, so its age would keep it ahead of all other jobs for ever. What counts is how
-   long a replica has been missing. */
+/* A service never completes, so its age would keep it ahead of all other jobs indefinitely. What counts is
+   how long a replica has been missing. */
 static void update_service(const struct ow_leader *leader, struct ow_execution *execution)
 {
     double missing_s = leader->core->now - execution->pending_since;
--- a/src/core/scheduling/queue.c
+++ b/src/core/scheduling/queue.c
@@ -91,7 +91,7 @@
 }
 
 /* An array's queue time is its acceptance, delayed by the time that the whole fleet needs for its waiting
-   work: short arrays overtake long ones, and the bounded delay makes sure that each is reached. An array with
+   work: short arrays overtake long ones, and the limit of the delay prevents starvation. An array with
    a deadline can be overtaken for as long as the deadline allows. Gangs are queued by acceptance alone. */
 static double queue_time(struct ow_leader *leader, const struct ow_execution *execution,
                          const struct fleet_capacity *capacity)
--- a/src/core/scheduling/queue.h
+++ b/src/core/scheduling/queue.h
@@ -13,7 +13,7 @@
 struct ow_leader;
 
 /** The executions with waiting tasks in queue order, as struct ow_execution *, not owned; the caller frees
- * the array. Also updates since when each execution has missed tasks, and whether it is promoted. */
+ * the array. Also updates `pending_since` of each execution, and whether it is promoted. */
 GPtrArray *ow_queue_sorted(struct ow_leader *leader);
 
 #endif
--- a/src/core/scheduling/replica_move.h
+++ b/src/core/scheduling/replica_move.h
@@ -19,7 +19,7 @@
  * stopped. */
 uint32_t ow_replica_move_count_missing(const struct ow_execution *execution);
 /** A machine on which a replica could start at once: it has capacity and the image, no other replica of the
- * service, and is not in zone `not_in_zone` (OW_NO_NAME: any zone will do). NULL if there is none. */
+ * service, and is not in zone `not_in_zone` (OW_NO_NAME: any zone). NULL if there is none. */
 struct ow_machine *ow_replica_move_find_target(const struct ow_leader *leader,
                                                const struct ow_execution *execution, int not_in_zone);
 /** Stops the replica, which makes it pending again, and holds capacity for it on the target. `why` is for
--- a/src/core/scheduling/replica_separation.c
+++ b/src/core/scheduling/replica_separation.c
@@ -7,9 +7,9 @@
 #include "core/scheduling/replica_move.h"
 #include "core/scheduling/replica_spread.h"
 
-/* Replicas are separated only in a service that has been stable for this long, ... */
+/* Replicas are separated only in a service that has been stable for this long. */
 static const double STABLE_S = 60;
-/* ... and each service is checked at this interval. */
+/* Interval between checks of a service for replicas to separate. */
 static const double SEPARATION_INTERVAL_S = 5;
 
 static struct ow_attempt *find_on_shared_machine(const struct ow_execution *execution,
@@ -70,5 +70,5 @@
     struct ow_machine *target = ow_replica_move_find_target(leader, execution, not_in_zone);
     if (target != NULL)
         ow_replica_move_to(leader, attempt, target,
-                           "it shares a machine or zone with others of its service; it is moved");
+                           "the replica is moved: it shares a machine or zone with others of its service");
 }
--- a/src/core/scheduling/replica_spread.h
+++ b/src/core/scheduling/replica_spread.h
@@ -33,7 +33,7 @@
 /** Number of zones with at least one replica. */
 guint ow_replica_spread_zones(const struct ow_replica_spread *spread);
 
-/** The name that g_auto() takes. */
+/** Alias of the struct, as g_auto() requires. */
 typedef struct ow_replica_spread ow_replica_spread;
 G_DEFINE_AUTO_CLEANUP_CLEAR_FUNC(ow_replica_spread, ow_replica_spread_clear)
 
--- a/src/core/scheduling/schedule.c
+++ b/src/core/scheduling/schedule.c
@@ -18,7 +18,7 @@
 #include "model/resources.h"
 #include "model/submission.h"
 
-/* Clears the capacity held by the previous cycle: each cycle decides anew what it holds. */
+/* Clears the capacity held by the previous cycle: each cycle decides for itself what it holds. */
 static void clear_held_capacity(struct ow_leader *leader)
 {
     for (guint i = 0; i < leader->machines->len; i++) {
@@ -51,7 +51,7 @@
     leader->cycle.gang_has_hold_priority = false;
 }
 
-/* Starts the pending tasks that can be started, and holds or frees capacity for the rest. */
+/* Starts the pending tasks that can be started, and holds or frees capacity for the others. */
 static void schedule_execution(struct ow_leader *leader, struct ow_execution *execution)
 {
     if (ow_submission_is_gang(execution->job->spec->submission)) {
--- a/src/core/scheduling/service_moves.c
+++ b/src/core/scheduling/service_moves.c
@@ -14,7 +14,7 @@
 enum { MAX_MISSING_REPLICAS = 1 };
 /* Duration of a move: a stop, the heartbeat that reports it, and a launch. */
 static const double MOVE_DURATION_S = 2;
-/* A replica is stopped at the latest this long before its machine leaves. */
+/* A replica is stopped at the latest this long before the tasks on its machine end. */
 static const double LAST_STOP_LEAD_S = 4;
 /* A machine that has lost its lease is assumed to send heartbeats again within this many heartbeat
    intervals. */
@@ -36,7 +36,7 @@
 }
 
 /* When the tasks on the machine will end because the cloud reclaims it or its lease expires; 0 if that is
-   not expected. */
+   not expected. A machine for which it is expected is called leaving. */
 static double leaves_at(const struct ow_leader *leader, const struct ow_machine *machine)
 {
     if (machine->reclaim_at > 0)
@@ -70,10 +70,10 @@
            count_leaving(leader, execution) * MOVE_DURATION_S > left_s - LAST_STOP_LEAD_S;
 }
 
-/* Whether a replica is stopped at the last moment although it has to fetch its image elsewhere. If its
-   machine is reclaimed it is, because proof that it is gone would take far longer otherwise. A machine that
-   only lost its lease may soon send heartbeats again and has the image, so a long fetch would be the longer
-   outage. */
+/* Whether a replica is stopped at the last moment although it has to fetch its image elsewhere. If the
+   cloud reclaims its machine, it is: otherwise the proof that it is gone would take far longer. A machine
+   that is only losing its lease may soon send heartbeats again and has the image, so a fetch that takes
+   longer would prolong the outage. */
 static bool should_stop_without_image(const struct ow_leader *leader, const struct ow_attempt *attempt)
 {
     const struct ow_machine *machine = attempt->machine;
@@ -93,10 +93,12 @@
     const struct ow_execution *execution = attempt->job->execution;
     struct ow_machine *target = ow_replica_move_find_target(leader, execution, OW_NO_NAME);
     if (target != NULL && can_stop_another(leader, execution, left_s))
-        ow_replica_move_to(leader, attempt, target, "its machine is leaving; the replica is moved");
+        ow_replica_move_to(leader, attempt, target,
+                           "the replica is moved: its machine is leaving (reclaim or lease)");
     else if (left_s < LAST_STOP_LEAD_S && should_stop_without_image(leader, attempt))
-        ow_attempt_stop(leader, attempt, 0,
-                        "its machine is leaving, and no other one with its image has capacity");
+        ow_attempt_stop(
+            leader, attempt, 0,
+            "the machine is leaving (reclaim or lease), and no other with the image has capacity");
 }
 
 static void drain_leaving_machine(struct ow_leader *leader, struct ow_machine *machine)
@@ -139,7 +141,7 @@
             continue;
         struct ow_machine *target = ow_replica_move_find_target(leader, attempt->job->execution, OW_NO_NAME);
         if (target != NULL)
-            ow_replica_move_to(leader, attempt, target, "its machine is faulty; the replica is moved");
+            ow_replica_move_to(leader, attempt, target, "the replica is moved: its machine is in quarantine");
     }
 }
 
--- a/src/core/scheduling/shortlist.h
+++ b/src/core/scheduling/shortlist.h
@@ -6,7 +6,7 @@
  *
  * Invariant: no machine with capacity for a waiting job is missing from the list of its class, except for
  * capacity freed after the list was computed: free capacity otherwise only shrinks during a cycle, and the
- * next cycle finds the rest.
+ * next cycle includes it.
  */
 #ifndef OW_CORE_SCHEDULING_SHORTLIST_H
 #define OW_CORE_SCHEDULING_SHORTLIST_H
@@ -23,7 +23,7 @@
 /** The machines (struct ow_machine *, not owned) that may have free capacity for a job of the class;
  * computed on the first call in a cycle. Valid until the next cycle. */
 const GPtrArray *ow_shortlist_find(struct ow_leader *leader, int class_index);
-/** The same, but counting capacity that could be freed by stopping work, too. */
+/** Like ow_shortlist_find(), but also counts capacity that could be freed by stopping work. */
 const GPtrArray *ow_shortlist_find_with_preemption(struct ow_leader *leader, int class_index);
 
 #endif
