--- a/src/core/machines/reclaim_notice.c
+++ b/src/core/machines/reclaim_notice.c
@@ -40,7 +40,7 @@
 /* A gang saves its checkpoint together, so all of its tasks are stopped. */
 static void stop_for_checkpoint(struct ow_leader *leader, struct ow_attempt *attempt, double left_s)
 {
-    static const char why[] = "the cloud reclaims the machine";
+    static const char why[] = "the cloud reclaims its machine";
     const struct ow_submission *submission = attempt->job->spec->submission;
     double grace_s = MIN(left_s, submission->checkpoint_duration_s + CHECKPOINT_GRACE_S);
     if (ow_submission_is_gang(submission))
