--- a/src/core/records/failover.c
+++ b/src/core/records/failover.c
@@ -119,7 +119,7 @@
 }
 
 /* The copy of the job table must be current first: a progress record whose job is not in it would be treated
- * as left over from a job that is over, and removed. */
+   as the record of a job that is over, and removed. */
 static void refresh_jobs(struct ow_leader *leader)
 {
     uint64_t *fencing_token = g_memdup2(&leader->fencing_token, sizeof leader->fencing_token);
--- a/src/core/records/loaded_records.c
+++ b/src/core/records/loaded_records.c
@@ -22,7 +22,7 @@
     uint64_t mod_revision;
     struct ow_job *job;
     uint32_t chunk_index;
-    uint32_t chunk_tasks; /* the size of the chunks that it was recorded in */
+    uint32_t chunk_tasks; /* size of the job's chunks when it was recorded */
     json_t *value;        /* one reference is owned */
 };
 
@@ -54,7 +54,7 @@
 /* ---- reading values ---- */
 
 /* Whether the value exceeds the announced limit, so that it could not be written again once that limit takes
- * effect. */
+   effect. */
 static bool is_too_large(const struct ow_leader *leader, const json_t *value)
 {
     const struct ow_store_limits *limits = &leader->core->store_limits;
@@ -116,7 +116,8 @@
     }
 }
 
-/* Attempt numbers up to the recorded one must not be used again, in any chunk that has one of these tasks. */
+/* Keeps attempt numbers up to the recorded one from being used again in any chunk that has one of these
+   tasks. */
 static void raise_last_attempt(struct ow_execution *execution, struct ow_task_range tasks,
                                uint64_t last_attempt)
 {
--- a/src/core/records/record_format.c
+++ b/src/core/records/record_format.c
@@ -58,7 +58,7 @@
     format->is_in_flight = false;
     format->next_at = leader->core->now + WRITE_INTERVAL_S;
     if (answer->store.status == OW_HTTP_STATUS_OK) {
-        g_info("record format raised: format=%d reason=\"every controller reads it\"",
+        g_info("record format raised: format=%d reason=\"all controllers support the format\"",
                OW_FORMAT_SMALL_CHUNKS);
         format->current = OW_FORMAT_SMALL_CHUNKS;
     } else if (answer->store.status == OW_HTTP_STATUS_CONFLICT) {
--- a/src/core/records/record_value.h
+++ b/src/core/records/record_value.h
@@ -22,13 +22,13 @@
 
 /** One value of the key-value store, with the records of the chunks in it. */
 struct ow_record_value {
-    uint32_t number;         /**< in its key: OW_KEY_PROGRESS and this number */
+    uint32_t number;         /**< its key is OW_KEY_PROGRESS followed by this number */
     uint64_t mod_revision;   /**< of the last change known to the leader; 0: the key does not exist */
     int class_index;         /**< of the jobs of its chunks; OW_NO_NAME: it never had a chunk */
     GPtrArray *chunks;       /**< struct ow_chunk, owned by their executions */
     size_t estimated_bytes;  /**< size when last encoded, plus an estimate for chunks added since */
     struct ow_write *queued; /**< the queued write of it: write_queue.c; NULL: none */
-    bool is_oversized;       /**< as last encoded it was above the limit of a value: transaction.c */
+    bool is_oversized;       /**< when last encoded it exceeded the limit of a value: transaction.c */
     bool needs_division;     /**< its only chunk is too large: transaction.c; cleared by chunk_division.c */
     double refused_until;    /**< too large and can't be divided: no write before this time */
     GArray *unmoved_tasks;   /**< struct ow_unmoved_tasks: tasks that only its stored value records */
--- a/src/core/records/recorder.c
+++ b/src/core/records/recorder.c
@@ -10,7 +10,7 @@
 /* Delay before a value is rewritten without the records of jobs that are over, so that one write removes
    several jobs. */
 static const double COMPACTION_DELAY_S = 10;
-/* The recorder's share of the permitted rate of mutations; the rest is left for submissions and
+/* The recorder's share of the permitted rate of mutations. The remainder is reserved for submissions and
    cancellations, which any controller writes. */
 static const double RATE_SHARE = 0.8;
 /* A burst is as many mutations as the permitted rate allows in this time. */
--- a/src/core/records/store_limits.c
+++ b/src/core/records/store_limits.c
@@ -4,8 +4,8 @@
 
 enum { BYTES_PER_KB = 1024 };
 /* Upper bounds of the bytes of a progress record: for each task its machine, incarnation, number and attempt,
-   or its place in the list of done tasks; and for the record's name and frame. */
-enum { TASK_BYTES = 30, FRAME_BYTES = 150 };
+   or its entry in the list of done tasks; and, once for each record, its name and all other text. */
+enum { TASK_BYTES = 30, RECORD_OVERHEAD_BYTES = 150 };
 /* Lower bound of the limit of a value. */
 enum { VALUE_MIN_BYTES = 256 };
 
@@ -21,14 +21,14 @@
     };
 }
 
-/* The number of mutations alone may have been too large: the next transactions have half as many. */
+/* The number of mutations alone may have been too large: later transactions have half as many. */
 static void halve_transactions(struct ow_store_limits *limits, unsigned mutations)
 {
     unsigned refused = MIN(limits->transaction_mutations, mutations);
     limits->transaction_mutations = MAX(refused / 2, 1);
 }
 
-/* The next values have half the size of the refused one. Returns false at the smallest size. */
+/* Later values have half the size of the refused one. Returns false if the limit is at its minimum. */
 static bool halve_values(struct ow_store_limits *limits, size_t refused_bytes)
 {
     if (limits->value_bytes <= VALUE_MIN_BYTES)
@@ -58,7 +58,8 @@
 unsigned ow_store_limits_chunk_tasks(const struct ow_store_limits *limits)
 {
     unsigned tasks = OW_CHUNK_MIN_TASKS;
-    while (tasks < OW_CHUNK_MAX_TASKS && FRAME_BYTES + 2 * tasks * TASK_BYTES <= limits->value_bytes)
+    while (tasks < OW_CHUNK_MAX_TASKS &&
+           RECORD_OVERHEAD_BYTES + 2 * tasks * TASK_BYTES <= limits->value_bytes)
         tasks *= 2;
     return tasks;
 }
--- a/src/core/records/store_limits.h
+++ b/src/core/records/store_limits.h
@@ -31,9 +31,8 @@
 struct ow_store_limits ow_store_limits_from_settings(const struct ow_settings *settings);
 /** Lowers the limits after a transaction of `mutations` changes was refused as too large, whatever the
  * settings say; `largest_bytes` is the size of its largest value. If it had several changes, their number
- * alone may have been the cause: the next ones have half as many. A single one shows that its value was too
- * large, and the next ones are half its size. Returns false if neither can be reduced any
- * further. */
+ * alone may have been the cause: later transactions have half as many. If it had a single one, its value was
+ * too large: later values have half its size. Returns false if neither can be reduced further. */
 bool ow_store_limits_shrink(struct ow_store_limits *limits, unsigned mutations, size_t largest_bytes);
 /** How many tasks fit a progress record of their own even if each of them is on another machine: a power of
  * two from OW_CHUNK_MIN_TASKS to OW_CHUNK_MAX_TASKS. */
--- a/src/core/records/transaction_reply.c
+++ b/src/core/records/transaction_reply.c
@@ -163,7 +163,8 @@
 
 /* ---- refused as too large ---- */
 
-/* Postpones record values that can't be divided yet, so that all others are written meanwhile. */
+/* Postpones the record values in flight, which can't be divided yet, so that all others are written
+   meanwhile. Returns false if there are none. */
 static bool postpone_refused(struct ow_recorder *recorder, double until)
 {
     bool postponed = false;
@@ -186,7 +187,7 @@
                                              recorder->largest_bytes_in_flight);
     g_warning("transaction refused as too large: count=%u largest_bytes=%zu reason=\"%s\"",
               recorder->mutations_in_flight, recorder->largest_bytes_in_flight,
-              is_smaller ? "limits lowered for later transactions" : "it can't be made smaller");
+              is_smaller ? "limits lowered for later transactions" : "the transaction can't be made smaller");
     bool others_may_proceed = is_smaller || postpone_refused(recorder, now + REFUSED_RETRY_S);
     recorder->next_at = now + (others_may_proceed ? RETRY_S : REFUSED_RETRY_S);
 }
@@ -238,9 +239,8 @@
         refresh_failed_keys(leader, reply);
         break;
     default:
-        /* Without a response the transaction may have been committed, or may be later. Its comparisons keep a
-           second attempt from being applied twice: that one fails on them, and the present
-           mod_revisions are read then. */
+        /* Without a response the transaction may have been committed, or may still be. In that case its
+           comparisons make the retry fail with a conflict, upon which the present mod_revisions are read. */
         break;
     }
     requeue(leader);
--- a/src/core/records/transaction_reply.h
+++ b/src/core/records/transaction_reply.h
@@ -4,16 +4,17 @@
  * What each status means for the recorder:
  *  - OK: committed. Planned attempts that it records may be launched from now on.
  *  - CONFLICT on the leader key: another controller leads. This leader is deposed, and may be freed at once.
- *  - CONFLICT on another key: its last change is not the one known to the leader, and nothing was written. An
- *    earlier transaction without a response was committed after all, or (a job's record) another
- *    controller recorded a cancellation. No transaction is sent before the present mod_revision has been
- *    read.
+ *  - CONFLICT on another key: its mod_revision is not the one known to the leader, and nothing was
+ *    written. An earlier transaction without a response was committed after all or, for a job's record,
+ *    another controller recorded a cancellation. No transaction is sent before the present mod_revision has
+ *    been read.
  *  - BAD_REQUEST: too large. The limits are lowered, so that later transactions are smaller.
  *  - TOO_MANY_REQUESTS: the rate limiter of mutations is emptied, and refills at its rate.
- *  - anything else, including NONE: it may have been committed, or may be later. The comparisons keep it
- *    from being applied twice.
+ *  - any other status, including NONE: the transaction may have been committed, or may still be. The
+ *    comparisons keep it from being applied twice.
  *
- * After every failure but the first CONFLICT the records are queued again, and encoded again after a pause.
+ * After every failure except a CONFLICT on the leader key the writes are queued again. Their records are
+ * encoded again when they are sent, after a pause.
  */
 #ifndef OW_CORE_RECORDS_TRANSACTION_REPLY_H
 #define OW_CORE_RECORDS_TRANSACTION_REPLY_H
