--- a/src/core/jobs/attempt.h
+++ b/src/core/jobs/attempt.h
@@ -35,9 +35,9 @@
     uint32_t heartbeat_generation; /**< of the last heartbeat that lists it */
     double placed_at;
     double running_at;    /**< 0: not yet seen running */
-    bool not_preemptible; /**< it was started for a starving job: it is not preempted */
-    bool is_stopping;     /**< it is to be stopped */
-    double stop_grace_s;  /**< time to save its work */
+    bool not_preemptible; /**< started for a starving job, and therefore not preempted */
+    bool is_stopping;     /**< its stop has been decided; the worker may not have ended it yet */
+    double stop_grace_s;  /**< time that it has to save its work once it is stopped */
     double stop_at;       /**< when the stop was decided */
 };
 
--- a/src/core/jobs/attempt_end.c
+++ b/src/core/jobs/attempt_end.c
@@ -26,7 +26,7 @@
     execution->done++;
 }
 
-/* The tasks of a gang complete together: one result is that of all of them. */
+/* Marks the task as done. The tasks of a gang complete together: one result completes all of them. */
 static void complete_tasks(struct ow_leader *leader, struct ow_execution *execution, uint32_t task)
 {
     mark_done(execution, task);
@@ -105,7 +105,7 @@
         apply_failure(leader, execution, task, machine, cause, was_stopped);
 }
 
-void ow_attempt_stop(struct ow_leader *leader, struct ow_attempt *attempt, double grace_s, const char *why)
+void ow_attempt_stop(struct ow_leader *leader, struct ow_attempt *attempt, double grace_s, const char *reason)
 {
     struct ow_machine *machine = attempt->machine;
     if (attempt->is_stopping && attempt->stop_grace_s <= grace_s)
@@ -113,7 +113,7 @@
     if (!attempt->is_stopping) {
         g_info("attempt is stopped: job=%s task=%u attempt=%" G_GUINT64_FORMAT
                " machine=%s grace_s=%.1f reason=\"%s\"",
-               attempt->job->id, attempt->task, attempt->number, machine->name, grace_s, why);
+               attempt->job->id, attempt->task, attempt->number, machine->name, grace_s, reason);
         ow_resources_add(&machine->load.stopping, &attempt->job->spec->submission->need, 1);
     }
     attempt->is_stopping = true;
@@ -126,11 +126,11 @@
 }
 
 void ow_execution_stop(struct ow_leader *leader, struct ow_execution *execution, double grace_s,
-                       const char *why)
+                       const char *reason)
 {
     for (guint i = execution->attempts->len; i > 0; i--) {
         /* Stopping one attempt may end others, which shortens the list. */
         if (i <= execution->attempts->len)
-            ow_attempt_stop(leader, g_ptr_array_index(execution->attempts, i - 1), grace_s, why);
+            ow_attempt_stop(leader, g_ptr_array_index(execution->attempts, i - 1), grace_s, reason);
     }
 }
--- a/src/core/jobs/attempt_end.h
+++ b/src/core/jobs/attempt_end.h
@@ -16,10 +16,11 @@
 void ow_attempt_end(struct ow_leader *leader, struct ow_attempt *attempt, enum ow_exit_cause cause,
                     const char *proof);
 /** Decides to stop the attempt with `grace_s` seconds to save its work; a shorter grace replaces a longer
- * one. An attempt whose launch has not been sent ends, and is freed, at once. `why` is only logged. */
-void ow_attempt_stop(struct ow_leader *leader, struct ow_attempt *attempt, double grace_s, const char *why);
+ * one. An attempt whose launch has not been sent ends, and is freed, at once. `reason` is only logged. */
+void ow_attempt_stop(struct ow_leader *leader, struct ow_attempt *attempt, double grace_s,
+                     const char *reason);
 /** Stops all attempts of an execution in one round, each with `grace_s` seconds to save its work. */
 void ow_execution_stop(struct ow_leader *leader, struct ow_execution *execution, double grace_s,
-                       const char *why);
+                       const char *reason);
 
 #endif
--- a/src/core/jobs/execution.c
+++ b/src/core/jobs/execution.c
@@ -24,10 +24,10 @@
 {
     if (ow_job_is_over(execution->job))
         return 0;
-    uint32_t under_way = 0;
+    uint32_t unfinished_attempts = 0;
     for (guint i = 0; i < execution->attempts->len; i++) {
         const struct ow_attempt *attempt = g_ptr_array_index(execution->attempts, i);
-        under_way += execution->tasks[attempt->task].is_done ? 0 : 1;
+        unfinished_attempts += execution->tasks[attempt->task].is_done ? 0 : 1;
     }
-    return execution->count - execution->done - under_way;
+    return execution->count - execution->done - unfinished_attempts;
 }
--- a/src/core/jobs/execution.h
+++ b/src/core/jobs/execution.h
@@ -17,7 +17,7 @@
 struct ow_record_value;
 struct ow_reservation;
 
-/** A task of an execution. */
+/** A task of an execution: whether it is done, and its attempt. */
 struct ow_task {
     bool is_done;               /**< it has a result; of a gang: any member has */
     struct ow_attempt *attempt; /**< not owned; NULL: none may exist */
@@ -62,7 +62,7 @@
     struct ow_reservation *reservation; /**< of a waiting gang, owned; NULL: none: reservation.c */
 
     /* Faults: machine_faults.c. */
-    unsigned failures;            /**< in a row, on several machines */
+    unsigned failures;            /**< consecutive errors of its tasks, on any machine */
     double failed_machines_until; /**< when `failed_machines` expires */
     GHashTable *failed_machines;  /**< set of struct ow_machine *, not owned, where a task of it failed */
 };
--- a/src/core/jobs/job_cache.c
+++ b/src/core/jobs/job_cache.c
@@ -10,7 +10,7 @@
 #include <string.h>
 
 /* How long a watch may stay open. */
-static const double WATCH_S = 10;
+static const double WATCH_DURATION_S = 10;
 /* Minimum time between two watches, on a leader and on any other controller. */
 static const double WATCH_GAP_LEADER_S = 0.1;
 static const double WATCH_GAP_S = 1.0;
@@ -18,7 +18,7 @@
    to the key-value store that all controllers together may use for them. */
 static const double REFRESH_GAP_S = 0.05;
 static const double REFRESH_SHARE = 0.4;
-/* The time until a failed read is repeated. */
+/* Delay before a failed read is repeated. */
 static const double RETRY_S = 0.5;
 
 /* A caller that waits for a read that is sent after its request. */
@@ -174,15 +174,15 @@
     job_cache->watch_at = job_cache->core->now + gap_s;
 }
 
-static void send_watch(struct ow_job_cache *job_cache, double hold_s, ow_call_fn fn)
+static void send_watch(struct ow_job_cache *job_cache, double duration_s, ow_call_fn fn)
 {
     struct ow_store_request *request = ow_store_request_new(OW_STORE_WATCH, OW_KEY_JOBS);
     request->since_revision = job_cache->revision;
-    request->duration_s = hold_s;
+    request->duration_s = duration_s;
     ow_core_call_store(job_cache->core, request, fn, job_cache, NULL, NULL);
 }
 
-/* Notes the last key of this page: the next one begins after it. */
+/* Records the last key of this page: the next page begins after it. */
 static void set_last_key(struct ow_job_cache *job_cache, const GArray *items)
 {
     const struct ow_store_item *last = &g_array_index(items, struct ow_store_item, items->len - 1);
@@ -273,7 +273,7 @@
         refresh(job_cache);
     if (!job_cache->is_watching && now >= job_cache->watch_at) {
         job_cache->is_watching = true;
-        send_watch(job_cache, WATCH_S, on_watch);
+        send_watch(job_cache, WATCH_DURATION_S, on_watch);
     }
 }
 
--- a/src/core/jobs/quota.c
+++ b/src/core/jobs/quota.c
@@ -33,12 +33,12 @@
 struct ow_resources *ow_team_usage(struct ow_leader *leader, int team)
 {
     struct ow_quota *quota = leader->quota;
-    guint wanted = (guint)team + 1;
-    if (wanted > quota->count) {
-        guint added = wanted - quota->count;
-        quota->used = g_renew(struct ow_resources, quota->used, wanted);
+    guint new_count = (guint)team + 1;
+    if (new_count > quota->count) {
+        guint added = new_count - quota->count;
+        quota->used = g_renew(struct ow_resources, quota->used, new_count);
         memset(quota->used + quota->count, 0, added * sizeof *quota->used);
-        quota->count = wanted;
+        quota->count = new_count;
     }
     return &quota->used[team];
 }
@@ -81,7 +81,7 @@
     return count_within_limit(settings->gpus_max, used->gpus, need->gpus, wanted);
 }
 
-/* An amount of a resource without a guarantee never exceeds it. */
+/* Whether the amount is above the guarantee; a guarantee of 0 means none, which no amount exceeds. */
 static bool exceeds(double guarantee, double amount)
 {
     return guarantee > 0 && amount > guarantee + AMOUNT_TOLERANCE;
