--- a/src/core/leader/cutoff_detection.h
+++ b/src/core/leader/cutoff_detection.h
@@ -9,9 +9,9 @@
 struct ow_leader;
 
 /** Whether no machine has sent this leader any message for some heartbeat intervals while a peer receives
- * heartbeats.
- * Then this controller is cut off from the workers, even if it reaches the key-value store. If no peer
- * receives heartbeats either, the workers are gone, and another leader would not help. */
+ * heartbeats. Then this controller is cut off from the workers, even if it reaches the key-value store. If no
+ * peer receives heartbeats either, the fault is on the side of the workers, and another leader would not
+ * help. */
 bool ow_cutoff_detection_is_cut_off(const struct ow_leader *leader);
 
 #endif
--- a/src/core/leader/heartbeat_answer.c
+++ b/src/core/leader/heartbeat_answer.c
@@ -41,8 +41,8 @@
            heartbeat->fencing_token == leader->fencing_token && leader->phase == OW_LEADER_READY;
 }
 
-/* The commands of the reply (struct ow_worker_command). `clears` are those that reconciling this heartbeat
-   has produced. */
+/* The commands of the reply (struct ow_worker_command). `clears` are the clear commands that reconciling
+   this heartbeat has produced. */
 static GArray *choose_commands(struct ow_leader *leader, struct ow_machine *machine,
                                const struct ow_heartbeat *heartbeat, const GArray *clears)
 {
--- a/src/core/leader/job_cancellation.c
+++ b/src/core/leader/job_cancellation.c
@@ -24,7 +24,7 @@
     ow_leader_request_cycle(leader);
     if (job->execution == NULL)
         return true;
-    ow_execution_stop(leader, job->execution, 0, "its job is cancelled");
+    ow_execution_stop(leader, job->execution, 0, "the job is cancelled");
     const GPtrArray *attempts = job->execution->attempts;
     for (guint i = 0; i < attempts->len; i++)
         if (!can_only_end(g_ptr_array_index(attempts, i)))
--- a/src/core/leader/leader_state.h
+++ b/src/core/leader/leader_state.h
@@ -26,14 +26,14 @@
 /** The timing of the scheduling cycle, and what a cycle computes once for all jobs. schedule.c changes it
  * unless a comment names another module. */
 struct ow_cycle_state {
-    bool due;                    /* something that a cycle depends on has changed since the last one */
-    double last_at;              /* when the last one began: cycle_timer.c, as `due` */
-    GArray *image_demand;        /* image_demand.c; by image */
-    GArray *shortlists;          /* shortlist.c; by class */
-    GArray *machine_counts;      /* reason.c */
-    bool gang_has_hold_priority; /* gang_hold_priority.c: a gang keeps its holds to start in time */
-    int gpu_rank;                /* gpu_reserve.c: the most urgent rank among open jobs that need GPUs */
-    double gpu_cpus;             /* gpu_reserve.c: CPUs that a GPU needs to be of use, by the open jobs */
+    bool due;             /**< a cycle has been requested since the last one: leader_state.c, cycle_timer.c */
+    double last_at;       /**< when the last cycle began: cycle_timer.c */
+    GArray *image_demand; /**< image_demand.c; by image */
+    GArray *shortlists;   /**< shortlist.c; by class */
+    GArray *machine_counts;      /**< reason.c */
+    bool gang_has_hold_priority; /**< gang_hold_priority.c: a gang keeps its holds to start in time */
+    int gpu_rank;                /**< gpu_reserve.c: the most urgent rank among open jobs that need GPUs */
+    double gpu_cpus;             /**< gpu_reserve.c: CPUs that a GPU needs to be of use, by the open jobs */
 };
 
 /** The phases of a new leader's failover. Only failover.c changes the phase. */
--- a/src/core/leader/machine_type_polling.c
+++ b/src/core/leader/machine_type_polling.c
@@ -39,9 +39,8 @@
     if (fits)
         ow_store_request_put(transaction, OW_KEY_TYPES, g_steal_pointer(&record), 0);
     else
-        g_warning(
-            "machine types not recorded: reason=\"they exceed the size limit of a value: a controller that "
-            "starts while the cloud is down can't accept jobs\"");
+        g_warning("machine types not recorded: reason=\"the record exceeds the size limit of a value; a "
+                  "controller that starts while the cloud is down can't accept jobs\"");
     ow_core_call_store(leader->core, transaction, NULL, leader, NULL, NULL);
 }
 
