--- a/src/core/api/cancel.c
+++ b/src/core/api/cancel.c
@@ -109,7 +109,7 @@
     if (strlen(full_record) < core->store_limits.refused_value_bytes)
         return g_steal_pointer(&full_record);
     /* The job was accepted when larger values were allowed. None of its tasks will start, so its machine
-       types are not needed any more. */
+       types are no longer needed. */
     struct ow_submission without_types = *record.submission;
     without_types.types = NULL;
     record.submission = &without_types;
--- a/src/core/api/cancellation_ack.c
+++ b/src/core/api/cancellation_ack.c
@@ -73,7 +73,7 @@
 }
 
 /* The open cancellation of this job, which is added if there is none. */
-static struct open_cancellation *ensure_open(struct ow_cancellation_ack *acks, const char *id)
+static struct open_cancellation *find_or_add_open(struct ow_cancellation_ack *acks, const char *id)
 {
     struct open_cancellation *cancellation = g_hash_table_lookup(acks->open, id);
     if (cancellation != NULL)
@@ -88,7 +88,7 @@
 void ow_cancellation_ack_wait(struct ow_cancellation_ack *acks, uint64_t request, int status,
                               const struct ow_job *job)
 {
-    struct open_cancellation *cancellation = ensure_open(acks, job->id);
+    struct open_cancellation *cancellation = find_or_add_open(acks, job->id);
     struct waiting_request waiting = {
         .request = request,
         .status = status,
@@ -129,7 +129,7 @@
     if (job->is_cancellation_acknowledged)
         send_acknowledgement(core, job);
     else
-        ensure_open(acks, message->cancellation.job);
+        find_or_add_open(acks, message->cancellation.job);
 }
 
 void ow_cancellation_ack_handle_ack(struct ow_cancellation_ack *acks, const struct ow_peer_message *message)
@@ -146,7 +146,7 @@
 }
 
 /* Acknowledges the cancellation if this controller leads with a sufficient fencing token and no task of the
-   job can start any more. Returns whether it did. */
+   job can still start. Returns whether it did. */
 static bool try_acknowledge(struct ow_core *core, struct ow_job *job)
 {
     if (core->leader == NULL)
--- a/src/core/core_state.h
+++ b/src/core/core_state.h
@@ -48,7 +48,7 @@
     GPtrArray *effects;             /**< struct ow_effect, of this step so far */
     struct ow_pending_calls *pending_calls;
 
-    /* Copies of outside state. */
+    /* Copies of external state. */
     struct ow_interners interners;
     struct ow_jobs *jobs; /**< the job table */
     struct ow_job_cache *job_cache;
--- a/src/core/store_health.c
+++ b/src/core/store_health.c
@@ -16,7 +16,7 @@
     struct ow_core *core;
     double succeeded_at;  /* time of the last successful answer; 0: none yet */
     double failing_since; /* 0: the last answer was successful */
-    double refused_at;    /* time of the last UNAVAILABLE: the store can be reached, but may serve others */
+    double refused_at;    /* time of the last UNAVAILABLE: the store can be reached and may serve others */
     bool is_silent;       /* the last failure was a missing response, not an error status */
     bool is_probing;      /* a probe is in flight */
     double probed_at;     /* when the last probe was sent */
--- a/src/core/type_discovery.c
+++ b/src/core/type_discovery.c
@@ -51,7 +51,7 @@
         ow_machine_types_update(discovery->core->machine_types, types);
 }
 
-static void ask_cloud(struct ow_type_discovery *discovery)
+static void request_cloud_types(struct ow_type_discovery *discovery)
 {
     struct ow_cloud_request *request = g_new0(struct ow_cloud_request, 1);
     request->op = OW_CLOUD_TYPES;
@@ -73,6 +73,6 @@
         return;
     if (core->now < discovery->requested_at + RETRY_S)
         return;
-    ask_cloud(discovery);
+    request_cloud_types(discovery);
     read_stored_types(discovery);
 }
