--- a/src/core/election/succession.c
+++ b/src/core/election/succession.c
@@ -10,7 +10,7 @@
 
 /* Safety margin beyond clock drift, for messages in flight and for a worker's last heartbeat. */
 static const double DELIVERY_MARGIN_S = 3;
-/* Lower bound of the time that a leader tolerates an unresponsive store, in lease durations, however short
+/* Lower bound, in lease durations, of the time that a leader tolerates an unresponsive store, however short
    `cancel_s` is. */
 static const double MIN_SILENCE_LEASES = 2;
 /* A hint (a lost link) does not replace a leader that has held the key for less than this. Otherwise two
--- a/src/core/jobs/job_cache.c
+++ b/src/core/jobs/job_cache.c
@@ -30,7 +30,7 @@
 /* Reading the whole table, page by page. */
 struct loading {
     bool is_done;
-    bool is_busy;      /* a page is being read */
+    bool is_reading;   /* a page is being read */
     char *last_key;    /* of the pages read so far; NULL: none */
     uint64_t revision; /* of the first page: changes since then are watched for */
     double next_at;    /* no page before this time */
@@ -205,7 +205,7 @@
     struct ow_job_cache *job_cache = owner;
     const struct ow_store_reply *reply = &answer->store;
     (void)data;
-    job_cache->loading.is_busy = false;
+    job_cache->loading.is_reading = false;
     if (reply->status != OW_HTTP_STATUS_OK) {
         job_cache->loading.next_at = job_cache->core->now + RETRY_S;
         return;
@@ -223,7 +223,7 @@
 {
     struct ow_store_request *request = ow_store_request_new(OW_STORE_LIST, OW_KEY_JOBS);
     request->start_after_key = g_strdup(job_cache->loading.last_key);
-    job_cache->loading.is_busy = true;
+    job_cache->loading.is_reading = true;
     ow_core_call_store(job_cache->core, request, on_page, job_cache, NULL, NULL);
 }
 
@@ -258,7 +258,7 @@
 
 static void tick_loading(struct ow_job_cache *job_cache)
 {
-    if (!job_cache->loading.is_busy && job_cache->core->now >= job_cache->loading.next_at)
+    if (!job_cache->loading.is_reading && job_cache->core->now >= job_cache->loading.next_at)
         load_page(job_cache);
     /* Before the table is loaded every refresh fails at once. */
     if (job_cache->waiting->len > 0)
