--- a/src/core/jobs/job_cache.c
+++ b/src/core/jobs/job_cache.c
@@ -10,7 +10,7 @@
 #include <string.h>
 
 /* How long a watch may stay open. */
-static const double WATCH_S = 10;
+static const double WATCH_DURATION_S = 10;
 /* Minimum time between two watches, on a leader and on any other controller. */
 static const double WATCH_GAP_LEADER_S = 0.1;
 static const double WATCH_GAP_S = 1.0;
@@ -18,7 +18,7 @@
    to the key-value store that all controllers together may use for them. */
 static const double REFRESH_GAP_S = 0.05;
 static const double REFRESH_SHARE = 0.4;
-/* The time until a failed read is repeated. */
+/* Delay before a failed read is repeated. */
 static const double RETRY_S = 0.5;
 
 /* A caller that waits for a read that is sent after its request. */
@@ -30,7 +30,7 @@
 /* Reading the whole table, page by page. */
 struct loading {
     bool is_done;
-    bool is_busy;      /* a page is being read */
+    bool is_reading;   /* a page is being read */
     char *last_key;    /* of the pages read so far; NULL: none */
     uint64_t revision; /* of the first page: changes since then are watched for */
     double next_at;    /* no page before this time */
@@ -174,15 +174,15 @@
     job_cache->watch_at = job_cache->core->now + gap_s;
 }
 
-static void send_watch(struct ow_job_cache *job_cache, double hold_s, ow_call_fn fn)
+static void send_watch(struct ow_job_cache *job_cache, double duration_s, ow_call_fn fn)
 {
     struct ow_store_request *request = ow_store_request_new(OW_STORE_WATCH, OW_KEY_JOBS);
     request->since_revision = job_cache->revision;
-    request->duration_s = hold_s;
+    request->duration_s = duration_s;
     ow_core_call_store(job_cache->core, request, fn, job_cache, NULL, NULL);
 }
 
-/* Notes the last key of this page: the next one begins after it. */
+/* Records the last key of this page: the next page begins after it. */
 static void set_last_key(struct ow_job_cache *job_cache, const GArray *items)
 {
     const struct ow_store_item *last = &g_array_index(items, struct ow_store_item, items->len - 1);
@@ -205,7 +205,7 @@
     struct ow_job_cache *job_cache = owner;
     const struct ow_store_reply *reply = &answer->store;
     (void)data;
-    job_cache->loading.is_busy = false;
+    job_cache->loading.is_reading = false;
     if (reply->status != OW_HTTP_STATUS_OK) {
         job_cache->loading.next_at = job_cache->core->now + RETRY_S;
         return;
@@ -223,7 +223,7 @@
 {
     struct ow_store_request *request = ow_store_request_new(OW_STORE_LIST, OW_KEY_JOBS);
     request->start_after_key = g_strdup(job_cache->loading.last_key);
-    job_cache->loading.is_busy = true;
+    job_cache->loading.is_reading = true;
     ow_core_call_store(job_cache->core, request, on_page, job_cache, NULL, NULL);
 }
 
@@ -258,7 +258,7 @@
 
 static void tick_loading(struct ow_job_cache *job_cache)
 {
-    if (!job_cache->loading.is_busy && job_cache->core->now >= job_cache->loading.next_at)
+    if (!job_cache->loading.is_reading && job_cache->core->now >= job_cache->loading.next_at)
         load_page(job_cache);
     /* Before the table is loaded every refresh fails at once. */
     if (job_cache->waiting->len > 0)
@@ -273,7 +273,7 @@
         refresh(job_cache);
     if (!job_cache->is_watching && now >= job_cache->watch_at) {
         job_cache->is_watching = true;
-        send_watch(job_cache, WATCH_S, on_watch);
+        send_watch(job_cache, WATCH_DURATION_S, on_watch);
     }
 }
 
