--- a/src/sharding/effect_guard.h
+++ b/src/sharding/effect_guard.h
@@ -16,7 +16,7 @@
 /**
  * Removes from the effect what must not be sent in this state of the lease, which is not OW_LEASE_HELD. If
  * the whole effect must not be sent, `*reply` is set to the event that the core gets instead, owned by the
- * caller; NULL: the rest of the effect may be sent.
+ * caller; NULL: what remains of the effect may be sent.
  *
  * @return whether anything was removed. */
 bool ow_effect_guard_apply(struct ow_effect *effect, enum ow_lease_state lease, struct ow_event **reply);
--- a/src/sharding/failover_log.c
+++ b/src/sharding/failover_log.c
@@ -109,10 +109,11 @@
            ow_failover_log_last(log)->phase == OW_FAILOVER_SERVING;
 }
 
+/* Records when the loss of the leader was detected, and clears it when the failover has ended. */
 static void track_loss_detection(struct ow_failover_log *log, enum ow_failover_phase phase, double now)
 {
-    bool is_leader_gone = phase == OW_FAILOVER_SUSPECTED || phase == OW_FAILOVER_LEASE_EXPIRED;
-    if (is_leader_gone && log->loss_detected_at <= 0)
+    bool is_leader_lost = phase == OW_FAILOVER_SUSPECTED || phase == OW_FAILOVER_LEASE_EXPIRED;
+    if (is_leader_lost && log->loss_detected_at <= 0)
         log->loss_detected_at = now;
     else if (phase == OW_FAILOVER_SERVING || phase == OW_FAILOVER_LED_ELSEWHERE)
         log->loss_detected_at = 0;
--- a/src/sharding/failover_log.h
+++ b/src/sharding/failover_log.h
@@ -47,8 +47,8 @@
     bool is_key_missing; /**< the key-value store has answered that the leader key does not exist */
     bool are_records_read;
     bool is_settled;   /**< this term is long enough for every live machine to have sent a heartbeat */
-    unsigned machines; /**< that have sent a heartbeat */
-    unsigned fenced;   /**< of them, those that have seen our fencing token */
+    unsigned machines; /**< number of machines that have sent a heartbeat */
+    unsigned fenced;   /**< number of these that have seen our fencing token */
 };
 
 /** Initializes a log with one step of phase OW_FAILOVER_UNKNOWN; the first update sets its time. */
--- a/src/sharding/map_agreement.c
+++ b/src/sharding/map_agreement.c
@@ -7,13 +7,13 @@
 #include "wire/records_json.h"
 #include "wire/sharding_json.h"
 
-/* The key of the map. */
+/* Key of the shard map in the key-value store. */
 #define MAP_KEY "shards"
 /* Holder of the unprefixed leader key of a divided fleet: keeps controllers without sharding settings from
    taking it. */
 #define DIVIDED_NAME "(divided into shards)"
 
-/* Interval at which the stored map is read and compared. */
+/* Interval at which the stored map is read again, to detect settings that differ from it. */
 static const double COMPARE_INTERVAL_S = 10;
 /* Pause after a failed request. */
 static const double RETRY_INTERVAL_S = 0.5;
@@ -30,9 +30,9 @@
     GHashTable *values; /* of our map: name -> value, owned */
     bool has_only_default_shard;
     bool is_request_pending;
-    double next_request_at;
-    uint64_t mod_revision; /* of the stored map */
-    char *difference;      /* owned, or NULL */
+    double next_request_at; /* seconds of the monotonic clock */
+    uint64_t mod_revision;  /* of the stored map */
+    char *difference;       /* owned, or NULL */
 };
 
 /* ---- creation and destruction ---- */
--- a/src/sharding/request_router.c
+++ b/src/sharding/request_router.c
@@ -20,8 +20,8 @@
     const struct ow_sharding_settings *sharding;
     const GPtrArray *shards;
     GHashTable *queries;     /* request number -> struct ow_shard_query */
-    GHashTable *submissions; /* request -> struct pending_submission */
-    uint64_t last_query;
+    GHashTable *submissions; /* request number -> struct pending_submission */
+    uint64_t last_query;     /* number of the last query, without QUERY_BIT; 0: none yet */
 };
 
 /* ---- creation and destruction ---- */
@@ -106,6 +106,7 @@
 
 /* ---- submissions ---- */
 
+/* Whether the route, the names of the allowed shards, includes the shard; a NULL route includes all. */
 static bool is_allowed(char **route, const struct ow_shard *shard)
 {
     return route == NULL || g_strv_contains((const char *const *)route, shard->name);
@@ -192,6 +193,9 @@
             answer->status == OW_HTTP_STATUS_UNPROCESSABLE);
 }
 
+/* Handles an answer to a request that is not a query to all shards. Returns whether the answer may be passed
+   on. If not, it is the refusal of a submission whose job another shard may have: the router keeps it and
+   queries all shards. */
 static bool forward_submission(struct ow_request_router *router, struct ow_effect *answer, double now)
 {
     const struct pending_submission *submission = g_hash_table_lookup(router->submissions, &answer->request);
@@ -207,6 +211,8 @@
     return is_final;
 }
 
+/* Adds a shard's answer to its query, and appends the combined answer to `out` once all shards have answered.
+   An answer that arrives after the query has timed out is dropped. */
 static void forward_query_answer(struct ow_request_router *router, struct ow_effect *answer, GPtrArray *out)
 {
     uint64_t number = answer->request;
@@ -258,7 +264,7 @@
     return false;
 }
 
-/* ---- requests that were never answered ---- */
+/* ---- timeouts ---- */
 
 static gboolean is_query_timed_out(gpointer key, gpointer value, gpointer now)
 {
--- a/src/sharding/shard_manager.c
+++ b/src/sharding/shard_manager.c
@@ -11,7 +11,7 @@
 #include "sharding/shard_map.h"
 #include "sharding/shard_tag.h"
 
-/* Shorter pauses of the process are normal scheduling delays. */
+/* Minimum duration of a pause of the process that is handled; shorter ones are normal scheduling delays. */
 static const double PAUSE_MIN_S = 0.5;
 
 struct ow_shard_manager {
--- a/src/sharding/shard_map.c
+++ b/src/sharding/shard_map.c
@@ -4,7 +4,7 @@
 
 #include <string.h>
 
-/* The bytes of a SHA-256 digest. */
+/* Size of a SHA-256 digest. */
 enum { SHA256_BYTES = 32 };
 
 /* ---- machines and jobs ---- */
@@ -16,7 +16,7 @@
 
 int ow_shard_map_find_shard(const struct ow_sharding_settings *sharding, const char *zone, const char *type)
 {
-    int shard_of_other_types = -1;
+    int shard_of_other_types = -1; /* the shard of the zone that lists no types */
     for (guint i = 0; i < sharding->shards->len; i++) {
         const struct ow_shard_settings *shard = g_ptr_array_index(sharding->shards, i);
         if (!contains(shard->zones, zone))
--- a/src/sharding/shard_platform.c
+++ b/src/sharding/shard_platform.c
@@ -1,6 +1,6 @@
 #include "sharding/shard_platform.h"
 
-/* A limit of 0 means no limit, so a shard without a share of a limit gets this minimum instead of 0. */
+/* A limit of 0 means no limit, so a shard without a share of a limit gets this minimum, in CPUs or GPUs. */
 static const double LIMIT_MIN = 1e-6;
 
 static double divide_limit(double limit, double share)
--- a/src/sharding/shard_query.c
+++ b/src/sharding/shard_query.c
@@ -3,11 +3,11 @@
 #include "model/http_status.h"
 #include "model/resources.h"
 
-/* The strength of an answer about a job; a stronger answer replaces a weaker one. */
-enum evidence {
-    EVIDENCE_NOT_HERE, /* the shard does not have the job */
-    EVIDENCE_UNKNOWN,  /* the shard can't tell, or refuses for now */
-    EVIDENCE_JOB,      /* the shard has the job */
+/* What an answer about a job establishes, weakest first: a stronger answer replaces a weaker one. */
+enum answer_strength {
+    STRENGTH_NOT_FOUND, /* the shard does not have the job */
+    STRENGTH_UNKNOWN,   /* the shard can't tell, or refuses for now */
+    STRENGTH_FOUND,     /* the shard has the job */
 };
 
 void ow_shard_query_free(void *item)
@@ -20,11 +20,11 @@
     g_free(query);
 }
 
-static enum evidence evidence_of(const struct ow_effect *answer)
+static enum answer_strength strength_of(const struct ow_effect *answer)
 {
     if (answer->kind == OW_EFFECT_JOB)
-        return EVIDENCE_JOB;
-    return answer->status == OW_HTTP_STATUS_NOT_FOUND ? EVIDENCE_NOT_HERE : EVIDENCE_UNKNOWN;
+        return STRENGTH_FOUND;
+    return answer->status == OW_HTTP_STATUS_NOT_FOUND ? STRENGTH_NOT_FOUND : STRENGTH_UNKNOWN;
 }
 
 static void add_teams(GArray *sums, const GArray *teams)
@@ -48,7 +48,7 @@
     struct ow_effect *discarded = answer;
     if (query->kind == OW_SHARD_QUERY_TEAMS) {
         add_teams(query->answer->teams, answer->teams);
-    } else if (evidence_of(answer) > evidence_of(query->answer)) {
+    } else if (strength_of(answer) > strength_of(query->answer)) {
         discarded = query->answer;
         query->answer = answer;
     }
@@ -60,7 +60,7 @@
 static struct ow_effect *take_submission_result(struct ow_shard_query *query)
 {
     struct ow_effect *answer = g_steal_pointer(&query->answer);
-    if (evidence_of(answer) > EVIDENCE_NOT_HERE)
+    if (strength_of(answer) > STRENGTH_NOT_FOUND)
         return answer;
     ow_effect_free(answer);
     struct ow_effect *refusal = g_steal_pointer(&query->refusal);
--- a/src/sharding/sharding_settings_check.c
+++ b/src/sharding/sharding_settings_check.c
@@ -5,7 +5,7 @@
 #include <string.h>
 
 /* Tolerance for rounding errors in sums of shares. */
-static const double SHARE_SLACK = 1e-9;
+static const double SHARE_SUM_TOLERANCE = 1e-9;
 /* Upper bound of the leader's lease as a fraction of the workers' lease: a leader must detect its own expiry
    well before theirs. */
 static const double LEASE_SHARE_MAX = 0.5;
@@ -28,7 +28,7 @@
     return false;
 }
 
-/* ---- all shards together ---- */
+/* ---- the number of shards, and timing ---- */
 
 static bool check_shard_count(const struct ow_sharding_settings *sharding, const struct ow_settings *platform,
                               GError **error)
@@ -209,7 +209,7 @@
     for (guint i = 0; i < platform->teams->len; i++) {
         const char *team = g_array_index(platform->teams, struct ow_team_settings, i).name;
         double sum = share_sum(sharding, team);
-        if (sum <= 1 + SHARE_SLACK)
+        if (sum <= 1 + SHARE_SUM_TOLERANCE)
             continue;
         g_set_error(error, OW_SHARDING_SETTINGS_ERROR, OW_SHARDING_SETTINGS_ERROR_QUOTA_SHARE,
                     "line %lu: control: the shards' shares of team %s add up to %g", sharding->line, team,
