--- a/src/io/daemon.c
+++ b/src/io/daemon.c
@@ -11,9 +11,9 @@
 #include <string.h>
 
 /* Interval between sweeps of connections. */
-static const double SWEEP_S = 0.1;
+static const double SWEEP_INTERVAL_S = 0.1;
 /* An incoming connection that has been idle for longer is closed. */
-static const double IDLE_S = 60;
+static const double IDLE_TIMEOUT_S = 60;
 enum {
     BODY_LIMIT_BYTES = 64 * 1024, /* of an incoming request */
     RESERVED_SOCKETS = 60,        /* for the key-value store, the cloud and other controllers */
@@ -113,7 +113,7 @@
 {
     if (now < daemon->sweep_at)
         return;
-    daemon->sweep_at = now + SWEEP_S;
+    daemon->sweep_at = now + SWEEP_INTERVAL_S;
     ow_outgoing_limit_sockets(daemon);
     ow_http_client_sweep(daemon->client, now);
     ow_http_server_sweep(daemon->server, now);
@@ -149,7 +149,7 @@
         .endpoint = daemon->settings->http_listen,
         .body_limit_bytes = BODY_LIMIT_BYTES,
         .max_connections = daemon->sockets_max - daemon->client_sockets_min,
-        .idle_s = IDLE_S,
+        .idle_s = IDLE_TIMEOUT_S,
     };
     return ow_http_server_new(daemon->loop, &options, ow_incoming_handle, daemon);
 }
--- a/src/io/http_client_connection.c
+++ b/src/io/http_client_connection.c
@@ -7,11 +7,11 @@
 #include <sys/epoll.h>
 
 /* Idle connections are closed after this time. */
-static const double IDLE_CLOSE_S = 20;
+static const double IDLE_TIMEOUT_S = 20;
 enum {
-    BODY_LIMIT_BYTES = 4 * 1024 * 1024,
-    READ_BYTES = 16 * 1024,
-    REQUEST_BYTES = 256, /* initial buffer size, enough for a typical request */
+    BODY_LIMIT_BYTES = 4 * 1024 * 1024, /* of a response */
+    READ_BYTES = 16 * 1024,             /* read from the socket at once */
+    REQUEST_BYTES = 256,                /* initial buffer size, enough for a typical request */
 };
 
 /* ---- end of a request or connection ---- */
@@ -50,7 +50,7 @@
     if (outcome.is_reusable) {
         ow_http_parser_reset(parser);
         connection->state = OW_CLIENT_CONNECTION_IDLE;
-        connection->deadline = ow_loop_now(connection->loop) + IDLE_CLOSE_S;
+        connection->deadline = ow_loop_now(connection->loop) + IDLE_TIMEOUT_S;
     }
     connection->end(connection->owner, connection, &outcome);
 }
--- a/src/io/http_connection.c
+++ b/src/io/http_connection.c
@@ -6,6 +6,7 @@
 #include <string.h>
 #include <sys/epoll.h>
 
+/* Maximum number of bytes read from the socket at once. */
 enum { READ_BYTES = 16 * 1024 };
 
 static const char *reason_phrase(int status)
--- a/src/io/http_connection.h
+++ b/src/io/http_connection.h
@@ -5,8 +5,8 @@
  * States:
  *
  *     READING        --a request is complete-->                        HANDLING
- *     READING        --the same, and the client will then close-->     HANDLING_LAST
- *     READING        --malformed or too large; answered so-->          DRAINING
+ *     READING        --the last request of the client is complete-->   HANDLING_LAST
+ *     READING        --malformed or too large, error is answered-->    DRAINING
  *     HANDLING       --answered-->                                     READING
  *     HANDLING_LAST  --answered-->                                     DRAINING
  *     DRAINING       --all bytes are sent-->                           (closed)
@@ -29,7 +29,7 @@
 enum ow_http_connection_state {
     OW_HTTP_CONNECTION_READING,       /**< waits for a complete request */
     OW_HTTP_CONNECTION_HANDLING,      /**< the handler has a request */
-    OW_HTTP_CONNECTION_HANDLING_LAST, /**< the same, and the connection is closed after the response */
+    OW_HTTP_CONNECTION_HANDLING_LAST, /**< the handler has a request, the last one of the connection */
     OW_HTTP_CONNECTION_DRAINING,      /**< closed once all bytes are sent */
 };
 
@@ -55,7 +55,7 @@
     struct ow_watch watch;
     double active_at; /**< monotonic time at which bytes were last received */
     struct ow_http_parser parser;
-    size_t pending_limit_bytes; /**< of `pending` */
+    size_t pending_limit_bytes; /**< maximum size of `pending` */
     GString *pending;           /**< bytes received after the current request */
     GString *out;               /**< response bytes to send */
     size_t sent;                /**< bytes of `out` that are sent */
--- a/src/io/http_lines.c
+++ b/src/io/http_lines.c
@@ -3,8 +3,10 @@
 #include <glib.h>
 #include <string.h>
 
-/* Enough digits for any size within the limits. Longer numbers could overflow and are rejected. */
+/* Maximum number of digits of a size, enough for any within the limits. Longer numbers could overflow and are
+   rejected. */
 enum { SIZE_DIGITS_MAX = 9 };
+/* Number bases. */
 enum { DECIMAL = 10, HEXADECIMAL = 16 };
 
 /* The version is "HTTP/1.0" or "HTTP/1.1". */
--- a/src/io/http_parse.c
+++ b/src/io/http_parse.c
@@ -4,8 +4,9 @@
 
 #include <string.h>
 
+/* Maximum sizes of the head of a message and of a line. */
 enum { HEAD_LIMIT_BYTES = 16 * 1024, LINE_LIMIT_BYTES = 8 * 1024 };
-/* Buffers that have grown larger are freed before the next message. */
+/* Buffers that have grown beyond this size are freed before the next message. */
 enum { BUFFER_KEPT_MAX_BYTES = 16 * 1024 };
 /* Informational responses (1xx) precede the final one and are skipped; 101 does not occur, because no request
  * asks for another protocol. */
--- a/src/io/loop.c
+++ b/src/io/loop.c
@@ -12,8 +12,8 @@
 
 struct ow_loop {
     int epoll_fd;
-    double now;     /* monotonic time of the current batch */
-    double pause_s; /* waiting time that the last round returned */
+    double now;    /* monotonic time of the current batch */
+    double wait_s; /* waiting time that the last round returned */
     ow_wake_fn wake;
     void *wake_owner;
     int ready_count;   /* number of events in the current batch; 0 between batches */
@@ -102,13 +102,13 @@
 /* Waits for a batch of events, for at most the time that the last round returned, rounded up to 1 ms. */
 static void fetch_events(struct ow_loop *loop)
 {
-    int pause_ms = (int)(loop->pause_s * MS_PER_S) + 1;
-    double before = loop->now;
-    int count = epoll_wait(loop->epoll_fd, loop->ready, BATCH_EVENTS, pause_ms);
+    int wait_ms = (int)(loop->wait_s * MS_PER_S) + 1;
+    double last_batch_at = loop->now;
+    int count = epoll_wait(loop->epoll_fd, loop->ready, BATCH_EVENTS, wait_ms);
     loop->now = monotonic_now();
     /* Lateness is measured from the last batch: the process may have been paused at any point since. */
     if (loop->wake != NULL)
-        loop->wake(loop->wake_owner, loop->now - before - loop->pause_s, loop->now);
+        loop->wake(loop->wake_owner, loop->now - last_batch_at - loop->wait_s, loop->now);
     loop->ready_count = MAX(count, 0);
     loop->is_saturated = count == BATCH_EVENTS;
 }
@@ -127,7 +127,7 @@
 {
     fetch_events(loop);
     call_watches(loop);
-    loop->pause_s = round(owner, loop->now);
+    loop->wait_s = round(owner, loop->now);
 }
 
 void ow_loop_run(struct ow_loop *loop, ow_round_fn round, void *owner)
--- a/src/io/loop.h
+++ b/src/io/loop.h
@@ -8,8 +8,8 @@
  *  - A ready callback or a round may close any watch, including the current one: events of it that have been
  *    fetched already are discarded.
  *  - A descriptor returned by ow_net_listen, ow_net_connect or ow_net_accept belongs to the caller until it
- * is set in a watch. Then it belongs to the watch, and only ow_loop_close closes it. The memory of a watch
- *    belongs to the caller.
+ *    is set in a watch. Then it belongs to the watch, and only ow_loop_close closes it. The memory of a
+ *    watch belongs to the caller.
  */
 #ifndef OW_IO_LOOP_H
 #define OW_IO_LOOP_H
@@ -18,7 +18,7 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** The loop. The creator frees it, after the owners of all its watches. */
+/** An event loop. The creator frees it, after the owners of all its watches. */
 struct ow_loop;
 typedef struct ow_loop ow_loop; /**< for g_autoptr */
 
--- a/src/io/net.c
+++ b/src/io/net.c
@@ -10,6 +10,7 @@
 
 /* Maximum number of connections that wait to be accepted. */
 enum { LISTEN_BACKLOG = 4096 };
+/* Returned instead of a descriptor on failure. */
 enum { NO_DESCRIPTOR = -1 };
 
 /* Source address of outgoing connections. With AF_UNSPEC (0), the system chooses it. */
--- a/src/io/outgoing.c
+++ b/src/io/outgoing.c
@@ -21,6 +21,7 @@
 
 enum destination { DESTINATION_STORE, DESTINATION_CLOUD, DESTINATION_WORKER };
 
+/* The operation of requests to workers, which have only one. */
 enum { NO_OPERATION = 0 };
 
 /* A request that waits for its reply. */
@@ -32,7 +33,7 @@
 
 struct ow_pending_requests {
     GHashTable *by_tag; /* uint64_t -> struct pending_request, both owned */
-    uint64_t last_tag;  /* the last one passed to the HTTP client */
+    uint64_t last_tag;  /* of the last request passed to the HTTP client */
 };
 
 struct ow_pending_requests *ow_pending_requests_new(void)
--- a/src/io/peer_incoming.c
+++ b/src/io/peer_incoming.c
@@ -8,8 +8,8 @@
 #include <sys/epoll.h>
 
 enum {
-    READ_BYTES = 16 * 1024,
-    LENGTH_BYTES = 4, /* length prefix of each frame, in network byte order */
+    READ_BYTES = 16 * 1024, /* read from the socket at once */
+    LENGTH_BYTES = 4,       /* length prefix of each frame, in network byte order */
 };
 /* A link counts as dead after this time without received bytes. */
 static const double SILENT_S = 15;
--- a/src/io/peer_incoming.h
+++ b/src/io/peer_incoming.h
@@ -13,7 +13,7 @@
 
 #include <stdbool.h>
 
-/** An incoming link. */
+/** An incoming link; owned by the links of io/peer_link. */
 struct ow_peer_incoming;
 
 /** Called when the link has ended. The callee must free it with ow_peer_incoming_free; it isn't accessed
--- a/src/io/peer_outgoing.h
+++ b/src/io/peer_outgoing.h
@@ -17,7 +17,7 @@
 #include "io/loop.h"
 #include "io/peer_handlers.h"
 
-/** An outgoing link. */
+/** An outgoing link; owned by the links of io/peer_link. */
 struct ow_peer_outgoing;
 
 /** Creates a link and begins to connect.
--- a/src/io/rng.c
+++ b/src/io/rng.c
@@ -4,6 +4,7 @@
 #include <sys/random.h>
 #include <time.h>
 
+/* Half of the bits of a 64-bit number: GLib seeds and draws random numbers in units of 32 bits. */
 enum { HALF_BITS = 32 };
 
 static guint32 low_half(uint64_t number)
