--- a/src/model/cloud.h
+++ b/src/model/cloud.h
@@ -51,7 +51,12 @@
 void ow_listed_machine_clear(void *machine);
 
 /** The operations of the cloud API. */
-enum ow_cloud_op { OW_CLOUD_TYPES, OW_CLOUD_LIST, OW_CLOUD_PROVISION, OW_CLOUD_TERMINATE };
+enum ow_cloud_op {
+    OW_CLOUD_TYPES,     /**< list the machine types */
+    OW_CLOUD_LIST,      /**< list a page of the instances */
+    OW_CLOUD_PROVISION, /**< provision machines of one type in one zone */
+    OW_CLOUD_TERMINATE, /**< terminate machines by name */
+};
 
 /** A request to the cloud. It owns its strings and lists. Fields of other operations are NULL or 0. */
 struct ow_cloud_request {
--- a/src/model/records.h
+++ b/src/model/records.h
@@ -35,7 +35,7 @@
 /** Maximum number of tasks in a chunk, which OW_FORMAT_FIRST always uses, and minimum. */
 enum { OW_CHUNK_MAX_TASKS = 256, OW_CHUNK_MIN_TASKS = 8 };
 
-/** The record of a job. */
+/** The record of a job: the value of its key OW_KEY_JOBS + id. */
 struct ow_job_record {
     enum ow_job_state state;       /**< OW_JOB_QUEUED for every job that has not ended, running or not */
     double accepted_at;            /**< seconds since the epoch; 0: not recorded */
--- a/src/model/store.h
+++ b/src/model/store.h
@@ -31,7 +31,7 @@
     uint64_t mod_revision; /**< 0: the key must not exist */
 };
 
-/** A put or a delete. */
+/** A put or a delete of one key, applied as part of a transaction. */
 struct ow_store_mutation {
     char *key;      /**< owned */
     char *value;    /**< owned; JSON text; NULL: delete */
@@ -73,7 +73,7 @@
     uint64_t mod_revision; /**< of its last change */
 };
 
-/** A reply. */
+/** A reply to one request. The owner clears it with ow_store_reply_clear(). */
 struct ow_store_reply {
     uint64_t tag; /**< of the request */
     /** HTTP status, of enum ow_http_status or another one. NONE: no response; the request may have been
--- a/src/model/worker.h
+++ b/src/model/worker.h
@@ -68,9 +68,9 @@
 
 /** The action of a command. */
 enum ow_worker_command_kind {
-    OW_WORKER_LAUNCH,
-    OW_WORKER_STOP,
-    OW_WORKER_CLEAR, /**< forget an attempt that has ended */
+    OW_WORKER_LAUNCH, /**< start an attempt */
+    OW_WORKER_STOP,   /**< stop an attempt, with time to save a checkpoint */
+    OW_WORKER_CLEAR,  /**< forget an attempt that has ended */
 };
 
 /** A command for an agent about one attempt of a task. */
--- a/src/util/endpoint.c
+++ b/src/util/endpoint.c
@@ -4,6 +4,7 @@
 #include <glib.h>
 #include <string.h>
 
+/* Size of the buffer for the host, more than any IPv4 address needs, and the highest port. */
 enum { HOST_BYTES = 64, PORT_MAX = 65535 };
 
 bool ow_endpoint_parse(const char *endpoint, struct sockaddr_in *address)
--- a/src/util/rate_limiter.c
+++ b/src/util/rate_limiter.c
@@ -2,6 +2,7 @@
 
 #include <glib.h>
 
+/* In tokens. A bucket that holds less than one token could never serve a request. */
 static const double MIN_DEPTH = 1.0;
 
 void ow_rate_limiter_init(struct ow_rate_limiter *limiter, double rate, double depth, double now)
--- a/src/wire/submission_json.c
+++ b/src/wire/submission_json.c
@@ -6,9 +6,10 @@
 
 #include <string.h>
 
-/* Far more than any machine has; the bound keeps sums finite. */
+/* Upper bound of a number, in the unit of its field: far more than any machine has, and sums stay finite. */
 static const double AMOUNT_MAX = 1e9;
 
+/* Maximum number of allowed machine types in a submission, and of digits in a job id. */
 enum { TYPE_NAMES_MAX = 32, ID_DIGITS_MAX = 18 };
 
 /* The only field of a job's description that is not part of a submission. */
--- a/src/wire/user_json.h
+++ b/src/wire/user_json.h
@@ -18,7 +18,7 @@
     const char *reason; /**< why it waits; omitted if NULL */
 };
 
-/** Encodes the state of a job. */
+/** Encodes the state of a job; unknown task counts and a NULL reason are omitted. */
 char *wire_job_view_encode(const struct wire_job_view *view);
 
 /** Encodes the resources that teams use and wait for. @param teams struct ow_team_view */
