--- a/src/agent/agent.c
+++ b/src/agent/agent.c
@@ -15,13 +15,14 @@
 #include <string.h>
 
 /* Interval at which the lease, the tasks and idle connections are checked. */
-static const double ROUND_S = 0.05;
+static const double ROUND_INTERVAL_S = 0.05;
 /* A connection from a controller is closed after this long without data. */
-static const double IDLE_S = 60;
+static const double IDLE_TIMEOUT_S = 60;
 /* Upper bound of the random delay before the heartbeat after a redirect: it keeps all agents from sending to
  * the same controller at once. */
 static const double REDIRECT_DELAY_S_MAX = 0.5;
 
+/* Maximum size of the body of a direct request, and maximum numbers of incoming and outgoing connections. */
 enum { BODY_LIMIT_BYTES = 256 * 1024, SERVER_CONNECTIONS = 32, CLIENT_CONNECTIONS = 4 };
 
 /* All heartbeats share one tag, since at most one is in flight. */
@@ -136,7 +137,7 @@
     ow_http_server_sweep(agent->server, now);
     if (agent_heartbeat_schedule_is_due(&agent->schedule, now))
         send_heartbeat(agent);
-    return ROUND_S;
+    return ROUND_INTERVAL_S;
 }
 
 static bool open_sockets(struct agent *agent, const struct agent_options *options)
@@ -145,7 +146,7 @@
         .endpoint = options->listen,
         .body_limit_bytes = BODY_LIMIT_BYTES,
         .max_connections = SERVER_CONNECTIONS,
-        .idle_s = IDLE_S,
+        .idle_s = IDLE_TIMEOUT_S,
     };
     ow_net_set_source(options->listen);
     agent->loop = ow_loop_new();
--- a/src/agent/incarnation.c
+++ b/src/agent/incarnation.c
@@ -10,6 +10,7 @@
 #include <sys/file.h>
 #include <unistd.h>
 
+/* Modes of a new directory and of new files, and the exit status after a failure. */
 enum { DIRECTORY_MODE = 0755, FILE_MODE = 0644, STATUS_FAILED = 1 };
 
 /* File names in the state directory; "session" is an older term for an incarnation, kept for existing
--- a/src/client/client.c
+++ b/src/client/client.c
@@ -26,7 +26,7 @@
     const char *path;
     const char *path_suffix; /* appended after the id of a job; NULL for other commands */
     const char *body;        /* of a command without a file; NULL: none */
-    /* Prints the answer to a successful command. */
+    /* Prints the answer to a successful command to standard output. */
     void (*print)(const json_t *answer);
 };
 
@@ -78,10 +78,10 @@
     return text;
 }
 
-/* Prints the error of an answer; `answer` is NULL if the body is no JSON object. */
+/* Prints the error of an answer; `answer` is NULL if the body is not a JSON object. */
 static void print_error(int status, const json_t *answer)
 {
-    const char *message = "no readable answer";
+    const char *message = "the response body is not a JSON object, or has no error message";
     if (status == OW_HTTP_STATUS_NONE) {
         fprintf(stderr, "ospreywell: the controller does not answer\n");
         return;
@@ -129,7 +129,7 @@
 enum ow_client_status ow_client_run(const char *server, char *const *arguments)
 {
     if (!ow_endpoint_is_valid(server)) {
-        fprintf(stderr, "ospreywell: --server ADDRESS:PORT or OSPREYWELL_SERVER is needed\n");
+        fprintf(stderr, "ospreywell: --server ADDRESS:PORT or OSPREYWELL_SERVER is required\n");
         return OW_CLIENT_USAGE;
     }
     const struct command *command = find_command(arguments);
--- a/src/client/print.c
+++ b/src/client/print.c
@@ -90,7 +90,7 @@
     print_items(answer, "controllers", print_controller);
 }
 
-/* One step of a shard's handovers. */
+/* Prints one step of a shard's failover. */
 static void print_step(const json_t *step)
 {
     printf("    %.1f s ago: %s: %s\n", number_of(step, "since_s"), text_of(step, "state", ""),
--- a/src/client/print.h
+++ b/src/client/print.h
@@ -12,7 +12,7 @@
 /** Prints whether the controllers agree on their settings, and a line for each: its state and the shards that
  * it leads. */
 void ow_print_controllers(const json_t *answer);
-/** Prints each shard: its state, its leader, and the most recent steps of its handovers. */
+/** Prints each shard: its state, its leader, and the most recent steps of its failovers. */
 void ow_print_shards(const json_t *answer);
 
 #endif
