--- a/src/agent/options.c
+++ b/src/agent/options.c
@@ -11,8 +11,8 @@
 
 /* Summary at the top of the --help output. */
 static const char summary[] =
-    "Runs the tasks of one machine for the controllers of the cluster scheduler: it sends\n"
-    "heartbeats and carries out the commands of the leader with the highest fencing token.";
+    "Runs the tasks of one machine for the controllers of the cluster scheduler: it reports,\n"
+    "obeys the controller with the highest token, and decides nothing.";
 
 static void controller_clear(void *item)
 {
--- a/src/client/client.c
+++ b/src/client/client.c
@@ -129,7 +129,7 @@
 enum ow_client_status ow_client_run(const char *server, char *const *arguments)
 {
     if (!ow_endpoint_is_valid(server)) {
-        fprintf(stderr, "ospreywell: --server ADDRESS:PORT or OSPREYWELL_SERVER is required\n");
+        fprintf(stderr, "ospreywell: --server ADDRESS:PORT or OSPREYWELL_SERVER is needed\n");
         return OW_CLIENT_USAGE;
     }
     const struct command *command = find_command(arguments);
--- a/src/config/command_line.c
+++ b/src/config/command_line.c
@@ -4,16 +4,15 @@
 #include "config/option_parser.h"
 
 /* Summary at the top of the --help output. */
-static const char summary[] =
-    "Runs a controller of the cluster scheduler:\n"
-    "  ospreywell --config FILE [--operators FILE]\n"
-    "or sends a command to one:\n"
-    "  ospreywell submit FILE   submits a job (JSON; - for standard input)\n"
-    "  ospreywell show ID       shows a job's state, and why it waits\n"
-    "  ospreywell cancel ID     cancels a job\n"
-    "  ospreywell teams         shows the resources that each team uses and waits for\n"
-    "  ospreywell controllers   shows which controllers are alive or suspected\n"
-    "  ospreywell shards        shows who leads each shard, since when and why";
+static const char summary[] = "Serves as a controller of the cluster scheduler:\n"
+                              "  ospreywell --config FILE [--operators FILE]\n"
+                              "or talks to one:\n"
+                              "  ospreywell submit FILE   hands in a job (JSON; - for standard input)\n"
+                              "  ospreywell show ID       tells a job's state, and why it waits\n"
+                              "  ospreywell cancel ID     cancels a job\n"
+                              "  ospreywell teams         tells what each team runs and waits for\n"
+                              "  ospreywell controllers   tells which controllers are alive or suspected\n"
+                              "  ospreywell shards        tells who leads each shard, since when and why";
 
 /* --version takes precedence over a client command, and a client command over a settings file. */
 static enum ow_action choose_action(const struct ow_command_line *command_line, bool is_version,
