--- a/src/agent/lease.c
+++ b/src/agent/lease.c
@@ -8,11 +8,11 @@
 
 /* Memory shared by the agent and the supervisors. */
 struct page {
-    _Atomic double expires_at;
+    _Atomic double expires_at; /* by agent_clock_now() */
 };
 
 struct agent_lease {
-    double lease_s;
+    double lease_s; /* duration that a renewal grants */
     struct page *page;
 };
 
--- a/src/agent/supervisor.c
+++ b/src/agent/supervisor.c
@@ -7,8 +7,8 @@
 #include <unistd.h>
 
 struct agent_supervisor {
-    pid_t pid; /* of the supervisor's process */
-    bool is_reaped;
+    pid_t pid;                          /* of the supervisor's process */
+    bool is_reaped;                     /* waitpid() has returned its exit status */
     struct agent_supervisor_page *page; /* shared with the supervisor's process */
 };
 
--- a/src/sharding/membership.c
+++ b/src/sharding/membership.c
@@ -19,9 +19,9 @@
     struct ow_heartbeat_source heartbeats;
     struct ow_indirect_prober prober;
     struct ow_dropped_messages dropped;
-    double started_at;   /* of the first tick; 0: none yet */
-    double last_tick_at; /* of the last tick; 0: none yet */
-    double next_heartbeat_at;
+    double started_at;        /* of the first tick; 0: none yet */
+    double last_tick_at;      /* of the last tick; 0: none yet */
+    double next_heartbeat_at; /* when the next heartbeat is due; 0: immediately */
 };
 
 /* ---- creation and destruction ---- */
--- a/src/sharding/request_router.c
+++ b/src/sharding/request_router.c
@@ -13,7 +13,7 @@
 /* A submission that its shard has not answered yet. */
 struct pending_submission {
     char id[OW_ID_MAX + 1];
-    double sent_at;
+    double sent_at; /* seconds of the monotonic clock */
 };
 
 struct ow_request_router {
--- a/src/sharding/shard_manager.c
+++ b/src/sharding/shard_manager.c
@@ -24,7 +24,7 @@
     struct ow_map_agreement *agreement;
     struct ow_request_router *router;
     GQueue events; /* struct ow_event, owned */
-    double now;
+    double now;    /* of the last step: seconds of the monotonic clock */
 };
 
 static struct ow_shard *shard_at(const struct ow_shard_manager *manager, guint index)
