--- a/src/sharding/shard_manager.c
+++ b/src/sharding/shard_manager.c
@@ -11,7 +11,7 @@
 #include "sharding/shard_map.h"
 #include "sharding/shard_tag.h"
 
-/* Shorter pauses of the process are normal scheduling delays. */
+/* Minimum duration of a pause of the process that is handled; shorter ones are normal scheduling delays. */
 static const double PAUSE_MIN_S = 0.5;
 
 struct ow_shard_manager {
@@ -24,7 +24,7 @@
     struct ow_map_agreement *agreement;
     struct ow_request_router *router;
     GQueue events; /* struct ow_event, owned */
-    double now;
+    double now;    /* of the last step: seconds of the monotonic clock */
 };
 
 static struct ow_shard *shard_at(const struct ow_shard_manager *manager, guint index)
