--- a/src/config/sharding_file.c
+++ b/src/config/sharding_file.c
@@ -242,7 +242,7 @@
     if (strcmp(element, "control") == 0)
         return read_control(sharding, attributes, line, error);
     if (!sharding->is_enabled)
-        return fail(error, OW_CONFIG_ERROR_INCONSISTENT, element, "must be inside control");
+        return fail(error, OW_CONFIG_ERROR_INCONSISTENT, element, "must be inside the control element");
     if (strcmp(element, "shard") == 0)
         return read_shard(sharding, attributes, line, error);
     if (strcmp(element, "allotment") == 0)
--- a/src/config/toml_reader.c
+++ b/src/config/toml_reader.c
@@ -12,7 +12,7 @@
 }
 
 /* Records that the path has no value, or a value of the wrong kind, which `reason` describes. */
-static void fail_missing(struct ow_toml_reader *reader, const char *path, const char *reason)
+static void fail_missing_or_malformed(struct ow_toml_reader *reader, const char *path, const char *reason)
 {
     if (ow_toml_doc_kind(reader->doc, path) == OW_TOML_NONE)
         ow_toml_reader_fail(reader, OW_CONFIG_ERROR_MISSING_FIELD, path, "is missing");
@@ -24,7 +24,7 @@
 {
     const char *value = ow_toml_doc_string(reader->doc, path);
     if (value == NULL)
-        fail_missing(reader, path, "is not a string");
+        fail_missing_or_malformed(reader, path, "is not a string");
     else if (*value == '\0')
         ow_toml_reader_fail(reader, OW_CONFIG_ERROR_MISSING_FIELD, path, "is empty");
     return g_strdup(value != NULL ? value : "");
@@ -42,7 +42,7 @@
 {
     double value = 0;
     if (!ow_toml_doc_number(reader->doc, path, &value))
-        fail_missing(reader, path, "is not a number");
+        fail_missing_or_malformed(reader, path, "is not a number");
     else if (!isfinite(value) || value < min || value > max)
         ow_toml_reader_fail(reader, OW_CONFIG_ERROR_OUT_OF_RANGE, path, "is out of range");
     return value;
--- a/src/core/api/cancellation_ack.c
+++ b/src/core/api/cancellation_ack.c
@@ -30,7 +30,7 @@
     double added_at;
     double next_send_at;      /* when it is sent to the leader next, if another controller leads */
     double resend_interval_s; /* the interval after that */
-    double expires_at;        /* 0: a user has asked this controller, so it is kept until acknowledged */
+    double expires_at; /* when it is dropped without acknowledgement; 0: never, as a user requested it here */
     GArray *waiting_requests; /* struct waiting_request */
 };
 
--- a/src/core/jobs/job_cache.c
+++ b/src/core/jobs/job_cache.c
@@ -14,8 +14,8 @@
 /* Minimum time between two watches, on a leader and on any other controller. */
 static const double WATCH_GAP_LEADER_S = 0.1;
 static const double WATCH_GAP_S = 1.0;
-/* Minimum time between two refreshes (reads that a caller waits for), and the share of the permitted requests
-   to the key-value store that all controllers together may use for them. */
+/* A refresh is a read on behalf of callers that wait for it. The minimum time between two of them, and the
+   fraction of the key-value store's request rate limit that the refreshes of all controllers may use. */
 static const double REFRESH_GAP_S = 0.05;
 static const double REFRESH_SHARE = 0.4;
 /* The time until a failed read is repeated. */
--- a/src/core/records/store_limits.c
+++ b/src/core/records/store_limits.c
@@ -6,7 +6,7 @@
 /* Upper bounds of the bytes of a progress record: for each task its machine, incarnation, number and attempt,
    or its place in the list of done tasks; and for the record's name and frame. */
 enum { TASK_BYTES = 30, FRAME_BYTES = 150 };
-/* Lower bound of the limit of a value. */
+/* The maximum size of a value is never reduced below this. */
 enum { VALUE_MIN_BYTES = 256 };
 
 struct ow_store_limits ow_store_limits_from_settings(const struct ow_settings *settings)
--- a/src/model/settings.h
+++ b/src/model/settings.h
@@ -49,7 +49,7 @@
     char *zone;
     char *http_listen; /**< host:port to listen on for users and agents */
     char *peer_listen; /**< host:port to listen on for other controllers */
-    /* services and peers */
+    /* endpoints of other services, other controllers, teams, objectives and zones */
     char *cloud_endpoint; /**< host:port */
     char *store_endpoint; /**< host:port of the key-value store */
     GArray *peers;        /**< struct ow_peer_settings */
--- a/src/sharding/shard_manager.c
+++ b/src/sharding/shard_manager.c
@@ -250,7 +250,8 @@
             is_lease_in_doubt = true;
     }
     if (is_lease_in_doubt)
-        g_info("process paused, effects withheld until leases are confirmed: pause_s=%.2f", paused_s);
+        g_info("resumed after a pause, outgoing messages withheld until leases are confirmed: pause_s=%.2f",
+               paused_s);
     return is_lease_in_doubt;
 }
 
--- a/tests/unit/test_sharding_settings.c
+++ b/tests/unit/test_sharding_settings.c
@@ -163,7 +163,7 @@
      "line 3: shard: name \"no/rth\" has characters other than letters, digits, - and _"},
     {"<control>\n<shard name='north' zones='a' share='2'/></control>",
      "line 3: share: must be a number from 0 to 1"},
-    {"<shard name='north' zones='a' share='1'/>", "line 2: shard: must be inside control"},
+    {"<shard name='north' zones='a' share='1'/>", "line 2: shard: must be inside the control element"},
     {"<control>" NORTH SOUTH "</control>\n<control/>", "line 5: control: appears more than once"},
 };
 
