--- a/tests/cluster/test_election.c
+++ b/tests/cluster/test_election.c
@@ -100,11 +100,11 @@
     sim_check_safety(cluster);
 }
 
-static void test_health_distinguishes_an_outage_from_a_denied_controller(void **state)
+static void test_health_distinguishes_an_outage_from_a_controller_without_store(void **state)
 {
     struct sim_cluster *cluster = *state;
     cluster->controller_without_store = 2;
-    sim_poll(cluster, 2, "run-1"); /* its read fails, and it learns that the store denies it */
+    sim_poll(cluster, 2, "run-1"); /* its read fails, so it learns that the store is unavailable to it */
     sim_run(cluster, 5);
     assert_false(ow_shard_manager_is_ready(cluster->controllers[2]));
     assert_true(ow_shard_manager_is_ready(cluster->controllers[0]) &&
@@ -132,7 +132,7 @@
         cmocka_unit_test(test_lost_election_response_is_read_back),
         cmocka_unit_test_setup_teardown(test_leader_keeps_its_term_through_an_outage,
                                         setup_three_controllers_and_two_machines, sim_teardown),
-        cmocka_unit_test_setup_teardown(test_health_distinguishes_an_outage_from_a_denied_controller,
+        cmocka_unit_test_setup_teardown(test_health_distinguishes_an_outage_from_a_controller_without_store,
                                         setup_three_controllers_and_one_machine, sim_teardown),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/cluster/test_fleet.c
+++ b/tests/cluster/test_fleet.c
@@ -1,4 +1,4 @@
-/* A cluster half as large again as the largest deployment. Guards against scheduling rounds that take
+/* A cluster 1.5 times as large as the largest deployment. Guards against scheduling rounds that take
  * longer than their interval while many jobs wait. Also guards against broken safety rules, incomplete
  * jobs and an unbounded load on other services when all controllers restart at once and a third of the
  * machines is lost. */
@@ -8,8 +8,8 @@
 #include "model/submission.h"
 
 enum { MACHINES = 2000, SYNC_GANGS = 40, SCAN_ARRAYS = 40, BILL_ARRAYS = 30 };
-/* The limit for 10 s, averaged over the machines: 100 rounds, each with some lists for each of the 3
- * classes. */
+/* The limit for 10 s, averaged over the machines: 100 rounds, each of which may check a machine several
+ * times for each of the 3 classes. */
 enum { CHECKS_PER_MACHINE_MAX = 2000 };
 
 static int setup_fleet(void **state)
--- a/tests/cluster/test_reconciliation.c
+++ b/tests/cluster/test_reconciliation.c
@@ -28,8 +28,8 @@
     struct sim_cluster *cluster = *state;
     struct sim_machine *unresponsive = sim_start_long_job(cluster);
     unresponsive->unresponsive = true;
-    /* A gang that needs whole machines may choose this one before the failure is detected: it must not
-     * wait for it. */
+    /* A gang that needs whole machines may choose this one before the failure is detected: the gang must
+     * not wait for it indefinitely. */
     cluster->run_time_s = 2;
     sim_submit(cluster, 0, sim_gang("run-2", 2, 16));
     assert_true(sim_run_until(cluster, 40, sim_machine_is_deleted, unresponsive));
@@ -45,7 +45,7 @@
     struct sim_machine *unresponsive = sim_start_long_job(cluster);
     unresponsive->unresponsive = true;
     cluster->run_time_s = 1;
-    sim_submit(cluster, 0, sim_job("run-2", 1, 1)); /* the best fit is beside the other task */
+    sim_submit(cluster, 0, sim_job("run-2", 1, 1)); /* the best fit is the unresponsive machine */
     sim_run(cluster, 5);
     assert_false(unresponsive->deleted);
     sim_submit(cluster, 0, sim_job("run-3", 1, 1));
@@ -71,7 +71,8 @@
     struct sim_cluster *cluster = *state;
     struct sim_machine *unresponsive = sim_start_long_job(cluster);
     unresponsive->unresponsive = true;
-    unresponsive->lease_renewed_at = cluster->now + 1000; /* its lease does not end the task */
+    unresponsive->lease_renewed_at =
+        cluster->now + 1000; /* the task is not ended by the expiry of the lease */
     sim_cancel(cluster, 0, "run-1");
     sim_run(cluster, 39);
     assert_true(unresponsive->deleted);
--- a/tests/cluster/test_services.c
+++ b/tests/cluster/test_services.c
@@ -136,8 +136,8 @@
     sim_check_safety(cluster);
 }
 
-/* Only direct commands are delayed; responses to heartbeats arrive. No machine may be deleted, and new
- * replicas start by the responses. */
+/* Only direct commands are delayed; responses to heartbeats arrive and carry the same commands. No machine
+ * may be deleted as unresponsive, and new replicas must start. */
 static void test_delayed_direct_commands_delete_no_machine(void **state)
 {
     struct sim_cluster *cluster = *state;
--- a/tests/cluster/test_shard_jobs.c
+++ b/tests/cluster/test_shard_jobs.c
@@ -58,8 +58,8 @@
     sim_check_safety(cluster);
 }
 
-/* Retries are recognized by their id alone, even if they would now go to another shard, could not run or
- * are malformed. */
+/* Retries are recognized by their id alone, even if they would now go to another shard, need more CPUs
+ * than any machine has, or are malformed. */
 static void test_retries_reach_the_shard_that_has_the_job(void **state)
 {
     struct sim_cluster *cluster = *state;
--- a/tests/cluster/test_starvation.c
+++ b/tests/cluster/test_starvation.c
@@ -128,7 +128,7 @@
     sim_check_safety(cluster);
 }
 
-/* Starved jobs take at most every other slot, so that a new job still starts. */
+/* Starved jobs take at most every other placement, so that a new job still starts. */
 static void test_new_gang_starts_among_starved_gangs(void **state)
 {
     struct sim_cluster *cluster = *state;
--- a/tests/cluster/test_user_api.c
+++ b/tests/cluster/test_user_api.c
@@ -50,7 +50,7 @@
     uint64_t first = sim_submit(cluster, 0, sim_job("run-1", 1, 1));
     sim_run(cluster, 0.5);
     assert_int_equal(sim_status(cluster, first), 201);
-    /* The retry goes to another controller and could never run: it is still the same job. */
+    /* The retry goes to another controller and asks for more CPUs than any machine has: its id decides. */
     uint64_t retry = sim_submit(cluster, 1, sim_job("run-1", 1, 1000));
     sim_run(cluster, 0.5);
     assert_int_equal(sim_status(cluster, retry), 200);
@@ -65,7 +65,8 @@
     struct sim_cluster *cluster = *state;
     cluster->silent_watches = true;
     uint64_t first = sim_submit(cluster, 0, sim_job("run-1", 1, 1));
-    /* Controller 1 has not read the record yet, and the retry could never run. */
+    /* Controller 1 has not read the record yet, and as a new job the retry would be rejected: no machine has
+     * that many CPUs. */
     sim_run(cluster, 0.1);
     uint64_t retry = sim_submit(cluster, 1, sim_job("run-1", 1, 1000));
     sim_run(cluster, 0.5);
--- a/tests/loopback/overhead.py
+++ b/tests/loopback/overhead.py
@@ -56,7 +56,7 @@
         self.started_at = time.monotonic()
         self.used_s = {pid: cpu_s(pid) for pid in pids}
 
-    def mean_cost(self) -> Cost:
+    def mean_usage(self) -> Cost:
         """The mean usage per process since the meter was created."""
         seconds = time.monotonic() - self.started_at
         core_share = mean((cpu_s(pid) - used_s) / seconds for pid, used_s in self.used_s.items())
@@ -77,7 +77,7 @@
     settings = Settings(["a", "b"], SHARDS, peer_port=peer_port, heartbeat_s=heartbeat_s)
     programs = Programs(options.controller, options.agent)
     cluster = Cluster(options.directory, programs, options.controllers, settings)
-    # Otherwise idle machines would be returned, and there would be no agents to measure.
+    # Otherwise idle machines would be terminated, and there would be no agents to measure.
     cluster.cloud.refuses_deletions = True
     await cluster.start([("m8", settings.zone_of(i)) for i in range(options.agents)])
     await asyncio.sleep(SETTLE_S)
@@ -88,8 +88,8 @@
     sent = (peer_bytes(cluster) - sent_before) / options.seconds / options.controllers
     print(
         f"{options.controllers} controllers, heartbeat every {heartbeat_s} s: "
-        f"a controller uses {controllers.mean_cost()} and sends {sent / 1024:.2f} KiB/s to the others "
-        f"(0: not counted); an agent uses {agents.mean_cost()}"
+        f"a controller uses {controllers.mean_usage()} and sends {sent / 1024:.2f} KiB/s to the others "
+        f"(0: not counted); an agent uses {agents.mean_usage()}"
     )
     await cluster.stop()
 
--- a/tests/loopback/test_checker.py
+++ b/tests/loopback/test_checker.py
@@ -120,7 +120,7 @@
         events = LEADERS + USERS + [{"t": 4, "event": "forgotten", "job": "run-1"}]
         self.assert_violations("forgotten", valid_history(), events)
 
-    def test_job_is_called_done_without_its_results(self) -> None:
+    def test_job_is_reported_done_without_its_results(self) -> None:
         machines = [event for event in valid_history() if event["event"] != "exited"]
         self.assert_violations("not done", machines)
 
--- a/tests/model/handover.pml
+++ b/tests/model/handover.pml
@@ -29,10 +29,10 @@
 
 /* The key-value store. */
 byte last_token = 0;
-byte holder = NO_HOLDER; /* controller + 1 */
+byte holder = NO_HOLDER; /* index of the controller, plus 1 */
 byte held_token = 0;
 bool lease[CONTROLLERS];
-byte record_machine = NO_MACHINE; /* machine + 1: the machine that may have an attempt */
+byte record_machine = NO_MACHINE; /* index, plus 1, of the machine on which an attempt may run */
 byte record_incarnation = 0;
 byte record_version = 0;
 byte key_expiries = 0;
--- a/tests/sim/chaos_failures.c
+++ b/tests/sim/chaos_failures.c
@@ -93,7 +93,7 @@
 {
     int controller = g_rand_int_range(failures->rand, 0, SIM_CONTROLLERS);
     int other = (controller + 1) % SIM_CONTROLLERS;
-    /* Links break with and without a crash of the process. */
+    /* A link may break although the process at its other end keeps running. */
     if (g_rand_boolean(failures->rand) && failures->cluster->controllers[other] != NULL)
         sim_break_peer_link(failures->cluster, other, controller);
     if (g_rand_int_range(failures->rand, 0, 4) == 0)
@@ -102,7 +102,7 @@
         sim_kill_controller(failures->cluster, controller);
     else
         sim_start_controller(failures->cluster, controller);
-    /* One in three restarts at once. */
+    /* One in three killed controllers restarts at once. */
     if (failures->cluster->controllers[controller] == NULL && g_rand_int_range(failures->rand, 0, 3) == 0)
         sim_start_controller(failures->cluster, controller);
 }
--- a/tests/sim/chaos_scenario.c
+++ b/tests/sim/chaos_scenario.c
@@ -100,7 +100,7 @@
     cluster->provisionable_machines = 40;
     if (sharded)
         sim_enable_sharding(cluster);
-    /* With even seeds, small values make the records span many of them. */
+    /* With even seeds the maximum size of a value is small, so that the records span many values. */
     for (int i = 0; i < SIM_CONTROLLERS && seed % 2 == 0; i++)
         cluster->settings[i].value_kb = cluster->value_kb = 0.5;
     sim_start_controllers(cluster);
--- a/tests/sim/sim_checks.c
+++ b/tests/sim/sim_checks.c
@@ -1,34 +1,34 @@
 /* Checks of the safety rules on the simulated machines. They examine the actual tasks on the machines, never
- * the state of a controller; each breach is recorded as a violation. */
+ * the state of a controller; each breach of a rule is recorded as a violation. */
 #include "sim_internal.h"
 #include "model/submission.h"
 #include "model/worker.h"
 
 #include <string.h>
 
-/* A task may only be on the machine of its last launch. */
-void sim_check_runs_once(struct sim_cluster *cluster, struct sim_machine *here,
+/* Only the machine of its last launch may run a task. */
+void sim_check_runs_once(struct sim_cluster *cluster, struct sim_machine *launched_on,
                          const struct ow_worker_command *command)
 {
     char *name = g_strdup_printf("%s/%u", command->job, command->task);
     const struct sim_machine *machine = g_hash_table_lookup(cluster->last_machine_of_task, name);
-    for (guint k = 0; machine != NULL && machine != here && !machine->deleted && k < machine->tasks->len;
-         k++) {
+    for (guint k = 0;
+         machine != NULL && machine != launched_on && !machine->deleted && k < machine->tasks->len; k++) {
         const struct sim_task *task = &g_array_index(machine->tasks, struct sim_task, k);
         if (task->phase != OW_PHASE_EXITED && task->task == command->task &&
             strcmp(task->job, command->job) == 0)
             g_string_append_printf(cluster->violations, "task %s runs twice, on %s and %s; ", name,
-                                   machine->name, here->name);
+                                   machine->name, launched_on->name);
     }
-    g_hash_table_replace(cluster->last_machine_of_task, name, here);
+    g_hash_table_replace(cluster->last_machine_of_task, name, launched_on);
 }
 
-/* No task of a job may start after a user was answered that the job has ended. */
+/* No task of a job may start after a user was told that the job has ended. */
 void sim_check_not_ended(struct sim_cluster *cluster, const char *job)
 {
     const struct sim_final_state *final = g_hash_table_lookup(cluster->final_states, job);
     if (final != NULL)
-        g_string_append_printf(cluster->violations, "job %s was answered as %s, and a task of it starts; ",
+        g_string_append_printf(cluster->violations, "job %s was reported as %s, and a task of it starts; ",
                                job, final->state == OW_JOB_DONE ? "done" : "cancelled");
 }
 
@@ -37,7 +37,7 @@
     return g_hash_table_lookup(cluster->requirements, job);
 }
 
-/* Calls `take` for every task that has not exited. */
+/* Calls `visit` for every task that has not exited. */
 static void for_each_task(struct sim_cluster *cluster,
                           void (*visit)(struct sim_cluster *cluster, const struct sim_machine *machine,
                                         const struct sim_task *task, void *context),
@@ -88,7 +88,7 @@
 
 struct zone_counts {
     const char *job;
-    const struct sim_machine *here;
+    const struct sim_machine *launched_on;
     uint32_t in_zone, elsewhere;
 };
 
@@ -99,7 +99,7 @@
     (void)cluster;
     if (strcmp(task->job, counts->job) != 0)
         return;
-    if (strcmp(machine->zone, counts->here->zone) == 0)
+    if (strcmp(machine->zone, counts->launched_on->zone) == 0)
         counts->in_zone++;
     else
         counts->elsewhere++;
--- a/tests/sim/sim_internal.h
+++ b/tests/sim/sim_internal.h
@@ -38,10 +38,10 @@
 
 /** The requirements of the job, owned by the cluster; NULL if it was never submitted. */
 const struct sim_requirements *sim_requirements_of(struct sim_cluster *cluster, const char *job);
-/** Checks that the task launched on machine `here` runs on no other machine. */
-void sim_check_runs_once(struct sim_cluster *cluster, struct sim_machine *here,
+/** Checks that the task launched on machine `launched_on` runs on no other machine. */
+void sim_check_runs_once(struct sim_cluster *cluster, struct sim_machine *launched_on,
                          const struct ow_worker_command *command);
-/** Checks, when a task of the job starts, that no user was answered a final state of the job. */
+/** Checks, when a task of the job starts, that no user was told that the job has ended. */
 void sim_check_not_ended(struct sim_cluster *cluster, const char *job);
 /** Checks that the tasks of the job's team that have not exited are within the team's limit. */
 void sim_check_team_limit(struct sim_cluster *cluster, const char *job);
--- a/tests/sim/sim_machines.h
+++ b/tests/sim/sim_machines.h
@@ -1,9 +1,9 @@
 /**
  * @file
  * The simulated machines and their workers. A worker fetches, runs and ends tasks, sends heartbeats, ends its
- * tasks when its lease expires, and obeys the highest fencing token. Tests inject failures through the fields
- * of struct sim_machine under "Failures". The cluster owns its machines; a deleted machine is freed only with
- * the cluster.
+ * tasks when its lease expires, and rejects commands with a fencing token lower than the highest seen. Tests
+ * inject failures through the fields of struct sim_machine under "Failures". The cluster owns its machines; a
+ * deleted machine is freed only with the cluster.
  */
 #ifndef OW_TESTS_SIM_MACHINES_H
 #define OW_TESTS_SIM_MACHINES_H
--- a/tests/sim/sim_users.h
+++ b/tests/sim/sim_users.h
@@ -26,7 +26,7 @@
     bool service;
 };
 
-/** The first final state of a job that a user was answered. */
+/** The first final state of a job that was reported to a user. */
 struct sim_final_state {
     enum ow_job_state state;
     double at;
--- a/tests/sim/sim_workers.c
+++ b/tests/sim/sim_workers.c
@@ -117,8 +117,8 @@
     }
 }
 
-/* Keeps the commands until a partition heals, since it delays packets and does not drop them. Takes ownership
- * of the commands out of the effect. */
+/* Keeps the commands for later delivery, since a partition delays packets and does not drop them. Takes
+ * ownership of the commands out of the effect. */
 static void delay_commands(struct sim_cluster *cluster, const struct sim_machine *machine,
                            struct ow_effect *effect)
 {
@@ -131,8 +131,8 @@
 
 /* Executes commands for the current incarnation whose fencing token is not lower than the highest seen so
  * far; returns the HTTP status of the response. */
-static int obey_direct_commands(struct sim_cluster *cluster, struct sim_machine *machine,
-                                const struct ow_effect *effect)
+static int execute_direct_commands(struct sim_cluster *cluster, struct sim_machine *machine,
+                                   const struct ow_effect *effect)
 {
     bool ok = effect->fencing_token >= machine->fencing_token && effect->incarnation == machine->incarnation;
     if (effect->fencing_token > machine->fencing_token) {
@@ -160,7 +160,7 @@
             delay_commands(cluster, machine, effect);
         after_s = DIRECT_TIMEOUT_S;
     } else {
-        event->status = obey_direct_commands(cluster, machine, effect);
+        event->status = execute_direct_commands(cluster, machine, effect);
         event->heartbeat = sim_heartbeat_new(machine);
     }
     sim_deliver(cluster, controller, cluster->process_nonce[controller], after_s, event);
--- a/tests/sim/workload_scenario.c
+++ b/tests/sim/workload_scenario.c
@@ -9,7 +9,7 @@
     RECOVERY_S =
         100, /* the time after these rounds, in which replicas are separated and idle machines terminated */
     PROVISIONABLE_MACHINES = 12, /* in addition to the initial machines */
-    JOBS_PER_ROUND_MAX = 2,      /* the most new jobs in a round */
+    JOBS_PER_ROUND_MAX = 2,      /* maximum number of new jobs in a round */
     RESPONSE_TIMEOUT_S = 20,     /* the time within which every request is answered after the failures */
 };
 
