--- a/tests/loopback/report.py
+++ b/tests/loopback/report.py
@@ -98,11 +98,11 @@
     def plot_owners(self) -> str:
         """Plots the tokens that each machine accepts, coloured by their index among all tokens."""
         tokens = sorted({term["token"] for term in checker.terms(self.events)})
-        orders = [e for e in checker.accepted_commands(self.machines) if e["token"] in tokens]
-        names = sorted({e["machine"] for e in orders})
+        accepted = [e for e in checker.accepted_commands(self.machines) if e["token"] in tokens]
+        names = sorted({e["machine"] for e in accepted})
         rows = [
             (self.seconds(e), names.index(e["machine"]), tokens.index(e["token"]) % TERM_COLOURS + 1)
-            for e in orders
+            for e in accepted
         ]
         style = "1:2:3 with points pt 5 ps 0.4 lc variable notitle"
         return self.plot_rows("owners", HEIGHT + OWNER_HEIGHT * len(names), names, rows, style)
--- a/tests/loopback/test_checker.py
+++ b/tests/loopback/test_checker.py
@@ -22,10 +22,10 @@
 ]
 
 
-def orders(
+def command_batch(
     at: float, machine: str, token: int, accepted: bool = True, via: str = "direct", commands: int = 0
 ) -> Event:
-    """A machine receives a batch of commands."""
+    """The event of a machine that receives a batch of commands."""
     event = {"t": at, "machine": machine, "event": "orders", "token": token, "accepted": accepted}
     return {**event, "via": via, "commands": commands}
 
@@ -38,14 +38,14 @@
 def valid_history() -> list[Event]:
     """Events of machines without a violation."""
     return [
-        orders(4, "m-1", 5),
-        orders(4, "m-2", 6),
+        command_batch(4, "m-1", 5),
+        command_batch(4, "m-2", 6),
         task(5, "m-1", "task-begins", "run-1/0"),
         task(7, "m-1", "task-ended", "run-1/0"),
         task(7.1, "m-1", "exited", "run-1/0", cause=checker.CAUSE_DONE),
         task(5, "m-2", "task-begins", "run-2/0"),
         task(8.2, "m-2", "task-ended", "run-2/0"),
-        orders(21, "m-1", 9),
+        command_batch(21, "m-1", 9),
     ]
 
 
@@ -74,24 +74,24 @@
         self.assertEqual(self.check(valid_history()), [])
 
     def test_lower_token_is_accepted(self) -> None:
-        self.assert_violations("two owners", valid_history() + [orders(21.5, "m-1", 5, via="answer")])
+        self.assert_violations("two owners", valid_history() + [command_batch(21.5, "m-1", 5, via="answer")])
 
     def test_accepted_token_was_never_issued(self) -> None:
-        self.assert_violations("two owners", valid_history() + [orders(22, "m-1", 11)])
+        self.assert_violations("two owners", valid_history() + [command_batch(22, "m-1", 11)])
 
     def test_answer_without_token_and_commands_before_the_first_token_is_no_violation(self) -> None:
-        self.assertEqual(self.check(valid_history() + [orders(3, "m-1", 0, via="answer")]), [])
+        self.assertEqual(self.check(valid_history() + [command_batch(3, "m-1", 0, via="answer")]), [])
 
     def test_commands_without_token_are_accepted(self) -> None:
         self.assert_violations(
-            "two owners", valid_history() + [orders(3, "m-1", 0, via="answer", commands=1)]
+            "two owners", valid_history() + [command_batch(3, "m-1", 0, via="answer", commands=1)]
         )
 
     def test_answer_without_token_is_accepted_after_a_token(self) -> None:
-        self.assert_violations("two owners", valid_history() + [orders(10, "m-1", 0, via="answer")])
+        self.assert_violations("two owners", valid_history() + [command_batch(10, "m-1", 0, via="answer")])
 
     def test_machine_accepts_commands_of_two_shards(self) -> None:
-        self.assert_violations("two shards", valid_history() + [orders(6, "m-2", 9)])
+        self.assert_violations("two shards", valid_history() + [command_batch(6, "m-2", 9)])
 
     def test_task_runs_on_two_machines(self) -> None:
         extra = [task(6, "m-2", "task-begins", "run-1/0", 2), task(6.5, "m-2", "task-ended", "run-1/0", 2)]
@@ -126,12 +126,14 @@
 
     def test_command_of_a_thawed_controller(self) -> None:
         events = LEADERS + USERS + [{"t": 25, "event": "thawed", "controller": "controller-0"}]
-        late = [orders(25.2, "m-1", 5, accepted=False, via="answer")]
+        late = [command_batch(25.2, "m-1", 5, accepted=False, via="answer")]
         self.assert_violations("stale order", valid_history() + late, events)
 
     def test_command_received_before_the_thaw_is_no_violation(self) -> None:
         events = LEADERS + USERS + [{"t": 25, "event": "thawed", "controller": "controller-0"}]
-        self.assertEqual(self.check(valid_history() + [orders(21.5, "m-1", 5, accepted=False)], events), [])
+        self.assertEqual(
+            self.check(valid_history() + [command_batch(21.5, "m-1", 5, accepted=False)], events), []
+        )
 
 
 if __name__ == "__main__":
--- a/tests/sim/sim_store_internal.h
+++ b/tests/sim/sim_store_internal.h
@@ -22,7 +22,7 @@
 void sim_value_free(void *item);
 /** Appends a change at the current revision; the text is NULL for a deletion. */
 void sim_append_change(struct sim_cluster *cluster, const char *key, const char *text);
-/** Applies the transaction if it holds.
+/** Applies the transaction if all its comparisons hold.
  * @param failed the keys of failed comparisons, to be freed with g_strfreev().
  * @return the HTTP status: 200 if it was applied, 409 if a comparison failed, 400 if it was too large or its
  * lease does not exist. */
--- a/tests/sim/upgrade_setup.c
+++ b/tests/sim/upgrade_setup.c
@@ -54,9 +54,9 @@
     }
 }
 
-bool format_gate_is_open(struct sim_cluster *cluster, const void *what)
+bool format_gate_is_open(struct sim_cluster *cluster, const void *unused)
 {
-    (void)what;
+    (void)unused;
     return sim_read_value(cluster, OW_KEY_FORMAT) != NULL;
 }
 
--- a/tests/sim/upgrade_setup.h
+++ b/tests/sim/upgrade_setup.h
@@ -23,6 +23,6 @@
  * repeatedly. */
 void end_tasks_gradually(struct sim_cluster *cluster, double within_s);
 /** Predicate: whether records of the new format may be written. */
-bool format_gate_is_open(struct sim_cluster *cluster, const void *what);
+bool format_gate_is_open(struct sim_cluster *cluster, const void *unused);
 
 #endif
