--- a/src/core/records/store_limits.c
+++ b/src/core/records/store_limits.c
@@ -6,7 +6,7 @@
 /* Upper bounds of the bytes of a progress record: for each task its machine, incarnation, number and attempt,
    or its entry in the list of done tasks; and, once for each record, its name and all other text. */
 enum { TASK_BYTES = 30, RECORD_OVERHEAD_BYTES = 150 };
-/* Lower bound of the limit of a value. */
+/* The maximum size of a value is never reduced below this. */
 enum { VALUE_MIN_BYTES = 256 };
 
 struct ow_store_limits ow_store_limits_from_settings(const struct ow_settings *settings)
